--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -28,7 +28,12 @@
 }
 
 pub fn serve(file: &Path, more: &[String]) -> Serve {
-    let mut line = Command::new(env!("CARGO_BIN_EXE_applepond"));
+    serve_by(Path::new(env!("CARGO_BIN_EXE_applepond")), file, more)
+}
+
+/// The same by this build of the program.
+pub fn serve_by(program: &Path, file: &Path, more: &[String]) -> Serve {
+    let mut line = Command::new(program);
     line.arg("serve").arg("--with-parent").arg("--settings").arg(file).args(more);
     let mut child = line.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("it starts");
     let mut told = String::new();
@@ -89,6 +94,15 @@
         self.routers[n] = Some(serve(&self.write(n, "\"key\""), &line));
     }
 
+    /// Ends a router by SIGTERM and starts it by this build of the program, on the files that it left.
+    pub fn restart_by(&mut self, n: usize, program: &Path) {
+        self.signal(n, Signal::TERM);
+        let status = self.routers[n].as_mut().and_then(|router| router.child.wait().ok());
+        assert!(status.is_some_and(|status| status.success()), "it ends by itself");
+        let line = ["--fleet-through".to_owned(), self.links.at.to_string()];
+        self.routers[n] = Some(serve_by(program, &self.write(n, "\"key\""), &line));
+    }
+
     /// A router's settings with these key files.
     pub fn write(&self, n: usize, keys: &str) -> PathBuf {
         let file = self.folder.join(format!("r{n}.hcl"));
--- /dev/null
+++ b/crates/openings/tests/golden.rs
@@ -0,0 +1,28 @@
+//! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
+use applepond_openings::*;
+
+fn list() -> List {
+    let pin = |n: u64| Pin { id: OpeningId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
+    List { pins: (1..=3).map(pin).collect() }
+}
+
+#[test]
+fn lists_keep_their_bytes() {
+    let written = [list(), List::default()].map(|list| list.write());
+    insta::assert_snapshot!("lists", written.each_ref().map(hex::encode).join("\n"));
+    assert_eq!(List::read(&written[0]).ok(), Some(list()));
+    assert_eq!(List::read(&written[1]).ok(), Some(List::default()));
+}
+
+#[test]
+fn panes_keep_their_bytes() {
+    let mut panes = Panes::new(0);
+    for (id, uses) in [(1, 5), (0xffee_ddcc_bbaa_9988, 2), (70_000, 1)] {
+        (0..uses).for_each(|_| panes.uses(OpeningId(id)));
+    }
+    let told = panes.wake(PANE).expect("a pane is over");
+    let bytes = Panes::write(&told);
+    insta::assert_snapshot!("panes", hex::encode(&bytes));
+    let read = Panes::read(told.pane, &bytes).expect("a pane");
+    assert_eq!(Panes::write(&read), bytes);
+}
--- /dev/null
+++ b/crates/record/tests/golden.rs
@@ -0,0 +1,111 @@
+//! Names of tables and bytes of what is stored: a version that writes or reads others cannot go on from the
+//! disk of the one before.
+use applepond::interface::Micros;
+use applepond_accord::{Agreed, Ballot, Seat, Vote, Votes};
+use applepond_members::{Birth, RouterId};
+use applepond_record::*;
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use std::collections::BTreeMap;
+
+fn kept() -> Kept {
+    let answer = KeptAnswer { lines: b"Content-Type: a/b\r\n".to_vec(), body: b"body".to_vec() };
+    let fields = BTreeMap::from([("free".to_owned(), "yes".to_owned())]);
+    let end = |how, answer| Some(KeptEnd { how, fields: fields.clone(), answer });
+    let steps = BTreeMap::from([
+        (0, KeptStep { sent: 1_000_000, end: end(0, Some(answer)) }),
+        (1, KeptStep { sent: 2_000_000, end: end(2, None) }),
+        (300, KeptStep { sent: 3_000_000, end: None }),
+    ]);
+    Kept {
+        chain: "book".into(),
+        plan: 0x0123_4567_89ab_cdef,
+        named: Some("hut".into()),
+        customer: Some("huts".into()),
+        lines: b"ce-id: 1\r\n".to_vec(),
+        media: Some("application/json".into()),
+        data: b"{}".to_vec(),
+        deadline: 4_000_000,
+        until: 64_000_000,
+        failed: true,
+        closed: false,
+        steps,
+    }
+}
+
+/// All rows of a table, as text.
+fn rows(database: &Database, table: &str) -> Vec<String> {
+    let read = database.begin_read().expect("a transaction");
+    let table: TableDefinition<'_, u64, &[u8]> = TableDefinition::new(table);
+    let table = read.open_table(table).expect("a table of this name and form");
+    let row = |row: Result<(redb::AccessGuard<'_, u64>, redb::AccessGuard<'_, &[u8]>), _>| {
+        let (key, value) = row.expect("a row");
+        format!("{} {}", key.value(), hex::encode(value.value()))
+    };
+    table.iter().expect("rows").map(row).collect()
+}
+
+#[test]
+fn records_of_chains_keep_their_bytes() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("record");
+    let mut disk = Disk::open(&file).expect("a new file");
+    let empty = Kept::default();
+    disk.keep(&[(("/desk/7", "1"), &kept()), (("/desk/7", "2"), &empty)]).expect("room");
+    drop(disk);
+    let database = Database::create(&file).expect("opened again");
+    let read = database.begin_read().expect("a transaction");
+    let chains: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("chains");
+    let chains = read.open_table(chains).expect("a table of this name and form");
+    let mut lines = Vec::new();
+    for row in chains.iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        lines.push(format!("chains {} {}", hex::encode(key.value()), hex::encode(value.value())));
+    }
+    let until: TableDefinition<'_, (Micros, &[u8]), ()> = TableDefinition::new("until");
+    let until = read.open_table(until).expect("a table of this name and form");
+    for row in until.iter().expect("rows") {
+        let (key, _) = row.expect("a row");
+        let (at, name) = key.value();
+        lines.push(format!("until {at} {}", hex::encode(name)));
+    }
+    insta::assert_snapshot!("chains", lines.join("\n"));
+    drop((chains, until, read, database));
+    let mut disk = Disk::open(&file).expect("opened again");
+    assert_eq!(disk.read(("/desk/7", "1")).expect("read"), Some(kept()));
+    assert_eq!(disk.read(("/desk/7", "2")).expect("read"), Some(empty));
+}
+
+#[test]
+fn votes_keep_their_bytes() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("votes");
+    let seat = |n: u64| Seat { name: RouterId(n * 1_000_003), disk: Birth(n * 77_777_777_777) };
+    let agreed = Agreed {
+        line: Birth(987_654_321),
+        number: 300,
+        keepers: vec![seat(1), seat(2), seat(3)],
+        before: vec![seat(4)],
+        value: b"agreed value".to_vec(),
+    };
+    let ballot = |round| Ballot { round, by: 0xfeed_f00d };
+    let vote = Vote { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
+    let (mut disk, _, _) = VoteFile::open::<Agreed<Vec<u8>>>(&file, Birth(555)).expect("a new file");
+    disk.keep(&vote).expect("room");
+    drop(disk);
+    let database = Database::create(&file).expect("opened again");
+    insta::assert_snapshot!("votes", rows(&database, "vote").join("\n"));
+    drop(database);
+    let (_, number, found) = VoteFile::open::<Agreed<Vec<u8>>>(&file, Birth(1)).expect("opened again");
+    assert_eq!((number, found), (Birth(555), Some(vote)));
+}
+
+#[test]
+fn snapshots_keep_their_table() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("snapshot");
+    let (mut opened, _) = SnapshotFile::open(&file).expect("a new file");
+    opened.write(b"the bytes").expect("room");
+    drop(opened);
+    let database = Database::create(&file).expect("opened again");
+    insta::assert_snapshot!("snapshot", rows(&database, "snapshot").join("\n"));
+}
--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,40 @@
+//! Digests of names and the hash order: routers of two versions that draw others do not share workers' caches.
+mod common;
+use applepond::interface::*;
+use common::*;
+
+const NAMES: [&str; 5] = ["", "hut", "hut-labska", "server.0", "a-longer-name/of-a-function:7"];
+
+#[test]
+fn names_keep_their_digests() {
+    let line =
+        |name: &&str| format!("{name:?} {:016x} {:016x}", ServerId::named(name).0, FunctionId::named(name).0);
+    let lines: Vec<String> = NAMES.iter().map(line).collect();
+    insta::assert_snapshot!("digests", lines.join("\n"));
+}
+
+#[test]
+fn functions_keep_their_first_workers() {
+    let lines: Vec<String> =
+        (0..40).map(|n| format!("hut-{n} {}", first_workers(&format!("hut-{n}")))).collect();
+    insta::assert_snapshot!("first_workers", lines.join("\n"));
+}
+
+/// The first four workers of a function among twenty of three weights: each is taken off the list once it is
+/// the home.
+fn first_workers(function: &str) -> String {
+    let weighted =
+        |n: u64| Listed { weight: [1.0, 0.5, 2.25][n as usize % 3], ..listed(n, Standing::Ready, 0) };
+    let mut bench = Bench::new(rows(Effect::Idempotent), 0);
+    bench.list(&(0..20).map(weighted).collect::<Vec<_>>());
+    let mut first = Vec::new();
+    for n in 0..4 {
+        bench.arrive(n, function, 5000 * MS);
+        let home = bench.sends(n)[0];
+        bench.close(n, 0, &answer(Outcome::Finished));
+        let place = (0..20).find(|n| server(*n) == home).expect("a listed worker");
+        bench.list(&[Listed { standing: Standing::Gone, ..weighted(place) }]);
+        first.push(place.to_string());
+    }
+    first.join(" ")
+}
