--- a/crates/budgets/src/message.rs
+++ b/crates/budgets/src/message.rs
@@ -2,7 +2,7 @@
 //! any of it counts.
 use crate::office::{Orders, Term};
 use crate::*;
-use applepond_accord::Ballot;
+use applepond_consensus::Ballot;
 use applepond_members::{Birth, RouterId};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -77,7 +77,7 @@
     bytes: &[u8],
     now: Micros,
     office: &mut Office,
-    disk: &mut dyn applepond_accord::Votes<Term>,
+    disk: &mut dyn applepond_consensus::Votes<Term>,
     live: &dyn Fn(RouterId) -> bool,
     orders: &mut dyn Orders,
 ) -> Option<()> {
--- a/crates/budgets/src/office.rs
+++ b/crates/budgets/src/office.rs
@@ -2,7 +2,7 @@
 //! is its own. Who seems to be there only decides when somebody takes over; that two never give at once is by
 //! the register and by leases.
 use crate::*;
-use applepond_accord::{Ballot, Keeper, KeeperId, Proposer, Told, Vote, Votes};
+use applepond_consensus::{Ballot, Keeper, KeeperId, Proposer, Told, Vote, Votes};
 use applepond_members::{Birth, RouterId};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
 /// The proposer's messages, to the keepers by name.
 struct Post<'a>(&'a [RouterId], &'a mut dyn Orders);
 
-impl applepond_accord::Ballots<Term> for Post<'_> {
+impl applepond_consensus::Ballots<Term> for Post<'_> {
     fn promise(&mut self, of: KeeperId, ballot: Ballot) {
         self.1.promise(self.0[of.0 as usize], ballot);
     }
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -13,8 +13,8 @@
     ) {
         all.extend(each.into_iter().map(|e| (package, Box::new(e) as Box<dyn Diagnostic>)));
     }
-    put(&mut all, "accord", applepond_accord::Standstill::each());
-    put(&mut all, "accord", vec![applepond_accord::message::Unread]);
+    put(&mut all, "consensus", applepond_consensus::Standstill::each());
+    put(&mut all, "consensus", vec![applepond_consensus::message::Unread]);
     put(&mut all, "comeback", applepond_comeback::Unusable::EACH.to_vec());
     put(&mut all, "comeback", vec![applepond_comeback::Unread]);
     put(&mut all, "drill", applepond_drill::fault::Unplayed::each());
--- a/crates/accord/src/convener.rs
+++ b/crates/consensus/src/convener.rs
@@ -2,7 +2,7 @@
 //!
 //! Each value names its keepers by router and disk; while they change it names those before as well, and most
 //! of both have to promise and accept. So who keeps is changed like anything else, a disk that was lost is
-//! another keeper, and nobody votes because the settings name it. See docs/accord.md.
+//! another keeper, and nobody votes because the settings name it. See docs/consensus.md.
 use crate::*;
 use applepond_members::RouterId;
 use oorandom::Rand64;
--- a/crates/accord/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,7 +4,7 @@
 //! whatever is lost, late, repeated or killed; nothing here rests on a clock. Time is for trying again alone.
 //!
 //! A try whose end is not heard may have been written or may yet be: who writes again reads first, and makes
-//! the next value so that it does not matter. See docs/accord.md.
+//! the next value so that it does not matter. See docs/consensus.md.
 mod convener;
 mod keeper;
 pub mod message;
--- a/crates/accord/tests/convene.rs
+++ b/crates/consensus/tests/convene.rs
@@ -1,6 +1,6 @@
 //! Keepers that change and lose their disks, in all orders of steps: breadth first, and long runs by chance.
 mod common;
-use applepond_accord::*;
+use applepond_consensus::*;
 use applepond_members::{Birth, RouterId};
 use common::{Explorable, Marks, explore, told};
 use oorandom::Rand64;
--- a/crates/accord/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Bytes of votes and of messages between processes: a version that writes or reads others cannot run beside
 //! the one before, nor read its disk.
-use applepond_accord::message::{self, Written};
-use applepond_accord::*;
+use applepond_consensus::message::{self, Written};
+use applepond_consensus::*;
 use applepond_members::{Birth, RouterId};
 
 type Value = Vec<u8>;
--- a/crates/accord/tests/points/main.rs
+++ b/crates/consensus/tests/points/main.rs
@@ -2,7 +2,7 @@
 //! them, then is played again for each of them with each kind of fault there. One that fails prints the line
 //! that plays it again.
 mod paper;
-use applepond_accord::Standstill;
+use applepond_consensus::Standstill;
 use paper::*;
 
 const SEED: u64 = 11;
@@ -93,7 +93,7 @@
 /// Which of a point's kinds can fall there at all: a write does not come twice.
 #[test]
 fn each_point_in_turn() {
-    // One alone: POINT=17 KIND=Late cargo test -p applepond-accord --test points
+    // One alone: POINT=17 KIND=Late cargo test -p applepond-consensus --test points
     let (one, kind) = (std::env::var("POINT").ok(), std::env::var("KIND").ok());
     let (paper, done) = play(None);
     assert_eq!(done, Ok(Done::default()), "without a fault nobody has to do anything");
@@ -120,7 +120,7 @@
     }
     let bad = failed.len();
     println!("{points} points, {plays} plays, {mended} mended, {founded} founded anew, {bad} failed");
-    failed.iter().take(20).for_each(|f| println!("{f} cargo test -p applepond-accord --test points"));
+    failed.iter().take(20).for_each(|f| println!("{f} cargo test -p applepond-consensus --test points"));
     assert!(failed.is_empty());
     assert!(one.is_some() || points > 300, "{points}");
 }
--- a/crates/accord/tests/points/paper.rs
+++ b/crates/consensus/tests/points/paper.rs
@@ -1,7 +1,7 @@
 //! Registers on a paper network whose disks and sockets are numbered points: simulated time, clocks that
 //! drift, faults by a function or at a point, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_accord::*;
+use applepond_consensus::*;
 use applepond_members::{Birth, RouterId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/accord/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -1,7 +1,7 @@
 //! Registers of several routers on a paper network: clocks that drift, disks that lie, keepers that are lost.
 #[path = "points/paper.rs"]
 mod paper;
-use applepond_accord::*;
+use applepond_consensus::*;
 use applepond_members::Birth;
 use paper::*;
 use test_case::test_case;
--- a/crates/record/src/votes.rs
+++ b/crates/record/src/votes.rs
@@ -1,5 +1,5 @@
 //! A keeper's vote on disk, in a `redb` file of its own: there as a whole once it is said to be kept.
-use applepond_accord::{Trouble, Vote, Votes};
+use applepond_consensus::{Trouble, Vote, Votes};
 use applepond_members::Birth;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
@@ -67,7 +67,7 @@
 mod tests {
     use super::*;
     use crate::fails::Fails;
-    use applepond_accord::{Ballot, Keeper};
+    use applepond_consensus::{Ballot, Keeper};
     use redb::backends::InMemoryBackend;
     use std::sync::Arc;
     use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/record/tests/golden.rs
+++ b/crates/record/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Names of tables and bytes of what is stored: a version that writes or reads others cannot go on from the
 //! disk of the one before.
 use applepond::interface::Micros;
-use applepond_accord::{Agreed, Ballot, Seat, Vote, Votes};
+use applepond_consensus::{Agreed, Ballot, Seat, Vote, Votes};
 use applepond_members::{Birth, RouterId};
 use applepond_record::*;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
