--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,6 +1,5 @@
 //! `fleet`: what a running router says of its fleet, and that part of `serve`.
 use applepond::interface::{FunctionId, Learned, ServerId, Standing};
-use applepond_comeback::Memory;
 use applepond_fleet::desk::{DiskFault, Threads};
 use applepond_fleet::envelope::Key;
 use applepond_fleet::{Fleet, OpeningGuards, Place, Shared, View, ask, page};
@@ -12,6 +11,7 @@
 use applepond_members::{Count, Guards};
 use applepond_openings::Terms;
 use applepond_reactor::Micros;
+use applepond_recovery::Memory;
 use clap::Subcommand;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -103,7 +103,7 @@
 /// What a drill takes out of how a router comes back.
 #[derive(Clone, Copy)]
 pub struct Return {
-    pub guards: applepond_comeback::Guards,
+    pub guards: applepond_recovery::Guards,
     /// Nobody is asked.
     pub alone: bool,
     pub keeps_drains: bool,
@@ -112,7 +112,7 @@
 impl Return {
     /// By the plant's name; none that has to do with it.
     pub fn without(plant: Option<&str>) -> Option<Return> {
-        use applepond_comeback::Guards;
+        use applepond_recovery::Guards;
         let all = Return::ALL;
         match plant? {
             "no-peers" => Some(Return { alone: true, ..all }),
@@ -127,7 +127,7 @@
     }
 
     pub const ALL: Return =
-        Return { guards: applepond_comeback::Guards::ALL, alone: false, keeps_drains: true };
+        Return { guards: applepond_recovery::Guards::ALL, alone: false, keeps_drains: true };
 }
 
 /// One number for a fleet's founding: votes of another one are foreign.
@@ -181,7 +181,7 @@
     fn promised(&mut self, now: Micros, job: u64, wait: Micros) {
         self.0.borrow_mut().promised(now, job, wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_comeback::Own> {
+    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
     }
     fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)> {
--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/desk.rs
@@ -1,11 +1,11 @@
 //! Disks beside the router: a keeper's vote and the snapshot, each in a thread of its own. What is handed
 //! over is done there; a disk that takes its time holds up nobody but itself.
-use applepond_comeback::Boot;
 use applepond_consensus::message::{self, Written};
 use applepond_consensus::{Agreed, Trouble, Vote, Voter, Votes};
 use applepond_members::{Birth, RouterId};
 use applepond_reactor::Micros;
 use applepond_record::{SnapshotFile, StoreFault, VoteFile};
+use applepond_recovery::Boot;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError, sync_channel};
 use std::thread::JoinHandle;
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -3,12 +3,12 @@
 //! here.
 use crate::desk::{Charter, Desk, Said};
 use applepond::interface::FunctionId;
-use applepond_comeback::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
 use applepond_consensus::message::Written;
 use applepond_consensus::{self as accord, Register};
 use applepond_members::{Birth, Members, RouterId};
 use applepond_openings::{List, OpeningId, PANES, Panes, Pins, Terms};
 use applepond_reactor::Micros;
+use applepond_recovery::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
 use applepond_tallies::{self as tallies, Key, Kind, Tallies};
 use serde_json::{Value, json};
 use std::cell::RefCell;
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -2,9 +2,9 @@
 //! hearsay that is not passed on as its own sight.
 mod common;
 use applepond::interface::*;
-use applepond_comeback::{About, Fact, Memory, What};
 use applepond_gateway::Gateway;
 use applepond_reactor::Machine;
+use applepond_recovery::{About, Fact, Memory, What};
 use applepond_standins::paper::Paper;
 use common::*;
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
     fn promised(&mut self, now: Micros, job: u64, wait: Micros) {
         self.0.borrow_mut().promised(now, job, wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_comeback::Own> {
+    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
     }
     fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)> {
--- a/crates/comeback/tests/cases.rs
+++ b/crates/recovery/tests/cases.rs
@@ -1,7 +1,7 @@
 //! Routers that come back: one, most, all at once; with disks that were lost, bent or put back.
 #[path = "points/paper.rs"]
 mod world;
-use applepond_comeback::*;
+use applepond_recovery::*;
 use test_case::test_case;
 use world::*;
 
--- a/crates/comeback/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Bytes of snapshots and of messages between processes: a version that writes or reads others cannot run
 //! beside the one before, nor read its disk.
-use applepond_comeback::message::{self, Words};
-use applepond_comeback::*;
 use applepond_members::RouterId;
+use applepond_recovery::message::{self, Words};
+use applepond_recovery::*;
 
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 const ROUTER: u64 = 0x0102_0304_0506_0708;
--- a/crates/comeback/tests/points/main.rs
+++ b/crates/recovery/tests/points/main.rs
@@ -1,7 +1,7 @@
 //! Faults at numbered points of coming back: whatever an instance does with its disk and its socket is a
 //! point; a run counts them, then is played again for each of them with each kind of fault there.
 mod paper;
-use applepond_comeback::{SPAN, Stage, What};
+use applepond_recovery::{SPAN, Stage, What};
 use paper::*;
 
 const SEED: u64 = 5;
@@ -46,7 +46,7 @@
 
 #[test]
 fn each_point_in_turn() {
-    // One alone: POINT=17 KIND=Late cargo test -p applepond-comeback --test points
+    // One alone: POINT=17 KIND=Late cargo test -p applepond-recovery --test points
     let (one, kind) = (std::env::var("POINT").ok(), std::env::var("KIND").ok());
     let (paper, done) = play(None);
     assert_eq!(done, Ok(()), "without a fault");
@@ -70,7 +70,7 @@
         all.into_iter().flat_map(|t| t.join().expect("played")).collect()
     });
     println!("{points} points, {plays} plays, {} failed", failed.len());
-    failed.iter().take(20).for_each(|f| println!("{f} cargo test -p applepond-comeback --test points"));
+    failed.iter().take(20).for_each(|f| println!("{f} cargo test -p applepond-recovery --test points"));
     assert!(failed.is_empty());
     assert!(one.is_some() || points > 100, "{points}");
 }
--- a/crates/comeback/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -1,8 +1,8 @@
 //! Routers that come back, on a paper network with disks that lie: simulated time, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_comeback::message::Words;
-use applepond_comeback::*;
 use applepond_members::RouterId;
+use applepond_recovery::message::Words;
+use applepond_recovery::*;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
