--- a/crates/tallies/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! What is told is late, fades, and is only ever a hint: no sum that must hold, no permit and no term may
 //! rest on it. Who has said nothing is not in any answer here: nothing known is not zero. See
-//! docs/tallies.md.
+//! docs/gossip.md.
 mod fault;
 mod machine;
 mod message;
--- a/crates/scale/benches/slopes.rs
+++ b/crates/scale/benches/slopes.rs
@@ -6,7 +6,7 @@
 //! Simulated time and one thread; times are those of a shared machine, bytes and messages are counts.
 #[path = "../../members/tests/common/mod.rs"]
 mod members;
-#[path = "../../tallies/tests/common/mod.rs"]
+#[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
 
 use applepond_gateway::host_list::HostList;
--- a/crates/scale/tests/messages.rs
+++ b/crates/scale/tests/messages.rs
@@ -2,7 +2,7 @@
 //! docs/CAPACITY.md states.
 #[path = "../../members/tests/common/mod.rs"]
 mod members;
-#[path = "../../tallies/tests/common/mod.rs"]
+#[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
 
 use applepond_scale::fit::{Fit, Form};
