--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
 use applepond_members::{Birth, RouterId};
 use applepond_members::{Count, Guards};
-use applepond_openings::Terms;
+use applepond_prefix_cache::Terms;
 use applepond_reactor::Micros;
 use applepond_recovery::Memory;
 use clap::Subcommand;
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -21,7 +21,7 @@
     put(&mut all, "fleet", applepond_fleet::NoView::each());
     put(&mut all, "gateway", applepond_gateway::fault::Unlisted::each());
     put(&mut all, "gateway", applepond_gateway::fault::NotTaken::each());
-    put(&mut all, "openings", applepond_openings::Unfit::EACH.to_vec());
+    put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
     put(&mut all, "platform", applepond_platform::fault::Unfit::each());
     put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
     put(&mut all, "record", applepond_record::StoreFault::each());
--- a/crates/openings/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -3,7 +3,7 @@
 //! the worker's LRU alone, each router pinning by its own counts, pins by the merged counts, and by the
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_members::RouterId;
-use applepond_openings::*;
+use applepond_prefix_cache::*;
 use oorandom::Rand64;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/openings/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -1,7 +1,7 @@
 //! Openings worth keeping prepared. Many jobs to one model begin alike; a worker that has prepared an
 //! opening keeps it for a while. No router sees much of any, so each counts in sketches of bounded size,
 //! all are merged, and one list is agreed on. Machines without I/O: counts and the time in, a list and
-//! leases out. See docs/openings.md.
+//! leases out. See docs/prefix-cache.md.
 //!
 //! Counts are told and only a hint; the list is what is agreed on, and counts as long as its copy does. A pin
 //! rides on the jobs that use it, as a lease with an end: there is no unpin that could be lost.
--- a/crates/openings/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
-use applepond_openings::*;
+use applepond_prefix_cache::*;
 
 fn list() -> List {
     let pin = |n: u64| Pin { id: OpeningId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
--- a/crates/openings/tests/openings.rs
+++ b/crates/prefix_cache/tests/openings.rs
@@ -1,6 +1,6 @@
 //! Counts against exact ones, panes that come twice, late or from a liar, and a list that does not flutter.
 use applepond_members::RouterId;
-use applepond_openings::*;
+use applepond_prefix_cache::*;
 use oorandom::Rand64;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
