--- a/crates/budgets/benches/office.rs
+++ b/crates/quota/benches/office.rs
@@ -1,9 +1,9 @@
 //! Leases beside the even division on the paper network: how much of the whole is used over time, how long a
 //! new division takes, what it costs; and what one spend costs. A word that ends in `.svg` is a
-//! file for the chart. `cargo bench -p applepond-budgets --bench office -- docs/x.svg`.
+//! file for the chart. `cargo bench -p applepond-quota --bench office -- docs/x.svg`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use applepond_budgets::*;
+use applepond_quota::*;
 use common::*;
 use plotters::prelude::*;
 use std::hint::black_box;
--- a/crates/budgets/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,7 +3,7 @@
 //! killed: the holder counts its lease from before it asked, the giver from after it gave, and a part is
 //! looked at where it is spent. Only monotonic clocks count, and that two of them drift apart by `DRIFT` at
 //! most. Who is there and what it needs decides how the whole is divided, never whether the sum holds. See
-//! docs/budgets.md.
+//! docs/quota.md.
 mod divider;
 mod holder;
 pub mod message;
--- a/crates/budgets/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Bytes of messages between processes: a version that writes others cannot run beside the one before.
-use applepond_budgets::message::{self, Written};
-use applepond_budgets::*;
 use applepond_consensus::{Ballot, Keeper, Trouble, Vote, Votes};
 use applepond_members::{Birth, RouterId};
+use applepond_quota::message::{self, Written};
+use applepond_quota::*;
 
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 
--- a/crates/budgets/tests/paper.rs
+++ b/crates/quota/tests/paper.rs
@@ -1,7 +1,7 @@
 //! Holders and a divider on the paper network: what each guard is for, how the whole is used, and what new
 //! settings and deaths do.
 mod common;
-use applepond_budgets::*;
+use applepond_quota::*;
 use common::*;
 use test_case::test_case;
 
