--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,7 @@
 use applepond_drill::saboteur::{PLANTS, Saboteur};
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::{Deployment, Gateway, News};
-use applepond_members::Standing;
+use applepond_membership::Standing;
 use applepond_reactor::{Machine, Reactor};
 use applepond_record::Disk;
 use clap::ValueEnum;
--- a/crates/consensus/src/convener.rs
+++ b/crates/consensus/src/convener.rs
@@ -4,7 +4,7 @@
 //! of both have to promise and accept. So who keeps is changed like anything else, a disk that was lost is
 //! another keeper, and nobody votes because the settings name it. See docs/consensus.md.
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -19,7 +19,7 @@
 pub use voter::Voter;
 
 use applepond::interface::Micros;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use serde::{Deserialize, Serialize};
 
 // ---- Constants: unit, and why this size ------------------------------------------------
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages of registers: a mark, a kind, then what it says, as postcard writes it. A message is read whole
 //! before any of it counts.
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use miette::Diagnostic;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/consensus/src/register.rs
+++ b/crates/consensus/src/register.rs
@@ -3,7 +3,7 @@
 //! is by the copy's end, counted by the holder's own clock from before it asked. The keeper itself is a
 //! `Voter` beside it: its disk may take its time while this goes on.
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use miette::Diagnostic;
 use oorandom::Rand64;
 use thiserror::Error;
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -1,7 +1,7 @@
 //! A keeper by its disk: answers questions as messages and does nothing else, so that it can stand still
 //! with its disk while the router goes on.
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 
 pub struct Voter<V> {
     disk: Birth,
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Keepers and proposers whose network, disks and deaths are steps to choose from.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
--- a/crates/consensus/tests/convene.rs
+++ b/crates/consensus/tests/convene.rs
@@ -1,7 +1,7 @@
 //! Keepers that change and lose their disks, in all orders of steps: breadth first, and long runs by chance.
 mod common;
 use applepond_consensus::*;
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use common::{Explorable, Marks, explore, told};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -2,7 +2,7 @@
 //! the one before, nor read its disk.
 use applepond_consensus::message::{self, Written};
 use applepond_consensus::*;
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 
 type Value = Vec<u8>;
 
--- a/crates/consensus/tests/keepers.rs
+++ b/crates/consensus/tests/keepers.rs
@@ -1,7 +1,7 @@
 //! Keepers whose disks fail, and a proposer that finds one older than its word.
 mod common;
 use applepond_consensus::*;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use common::{FLEET, Marks};
 use test_case::test_case;
 
--- a/crates/consensus/tests/points/paper.rs
+++ b/crates/consensus/tests/points/paper.rs
@@ -2,7 +2,7 @@
 //! drift, faults by a function or at a point, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -2,7 +2,7 @@
 #[path = "points/paper.rs"]
 mod paper;
 use applepond_consensus::*;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use paper::*;
 use test_case::test_case;
 
--- a/crates/drill/src/members.rs
+++ b/crates/drill/src/members.rs
@@ -5,7 +5,7 @@
 use crate::links::Links;
 use crate::process::{Plan, Router, start};
 use applepond_fleet::ask;
-use applepond_members::{Rings, RouterId};
+use applepond_membership::{Rings, RouterId};
 use oorandom::Rand64;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/desk.rs
@@ -2,7 +2,7 @@
 //! over is done there; a disk that takes its time holds up nobody but itself.
 use applepond_consensus::message::{self, Written};
 use applepond_consensus::{Agreed, Trouble, Vote, Voter, Votes};
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use applepond_reactor::Micros;
 use applepond_record::{SnapshotFile, StoreFault, VoteFile};
 use applepond_recovery::Boot;
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -6,7 +6,7 @@
 use applepond_consensus::message::Written;
 use applepond_consensus::{self as accord, Register};
 use applepond_gossip::{self as tallies, Key, Kind, Tallies};
-use applepond_members::{Birth, Members, RouterId};
+use applepond_membership::{Birth, Members, RouterId};
 use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
 use applepond_reactor::Micros;
 use applepond_recovery::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -1,7 +1,7 @@
 //! Connects `Members` with a socket, the log and the state page; nothing is decided here.
 use crate::envelope::{Envelopes, Key, process};
 use crate::shared::Shared;
-use applepond_members::{Birth, Change, Guards, Me, Members, Orders, RouterId, Seen, Standing};
+use applepond_membership::{Birth, Change, Guards, Me, Members, Orders, RouterId, Seen, Standing};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
 use serde_json::{Value, json};
 use std::cell::RefCell;
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -24,7 +24,7 @@
 /// Parts that are compared by themselves: one message has room for the digests of all.
 pub const PARTS: usize = 32;
 /// Bytes of a message at most, as in `members`: with its envelope every path carries it whole.
-pub const MESSAGE_MOST: usize = applepond_members::MESSAGE_MOST;
+pub const MESSAGE_MOST: usize = applepond_membership::MESSAGE_MOST;
 /// Bytes of one value at most: a message carries the largest with all that stands around it.
 pub const VALUE_MOST: usize = 900;
 /// Bytes kept of one origin at most: a sketch of some hundred counters and a row for each of some hundred
@@ -35,7 +35,7 @@
 /// Bytes counted for an entry beside its value, and for an origin beside its entries.
 pub const AROUND: usize = 64;
 /// Origins at most, as many as `members` knows routers.
-pub const ORIGINS_MOST: usize = applepond_members::ROUTERS_MOST;
+pub const ORIGINS_MOST: usize = applepond_membership::ROUTERS_MOST;
 /// Bytes of messages that go out between two comparisons at most: 1 MB a second an instance at the most.
 pub const OUT_MOST: usize = 256 * 1024;
 /// µs for which an entry counts where no row says otherwise; its origin writes again what is to stay.
@@ -43,7 +43,7 @@
 /// µs for which what the gone have said still counts: a restart is back by then.
 pub const FADE: Micros = 30_000_000;
 /// µs for which it is remembered that an origin was there, without its words: as long as `members` does.
-pub const REMEMBER: Micros = applepond_members::REMEMBER;
+pub const REMEMBER: Micros = applepond_membership::REMEMBER;
 /// µs between two times at which an origin raises its incarnation over words in its name: a liar that goes
 /// on costs so much and no more.
 pub const RAISE: Micros = 1_000_000;
--- a/crates/gossip/src/machine.rs
+++ b/crates/gossip/src/machine.rs
@@ -1,7 +1,7 @@
 //! The machine: one record an origin, what messages do to it, and what is compared with whom when.
 use crate::message::{Held, Holds, Line, Message, Tells};
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, btree_map};
 
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -2,7 +2,7 @@
 //! whole before any of it counts.
 use crate::fault::Unread;
 use crate::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use serde::de::DeserializeOwned;
 
 /// First byte of each message here; those of `members` begin with a small number.
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Tallies on a paper network: simulated time, faults by a function, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_gossip::*;
-use applepond_members::{Rings, RouterId};
+use applepond_membership::{Rings, RouterId};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Bytes of messages between neighbours: a version that writes others cannot run beside the one before.
 use applepond_gossip::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 
 const PACE: Kind = Kind(1);
 const ORIGIN: RouterId = RouterId(0xaabb_ccdd_0011_2233);
--- a/crates/gossip/tests/paper.rs
+++ b/crates/gossip/tests/paper.rs
@@ -1,7 +1,7 @@
 //! What becomes of words under losses, restarts, cuts, lies and bounds; each guard has a case of its own.
 mod common;
 use applepond_gossip::*;
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use common::*;
 use std::collections::BTreeSet;
 use test_case::test_case;
--- a/crates/members/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -1,9 +1,9 @@
 //! Fleets on the paper network beside two plain ways: the same machine with one accuser and no local health,
 //! and heartbeats from all to all with a fixed time. Prints tables; a word that ends in `.svg`
-//! is a file for the chart. `cargo bench -p applepond-members --bench paper -- 20 300 docs/x.svg`.
+//! is a file for the chart. `cargo bench -p applepond-membership --bench paper -- 20 300 docs/x.svg`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use applepond_members::*;
+use applepond_membership::*;
 use common::*;
 use oorandom::Rand64;
 use plotters::prelude::*;
--- a/crates/members/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! Every router exchanges beats with a few neighbours, the same for all who share a view. Who is silent for
 //! longer than patience allows, directly and through others, is accused by each neighbour by itself. Only
 //! the votes of several independent ones make a router gone, after a while in which it may refute. A view
-//! says who seems to be there: nothing that has to be safe may rest on it. See docs/members.md.
+//! says who seems to be there: nothing that has to be safe may rest on it. See docs/membership.md.
 mod count;
 mod machine;
 pub mod message;
--- a/crates/members/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Members on a paper network: simulated time, faults by a function, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_members::message::{Head, Message, Says, Word};
-use applepond_members::*;
+use applepond_membership::message::{Head, Message, Says, Word};
+use applepond_membership::*;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/members/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Bytes of messages between routers, and the digests of their names: a version that writes others cannot run
 //! beside the one before.
-use applepond_members::message::{BUCKETS, Head, Message, Says, Word, Words, read};
-use applepond_members::{Birth, Record, RouterId, Standing};
+use applepond_membership::message::{BUCKETS, Head, Message, Says, Word, Words, read};
+use applepond_membership::{Birth, Record, RouterId, Standing};
 use std::net::SocketAddr;
 
 fn head() -> Head {
--- a/crates/members/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages that are torn, bent or made up: a clear refusal, and nothing of them counts.
 mod common;
-use applepond_members::message::{self, BUCKETS, Head, Message, Words};
-use applepond_members::*;
+use applepond_membership::message::{self, BUCKETS, Head, Message, Words};
+use applepond_membership::*;
 use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
--- a/crates/members/tests/paper.rs
+++ b/crates/membership/tests/paper.rs
@@ -1,6 +1,6 @@
 //! Faults on a paper network, each guarded against by name.
 mod common;
-use applepond_members::*;
+use applepond_membership::*;
 use common::*;
 use test_case::test_case;
 
--- a/crates/members/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -2,7 +2,7 @@
 
 mod count {
     use applepond::interface::Micros;
-    use applepond_members::Count;
+    use applepond_membership::Count;
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -2,7 +2,7 @@
 //! the model's workers; a worker prepares an opening that it has not kept. Beside each other in one run:
 //! the worker's LRU alone, each router pinning by its own counts, pins by the merged counts, and by the
 //! true ones. Prints a table; with a file's name it draws a chart there.
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use applepond_prefix_cache::*;
 use oorandom::Rand64;
 use plotters::prelude::*;
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -1,7 +1,7 @@
 //! Panes of time: a router's own uses, what others tell of theirs, and the fleet's uses a second of each
 //! opening.
 use crate::{FEW, Micros, ONE_PART, OpeningId, PANE, PANES, Sketch, Unfit};
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use std::collections::BTreeMap;
 
 /// One pane as it is told: its number at its origin, and what was counted in it.
--- a/crates/prefix_cache/tests/openings.rs
+++ b/crates/prefix_cache/tests/openings.rs
@@ -1,5 +1,5 @@
 //! Counts against exact ones, panes that come twice, late or from a liar, and a list that does not flutter.
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use applepond_prefix_cache::*;
 use oorandom::Rand64;
 use proptest::prelude::*;
--- a/crates/quota/src/divider.rs
+++ b/crates/quota/src/divider.rs
@@ -1,6 +1,6 @@
 //! The one that divides: what each holder may have out, and who gets what.
 use crate::*;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use std::collections::BTreeMap;
 
 /// A lease that its holder may still count on, as far as is known here.
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -3,7 +3,7 @@
 use crate::office::{Orders, Term};
 use crate::*;
 use applepond_consensus::Ballot;
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,7 @@
 //! the register and by leases.
 use crate::*;
 use applepond_consensus::{Ballot, Keeper, KeeperId, Proposer, Told, Vote, Votes};
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Offices on a paper network, three of them keepers; the sum of what is in force is judged at each step.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::{Keeper, Trouble, Vote, Votes};
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use applepond_quota::message::{Written, read};
 use applepond_quota::*;
 use oorandom::Rand64;
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Bytes of messages between processes: a version that writes others cannot run beside the one before.
 use applepond_consensus::{Ballot, Keeper, Trouble, Vote, Votes};
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use applepond_quota::message::{self, Written};
 use applepond_quota::*;
 
--- a/crates/quota/tests/office.rs
+++ b/crates/quota/tests/office.rs
@@ -1,7 +1,7 @@
 //! Twenty offices with three keepers among them on a paper network: who divides is agreed on while links are
 //! cut, processes stand still, die and come back. One seed, one run.
 mod common;
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use applepond_quota::message::{Written, read};
 use applepond_quota::*;
 use common::*;
--- a/crates/record/src/votes.rs
+++ b/crates/record/src/votes.rs
@@ -1,6 +1,6 @@
 //! A keeper's vote on disk, in a `redb` file of its own: there as a whole once it is said to be kept.
 use applepond_consensus::{Trouble, Vote, Votes};
-use applepond_members::Birth;
+use applepond_membership::Birth;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/record/tests/golden.rs
+++ b/crates/record/tests/golden.rs
@@ -2,7 +2,7 @@
 //! disk of the one before.
 use applepond::interface::Micros;
 use applepond_consensus::{Agreed, Ballot, Seat, Vote, Votes};
-use applepond_members::{Birth, RouterId};
+use applepond_membership::{Birth, RouterId};
 use applepond_record::*;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
--- a/crates/recovery/src/message.rs
+++ b/crates/recovery/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between one that comes back and its peers: a mark, a kind, then what it says, as postcard
 //! writes it.
 use crate::{Fact, Micros, PAGE, Unread};
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/recovery/src/peers.rs
+++ b/crates/recovery/src/peers.rs
@@ -7,7 +7,7 @@
     AGAIN, AGAIN_MOST, ASKS_MOST, About, EMPTY, Fact, Facts, GIVE, GIVE_AT_ONCE, Micros, PAGE, PATIENCE,
     PEERS, SPAN, message,
 };
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/recovery/tests/cases.rs
+++ b/crates/recovery/tests/cases.rs
@@ -269,7 +269,7 @@
 struct Messages(Vec<Vec<u8>>);
 
 impl Orders for Messages {
-    fn send(&mut self, _: applepond_members::RouterId, message: Vec<u8>) {
+    fn send(&mut self, _: applepond_membership::RouterId, message: Vec<u8>) {
         self.0.push(message);
     }
 }
@@ -278,12 +278,12 @@
 struct Number(u64);
 
 impl message::Words for Number {
-    fn asked(&mut self, _: applepond_members::RouterId, number: u64, _: u16) {
+    fn asked(&mut self, _: applepond_membership::RouterId, number: u64, _: u16) {
         self.0 = number;
     }
-    fn given(&mut self, _: applepond_members::RouterId, _: u64, _: u16, _: bool, _: Vec<Fact>) {}
-    fn later(&mut self, _: applepond_members::RouterId, _: u64, _: u64) {}
-    fn empty(&mut self, _: applepond_members::RouterId, _: u64) {}
+    fn given(&mut self, _: applepond_membership::RouterId, _: u64, _: u16, _: bool, _: Vec<Fact>) {}
+    fn later(&mut self, _: applepond_membership::RouterId, _: u64, _: u64) {}
+    fn empty(&mut self, _: applepond_membership::RouterId, _: u64) {}
 }
 
 // An answer to another ask, or another page, is none.
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Bytes of snapshots and of messages between processes: a version that writes or reads others cannot run
 //! beside the one before, nor read its disk.
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use applepond_recovery::message::{self, Words};
 use applepond_recovery::*;
 
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -1,6 +1,6 @@
 //! Routers that come back, on a paper network with disks that lie: simulated time, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_members::RouterId;
+use applepond_membership::RouterId;
 use applepond_recovery::message::Words;
 use applepond_recovery::*;
 use oorandom::Rand64;
@@ -125,7 +125,7 @@
 
 impl Orders for Out {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
-        assert!(message.len() <= applepond_members::MESSAGE_MOST, "{} bytes", message.len());
+        assert!(message.len() <= applepond_membership::MESSAGE_MOST, "{} bytes", message.len());
         self.0.push((to, message));
     }
 }
--- a/crates/scale/benches/slopes.rs
+++ b/crates/scale/benches/slopes.rs
@@ -4,7 +4,7 @@
 //! no PART it draws need against allowance by the size of the fleet.
 //!
 //! Simulated time and one thread; times are those of a shared machine, bytes and messages are counts.
-#[path = "../../members/tests/common/mod.rs"]
+#[path = "../../membership/tests/common/mod.rs"]
 mod members;
 #[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
--- a/crates/scale/tests/messages.rs
+++ b/crates/scale/tests/messages.rs
@@ -1,6 +1,6 @@
 //! What hollow routers tell each other in steady state, by counts, at small sizes: each grows as
 //! docs/CAPACITY.md states.
-#[path = "../../members/tests/common/mod.rs"]
+#[path = "../../membership/tests/common/mod.rs"]
 mod members;
 #[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -5,7 +5,7 @@
 use applepond_gateway::deployment::{
     FleetRow, FunctionBy, FunctionRow, NamedWorker, OpeningsRow, WorkloadNames,
 };
-use applepond_members::NAME_MOST;
+use applepond_membership::NAME_MOST;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -291,7 +291,7 @@
 /// A name or a zone of a router: what others read of it in their own logs.
 fn nameable(part: &Part<'_>, key: &str) -> Option<String> {
     let text = part.text(key, None)?;
-    let good = applepond_members::message::nameable(&text);
+    let good = applepond_membership::message::nameable(&text);
     if !good {
         part.fault(
             &part.place_of(key),
