--- a/crates/storm/benches/sketch.rs
+++ b/crates/admission/benches/sketch.rs
@@ -1,5 +1,5 @@
 //! A client's count in the sketch and in a plain map, with 100,000 clients.
-use applepond_storm::sketch::Counts;
+use applepond_admission::sketch::Counts;
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::HashMap;
 use std::hint::black_box;
--- a/crates/storm/tests/days.rs
+++ b/crates/admission/tests/days.rs
@@ -1,6 +1,6 @@
 //! Short days as one router sees them, and what they are called; who goes in.
-use applepond_storm::watch::Called;
-use applepond_storm::{Arrival, Gate, Micros, Passage};
+use applepond_admission::watch::Called;
+use applepond_admission::{Arrival, Gate, Micros, Passage};
 use test_case::test_case;
 
 const S: Micros = 1_000_000;
--- a/crates/chain/src/pace.rs
+++ b/crates/chain/src/pace.rs
@@ -1,8 +1,8 @@
 //! Fresh chains under load: as many are begun as come to their end, so that work is spent on whole chains
 //! and not on many first steps.
 use applepond::interface::Micros;
-use applepond_storm::room::Room;
-use applepond_storm::watch::Rate;
+use applepond_admission::room::Room;
+use applepond_admission::watch::Rate;
 
 /// Chains a second that are begun at the least.
 const LEAST: f64 = 2.0;
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -9,13 +9,13 @@
 use crate::{fate, limit, switch};
 use applepond::control::Control;
 use applepond::interface::*;
+use applepond_admission::watch::Called;
+use applepond_admission::{Gate, Passage};
 use applepond_http::Fault;
 use applepond_http::decode::{Decoder, Fields, Side, Sink, Step as Decoded};
 use applepond_http::encode::{self, Lines};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Wake, Wire};
 use applepond_record::Record;
-use applepond_storm::watch::Called;
-use applepond_storm::{Gate, Passage};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -730,7 +730,7 @@
         let digest = FunctionId::named(&draft.id).0 ^ client.rotate_left(1);
         let passage = self.gate.arrive(
             now,
-            &applepond_storm::Arrival {
+            &applepond_admission::Arrival {
                 client,
                 name: digest,
                 retry: draft.retry,
