--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,7 +6,7 @@
 use applepond_gateway::{Deployment, Gateway, News};
 use applepond_membership::Standing;
 use applepond_reactor::{Machine, Reactor};
-use applepond_record::Disk;
+use applepond_storage::Disk;
 use clap::ValueEnum;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -24,7 +24,7 @@
     put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
     put(&mut all, "platform", applepond_platform::fault::Unfit::each());
     put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
-    put(&mut all, "record", applepond_record::StoreFault::each());
+    put(&mut all, "storage", applepond_storage::StoreFault::each());
     put(&mut all, "gossip", applepond_gossip::Refused::EACH.to_vec());
     put(&mut all, "gossip", applepond_gossip::Unread::EACH.to_vec());
     all
--- a/crates/drill/src/fault.rs
+++ b/crates/drill/src/fault.rs
@@ -45,8 +45,8 @@
     }
 }
 
-impl From<applepond_record::StoreFault> for Unplayed {
-    fn from(fault: applepond_record::StoreFault) -> Self {
+impl From<applepond_storage::StoreFault> for Unplayed {
+    fn from(fault: applepond_storage::StoreFault) -> Self {
         Unplayed::machine("the record", fault)
     }
 }
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -15,7 +15,7 @@
 use applepond_http::decode::{Decoder, Fields, Side, Sink, Step as Decoded};
 use applepond_http::encode::{self, Lines};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Wake, Wire};
-use applepond_record::Record;
+use applepond_storage::Record;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/machine/chained.rs
@@ -11,8 +11,8 @@
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Wire};
-use applepond_record::kept::{ANSWER_MOST, number};
-use applepond_record::{Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record, resumed};
+use applepond_storage::kept::{ANSWER_MOST, number};
+use applepond_storage::{Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record, resumed};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,8 +4,8 @@
 use applepond_gateway::deployment::{FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
 use applepond_gateway::{Deployment, Gateway};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Wire};
-use applepond_record::{Kept, Memory, Name, Record};
 use applepond_standins::paper::Paper;
+use applepond_storage::{Kept, Memory, Name, Record};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -214,24 +214,24 @@
 }
 
 impl Record for Shared {
-    fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), applepond_record::StoreFault> {
+    fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), applepond_storage::StoreFault> {
         *self.writes.borrow_mut() += 1;
         if self.fails == Some(*self.writes.borrow()) {
             let (file, why) = ("record".into(), "no space left".to_owned());
-            return Err(applepond_record::StoreFault::NotWritten { file, why });
+            return Err(applepond_storage::StoreFault::NotWritten { file, why });
         }
         self.inner.borrow_mut().keep(chains)
     }
-    fn read(&mut self, name: Name<'_>) -> Result<Option<Kept>, applepond_record::StoreFault> {
+    fn read(&mut self, name: Name<'_>) -> Result<Option<Kept>, applepond_storage::StoreFault> {
         self.inner.borrow_mut().read(name)
     }
-    fn open(&mut self) -> Result<Vec<(String, String)>, applepond_record::StoreFault> {
+    fn open(&mut self) -> Result<Vec<(String, String)>, applepond_storage::StoreFault> {
         self.inner.borrow_mut().open()
     }
-    fn clear(&mut self, now: Micros) -> Result<usize, applepond_record::StoreFault> {
+    fn clear(&mut self, now: Micros) -> Result<usize, applepond_storage::StoreFault> {
         self.inner.borrow_mut().clear(now)
     }
-    fn chains(&mut self) -> Result<u64, applepond_record::StoreFault> {
+    fn chains(&mut self) -> Result<u64, applepond_storage::StoreFault> {
         self.inner.borrow_mut().chains()
     }
 }
--- a/crates/record/benches/record.rs
+++ b/crates/storage/benches/record.rs
@@ -1,6 +1,6 @@
 //! What it costs to write chains down, durably: one a transaction, and ten: `cargo bench -p
-//! applepond-record`.
-use applepond_record::{Disk, Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record};
+//! applepond-storage`.
+use applepond_storage::{Disk, Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 
--- a/crates/record/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -3,7 +3,7 @@
 use applepond::interface::Micros;
 use applepond_consensus::{Agreed, Ballot, Seat, Vote, Votes};
 use applepond_membership::{Birth, RouterId};
-use applepond_record::*;
+use applepond_storage::*;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
 
