--- a/crates/waiting/benches/waiting.rs
+++ b/crates/wait_queue/benches/waiting.rs
@@ -1,6 +1,6 @@
 //! One event's look at what waits, in the indexes and in a plain set: the first job of each function, one in
 //! and out.
-use applepond_waiting::{Key, Row, Waiting};
+use applepond_wait_queue::{Key, Row, Waiting};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/waiting/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -1,5 +1,5 @@
 //! The indexes beside a plain list of all that waits.
-use applepond_waiting::{Key, Row, Waiting};
+use applepond_wait_queue::{Key, Row, Waiting};
 use proptest::prelude::*;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/src/control.rs
+++ b/src/control.rs
@@ -21,7 +21,7 @@
 use crate::requests::{Fate, Job, Tried};
 use crate::servers::{Holding, Server, Servers};
 use applepond_rendezvous::{Draw, Prefix, PrefixCache, Ranked};
-use applepond_waiting::{Row, Waiting};
+use applepond_wait_queue::{Row, Waiting};
 use oorandom::Rand64;
 use std::cell::LazyCell;
 use std::cmp::Reverse;
