--- a/crates/gateway/src/deployment.rs
+++ b/crates/gateway/src/deployment.rs
@@ -1,6 +1,6 @@
 //! What an instance is given at its start: the module's rows, and the names and addresses around them.
 use applepond::interface::{Micros, RackId, Startup};
-use applepond_chain::Plan;
+use applepond_workflow::Plan;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/gateway/tests/chains.rs
+++ b/crates/gateway/tests/chains.rs
@@ -1,10 +1,10 @@
 //! Chains through the gateway on a paper wire: what workers are sent, what clients are told.
 mod common;
 
-use applepond_chain::{Branch, Function, Go, Plan, Step, StepId, Test};
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::ChainRow;
 use applepond_reactor::Conn;
+use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 use common::{Bench, MS, S, Shared, deployment, event, result};
 use std::sync::Arc;
 use test_case::test_case;
--- a/crates/settings/src/chains.rs
+++ b/crates/settings/src/chains.rs
@@ -1,9 +1,9 @@
 //! `chain` blocks as plans, each fault at its line and column.
 use crate::sheet::{Part, Place};
 use applepond::interface::{Micros, WorkloadRow};
-use applepond_chain as chain;
-use applepond_chain::{Branch, Function, Go, Plan, Step, StepId, Test};
 use applepond_gateway::deployment::{ChainRow, WorkloadNames};
+use applepond_workflow as chain;
+use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 use std::sync::Arc;
 
 /// What a step is told of when it names no time.
--- a/crates/settings/tests/chains.rs
+++ b/crates/settings/tests/chains.rs
@@ -1,6 +1,6 @@
 //! `chain` blocks: a sound one as its plan, and each fault by its place.
-use applepond_chain::{Function, Go, StepId};
 use applepond_settings::deployment;
+use applepond_workflow::{Function, Go, StepId};
 use test_case::test_case;
 
 const GOOD: &str = r#"listen = "127.0.0.1:0"
--- a/crates/storage/src/kept.rs
+++ b/crates/storage/src/kept.rs
@@ -1,8 +1,8 @@
 //! What is kept of a chain, and what that means for one that goes on after a kill.
 use crate::Micros;
 use applepond::interface::{Effect, Within};
-use applepond_chain::run::Recorded;
-use applepond_chain::{How, Plan, StepId};
+use applepond_workflow::run::Recorded;
+use applepond_workflow::{How, Plan, StepId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -103,7 +103,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use applepond_chain::{Function, Step};
+    use applepond_workflow::{Function, Step};
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A step with an effect is written down before it is sent, in the same transaction as what is known of the
 //! steps before it; ends are written with the next such step, or a moment later. So a step on record
-//! without an end may have run, and one that is not on record has not. `docs/chains.md` weighs the ways.
+//! without an end may have run, and one that is not on record has not. `docs/workflow.md` weighs the ways.
 pub mod disk;
 #[cfg(test)]
 mod fails;
--- a/crates/chain/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A `Plan` says which step leads where; `check` looks at it whole before any chain is taken. A `Run` is one
 //! chain: it is told how its steps ended and says what comes next. `Times` learns how long functions take, so
-//! that what cannot finish is refused at once. No I/O, no clock: time is handed in. `docs/chains.md` weighs
+//! that what cannot finish is refused at once. No I/O, no clock: time is handed in. `docs/workflow.md` weighs
 //! the ways.
 pub mod pace;
 pub mod plan;
--- a/crates/chain/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Plans in a few words, and a run with its clock.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::{Effect, Micros, Within};
-use applepond_chain::*;
+use applepond_workflow::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/chain/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond::interface::Effect::AtMostOnce;
-use applepond_chain::*;
+use applepond_workflow::*;
 use common::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
--- a/deploy/example.hcl
+++ b/deploy/example.hcl
@@ -42,7 +42,7 @@
 
 # A chain on one clock: a price, then the booking. An event of type "book" asks for it and gets the last
 # answer. With record = "FILE" at the top of this file a chain goes on after a kill; see
-# docs/chains.md.
+# docs/workflow.md.
 chain "book" {
   types      = ["book"]
   time_limit = "4s"
