--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,9 +1,9 @@
 //! `standin`: one stand-in by hand.
+use applepond_fakes::hosts::{Hosts, Row};
+use applepond_fakes::ledger::Ledger;
+use applepond_fakes::store::Store;
+use applepond_fakes::worker::{Build, Mood, Turn, Worker};
 use applepond_reactor::{Machine, Micros, Reactor};
-use applepond_standins::hosts::{Hosts, Row};
-use applepond_standins::ledger::Ledger;
-use applepond_standins::store::Store;
-use applepond_standins::worker::{Build, Mood, Turn, Worker};
 use clap::Subcommand;
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/drill/src/audit.rs
+++ b/crates/drill/src/audit.rs
@@ -1,7 +1,7 @@
 //! The auditor: judges the five rules from what stand-ins and clients saw on their sockets, and from nothing
 //! else.
+use applepond_fakes::ledger::{Event, Saw};
 use applepond_reactor::Micros;
-use applepond_standins::ledger::{Event, Saw};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/drill/src/day.rs
+++ b/crates/drill/src/day.rs
@@ -1,9 +1,9 @@
 //! The bad day: who plays, what they are asked, and what goes wrong when, all drawn from one seed.
+use applepond_fakes::client::Planned;
+use applepond_fakes::hosts::Row;
+use applepond_fakes::ledger::Ledger;
+use applepond_fakes::worker::{Build, Mood, Rack, Turn, Worker};
 use applepond_reactor::Micros;
-use applepond_standins::client::Planned;
-use applepond_standins::hosts::Row;
-use applepond_standins::ledger::Ledger;
-use applepond_standins::worker::{Build, Mood, Rack, Turn, Worker};
 use oorandom::Rand64;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
--- a/crates/drill/src/run.rs
+++ b/crates/drill/src/run.rs
@@ -4,11 +4,11 @@
 use crate::fault::Unplayed;
 use crate::fleet::{fleet_block, ports};
 use crate::process::{Plan, start};
+use applepond_fakes::client::{Client, Got, Results};
+use applepond_fakes::hosts::Hosts;
+use applepond_fakes::ledger::{Event, Ledger};
+use applepond_fakes::store::Store;
 use applepond_reactor::{Micros, Reactor};
-use applepond_standins::client::{Client, Got, Results};
-use applepond_standins::hosts::Hosts;
-use applepond_standins::ledger::{Event, Ledger};
-use applepond_standins::store::Store;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -149,7 +149,7 @@
 
 /// What a second attempt of each job would do.
 pub fn effects(day: &Day) -> BTreeMap<Event, Effect> {
-    let effect = |j: &applepond_standins::client::Planned| match (j.idempotent, j.keyed) {
+    let effect = |j: &applepond_fakes::client::Planned| match (j.idempotent, j.keyed) {
         (true, _) => Effect::Idempotent,
         (_, true) => Effect::Keyed,
         _ => Effect::AtMostOnce,
--- a/crates/drill/tests/parts.rs
+++ b/crates/drill/tests/parts.rs
@@ -2,8 +2,8 @@
 
 mod audit {
     use applepond_drill::audit::*;
+    use applepond_fakes::ledger::Saw;
     use applepond_reactor::Micros;
-    use applepond_standins::ledger::Saw;
 
     use std::rc::Rc;
     use test_case::test_case;
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -262,7 +262,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use applepond_standins::paper::Paper;
+    use applepond_fakes::paper::Paper;
     use test_case::test_case;
 
     const BEGIN: Micros = 1_000_000_000;
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A wire on paper: what the gateway wrote, opened and cut, with time moved by hand.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::*;
+use applepond_fakes::paper::Paper;
 use applepond_gateway::deployment::{FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
 use applepond_gateway::{Deployment, Gateway};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Wire};
-use applepond_standins::paper::Paper;
 use applepond_storage::{Kept, Memory, Name, Record};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -2,10 +2,10 @@
 //! hearsay that is not passed on as its own sight.
 mod common;
 use applepond::interface::*;
+use applepond_fakes::paper::Paper;
 use applepond_gateway::Gateway;
 use applepond_reactor::Machine;
 use applepond_recovery::{About, Fact, Memory, What};
-use applepond_standins::paper::Paper;
 use common::*;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,11 +1,11 @@
 //! The instance on real loopback sockets, with stand-ins for workers and clients in the same reactor.
 mod common;
 
+use applepond_fakes::client::{Client, Got, Planned, Results};
+use applepond_fakes::ledger::{Ledger, Saw};
+use applepond_fakes::worker::{Build, Mood, Turn, Worker};
 use applepond_gateway::Gateway;
 use applepond_reactor::{Micros, Reactor};
-use applepond_standins::client::{Client, Got, Planned, Results};
-use applepond_standins::ledger::{Ledger, Saw};
-use applepond_standins::worker::{Build, Mood, Turn, Worker};
 use common::{MS, S};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A router on a paper wire and one on real sockets, with model servers and clients played by hand.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::Standing;
+use applepond_fakes::paper::Paper;
 use applepond_node::{End, News, Node};
 use applepond_platform::config::{self, Start};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Wake, Wire};
-use applepond_standins::paper::Paper;
 use serde_json::{Value, json};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
