--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,14 +1,14 @@
 //! `drill`: plays a day, prints what came of it, and exits 0 only if all rules held and no job went
 //! unanswered.
-use applepond_drill::audit::Verdict;
-use applepond_drill::chains::{self, PLAN};
-use applepond_drill::comeback;
-use applepond_drill::members;
-use applepond_drill::openings;
-use applepond_drill::process::Plan;
-use applepond_drill::run::{Report, bad_day};
-use applepond_drill::saboteur::PLANTS;
-use applepond_drill::storm::{self, Cut, Order, retry_storm};
+use applepond_scenarios::audit::Verdict;
+use applepond_scenarios::chains::{self, PLAN};
+use applepond_scenarios::comeback;
+use applepond_scenarios::members;
+use applepond_scenarios::openings;
+use applepond_scenarios::process::Plan;
+use applepond_scenarios::run::{Report, bad_day};
+use applepond_scenarios::saboteur::PLANTS;
+use applepond_scenarios::storm::{self, Cut, Order, retry_storm};
 use clap::Subcommand;
 use serde_json::json;
 use std::process::ExitCode;
@@ -203,7 +203,7 @@
     let (routers, workers) = (routers as usize, workers as usize);
     let die = die as usize;
     let plan = Plan { program, seed, routers, workers, plant, through: None, die, fleet };
-    let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+    let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
     let folder = keep.clone().unwrap_or(own.clone());
     let mut progress = |line: &str| {
         if !json {
@@ -254,7 +254,7 @@
     };
     let Ok(program) = std::env::current_exe() else { return wrong };
     let plan = Plan { program, seed, routers: 2, workers: 6, plant, through: None, die: 1, fleet: false };
-    let folder = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
     let mut broken = false;
     for load in &loads {
         let mut finished = [0usize; 2];
@@ -340,7 +340,7 @@
         die: 1,
         fleet: false,
     };
-    let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+    let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
     let folder = keep.clone().unwrap_or(own.clone());
     let mut progress = |scene: &str| {
         if !json {
@@ -414,7 +414,7 @@
     let plan = Plan { program, seed, routers, workers, plant, through: None, die: 1, fleet: true };
     let mut broken = false;
     for way in ways {
-        let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+        let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
         let folder = keep.clone().unwrap_or(own.clone());
         let mut progress = |line: &str| {
             if !json {
@@ -486,7 +486,7 @@
     let plan = Plan { program, seed, routers, workers, plant, through: None, die: 1, fleet: true };
     let mut broken = false;
     for way in openings::WAYS.iter().copied().filter(|w| way == "both" || way == *w) {
-        let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+        let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
         let folder = keep.clone().unwrap_or(own.clone());
         let mut progress = |line: &str| {
             if !json {
@@ -563,7 +563,7 @@
     let Ok(program) = std::env::current_exe() else { return wrong };
     let plan =
         Plan { program, seed, routers: 3, workers: 12, plant: None, through: None, die: 1, fleet: false };
-    let folder = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
     let cut = if cut == "hang" { Cut::Hang } else { Cut::Refuse };
     let plays: &[(&str, bool)] = match damping.as_str() {
         "on" => &[("damping on", true)],
@@ -599,7 +599,7 @@
     }
     if let Some(file) = chart {
         let named: Vec<_> = plays.iter().map(|(name, _)| *name).zip(&reports).collect();
-        let drawn = applepond_drill::chart::draw(&named);
+        let drawn = applepond_scenarios::chart::draw(&named);
         let written = drawn.and_then(|svg| Ok(std::fs::write(&file, svg)?));
         if let Err(why) = written {
             eprintln!("{}: {why}", file.display());
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,11 +1,11 @@
 //! `serve` and `check`.
 use crate::fleet;
 use applepond::interface::Effect;
-use applepond_drill::saboteur::{PLANTS, Saboteur};
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::{Deployment, Gateway, News};
 use applepond_membership::Standing;
 use applepond_reactor::{Machine, Reactor};
+use applepond_scenarios::saboteur::{PLANTS, Saboteur};
 use applepond_storage::Disk;
 use clap::ValueEnum;
 use std::io::Write;
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Processes of the program, asked over their sockets.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_drill::fleet::{ports, settings};
-use applepond_drill::links::Links;
+use applepond_scenarios::fleet::{ports, settings};
+use applepond_scenarios::links::Links;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -17,7 +17,7 @@
     put(&mut all, "consensus", vec![applepond_consensus::message::Unread]);
     put(&mut all, "recovery", applepond_recovery::Unusable::EACH.to_vec());
     put(&mut all, "recovery", vec![applepond_recovery::Unread]);
-    put(&mut all, "drill", applepond_drill::fault::Unplayed::each());
+    put(&mut all, "scenarios", applepond_scenarios::fault::Unplayed::each());
     put(&mut all, "fleet", applepond_fleet::NoView::each());
     put(&mut all, "gateway", applepond_gateway::fault::Unlisted::each());
     put(&mut all, "gateway", applepond_gateway::fault::NotTaken::each());
--- a/crates/drill/tests/fleet.rs
+++ b/crates/scenarios/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! What a drill sets up before its routers start.
-use applepond_drill::fleet::ports;
+use applepond_scenarios::fleet::ports;
 use std::net::UdpSocket;
 
 // Ports are free for a moment before routers take them: another drill that is given the same ones meanwhile
--- a/crates/drill/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -1,9 +1,9 @@
 //! Cases of single modules of this package.
 
 mod audit {
-    use applepond_drill::audit::*;
     use applepond_fakes::ledger::Saw;
     use applepond_reactor::Micros;
+    use applepond_scenarios::audit::*;
 
     use std::rc::Rc;
     use test_case::test_case;
@@ -92,9 +92,9 @@
 }
 
 mod chart {
-    use applepond_drill::chart::*;
+    use applepond_scenarios::chart::*;
 
-    use applepond_drill::storm::Report;
+    use applepond_scenarios::storm::Report;
 
     #[test]
     fn both_plays_and_the_cut_are_in_the_picture() {
@@ -106,7 +106,7 @@
 }
 
 mod links {
-    use applepond_drill::links::*;
+    use applepond_scenarios::links::*;
 
     use std::io::{Read, Write};
     use std::net::{SocketAddr, TcpListener, TcpStream};
