--- a/crates/scale/benches/control.rs
+++ b/crates/capacity/benches/control.rs
@@ -1,9 +1,9 @@
 //! What one router's decisions cost at several sizes of the fleet.
-//! `cargo bench -p applepond-scale --bench control`
+//! `cargo bench -p applepond-capacity --bench control`
 //!
 //! Simulated time, real processor time of one thread; bytes are those allocated and not freed.
-use applepond_scale::router::{AHEAD, Allocated, HollowRouter, Size};
-use applepond_scale::traffic::{Popularity, SIGMA};
+use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
+use applepond_capacity::traffic::{Popularity, SIGMA};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 use std::time::Duration;
--- a/crates/scale/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -1,5 +1,5 @@
 //! Slopes behind docs/CAPACITY.md: what each machine holds and does at several sizes, a line through it, and
-//! what the smaller sizes foretell of the largest. `cargo bench -p applepond-scale --bench slopes [-- PART]`,
+//! what the smaller sizes foretell of the largest. `cargo bench -p applepond-capacity --bench slopes [-- PART]`,
 //! PART one of `control`, `events`, `members`, `tallies`, `list`. With a file's name, ending in `.svg`, and
 //! no PART it draws need against allowance by the size of the fleet.
 //!
@@ -9,10 +9,10 @@
 #[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
 
+use applepond_capacity::fit::{Fit, Form};
+use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
+use applepond_capacity::traffic::{Popularity, SIGMA};
 use applepond_gateway::host_list::HostList;
-use applepond_scale::fit::{Fit, Form};
-use applepond_scale::router::{AHEAD, Allocated, HollowRouter, Size};
-use applepond_scale::traffic::{Popularity, SIGMA};
 use plotters::prelude::*;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
@@ -66,7 +66,7 @@
         let costs = router.play(Duration::from_secs(60), REAL_TIME);
         (router.state_bytes() as f64 / 1e6, costs, router.start.total())
     };
-    type Column = fn(&(f64, applepond_scale::router::Costs, Duration)) -> f64;
+    type Column = fn(&(f64, applepond_capacity::router::Costs, Duration)) -> f64;
     let columns: [(&str, &str, Form, Column); 6] = [
         ("state", "MB", Form::Linear, |row| row.0),
         ("a call", "us", Form::Linear, |row| row.1.call_us()),
@@ -103,7 +103,7 @@
     let start = router.start.total();
     println!("whole list at the start: {:.1} ms", start.as_secs_f64() * 1e3);
     let first = router.play(Duration::from_secs(10), REAL_TIME);
-    let show = |what: &str, costs: &applepond_scale::router::Costs| {
+    let show = |what: &str, costs: &applepond_capacity::router::Costs| {
         println!(
             "{what}: a call {:.1} us, 99th percentile of requests {:.1} us, {:.2} % of a core",
             costs.call_us(),
--- a/crates/scale/tests/messages.rs
+++ b/crates/capacity/tests/messages.rs
@@ -5,7 +5,7 @@
 #[path = "../../gossip/tests/common/mod.rs"]
 mod tallies;
 
-use applepond_scale::fit::{Fit, Form};
+use applepond_capacity::fit::{Fit, Form};
 
 const ROUTERS: [usize; 5] = [20, 40, 80, 160, 320];
 const WATCHED_S: u64 = 10;
--- a/crates/scale/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -1,9 +1,9 @@
 //! What a router's decisions hold and do, by counts, at small sizes: each grows as docs/CAPACITY.md states,
 //! and a fit on the smaller sizes foretells the largest within a fifth. A change that makes something grow
 //! with workers x functions turns these red.
-use applepond_scale::fit::{Fit, Form};
-use applepond_scale::router::{Allocated, Costs, HollowRouter, Size};
-use applepond_scale::traffic::Popularity;
+use applepond_capacity::fit::{Fit, Form};
+use applepond_capacity::router::{Allocated, Costs, HollowRouter, Size};
+use applepond_capacity::traffic::Popularity;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 use std::sync::{Mutex, MutexGuard, PoisonError};
