--- a/benches/crowd.rs
+++ b/benches/crowd.rs
@@ -18,62 +18,62 @@
 #[derive(Default)]
 struct Bench {
     now: Micros,
-    timers: BTreeSet<(Micros, Token)>,
-    answers: VecDeque<(Micros, JobId, usize)>,
+    timers: BTreeSet<(Micros, TimerToken)>,
+    answers: VecDeque<(Micros, RequestId, usize)>,
     attempts: std::collections::HashMap<[u8; 36], usize>,
     silent: bool,
     ended: u64,
 }
 
-impl Orders for Bench {
-    fn send(&mut self, job: JobId, _: ServerId, _: Micros, _: Micros) {
+impl Actions for Bench {
+    fn send(&mut self, job: RequestId, _: WorkerId, _: Micros, _: Micros) {
         let n = self.attempts.entry(job.0).or_insert(0);
         if !self.silent {
             self.answers.push_back((self.now + 100 * MS, job, *n));
         }
         *n += 1;
     }
-    fn cancel(&mut self, _: JobId, _: usize) {}
-    fn push_back(&mut self, _: JobId, _: Option<Micros>) {
+    fn cancel(&mut self, _: RequestId, _: usize) {}
+    fn push_back(&mut self, _: RequestId, _: Option<Micros>) {
         self.ended += 1;
     }
-    fn kill(&mut self, _: JobId) {
+    fn kill(&mut self, _: RequestId) {
         self.ended += 1;
     }
-    fn wake_after(&mut self, delay: Micros, token: Token) {
+    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
         self.timers.insert((self.now + delay, token));
     }
     fn note(&mut self, _: &str) {}
     fn watch(&mut self) {}
 }
 
-fn id(n: u64) -> JobId {
+fn id(n: u64) -> RequestId {
     let mut id = [b'0'; 36];
     id[..20].copy_from_slice(format!("{n:020}").as_bytes());
-    JobId(id)
+    RequestId(id)
 }
 
-fn rows() -> Startup {
-    let row = |start_target| WorkloadRow {
-        effect: Effect::Idempotent,
+fn rows() -> StartupConfig {
+    let row = |start_target| WorkloadConfig {
+        effect: RetrySafety::Idempotent,
         start_target,
         importance: 1.0,
         late_part: 0.2,
     };
-    Startup {
+    StartupConfig {
         seed: 1,
         me: 0,
         routers: 1,
         workloads: vec![row(500 * MS), row(600 * S)],
         customers: Vec::new(),
-        permits: Permits {
+        permits: AttemptPolicy {
             attempts: 4,
             cancel: true,
             second_copies: true,
             come_back: true,
             come_back_max: S,
         },
-        rules: RuleFigures { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
+        rules: SlowStartRules { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
         over_share: 0.1,
         keep: 60 * S,
         tells_company: true,
@@ -83,12 +83,12 @@
     }
 }
 
-fn answer() -> Answer {
-    Answer {
+fn answer() -> AttemptResult {
+    AttemptResult {
         outcome: Outcome::Finished,
         closed: true,
         elapsed: 100 * MS,
-        copy: Copy::Stood,
+        copy: LoadState::Stood,
         company: 0,
         held: None,
         loads: None,
@@ -116,8 +116,8 @@
     control.clock(until);
 }
 
-fn arrival(n: u64, function: &str, workload: usize) -> Arrival {
-    Arrival {
+fn arrival(n: u64, function: &str, workload: usize) -> RequestArrival {
+    RequestArrival {
         job: id(n),
         function: FunctionId::named(function),
         workload: WorkloadId(workload),
@@ -134,16 +134,16 @@
 fn cost(workers: u64, waiting: u64) -> (f64, u64) {
     let mut bench = Bench { now: 1_000 * S, ..Bench::default() };
     let mut control = Control::new(bench.now, rows(), &mut bench);
-    let listed = |n| Listed {
-        server: ServerId::named(&format!("w{n}")),
-        standing: Standing::Ready,
+    let listed = |n| Endpoint {
+        server: WorkerId::named(&format!("w{n}")),
+        standing: WorkerStatus::Ready,
         up_since: 0,
         zone: None,
         rack: RackId(0),
         weight: 1.0,
     };
     control.clock(bench.now);
-    control.list(&mut bench, ListKind::Full, &(0..workers).map(listed).collect::<Vec<_>>());
+    control.list(&mut bench, EndpointListKind::Full, &(0..workers).map(listed).collect::<Vec<_>>());
     let mut next = 0;
     let mut ask = |control: &mut Control, bench: &mut Bench, function: &str, workload| {
         next += 1;
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -21,7 +21,7 @@
 
 #[derive(Default)]
 struct Names {
-    servers: BTreeMap<ServerId, String>,
+    servers: BTreeMap<WorkerId, String>,
     functions: BTreeMap<FunctionId, String>,
     words: Words,
 }
@@ -36,31 +36,31 @@
     time as f64 / 1000.0
 }
 
-fn id_text(job: &JobId) -> &str {
+fn id_text(job: &RequestId) -> &str {
     std::str::from_utf8(&job.0).expect("ids came in as text")
 }
 
-impl Orders for Reply<'_> {
+impl Actions for Reply<'_> {
     /// On the simulator's wire an attempt leaves when it is ordered.
-    fn send(&mut self, job: JobId, server: ServerId, patience: Micros, _begin: Micros) {
+    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, _begin: Micros) {
         let server = &self.names.servers[&server];
         self.actions
             .push(json!({"op": "try", "msg-id": id_text(&job), "server": server, "patience": ms(patience)}));
     }
 
-    fn cancel(&mut self, job: JobId, attempt: usize) {
+    fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.actions.push(json!({"op": "call-off", "msg-id": id_text(&job), "send-no": attempt}));
     }
 
-    fn push_back(&mut self, job: JobId, come_back: Option<Micros>) {
+    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>) {
         self.actions.push(json!({"op": "decline", "msg-id": id_text(&job), "wait": come_back.map(ms)}));
     }
 
-    fn kill(&mut self, job: JobId) {
+    fn kill(&mut self, job: RequestId) {
         self.actions.push(json!({"op": "report-failure", "msg-id": id_text(&job)}));
     }
 
-    fn wake_after(&mut self, delay: Micros, token: Token) {
+    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
         self.actions.push(json!({"op": "after", "offset": ms(delay), "token": token.0}));
     }
 
@@ -121,7 +121,7 @@
         if op == "endpoints" {
             for entry in maybe(event, "members").and_then(Value::as_array).into_iter().flatten() {
                 let name = text(entry, "server")?;
-                self.names.servers.entry(ServerId::named(name)).or_insert_with(|| name.to_owned());
+                self.names.servers.entry(WorkerId::named(name)).or_insert_with(|| name.to_owned());
             }
         }
         if op == "knock" {
@@ -135,10 +135,10 @@
         match op {
             "endpoints" => {
                 let kind = match text(event, "kind")? {
-                    "INCREMENTAL" => ListKind::Changes,
-                    "FULL" => ListKind::Full,
-                    "SAVED" => ListKind::Saved,
-                    "FAILED" => ListKind::Failed,
+                    "INCREMENTAL" => EndpointListKind::Changes,
+                    "FULL" => EndpointListKind::Full,
+                    "SAVED" => EndpointListKind::Saved,
+                    "FAILED" => EndpointListKind::Failed,
                     other => return Err(Unfit::field("kind", format!("'{other}' is not known"))),
                 };
                 let entries =
@@ -152,7 +152,7 @@
                     Some(v) if v.as_u64() == Some(0) => None,
                     Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
                 };
-                let arrival = Arrival {
+                let arrival = RequestArrival {
                     job: job(event)?,
                     function: FunctionId::named(text(event, "model")?),
                     workload: WorkloadId(position(&names.words.workloads, event, "type")?),
@@ -168,7 +168,7 @@
             "closed-attempt" => {
                 let detail = number_or(event, "detail", 0.0)? as u32;
                 let usage = maybe(event, "usage").unwrap_or(&Value::Null);
-                let answer = Answer {
+                let answer = AttemptResult {
                     outcome: outcome(event)?,
                     closed: mark(event, "terminal")?,
                     elapsed: time_or_none(event, "elapsed")?,
@@ -181,7 +181,7 @@
             }
             "streaming" => control.streaming(job(event)?),
             "expired" => control.left(reply, job(event)?),
-            "wakeup" => control.wake(reply, Token(whole(event, "token")?)),
+            "wakeup" => control.wake(reply, TimerToken(whole(event, "token")?)),
             // Nothing is decided on these yet: no probe, message or order to load is ever sent.
             "probed" | "whisper" | "stands" => {}
             other => return Err(Unfit::Event(other.to_owned())),
@@ -205,14 +205,14 @@
     })
 }
 
-fn listed(entry: &Value, names: &Names) -> Read<Listed> {
+fn listed(entry: &Value, names: &Names) -> Read<Endpoint> {
     let place = |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
-    Ok(Listed {
-        server: ServerId::named(text(entry, "server")?),
+    Ok(Endpoint {
+        server: WorkerId::named(text(entry, "server")?),
         standing: match text(entry, "condition")? {
-            "Ready" => Standing::Ready,
-            "Terminating" => Standing::Draining,
-            "Gone" => Standing::Gone,
+            "Ready" => WorkerStatus::Ready,
+            "Terminating" => WorkerStatus::Draining,
+            "Gone" => WorkerStatus::Gone,
             other => return Err(Unfit::field("condition", format!("'{other}' is not known"))),
         },
         up_since: time_or_none(entry, "up-since")?,
@@ -222,7 +222,7 @@
     })
 }
 
-fn job(from: &Value) -> Read<JobId> {
+fn job(from: &Value) -> Read<RequestId> {
     let id = text(from, "msg-id")?;
-    id.as_bytes().try_into().map(JobId).or_else(|_| fault("msg-id", "36 characters are wanted"))
+    id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "36 characters are wanted"))
 }
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -141,26 +141,26 @@
 #[derive(Default)]
 struct World {
     now: Micros,
-    timers: BTreeSet<(Micros, Token)>,
-    sent: Vec<(JobId, ServerId)>,
-    cancelled: Vec<(JobId, usize)>,
-    ended: Vec<JobId>,
+    timers: BTreeSet<(Micros, TimerToken)>,
+    sent: Vec<(RequestId, WorkerId)>,
+    cancelled: Vec<(RequestId, usize)>,
+    ended: Vec<RequestId>,
 }
 
-impl Orders for World {
-    fn send(&mut self, job: JobId, server: ServerId, _: Micros, _: Micros) {
+impl Actions for World {
+    fn send(&mut self, job: RequestId, server: WorkerId, _: Micros, _: Micros) {
         self.sent.push((job, server));
     }
-    fn cancel(&mut self, job: JobId, attempt: usize) {
+    fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.cancelled.push((job, attempt));
     }
-    fn push_back(&mut self, job: JobId, _: Option<Micros>) {
+    fn push_back(&mut self, job: RequestId, _: Option<Micros>) {
         self.ended.push(job);
     }
-    fn kill(&mut self, job: JobId) {
+    fn kill(&mut self, job: RequestId) {
         self.ended.push(job);
     }
-    fn wake_after(&mut self, delay: Micros, token: Token) {
+    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
         self.timers.insert((self.now + delay, token));
     }
     fn note(&mut self, _: &str) {}
@@ -190,11 +190,11 @@
     size: Size,
     popularity: Popularity,
     rng: Rand64,
-    workers: Vec<ServerId>,
+    workers: Vec<WorkerId>,
     next_worker: u64,
     next_request: u64,
     requests: HashMap<[u8; 36], Request>,
-    answers: BTreeMap<(Micros, JobId, usize), ServerId>,
+    answers: BTreeMap<(Micros, RequestId, usize), WorkerId>,
     /// Until when a worker keeps a copy that this router's calls brought there.
     copies: HashMap<(u64, usize), Micros>,
     /// What taking in the whole list at the start cost.
@@ -203,26 +203,26 @@
     pub ends: Ends,
 }
 
-fn startup(size: &Size) -> Startup {
-    Startup {
+fn startup(size: &Size) -> StartupConfig {
+    StartupConfig {
         seed: 1,
         me: 0,
         routers: size.routers,
-        workloads: vec![WorkloadRow {
-            effect: Effect::Idempotent,
+        workloads: vec![WorkloadConfig {
+            effect: RetrySafety::Idempotent,
             start_target: SECOND,
             importance: 1.0,
             late_part: 0.2,
         }],
-        customers: vec![CustomerRow { jobs_per_s: size.calls_per_s * size.routers as f64 * CAPACITY }],
-        permits: Permits {
+        customers: vec![CustomerConfig { jobs_per_s: size.calls_per_s * size.routers as f64 * CAPACITY }],
+        permits: AttemptPolicy {
             attempts: 4,
             cancel: true,
             second_copies: true,
             come_back: true,
             come_back_max: SECOND,
         },
-        rules: RuleFigures {
+        rules: SlowStartRules {
             cold_share: 0.2,
             warm_within: 10 * SECOND,
             fall_multiple: 2.0,
@@ -237,15 +237,15 @@
     }
 }
 
-fn listed(server: ServerId, standing: Standing, up_since: Micros) -> Listed {
+fn listed(server: WorkerId, standing: WorkerStatus, up_since: Micros) -> Endpoint {
     let rack = RackId((server.0 % 1000) as i64);
-    Listed { server, standing, up_since, zone: Some(ZoneId((server.0 % 12) as usize)), rack, weight: 1.0 }
+    Endpoint { server, standing, up_since, zone: Some(ZoneId((server.0 % 12) as usize)), rack, weight: 1.0 }
 }
 
-fn request_id(number: u64) -> JobId {
+fn request_id(number: u64) -> RequestId {
     let mut id = [b'0'; 36];
     id[..8].copy_from_slice(&number.to_be_bytes());
-    JobId(id)
+    RequestId(id)
 }
 
 impl HollowRouter {
@@ -256,11 +256,11 @@
         let before = allocated().live as i64;
         let mut control = Control::new(world.now, startup(&size), &mut world);
         let mut meter = Meter { allocated, state: allocated().live as i64 - before };
-        let workers: Vec<ServerId> =
-            (0..size.workers).map(|n| ServerId::named(&format!("worker-{n}"))).collect();
-        let list: Vec<Listed> = workers.iter().map(|id| listed(*id, Standing::Ready, 0)).collect();
+        let workers: Vec<WorkerId> =
+            (0..size.workers).map(|n| WorkerId::named(&format!("worker-{n}"))).collect();
+        let list: Vec<Endpoint> = workers.iter().map(|id| listed(*id, WorkerStatus::Ready, 0)).collect();
         let mut start = Cost::default();
-        meter.run(&mut start, || control.list(&mut world, ListKind::Full, &list));
+        meter.run(&mut start, || control.list(&mut world, EndpointListKind::Full, &list));
         HollowRouter {
             control,
             meter,
@@ -294,8 +294,10 @@
         let mut costs = Costs::default();
         let keep = self.workers.len().saturating_sub(number);
         let gone = self.workers.split_off(keep);
-        let entries: Vec<Listed> = gone.into_iter().map(|id| listed(id, Standing::Gone, 0)).collect();
-        self.meter.run(&mut costs.lists, || self.control.list(&mut self.world, ListKind::Changes, &entries));
+        let entries: Vec<Endpoint> = gone.into_iter().map(|id| listed(id, WorkerStatus::Gone, 0)).collect();
+        self.meter.run(&mut costs.lists, || {
+            self.control.list(&mut self.world, EndpointListKind::Changes, &entries)
+        });
         self.carry_out();
         costs
     }
@@ -305,12 +307,14 @@
         let mut costs = Costs::default();
         let mut entries = Vec::new();
         while self.workers.len() < self.size.workers {
-            let id = ServerId::named(&format!("worker-{}", self.next_worker));
+            let id = WorkerId::named(&format!("worker-{}", self.next_worker));
             self.next_worker += 1;
             self.workers.push(id);
-            entries.push(listed(id, Standing::Ready, self.world.now));
+            entries.push(listed(id, WorkerStatus::Ready, self.world.now));
         }
-        self.meter.run(&mut costs.lists, || self.control.list(&mut self.world, ListKind::Changes, &entries));
+        self.meter.run(&mut costs.lists, || {
+            self.control.list(&mut self.world, EndpointListKind::Changes, &entries)
+        });
         self.carry_out();
         costs
     }
@@ -365,7 +369,7 @@
         let id = request_id(self.next_request);
         self.next_request += 1;
         self.requests.insert(id.0, Request { function, attempts: 0 });
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             job: id,
             function: FunctionId::named(&format!("function-{function}")),
             workload: WorkloadId(0),
@@ -383,14 +387,16 @@
     fn change_list(&mut self, costs: &mut Costs) {
         let place = self.rng.rand_range(0..self.workers.len() as u64) as usize;
         let entry = if self.workers.len() >= self.size.workers {
-            listed(self.workers.swap_remove(place), Standing::Gone, 0)
+            listed(self.workers.swap_remove(place), WorkerStatus::Gone, 0)
         } else {
-            let id = ServerId::named(&format!("worker-{}", self.next_worker));
+            let id = WorkerId::named(&format!("worker-{}", self.next_worker));
             self.next_worker += 1;
             self.workers.push(id);
-            listed(id, Standing::Ready, self.world.now)
+            listed(id, WorkerStatus::Ready, self.world.now)
         };
-        self.meter.run(&mut costs.lists, || self.control.list(&mut self.world, ListKind::Changes, &[entry]));
+        self.meter.run(&mut costs.lists, || {
+            self.control.list(&mut self.world, EndpointListKind::Changes, &[entry])
+        });
     }
 
     fn answer(&mut self, costs: &mut Costs) {
@@ -401,11 +407,11 @@
         let copy = (server.0, function);
         let stood = self.copies.get(&copy).is_some_and(|until| *until > self.world.now);
         self.copies.insert(copy, self.world.now + KEEP);
-        let answer = Answer {
+        let answer = AttemptResult {
             outcome: Outcome::Finished,
             closed: true,
             elapsed: if stood { SERVICE } else { SERVICE + LOAD },
-            copy: if stood { Copy::Stood } else { Copy::Begun },
+            copy: if stood { LoadState::Stood } else { LoadState::Begun },
             company: (fleet_per_s * SERVICE as f64 / 1e6).min(4.0) as u32,
             held: Some(2.0),
             loads: Some(0.1),
@@ -416,7 +422,7 @@
     }
 
     /// Whether the worker holds a copy: this router brought it there, or the others keep it loaded.
-    fn stands(&self, server: ServerId, function: usize) -> bool {
+    fn stands(&self, server: WorkerId, function: usize) -> bool {
         let own = self.copies.get(&(server.0, function)).is_some_and(|until| *until > self.world.now);
         let fleet_per_s = self.popularity.part(function) * self.size.calls_per_s * self.size.routers as f64;
         own || fleet_per_s * (KEEP as f64 / 1e6) > 3.0
--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -106,14 +106,14 @@
 #[derive(Clone, Copy)]
 enum Of {
     Request,
-    Answer,
+    AttemptResult,
     ListChange,
     Timer,
 }
 
 // Work of one event, in bytes that it allocates, does not grow with the list.
 #[test_case(Of::Request, 3_000.0; "a request")]
-#[test_case(Of::Answer, 1_000.0; "an answer")]
+#[test_case(Of::AttemptResult, 1_000.0; "an answer")]
 #[test_case(Of::ListChange, 1_500.0; "a change of the list")]
 #[test_case(Of::Timer, 1_000.0; "a timer")]
 fn an_event_does_not_grow_with_workers(of: Of, most: f64) {
@@ -123,7 +123,7 @@
         let costs = played(Size { workers, functions: 1_000, ..SMALL }).1;
         let cost = match of {
             Of::Request => &costs.requests,
-            Of::Answer => &costs.answers,
+            Of::AttemptResult => &costs.answers,
             Of::ListChange => &costs.lists,
             Of::Timer => &costs.timers,
         };
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,5 +1,5 @@
 //! `fleet`: what a running router says of its fleet, and that part of `serve`.
-use applepond::interface::{FunctionId, Learned, ServerId, Standing};
+use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_fleet::desk::{DiskFault, Threads};
 use applepond_fleet::envelope::Key;
 use applepond_fleet::{Fleet, OpeningGuards, Place, Shared, View, ask, page};
@@ -7,8 +7,8 @@
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::switch::merge;
 use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
-use applepond_membership::{Birth, RouterId};
 use applepond_membership::{Count, Guards};
+use applepond_membership::{InstanceId, RouterId};
 use applepond_prefix_cache::Terms;
 use applepond_reactor::Micros;
 use applepond_recovery::Memory;
@@ -169,7 +169,7 @@
 pub struct Shelf(pub Rc<RefCell<Memory>>, pub Return);
 
 impl Remembers for Shelf {
-    fn saw(&mut self, now: Micros, server: ServerId, up_since: Micros, seen: &Learned) {
+    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
         self.0.borrow_mut().saw(now, server, up_since, seen);
     }
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
@@ -184,17 +184,17 @@
     fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
     }
-    fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)> {
+    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
         self.0.borrow_mut().recalls(now)
     }
-    fn recalled(&mut self, server: ServerId, up_since: Micros) {
+    fn recalled(&mut self, server: WorkerId, up_since: Micros) {
         self.0.borrow_mut().recalled(server, up_since);
     }
-    fn listed(&mut self, now: Micros, server: ServerId, up_since: Micros, is: Standing) -> Standing {
+    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
         let made = self.0.borrow_mut().listed(now, server, up_since, is);
         if self.1.keeps_drains { made } else { is }
     }
-    fn whole(&mut self, named: &[(ServerId, Micros)]) {
+    fn whole(&mut self, named: &[(WorkerId, Micros)]) {
         self.0.borrow_mut().whole(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
@@ -211,7 +211,7 @@
     rig: &Rig,
 ) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<Memory>>), NotTaken> {
     let random = || getrandom::u64().map_err(|e| NotTaken::NoRandom(e.to_string()));
-    let (seed, fresh) = (random()?, Birth(random()?));
+    let (seed, fresh) = (random()?, InstanceId(random()?));
     let who = (row.name.clone(), row.zone.clone(), row.listen);
     let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
     let memory = Rc::new(RefCell::new(Memory::default()));
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,9 +1,9 @@
 //! `serve` and `check`.
 use crate::fleet;
-use applepond::interface::Effect;
+use applepond::interface::RetrySafety;
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::{Deployment, Gateway, News};
-use applepond_membership::Standing;
+use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
 use applepond_scenarios::saboteur::{PLANTS, Saboteur};
 use applepond_storage::Disk;
@@ -114,8 +114,9 @@
         println!("listening {at}");
         let _ = std::io::stdout().flush();
     });
-    let lasts =
-        |d: &Deployment| d.chains.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != Effect::Idempotent);
+    let lasts = |d: &Deployment| {
+        d.chains.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
+    };
     let record = match &deployment.record {
         Some(file) => match Disk::open(file) {
             Ok(disk) => Some(Box::new(disk)),
@@ -183,7 +184,7 @@
             }
         }
         reactor.add(Box::new(fleet.with_end(Box::new(move || asked.load(Ordering::Relaxed)))));
-        left = Box::new(move || view.borrow().members.me().standing == Standing::Left);
+        left = Box::new(move || view.borrow().members.me().standing == MemberStatus::Left);
     }
     if !heard.get() {
         return ExitCode::FAILURE;
--- a/crates/consensus/src/convener.rs
+++ b/crates/consensus/src/convener.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Seat {
     pub name: RouterId,
-    pub disk: Birth,
+    pub disk: InstanceId,
 }
 
 /// What is agreed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Agreed<V> {
     /// Drawn when it was founded: numbers of another line say nothing here.
-    pub line: Birth,
+    pub line: InstanceId,
     /// Rises with each value that is written.
     pub number: u64,
     pub keepers: Vec<Seat>,
@@ -37,8 +37,14 @@
 
 /// Questions to keepers; `word` is the highest ballot that this process has heard of a disk of theirs.
 pub trait Questions<V> {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(Birth, Ballot)>);
-    fn accept(&mut self, to: RouterId, ballot: Ballot, agreed: &Agreed<V>, word: Option<(Birth, Ballot)>);
+    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>);
+    fn accept(
+        &mut self,
+        to: RouterId,
+        ballot: Ballot,
+        agreed: &Agreed<V>,
+        word: Option<(InstanceId, Ballot)>,
+    );
 }
 
 /// What has come of a try.
@@ -60,7 +66,7 @@
     Waiting,
     /// Who has promised, with which disk, and the latest that any of them has accepted.
     Reading {
-        heard: BTreeMap<RouterId, Birth>,
+        heard: BTreeMap<RouterId, InstanceId>,
         latest: Option<(Ballot, Agreed<V>)>,
         asked: BTreeSet<RouterId>,
     },
@@ -110,7 +116,7 @@
 impl<V: Clone> Convener<V> {
     /// `birth` is this process' own, drawn at its start; `named` are the keepers by the settings, which is
     /// whom it asks first, and nothing more.
-    pub fn new(birth: Birth, named: &[RouterId], seed: u64) -> Self {
+    pub fn new(birth: InstanceId, named: &[RouterId], seed: u64) -> Self {
         Convener {
             named: named.to_vec(),
             ballot: Ballot::first(birth),
@@ -174,7 +180,7 @@
         (self.ballot, &self.doing, &self.words, &self.older)
     }
 
-    fn word(&self, name: RouterId) -> Option<(Birth, Ballot)> {
+    fn word(&self, name: RouterId) -> Option<(InstanceId, Ballot)> {
         let of = self.words.iter().filter(|(seat, _)| seat.name == name);
         of.max_by_key(|(_, ballot)| **ballot).map(|(seat, ballot)| (seat.disk, *ballot))
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -14,12 +14,12 @@
 
 pub use convener::{Agreed, Convener, Guards, Heard, Questions, Seat};
 pub use keeper::{Keeper, Trouble, Vote, Votes};
-pub use proposer::{Orders as Ballots, Proposer, Told};
-pub use register::{Held, Orders, Register, Standstill};
+pub use proposer::{Actions as Ballots, Proposer, Told};
+pub use register::{Actions, Held, Register, Standstill};
 pub use voter::Voter;
 
 use applepond::interface::Micros;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use serde::{Deserialize, Serialize};
 
 // ---- Constants: unit, and why this size ------------------------------------------------
@@ -63,7 +63,7 @@
 }
 
 impl Ballot {
-    pub fn first(birth: Birth) -> Self {
+    pub fn first(birth: InstanceId) -> Self {
         Ballot { round: 0, by: birth.0 }
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -27,7 +27,7 @@
 )]
 pub struct Unread;
 
-/// Orders as messages of this router, each with whom it is for.
+/// Actions as messages of this router, each with whom it is for.
 pub struct Written {
     pub me: RouterId,
     pub messages: Vec<(RouterId, Vec<u8>)>,
@@ -47,25 +47,31 @@
 }
 
 impl<V: Serialize> Questions<V> for Written {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(Birth, Ballot)>) {
+    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
         self.put(to, PROMISE, &(ballot, word));
     }
-    fn accept(&mut self, to: RouterId, ballot: Ballot, agreed: &Agreed<V>, word: Option<(Birth, Ballot)>) {
+    fn accept(
+        &mut self,
+        to: RouterId,
+        ballot: Ballot,
+        agreed: &Agreed<V>,
+        word: Option<(InstanceId, Ballot)>,
+    ) {
         self.put(to, ACCEPT, &(ballot, agreed, word));
     }
 }
 
-impl<V: Serialize> Orders<V> for Written {
+impl<V: Serialize> Actions<V> for Written {
     fn promised(
         &mut self,
         to: RouterId,
         ballots: (Ballot, Ballot),
-        disk: Birth,
+        disk: InstanceId,
         accepted: Option<&(Ballot, Agreed<V>)>,
     ) {
         self.put(to, PROMISED, &(ballots, disk, accepted));
     }
-    fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: Birth) {
+    fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: InstanceId) {
         self.put(to, ACCEPTED, &(ballot, disk));
     }
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
@@ -123,13 +129,13 @@
     message: &[u8],
     register: &mut Register<V>,
     now: Micros,
-    remembered: &[(Birth, u64)],
+    remembered: &[(InstanceId, u64)],
     orders: &mut Written,
 ) -> Result<(), Unread> {
     let [MARK, kind, rest @ ..] = message else { return Err(Unread) };
     match *kind {
         PROMISED => {
-            type Parts<V> = ((Ballot, Ballot), Birth, Option<(Ballot, Agreed<V>)>);
+            type Parts<V> = ((Ballot, Ballot), InstanceId, Option<(Ballot, Agreed<V>)>);
             let (name, (ballots, disk, accepted)): (_, Parts<V>) = whole(rest)?;
             accepted.iter().try_for_each(|(_, agreed)| sound(agreed))?;
             register.promised(now, Seat { name, disk }, ballots, accepted, remembered, orders);
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a proposer asks of keepers; each question may be lost, late or repeated, and so may its answer.
-pub trait Orders<V> {
+pub trait Actions<V> {
     fn promise(&mut self, of: KeeperId, ballot: Ballot);
     fn accept(&mut self, by: KeeperId, ballot: Ballot, value: &V);
 }
@@ -55,7 +55,7 @@
     ///
     /// # Panics
     /// Where keepers are none, more than `KEEPERS_MOST` or an even number.
-    pub fn new(birth: Birth, keepers: &[KeeperId], seed: u64) -> Self {
+    pub fn new(birth: InstanceId, keepers: &[KeeperId], seed: u64) -> Self {
         let keepers: BTreeSet<KeeperId> = keepers.iter().copied().collect();
         assert!(keepers.len() % 2 == 1 && keepers.len() <= KEEPERS_MOST, "one, three or five keepers");
         Proposer {
@@ -121,7 +121,7 @@
     }
 
     /// Reads the value under a new ballot; what was under way is given up, and may yet be written.
-    pub fn read(&mut self, now: Micros, orders: &mut dyn Orders<V>) {
+    pub fn read(&mut self, now: Micros, orders: &mut dyn Actions<V>) {
         self.ballot.round += 1;
         self.doing = Doing::Reading { heard: BTreeSet::new(), latest: None };
         self.until = now + PATIENCE;
@@ -131,7 +131,7 @@
     }
 
     /// Has this value written in place of the one just read. Without a read before it nothing happens.
-    pub fn write(&mut self, now: Micros, value: V, orders: &mut dyn Orders<V>) {
+    pub fn write(&mut self, now: Micros, value: V, orders: &mut dyn Actions<V>) {
         if !matches!(self.doing, Doing::Read) {
             return;
         }
@@ -148,7 +148,7 @@
     }
 
     /// Time for the next try, if it is.
-    pub fn wake(&mut self, now: Micros, orders: &mut dyn Orders<V>) {
+    pub fn wake(&mut self, now: Micros, orders: &mut dyn Actions<V>) {
         if now < self.until || self.is_idle() {
             return;
         }
--- a/crates/consensus/src/register.rs
+++ b/crates/consensus/src/register.rs
@@ -9,15 +9,15 @@
 use thiserror::Error;
 
 /// Messages to others; each may be lost, late or repeated.
-pub trait Orders<V>: Questions<V> {
+pub trait Actions<V>: Questions<V> {
     fn promised(
         &mut self,
         to: RouterId,
         ballots: (Ballot, Ballot),
-        disk: Birth,
+        disk: InstanceId,
         accepted: Option<&(Ballot, Agreed<V>)>,
     );
-    fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: Birth);
+    fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: InstanceId);
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
     /// This keeper does not vote, and why.
     fn doubts(&mut self, to: RouterId, ballot: Ballot, trouble: Trouble);
@@ -101,7 +101,7 @@
 
 pub struct Register<V> {
     me: RouterId,
-    birth: Birth,
+    birth: InstanceId,
     named: Vec<RouterId>,
     /// It has a keeper beside it, and why that one does not vote.
     keeps: bool,
@@ -119,11 +119,11 @@
     from: Option<RouterId>,
     held: Option<Held<V>>,
     /// The highest that this process has heard of; never a permission, only what is older.
-    seen: Option<(Birth, u64)>,
+    seen: Option<(InstanceId, u64)>,
     /// The next value in place of that number, if it still is the one.
     wish: Option<(u64, V)>,
     /// A founding that was read here first, and when.
-    fresh: Option<(Birth, Micros)>,
+    fresh: Option<(InstanceId, Micros)>,
     born: Micros,
     /// Keepers that said they do not vote, in the try under way.
     doubts: Vec<RouterId>,
@@ -135,13 +135,19 @@
 }
 
 /// The half of the orders that a try needs.
-struct Ask<'a, V>(&'a mut dyn Orders<V>);
+struct Ask<'a, V>(&'a mut dyn Actions<V>);
 
 impl<V> Questions<V> for Ask<'_, V> {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(Birth, Ballot)>) {
+    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
         self.0.promise(to, ballot, word);
     }
-    fn accept(&mut self, to: RouterId, ballot: Ballot, agreed: &Agreed<V>, word: Option<(Birth, Ballot)>) {
+    fn accept(
+        &mut self,
+        to: RouterId,
+        ballot: Ballot,
+        agreed: &Agreed<V>,
+        word: Option<(InstanceId, Ballot)>,
+    ) {
         self.0.accept(to, ballot, agreed, word);
     }
 }
@@ -150,7 +156,7 @@
     /// `keeps`: a `Voter` stands beside it. Empty-handed at its start, whatever a snapshot may say.
     pub fn new(
         now: Micros,
-        (me, birth): (RouterId, Birth),
+        (me, birth): (RouterId, InstanceId),
         named: &[RouterId],
         keeps: bool,
         seed: u64,
@@ -184,7 +190,7 @@
         }
     }
 
-    pub fn birth(&self) -> Birth {
+    pub fn birth(&self) -> InstanceId {
         self.birth
     }
 
@@ -194,7 +200,7 @@
     }
 
     /// The line and number last heard of, also where they no longer count.
-    pub fn seen(&self) -> Option<(Birth, u64)> {
+    pub fn seen(&self) -> Option<(InstanceId, u64)> {
         self.seen
     }
 
@@ -240,7 +246,7 @@
     }
 
     /// `live`: whether a router seems to be there; only whom to ask goes by it.
-    pub fn wake(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Orders<V>) {
+    pub fn wake(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions<V>) {
         if now >= self.next_ask {
             self.next_ask = now + ASK;
             self.ask(now, live, orders);
@@ -292,7 +298,7 @@
         });
     }
 
-    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Orders<V>) {
+    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions<V>) {
         self.asks += 1;
         self.asked = now;
         let known = self.from.filter(|from| live(*from) && *from != self.me && self.held(now).is_some());
@@ -313,8 +319,8 @@
         seat: Seat,
         ballots: (Ballot, Ballot),
         accepted: Option<(Ballot, Agreed<V>)>,
-        remembered: &[(Birth, u64)],
-        orders: &mut dyn Orders<V>,
+        remembered: &[(InstanceId, u64)],
+        orders: &mut dyn Actions<V>,
     ) {
         self.remembered = !remembered.is_empty();
         let this_try = ballots.0 == self.convener.ballot();
@@ -325,7 +331,8 @@
             Some(Heard::Read(agreed, seats)) => {
                 // Guards against disks that were all put back: what they agree on is older than what was
                 // known, or of another life.
-                let past = |(line, number): &(Birth, u64)| *line != agreed.line || *number > agreed.number;
+                let past =
+                    |(line, number): &(InstanceId, u64)| *line != agreed.line || *number > agreed.number;
                 if remembered.iter().chain(&self.seen).any(past) {
                     self.standstill = Some(Standstill::Past);
                     return self.leave(now, CONFIRM);
@@ -337,7 +344,7 @@
                     // Guards against an empty past that is none: all have lost what they had agreed on.
                     self.standstill = Some(Standstill::Remembered);
                 } else if now >= self.born + FOUND_WAIT {
-                    let line = Birth(self.birth.0 ^ self.convener.ballot().round.rotate_left(32));
+                    let line = InstanceId(self.birth.0 ^ self.convener.ballot().round.rotate_left(32));
                     let (before, value) = (Vec::new(), V::default());
                     let agreed = Agreed { line, number: 1, keepers, before, value };
                     self.convener.write(now, agreed, &mut Ask(orders));
@@ -354,7 +361,7 @@
         self.next_try = now + wait + self.rng.rand_range(0..CONFIRM);
     }
 
-    fn read(&mut self, now: Micros, agreed: Agreed<V>, heard: &[Seat], orders: &mut dyn Orders<V>) {
+    fn read(&mut self, now: Micros, agreed: Agreed<V>, heard: &[Seat], orders: &mut dyn Actions<V>) {
         if agreed.number == 1 {
             // Guards against leases of a fleet's life before: holders that are cut off still count on them.
             let since = match self.fresh {
@@ -417,7 +424,7 @@
 
     // ---- Copies ------------------------------------------------------------------------------
 
-    pub fn asked(&mut self, now: Micros, from: RouterId, number: u64, orders: &mut dyn Orders<V>) {
+    pub fn asked(&mut self, now: Micros, from: RouterId, number: u64, orders: &mut dyn Actions<V>) {
         if let Some(held) = self.held(now) {
             orders.copy(from, number, &held.agreed, held.end - now);
         }
--- a/crates/consensus/src/voter.rs
+++ b/crates/consensus/src/voter.rs
@@ -4,17 +4,17 @@
 use applepond_membership::RouterId;
 
 pub struct Voter<V> {
-    disk: Birth,
+    disk: InstanceId,
     keeper: Keeper<Agreed<V>>,
 }
 
 impl<V: Clone> Voter<V> {
     /// `disk`: the number drawn when its file was made; `found`: what it holds, or why that is not known.
-    pub fn new(fleet: u64, disk: Birth, found: Result<Option<Vote<Agreed<V>>>, Trouble>) -> Self {
+    pub fn new(fleet: u64, disk: InstanceId, found: Result<Option<Vote<Agreed<V>>>, Trouble>) -> Self {
         Voter { disk, keeper: Keeper::new(fleet, found) }
     }
 
-    pub fn disk(&self) -> Birth {
+    pub fn disk(&self) -> InstanceId {
         self.disk
     }
 
@@ -28,12 +28,12 @@
     }
 
     /// Another's word on this disk, if it is this one.
-    fn recall(&mut self, word: Option<(Birth, Ballot)>) {
+    fn recall(&mut self, word: Option<(InstanceId, Ballot)>) {
         let disk = self.disk;
         self.keeper.recall(word.filter(|(d, _)| *d == disk).map(|(_, ballot)| ballot));
     }
 
-    fn doubts(&self, from: RouterId, ballot: Ballot, orders: &mut dyn Orders<V>) {
+    fn doubts(&self, from: RouterId, ballot: Ballot, orders: &mut dyn Actions<V>) {
         if let Some(trouble) = self.keeper.trouble() {
             orders.doubts(from, ballot, trouble);
         }
@@ -43,9 +43,9 @@
         &mut self,
         from: RouterId,
         ballot: Ballot,
-        word: Option<(Birth, Ballot)>,
+        word: Option<(InstanceId, Ballot)>,
         votes: &mut dyn Votes<Agreed<V>>,
-        orders: &mut dyn Orders<V>,
+        orders: &mut dyn Actions<V>,
     ) {
         self.recall(word);
         match self.keeper.promise(ballot, votes) {
@@ -61,9 +61,9 @@
         &mut self,
         from: RouterId,
         (ballot, agreed): (Ballot, Agreed<V>),
-        word: Option<(Birth, Ballot)>,
+        word: Option<(InstanceId, Ballot)>,
         votes: &mut dyn Votes<Agreed<V>>,
-        orders: &mut dyn Orders<V>,
+        orders: &mut dyn Actions<V>,
     ) {
         self.recall(word);
         match self.keeper.accept(ballot, agreed, votes) {
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Keepers and proposers whose network, disks and deaths are steps to choose from.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -182,7 +182,7 @@
             plant,
             keepers: (0..keepers).map(|_| Keeper::new(FLEET, Ok(None))).collect(),
             disks: vec![None; keepers],
-            proposers: births.iter().map(|b| Proposer::new(Birth(*b), &ids(keepers), *b)).collect(),
+            proposers: births.iter().map(|b| Proposer::new(InstanceId(*b), &ids(keepers), *b)).collect(),
             next_birth: births.len() as u64 + 1,
             marks: births.iter().map(|b| *b as u8).collect(),
             births,
@@ -284,7 +284,7 @@
                 self.marks[*p] = self.next_birth as u8;
                 self.next_birth += 1;
                 let birth = self.births[*p];
-                self.proposers[*p] = Proposer::new(Birth(birth), &ids(self.keepers.len()), birth);
+                self.proposers[*p] = Proposer::new(InstanceId(birth), &ids(self.keepers.len()), birth);
             }
         }
         Ok(())
--- a/crates/consensus/tests/convene.rs
+++ b/crates/consensus/tests/convene.rs
@@ -1,7 +1,7 @@
 //! Keepers that change and lose their disks, in all orders of steps: breadth first, and long runs by chance.
 mod common;
 use applepond_consensus::*;
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use common::{Explorable, Marks, explore, told};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -13,8 +13,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Promise(usize, usize, Ballot, Option<(Birth, Ballot)>),
-    Accept(usize, usize, Ballot, Ordered, Option<(Birth, Ballot)>),
+    Promise(usize, usize, Ballot, Option<(InstanceId, Ballot)>),
+    Accept(usize, usize, Ballot, Ordered, Option<(InstanceId, Ballot)>),
     Promised(usize, Seat, Ballot, Ballot, Option<(Ballot, Ordered)>),
     Accepted(usize, Seat, Ballot),
     Refused(usize, Ballot, Ballot),
@@ -22,7 +22,7 @@
 
 /// A value in an order, for keeping messages apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Ordered(Birth, u64, Vec<Seat>, Vec<Seat>, Marks);
+struct Ordered(InstanceId, u64, Vec<Seat>, Vec<Seat>, Marks);
 
 fn ordered(v: &Value) -> Ordered {
     Ordered(v.line, v.number, v.keepers.clone(), v.before.clone(), v.value.clone())
@@ -45,7 +45,7 @@
 
 #[derive(Clone)]
 struct World {
-    keepers: Vec<(Birth, Keeper<Value>)>,
+    keepers: Vec<(InstanceId, Keeper<Value>)>,
     disks: Vec<Option<Vote<Value>>>,
     conveners: Vec<Convener<Marks>>,
     guards: Guards,
@@ -63,10 +63,10 @@
 struct Out(usize, Vec<Message>);
 
 impl Questions<Marks> for Out {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(Birth, Ballot)>) {
+    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
         self.1.push(Message::Promise(self.0, to.0 as usize, ballot, word));
     }
-    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<(Birth, Ballot)>) {
+    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<(InstanceId, Ballot)>) {
         self.1.push(Message::Accept(self.0, to.0 as usize, ballot, ordered(v), word));
     }
 }
@@ -87,8 +87,8 @@
 impl World {
     fn new(guards: Guards, keepers: usize, conveners: usize, left: [u8; 4]) -> Self {
         let names = named(keepers.min(3));
-        let of = |b: u64| Convener::new(Birth(b), &names, b).with_guards(guards);
-        let keeper = |k: usize| (Birth(900 + k as u64), Keeper::new(7, Ok(None)));
+        let of = |b: u64| Convener::new(InstanceId(b), &names, b).with_guards(guards);
+        let keeper = |k: usize| (InstanceId(900 + k as u64), Keeper::new(7, Ok(None)));
         World {
             keepers: (0..keepers).map(keeper).collect(),
             disks: vec![None; keepers],
@@ -204,7 +204,7 @@
         let next = match heard {
             Heard::Read(read, _) => Some(self.next(c, read)),
             Heard::Empty(keepers) => {
-                let (line, value) = (Birth(u64::from(self.marks[c])), vec![self.marks[c]]);
+                let (line, value) = (InstanceId(u64::from(self.marks[c])), vec![self.marks[c]]);
                 Some(Agreed { line, number: 1, keepers, before: Vec::new(), value })
             }
             Heard::Written(v) => return self.note(self.conveners[c].ballot(), v),
@@ -267,13 +267,14 @@
                 let birth = self.births;
                 self.births += 1;
                 self.marks[*c] = birth as u8;
-                self.conveners[*c] = Convener::new(Birth(birth), &named(3), birth).with_guards(self.guards);
+                self.conveners[*c] =
+                    Convener::new(InstanceId(birth), &named(3), birth).with_guards(self.guards);
             }
             Step::Wipe(k) => {
                 self.left[3] -= 1;
                 self.births += 1;
                 self.disks[*k] = None;
-                self.keepers[*k] = (Birth(900 + self.births), Keeper::new(7, Ok(None)));
+                self.keepers[*k] = (InstanceId(900 + self.births), Keeper::new(7, Ok(None)));
             }
         }
         let conveners = &self.conveners;
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -2,7 +2,7 @@
 //! the one before, nor read its disk.
 use applepond_consensus::message::{self, Written};
 use applepond_consensus::*;
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 
 type Value = Vec<u8>;
 
@@ -10,12 +10,12 @@
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 
 fn seat(n: u64) -> Seat {
-    Seat { name: RouterId(n * 1_000_003), disk: Birth(n * 77_777_777_777) }
+    Seat { name: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) }
 }
 
 fn agreed() -> Agreed<Value> {
     Agreed {
-        line: Birth(987_654_321),
+        line: InstanceId(987_654_321),
         number: 300,
         keepers: vec![seat(1), seat(2), seat(3)],
         before: vec![seat(4)],
@@ -31,20 +31,20 @@
 fn messages() -> Vec<Vec<u8>> {
     let mut written = Written::by(ME);
     let to = RouterId(5);
-    let word = Some((Birth(9), ballot(3)));
+    let word = Some((InstanceId(9), ballot(3)));
     Questions::<Value>::promise(&mut written, to, ballot(7), word);
     Questions::<Value>::promise(&mut written, to, ballot(7), None);
     Questions::accept(&mut written, to, ballot(8), &agreed(), word);
     let accepted = (ballot(2), agreed());
-    Orders::<Value>::promised(&mut written, to, (ballot(7), ballot(2)), Birth(66), Some(&accepted));
-    Orders::<Value>::promised(&mut written, to, (ballot(7), ballot(2)), Birth(66), None);
-    Orders::<Value>::accepted(&mut written, to, ballot(8), Birth(66));
-    Orders::<Value>::refused(&mut written, to, ballot(8), ballot(9));
+    Actions::<Value>::promised(&mut written, to, (ballot(7), ballot(2)), InstanceId(66), Some(&accepted));
+    Actions::<Value>::promised(&mut written, to, (ballot(7), ballot(2)), InstanceId(66), None);
+    Actions::<Value>::accepted(&mut written, to, ballot(8), InstanceId(66));
+    Actions::<Value>::refused(&mut written, to, ballot(8), ballot(9));
     for trouble in [Trouble::NotWritten, Trouble::Torn, Trouble::Foreign] {
-        Orders::<Value>::doubts(&mut written, to, ballot(8), trouble);
+        Actions::<Value>::doubts(&mut written, to, ballot(8), trouble);
     }
-    Orders::<Value>::ask(&mut written, to, 40_000);
-    Orders::<Value>::copy(&mut written, to, 40_000, &agreed(), 2_500_000);
+    Actions::<Value>::ask(&mut written, to, 40_000);
+    Actions::<Value>::copy(&mut written, to, 40_000, &agreed(), 2_500_000);
     written.messages.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
@@ -64,8 +64,8 @@
 
 #[test]
 fn messages_are_read() {
-    let mut voter = Voter::<Value>::new(FLEET, Birth(66), Ok(None));
-    let mut register = Register::<Value>::new(0, (ME, Birth(1)), &[ME], true, 1);
+    let mut voter = Voter::<Value>::new(FLEET, InstanceId(66), Ok(None));
+    let mut register = Register::<Value>::new(0, (ME, InstanceId(1)), &[ME], true, 1);
     for bytes in messages() {
         let mut answers = Written::by(ME);
         let read = if message::is_question(&bytes) {
--- a/crates/consensus/tests/keepers.rs
+++ b/crates/consensus/tests/keepers.rs
@@ -1,7 +1,7 @@
 //! Keepers whose disks fail, and a proposer that finds one older than its word.
 mod common;
 use applepond_consensus::*;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use common::{FLEET, Marks};
 use test_case::test_case;
 
@@ -72,7 +72,7 @@
 #[test]
 fn older_than_its_word() {
     let ids = [KeeperId(0), KeeperId(1), KeeperId(2)];
-    let (mut proposer, mut asked) = (Proposer::new(Birth(1), &ids, 1), Asked::default());
+    let (mut proposer, mut asked) = (Proposer::new(InstanceId(1), &ids, 1), Asked::default());
     let mut disks: Vec<Failing> = (0..3).map(|_| Failing { left: 99, holds: None }).collect();
     let mut keepers: Vec<Keeper<Marks>> = (0..3).map(|_| Keeper::new(FLEET, Ok(None))).collect();
     let mut round = |proposer: &mut Proposer<Marks>, keepers: &mut Vec<Keeper<Marks>>, of: &[usize]| {
@@ -95,7 +95,8 @@
 // Nobody answers, or another overtakes: it tries again by itself, above the ballot that it lost to.
 #[test]
 fn tries_again() {
-    let (mut proposer, mut asked) = (Proposer::<Marks>::new(Birth(1), &[KeeperId(0)], 1), Asked::default());
+    let (mut proposer, mut asked) =
+        (Proposer::<Marks>::new(InstanceId(1), &[KeeperId(0)], 1), Asked::default());
     proposer.read(0, &mut asked);
     proposer.wake(PATIENCE - 1, &mut asked);
     assert_eq!(asked.0.len(), 1, "not before its patience ends");
--- a/crates/consensus/tests/points/paper.rs
+++ b/crates/consensus/tests/points/paper.rs
@@ -2,7 +2,7 @@
 //! drift, faults by a function or at a point, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,7 @@
 /// A disk outlasts its process.
 #[derive(Clone, Debug)]
 pub struct PaperDisk {
-    pub id: Birth,
+    pub id: InstanceId,
     pub vote: Option<Vote<Agreed<Text>>>,
     pub torn: bool,
     pub does: Does,
@@ -94,7 +94,7 @@
 }
 
 enum Event {
-    Wake(usize, Birth),
+    Wake(usize, InstanceId),
     Message(usize, Vec<u8>),
     Start(usize),
 }
@@ -123,7 +123,7 @@
     clocks: Vec<(u64, i64)>,
     /// When each value was first known to be written: nothing before it may count a lease later.
     written: BTreeMap<(u64, u64), u64>,
-    pub lines: BTreeSet<Birth>,
+    pub lines: BTreeSet<InstanceId>,
     pub broken: Option<String>,
 }
 
@@ -151,7 +151,7 @@
             broken: None,
         };
         for n in 0..routers {
-            let id = Birth(500_000 + n as u64);
+            let id = InstanceId(500_000 + n as u64);
             paper.disks.push(PaperDisk { id, vote: None, torn: false, does: Does::Keeps });
             paper.start(n);
         }
@@ -174,7 +174,7 @@
 
     pub fn start(&mut self, n: usize) {
         self.births += 1;
-        let birth = Birth(self.births * 7919 + self.rng.rand_u64() % 1000);
+        let birth = InstanceId(self.births * 7919 + self.rng.rand_u64() % 1000);
         self.clocks[n] = (self.rng.rand_range(0..1 << 40), self.rng.rand_range(0..900) as i64 - 450);
         let disk = &self.disks[n];
         let keeps = self.named.contains(&router(n)) || disk.vote.is_some();
@@ -195,7 +195,7 @@
     /// The disk is lost: there is another one, empty, when the process starts again.
     pub fn lose(&mut self, n: usize) {
         self.births += 1;
-        let id = Birth(600_000 + self.births);
+        let id = InstanceId(600_000 + self.births);
         self.disks[n] = PaperDisk { id, vote: None, torn: false, does: Does::Keeps };
     }
 
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -2,7 +2,7 @@
 #[path = "points/paper.rs"]
 mod paper;
 use applepond_consensus::*;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use paper::*;
 use test_case::test_case;
 
@@ -274,7 +274,7 @@
 #[test_case(0, 0, 6, 2 * S, true; "newer")]
 fn copies(ask_back: u64, line: u64, number: u64, left: u64, taken: bool) {
     let named: Vec<_> = (0..3).map(router).collect();
-    let mut one: Register<Text> = Register::new(0, (router(9), Birth(1)), &named, false, 1);
+    let mut one: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &named, false, 1);
     let mut asked = 0;
     let mut ask = |one: &mut Register<Text>, now: u64| {
         let mut out = message::Written::by(router(9));
@@ -283,9 +283,9 @@
         asked
     };
     let agreed = |line, number| Agreed {
-        line: Birth(line),
+        line: InstanceId(line),
         number,
-        keepers: vec![Seat { name: router(0), disk: Birth(5) }],
+        keepers: vec![Seat { name: router(0), disk: InstanceId(5) }],
         before: Vec::new(),
         value: "x".to_owned(),
     };
@@ -314,8 +314,8 @@
     let far = Agreed { number: u64::MAX, ..agreed };
     out.copy(router(0), 3, &far, 500);
     let m = paper.all[3].as_mut().expect("there");
-    let mut disk = PaperDisk { id: Birth(1), vote: None, torn: false, does: Does::Keeps };
-    let mut voter: Voter<Text> = Voter::new(FLEET, Birth(1), Ok(None));
+    let mut disk = PaperDisk { id: InstanceId(1), vote: None, torn: false, does: Does::Keeps };
+    let mut voter: Voter<Text> = Voter::new(FLEET, InstanceId(1), Ok(None));
     let mut sent = message::Written::by(router(3));
     let mut refused = 0;
     for (_, bytes) in &out.messages {
--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/desk.rs
@@ -2,7 +2,7 @@
 //! over is done there; a disk that takes its time holds up nobody but itself.
 use applepond_consensus::message::{self, Written};
 use applepond_consensus::{Agreed, Trouble, Vote, Voter, Votes};
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use applepond_reactor::Micros;
 use applepond_recovery::Boot;
 use applepond_storage::{SnapshotFile, StoreFault, VoteFile};
@@ -99,7 +99,7 @@
     /// `fleet` is the number that a vote has to be of, `fresh` that of a file that is made now.
     pub fn new(
         me: RouterId,
-        (fleet, fresh): (u64, Birth),
+        (fleet, fresh): (u64, InstanceId),
         votes: Option<PathBuf>,
         snapshot: Option<PathBuf>,
         fault: DiskFault,
@@ -127,7 +127,7 @@
 /// Answers questions one by one, each after its vote is on the disk.
 fn keeper(
     me: RouterId,
-    (fleet, fresh): (u64, Birth),
+    (fleet, fresh): (u64, InstanceId),
     file: &Path,
     fault: DiskFault,
     asked: &Receiver<Vec<u8>>,
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -6,7 +6,7 @@
 use applepond_consensus::message::Written;
 use applepond_consensus::{self as accord, Register};
 use applepond_gossip::{self as tallies, Key, Kind, Tallies};
-use applepond_membership::{Birth, Members, RouterId};
+use applepond_membership::{InstanceId, Members, RouterId};
 use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
 use applepond_reactor::Micros;
 use applepond_recovery::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
@@ -41,7 +41,7 @@
     next_snapshot: Micros,
     /// The view that was last taken over from `members`.
     view: Option<u64>,
-    seen: (Option<(Birth, u64)>, Micros),
+    seen: (Option<(InstanceId, u64)>, Micros),
     /// What was last logged.
     stage: Stage,
     standstill: Option<accord::Standstill>,
@@ -78,7 +78,7 @@
 /// What a router is told of itself and its place.
 pub struct Place {
     pub me: RouterId,
-    pub birth: Birth,
+    pub birth: InstanceId,
     pub incarnation: u64,
     pub keepers: Vec<RouterId>,
     pub founding: u64,
@@ -93,13 +93,13 @@
 #[derive(Default)]
 struct Messages(Vec<(RouterId, Vec<u8>)>);
 
-impl tallies::Orders for Messages {
+impl tallies::Actions for Messages {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
         self.0.push((to, message));
     }
 }
 
-impl comeback::Orders for Messages {
+impl comeback::Actions for Messages {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
         self.0.push((to, message));
     }
@@ -339,7 +339,7 @@
     }
 
     /// What others say they have seen agreed on, of this founding.
-    fn remembered(&self, now: Micros) -> Vec<(Birth, u64)> {
+    fn remembered(&self, now: Micros) -> Vec<(InstanceId, u64)> {
         let told = self.tallies.under(now, SEEN, Key(self.founding));
         told.filter_map(|t| postcard::from_bytes(t.value).ok()).collect()
     }
@@ -392,7 +392,7 @@
             let seen = register.seen();
             if seen != self.seen.0 || seen.is_some() && now >= self.seen.1 + SEEN_AGAIN {
                 self.seen = (seen, now);
-                let value = postcard::to_stdvec(&seen.unwrap_or((Birth(0), 0))).unwrap_or_default();
+                let value = postcard::to_stdvec(&seen.unwrap_or((InstanceId(0), 0))).unwrap_or_default();
                 // It is small, and in place of the one before.
                 let _ = self.tallies.put(now, SEEN, Key(self.founding), &value);
             }
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -1,7 +1,7 @@
 //! Connects `Members` with a socket, the log and the state page; nothing is decided here.
 use crate::envelope::{Envelopes, Key, process};
 use crate::shared::Shared;
-use applepond_membership::{Birth, Change, Guards, Me, Members, Orders, RouterId, Seen, Standing};
+use applepond_membership::{Actions, Change, Guards, InstanceId, Me, MemberStatus, Members, RouterId, Seen};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -48,7 +48,7 @@
     ends: Box<dyn FnMut() -> bool>,
 }
 
-/// Orders as they come, carried out when the call returns.
+/// Actions as they come, carried out when the call returns.
 #[derive(Default)]
 struct Said {
     messages: Vec<(SocketAddr, Vec<u8>)>,
@@ -56,7 +56,7 @@
     changes: Vec<Change>,
 }
 
-impl Orders for Said {
+impl Actions for Said {
     fn send(&mut self, to: SocketAddr, message: &[u8]) {
         self.messages.push((to, message.to_vec()));
     }
@@ -75,7 +75,7 @@
         seed: u64,
         (through, guards): (Option<SocketAddr>, Guards),
     ) -> (Self, Rc<RefCell<View>>) {
-        let birth = Birth(seed | 1);
+        let birth = InstanceId(seed | 1);
         // Later starts have higher ones, as far as the clock goes on; where it went back, the others say so.
         let me = Me { name, zone, address: listen, birth, incarnation: now };
         let envelopes = Envelopes::new(birth.0, RouterId::named(&me.name).0, keys);
@@ -230,7 +230,7 @@
                 return;
             }
             // Guards against one that was kept from before this process: it is for another one.
-            let from = members.by_birth(Birth(birth)).filter(|_| envelopes.was_for_me());
+            let from = members.by_birth(InstanceId(birth)).filter(|_| envelopes.was_for_me());
             match (from, shared) {
                 (Some(from), Some(shared)) => said.shared.extend(shared.heard(now, from, message)),
                 _ => *unread += 1,
@@ -250,7 +250,7 @@
         }
         let ends = (self.ends)();
         self.with(now, wire, |view, said| {
-            if ends && view.members.me().standing != Standing::Left {
+            if ends && view.members.me().standing != MemberStatus::Left {
                 view.members.leave(now, said);
             } else if now >= view.members.next() {
                 view.members.wake(now, said);
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -4,7 +4,7 @@
 //! exchange that names a running job joins it. After the end the answer is told again where another attempt
 //! could do harm, or could only repeat work; it is remembered for a time, and up to a number and a sum of
 //! bytes.
-use applepond::interface::{Effect, JobId, Micros};
+use applepond::interface::{Micros, RequestId, RetrySafety};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
     /// A job of its own.
     New,
     /// It waits for this one's answer.
-    Join(JobId),
+    Join(RequestId),
     /// It gets the answer again.
     Again(Rc<A>),
 }
@@ -38,7 +38,7 @@
 }
 
 pub struct Claims<A> {
-    running: HashMap<Name, JobId>,
+    running: HashMap<Name, RequestId>,
     kept: HashMap<Name, Kept<A>>,
     by_age: BTreeSet<(Micros, u64, Name)>,
     order: u64,
@@ -50,11 +50,11 @@
 
 /// Whether an ended job's answer is told again. A pushback invites another try, so that must be a new job. A
 /// kill promises nothing, and what may have run must not run again unless it is idempotent.
-fn told_again(ending: Ending, effect: Effect) -> bool {
+fn told_again(ending: Ending, effect: RetrySafety) -> bool {
     match ending {
         Ending::Finished => true,
         Ending::PushedBack => false,
-        Ending::Killed => effect != Effect::Idempotent,
+        Ending::Killed => effect != RetrySafety::Idempotent,
     }
 }
 
@@ -89,7 +89,7 @@
         self.kept.get(name).map_or(Claim::New, |k| Claim::Again(k.answer.clone()))
     }
 
-    pub fn begin(&mut self, name: Name, job: JobId) {
+    pub fn begin(&mut self, name: Name, job: RequestId) {
         self.running.insert(name, job);
     }
 
@@ -103,7 +103,7 @@
         now: Micros,
         name: &Name,
         ending: Ending,
-        effect: Effect,
+        effect: RetrySafety,
         answer: Rc<A>,
         bytes: usize,
     ) {
@@ -137,26 +137,26 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use applepond::interface::Within;
+    use applepond::interface::IdempotencyScope;
     use test_case::test_case;
 
-    const MARKED: Effect = Effect::Keyed { within: Within::Rack, window: 1 };
+    const MARKED: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 1 };
 
     fn name(n: u32) -> Name {
         (Rc::from("/desk"), Rc::from(n.to_string()))
     }
 
-    fn job(n: u8) -> JobId {
-        JobId([n; 36])
+    fn job(n: u8) -> RequestId {
+        RequestId([n; 36])
     }
 
-    #[test_case(Ending::Finished, Effect::Idempotent, true; "finished: the work is done")]
-    #[test_case(Ending::Finished, Effect::AtMostOnce, true; "finished at-most-once")]
-    #[test_case(Ending::PushedBack, Effect::AtMostOnce, false; "pushed back: a new try is invited")]
-    #[test_case(Ending::Killed, Effect::Idempotent, false; "killed idempotent may run again")]
+    #[test_case(Ending::Finished, RetrySafety::Idempotent, true; "finished: the work is done")]
+    #[test_case(Ending::Finished, RetrySafety::AtMostOnce, true; "finished at-most-once")]
+    #[test_case(Ending::PushedBack, RetrySafety::AtMostOnce, false; "pushed back: a new try is invited")]
+    #[test_case(Ending::Killed, RetrySafety::Idempotent, false; "killed idempotent may run again")]
     #[test_case(Ending::Killed, MARKED, true; "killed keyed may have run")]
-    #[test_case(Ending::Killed, Effect::AtMostOnce, true; "killed at-most-once may have run")]
-    fn after_the_end(ending: Ending, effect: Effect, again: bool) {
+    #[test_case(Ending::Killed, RetrySafety::AtMostOnce, true; "killed at-most-once may have run")]
+    fn after_the_end(ending: Ending, effect: RetrySafety, again: bool) {
         let mut claims = Claims::new(1000, 10, 1000);
         assert_eq!(claims.claim(0, &name(1)), Claim::New);
         claims.begin(name(1), job(1));
@@ -173,7 +173,7 @@
         let mut claims = Claims::new(1000, most, bytes);
         for n in 0..100 {
             claims.begin(name(n), job(n as u8));
-            claims.end(u64::from(n), &name(n), Ending::Finished, Effect::AtMostOnce, Rc::new(()), 9);
+            claims.end(u64::from(n), &name(n), Ending::Finished, RetrySafety::AtMostOnce, Rc::new(()), 9);
             assert!(claims.remembered() <= 4);
         }
         assert_eq!(
--- a/crates/gateway/src/deployment.rs
+++ b/crates/gateway/src/deployment.rs
@@ -1,5 +1,5 @@
 //! What an instance is given at its start: the module's rows, and the names and addresses around them.
-use applepond::interface::{Micros, RackId, Startup};
+use applepond::interface::{Micros, RackId, StartupConfig};
 use applepond_workflow::Plan;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
 /// All that one instance starts with.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    pub rows: Startup,
+    pub rows: StartupConfig,
     pub listen: SocketAddr,
     /// In the order of `rows.workloads`.
     pub workloads: Vec<WorkloadNames>,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,7 +1,7 @@
 //! The clients' side: reads exchanges, one at a time a connection, and writes what each is answered.
 use crate::claims::Ending;
 use crate::limit::Asked;
-use applepond::interface::{JobId, Micros};
+use applepond::interface::{Micros, RequestId};
 use applepond_http::cloudevent::{self, EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Sink, Step};
 use applepond_http::encode::Lines;
@@ -198,7 +198,7 @@
     decoder: Decoder,
     incoming: Incoming,
     doing: Doing,
-    pub job: Option<JobId>,
+    pub job: Option<RequestId>,
     keep: bool,
     peer_ended: bool,
     /// When patience with what is done now ends.
--- a/crates/gateway/src/host_list.rs
+++ b/crates/gateway/src/host_list.rs
@@ -6,7 +6,7 @@
 //! `standing` is `ready`, `draining` or `gone`; `started` is ms since the Unix epoch, 0 or absent where
 //! unknown.
 use crate::fault::Unlisted;
-use applepond::interface::{ListKind, Listed, Micros, RackId, ServerId, Standing, ZoneId};
+use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
 use applepond_reactor::Conn;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 pub struct Worker {
     pub name: String,
     pub address: SocketAddr,
-    pub standing: Standing,
+    pub standing: WorkerStatus,
     pub up_since: Micros,
     /// Connections that stand and carry nothing, each with when it fell idle; the latest last.
     pub idle: Vec<(Conn, Micros)>,
@@ -32,33 +32,33 @@
 
 #[derive(Default)]
 pub struct HostList {
-    workers: BTreeMap<ServerId, Worker>,
+    workers: BTreeMap<WorkerId, Worker>,
     /// Those that are gone and still have attempts out, or had when that was looked at last.
-    gone: BTreeSet<ServerId>,
+    gone: BTreeSet<WorkerId>,
 }
 
 /// What a message leaves to do: the entries for the module, and connections that are of no more use.
 #[derive(Debug, PartialEq)]
 pub struct Taken {
-    pub kind: ListKind,
+    pub kind: EndpointListKind,
     pub entries: Vec<Entry>,
     pub cut: Vec<Conn>,
 }
 
-/// An entry for the module; `Listed` has no comparison of its own.
+/// An entry for the module; `Endpoint` has no comparison of its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    pub server: ServerId,
-    pub standing: Standing,
+    pub server: WorkerId,
+    pub standing: WorkerStatus,
     pub up_since: Micros,
     pub zone: Option<ZoneId>,
     pub rack: RackId,
     pub weight: f64,
 }
 
-impl From<&Entry> for Listed {
+impl From<&Entry> for Endpoint {
     fn from(e: &Entry) -> Self {
-        Listed {
+        Endpoint {
             server: e.server,
             standing: e.standing,
             up_since: e.up_since,
@@ -70,19 +70,19 @@
 }
 
 impl HostList {
-    pub fn get(&self, server: ServerId) -> Option<&Worker> {
+    pub fn get(&self, server: WorkerId) -> Option<&Worker> {
         self.workers.get(&server)
     }
 
-    pub fn get_mut(&mut self, server: ServerId) -> Option<&mut Worker> {
+    pub fn get_mut(&mut self, server: WorkerId) -> Option<&mut Worker> {
         self.workers.get_mut(&server)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &Worker)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         self.workers.iter()
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ServerId, &mut Worker)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&WorkerId, &mut Worker)> {
         self.workers.iter_mut()
     }
 
@@ -90,8 +90,8 @@
     pub fn line(&mut self, line: &[u8], zones: &[String]) -> Result<Taken, Unlisted> {
         let message: Value = serde_json::from_slice(line).map_err(|e| Unlisted::NoJson(e.to_string()))?;
         let kind = match message["kind"].as_str() {
-            Some("full") => ListKind::Full,
-            Some("changes") => ListKind::Changes,
+            Some("full") => EndpointListKind::Full,
+            Some("changes") => EndpointListKind::Changes,
             other => {
                 return Err(Unlisted::field("kind", format!("{other:?}; \"full\" or \"changes\" is wanted")));
             }
@@ -107,12 +107,12 @@
         Ok(self.take(kind, read?))
     }
 
-    pub fn take(&mut self, kind: ListKind, read: Vec<(String, SocketAddr, Entry)>) -> Taken {
+    pub fn take(&mut self, kind: EndpointListKind, read: Vec<(String, SocketAddr, Entry)>) -> Taken {
         let mut cut = Vec::new();
-        if kind == ListKind::Full {
-            let named: BTreeSet<ServerId> = read.iter().map(|(_, _, entry)| entry.server).collect();
+        if kind == EndpointListKind::Full {
+            let named: BTreeSet<WorkerId> = read.iter().map(|(_, _, entry)| entry.server).collect();
             for (id, worker) in self.workers.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                worker.standing = Standing::Gone;
+                worker.standing = WorkerStatus::Gone;
                 cut.extend(worker.idle.drain(..).map(|(conn, _)| conn));
                 self.gone.insert(*id);
             }
@@ -131,17 +131,17 @@
             // A process that was replaced, moved or is to stop: its idle connections lead nowhere.
             if worker.address != address
                 || worker.up_since != entry.up_since
-                || entry.standing != Standing::Ready
+                || entry.standing != WorkerStatus::Ready
             {
                 cut.extend(worker.idle.drain(..).map(|(conn, _)| conn));
             }
             worker.address = address;
             worker.standing = entry.standing;
-            if entry.standing == Standing::Ready {
+            if entry.standing == WorkerStatus::Ready {
                 worker.answered &= worker.up_since == entry.up_since;
                 worker.up_since = entry.up_since;
             }
-            if entry.standing == Standing::Gone {
+            if entry.standing == WorkerStatus::Gone {
                 self.gone.insert(entry.server);
             }
             entries.push(entry);
@@ -154,11 +154,11 @@
     fn forget_gone(&mut self) {
         self.gone.retain(|id| {
             let Some(worker) = self.workers.get(id) else { return false };
-            if worker.standing == Standing::Gone && worker.out == 0 {
+            if worker.standing == WorkerStatus::Gone && worker.out == 0 {
                 self.workers.remove(id);
                 return false;
             }
-            worker.standing == Standing::Gone
+            worker.standing == WorkerStatus::Gone
         });
     }
 }
@@ -172,13 +172,13 @@
     let address =
         address.ok_or_else(|| Unlisted::field("address", format!("{name} has no address with a port")))?;
     let standing = match worker["standing"].as_str() {
-        Some("ready") => Standing::Ready,
-        Some("draining") => Standing::Draining,
-        Some("gone") => Standing::Gone,
+        Some("ready") => WorkerStatus::Ready,
+        Some("draining") => WorkerStatus::Draining,
+        Some("gone") => WorkerStatus::Gone,
         other => return Err(Unlisted::field("standing", format!("{name} is {other:?}"))),
     };
     let zone = worker["zone"].as_str().and_then(|z| zones.iter().position(|known| known == z)).map(ZoneId);
-    let server = ServerId::named(name);
+    let server = WorkerId::named(name);
     let entry = Entry {
         server,
         standing,
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -8,11 +8,11 @@
 /// What the module ordered, until its call returns.
 pub enum Act {
     /// With the time that it has, and the time from which on it may not begin any more.
-    Send(JobId, ServerId, Micros, Micros),
-    Cancel(JobId, usize),
-    PushBack(JobId, Option<Micros>),
-    Kill(JobId),
-    Wake(Micros, Token),
+    Send(RequestId, WorkerId, Micros, Micros),
+    Cancel(RequestId, usize),
+    PushBack(RequestId, Option<Micros>),
+    Kill(RequestId),
+    Wake(Micros, TimerToken),
     Note(String),
     Watch,
 }
@@ -20,20 +20,20 @@
 #[derive(Default)]
 pub struct Acts(pub VecDeque<Act>);
 
-impl Orders for Acts {
-    fn send(&mut self, job: JobId, server: ServerId, patience: Micros, begin: Micros) {
+impl Actions for Acts {
+    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, begin: Micros) {
         self.0.push_back(Act::Send(job, server, patience, begin));
     }
-    fn cancel(&mut self, job: JobId, attempt: usize) {
+    fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.0.push_back(Act::Cancel(job, attempt));
     }
-    fn push_back(&mut self, job: JobId, come_back: Option<Micros>) {
+    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>) {
         self.0.push_back(Act::PushBack(job, come_back));
     }
-    fn kill(&mut self, job: JobId) {
+    fn kill(&mut self, job: RequestId) {
         self.0.push_back(Act::Kill(job));
     }
-    fn wake_after(&mut self, delay: Micros, token: Token) {
+    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
         self.0.push_back(Act::Wake(delay, token));
     }
     fn note(&mut self, text: &str) {
@@ -46,7 +46,7 @@
 
 /// One attempt of a job.
 pub struct Attempt {
-    pub server: ServerId,
+    pub server: WorkerId,
     pub sent: Micros,
     /// When its time is up.
     until: Micros,
@@ -81,10 +81,10 @@
 
 /// All jobs of one router.
 pub struct Lives<T> {
-    lives: BTreeMap<JobId, Life<T>>,
+    lives: BTreeMap<RequestId, Life<T>>,
     /// Attempts that are out, by when their time is up. One timer serves all of them: a timer for each
     /// would outlive most attempts by seconds.
-    out: BTreeSet<(Micros, JobId, usize)>,
+    out: BTreeSet<(Micros, RequestId, usize)>,
     /// When that timer fires, where one is set.
     armed: Option<Micros>,
 }
@@ -110,15 +110,15 @@
         (open, self.lives.values().map(Life::out).sum())
     }
 
-    pub fn get(&self, job: JobId) -> Option<&Life<T>> {
+    pub fn get(&self, job: RequestId) -> Option<&Life<T>> {
         self.lives.get(&job)
     }
 
-    pub fn get_mut(&mut self, job: JobId) -> Option<&mut Life<T>> {
+    pub fn get_mut(&mut self, job: RequestId) -> Option<&mut Life<T>> {
         self.lives.get_mut(&job)
     }
 
-    pub fn begin(&mut self, job: JobId, came: Micros, deadline: Micros, of: T) {
+    pub fn begin(&mut self, job: RequestId, came: Micros, deadline: Micros, of: T) {
         let life = Life { came, deadline, attempts: Vec::new(), ended: false, timed_out: false, of };
         self.lives.insert(job, life);
     }
@@ -128,8 +128,8 @@
     pub fn execute(
         &mut self,
         now: Micros,
-        job: JobId,
-        server: ServerId,
+        job: RequestId,
+        server: WorkerId,
         (patience, begin): (Micros, Micros),
         most: usize,
     ) -> Option<Result<usize, usize>> {
@@ -152,7 +152,7 @@
     }
 
     /// An attempt whose time is up, each once.
-    pub fn due(&mut self, now: Micros) -> Option<(JobId, usize)> {
+    pub fn due(&mut self, now: Micros) -> Option<(RequestId, usize)> {
         self.armed = self.armed.filter(|at| *at > now);
         let (_, job, n) = *self.out.first().filter(|(until, _, _)| *until <= now)?;
         self.out.pop_first();
@@ -161,30 +161,36 @@
 
     /// Closes an attempt: what the module is to be told of it, once. A job that has ended goes with the
     /// last that is out.
-    pub fn close(&mut self, now: Micros, job: JobId, n: usize, answer: Answer) -> Option<Answer> {
+    pub fn close(
+        &mut self,
+        now: Micros,
+        job: RequestId,
+        n: usize,
+        answer: AttemptResult,
+    ) -> Option<AttemptResult> {
         let life = self.lives.get_mut(&job)?;
         let attempt = life.attempts.get_mut(n).filter(|e| !e.closed)?;
         attempt.closed = true;
         self.out.remove(&(attempt.until, job, n));
-        let answer = Answer { closed: life.ended, elapsed: now - attempt.sent, ..answer };
+        let answer = AttemptResult { closed: life.ended, elapsed: now - attempt.sent, ..answer };
         self.forget(job);
         Some(answer)
     }
 
     /// The one end of a job: its record the first time, none after it.
-    pub fn end(&mut self, job: JobId) -> Option<&mut Life<T>> {
+    pub fn end(&mut self, job: RequestId) -> Option<&mut Life<T>> {
         let life = self.lives.get_mut(&job).filter(|l| !l.ended)?;
         life.ended = true;
         Some(life)
     }
 
     /// Drops a job that nobody waits for and of which nothing was ever sent.
-    pub fn drop(&mut self, job: JobId) {
+    pub fn drop(&mut self, job: RequestId) {
         self.lives.remove(&job);
     }
 
     /// Drops a job that has ended and has nothing out.
-    pub fn forget(&mut self, job: JobId) {
+    pub fn forget(&mut self, job: RequestId) {
         if self.lives.get(&job).is_some_and(|l| l.ended && l.out() == 0) {
             self.lives.remove(&job);
         }
@@ -192,6 +198,14 @@
 }
 
 /// An attempt's end that no answer tells more about.
-pub fn ended(outcome: Outcome) -> Answer {
-    Answer { outcome, closed: false, elapsed: 0, copy: Copy::Unsaid, company: 0, held: None, loads: None }
+pub fn ended(outcome: Outcome) -> AttemptResult {
+    AttemptResult {
+        outcome,
+        closed: false,
+        elapsed: 0,
+        copy: LoadState::Unsaid,
+        company: 0,
+        held: None,
+        loads: None,
+    }
 }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -3,7 +3,7 @@
 //! A connection carries one attempt at a time. Ending it is the cancel: HTTP/1.1 has no other word for it
 //! that the worker sees on the same connection, and it reaches a worker that still reads the request as well
 //! as one that runs it.
-use applepond::interface::{Copy, JobId, ServerId};
+use applepond::interface::{LoadState, RequestId, WorkerId};
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Sink};
@@ -18,7 +18,7 @@
     pub status: u16,
     /// What the worker says of the job by itself: `full`, `missing`.
     pub mark: Option<String>,
-    pub copy: Copy,
+    pub copy: LoadState,
     pub company: u32,
     pub held: Option<f64>,
     pub loads: Option<f64>,
@@ -35,7 +35,7 @@
         Answering {
             status: 0,
             mark: None,
-            copy: Copy::Unsaid,
+            copy: LoadState::Unsaid,
             company: 0,
             held: None,
             loads: None,
@@ -55,11 +55,11 @@
             "outcome" => self.mark = Some(value.to_owned()),
             "copy" => {
                 self.copy = match value {
-                    "stood" => Copy::Stood,
-                    "begun" => Copy::Begun,
-                    "awaited" => Copy::Awaited,
-                    "load-failed" => Copy::LoadFailed,
-                    _ => Copy::Unsaid,
+                    "stood" => LoadState::Stood,
+                    "begun" => LoadState::Begun,
+                    "awaited" => LoadState::Awaited,
+                    "load-failed" => LoadState::LoadFailed,
+                    _ => LoadState::Unsaid,
                 }
             }
             "company" => self.company = value.parse().unwrap_or(0),
@@ -112,11 +112,11 @@
 
 /// One connection to a worker.
 pub struct Link {
-    pub server: ServerId,
+    pub server: WorkerId,
     pub open: bool,
     /// It carried an answer before.
     pub kept: bool,
-    pub carries: Option<(JobId, usize)>,
+    pub carries: Option<(RequestId, usize)>,
     /// Bytes that the kernel had taken before this attempt's request.
     pub sent_before: u64,
     pub decoder: Decoder,
@@ -124,7 +124,7 @@
 }
 
 impl Link {
-    pub fn new(server: ServerId, carries: (JobId, usize)) -> Self {
+    pub fn new(server: WorkerId, carries: (RequestId, usize)) -> Self {
         Link {
             server,
             open: false,
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -69,7 +69,7 @@
     row: FunctionRow,
     opening: Option<Opening>,
     /// By the terms that it was taken under.
-    effect: Effect,
+    effect: RetrySafety,
     /// Its answer came from a copy that stood loaded.
     stood: bool,
     /// What to do with its end, where it is a step of a chain: no client waits for it.
@@ -168,7 +168,7 @@
 /// What outlasts this process, or comes from others of its kind: care to be taken, and never a permission.
 pub trait Memory {
     /// What this router has seen of a worker that has answered it.
-    fn saw(&mut self, now: Micros, server: ServerId, up_since: Micros, seen: &Learned);
+    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory);
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros);
     /// What is usual here: first tries and connections opened a second, and the pace.
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]);
@@ -178,12 +178,12 @@
     #[allow(clippy::type_complexity)] // two things that are taken up together
     fn own(&mut self, now: Micros) -> Option<(Option<[f64; 3]>, Vec<(u64, Micros)>)>;
     /// What is still to be recalled; `recalled` once the module has taken it up.
-    fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)>;
-    fn recalled(&mut self, server: ServerId, up_since: Micros);
+    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)>;
+    fn recalled(&mut self, server: WorkerId, up_since: Micros);
     /// What is made of the list's word on a worker.
-    fn listed(&mut self, now: Micros, server: ServerId, up_since: Micros, is: Standing) -> Standing;
+    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus;
     /// A whole list names these lives of workers and nobody else.
-    fn whole(&mut self, named: &[(ServerId, Micros)]);
+    fn whole(&mut self, named: &[(WorkerId, Micros)]);
     /// How long a function takes to load, where the settings do not say.
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros>;
 }
@@ -230,7 +230,7 @@
     memory: Option<Box<dyn Memory>>,
     openings: Option<Box<dyn Openings>>,
     /// The list's word on each worker, where memory may make something else of it.
-    said_ready: BTreeMap<ServerId, Entry>,
+    said_ready: BTreeMap<WorkerId, Entry>,
     born: Micros,
     /// What others of the process have for the state page.
     pages: Vec<(&'static str, Page)>,
@@ -326,15 +326,15 @@
 
     fn named_workers(&mut self, now: Micros, wire: &mut dyn Wire) {
         let entry = |w: &NamedWorker| Entry {
-            server: ServerId::named(&w.name),
-            standing: Standing::Ready,
+            server: WorkerId::named(&w.name),
+            standing: WorkerStatus::Ready,
             up_since: 0,
             zone: w.zone.map(ZoneId),
             rack: w.rack,
             weight: w.weight,
         };
         let named = self.deployment.workers.iter().map(|w| (w.name.clone(), w.address, entry(w)));
-        let taken = self.listed.take(ListKind::Full, named.collect());
+        let taken = self.listed.take(EndpointListKind::Full, named.collect());
         self.listed(now, wire, &taken);
     }
 
@@ -436,8 +436,8 @@
         &mut self,
         now: Micros,
         wire: &mut dyn Wire,
-        job: JobId,
-        server: ServerId,
+        job: RequestId,
+        server: WorkerId,
         times: (Micros, Micros),
     ) {
         let most = self.deployment.rows.permits.attempts;
@@ -468,11 +468,11 @@
         self.arm(now, wire);
     }
 
-    fn connect(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, n: usize) {
+    fn connect(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         let server = task.attempts[n].server;
-        let at_most_once = task.of.effect == Effect::AtMostOnce;
-        let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == Standing::Ready) else {
+        let at_most_once = task.of.effect == RetrySafety::AtMostOnce;
+        let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
             self.close(now, job, n, ended(Outcome::NoConnection));
             return;
         };
@@ -509,7 +509,7 @@
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
-        if worker.standing != Standing::Ready {
+        if worker.standing != WorkerStatus::Ready {
             self.drop_attempt(now, wire, job, n, Outcome::NoConnection);
             return;
         }
@@ -542,7 +542,7 @@
 
     /// Ends an attempt from this side, by a cancel or because its time is up: the worker is told by the end
     /// of its connection, and whatever it answers after that is never read.
-    fn drop_attempt(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, n: usize, outcome: Outcome) {
+    fn drop_attempt(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize, outcome: Outcome) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         let Some(attempt) = task.attempts.get_mut(n).filter(|e| !e.closed) else { return };
         if let Some(conn) = attempt.link.take() {
@@ -554,7 +554,7 @@
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, job: JobId, n: usize, answer: Answer) {
+    fn close(&mut self, now: Micros, job: RequestId, n: usize, answer: AttemptResult) {
         let server = self.tasks.get(job).map(|task| task.attempts[n].server);
         let Some(answer) = self.tasks.close(now, job, n, answer) else { return };
         if let Some(worker) = server.and_then(|server| self.listed.get_mut(server)) {
@@ -568,7 +568,7 @@
     // ---- The end of a job --------------------------------------------------------------------
 
     /// The one place where a job ends: each exchange that waits gets the answer, the log its line.
-    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, told: Rc<Told>) {
+    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, told: Rc<Told>) {
         let Some(task) = self.tasks.end(job) else { return };
         if let Some(then) = task.of.then.take() {
             let end = chained::StepEnd { told, took: now - task.came, stood: task.of.stood };
@@ -794,12 +794,12 @@
     }
 
     /// Hands a job to the module.
-    fn begin(&mut self, now: Micros, wanted: Wanted) -> JobId {
+    fn begin(&mut self, now: Micros, wanted: Wanted) -> RequestId {
         let names = &self.deployment.workloads[wanted.workload];
         let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.function).clone();
         self.next_job += 1;
         let job = job_id(self.deployment.rows.seed, self.next_job);
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             job,
             function: FunctionId::named(&wanted.function),
             workload: WorkloadId(wanted.workload),
@@ -906,8 +906,8 @@
             "storm": self.storm_state(now),
             "connections": {"clients": self.callers.len(), "workers": self.links.len(),
                 "list": self.watch.conn.is_some()},
-            "workers": {"ready": standing(Standing::Ready), "draining": standing(Standing::Draining),
-                "gone": standing(Standing::Gone)},
+            "workers": {"ready": standing(WorkerStatus::Ready), "draining": standing(WorkerStatus::Draining),
+                "gone": standing(WorkerStatus::Gone)},
         });
         let mut body = body;
         for (name, page) in &self.pages {
@@ -952,7 +952,7 @@
         if let Some(worker) = self.listed.get_mut(server) {
             worker.answered = true;
         }
-        let worker = self.listed.get_mut(server).filter(|w| w.standing == Standing::Ready);
+        let worker = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready);
         match worker.filter(|w| clean && w.idle.len() < IDLE_MOST) {
             Some(worker) => worker.idle.push((conn, now)),
             None => {
@@ -964,7 +964,7 @@
         if let Some(task) = self.tasks.get_mut(job) {
             task.attempts[n].link = None;
             if outcome == Outcome::Finished && !task.ended {
-                task.of.stood = answering.copy != Copy::Begun && answering.copy != Copy::Awaited;
+                task.of.stood = answering.copy != LoadState::Begun && answering.copy != LoadState::Awaited;
                 let mut lines = std::mem::take(&mut answering.lines);
                 lines.field("applepond-executions", &task.attempts.len().to_string());
                 let body = std::mem::take(&mut answering.body);
@@ -973,7 +973,7 @@
             }
         }
         let Answering { copy, company, held, loads, .. } = answering;
-        self.close(now, job, n, Answer { copy, company, held, loads, ..ended(outcome) });
+        self.close(now, job, n, AttemptResult { copy, company, held, loads, ..ended(outcome) });
     }
 
     /// A connection to a worker is gone, or its worker has ended its side.
@@ -1023,7 +1023,7 @@
             self.switch(now, wire, new);
         }
         if let Some(openings) = &mut self.openings {
-            openings.workers(self.listed.iter().filter(|(_, w)| w.standing == Standing::Ready).count());
+            openings.workers(self.listed.iter().filter(|(_, w)| w.standing == WorkerStatus::Ready).count());
         }
         self.after(now, wire, SWEEP, Box::new(|g, now, wire| g.sweep(now, wire)));
     }
@@ -1066,10 +1066,10 @@
             }
         }
         // A drain may be told after the list was, and may be over: each is looked at anew.
-        let ready = Standing::Ready;
+        let ready = WorkerStatus::Ready;
         let looks =
             self.said_ready.values().map(|e| (e.clone(), memory.listed(now, e.server, e.up_since, ready)));
-        let looks: Vec<(Entry, Standing)> = looks.collect();
+        let looks: Vec<(Entry, WorkerStatus)> = looks.collect();
         let mut entries = Vec::new();
         for (entry, is) in looks {
             let Some(worker) = self.listed.get_mut(entry.server).filter(|w| w.standing != is) else {
@@ -1079,8 +1079,8 @@
             entries.push(Entry { standing: is, ..entry });
         }
         if !entries.is_empty() {
-            let entries: Vec<Listed> = entries.iter().map(Listed::from).collect();
-            self.control.list(&mut self.acts, ListKind::Changes, &entries);
+            let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
+            self.control.list(&mut self.acts, EndpointListKind::Changes, &entries);
             self.settle(now, wire);
         }
     }
@@ -1093,7 +1093,7 @@
             self.links.remove(conn);
         }
         let mut entries = taken.entries.clone();
-        if taken.kind != ListKind::Changes {
+        if taken.kind != EndpointListKind::Changes {
             // Who is not in it is gone: what was said of it before says nothing.
             self.said_ready.clear();
             let named: Vec<_> = taken.entries.iter().map(|e| (e.server, e.up_since)).collect();
@@ -1103,7 +1103,7 @@
             for entry in &mut entries {
                 let is = memory.listed(now, entry.server, entry.up_since, entry.standing);
                 self.said_ready.remove(&entry.server);
-                if entry.standing == Standing::Ready {
+                if entry.standing == WorkerStatus::Ready {
                     self.said_ready.insert(entry.server, entry.clone());
                 }
                 // Guards against a drain that was told before a restart and that a late list takes back.
@@ -1113,7 +1113,7 @@
                 }
             }
         }
-        let entries: Vec<Listed> = entries.iter().map(Listed::from).collect();
+        let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
         self.control.clock(now);
         self.control.list(&mut self.acts, taken.kind, &entries);
     }
@@ -1169,11 +1169,11 @@
 }
 
 /// A number of this instance's as the module's kind of id.
-fn job_id(seed: u64, number: u64) -> JobId {
+fn job_id(seed: u64, number: u64) -> RequestId {
     let text = format!("{seed:016x}-{number:019}");
     let mut id = [b'0'; 36];
     id.copy_from_slice(&text.as_bytes()[..36]);
-    JobId(id)
+    RequestId(id)
 }
 
 impl Machine for Gateway {
@@ -1264,7 +1264,7 @@
     fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
         if wake.0 & 1 == 0 {
             self.control.clock(now);
-            self.control.wake(&mut self.acts, Token(wake.0 >> 1));
+            self.control.wake(&mut self.acts, TimerToken(wake.0 >> 1));
         } else if let Some(step) = self.steps.remove(&wake.0) {
             step(self, now, wire);
         }
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/machine/chained.rs
@@ -55,7 +55,7 @@
     run: Run,
     pub callers: Vec<Conn>,
     /// Jobs of the steps that are out.
-    out: BTreeMap<StepId, JobId>,
+    out: BTreeMap<StepId, RequestId>,
     /// The answer of the step that finished last, and the time that the last pushback named. What other steps
     /// said is kept for the record.
     finished: Option<(StepId, Rc<Told>)>,
@@ -86,7 +86,7 @@
 
 /// A step with an effect that waits to be written down before it is sent.
 struct Waiting {
-    job: JobId,
+    job: RequestId,
     step: StepId,
     function: String,
     until: Micros,
@@ -108,21 +108,21 @@
 }
 
 pub struct Chains {
-    pub open: BTreeMap<JobId, Chain>,
+    pub open: BTreeMap<RequestId, Chain>,
     /// Steps that have ended, with what they leave to do: taken one after the other, not from within each
     /// other.
     pub ends: VecDeque<(Then, StepEnd)>,
     /// Chains that were taken in this turn, with what they begin with.
-    pub begun: VecDeque<(JobId, Vec<Do>)>,
+    pub begun: VecDeque<(RequestId, Vec<Do>)>,
     times: Times,
     pace: Pace,
     counts: Counts,
     pub record: Box<dyn Record>,
     unwritten: Vec<Waiting>,
     /// Chains that have finished, to be written down before they are answered.
-    unanswered: Vec<(JobId, Ended)>,
+    unanswered: Vec<(RequestId, Ended)>,
     /// Chains whose record is behind; a timer is set for them.
-    behind: BTreeSet<JobId>,
+    behind: BTreeSet<RequestId>,
     timer: bool,
 }
 
@@ -144,7 +144,7 @@
     }
 
     /// Chains that have come to their end, and whose record says so.
-    fn drop_closed(&mut self, jobs: &BTreeSet<JobId>) {
+    fn drop_closed(&mut self, jobs: &BTreeSet<RequestId>) {
         for job in jobs {
             if self.open.get(job).is_some_and(|c| c.kept.closed && c.answered) {
                 self.open.remove(job);
@@ -219,7 +219,7 @@
         };
         let named = draft.picked(&chain_row.function_by).filter(|f| !f.is_empty()).map(str::to_owned);
         let digest_of_plan = digest(&plan, &self.deployment.workloads);
-        let lasts = plan.steps.iter().any(|s| s.effect != Effect::Idempotent);
+        let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
         if lasts && draft.data.len() > ANSWER_MOST {
             return refuse(413, "large-chain", "the data of a chain with effects must fit its record");
         }
@@ -307,7 +307,7 @@
         }
     }
 
-    fn open_chain(&mut self, now: Micros, job: JobId, chain: Chain) {
+    fn open_chain(&mut self, now: Micros, job: RequestId, chain: Chain) {
         self.chains.open.insert(job, chain);
         let todo = self.with_run(now, job, |run, needs| run.begin(now, needs));
         // From the end of this turn on: a chain that is refused at once is answered like any other.
@@ -401,7 +401,7 @@
     }
 
     /// Writes these chains and all that are behind.
-    fn write_chains(&mut self, now: Micros, wire: &mut dyn Wire, mut jobs: BTreeSet<JobId>) -> bool {
+    fn write_chains(&mut self, now: Micros, wire: &mut dyn Wire, mut jobs: BTreeSet<RequestId>) -> bool {
         jobs.append(&mut self.chains.behind);
         let chains = jobs.iter().filter_map(|job| self.chains.open.get(job));
         let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
@@ -423,7 +423,7 @@
         &mut self,
         now: Micros,
         wire: &mut dyn Wire,
-        job: JobId,
+        job: RequestId,
         step: StepId,
         how: How,
         told: &Told,
@@ -439,7 +439,7 @@
         self.behind(now, wire, job);
     }
 
-    fn behind(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId) {
+    fn behind(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId) {
         if self.chains.open.get(&job).is_none_or(|c| !c.on_record) {
             return;
         }
@@ -465,7 +465,7 @@
     fn with_run<T: Default>(
         &mut self,
         now: Micros,
-        job: JobId,
+        job: RequestId,
         decide: impl FnOnce(&mut Run, Needs<'_>) -> T,
     ) -> T {
         let Some(chain) = self.chains.open.get_mut(&job) else { return T::default() };
@@ -480,13 +480,15 @@
     }
 
     /// Carries out what a chain's run wants, in its order.
-    pub(super) fn chain_goes_on(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, todo: Vec<Do>) {
+    pub(super) fn chain_goes_on(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, todo: Vec<Do>) {
         for what in todo {
             match what {
                 Do::Begin { step, function, until } => {
                     let effect = self.chains.open.get(&job).map(|c| c.run.plan().step(step).effect);
                     match effect {
-                        Some(Effect::Idempotent) | None => self.begin_step(now, job, step, function, until),
+                        Some(RetrySafety::Idempotent) | None => {
+                            self.begin_step(now, job, step, function, until)
+                        }
                         _ => self.chains.unwritten.push(Waiting { job, step, function, until }),
                     }
                 }
@@ -567,7 +569,7 @@
         }
     }
 
-    fn begin_step(&mut self, now: Micros, job: JobId, step: StepId, function: String, until: Micros) {
+    fn begin_step(&mut self, now: Micros, job: RequestId, step: StepId, function: String, until: Micros) {
         let paid = self.with_run(now, job, |run, needs| run.paid(now, needs));
         let Some(chain) = self.chains.open.get(&job) else { return };
         let id = FunctionId::named(&function);
@@ -585,7 +587,7 @@
         &mut self,
         now: Micros,
         wire: &mut dyn Wire,
-        job: JobId,
+        job: RequestId,
         step: StepId,
         function: FunctionId,
         end: &StepEnd,
@@ -610,7 +612,7 @@
     }
 
     /// Ends a step's job from this side: nobody waits for it any more.
-    fn abandon(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId) {
+    fn abandon(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         task.ended = true;
         task.of.then = None;
@@ -625,7 +627,7 @@
     }
 
     /// Begins an undo, and again until it has finished.
-    fn undo(&mut self, now: Micros, job: JobId, step: StepId, function: String, last: Micros) {
+    fn undo(&mut self, now: Micros, job: RequestId, step: StepId, function: String, last: Micros) {
         let Some(chain) = self.chains.open.get(&job) else { return };
         let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
         let again = function.clone();
@@ -653,7 +655,7 @@
     }
 
     /// The one place where a chain is answered.
-    fn end_chain(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, ended: Ended) {
+    fn end_chain(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, ended: Ended) {
         let Some(chain) = self.chains.open.get_mut(&job) else { return };
         let id = chain.name.1.clone();
         let failed = |step: StepId, why: Why| {
@@ -716,7 +718,7 @@
         }
         self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
         // What may have run must not run again here, whatever the effect of the step that failed.
-        self.claims.end(now, &chain.name, told.ending, Effect::AtMostOnce, told.clone(), told.bytes());
+        self.claims.end(now, &chain.name, told.ending, RetrySafety::AtMostOnce, told.clone(), told.bytes());
         tracing::info!(
             id = %id,
             source = %chain.name.0,
--- a/crates/gateway/src/switch.rs
+++ b/crates/gateway/src/switch.rs
@@ -2,7 +2,7 @@
 //! fit together. Jobs that were taken keep the row they came by, so rows are never moved: one that the new
 //! settings leave out stays without types or share, and is the same again when a later file names it again.
 use crate::deployment::{Deployment, FleetRow};
-use applepond::interface::CustomerRow;
+use applepond::interface::CustomerConfig;
 
 /// Names that rows may come to: a switch to and fro adds none, and beyond this the settings are a mistake.
 const NAMES_MOST: usize = 10_000;
@@ -65,7 +65,7 @@
     }
     // A share of none: the customer is not known any more, and asks for nothing of the whole.
     let shares = std::mem::take(&mut rows.customers);
-    rows.customers = vec![CustomerRow { jobs_per_s: 0.0 }; customers.len()];
+    rows.customers = vec![CustomerConfig { jobs_per_s: 0.0 }; customers.len()];
     for (place, row) in customer_places.iter().zip(shares) {
         rows.customers[*place] = row;
     }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -27,34 +27,34 @@
 /// (at-most-once), started within 500 ms, given up after 4 s, a load takes 100 ms.
 pub fn deployment(workers: u16) -> Deployment {
     let effects = [
-        ("quote", Effect::Idempotent),
-        ("hold", Effect::Keyed { within: Within::Rack, window: 3 * S }),
-        ("confirm", Effect::AtMostOnce),
+        ("quote", RetrySafety::Idempotent),
+        ("hold", RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S }),
+        ("confirm", RetrySafety::AtMostOnce),
     ];
     let address = |n: u16| SocketAddr::from(([127, 0, 0, 1], 9000 + n));
     Deployment {
-        rows: Startup {
+        rows: StartupConfig {
             seed: 7,
             me: 0,
             routers: 1,
             workloads: effects
                 .iter()
-                .map(|(_, effect)| WorkloadRow {
+                .map(|(_, effect)| WorkloadConfig {
                     effect: *effect,
                     start_target: 500 * MS,
                     importance: 1.0,
                     late_part: 0.2,
                 })
                 .collect(),
-            customers: vec![CustomerRow { jobs_per_s: 1000.0 }],
-            permits: Permits {
+            customers: vec![CustomerConfig { jobs_per_s: 1000.0 }],
+            permits: AttemptPolicy {
                 attempts: 4,
                 cancel: true,
                 second_copies: true,
                 come_back: true,
                 come_back_max: S,
             },
-            rules: RuleFigures { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
+            rules: SlowStartRules { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
             over_share: 0.1,
             keep: 10 * S,
             tells_company: true,
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -13,7 +13,7 @@
 struct Shelf(Rc<RefCell<Memory>>);
 
 impl applepond_gateway::Memory for Shelf {
-    fn saw(&mut self, now: Micros, server: ServerId, up_since: Micros, seen: &Learned) {
+    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
         self.0.borrow_mut().saw(now, server, up_since, seen);
     }
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
@@ -28,16 +28,16 @@
     fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
     }
-    fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)> {
+    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
         self.0.borrow_mut().recalls(now)
     }
-    fn recalled(&mut self, server: ServerId, up_since: Micros) {
+    fn recalled(&mut self, server: WorkerId, up_since: Micros) {
         self.0.borrow_mut().recalled(server, up_since);
     }
-    fn listed(&mut self, now: Micros, server: ServerId, up_since: Micros, is: Standing) -> Standing {
+    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
         self.0.borrow_mut().listed(now, server, up_since, is)
     }
-    fn whole(&mut self, named: &[(ServerId, Micros)]) {
+    fn whole(&mut self, named: &[(WorkerId, Micros)]) {
         self.0.borrow_mut().whole(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
@@ -46,7 +46,7 @@
 }
 
 fn fact(what: What, worker: &str, value: f32) -> Fact {
-    Fact { about: About { what, key: ServerId::named(worker).0, life: 0 }, value, age: 0 }
+    Fact { about: About { what, key: WorkerId::named(worker).0, life: 0 }, value, age: 0 }
 }
 
 /// A gateway with two workers that has these facts from before.
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -38,7 +38,7 @@
 mod host_list {
     use applepond_gateway::host_list::*;
 
-    use applepond::interface::{ServerId, Standing, ZoneId};
+    use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
     use applepond_reactor::Conn;
 
     use test_case::test_case;
@@ -71,21 +71,21 @@
         hosts.line(full("ready", 7).as_bytes(), &[]).expect("a good line");
         let fault = hosts.line(line.as_bytes(), &[]).expect_err("a fault");
         assert!(fault.to_string().contains(why), "{fault}");
-        assert_eq!(hosts.iter().next().map(|(_, w)| w.standing), Some(Standing::Ready));
+        assert_eq!(hosts.iter().next().map(|(_, w)| w.standing), Some(WorkerStatus::Ready));
     }
 
-    #[test_case(&full("ready", 7), false, Some(Standing::Ready); "the same again")]
-    #[test_case(&full("ready", 8), true, Some(Standing::Ready); "restarted")]
-    #[test_case(&full("draining", 7), true, Some(Standing::Draining); "draining")]
+    #[test_case(&full("ready", 7), false, Some(WorkerStatus::Ready); "the same again")]
+    #[test_case(&full("ready", 8), true, Some(WorkerStatus::Ready); "restarted")]
+    #[test_case(&full("draining", 7), true, Some(WorkerStatus::Draining); "draining")]
     #[test_case("{\"kind\":\"full\",\"workers\":[]}", true, None; "left out of a full list")]
-    #[test_case("{\"kind\":\"changes\",\"workers\":[]}", false, Some(Standing::Ready); "no change")]
-    fn idle_connections_go_with_what_they_led_to(line: &str, cut: bool, standing: Option<Standing>) {
+    #[test_case("{\"kind\":\"changes\",\"workers\":[]}", false, Some(WorkerStatus::Ready); "no change")]
+    fn idle_connections_go_with_what_they_led_to(line: &str, cut: bool, standing: Option<WorkerStatus>) {
         let mut hosts = HostList::default();
         let zones = ["a".to_owned(), "b".to_owned()];
         let taken = hosts.line(full("ready", 7).as_bytes(), &zones).expect("a good line");
         let first = &taken.entries[0];
         assert_eq!((first.up_since, first.zone, first.rack.0, first.weight), (7000, Some(ZoneId(1)), 3, 2.5));
-        let id = ServerId::named("w");
+        let id = WorkerId::named("w");
         hosts.get_mut(id).expect("known").idle.push((Conn(5), 0));
         let taken = hosts.line(line.as_bytes(), &zones).expect("a good line");
         assert_eq!(taken.cut, if cut { vec![Conn(5)] } else { vec![] });
@@ -105,7 +105,7 @@
         hosts.line(&many("full", "ready", 0..30_000), &[]).expect("a good line");
         hosts.line(&many("full", "ready", 10_000..40_000), &[]).expect("a good line");
         assert_eq!(hosts.iter().count(), 30_000);
-        assert!(hosts.get(ServerId::named("w9999")).is_none());
+        assert!(hosts.get(WorkerId::named("w9999")).is_none());
         let fault = hosts.line(&many("full", "ready", 0..60_001), &[]).expect_err("more than a fleet");
         assert!(fault.to_string().contains("60001 workers; 60000"), "{fault}");
     }
@@ -115,15 +115,15 @@
     fn gone_with_something_out() {
         let mut hosts = HostList::default();
         hosts.line(&many("full", "ready", 0..3), &[]).expect("a good line");
-        let id = ServerId::named("w1");
+        let id = WorkerId::named("w1");
         hosts.get_mut(id).expect("known").out = 1;
         hosts.line(&many("changes", "gone", 0..2), &[]).expect("a good line");
-        assert!(hosts.get(ServerId::named("w0")).is_none());
-        assert_eq!(hosts.get(id).map(|w| w.standing), Some(Standing::Gone));
+        assert!(hosts.get(WorkerId::named("w0")).is_none());
+        assert_eq!(hosts.get(id).map(|w| w.standing), Some(WorkerStatus::Gone));
         hosts.line(&many("changes", "ready", 1..2), &[]).expect("a good line");
         hosts.get_mut(id).expect("it came back").out = 0;
         hosts.line(&many("changes", "ready", 5..6), &[]).expect("a good line");
-        assert_eq!(hosts.get(id).map(|w| w.standing), Some(Standing::Ready));
+        assert_eq!(hosts.get(id).map(|w| w.standing), Some(WorkerStatus::Ready));
         hosts.line(&many("changes", "gone", 1..2), &[]).expect("a good line");
         assert!(hosts.get(id).is_none());
     }
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -14,9 +14,10 @@
     let mut d = deployment(3);
     d.rows.permits.second_copies = false;
     d.rows.limits_shared = true;
-    d.rows.workloads = vec![WorkloadRow { effect: Effect::Idempotent, ..d.rows.workloads[2].clone() }];
+    d.rows.workloads =
+        vec![WorkloadConfig { effect: RetrySafety::Idempotent, ..d.rows.workloads[2].clone() }];
     d.workloads = vec![d.workloads[2].clone()];
-    (d.customers, d.rows.customers) = (vec!["towers".into()], vec![CustomerRow { jobs_per_s: 500.0 }]);
+    (d.customers, d.rows.customers) = (vec!["towers".into()], vec![CustomerConfig { jobs_per_s: 500.0 }]);
     d
 }
 
@@ -47,8 +48,8 @@
 fn rows_keep_their_places_there_and_back_and_there() {
     let (first, second) = (deployment(3), other());
     let there = merge(&first, second.clone()).expect("it fits");
-    let effects: Vec<Effect> = there.rows.workloads.iter().map(|w| w.effect).collect();
-    assert_eq!(effects[2], Effect::Idempotent);
+    let effects: Vec<RetrySafety> = there.rows.workloads.iter().map(|w| w.effect).collect();
+    assert_eq!(effects[2], RetrySafety::Idempotent);
     assert_eq!(effects[..2], [first.rows.workloads[0].effect, first.rows.workloads[1].effect]);
     let types: Vec<usize> = there.workloads.iter().map(|w| w.types.len()).collect();
     assert_eq!((types, there.customers.len()), (vec![0, 0, 1], 2));
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -10,7 +10,7 @@
 mod message;
 
 pub use fault::{Refused, Unread};
-pub use machine::{Orders, Row, Tallies, Told};
+pub use machine::{Actions, Row, Tallies, Told};
 pub use message::MARK;
 
 use applepond::interface::Micros;
--- a/crates/gossip/src/machine.rs
+++ b/crates/gossip/src/machine.rs
@@ -13,7 +13,7 @@
 }
 
 /// Messages to neighbours; each may be lost, late or repeated.
-pub trait Orders {
+pub trait Actions {
     fn send(&mut self, to: RouterId, message: Vec<u8>);
 }
 
@@ -228,7 +228,7 @@
     }
 
     /// Begins a comparison with one of the neighbours, where it is time.
-    pub fn wake(&mut self, now: Micros, neighbours: &[RouterId], orders: &mut dyn Orders) {
+    pub fn wake(&mut self, now: Micros, neighbours: &[RouterId], orders: &mut dyn Actions) {
         if now < self.next {
             return;
         }
@@ -242,7 +242,7 @@
     }
 
     /// Whether there was room for the message; what goes out between two comparisons is bounded.
-    fn send(&mut self, to: RouterId, message: &Message, orders: &mut dyn Orders) -> bool {
+    fn send(&mut self, to: RouterId, message: &Message, orders: &mut dyn Actions) -> bool {
         let bytes = message.write();
         if bytes.len() > self.out {
             return false;
@@ -301,7 +301,7 @@
         now: Micros,
         from: RouterId,
         bytes: &[u8],
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) -> Result<(), Unread> {
         let taken = Message::read(bytes).and_then(|message| match message {
             Message::Compares(parts) => {
@@ -327,7 +327,7 @@
     }
 
     /// A neighbour's digests: of each part that differs it is told what is held here.
-    fn compared(&mut self, from: RouterId, parts: &[u64], orders: &mut dyn Orders) {
+    fn compared(&mut self, from: RouterId, parts: &[u64], orders: &mut dyn Actions) {
         // 33 bytes of an origin at the most, 40 around all of them.
         const EACH: usize = (MESSAGE_MOST - 40) / 33;
         let first = self.rng.rand_range(0..PARTS as u64) as usize;
@@ -359,7 +359,7 @@
     }
 
     /// What a neighbour holds: it is told what it lacks, and asked for what is lacking here.
-    fn told_holds(&mut self, now: Micros, from: RouterId, holds: &Holds, orders: &mut dyn Orders) {
+    fn told_holds(&mut self, now: Micros, from: RouterId, holds: &Holds, orders: &mut dyn Actions) {
         let mut wants = Vec::new();
         for theirs in &holds.held {
             let ours = self.origins.get(&theirs.origin).map(|o| (o.incarnation, o.upto));
@@ -410,7 +410,7 @@
     }
 
     /// Tells what is held of an origin beyond what the other one has said it holds.
-    fn tell(&mut self, now: Micros, to: RouterId, theirs: Held, orders: &mut dyn Orders) {
+    fn tell(&mut self, now: Micros, to: RouterId, theirs: Held, orders: &mut dyn Actions) {
         let Some(origin) = self.origins.get(&theirs.origin) else { return };
         if (origin.incarnation, origin.upto) <= (theirs.incarnation, theirs.upto) {
             return;
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct Out(pub Vec<(RouterId, Vec<u8>)>);
 
-impl Orders for Out {
+impl Actions for Out {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
         assert!(message.len() <= MESSAGE_MOST, "{} bytes", message.len());
         self.0.push((to, message));
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 struct Sent(Vec<Vec<u8>>);
 
-impl Orders for Sent {
+impl Actions for Sent {
     fn send(&mut self, _: RouterId, message: Vec<u8>) {
         self.0.push(message);
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -85,17 +85,17 @@
 
 impl RouterId {
     pub fn named(name: &str) -> Self {
-        RouterId(applepond::interface::ServerId::named(name).0)
+        RouterId(applepond::interface::WorkerId::named(name).0)
     }
 }
 
 /// One process under a name: drawn at its start, never twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Birth(pub u64);
+pub struct InstanceId(pub u64);
 
 /// What a router says of itself or what was concluded of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It has not been heard by most of its neighbours yet: it does not count.
     Joining,
     Alive,
@@ -105,10 +105,10 @@
     Gone,
 }
 
-impl Standing {
+impl MemberStatus {
     /// It takes part: it has neighbours and is one.
     pub fn takes_part(self) -> bool {
-        matches!(self, Standing::Joining | Standing::Alive)
+        matches!(self, MemberStatus::Joining | MemberStatus::Alive)
     }
 }
 
@@ -144,10 +144,10 @@
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    pub birth: Birth,
+    pub birth: InstanceId,
     /// Raised by its own process alone: a higher one overrules all that was said of a lower one.
     pub incarnation: u64,
-    pub standing: Standing,
+    pub standing: MemberStatus,
 }
 
 /// What keeps a view from being wrong. Each can be taken out, to measure what it is worth and to prove the
@@ -233,7 +233,7 @@
 }
 
 /// What the machine orders.
-pub trait Orders {
+pub trait Actions {
     /// One message of at most `MESSAGE_MOST` bytes; it may be lost.
     fn send(&mut self, to: SocketAddr, message: &[u8]);
     fn changed(&mut self, change: Change);
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -11,7 +11,7 @@
     pub zone: String,
     /// Where others reach it.
     pub address: SocketAddr,
-    pub birth: Birth,
+    pub birth: InstanceId,
     /// The first incarnation: higher than that of any earlier process under the name, as far as can be told.
     pub incarnation: u64,
 }
@@ -110,7 +110,7 @@
 /// A newcomer under the name of a router that is there, until that one has answered or has not.
 struct Door {
     newcomer: SocketAddr,
-    birth: Birth,
+    birth: InstanceId,
     until: Micros,
 }
 
@@ -177,7 +177,7 @@
     pub fn new(now: Micros, me: Me, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let id = RouterId::named(&me.name);
         let Me { name, zone, address, birth, incarnation } = me;
-        let mine = Record { name, zone, address, birth, incarnation, standing: Standing::Joining };
+        let mine = Record { name, zone, address, birth, incarnation, standing: MemberStatus::Joining };
         let mut rng = Rand64::new(u128::from(seed));
         let mut members = Members {
             now,
@@ -248,13 +248,13 @@
 
     /// Routers that count, this one included: it serves, whatever others think of it.
     pub fn live(&self) -> usize {
-        1 + self.routers.values().filter(|r| r.record.standing == Standing::Alive).count()
+        1 + self.routers.values().filter(|r| r.record.standing == MemberStatus::Alive).count()
     }
 
     /// The same by zone.
     pub fn live_by_zone(&self) -> BTreeMap<&str, usize> {
         let mut zones = BTreeMap::from([(self.mine.zone.as_str(), 1)]);
-        for router in self.routers.values().filter(|r| r.record.standing == Standing::Alive) {
+        for router in self.routers.values().filter(|r| r.record.standing == MemberStatus::Alive) {
             *zones.entry(router.record.zone.as_str()).or_default() += 1;
         }
         zones
@@ -263,9 +263,9 @@
     /// The view, this router first.
     pub fn seen(&self) -> impl Iterator<Item = Seen> {
         let shown = match self.mine.standing {
-            Standing::Joining => Shown::Joining,
-            Standing::Alive => Shown::Alive,
-            Standing::Left | Standing::Gone => Shown::Left,
+            MemberStatus::Joining => Shown::Joining,
+            MemberStatus::Alive => Shown::Alive,
+            MemberStatus::Left | MemberStatus::Gone => Shown::Left,
         };
         let me = Seen { record: self.mine.clone(), shown, since: self.since, by: Vec::new(), lame: None };
         let other = |r: &Router| Seen {
@@ -296,7 +296,7 @@
     }
 
     /// Whose process this is.
-    pub fn by_birth(&self, birth: Birth) -> Option<RouterId> {
+    pub fn by_birth(&self, birth: InstanceId) -> Option<RouterId> {
         self.routers.iter().find(|(_, r)| r.record.birth == birth).map(|(id, _)| *id)
     }
 
@@ -314,9 +314,9 @@
     // ---- Events ------------------------------------------------------------------------------
 
     /// The time of the last call has passed.
-    pub fn wake(&mut self, now: Micros, orders: &mut dyn Orders) {
+    pub fn wake(&mut self, now: Micros, orders: &mut dyn Actions) {
         self.clock(now, orders);
-        if self.refused || self.mine.standing == Standing::Left {
+        if self.refused || self.mine.standing == MemberStatus::Left {
             self.due = now + BEAT;
             (self.flush, self.removed, self.verdict) = (None, None, None);
             return;
@@ -352,18 +352,18 @@
     }
 
     /// A message, found to be a member's by its envelope.
-    pub fn heard(&mut self, now: Micros, bytes: &[u8], orders: &mut dyn Orders) -> Result<(), Trouble> {
+    pub fn heard(&mut self, now: Micros, bytes: &[u8], orders: &mut dyn Actions) -> Result<(), Trouble> {
         self.clock(now, orders);
-        if self.refused || self.mine.standing == Standing::Left {
+        if self.refused || self.mine.standing == MemberStatus::Left {
             return Ok(());
         }
         message::read(bytes, &mut Reading { members: self, orders, greeted: None })
     }
 
     /// Takes leave: said at once, and again by all who hear it.
-    pub fn leave(&mut self, now: Micros, orders: &mut dyn Orders) {
+    pub fn leave(&mut self, now: Micros, orders: &mut dyn Actions) {
         self.clock(now, orders);
-        self.say(self.mine.incarnation, Standing::Left);
+        self.say(self.mine.incarnation, MemberStatus::Left);
         for id in self.neighbours.clone() {
             let Some(to) = self.routers.get(&id).map(|r| r.record.address) else { continue };
             let mut message = Message::news(&self.head());
@@ -377,7 +377,7 @@
 
     /// Guards against a process that stood still and takes its own sleep for the silence of others: what it
     /// was told before counts from now, and it is patient for a while.
-    fn clock(&mut self, now: Micros, orders: &mut dyn Orders) {
+    fn clock(&mut self, now: Micros, orders: &mut dyn Actions) {
         let due = self.next();
         self.now = now;
         if now <= due + STALL || !self.guards.wakes {
@@ -419,7 +419,7 @@
     }
 
     /// Looks at each neighbour: asks others about one that is silent, accuses one that nobody hears.
-    fn look(&mut self, orders: &mut dyn Orders) {
+    fn look(&mut self, orders: &mut dyn Actions) {
         let beside: Vec<RouterId> =
             self.neighbours.iter().copied().filter(|id| self.routers[id].takes_part()).collect();
         let half = |id: &&RouterId| {
@@ -461,7 +461,7 @@
     }
 
     /// Its other neighbours are asked first: if anybody hears it, they do.
-    fn ask_about(&mut self, orders: &mut dyn Orders, id: RouterId) {
+    fn ask_about(&mut self, orders: &mut dyn Actions, id: RouterId) {
         let mut others = self.rings.beside(id);
         others.retain(|other| *other != self.me);
         for _ in 0..RELAYS.min(others.len()) {
@@ -473,7 +473,7 @@
         }
     }
 
-    fn set_lame(&mut self, orders: &mut dyn Orders, id: RouterId, lame: Option<Lame>) {
+    fn set_lame(&mut self, orders: &mut dyn Actions, id: RouterId, lame: Option<Lame>) {
         let Some(router) = self.routers.get_mut(&id) else { return };
         let was = std::mem::replace(&mut router.lame, lame);
         if was != lame {
@@ -498,7 +498,7 @@
     }
 
     /// Makes those gone against whom enough votes have stood for long enough.
-    fn judge(&mut self, orders: &mut dyn Orders) {
+    fn judge(&mut self, orders: &mut dyn Actions) {
         self.verdict = None;
         for id in self.accused.clone() {
             let now = self.now;
@@ -547,7 +547,7 @@
         if self.guards.several { (speaking / 2 + 1).max(2) } else { 1 }
     }
 
-    fn conclude(&mut self, orders: &mut dyn Orders, id: RouterId) {
+    fn conclude(&mut self, orders: &mut dyn Actions, id: RouterId) {
         let router = &self.routers[&id];
         let name = |v: &Vote| match self.routers.get(&v.voter) {
             Some(voter) => voter.record.name.clone(),
@@ -555,7 +555,7 @@
         };
         let by = self.voters(router).map(name).collect();
         self.cast(id, Says::Gone);
-        self.set_standing(id, Standing::Gone);
+        self.set_standing(id, MemberStatus::Gone);
         let router = self.routers.get_mut(&id).expect("just seen");
         router.by = by;
         self.accused.remove(&id);
@@ -582,7 +582,7 @@
     }
 
     /// Changes what this router says of itself.
-    fn say(&mut self, incarnation: u64, standing: Standing) {
+    fn say(&mut self, incarnation: u64, standing: MemberStatus) {
         self.sum_mine();
         if self.mine.standing != standing {
             self.since = self.now;
@@ -592,7 +592,7 @@
         self.tell(News::Mine);
     }
 
-    fn set_standing(&mut self, id: RouterId, standing: Standing) {
+    fn set_standing(&mut self, id: RouterId, standing: MemberStatus) {
         let Some(router) = self.routers.get(&id) else { return };
         let record = Record { standing, ..router.record.clone() };
         self.put(id, record);
@@ -640,20 +640,20 @@
     }
 
     /// What a router is taken for here, told where it changes.
-    fn show(&mut self, orders: &mut dyn Orders, id: RouterId) {
+    fn show(&mut self, orders: &mut dyn Actions, id: RouterId) {
         let Some(router) = self.routers.get(&id) else { return };
         let is = match router.record.standing {
-            Standing::Left => Shown::Left,
-            Standing::Gone => Shown::Gone,
-            Standing::Joining => Shown::Joining,
-            Standing::Alive if self.voters(router).count() > 1 => Shown::Suspected,
-            Standing::Alive if router.lame == Some(Lame::In) => Shown::Unreachable,
+            MemberStatus::Left => Shown::Left,
+            MemberStatus::Gone => Shown::Gone,
+            MemberStatus::Joining => Shown::Joining,
+            MemberStatus::Alive if self.voters(router).count() > 1 => Shown::Suspected,
+            MemberStatus::Alive if router.lame == Some(Lame::In) => Shown::Unreachable,
             // Nobody else has said so for a while: it may be this router's own link.
-            Standing::Alive if self.silence(router).0 > 2 * self.patience(router) => {
+            MemberStatus::Alive if self.silence(router).0 > 2 * self.patience(router) => {
                 if self.neighbours.contains(&id) { Shown::Unreachable } else { Shown::Alive }
             }
-            Standing::Alive if router.standing_votes().any(|v| v.voter == self.me) => Shown::Suspected,
-            Standing::Alive => Shown::Alive,
+            MemberStatus::Alive if router.standing_votes().any(|v| v.voter == self.me) => Shown::Suspected,
+            MemberStatus::Alive => Shown::Alive,
         };
         let now = self.now;
         let router = self.routers.get_mut(&id).expect("just seen");
@@ -666,7 +666,7 @@
     }
 
     /// Takes a record that was told. `direct`: by the router itself, from this address.
-    fn merge(&mut self, orders: &mut dyn Orders, record: Record, direct: bool) {
+    fn merge(&mut self, orders: &mut dyn Actions, record: Record, direct: bool) {
         let id = RouterId::named(&record.name);
         if id == self.me {
             return self.about_me(orders, record);
@@ -685,11 +685,11 @@
         if old.birth == record.birth {
             let later = record.incarnation > old.incarnation;
             let same = record.incarnation == old.incarnation;
-            let ends = record.standing == Standing::Left && old.standing.takes_part();
-            let begins = record.standing == Standing::Alive && old.standing == Standing::Joining;
+            let ends = record.standing == MemberStatus::Left && old.standing.takes_part();
+            let begins = record.standing == MemberStatus::Alive && old.standing == MemberStatus::Joining;
             let again = !self.guards.incarnations && same && !old.standing.takes_part();
             // Nobody's word but its own votes make a router gone here.
-            if record.standing != Standing::Gone && (later || again || same && (ends || begins)) {
+            if record.standing != MemberStatus::Gone && (later || again || same && (ends || begins)) {
                 if later && known.standing_votes().count() > 0 {
                     self.routers.get_mut(&id).expect("just seen").wrong(self.now);
                 }
@@ -710,7 +710,7 @@
         self.adopt(orders, id, record);
     }
 
-    fn adopt(&mut self, orders: &mut dyn Orders, id: RouterId, record: Record) {
+    fn adopt(&mut self, orders: &mut dyn Actions, id: RouterId, record: Record) {
         self.put(id, record);
         self.tell(News::Record(id));
         self.show(orders, id);
@@ -718,7 +718,7 @@
 
     /// What others say of this router. An older process of its name gives way or holds it; a word that it
     /// left or is another is refuted.
-    fn about_me(&mut self, orders: &mut dyn Orders, record: Record) {
+    fn about_me(&mut self, orders: &mut dyn Actions, record: Record) {
         let Record { birth, incarnation, standing, .. } = record;
         if birth == self.mine.birth {
             if incarnation > self.mine.incarnation || standing != self.mine.standing && !standing.takes_part()
@@ -734,7 +734,7 @@
         }
     }
 
-    fn give_way(&mut self, orders: &mut dyn Orders, holder: SocketAddr) {
+    fn give_way(&mut self, orders: &mut dyn Actions, holder: SocketAddr) {
         self.refused = true;
         self.news.clear();
         orders.changed(Change::Refused { holder });
@@ -742,7 +742,7 @@
 
     /// This router is there: under a new incarnation, which overrules all that was said of those before.
     /// Where it was removed by more than one, it joins again and counts only once its neighbours hear it.
-    fn refute(&mut self, orders: &mut dyn Orders, said: u64) {
+    fn refute(&mut self, orders: &mut dyn Actions, said: u64) {
         let now = self.now;
         self.removed_by.retain(|_, at| now < *at + UNWELL);
         let removed = self.removed_by.len() >= 2;
@@ -758,7 +758,7 @@
             self.entered = incarnation;
             self.back_at = now + self.back;
             self.back = (self.back * 2).min(RETURN_MOST);
-            self.say(incarnation, Standing::Joining);
+            self.say(incarnation, MemberStatus::Joining);
             orders.changed(Change::Returned(incarnation));
         } else {
             self.say(incarnation, self.mine.standing);
@@ -768,7 +768,7 @@
 
     /// Counts once most of its neighbours hear it, or it is alone by its settings.
     fn join(&mut self) {
-        if self.mine.standing != Standing::Joining {
+        if self.mine.standing != MemberStatus::Joining {
             if self.now > self.back_at + RETURN_MOST {
                 self.back = BEAT;
             }
@@ -782,7 +782,7 @@
         let alone = self.seeds.is_empty() && self.routers.is_empty();
         if alone || all > 0 && hear > all / 2 {
             self.admitted = true;
-            self.say(self.mine.incarnation, Standing::Alive);
+            self.say(self.mine.incarnation, MemberStatus::Alive);
         }
     }
 
@@ -796,7 +796,7 @@
     // ---- Two under one name ------------------------------------------------------------------
 
     /// Asks the one that holds the name; its answer shuts the door, its silence opens it.
-    fn knock(&mut self, orders: &mut dyn Orders, id: RouterId, record: &Record) {
+    fn knock(&mut self, orders: &mut dyn Actions, id: RouterId, record: &Record) {
         let until = self.now + DOOR;
         let (newcomer, birth) = (record.address, record.birth);
         match self.door.get(&id) {
@@ -814,7 +814,7 @@
         }
     }
 
-    fn look_at_door(&mut self, orders: &mut dyn Orders) {
+    fn look_at_door(&mut self, orders: &mut dyn Actions) {
         let now = self.now;
         // One whose newcomer has not come again is of no more use.
         self.door.retain(|_, door| now < door.until + PATIENCE);
@@ -826,7 +826,7 @@
     }
 
     /// The one that holds the name has been heard while somebody else waits to take it.
-    fn shut(&mut self, orders: &mut dyn Orders, id: RouterId) {
+    fn shut(&mut self, orders: &mut dyn Actions, id: RouterId) {
         let Some(door) = self.door.remove(&id) else { return };
         let holder = self.routers[&id].record.address;
         let head = self.head();
@@ -882,7 +882,7 @@
         message.bytes()[begin..].to_vec()
     }
 
-    fn beat(&mut self, orders: &mut dyn Orders) {
+    fn beat(&mut self, orders: &mut dyn Actions) {
         let tail = self.tail();
         let (head, view, now) = (self.head(), self.view(), self.now);
         let mut to = self.neighbours.clone();
@@ -904,7 +904,7 @@
     }
 
     /// Writes to one seed, and to one router that is gone: either may be there again.
-    fn call(&mut self, orders: &mut dyn Orders) {
+    fn call(&mut self, orders: &mut dyn Actions) {
         if self.now < self.call {
             return;
         }
@@ -912,10 +912,10 @@
         let known =
             |at: &SocketAddr| self.routers.values().any(|r| r.takes_part() && r.record.address == *at);
         let seeds = self.seeds.iter().filter(|at| !known(at)).copied().collect();
-        let gone = self.routers.values().filter(|r| r.record.standing == Standing::Gone);
+        let gone = self.routers.values().filter(|r| r.record.standing == MemberStatus::Gone);
         let gone: Vec<SocketAddr> = gone.map(|r| r.record.address).collect();
         // Who has not been taken in yet goes on asking: the first who knew better may know worse by now.
-        let joining = self.mine.standing == Standing::Joining;
+        let joining = self.mine.standing == MemberStatus::Joining;
         let there = self.routers.values().filter(|r| joining && r.takes_part()).map(|r| r.record.address);
         for list in [seeds, gone, there.collect()] as [Vec<SocketAddr>; 3] {
             if !list.is_empty() {
@@ -925,14 +925,14 @@
         }
     }
 
-    fn ask_for_view(&mut self, orders: &mut dyn Orders, to: SocketAddr) {
+    fn ask_for_view(&mut self, orders: &mut dyn Actions, to: SocketAddr) {
         let mut message = Message::compare(&self.head(), &self.digests);
         message.record(&self.mine);
         orders.send(to, message.bytes());
     }
 
     /// Messages of records, this router's own first, as far as bounds allow.
-    fn answer(&mut self, orders: &mut dyn Orders, to: SocketAddr, differs: impl Fn(usize) -> bool) {
+    fn answer(&mut self, orders: &mut dyn Actions, to: SocketAddr, differs: impl Fn(usize) -> bool) {
         let mut message = Message::news(&self.head());
         message.record(&self.mine);
         let mut sent = 0;
@@ -941,7 +941,7 @@
             while let Some((id, router)) = rest.peek() {
                 let fits = match router.record.standing {
                     // One router's word: who reads it needs those of others as well.
-                    Standing::Gone => self.word(**id, self.me).is_none_or(|word| message.word(&word)),
+                    MemberStatus::Gone => self.word(**id, self.me).is_none_or(|word| message.word(&word)),
                     _ => message.record(&router.record),
                 };
                 if !fits {
@@ -963,7 +963,7 @@
 /// Reading one message: what each of its words does.
 struct Reading<'a> {
     members: &'a mut Members,
-    orders: &'a mut dyn Orders,
+    orders: &'a mut dyn Actions,
     /// Whether the writer is who it says, as far as is known here; asked once a message.
     greeted: Option<bool>,
 }
@@ -1067,7 +1067,7 @@
         }
     }
 
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: Birth) {
+    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId) {
         let now = self.members.now;
         if self.greet(head)
             && let Some(router) = self.members.routers.get_mut(&whom)
@@ -1083,7 +1083,7 @@
         self.members.answer(self.orders, head.address, |n| own[n] != view[n]);
     }
 
-    fn refused(&mut self, _: &Head, birth: Birth, holder: SocketAddr) {
+    fn refused(&mut self, _: &Head, birth: InstanceId, holder: SocketAddr) {
         if birth == self.members.mine.birth && holder != self.members.mine.address && !self.members.admitted {
             self.members.give_way(self.orders, holder);
         }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between routers: a head, what the kind needs, then news until the end. Integers and texts as
 //! postcard writes them. A message is read whole before any of it counts.
-use crate::{Birth, Record, RouterId};
+use crate::{InstanceId, Record, RouterId};
 use applepond::interface::Micros;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     pub from: RouterId,
-    pub birth: Birth,
+    pub birth: InstanceId,
     pub incarnation: u64,
     pub address: SocketAddr,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     pub subject: RouterId,
-    pub birth: Birth,
+    pub birth: InstanceId,
     pub incarnation: u64,
     pub voter: RouterId,
     /// Later words of a voter carry higher ones.
@@ -60,11 +60,11 @@
     fn ask(&mut self, head: &Head, whom: RouterId);
     fn probe(&mut self, head: &Head, asker: RouterId);
     fn yes(&mut self, head: &Head, asker: RouterId);
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: Birth);
+    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId);
     /// The writer's view by parts: those that differ are wanted.
     fn compare(&mut self, head: &Head, view: &[u32; BUCKETS]);
     /// The reader's name is another's.
-    fn refused(&mut self, head: &Head, birth: Birth, holder: SocketAddr);
+    fn refused(&mut self, head: &Head, birth: InstanceId, holder: SocketAddr);
     /// Somebody else wanted the reader's name.
     fn taken(&mut self, head: &Head, by: SocketAddr);
     fn record(&mut self, head: &Head, record: Record);
@@ -106,7 +106,7 @@
     pub fn yes(head: &Head, asker: RouterId) -> Self {
         Self::begin(YES, head, &asker)
     }
-    pub fn vouch(head: &Head, whom: RouterId, birth: Birth) -> Self {
+    pub fn vouch(head: &Head, whom: RouterId, birth: InstanceId) -> Self {
         Self::begin(VOUCH, head, &(whom, birth))
     }
     pub fn compare(head: &Head, view: &[u32; BUCKETS]) -> Self {
@@ -115,7 +115,7 @@
     pub fn news(head: &Head) -> Self {
         Self::begin(NEWS, head, &())
     }
-    pub fn refused(head: &Head, birth: Birth, holder: SocketAddr) -> Self {
+    pub fn refused(head: &Head, birth: InstanceId, holder: SocketAddr) -> Self {
         Self::begin(REFUSED, head, &(birth, holder))
     }
     pub fn taken(head: &Head, by: SocketAddr) -> Self {
@@ -187,10 +187,10 @@
     match kind {
         BEAT => _ = take::<(Option<Micros>, u64)>(&mut after)?,
         ASK | PROBE | YES => _ = take::<RouterId>(&mut after)?,
-        VOUCH => _ = take::<(RouterId, Birth)>(&mut after)?,
+        VOUCH => _ = take::<(RouterId, InstanceId)>(&mut after)?,
         COMPARE => _ = take::<[u32; BUCKETS]>(&mut after)?,
         NEWS => {}
-        REFUSED => _ = take::<(Birth, SocketAddr)>(&mut after)?,
+        REFUSED => _ = take::<(InstanceId, SocketAddr)>(&mut after)?,
         TAKEN => _ = take::<SocketAddr>(&mut after)?,
         _ => return Err(Trouble::Unreadable),
     }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -46,7 +46,7 @@
 }
 
 enum Event {
-    Wake(usize, Birth),
+    Wake(usize, InstanceId),
     Message(usize, Vec<u8>),
 }
 
@@ -56,7 +56,7 @@
     changes: Vec<Change>,
 }
 
-impl Orders for Out {
+impl Actions for Out {
     fn send(&mut self, to: SocketAddr, message: &[u8]) {
         assert!(message.len() <= MESSAGE_MOST, "{} bytes", message.len());
         self.messages.push((to, message.to_vec()));
@@ -118,7 +118,7 @@
 
     pub fn start_with(&mut self, n: usize, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) {
         self.births += 1;
-        let birth = Birth(self.births * 7919 + self.rng.rand_u64() % 1000);
+        let birth = InstanceId(self.births * 7919 + self.rng.rand_u64() % 1000);
         let zone = format!("z{}", n % 3);
         let me = Me {
             name: name.to_owned(),
@@ -181,7 +181,7 @@
     pub fn one_view(&self, live: usize) -> bool {
         let mut running = self.all.iter().flatten().filter(|p| p.stopped.is_none()).map(|p| &p.members);
         let Some(first) = running.next() else { return false };
-        let alive = |m: &Members| m.me().standing == Standing::Alive && m.live() == live;
+        let alive = |m: &Members| m.me().standing == MemberStatus::Alive && m.live() == live;
         alive(first) && running.all(|m| alive(m) && m.view() == first.view())
     }
 
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,24 +1,24 @@
 //! Bytes of messages between routers, and the digests of their names: a version that writes others cannot run
 //! beside the one before.
 use applepond_membership::message::{BUCKETS, Head, Message, Says, Word, Words, read};
-use applepond_membership::{Birth, Record, RouterId, Standing};
+use applepond_membership::{InstanceId, MemberStatus, Record, RouterId};
 use std::net::SocketAddr;
 
 fn head() -> Head {
     Head {
         from: RouterId(0xaabb_ccdd_0011_2233),
-        birth: Birth(987_654_321),
+        birth: InstanceId(987_654_321),
         incarnation: 300,
         address: "10.1.2.3:7946".parse().expect("an address"),
     }
 }
 
-fn record(standing: Standing) -> Record {
+fn record(standing: MemberStatus) -> Record {
     Record {
         name: "router-7".into(),
         zone: "zone-a".into(),
         address: "[fd00::7]:7946".parse().expect("an address"),
-        birth: Birth(123_456_789),
+        birth: InstanceId(123_456_789),
         incarnation: 4,
         standing,
     }
@@ -27,7 +27,7 @@
 fn word(says: Says) -> Word {
     Word {
         subject: RouterId(77),
-        birth: Birth(88),
+        birth: InstanceId(88),
         incarnation: 9,
         voter: RouterId(0xffee_ddcc_bbaa_9988),
         stamp: 1_000_000,
@@ -46,14 +46,14 @@
         Message::ask(&head, other),
         Message::probe(&head, other),
         Message::yes(&head, other),
-        Message::vouch(&head, other, Birth(5)),
+        Message::vouch(&head, other, InstanceId(5)),
         Message::compare(&head, &parts),
         Message::news(&head),
-        Message::refused(&head, Birth(5), address),
+        Message::refused(&head, InstanceId(5), address),
         Message::taken(&head, address),
     ];
     let mut news = Message::news(&head);
-    for standing in [Standing::Joining, Standing::Alive, Standing::Left, Standing::Gone] {
+    for standing in [MemberStatus::Joining, MemberStatus::Alive, MemberStatus::Left, MemberStatus::Gone] {
         assert!(news.record(&record(standing)));
     }
     for says in [Says::Withdrawn, Says::Silent, Says::Gone] {
@@ -80,13 +80,13 @@
     fn yes(&mut self, head: &Head, asker: RouterId) {
         self.0.push(Message::yes(head, asker));
     }
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: Birth) {
+    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId) {
         self.0.push(Message::vouch(head, whom, birth));
     }
     fn compare(&mut self, head: &Head, view: &[u32; BUCKETS]) {
         self.0.push(Message::compare(head, view));
     }
-    fn refused(&mut self, head: &Head, birth: Birth, holder: SocketAddr) {
+    fn refused(&mut self, head: &Head, birth: InstanceId, holder: SocketAddr) {
         self.0.push(Message::refused(head, birth, holder));
     }
     fn taken(&mut self, head: &Head, by: SocketAddr) {
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -23,13 +23,13 @@
     fn yes(&mut self, _: &Head, _: RouterId) {
         self.0 += 1;
     }
-    fn vouch(&mut self, _: &Head, _: RouterId, _: Birth) {
+    fn vouch(&mut self, _: &Head, _: RouterId, _: InstanceId) {
         self.0 += 1;
     }
     fn compare(&mut self, _: &Head, _: &[u32; BUCKETS]) {
         self.0 += 1;
     }
-    fn refused(&mut self, _: &Head, _: Birth, _: SocketAddr) {
+    fn refused(&mut self, _: &Head, _: InstanceId, _: SocketAddr) {
         self.0 += 1;
     }
     fn taken(&mut self, _: &Head, _: SocketAddr) {
@@ -45,7 +45,14 @@
 
 fn record(n: usize) -> Record {
     let (zone, address) = ("z".to_owned(), address(n));
-    Record { name: name(n), zone, address, birth: Birth(7), incarnation: 9, standing: Standing::Alive }
+    Record {
+        name: name(n),
+        zone,
+        address,
+        birth: InstanceId(7),
+        incarnation: 9,
+        standing: MemberStatus::Alive,
+    }
 }
 
 /// One of each kind, with two records behind.
@@ -57,10 +64,10 @@
         Message::ask(&head, other),
         Message::probe(&head, other),
         Message::yes(&head, other),
-        Message::vouch(&head, other, Birth(3)),
+        Message::vouch(&head, other, InstanceId(3)),
         Message::compare(&head, &[3; BUCKETS]),
         Message::news(&head),
-        Message::refused(&head, Birth(1), address(3)),
+        Message::refused(&head, InstanceId(1), address(3)),
         Message::taken(&head, address(3)),
     ];
     let whole = |mut message: Message| {
--- a/crates/membership/tests/paper.rs
+++ b/crates/membership/tests/paper.rs
@@ -120,8 +120,8 @@
     paper.start(5, "r5", address(5), &[0, 1]);
     paper.start(6, "r6", address(6), &[6]);
     paper.pass(20 * S);
-    assert_eq!(paper.members(5).me().standing, Standing::Joining, "every seed is dead");
-    assert_eq!(paper.members(6).me().standing, Standing::Alive, "its seeds name only itself");
+    assert_eq!(paper.members(5).me().standing, MemberStatus::Joining, "every seed is dead");
+    assert_eq!(paper.members(6).me().standing, MemberStatus::Alive, "its seeds name only itself");
     paper.start(0, "r0", address(0), &[0, 1]);
     assert!(paper.until(5 * S, |p| p.members(5).live() == 2 && p.members(0).live() == 2));
 }
@@ -190,7 +190,7 @@
     paper.pass(S);
     paper.start(12, "r2", address(12), &[0, 1]);
     paper.pass(20 * S);
-    assert_eq!(paper.members(12).me().standing, Standing::Alive);
+    assert_eq!(paper.members(12).me().standing, MemberStatus::Alive);
     paper.pass(15 * S);
     assert!(paper.members(2).is_refused());
     assert!((0..8).filter(|n| *n != 2).all(|n| paper.live(n) == 8));
@@ -266,7 +266,7 @@
     let mut lies: Vec<Vec<u8>> = views.iter().map(|s| lie(&me, &s.record, u64::MAX / 2)).collect();
     let gone = |s: &Seen| {
         let incarnation = s.record.incarnation + 5;
-        news(&me, &Record { standing: Standing::Gone, incarnation, ..s.record.clone() })
+        news(&me, &Record { standing: MemberStatus::Gone, incarnation, ..s.record.clone() })
     };
     lies.extend(views.iter().skip(1).map(gone));
     paper.bend = Some(Box::new(move |from, message| {
@@ -289,7 +289,7 @@
     let (one, two) = (paper.members(1).me().clone(), paper.members(2).me().clone());
     paper.pass(S);
     paper.tell(2, &lie(&one, &two, 7));
-    paper.tell(2, &news(&one, &Record { standing: Standing::Gone, ..two.clone() }));
+    paper.tell(2, &news(&one, &Record { standing: MemberStatus::Gone, ..two.clone() }));
     assert_eq!(paper.members(2).me().incarnation, two.incarnation + raised);
 }
 
@@ -302,7 +302,7 @@
         lie(&one, &two, u64::MAX),
         lie(&two, &one, u64::MAX),
         news(&one, &Record { incarnation: u64::MAX, ..two.clone() }),
-        news(&one, &Record { incarnation: u64::MAX, birth: Birth(u64::MAX), ..two }),
+        news(&one, &Record { incarnation: u64::MAX, birth: InstanceId(u64::MAX), ..two }),
     ];
     for message in &messages {
         (0..5).for_each(|n| paper.tell(n, message));
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,5 +1,5 @@
 //! The clients' side: one request at a time a connection, and its answer.
-use applepond::interface::{JobId, Micros};
+use applepond::interface::{Micros, RequestId};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
 use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part};
@@ -61,7 +61,7 @@
     decoder: Decoder,
     part: Part,
     pub doing: Doing,
-    pub job: Option<JobId>,
+    pub job: Option<RequestId>,
     /// It has been answered before, and nothing of its next request is here.
     idle: bool,
     /// Bytes of later requests that were dropped.
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -11,23 +11,23 @@
 /// What waits to be written.
 pub enum Item {
     /// The line that runs this attempt, not begun yet: it can be taken back.
-    Run(JobId, usize),
+    Run(RequestId, usize),
     /// Bytes that must follow what is written already.
     Rest(Vec<u8>),
 }
 
 /// One connection.
 pub struct Link {
-    pub server: ServerId,
+    pub server: WorkerId,
     pub open: bool,
     pub since: Micros,
     /// It carries nothing new any more and goes when it owes nothing.
     pub parted: bool,
     /// Attempts of which at least a byte has left, by job: a model server gives back an id but once.
-    pub out: BTreeMap<JobId, usize>,
+    pub out: BTreeMap<RequestId, usize>,
     pub queue: VecDeque<Item>,
     /// Attempts that close as soon as all of the queue has left: the words that give them up wait in it.
-    pub given_up: Vec<(JobId, usize)>,
+    pub given_up: Vec<(RequestId, usize)>,
     /// When it last had something to do.
     pub busy: Micros,
     /// When bytes last came.
@@ -41,12 +41,12 @@
 /// What came on a connection, in its order.
 #[derive(Default)]
 pub struct Came {
-    pub answers: Vec<(JobId, Answer, Vec<u8>)>,
+    pub answers: Vec<(RequestId, AttemptResult, Vec<u8>)>,
     pub works: bool,
 }
 
 impl line::Words for Came {
-    fn answer(&mut self, id: &str, answer: Answer, body: Vec<u8>) {
+    fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         // An id of another form was never sent: it belongs to nobody here.
         if id.len() == 16 {
             self.answers.push((call::job_id(id), answer, body));
@@ -58,7 +58,7 @@
 }
 
 impl Link {
-    pub fn new(now: Micros, server: ServerId) -> Self {
+    pub fn new(now: Micros, server: WorkerId) -> Self {
         Link {
             server,
             open: false,
@@ -91,7 +91,7 @@
     }
 
     /// Takes an attempt back of which nothing has left.
-    pub fn take_back(&mut self, job: JobId, n: usize) -> bool {
+    pub fn take_back(&mut self, job: RequestId, n: usize) -> bool {
         let waits = |i: &Item| matches!(i, Item::Run(j, m) if *j == job && *m == n);
         let found = self.queue.iter().position(waits);
         found.is_some_and(|at| self.queue.remove(at).is_some())
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -200,8 +200,8 @@
         &mut self,
         now: Micros,
         wire: &mut dyn Wire,
-        job: JobId,
-        server: ServerId,
+        job: RequestId,
+        server: WorkerId,
         times: (Micros, Micros),
     ) {
         let most = self.start.rows.permits.attempts;
@@ -231,11 +231,11 @@
     }
 
     /// Puts an attempt on a connection that has room for it, a new one if need be.
-    fn place(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, n: usize) {
+    fn place(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize) {
         let Some(life) = self.lives.get_mut(job) else { return };
         let server = life.attempts[n].server;
         let wanted = life.may_begin(now, n);
-        let ready = |w: &&mut Worker| wanted && w.standing == Standing::Ready;
+        let ready = |w: &&mut Worker| wanted && w.standing == WorkerStatus::Ready;
         let Some(worker) = self.workers.get_mut(server).filter(ready) else {
             return self.close(now, job, n, ended(Outcome::Moot));
         };
@@ -336,7 +336,7 @@
 
     /// Ends an attempt from this side, by a cancel or because its time is up. What has not left is taken
     /// back and has never run; what has is given up by a line.
-    fn drop_attempt(&mut self, now: Micros, job: JobId, n: usize, outcome: Outcome) {
+    fn drop_attempt(&mut self, now: Micros, job: RequestId, n: usize, outcome: Outcome) {
         let Some(life) = self.lives.get_mut(job) else { return };
         let Some(attempt) = life.attempts.get(n).filter(|e| !e.closed) else { return };
         life.timed_out |= outcome == Outcome::TimedOut;
@@ -368,7 +368,7 @@
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, job: JobId, n: usize, answer: Answer) {
+    fn close(&mut self, now: Micros, job: RequestId, n: usize, answer: AttemptResult) {
         let server = self.lives.get(job).map(|l| l.attempts[n].server.0);
         if let Some(answer) = self.lives.close(now, job, n, answer) {
             tracing::debug!(job = id_text(&job), n, server, ?answer, "attempt closed");
@@ -378,7 +378,7 @@
     }
 
     /// The one place where a job ends.
-    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: JobId, reply: Reply) {
+    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, reply: Reply) {
         let Some(life) = self.lives.end(job) else { return };
         tracing::debug!(job = id_text(&job), status = reply.status, took = now - life.came, "job ended");
         let caller = life.of.caller.take();
@@ -425,13 +425,13 @@
         }
     }
 
-    fn take(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, arrival: Arrival, task: Task) {
+    fn take(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, arrival: RequestArrival, task: Task) {
         let job = arrival.job;
         if self.lives.get(job).is_some() {
             // Another request under an open id: which of the two an answer belongs to could not be told.
             return self.answer(now, wire, conn, &Reply::bare(409));
         }
-        let Arrival { function, workload, left, lanes, retry, load_time, .. } = &arrival;
+        let RequestArrival { function, workload, left, lanes, retry, load_time, .. } = &arrival;
         tracing::debug!(job = id_text(&job), ?function, ?workload, left, lanes, retry, ?load_time, "a job");
         self.lives.begin(job, now, now + arrival.left, task);
         self.callers.get_mut(&conn).expect("it has just asked").job = Some(job);
@@ -561,12 +561,12 @@
 
     // ---- The list ----------------------------------------------------------------------------
 
-    fn listed(&mut self, now: Micros, wire: &mut dyn Wire, kind: ListKind, list: &[Member]) {
+    fn listed(&mut self, now: Micros, wire: &mut dyn Wire, kind: EndpointListKind, list: &[Member]) {
         for conn in self.workers.take(kind, list) {
             self.part(now, wire, conn);
         }
         self.fleet = self.workers.ready().max(1);
-        let entries: Vec<Listed> = list.iter().map(|m| m.listed.clone()).collect();
+        let entries: Vec<Endpoint> = list.iter().map(|m| m.listed.clone()).collect();
         self.control.clock(now);
         self.control.list(&mut self.acts, kind, &entries);
     }
@@ -718,7 +718,7 @@
             if told.left_out > 0 {
                 tracing::warn!(left_out = told.left_out, "servers of the list lack records");
             }
-            self.listed(now, wire, ListKind::Full, &told.members);
+            self.listed(now, wire, EndpointListKind::Full, &told.members);
         }
         self.settle(now, wire);
     }
@@ -736,7 +736,7 @@
             wire.wake_at(now + TICK, wake);
         } else if wake.0 & 1 == 0 {
             self.control.clock(now);
-            self.control.wake(&mut self.acts, Token(wake.0 >> 1));
+            self.control.wake(&mut self.acts, TimerToken(wake.0 >> 1));
         } else if let Some(step) = self.steps.remove(&wake.0) {
             step(self, now, wire);
         }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -8,17 +8,17 @@
 /// The one record of a model server.
 pub struct Worker {
     pub address: SocketAddr,
-    pub standing: Standing,
+    pub standing: WorkerStatus,
     pub up_since: Micros,
     /// Connections that may carry new attempts.
     pub links: Vec<Conn>,
 }
 
 #[derive(Default)]
-pub struct Workers(BTreeMap<ServerId, Worker>);
+pub struct Workers(BTreeMap<WorkerId, Worker>);
 
 impl Workers {
-    pub fn get_mut(&mut self, server: ServerId) -> Option<&mut Worker> {
+    pub fn get_mut(&mut self, server: WorkerId) -> Option<&mut Worker> {
         self.0.get_mut(&server)
     }
 
@@ -28,17 +28,17 @@
 
     /// How many take new attempts.
     pub fn ready(&self) -> usize {
-        self.0.values().filter(|w| w.standing == Standing::Ready).count()
+        self.0.values().filter(|w| w.standing == WorkerStatus::Ready).count()
     }
 
     /// Takes a list; what is left to do is to part with the connections that lead to another process than the
     /// one listed now, or to one that takes nothing new. An id, not an address, is who a model server is.
-    pub fn take(&mut self, kind: ListKind, list: &[Member]) -> Vec<Conn> {
+    pub fn take(&mut self, kind: EndpointListKind, list: &[Member]) -> Vec<Conn> {
         let mut parted = Vec::new();
-        if kind != ListKind::Changes {
-            let named: BTreeSet<ServerId> = list.iter().map(|m| m.listed.server).collect();
+        if kind != EndpointListKind::Changes {
+            let named: BTreeSet<WorkerId> = list.iter().map(|m| m.listed.server).collect();
             for (_, worker) in self.0.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                worker.standing = Standing::Gone;
+                worker.standing = WorkerStatus::Gone;
                 parted.append(&mut worker.links);
             }
         }
@@ -50,15 +50,15 @@
                 links: Vec::new(),
             });
             let same = worker.address == *address && worker.up_since == listed.up_since;
-            if !same || listed.standing != Standing::Ready {
+            if !same || listed.standing != WorkerStatus::Ready {
                 parted.append(&mut worker.links);
             }
             (worker.address, worker.standing) = (*address, listed.standing);
-            if listed.standing == Standing::Ready {
+            if listed.standing == WorkerStatus::Ready {
                 worker.up_since = listed.up_since;
             }
         }
-        self.0.retain(|_, w| w.standing != Standing::Gone);
+        self.0.retain(|_, w| w.standing != WorkerStatus::Gone);
         parted
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A router on a paper wire and one on real sockets, with model servers and clients played by hand.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond::interface::Standing;
+use applepond::interface::WorkerStatus;
 use applepond_fakes::paper::Paper;
 use applepond_node::{End, News, Node};
 use applepond_platform::config::{self, Start};
@@ -169,11 +169,11 @@
         ResourceRecord::new(Name::new(name).expect("a name").into_owned(), CLASS::IN, 0, data)
     };
     let members = start.known.iter().flat_map(|(_, list)| list);
-    for member in members.filter(|m| m.listed.standing != Standing::Gone) {
+    for member in members.filter(|m| m.listed.standing != WorkerStatus::Gone) {
         let target = format!("{}.room-1.hosts", member.name);
         let SocketAddr::V4(at) = member.address else { continue };
         let name = Name::new(&target).expect("a name").into_owned();
-        let priority = u16::from(member.listed.standing != Standing::Ready);
+        let priority = u16::from(member.listed.standing != WorkerStatus::Ready);
         let srv = SRV { priority, weight: 1305, port: at.port(), target: name };
         packet.answers.push(record("_rpc._tcp.mesh.local", RData::SRV(srv)));
         packet.additional_records.push(record(&target, RData::A(A { address: (*at.ip()).into() })));
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -21,13 +21,13 @@
     /// Whether this router serves.
     Check,
     /// A job: what the module is told, and the head of the line that runs it.
-    Job(Arrival, Vec<u8>),
+    Job(RequestArrival, Vec<u8>),
 }
 
 /// One request while it comes in.
 pub struct Incoming<'a> {
     pub words: &'a Words,
-    pub rows: &'a Startup,
+    pub rows: &'a StartupConfig,
     /// The longest time that clients of each workload wait.
     pub deadlines: &'a [Micros],
     pub part: &'a mut Part,
@@ -58,14 +58,14 @@
 }
 
 /// A job's id in the module's form.
-pub fn job_id(text: &str) -> JobId {
+pub fn job_id(text: &str) -> RequestId {
     let mut id = [b'0'; 36];
     id[..text.len()].copy_from_slice(text.as_bytes());
-    JobId(id)
+    RequestId(id)
 }
 
 /// The id as it came.
-pub fn id_text(job: &JobId) -> &str {
+pub fn id_text(job: &RequestId) -> &str {
     std::str::from_utf8(&job.0[..16]).expect("ids came in as text")
 }
 
@@ -109,13 +109,13 @@
         if !matches!(retry, None | Some("1")) {
             return Err(bad("Attempt-Again: 1 is wanted, or nothing"));
         }
-        let marked = matches!(self.rows.workloads[workload].effect, Effect::Keyed { .. });
+        let marked = matches!(self.rows.workloads[workload].effect, RetrySafety::Keyed { .. });
         let mark = match mark {
             Some(mark) if !hex(mark, 32) => return Err(bad("Once-Key: 32 hex digits are wanted")),
             None if marked => return Err(bad("Once-Key is wanted")),
             mark => mark,
         };
-        let mut arrival = Arrival {
+        let mut arrival = RequestArrival {
             job: job_id(id),
             function: FunctionId::named(function),
             workload: WorkloadId(workload),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -14,7 +14,7 @@
 pub struct Member {
     pub name: String,
     pub address: SocketAddr,
-    pub listed: Listed,
+    pub listed: Endpoint,
 }
 
 /// How connections to model servers are to be used.
@@ -38,7 +38,7 @@
     /// Descriptors and bytes that the process may hold.
     pub descriptors: usize,
     pub memory: usize,
-    pub rows: Startup,
+    pub rows: StartupConfig,
     pub words: Words,
     pub terms: Terms,
     /// The longest time that clients of each workload wait.
@@ -46,7 +46,7 @@
     /// Number of the last event of the list.
     pub index: u64,
     /// The list's events up to now.
-    pub known: Vec<(ListKind, Vec<Member>)>,
+    pub known: Vec<(EndpointListKind, Vec<Member>)>,
 }
 
 /// Reads a configuration; a fault names the field.
@@ -94,9 +94,9 @@
 }
 
 /// One event of the list.
-fn update(event: &Value, words: &Words) -> Read<(ListKind, Vec<Member>)> {
+fn update(event: &Value, words: &Words) -> Read<(EndpointListKind, Vec<Member>)> {
     let list = object(event, "endpoints")?;
-    let kind = if mark(list, "complete")? { ListKind::Full } else { ListKind::Changes };
+    let kind = if mark(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
     let members = array(list, "members")?;
     if members.len() > MEMBERS_MOST {
         return fault("members", "fewer are wanted");
@@ -109,13 +109,13 @@
     // As in answers of the name service: a zone that the settings do not name is none, and no failed start.
     let zone = maybe(entry, "locality").and_then(Value::as_str);
     let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
-    let server = ServerId::named(&name);
-    let listed = Listed {
+    let server = WorkerId::named(&name);
+    let listed = Endpoint {
         server,
         standing: match text(entry, "phase")? {
-            "in_service" => Standing::Ready,
-            "terminating" => Standing::Draining,
-            "terminated" => Standing::Gone,
+            "in_service" => WorkerStatus::Ready,
+            "terminating" => WorkerStatus::Draining,
+            "terminated" => WorkerStatus::Gone,
             other => return Err(Unfit::field("phase", format!("'{other}' is not known"))),
         },
         up_since: time_or_none(entry, "up_since_ms")?,
@@ -128,7 +128,7 @@
     };
     let address = match maybe(entry, "host_port") {
         // Of one that has gone, nobody needs to know where it was.
-        None if listed.standing == Standing::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
+        None if listed.standing == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
     Ok(Member { name, address, listed })
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -1,5 +1,5 @@
 //! Lines to model servers and their answers: one JSON object a line.
-use applepond::interface::{Answer, Copy, Outcome};
+use applepond::interface::{AttemptResult, LoadState, Outcome};
 use applepond_http::Fault;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,7 +9,7 @@
 /// What a line of a model server tells.
 pub trait Words {
     /// The end of an attempt. Only a finished one brings a body; `elapsed` and `closed` are the owner's.
-    fn answer(&mut self, id: &str, answer: Answer, body: Vec<u8>);
+    fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>);
     /// The connection works.
     fn works(&mut self, tag: &str);
 }
@@ -83,11 +83,11 @@
         pairs.into_iter().find(|(n, _)| n.trim() == name).and_then(|(_, v)| v.trim().parse::<f64>().ok())
     };
     let copy = match attrs.get("detail").and_then(Value::as_str) {
-        Some("hit") => Copy::Stood,
-        Some("spawn") => Copy::Begun,
-        Some("pending") => Copy::Awaited,
-        Some("spawn_failed") => Copy::LoadFailed,
-        _ => Copy::Unsaid,
+        Some("hit") => LoadState::Stood,
+        Some("spawn") => LoadState::Begun,
+        Some("pending") => LoadState::Awaited,
+        Some("spawn_failed") => LoadState::LoadFailed,
+        _ => LoadState::Unsaid,
     };
     let body = match (outcome, text("content")) {
         (Outcome::Finished, Some(content)) => {
@@ -95,7 +95,7 @@
         }
         _ => Vec::new(),
     };
-    let answer = Answer {
+    let answer = AttemptResult {
         outcome,
         closed: false,
         elapsed: 0,
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/names.rs
@@ -85,10 +85,10 @@
     let (name, zone) = (labels.next()?, labels.next()?);
     let note = |name: &str| notes.get(name).and_then(Option::as_deref);
     let number = |name: &str| note(name).map_or(Some(0), |v| v.parse::<u64>().ok());
-    let server = ServerId::named(name);
-    let listed = Listed {
+    let server = WorkerId::named(name);
+    let listed = Endpoint {
         server,
-        standing: if priority == 0 { Standing::Ready } else { Standing::Draining },
+        standing: if priority == 0 { WorkerStatus::Ready } else { WorkerStatus::Draining },
         up_since: number("started")?.checked_mul(1000)?,
         zone: words.zones.iter().position(|z| z == zone).map(ZoneId),
         rack: match note("cell") {
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -28,11 +28,11 @@
     }
 }
 
-pub fn startup(setup: &Value, seed: u64) -> Read<Startup> {
+pub fn startup(setup: &Value, seed: u64) -> Read<StartupConfig> {
     let allowed = object(setup, "allowed")?;
     let rules = object(setup, "rules")?;
     let own = maybe(setup, "specifics").unwrap_or(&Value::Null);
-    Ok(Startup {
+    Ok(StartupConfig {
         seed,
         me: number_or(setup, "self-index", 0.0)? as u64,
         routers: (number_or(setup, "group-size", 1.0)? as u64).max(1),
@@ -41,16 +41,16 @@
             .and_then(Value::as_array)
             .into_iter()
             .flatten()
-            .map(|row| number_or(row, "quota-per-s", 0.0).map(|jobs_per_s| CustomerRow { jobs_per_s }))
+            .map(|row| number_or(row, "quota-per-s", 0.0).map(|jobs_per_s| CustomerConfig { jobs_per_s }))
             .collect::<Read<_>>()?,
-        permits: Permits {
+        permits: AttemptPolicy {
             attempts: number_or(allowed, "attempts-cap", 1.0)? as usize,
             cancel: mark(allowed, "cancel")?,
             second_copies: mark(allowed, "second-copies")?,
             come_back: mark(allowed, "retry-after")?,
             come_back_max: time_or_none(allowed, "max-retry-after")?,
         },
-        rules: RuleFigures {
+        rules: SlowStartRules {
             cold_share: number_or(rules, "cold-from", 1.0)?,
             warm_within: time_or_none(rules, "warm-within")?,
             fall_multiple: number_or(rules, "fall-multiple", 1.0)?,
@@ -65,22 +65,22 @@
     })
 }
 
-fn workload(row: &Value) -> Read<WorkloadRow> {
+fn workload(row: &Value) -> Read<WorkloadConfig> {
     let effect = match text(row, "idempotency")? {
-        "idempotent" => Effect::Idempotent,
-        "at_most_once" => Effect::AtMostOnce,
-        "deduplicated" => Effect::Keyed {
+        "idempotent" => RetrySafety::Idempotent,
+        "at_most_once" => RetrySafety::AtMostOnce,
+        "deduplicated" => RetrySafety::Keyed {
             within: match text(row, "group")? {
-                "all" => Within::Everywhere,
-                "zone" => Within::Zone,
-                "cell" => Within::Rack,
+                "all" => IdempotencyScope::Everywhere,
+                "zone" => IdempotencyScope::Zone,
+                "cell" => IdempotencyScope::Rack,
                 other => return Err(Unfit::field("group", format!("'{other}' is not known"))),
             },
             window: time(row, "window")?,
         },
         other => return Err(Unfit::field("idempotency", format!("'{other}' is not known"))),
     };
-    Ok(WorkloadRow {
+    Ok(WorkloadConfig {
         effect,
         start_target: time(row, "on-time")?,
         importance: number_or(row, "worth", 1.0)?,
@@ -89,12 +89,12 @@
 }
 
 /// What a note of the simulator says of the function's copy.
-pub fn copy_note(note: u32) -> Copy {
+pub fn copy_note(note: u32) -> LoadState {
     match note {
-        1 => Copy::Stood,
-        2 => Copy::Begun,
-        3 => Copy::Awaited,
-        4 => Copy::LoadFailed,
-        _ => Copy::Unsaid,
+        1 => LoadState::Stood,
+        2 => LoadState::Begun,
+        3 => LoadState::Awaited,
+        4 => LoadState::LoadFailed,
+        _ => LoadState::Unsaid,
     }
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -12,10 +12,10 @@
 // ---- Lines -----------------------------------------------------------------------------------
 
 #[derive(Default)]
-struct Heard(Vec<(String, Answer, Vec<u8>)>, usize);
+struct Heard(Vec<(String, AttemptResult, Vec<u8>)>, usize);
 
 impl line::Words for Heard {
-    fn answer(&mut self, id: &str, answer: Answer, body: Vec<u8>) {
+    fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         self.0.push((id.into(), answer, body));
     }
     fn works(&mut self, _: &str) {
@@ -23,7 +23,7 @@
     }
 }
 
-type Said = (Outcome, Copy, u32, Option<f64>, Option<f64>, Vec<u8>);
+type Said = (Outcome, LoadState, u32, Option<f64>, Option<f64>, Vec<u8>);
 
 fn heard(line: &str) -> Option<Said> {
     let mut heard = Heard::default();
@@ -36,15 +36,15 @@
 #[test_case(
     r#"{"verb":"OK","rid":"a","attrs":{"detail":"hit","same":"3","use":"x1:2;concurrent:7"},
         "content":"b2s="}"#,
-    (Outcome::Finished, Copy::Stood, 3, Some(7.0), Some(2.0), b"ok".to_vec()); "texts, with a report")]
+    (Outcome::Finished, LoadState::Stood, 3, Some(7.0), Some(2.0), b"ok".to_vec()); "texts, with a report")]
 #[test_case(r#"{"verb":"OK","rid":"a","attrs":{"detail":"spawn","same":3},"content":""}"#,
-    (Outcome::Finished, Copy::Begun, 3, None, None, vec![]); "numbers, without a body")]
-#[test_case(r#"{"verb":"BUSY","rid":"a"}"#, (Outcome::Full, Copy::Unsaid, 0, None, None, vec![]); "full")]
+    (Outcome::Finished, LoadState::Begun, 3, None, None, vec![]); "numbers, without a body")]
+#[test_case(r#"{"verb":"BUSY","rid":"a"}"#, (Outcome::Full, LoadState::Unsaid, 0, None, None, vec![]); "full")]
 #[test_case(r#"{"verb":"MISS","rid":"a","attrs":{"detail":"spawn_failed"}}"#,
-    (Outcome::Missing, Copy::LoadFailed, 0, None, None, vec![]); "a load that failed")]
+    (Outcome::Missing, LoadState::LoadFailed, 0, None, None, vec![]); "a load that failed")]
 #[test_case(r#"{"verb":"ERR","rid":"a","attrs":{"detail":"pending","use":"concurrent:x;x1:-"}}"#,
-    (Outcome::Error, Copy::Awaited, 0, None, None, vec![]); "a report that is none")]
-#[test_case(r#"{"verb":"VOID","rid":"a"}"#, (Outcome::Moot, Copy::Unsaid, 0, None, None, vec![]); "void")]
+    (Outcome::Error, LoadState::Awaited, 0, None, None, vec![]); "a report that is none")]
+#[test_case(r#"{"verb":"VOID","rid":"a"}"#, (Outcome::Moot, LoadState::Unsaid, 0, None, None, vec![]); "void")]
 fn words(line: &str, want: Said) {
     assert_eq!(heard(line), Some(want));
 }
@@ -76,7 +76,7 @@
     Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nX-Extras: memory_mb:512;lanes:2;load_ms:80.5\r\n\
     Content-Length: 2\r\n\r\nhi";
 
-fn rows() -> (Words, Startup, Vec<Micros>) {
+fn rows() -> (Words, StartupConfig, Vec<Micros>) {
     let settings = serde_json::json!({"allowed": {}, "rules": {}, "zones": ["room-1", "room-2"],
         "lanes": [{"name": "quote", "idempotency": "idempotent", "on-time": 1},
             {"name": "hold", "idempotency": "deduplicated", "group": "all", "window": 3000, "on-time": 1}],
@@ -86,7 +86,7 @@
 }
 
 /// A job, its head and body; an error is the status of what is no call.
-fn asked(request: &str) -> Result<(Arrival, Vec<u8>, Vec<u8>), u16> {
+fn asked(request: &str) -> Result<(RequestArrival, Vec<u8>, Vec<u8>), u16> {
     let (words, rows, deadlines) = rows();
     let mut part = Part::default();
     let mut decoder = Decoder::new(Side::Server, 8192, BODY_MOST);
@@ -184,8 +184,8 @@
     assert_eq!((first.name.as_str(), first.address.to_string()), ("s-00c41f7a", "10.1.0.9:8443".into()));
     let listed = &first.listed;
     assert_eq!((listed.zone, listed.rack, listed.weight), (Some(ZoneId(1)), RackId(2), 130.5));
-    assert_eq!((listed.up_since, listed.standing), (5_000, Standing::Ready));
-    assert_eq!(told.members[1].listed.standing, Standing::Draining);
+    assert_eq!((listed.up_since, listed.standing), (5_000, WorkerStatus::Ready));
+    assert_eq!(told.members[1].listed.standing, WorkerStatus::Draining);
 }
 
 #[test]
--- a/crates/quota/src/divider.rs
+++ b/crates/quota/src/divider.rs
@@ -1,6 +1,6 @@
 //! The one that divides: what each holder may have out, and who gets what.
 use crate::*;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use std::collections::BTreeMap;
 
 /// A lease that its holder may still count on, as far as is known here.
@@ -34,7 +34,7 @@
     rows: Vec<Row>,
     /// Routers that could ever be there: each has its floors without being asked.
     routers: u64,
-    holders: BTreeMap<Birth, Holding>,
+    holders: BTreeMap<InstanceId, Holding>,
     /// Nothing is given before, and from then on.
     from: Micros,
     until: Micros,
@@ -93,7 +93,7 @@
     pub fn asked(
         &mut self,
         now: Micros,
-        holder: Birth,
+        holder: InstanceId,
         (number, turn): (u64, u64),
         need: &[Amount],
     ) -> Option<Vec<Amount>> {
@@ -121,7 +121,7 @@
         Some(extra)
     }
 
-    fn extra(&self, holder: Birth, budget: usize) -> Amount {
+    fn extra(&self, holder: InstanceId, budget: usize) -> Amount {
         let row = &self.rows[budget];
         let above = row.above(self.routers);
         let needs: Vec<Amount> =
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use divider::{Divider, fair};
 pub use holder::Holder;
-pub use office::{Office, Orders, Place, Term};
+pub use office::{Actions, Office, Place, Term};
 
 use applepond::interface::Micros;
 
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,9 +1,9 @@
 //! Messages between offices: a kind, then what it says, as postcard writes it. A message is read whole before
 //! any of it counts.
-use crate::office::{Orders, Term};
+use crate::office::{Actions, Term};
 use crate::*;
 use applepond_consensus::Ballot;
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -21,7 +21,7 @@
 const GIVEN: u8 = 7;
 const ELSEWHERE: u8 = 8;
 
-/// Orders as messages of this router, each with whom it is for.
+/// Actions as messages of this router, each with whom it is for.
 pub struct Written {
     pub me: RouterId,
     pub messages: Vec<(RouterId, Vec<u8>)>,
@@ -40,7 +40,7 @@
     }
 }
 
-impl Orders for Written {
+impl Actions for Written {
     fn promise(&mut self, to: RouterId, ballot: Ballot) {
         self.put(to, PROMISE, &ballot);
     }
@@ -56,10 +56,10 @@
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
         self.put(to, REFUSED, &(ballot, promised));
     }
-    fn ask(&mut self, to: RouterId, birth: Birth, settings: u64, numbers: (u64, u64), need: &[Amount]) {
+    fn ask(&mut self, to: RouterId, birth: InstanceId, settings: u64, numbers: (u64, u64), need: &[Amount]) {
         self.put(to, ASK, &(birth, settings, numbers, need));
     }
-    fn given(&mut self, to: RouterId, birth: Birth, number: u64, extra: &[Amount]) {
+    fn given(&mut self, to: RouterId, birth: InstanceId, number: u64, extra: &[Amount]) {
         self.put(to, GIVEN, &(birth, number, extra));
     }
     fn elsewhere(&mut self, to: RouterId, divides: RouterId) {
@@ -79,7 +79,7 @@
     office: &mut Office,
     disk: &mut dyn applepond_consensus::Votes<Term>,
     live: &dyn Fn(RouterId) -> bool,
-    orders: &mut dyn Orders,
+    orders: &mut dyn Actions,
 ) -> Option<()> {
     let [MARK, kind, rest @ ..] = bytes else { return None };
     let (from, rest) = postcard::take_from_bytes::<RouterId>(rest).ok()?;
@@ -99,11 +99,11 @@
             office.refused(now, ballot, promised);
         }
         ASK => {
-            let (birth, settings, numbers, need) = whole::<(Birth, u64, (u64, u64), Vec<Amount>)>(rest)?;
+            let (birth, settings, numbers, need) = whole::<(InstanceId, u64, (u64, u64), Vec<Amount>)>(rest)?;
             office.asked(now, from, (birth, settings), numbers, &need, orders);
         }
         GIVEN => {
-            let (birth, number, extra) = whole::<(Birth, u64, Vec<Amount>)>(rest)?;
+            let (birth, number, extra) = whole::<(InstanceId, u64, Vec<Amount>)>(rest)?;
             office.given(now, from, birth, number, &extra);
         }
         ELSEWHERE => office.elsewhere(now, whole(rest)?, live),
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,7 @@
 //! the register and by leases.
 use crate::*;
 use applepond_consensus::{Ballot, Keeper, KeeperId, Proposer, Told, Vote, Votes};
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
     pub number: u64,
     pub name: RouterId,
     /// The process; one that was restarted has no term of its life before.
-    pub by: Birth,
+    pub by: InstanceId,
     /// What it divides and among how many, as one number: who has other settings has no part in it.
     pub settings: u64,
 }
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Place {
     pub name: RouterId,
-    pub birth: Birth,
+    pub birth: InstanceId,
     /// The keepers by their places, the same in all routers' settings.
     pub keepers: Vec<RouterId>,
     /// Routers that could ever be there.
@@ -45,21 +45,21 @@
 }
 
 /// Messages to others; each may be lost, late or repeated.
-pub trait Orders {
+pub trait Actions {
     fn promise(&mut self, to: RouterId, ballot: Ballot);
     fn accept(&mut self, to: RouterId, ballot: Ballot, term: &Term);
     fn promised(&mut self, to: RouterId, ballot: Ballot, before: Ballot, accepted: Option<(Ballot, Term)>);
     fn accepted(&mut self, to: RouterId, ballot: Ballot);
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
     /// `settings`: those of the asker, as `Place::settings` has them.
-    fn ask(&mut self, to: RouterId, birth: Birth, settings: u64, numbers: (u64, u64), need: &[Amount]);
-    fn given(&mut self, to: RouterId, birth: Birth, number: u64, extra: &[Amount]);
+    fn ask(&mut self, to: RouterId, birth: InstanceId, settings: u64, numbers: (u64, u64), need: &[Amount]);
+    fn given(&mut self, to: RouterId, birth: InstanceId, number: u64, extra: &[Amount]);
     /// Somebody else divides, or seems to.
     fn elsewhere(&mut self, to: RouterId, divides: RouterId);
 }
 
 /// The proposer's messages, to the keepers by name.
-struct Post<'a>(&'a [RouterId], &'a mut dyn Orders);
+struct Post<'a>(&'a [RouterId], &'a mut dyn Actions);
 
 impl applepond_consensus::Ballots<Term> for Post<'_> {
     fn promise(&mut self, of: KeeperId, ballot: Ballot) {
@@ -151,7 +151,7 @@
     }
 
     /// `live`: whether a router seems to be there.
-    pub fn wake(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Orders) {
+    pub fn wake(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions) {
         if now >= self.next_ask {
             self.next_ask = now + RENEW;
             self.ask(now, live, orders);
@@ -177,7 +177,7 @@
     }
 
     /// Asks whoever divides, or a keeper's router, one after the other, where nobody is known to.
-    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Orders) {
+    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions) {
         let (number, turn, need) = self.holder.ask(now);
         let known = self.divides.filter(|d| live(*d) && now < self.heard + LEASE);
         let keepers = &self.place.keepers;
@@ -192,7 +192,7 @@
         from: RouterId,
         ballot: Ballot,
         disk: &mut dyn Votes<Term>,
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         match self.keeper.as_mut().and_then(|k| k.promise(ballot, disk)) {
             Some(Ok((before, accepted))) => orders.promised(from, ballot, before, accepted),
@@ -208,7 +208,7 @@
         term: Term,
         now: Micros,
         disk: &mut dyn Votes<Term>,
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         // Guards against a division by other settings: a keeper that has others does not vote for it.
         if term.settings != self.place.settings() {
@@ -248,7 +248,7 @@
         (ballot, before): (Ballot, Ballot),
         accepted: Option<(Ballot, Term)>,
         live: &dyn Fn(RouterId) -> bool,
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         let Some(keeper) = self.keeper_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
@@ -296,10 +296,10 @@
         &mut self,
         now: Micros,
         from: RouterId,
-        (birth, settings): (Birth, u64),
+        (birth, settings): (InstanceId, u64),
         numbers: (u64, u64),
         need: &[Amount],
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         // Guards against a part of another whole: who has other settings keeps to its floor.
         if settings != self.place.settings() {
@@ -317,7 +317,7 @@
         }
     }
 
-    pub fn given(&mut self, now: Micros, from: RouterId, birth: Birth, number: u64, extra: &[Amount]) {
+    pub fn given(&mut self, now: Micros, from: RouterId, birth: InstanceId, number: u64, extra: &[Amount]) {
         if birth == self.place.birth {
             self.holder.given(now, number, extra);
             (self.divides, self.heard) = (Some(from), now);
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Offices on a paper network, three of them keepers; the sum of what is in force is judged at each step.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::{Keeper, Trouble, Vote, Votes};
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use applepond_quota::message::{Written, read};
 use applepond_quota::*;
 use oorandom::Rand64;
@@ -75,7 +75,7 @@
     let row = row(routers);
     let place = Place {
         name: name(n),
-        birth: Birth(birth),
+        birth: InstanceId(birth),
         keepers: (0..KEEPERS).map(name).collect(),
         routers: routers as u64,
         rows: vec![row],
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,13 +1,13 @@
 //! Bytes of messages between processes: a version that writes others cannot run beside the one before.
 use applepond_consensus::{Ballot, Keeper, Trouble, Vote, Votes};
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use applepond_quota::message::{self, Written};
 use applepond_quota::*;
 
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 
 fn term() -> Term {
-    Term { number: 12, name: RouterId(4_000_000_007), by: Birth(55), settings: 0xdead_beef }
+    Term { number: 12, name: RouterId(4_000_000_007), by: InstanceId(55), settings: 0xdead_beef }
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -23,8 +23,8 @@
     written.promised(to, ballot(7), ballot(2), None);
     written.accepted(to, ballot(8));
     written.refused(to, ballot(8), ballot(9));
-    written.ask(to, Birth(77), 0xdead_beef, (3, 4), &[1, 200, 70_000]);
-    written.given(to, Birth(77), 4, &[1, 200, 70_000]);
+    written.ask(to, InstanceId(77), 0xdead_beef, (3, 4), &[1, 200, 70_000]);
+    written.given(to, InstanceId(77), 4, &[1, 200, 70_000]);
     written.elsewhere(to, RouterId(6));
     written.messages.into_iter().map(|(_, bytes)| bytes).collect()
 }
@@ -46,7 +46,7 @@
 #[test]
 fn messages_are_read() {
     let rows = vec![Row { whole: 1_000, floor: 10 }];
-    let place = Place { name: ME, birth: Birth(1), keepers: vec![ME], routers: 3, rows };
+    let place = Place { name: ME, birth: InstanceId(1), keepers: vec![ME], routers: 3, rows };
     let mut office = Office::new(0, place, Some(Keeper::new(3, Ok(None))), 1);
     for bytes in messages() {
         let mut answers = Written::by(ME);
--- a/crates/quota/tests/office.rs
+++ b/crates/quota/tests/office.rs
@@ -1,7 +1,7 @@
 //! Twenty offices with three keepers among them on a paper network: who divides is agreed on while links are
 //! cut, processes stand still, die and come back. One seed, one run.
 mod common;
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use applepond_quota::message::{Written, read};
 use applepond_quota::*;
 use common::*;
@@ -130,12 +130,12 @@
 #[test]
 fn bent_messages() {
     let mut out = Written::by(name(1));
-    out.given(name(0), Birth(1), 1, &[5, 6]);
-    out.ask(name(0), Birth(2), 3, (1, 0), &[7]);
+    out.given(name(0), InstanceId(1), 1, &[5, 6]);
+    out.ask(name(0), InstanceId(2), 3, (1, 0), &[7]);
     out.accept(
         name(0),
         applepond_consensus::Ballot { round: 1, by: 2 },
-        &Term { number: 1, name: name(1), by: Birth(2), settings: 3 },
+        &Term { number: 1, name: name(1), by: InstanceId(2), settings: 3 },
     );
     let (mut office, mut disk) = (office(0, (0, ROUTERS), 1, None), Disk::default());
     let mut read = |bytes: &[u8]| {
@@ -164,7 +164,7 @@
 fn a_keeper_with_other_settings() {
     let (mut keeper, mut disk) = (office(0, (0, ROUTERS), 1, None), Disk::default());
     let (mut out, ballot) = (Written::by(name(0)), applepond_consensus::Ballot { round: 1, by: 2 });
-    let term = Term { number: 1, name: name(1), by: Birth(2), settings: 3 };
+    let term = Term { number: 1, name: name(1), by: InstanceId(2), settings: 3 };
     keeper.accept(name(1), ballot, term, 5, &mut disk, &mut out);
     assert!(out.messages.is_empty() && disk.0.is_none());
     assert_eq!(keeper.differs(5), Some(name(1)));
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -36,7 +36,7 @@
     Overflow,
 }
 
-/// What a machine may order. Orders take effect when its call returns, in their order.
+/// What a machine may order. Actions take effect when its call returns, in their order.
 pub trait Wire {
     /// Opens a connection; `connected` or `closed` follows, the latter after `patience` at most.
     fn connect(&mut self, to: SocketAddr, patience: Micros) -> Conn;
--- a/crates/reactor/src/wheel.rs
+++ b/crates/reactor/src/wheel.rs
@@ -134,7 +134,7 @@
 
     /// The next slot that holds anything, with the tick at which it begins.
     fn next_slot(&self) -> Option<(u64, usize)> {
-        // Within a level nothing lies behind the present slot, and a lower level is always nearer.
+        // IdempotencyScope a level nothing lies behind the present slot, and a lower level is always nearer.
         (0..LEVELS).find(|l| self.occupied[*l] != 0).map(|level| {
             let slot = self.occupied[level].trailing_zeros() as usize;
             let shift = level as u32 * BITS;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -14,7 +14,7 @@
 pub use facts::{About, Fact, Facts, What};
 pub use fault::{Unread, Unusable};
 pub use memory::{Memory, Own, Usual};
-pub use peers::{Guards, Orders, Peers, Stage};
+pub use peers::{Actions, Guards, Peers, Stage};
 pub use snapshot::{Boot, read, write};
 
 use applepond::interface::Micros;
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -1,7 +1,7 @@
 //! What a router keeps in mind of workers and functions: its own sight as facts, and facts of before or
 //! of others as care to be taken once.
 use crate::{About, Fact, Facts, Micros, What};
-use applepond::interface::{FunctionId, Learned, ServerId, Standing};
+use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Weight from which on a worker that was in doubt is tried by one job first.
@@ -18,7 +18,7 @@
 pub type Own = (Option<Usual>, Vec<(u64, Micros)>);
 
 /// A worker in one of its lives.
-pub type Life = (ServerId, Micros);
+pub type Life = (WorkerId, Micros);
 
 #[derive(Default)]
 pub struct Memory {
@@ -33,7 +33,7 @@
     drained: BTreeSet<Life>,
 }
 
-fn about(what: What, server: ServerId, up_since: Micros) -> About {
+fn about(what: What, server: WorkerId, up_since: Micros) -> About {
     About { what, key: server.0, life: up_since }
 }
 
@@ -48,14 +48,14 @@
             self.facts.note(now, *fact);
             self.own |= !fact.about.what.shared();
             if fact.about.what.shared() && !matches!(fact.about.what, What::LoadTime | What::Drain) {
-                self.wanted.insert((ServerId(fact.about.key), fact.about.life));
+                self.wanted.insert((WorkerId(fact.about.key), fact.about.life));
             }
         }
     }
 
     /// What this router has seen of a worker that has answered it. Nothing that it was only told may come
     /// here, or hearsay would be young for ever.
-    pub fn saw(&mut self, now: Micros, server: ServerId, up_since: Micros, seen: &Learned) {
+    pub fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
         let mut note = |what, value: f64| {
             self.facts.note(now, Fact { about: about(what, server, up_since), value: value as f32, age: 0 });
         };
@@ -120,7 +120,7 @@
     }
 
     /// What is still to be recalled, as much as it says by now; `recalled` when it was taken up.
-    pub fn recalls(&mut self, now: Micros) -> Vec<(ServerId, Micros, Learned)> {
+    pub fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
         let facts = &self.facts;
         let get = |what, (server, up): Life| facts.get(now, &about(what, server, up));
         let told = |life: Life| {
@@ -128,7 +128,7 @@
             // Half a word is twice the room.
             let room = get(What::Room, life).map_or(f64::MAX, |f| f64::from(f.value) / f.weight());
             let aside = get(What::Aside, life).is_some_and(|f| f.weight() >= DOUBT);
-            Learned { room, lag: part(What::Lag), errors: part(What::Errors), aside }
+            WorkerHistory { room, lag: part(What::Lag), errors: part(What::Errors), aside }
         };
         self.wanted.retain(|life| {
             [What::Room, What::Lag, What::Errors, What::Aside].iter().any(|w| get(*w, *life).is_some())
@@ -136,29 +136,35 @@
         self.wanted.iter().map(|life| (life.0, life.1, told(*life))).collect()
     }
 
-    pub fn recalled(&mut self, server: ServerId, up_since: Micros) {
+    pub fn recalled(&mut self, server: WorkerId, up_since: Micros) {
         self.wanted.remove(&(server, up_since));
     }
 
     /// What the list says of a worker, and what is made of it: a drain told before is kept until the list, in
     /// this life of the router, has told it and taken it back, or the worker has begun anew, or it is over.
-    pub fn listed(&mut self, now: Micros, server: ServerId, up_since: Micros, is: Standing) -> Standing {
+    pub fn listed(
+        &mut self,
+        now: Micros,
+        server: WorkerId,
+        up_since: Micros,
+        is: WorkerStatus,
+    ) -> WorkerStatus {
         let drain = about(What::Drain, server, up_since);
         match is {
-            Standing::Draining => {
+            WorkerStatus::Draining => {
                 self.facts.note(now, Fact { about: drain, value: 1.0, age: 0 });
                 self.drained.insert((server, up_since));
             }
-            Standing::Gone => {
+            WorkerStatus::Gone => {
                 self.facts.drop(&drain);
                 self.drained.remove(&(server, up_since));
             }
-            Standing::Ready => {
+            WorkerStatus::Ready => {
                 if self.drained.remove(&(server, up_since)) {
                     self.facts.drop(&drain);
                 }
                 if self.facts.get(now, &drain).is_some() {
-                    return Standing::Draining;
+                    return WorkerStatus::Draining;
                 }
             }
         }
@@ -192,7 +198,7 @@
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
-    const W: ServerId = ServerId(7);
+    const W: WorkerId = WorkerId(7);
 
     fn fact(what: What, value: f32, age: Micros) -> Fact {
         Fact { about: about(what, W, 5), value, age }
@@ -221,9 +227,9 @@
     #[test_case(false, &[("ready", "ready"), ("draining", "draining")]; "nothing before")]
     fn a_drain_is_kept(told: bool, words: &[(&str, &str)]) {
         let standing = |word: &str| match word {
-            "ready" => Standing::Ready,
-            "gone" => Standing::Gone,
-            _ => Standing::Draining,
+            "ready" => WorkerStatus::Ready,
+            "gone" => WorkerStatus::Gone,
+            _ => WorkerStatus::Draining,
         };
         let mut memory = Memory::default();
         if told {
@@ -239,9 +245,13 @@
     fn a_drain_is_of_one_life_and_ends() {
         let mut memory = Memory::default();
         memory.take(S, &[fact(What::Drain, 1.0, 0)]);
-        assert_eq!(memory.listed(2 * S, W, 6, Standing::Ready), Standing::Ready, "it has begun anew");
-        assert_eq!(memory.listed(62 * S, W, 5, Standing::Ready), Standing::Ready, "nobody says it any more");
-        memory.listed(62 * S, W, 5, Standing::Draining);
+        assert_eq!(memory.listed(2 * S, W, 6, WorkerStatus::Ready), WorkerStatus::Ready, "it has begun anew");
+        assert_eq!(
+            memory.listed(62 * S, W, 5, WorkerStatus::Ready),
+            WorkerStatus::Ready,
+            "nobody says it any more"
+        );
+        memory.listed(62 * S, W, 5, WorkerStatus::Draining);
         memory.refresh(200 * S);
         assert_eq!(memory.facts().all(210 * S).count(), 1, "while the list says it, it is young");
     }
@@ -276,8 +286,8 @@
     fn a_whole_list_ends_drains() {
         let mut memory = Memory::default();
         for n in 0..1_000 {
-            memory.listed(S, ServerId(n), 5, Standing::Draining);
-            memory.whole(&[(ServerId(n), 5)]);
+            memory.listed(S, WorkerId(n), 5, WorkerStatus::Draining);
+            memory.whole(&[(WorkerId(n), 5)]);
         }
         memory.refresh(S);
         assert_eq!((memory.drained.len(), memory.facts().len()), (1, 1));
@@ -287,7 +297,7 @@
     fn own_sight_is_young_and_takes_doubt_back() {
         let mut memory = Memory::default();
         memory.take(S, &[fact(What::Aside, 1.0, 0)]);
-        memory.saw(2 * S, W, 5, &Learned { room: 3.0, ..Learned::default() });
+        memory.saw(2 * S, W, 5, &WorkerHistory { room: 3.0, ..WorkerHistory::default() });
         let said: Vec<_> = memory.facts().all(2 * S).map(|f| (f.about.what, f.age)).collect();
         assert_eq!(said, [(What::Room, 0), (What::Lag, 0), (What::Errors, 0)]);
         memory.saw_load_time(S, FunctionId(3), 250_000);
