--- a/crates/recovery/src/peers.rs
+++ b/crates/recovery/src/peers.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Messages to peers; each may be lost, late or repeated.
-pub trait Orders {
+pub trait Actions {
     fn send(&mut self, to: RouterId, message: Vec<u8>);
 }
 
@@ -125,7 +125,7 @@
     }
 
     /// Asks whoever is there, as far as `members` sees; what was learned, once it is all there is to be.
-    pub fn wake(&mut self, now: Micros, live: &[RouterId], orders: &mut dyn Orders) -> Vec<Fact> {
+    pub fn wake(&mut self, now: Micros, live: &[RouterId], orders: &mut dyn Actions) -> Vec<Fact> {
         if self.stage != Stage::Asking || now < self.next {
             return Vec::new();
         }
@@ -173,7 +173,7 @@
         self.next = soon.clamp(now + AGAIN / 10, now + PATIENCE).min(self.born + SPAN);
     }
 
-    fn ask(&mut self, now: Micros, to: RouterId, page: u16, orders: &mut dyn Orders) {
+    fn ask(&mut self, now: Micros, to: RouterId, page: u16, orders: &mut dyn Actions) {
         self.asks += 1;
         let number = self.rng.rand_u64();
         let row = self.asked.entry(to).or_insert(Asked {
@@ -207,7 +207,7 @@
         page: u16,
         last: bool,
         facts: Vec<Fact>,
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         // Guards against an answer to another ask, or of a peer that nobody asked.
         let Some(row) = self.asked.get_mut(&from) else { return };
@@ -258,7 +258,7 @@
         from: RouterId,
         (number, page): (u64, u16),
         facts: &Facts,
-        orders: &mut dyn Orders,
+        orders: &mut dyn Actions,
     ) {
         // Guards against emptiness that is taken for a word: nothing known is not zero.
         if self.guards.empty_is_said && !self.is_ripe(now) {
--- a/crates/recovery/tests/cases.rs
+++ b/crates/recovery/tests/cases.rs
@@ -268,7 +268,7 @@
 #[derive(Default)]
 struct Messages(Vec<Vec<u8>>);
 
-impl Orders for Messages {
+impl Actions for Messages {
     fn send(&mut self, _: applepond_membership::RouterId, message: Vec<u8>) {
         self.0.push(message);
     }
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -123,7 +123,7 @@
 
 struct Out(Vec<(RouterId, Vec<u8>)>);
 
-impl Orders for Out {
+impl Actions for Out {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
         assert!(message.len() <= applepond_membership::MESSAGE_MOST, "{} bytes", message.len());
         self.0.push((to, message));
--- a/crates/settings/src/chains.rs
+++ b/crates/settings/src/chains.rs
@@ -1,6 +1,6 @@
 //! `chain` blocks as plans, each fault at its line and column.
 use crate::sheet::{Part, Place};
-use applepond::interface::{Micros, WorkloadRow};
+use applepond::interface::{Micros, WorkloadConfig};
 use applepond_gateway::deployment::{ChainRow, WorkloadNames};
 use applepond_workflow as chain;
 use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
@@ -35,7 +35,7 @@
 pub fn chain(
     name: &str,
     part: &Part<'_>,
-    rows: &[WorkloadRow],
+    rows: &[WorkloadConfig],
     workloads: &[WorkloadNames],
 ) -> Option<ChainRow> {
     let types = part.texts("types", None);
@@ -73,7 +73,12 @@
     Some(ChainRow { types: types?, function_by: function_by?, plan: Arc::new(plan?) })
 }
 
-fn step(raw: &Raw<'_>, names: &[String], rows: &[WorkloadRow], workloads: &[WorkloadNames]) -> Option<Step> {
+fn step(
+    raw: &Raw<'_>,
+    names: &[String],
+    rows: &[WorkloadConfig],
+    workloads: &[WorkloadNames],
+) -> Option<Step> {
     let part = &raw.part;
     let workload = part.text("workload", None).and_then(|wanted| {
         let found = workloads.iter().position(|w| w.name == wanted);
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -50,7 +50,7 @@
         let second_copies = p.mark("second_copies", Some(true));
         let come_back = p.mark("come_back", Some(true));
         let come_back_max = p.time("come_back_max", Some(S));
-        Some(Permits {
+        Some(AttemptPolicy {
             attempts: attempts? as usize,
             cancel: cancel?,
             second_copies: second_copies?,
@@ -63,7 +63,7 @@
         let warm_within = p.time("warm_within", None);
         let fall_multiple = p.number("fall_multiple", 1.0..1000.0, None);
         let fall_span = p.time("fall_span", None);
-        Some(RuleFigures {
+        Some(SlowStartRules {
             cold_share: cold_share?,
             warm_within: warm_within?,
             fall_multiple: fall_multiple?,
@@ -119,7 +119,7 @@
     let customers = file.named("customer").into_iter().map(|(name, part)| {
         let rate = part.number("jobs_per_s", 0.001..1e9, None);
         part.done();
-        rate.map(|jobs_per_s| (name, CustomerRow { jobs_per_s }))
+        rate.map(|jobs_per_s| (name, CustomerConfig { jobs_per_s }))
     });
     let customers: Vec<_> = customers.collect();
     let functions = file.named("function").into_iter().map(|(name, part)| {
@@ -154,7 +154,7 @@
     let customer_by = file.text("customer_by", Some("customer"));
     let (customers, customer_rows) = customers.into_iter().collect::<Option<Vec<_>>>()?.into_iter().unzip();
     let (callers_most, body_most, remember_for, remember_most, remember_bytes) = bounds?;
-    let rows = Startup {
+    let rows = StartupConfig {
         seed: seed?,
         me: me?,
         routers: routers?,
@@ -218,7 +218,7 @@
     }
 }
 
-fn workload(name: &str, part: &Part<'_>) -> Option<(WorkloadRow, WorkloadNames)> {
+fn workload(name: &str, part: &Part<'_>) -> Option<(WorkloadConfig, WorkloadNames)> {
     let kind = part.one_of("effect", &["restartable", "fingerprinted", "run-once"], None);
     let keyed = kind.as_deref() == Some("fingerprinted");
     let (within, window) = if keyed {
@@ -264,19 +264,23 @@
     }
     let row = function(part);
     let effect = match kind?.as_str() {
-        "restartable" => Effect::Idempotent,
-        "run-once" => Effect::AtMostOnce,
-        _ => Effect::Keyed {
+        "restartable" => RetrySafety::Idempotent,
+        "run-once" => RetrySafety::AtMostOnce,
+        _ => RetrySafety::Keyed {
             within: match within?.as_str() {
-                "everywhere" => Within::Everywhere,
-                "zone" => Within::Zone,
-                _ => Within::Rack,
+                "everywhere" => IdempotencyScope::Everywhere,
+                "zone" => IdempotencyScope::Zone,
+                _ => IdempotencyScope::Rack,
             },
             window: window?,
         },
     };
-    let rows =
-        WorkloadRow { effect, start_target: start_target?, importance: importance?, late_part: late_part? };
+    let rows = WorkloadConfig {
+        effect,
+        start_target: start_target?,
+        importance: importance?,
+        late_part: late_part?,
+    };
     let names = WorkloadNames {
         name: name.to_owned(),
         types: types?,
@@ -395,6 +399,6 @@
     }
     let rack = part.whole_number("rack", 0..1 << 40, Some(0));
     let weight = part.number("weight", 0.001..1e6, Some(1.0));
-    let rack = if part.has("rack") { RackId(rack? as i64) } else { RackId::alone(ServerId::named(&name)) };
+    let rack = if part.has("rack") { RackId(rack? as i64) } else { RackId::alone(WorkerId::named(&name)) };
     Some(NamedWorker { name, address: address?, zone: place, rack, weight: weight? })
 }
--- a/crates/storage/src/kept.rs
+++ b/crates/storage/src/kept.rs
@@ -1,6 +1,6 @@
 //! What is kept of a chain, and what that means for one that goes on after a kill.
 use crate::Micros;
-use applepond::interface::{Effect, Within};
+use applepond::interface::{IdempotencyScope, RetrySafety};
 use applepond_workflow::run::Recorded;
 use applepond_workflow::{How, Plan, StepId};
 use serde::{Deserialize, Serialize};
@@ -75,11 +75,11 @@
 /// Whether a step that was sent, and whose end is not known, may be sent once more. An idempotency key helps
 /// only where the repeat is known by whoever gets it: after a kill nobody here knows which rack or zone got
 /// the first.
-fn again(effect: Effect, sent: Micros, now: Micros) -> bool {
+fn again(effect: RetrySafety, sent: Micros, now: Micros) -> bool {
     match effect {
-        Effect::Idempotent => true,
-        Effect::Keyed { within: Within::Everywhere, window } => now < sent + window,
-        Effect::Keyed { .. } | Effect::AtMostOnce => false,
+        RetrySafety::Idempotent => true,
+        RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window } => now < sent + window,
+        RetrySafety::Keyed { .. } | RetrySafety::AtMostOnce => false,
     }
 }
 
@@ -107,15 +107,16 @@
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
-    const EVERYWHERE: Effect = Effect::Keyed { within: Within::Everywhere, window: 3 * S };
-    const RACK: Effect = Effect::Keyed { within: Within::Rack, window: 3 * S };
+    const EVERYWHERE: RetrySafety =
+        RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window: 3 * S };
+    const RACK: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S };
 
-    #[test_case(Effect::Idempotent, 9, None; "idempotent: begun again")]
+    #[test_case(RetrySafety::Idempotent, 9, None; "idempotent: begun again")]
     #[test_case(EVERYWHERE, 2, None; "keyed everywhere, in its window: begun again")]
     #[test_case(EVERYWHERE, 3, Some(How::MayHaveRun); "past its window")]
     #[test_case(RACK, 2, Some(How::MayHaveRun); "keyed by rack: which one is not known")]
-    #[test_case(Effect::AtMostOnce, 0, Some(How::MayHaveRun); "at-most-once")]
-    fn sent_without_an_end(effect: Effect, later_s: u64, want: Option<How>) {
+    #[test_case(RetrySafety::AtMostOnce, 0, Some(How::MayHaveRun); "at-most-once")]
+    fn sent_without_an_end(effect: RetrySafety, later_s: u64, want: Option<How>) {
         let step = Step {
             name: "a".into(),
             workload: 0,
--- a/crates/storage/src/votes.rs
+++ b/crates/storage/src/votes.rs
@@ -1,6 +1,6 @@
 //! A keeper's vote on disk, in a `redb` file of its own: there as a whole once it is said to be kept.
 use applepond_consensus::{Trouble, Vote, Votes};
-use applepond_membership::Birth;
+use applepond_membership::InstanceId;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -16,23 +16,23 @@
 pub struct VoteFile(Database);
 
 /// The file, its number and the vote that it holds.
-pub type Opened<V> = (VoteFile, Birth, Option<Vote<V>>);
+pub type Opened<V> = (VoteFile, InstanceId, Option<Vote<V>>);
 
 impl VoteFile {
     /// Opens the file, or makes it under the number `fresh`, and reads its number and the vote that it holds:
     /// none where it is new. A file that is not one of votes, was cut or written over is torn.
-    pub fn open<V: DeserializeOwned>(file: &Path, fresh: Birth) -> Result<Opened<V>, Trouble> {
+    pub fn open<V: DeserializeOwned>(file: &Path, fresh: InstanceId) -> Result<Opened<V>, Trouble> {
         Self::with(Database::create(file).map_err(|_| Trouble::Torn)?, fresh)
     }
 
-    fn with<V: DeserializeOwned>(database: Database, fresh: Birth) -> Result<Opened<V>, Trouble> {
+    fn with<V: DeserializeOwned>(database: Database, fresh: InstanceId) -> Result<Opened<V>, Trouble> {
         let torn = |_: redb::Error| Trouble::Torn;
         let begun = database.begin_write().map_err(|e| torn(e.into()))?;
         let disk = {
             let mut table = begun.open_table(VOTE).map_err(|e| torn(e.into()))?;
             let known = table.get(DISK).map_err(|e| torn(e.into()))?.map(|b| b.value().to_vec());
             match known {
-                Some(bytes) => Birth(u64::from_le_bytes(bytes.try_into().map_err(|_| Trouble::Torn)?)),
+                Some(bytes) => InstanceId(u64::from_le_bytes(bytes.try_into().map_err(|_| Trouble::Torn)?)),
                 None => {
                     table.insert(DISK, &fresh.0.to_le_bytes()[..]).map_err(|e| torn(e.into()))?;
                     fresh
@@ -82,13 +82,13 @@
     fn kept_over_a_restart() {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("votes");
-        let (mut disk, number, found) = VoteFile::open::<String>(&file, Birth(5)).expect("a new file");
-        assert_eq!(number, Birth(5));
+        let (mut disk, number, found) = VoteFile::open::<String>(&file, InstanceId(5)).expect("a new file");
+        assert_eq!(number, InstanceId(5));
         let mut keeper = Keeper::new(FLEET, Ok(found));
         assert_eq!(keeper.accept(ballot(4), "term".to_owned(), &mut disk), Some(Ok(())));
         drop(disk);
-        let (mut disk, number, found) = VoteFile::open::<String>(&file, Birth(9)).expect("opened again");
-        assert_eq!(number, Birth(5), "the same file");
+        let (mut disk, number, found) = VoteFile::open::<String>(&file, InstanceId(9)).expect("opened again");
+        assert_eq!(number, InstanceId(5), "the same file");
         let mut keeper = Keeper::new(FLEET, Ok(found.clone()));
         assert_eq!(keeper.promise(ballot(3), &mut disk), Some(Err(ballot(4))), "it knows its word");
         assert_eq!(Keeper::new(FLEET + 1, Ok(found)).trouble(), Some(Trouble::Foreign));
@@ -99,7 +99,7 @@
     fn a_file_that_was_cut() {
         let folder = tempfile::tempdir().expect("a folder");
         let (file, cut) = (folder.path().join("votes"), folder.path().join("cut"));
-        let (mut disk, _, _) = VoteFile::open::<String>(&file, Birth(5)).expect("a new file");
+        let (mut disk, _, _) = VoteFile::open::<String>(&file, InstanceId(5)).expect("a new file");
         let mut keeper = Keeper::new(FLEET, Ok(None));
         for round in 1..=40 {
             assert!(keeper.accept(ballot(round), "x".repeat(200), &mut disk).is_some());
@@ -109,14 +109,14 @@
         let mut torn = 0;
         for at in (1..whole.len()).step_by(4_096) {
             std::fs::write(&cut, &whole[..at]).expect("written");
-            match VoteFile::open::<String>(&cut, Birth(6)) {
+            match VoteFile::open::<String>(&cut, InstanceId(6)) {
                 Ok((_, _, found)) => assert_eq!(found.as_ref(), Some(keeper.vote()), "cut at {at}"),
                 Err(trouble) => torn += usize::from(trouble == Trouble::Torn),
             }
         }
         assert!(torn > 10, "{torn}");
         std::fs::write(&cut, "certainly no votes ".repeat(1_000)).expect("written");
-        assert_eq!(VoteFile::open::<String>(&cut, Birth(6)).err(), Some(Trouble::Torn));
+        assert_eq!(VoteFile::open::<String>(&cut, InstanceId(6)).err(), Some(Trouble::Torn));
     }
 
     // Whichever write fails: what was told is there afterwards, and the keeper has said why it stopped.
@@ -129,7 +129,7 @@
             let on = |left: &Arc<AtomicU64>| {
                 let backend = Fails { inner: inner.clone(), left: left.clone() };
                 let database = Database::builder().create_with_backend(backend).expect("a store");
-                VoteFile::with::<String>(database, Birth(5)).expect("a table")
+                VoteFile::with::<String>(database, InstanceId(5)).expect("a table")
             };
             let (mut disk, _, _) = on(&left);
             let mut keeper = Keeper::new(FLEET, Ok(None));
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -2,7 +2,7 @@
 //! disk of the one before.
 use applepond::interface::Micros;
 use applepond_consensus::{Agreed, Ballot, Seat, Vote, Votes};
-use applepond_membership::{Birth, RouterId};
+use applepond_membership::{InstanceId, RouterId};
 use applepond_storage::*;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
@@ -79,9 +79,9 @@
 fn votes_keep_their_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("votes");
-    let seat = |n: u64| Seat { name: RouterId(n * 1_000_003), disk: Birth(n * 77_777_777_777) };
+    let seat = |n: u64| Seat { name: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) };
     let agreed = Agreed {
-        line: Birth(987_654_321),
+        line: InstanceId(987_654_321),
         number: 300,
         keepers: vec![seat(1), seat(2), seat(3)],
         before: vec![seat(4)],
@@ -89,14 +89,14 @@
     };
     let ballot = |round| Ballot { round, by: 0xfeed_f00d };
     let vote = Vote { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
-    let (mut disk, _, _) = VoteFile::open::<Agreed<Vec<u8>>>(&file, Birth(555)).expect("a new file");
+    let (mut disk, _, _) = VoteFile::open::<Agreed<Vec<u8>>>(&file, InstanceId(555)).expect("a new file");
     disk.keep(&vote).expect("room");
     drop(disk);
     let database = Database::create(&file).expect("opened again");
     insta::assert_snapshot!("votes", rows(&database, "vote").join("\n"));
     drop(database);
-    let (_, number, found) = VoteFile::open::<Agreed<Vec<u8>>>(&file, Birth(1)).expect("opened again");
-    assert_eq!((number, found), (Birth(555), Some(vote)));
+    let (_, number, found) = VoteFile::open::<Agreed<Vec<u8>>>(&file, InstanceId(1)).expect("opened again");
+    assert_eq!((number, found), (InstanceId(555), Some(vote)));
 }
 
 #[test]
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -1,5 +1,5 @@
 //! What a chain may do, and the look at it as a whole before it is taken.
-use applepond::interface::{Effect, Micros};
+use applepond::interface::{Micros, RetrySafety};
 use std::collections::BTreeSet;
 
 /// Steps of one plan at most: a chain that grows without end is refused with its plan.
@@ -63,7 +63,7 @@
     pub name: String,
     /// Row of the workload that its jobs belong to.
     pub workload: usize,
-    pub effect: Effect,
+    pub effect: RetrySafety,
     pub function: Function,
     /// µs that it takes at the least, as long as nothing has been learned.
     pub at_least: Micros,
@@ -270,7 +270,7 @@
                 let found = format!("step \"{}\" both on the way and as an undo", step.name);
                 fault(Some(n), Part::Step, found, "an undo of its own");
             }
-            if is_undo && step.effect == Effect::AtMostOnce {
+            if is_undo && step.effect == RetrySafety::AtMostOnce {
                 let found = format!("undo \"{}\" in a run-once workload", step.name);
                 fault(Some(n), Part::Step, found, "one that may be repeated until it is done");
             }
@@ -278,7 +278,7 @@
                 let found = format!("undo \"{}\" that leads on", step.name);
                 fault(Some(n), Part::Next, found, "an undo without next, else or undo");
             }
-            if step.undo.is_some() && step.effect == Effect::Idempotent {
+            if step.undo.is_some() && step.effect == RetrySafety::Idempotent {
                 let found = format!("an undo of the idempotent \"{}\"", step.name);
                 fault(Some(n), Part::Undo, found, "an undo of a step whose effect lasts");
             }
@@ -300,7 +300,7 @@
             // repeat.
             for to in step.or_else.iter().flat_map(|b| b.go.steps()) {
                 let other = self.step(to);
-                if step.effect == Effect::AtMostOnce
+                if step.effect == RetrySafety::AtMostOnce
                     && (other.workload, &other.function) == (step.workload, &step.function)
                 {
                     let found = format!("\"{}\" repeats the run-once \"{}\"", other.name, step.name);
@@ -330,7 +330,7 @@
                         }
                         if matches!(branch.go, Go::First(..))
                             && let Some(arm) =
-                                arms.iter().find(|a| self.step(**a).effect == Effect::AtMostOnce)
+                                arms.iter().find(|a| self.step(**a).effect == RetrySafety::AtMostOnce)
                         {
                             let found =
                                 format!("run-once \"{}\" among the first of several", self.step(*arm).name);
--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -3,7 +3,7 @@
 //! A chain that was cut off in the middle runs again from its beginning with what is on record: a step
 //! whose end is known is not begun again, it ends at once as it ended then.
 use crate::plan::{Branch, Function, Go, Plan, Step, StepId};
-use applepond::interface::{Effect, Micros};
+use applepond::interface::{Micros, RetrySafety};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -434,7 +434,7 @@
         self.cancel_rest(todo);
         let lasts = |s: &&StepId| {
             matches!(self.states[s.0], State::Ended(How::Finished | How::MayHaveRun))
-                && self.plan.step(**s).effect != Effect::Idempotent
+                && self.plan.step(**s).effect != RetrySafety::Idempotent
         };
         let ended = match self.order.iter().any(|s| lasts(&s)) {
             true => Ended::Failed(step, why),
--- a/crates/workflow/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -1,20 +1,20 @@
 //! Plans in a few words, and a run with its clock.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond::interface::{Effect, Micros, Within};
+use applepond::interface::{IdempotencyScope, Micros, RetrySafety};
 use applepond_workflow::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-pub const MARKED: Effect = Effect::Keyed { within: Within::Rack, window: 3 * S };
+pub const MARKED: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S };
 
 /// A step of 100 ms at the least that leads nowhere.
-pub fn step(name: &str, effect: Effect) -> Step {
+pub fn step(name: &str, effect: RetrySafety) -> Step {
     let workload = match effect {
-        Effect::Idempotent => 0,
-        Effect::Keyed { .. } => 1,
-        Effect::AtMostOnce => 2,
+        RetrySafety::Idempotent => 0,
+        RetrySafety::Keyed { .. } => 1,
+        RetrySafety::AtMostOnce => 2,
     };
     Step {
         name: name.to_owned(),
@@ -30,7 +30,7 @@
 }
 
 pub fn free(step: &str) -> Step {
-    self::step(step, Effect::Idempotent)
+    self::step(step, RetrySafety::Idempotent)
 }
 
 pub fn id(n: usize) -> StepId {
--- a/crates/workflow/tests/plans.rs
+++ b/crates/workflow/tests/plans.rs
@@ -1,7 +1,7 @@
 //! Plans looked at as a whole.
 mod common;
 
-use applepond::interface::Effect::AtMostOnce;
+use applepond::interface::RetrySafety::AtMostOnce;
 use applepond_workflow::*;
 use common::*;
 use test_case::test_case;
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -1,7 +1,7 @@
 //! Chains step by step: what is begun, left out, refused, cancelled and taken back.
 mod common;
 
-use applepond::interface::Effect::AtMostOnce;
+use applepond::interface::RetrySafety::AtMostOnce;
 use applepond_workflow::*;
 use common::*;
 use std::collections::BTreeMap;
--- a/src/control.rs
+++ b/src/control.rs
@@ -2,7 +2,7 @@
 //!
 //! How it is called: an instance's owner makes one `Control` from the start-up rows and calls, for each
 //! event, `clock` and one of `list`, `job`, `answered`, `streaming`, `left`, `wake`, `switch` (other rows).
-//! Interface: `src/interface.rs` (ids, time, rows, `Answer`, `Orders`). No wire, no input or output here.
+//! Interface: `src/interface.rs` (ids, time, rows, `AttemptResult`, `Actions`). No wire, no input or output here.
 //!
 //! The design (docs/design.md): a function's jobs go to its home, the first worker in a hash order that all
 //! routers share; lanes filled by own jobs move on to the next worker; one copy after the hedge delay; what
@@ -132,11 +132,11 @@
 // ---- What is kept ----------------------------------------------------------------------
 
 /// What to do with the result of a step: an attempt's answer, or nothing but the time.
-type Step = Box<dyn FnOnce(&mut Control, &mut dyn Orders, Option<&Answer>)>;
+type Step = Box<dyn FnOnce(&mut Control, &mut dyn Actions, Option<&AttemptResult>)>;
 
 /// One attempt that is out, also when its job has ended.
 struct Out {
-    server: ServerId,
+    server: WorkerId,
     function: FunctionId,
     workload: WorkloadId,
     customer: Option<CustomerId>,
@@ -146,9 +146,9 @@
 }
 
 impl Server {
-    fn new(now: Micros, entry: &Listed, rows: &Startup) -> Self {
+    fn new(now: Micros, entry: &Endpoint, rows: &StartupConfig) -> Self {
         Server {
-            open: entry.standing == Standing::Ready,
+            open: entry.standing == WorkerStatus::Ready,
             up_since: entry.up_since,
             zone: entry.zone,
             rack: entry.rack,
@@ -181,9 +181,9 @@
 
 impl Draw for HashOrder {
     type Key = FunctionId;
-    type Member = ServerId;
+    type Member = WorkerId;
 
-    fn digest(id: ServerId) -> u64 {
+    fn digest(id: WorkerId) -> u64 {
         digest_second(id.0)
     }
 
@@ -205,7 +205,7 @@
 
 /// The table of workloads: a row each, only what is read.
 struct Workload {
-    effect: Effect,
+    effect: RetrySafety,
     start_target: Micros,
     importance: f64,
     late_part: f64,
@@ -215,7 +215,7 @@
 }
 
 impl Workload {
-    fn new(row: &WorkloadRow) -> Self {
+    fn new(row: &WorkloadConfig) -> Self {
         Workload {
             effect: row.effect,
             start_target: row.start_target.max(1),
@@ -234,7 +234,7 @@
 }
 
 impl Customer {
-    fn new(now: Micros, row: &CustomerRow) -> Self {
+    fn new(now: Micros, row: &CustomerConfig) -> Self {
         Customer { jobs_per_s: row.jobs_per_s, tokens: f64::MAX, at: now }
     }
 }
@@ -242,20 +242,20 @@
 pub struct Control {
     now: Micros,
     rng: Rand64,
-    rows: Startup,
+    rows: StartupConfig,
     workloads: Vec<Workload>,
     customers: Vec<Customer>,
     servers: Servers,
     functions: Functions,
     /// The first workers of functions' hash orders, as far as they are walked.
     prefixes: PrefixCache<HashOrder>,
-    jobs: BTreeMap<JobId, Job>,
+    jobs: BTreeMap<RequestId, Job>,
     /// Jobs that wait here: most valuable first, then oldest.
-    held: Waiting<JobId, FunctionId, WorkloadId>,
+    held: Waiting<RequestId, FunctionId, WorkloadId>,
     /// Where own loads are under way.
-    loading: BTreeSet<(FunctionId, ServerId)>,
-    out: BTreeMap<(JobId, usize), Out>,
-    steps: BTreeMap<Token, Step>,
+    loading: BTreeSet<(FunctionId, WorkerId)>,
+    out: BTreeMap<(RequestId, usize), Out>,
+    steps: BTreeMap<TimerToken, Step>,
     next_token: u64,
     /// A list has come.
     listed: bool,
@@ -282,7 +282,7 @@
 }
 
 impl Control {
-    pub fn new(now: Micros, rows: Startup, orders: &mut dyn Orders) -> Self {
+    pub fn new(now: Micros, rows: StartupConfig, orders: &mut dyn Actions) -> Self {
         let workloads = rows.workloads.iter().map(Workload::new);
         let customers = rows.customers.iter().map(|row| Customer::new(now, row));
         let mut control = Control {
@@ -338,7 +338,7 @@
 
     /// Other rows from now on, of the same workloads and customers in the same places, new ones after them.
     /// Jobs keep their effect; where no second copy may run any more, those that do are taken back.
-    pub fn switch(&mut self, orders: &mut dyn Orders, rows: Startup) {
+    pub fn switch(&mut self, orders: &mut dyn Actions, rows: StartupConfig) {
         for (n, row) in rows.workloads.iter().enumerate() {
             let mut new = Workload::new(row);
             if let Some(old) = self.workloads.get(n) {
@@ -365,8 +365,8 @@
     }
 
     /// What was learned of each worker's life, and how long functions take to load.
-    pub fn learned(&self) -> impl Iterator<Item = (ServerId, Micros, Learned)> + '_ {
-        let of = |s: &Server| Learned::of([s.room, s.lag, s.errors], s.trickle.is_some());
+    pub fn learned(&self) -> impl Iterator<Item = (WorkerId, Micros, WorkerHistory)> + '_ {
+        let of = |s: &Server| WorkerHistory::of([s.room, s.lag, s.errors], s.trickle.is_some());
         self.servers.iter().map(move |(id, s)| (*id, s.up_since, of(s)))
     }
 
@@ -376,7 +376,7 @@
 
     /// Takes up what was learned before a restart, or by others; false where it cannot be yet. A hint: it
     /// gives no more room than a newcomer has, and a worker in doubt is tried by one job.
-    pub fn recall(&mut self, id: ServerId, up_since: Micros, told: &Learned) -> bool {
+    pub fn recall(&mut self, id: WorkerId, up_since: Micros, told: &WorkerHistory) -> bool {
         let same = |s: &&mut Server| s.up_since == up_since && s.room > 0.0;
         let Some(s) = self.servers.get_mut(&id).filter(same) else { return false };
         s.room = s.room.min(told.room.max(Self::room_least(self.pace, s.weight)));
@@ -386,27 +386,27 @@
         true
     }
 
-    pub fn list(&mut self, orders: &mut dyn Orders, kind: ListKind, entries: &[Listed]) {
-        if kind == ListKind::Failed {
+    pub fn list(&mut self, orders: &mut dyn Actions, kind: EndpointListKind, entries: &[Endpoint]) {
+        if kind == EndpointListKind::Failed {
             orders.watch();
             return;
         }
         if !std::mem::replace(&mut self.listed, true) {
             // Who drains as this router starts is part of what the customers' shares are meant for.
-            let there = entries.iter().filter(|e| e.standing != Standing::Gone);
+            let there = entries.iter().filter(|e| e.standing != WorkerStatus::Gone);
             self.weight_most = there.map(|e| Server::new(self.now, e, &self.rows).weight).sum();
         }
-        if kind != ListKind::Changes {
-            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+        if kind != EndpointListKind::Changes {
+            let named: BTreeSet<WorkerId> = entries.iter().map(|e| e.server).collect();
             let unnamed = self.servers.iter().filter(|(id, s)| s.open && !named.contains(id));
-            let unnamed: Vec<ServerId> = unnamed.map(|(id, _)| *id).collect();
+            let unnamed: Vec<WorkerId> = unnamed.map(|(id, _)| *id).collect();
             unnamed.into_iter().for_each(|id| self.servers.change(id, |s| s.open = false));
         }
         for entry in entries {
             let told = Server::new(self.now, entry, &self.rows);
             let id = entry.server;
             match self.servers.get(&id) {
-                Some(s) if s.up_since == entry.up_since || entry.standing != Standing::Ready => {
+                Some(s) if s.up_since == entry.up_since || entry.standing != WorkerStatus::Ready => {
                     self.servers.change(id, |s| {
                         (s.open, s.zone, s.rack, s.weight) = (told.open, told.zone, told.rack, told.weight);
                     });
@@ -416,7 +416,7 @@
                     let lost = self.servers.change(id, |s| s.succeed(told));
                     self.functions.lost(id, &lost);
                 }
-                None if entry.standing == Standing::Ready => self.servers.insert(id, told),
+                None if entry.standing == WorkerStatus::Ready => self.servers.insert(id, told),
                 None => {}
             }
         }
@@ -463,7 +463,7 @@
         all / self.weight_most.max(1e-9)
     }
 
-    pub fn job(&mut self, orders: &mut dyn Orders, arrival: &Arrival) {
+    pub fn job(&mut self, orders: &mut dyn Actions, arrival: &RequestArrival) {
         let now = self.now;
         // Second tries earn nothing: in a storm of them copies and further attempts would grow with it.
         let earned = if arrival.retry { 0.0 } else { BUDGET_PER_JOB };
@@ -515,18 +515,24 @@
         }
     }
 
-    pub fn answered(&mut self, orders: &mut dyn Orders, job: JobId, attempt: usize, answer: &Answer) {
+    pub fn answered(
+        &mut self,
+        orders: &mut dyn Actions,
+        job: RequestId,
+        attempt: usize,
+        answer: &AttemptResult,
+    ) {
         let Some(out) = self.out.remove(&(job, attempt)) else { return };
         self.learn(orders, &out, answer);
         (out.then)(self, orders, Some(answer));
         self.dispatch(orders);
     }
 
-    pub fn streaming(&mut self, job: JobId) {
+    pub fn streaming(&mut self, job: RequestId) {
         self.jobs.entry(job).and_modify(|j| j.streaming = true);
     }
 
-    pub fn left(&mut self, orders: &mut dyn Orders, job: JobId) {
+    pub fn left(&mut self, orders: &mut dyn Actions, job: RequestId) {
         // Clients that lose patience come again: what still waits for them at workers is only in the way.
         if self.jobs.contains_key(&job) {
             self.cancel_rest(orders, job);
@@ -534,14 +540,14 @@
         self.forget(job);
     }
 
-    pub fn wake(&mut self, orders: &mut dyn Orders, token: Token) {
+    pub fn wake(&mut self, orders: &mut dyn Actions, token: TimerToken) {
         self.steps.remove(&token).into_iter().for_each(|step| step(self, orders, None));
     }
 
     // ---- The ordinary path: home, next, hold, copy -----------------------------------------
 
     /// Sends what waits here, most valuable and oldest first, as far as there is room.
-    fn dispatch(&mut self, orders: &mut dyn Orders) {
+    fn dispatch(&mut self, orders: &mut dyn Actions) {
         let mut heads = self.held.heads();
         while let Some(key) = heads.pop_first() {
             // Where the first job of a function finds no place, the others of it need not look.
@@ -554,7 +560,7 @@
     }
 
     /// Lets a job wait here.
-    fn hold(&mut self, id: JobId) {
+    fn hold(&mut self, id: RequestId) {
         let job = &self.jobs[&id];
         let (bare, late) = (job.tried.is_empty(), job.late);
         let row = Row { function: job.function, workload: job.workload, deadline: job.deadline, bare, late };
@@ -568,7 +574,7 @@
     }
 
     /// The worker for a job's next attempt, or None where it has to wait here.
-    fn place(&mut self, id: JobId) -> Option<ServerId> {
+    fn place(&mut self, id: RequestId) -> Option<WorkerId> {
         let function = self.jobs[&id].function;
         // What no worker may hold, and the others keep nowhere, waits while no further load may begin.
         let kept = || self.elsewhere(function) * self.rows.keep as f64 >= KEPT_JOBS;
@@ -582,23 +588,29 @@
     }
 
     /// Walks the function's order for a job.
-    fn walk(&mut self, id: JobId, function: FunctionId, order: &mut Prefix<ServerId>) -> Option<ServerId> {
+    fn walk(
+        &mut self,
+        id: RequestId,
+        function: FunctionId,
+        order: &mut Prefix<WorkerId>,
+    ) -> Option<WorkerId> {
         let (now, beat) = (self.now, self.servers.beat());
         let job = &self.jobs[&id];
         let row = &self.workloads[job.workload.0];
-        let risky = job.effect == Effect::AtMostOnce && self.workloads.iter().any(|w| w.effect != job.effect);
+        let risky =
+            job.effect == RetrySafety::AtMostOnce && self.workloads.iter().any(|w| w.effect != job.effect);
         let (mut home, mut warm, mut next, mut presumed) = (None, None, None, false);
         let mut beyond = self.elsewhere(function);
         let takes = self.capacity_per_weight() * FUNCTION_PART;
         // What overflow may do is the same at all workers.
-        let own = (function, ServerId(0))..=(function, ServerId(u64::MAX));
+        let own = (function, WorkerId(0))..=(function, WorkerId(u64::MAX));
         let pending = LazyCell::new(|| self.loading.range(own).any(|(_, id)| self.servers[id].open));
         let gate = (self.loading.len() as f64) < self.loads;
         // Nor while loads jam everywhere: each further one makes the others late, and moves no job in time.
         let jam = self.under_way > LOADS_CALM;
         let (open, holders) = (self.servers.open(), self.functions[&function].at.len());
         let (mut next_place, mut looked) = (0, 0);
-        let mut tail: Option<std::vec::IntoIter<Ranked<ServerId>>> = None;
+        let mut tail: Option<std::vec::IntoIter<Ranked<WorkerId>>> = None;
         loop {
             // With the home known, and a next one or none wanted, only those that serve matter, sought alone.
             let settled = home.is_some()
@@ -690,20 +702,20 @@
     }
 
     /// Workers that serve the function, in its order, from this one on.
-    fn serving_from(&self, function: FunctionId, from: &Ranked<ServerId>) -> Vec<Ranked<ServerId>> {
-        let ranked = |id: &ServerId| {
+    fn serving_from(&self, function: FunctionId, from: &Ranked<WorkerId>) -> Vec<Ranked<WorkerId>> {
+        let ranked = |id: &WorkerId| {
             let weight = self.servers[id].weight;
             Ranked { score: HashOrder::score(mix(function.0, id.0), weight), weight, member: *id }
         };
         let serves =
-            |id: &&ServerId| self.servers.get(id).is_some_and(|s| s.open && s.serving(self.now, function));
+            |id: &&WorkerId| self.servers.get(id).is_some_and(|s| s.open && s.serving(self.now, function));
         let serving = self.functions[&function].at.iter().filter(serves).map(ranked);
         let mut serving: Vec<_> = serving.filter(|at| at.order(from).is_ge()).collect();
         serving.sort_by(Ranked::order);
         serving
     }
 
-    fn send(&mut self, orders: &mut dyn Orders, id: JobId, server: ServerId, copy: bool) {
+    fn send(&mut self, orders: &mut dyn Actions, id: RequestId, server: WorkerId, copy: bool) {
         let now = self.now;
         let job = self.jobs.get_mut(&id).expect("only jobs that are held here are sent");
         let (function, workload, customer, n) = (job.function, job.workload, job.customer, job.tried.len());
@@ -729,7 +741,7 @@
         self.servers.account(server, before);
         let then: Step = Box::new(move |c, o, answer| c.closed(o, id, n, answer.expect("what it ends with")));
         self.out.insert((id, n), Out { server, function, workload, customer, sent: now, serving, then });
-        if !copy && self.rows.permits.second_copies && effect != Effect::AtMostOnce {
+        if !copy && self.rows.permits.second_copies && effect != RetrySafety::AtMostOnce {
             // The design's delay: twice the load time and the start target.
             let delay = 2 * self.load_time(function) + row.start_target;
             self.wake_then(orders, delay, Box::new(move |c, o, _| c.hedge(o, id, n)));
@@ -738,7 +750,7 @@
 
     /// The one copy that follows an attempt that has not finished within the hedge delay, or whose worker
     /// has been set aside.
-    fn hedge(&mut self, orders: &mut dyn Orders, id: JobId, n: usize) {
+    fn hedge(&mut self, orders: &mut dyn Actions, id: RequestId, n: usize) {
         let Some(job) = self.jobs.get(&id) else { return };
         let alone = job.tried.len() == n + 1 && job.tried[n].fate == Fate::Out;
         if !alone || job.streaming || !self.repeat_allowed(job) || job.deadline <= self.now + LAST_CALL {
@@ -761,7 +773,7 @@
     }
 
     /// An attempt has closed: what its job does next.
-    fn closed(&mut self, orders: &mut dyn Orders, id: JobId, n: usize, answer: &Answer) {
+    fn closed(&mut self, orders: &mut dyn Actions, id: RequestId, n: usize, answer: &AttemptResult) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.tried[n].closed = self.now;
         job.tried[n].fate = match answer.outcome {
@@ -793,9 +805,9 @@
     fn repeat_until(job: &Job) -> Micros {
         let risky = job.tried.iter().filter(|t| t.fate != Fate::NeverRan).map(|t| t.sent).min();
         match (risky, job.effect) {
-            (None, _) | (_, Effect::Idempotent) => Micros::MAX,
-            (Some(first), Effect::Keyed { window, .. }) => (first + window).saturating_sub(BEAT),
-            (Some(_), Effect::AtMostOnce) => 0,
+            (None, _) | (_, RetrySafety::Idempotent) => Micros::MAX,
+            (Some(first), RetrySafety::Keyed { window, .. }) => (first + window).saturating_sub(BEAT),
+            (Some(_), RetrySafety::AtMostOnce) => 0,
         }
     }
 
@@ -805,18 +817,18 @@
     }
 
     /// Every send passes here: the list, repeats and their group, and workers this job has just left.
-    fn may_send(&self, job: &Job, id: ServerId) -> bool {
+    fn may_send(&self, job: &Job, id: WorkerId) -> bool {
         let Some(s) = self.servers.get(&id).filter(|s| s.open) else { return false };
         let rested = |t: &Tried| t.server != id || (t.fate != Fate::Out && t.closed + REST <= self.now);
         if !job.tried.iter().all(rested) || !self.repeat_allowed(job) {
             return false;
         }
         match job.effect {
-            Effect::Keyed { within, .. } => {
+            RetrySafety::Keyed { within, .. } => {
                 job.tried.iter().filter(|t| t.fate != Fate::NeverRan).all(|t| match within {
-                    Within::Everywhere => true,
-                    Within::Zone => t.zone.is_some() && t.zone == s.zone,
-                    Within::Rack => t.rack == s.rack,
+                    IdempotencyScope::Everywhere => true,
+                    IdempotencyScope::Zone => t.zone.is_some() && t.zone == s.zone,
+                    IdempotencyScope::Rack => t.rack == s.rack,
                 })
             }
             _ => true,
@@ -824,12 +836,14 @@
     }
 
     /// The one end of a job that this router decides: pushed back where the rules allow it, else killed.
-    fn give_up(&mut self, orders: &mut dyn Orders, id: JobId) {
+    fn give_up(&mut self, orders: &mut dyn Actions, id: RequestId) {
         let Some(job) = self.jobs.get(&id).filter(|j| !j.streaming) else { return };
         let may_have_run = job.tried.iter().any(|t| t.fate != Fate::NeverRan);
         let harmless = match job.effect {
-            Effect::Idempotent => true,
-            Effect::Keyed { within: Within::Everywhere, .. } if self.repeat_allowed(job) => true,
+            RetrySafety::Idempotent => true,
+            RetrySafety::Keyed { within: IdempotencyScope::Everywhere, .. } if self.repeat_allowed(job) => {
+                true
+            }
             _ => !may_have_run,
         };
         if harmless {
@@ -844,18 +858,18 @@
     }
 
     /// Ends all jobs, each with its one answer, for a process that has to go.
-    pub fn end_all(&mut self, orders: &mut dyn Orders) {
+    pub fn end_all(&mut self, orders: &mut dyn Actions) {
         self.jobs.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(orders, id));
     }
 
-    fn cancel_rest(&self, orders: &mut dyn Orders, id: JobId) {
+    fn cancel_rest(&self, orders: &mut dyn Actions, id: RequestId) {
         if self.rows.permits.cancel {
             let live = self.jobs[&id].tried.iter().enumerate().filter(|(_, t)| t.fate == Fate::Out);
             live.for_each(|(n, _)| orders.cancel(id, n));
         }
     }
 
-    fn forget(&mut self, id: JobId) {
+    fn forget(&mut self, id: RequestId) {
         if let Some(job) = self.jobs.remove(&id) {
             self.held.remove(&(Reverse(job.value), job.came, id));
             self.functions.over(job.function);
@@ -864,13 +878,13 @@
 
     // ---- What answers teach ----------------------------------------------------------------
 
-    fn learn(&mut self, orders: &mut dyn Orders, out: &Out, answer: &Answer) {
+    fn learn(&mut self, orders: &mut dyn Actions, out: &Out, answer: &AttemptResult) {
         let before = self.servers.jobs_at(out.server);
         self.learn_from(orders, out, answer);
         self.servers.account(out.server, before);
     }
 
-    fn learn_from(&mut self, orders: &mut dyn Orders, out: &Out, answer: &Answer) {
+    fn learn_from(&mut self, orders: &mut dyn Actions, out: &Out, answer: &AttemptResult) {
         let (now, beat) = (self.now, self.servers.beat());
         let usual = self.load_time(out.function) as f64;
         let others = (self.rows.routers - 1) as f64;
@@ -903,7 +917,7 @@
             *known += CROWD_FRESH * (held * others / (others + 1.0) - *known);
         }
         self.under_way += SERVICE_FRESH * (answer.loads.unwrap_or(0.0) - self.under_way);
-        let stood = answer.copy == Copy::Stood || (answer.copy == Copy::Unsaid && out.serving);
+        let stood = answer.copy == LoadState::Stood || (answer.copy == LoadState::Unsaid && out.serving);
         match answer.outcome {
             Outcome::Finished => {
                 (hold.loading, hold.serving_until) = (None, now + self.rows.keep);
@@ -934,7 +948,7 @@
                     s.trickle = (n * 2 < TRICKLE_END).then_some(n * 2);
                     s.backoff = if s.trickle.is_some() { s.backoff } else { ASIDE };
                 }
-                if answer.copy == Copy::Begun {
+                if answer.copy == LoadState::Begun {
                     if answer.elapsed as f64 > usual * LOAD_SLOW {
                         self.loads_slow();
                     } else {
@@ -944,7 +958,7 @@
                     }
                 }
             }
-            Outcome::Missing | Outcome::Error if answer.copy == Copy::LoadFailed => {
+            Outcome::Missing | Outcome::Error if answer.copy == LoadState::LoadFailed => {
                 hold.serving_until = 0;
                 self.loads_slow();
             }
@@ -1002,7 +1016,7 @@
 
     /// Guards against a worker that errs, breaks or is silent: nothing new goes there, what waits gets
     /// its copy.
-    fn set_aside(&mut self, orders: &mut dyn Orders, id: ServerId) {
+    fn set_aside(&mut self, orders: &mut dyn Actions, id: WorkerId) {
         let now = self.now;
         let Some(s) = self.servers.get_mut(&id).filter(|s| !s.aside(now)) else { return };
         s.aside = Some(now + s.backoff);
@@ -1013,14 +1027,14 @@
         self.loading.retain(|(_, at)| *at != id);
         self.servers.doubt(id);
         self.servers.schedule(id);
-        let stuck: Vec<(JobId, usize)> =
+        let stuck: Vec<(RequestId, usize)> =
             self.out.iter().filter(|(_, o)| o.server == id).map(|(k, _)| *k).collect();
         for (job, n) in stuck {
             self.hedge(orders, job, n);
         }
     }
 
-    fn usable(&self, s: &Server, job: &Job, id: ServerId) -> bool {
+    fn usable(&self, s: &Server, job: &Job, id: WorkerId) -> bool {
         s.trickle.is_none_or(|n| s.out < n) && self.cold_budget(s, job, id)
     }
 
@@ -1040,7 +1054,7 @@
     /// span. Where that is less than a job, chance decides, by how many jobs this router is expected to have
     /// for the worker in a span, those that wait here too, or what has piled up would fall on it at once.
     /// One job draws once for a worker however often it asks.
-    fn cold_budget(&self, s: &Server, job: &Job, id: ServerId) -> bool {
+    fn cold_budget(&self, s: &Server, job: &Job, id: WorkerId) -> bool {
         let rules = &self.rows.rules;
         let warmth = self.warmth(s);
         if warmth >= 1.0 {
@@ -1088,7 +1102,7 @@
         over
     }
 
-    fn beat(&mut self, orders: &mut dyn Orders) {
+    fn beat(&mut self, orders: &mut dyn Actions) {
         let now = self.now;
         self.wake_then(orders, BEAT, Box::new(|c, o, _| c.beat(o)));
         self.servers.next_beat();
@@ -1121,7 +1135,7 @@
     }
 
     /// Drops what has ended by itself at a worker.
-    fn end_holds(&mut self, id: ServerId) {
+    fn end_holds(&mut self, id: WorkerId) {
         let now = self.now;
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.cold_sent.retain(|(until, _)| *until > now);
@@ -1143,7 +1157,7 @@
     }
 
     /// Jobs that have lost their start target wait behind those that can keep it, or are pushed back.
-    fn look_at_held(&mut self, orders: &mut dyn Orders) {
+    fn look_at_held(&mut self, orders: &mut dyn Actions) {
         let now = self.now;
         let loading: BTreeSet<FunctionId> = self.loading.iter().map(|(f, _)| *f).collect();
         // Only those for which something may have changed are looked at, in the order of all.
@@ -1172,8 +1186,8 @@
     }
 
     /// A worker that owes two answers for longer than the hedge delay and has said nothing since is silent.
-    fn silent_workers(&mut self, orders: &mut dyn Orders) {
-        let mut owed: BTreeMap<ServerId, u32> = BTreeMap::new();
+    fn silent_workers(&mut self, orders: &mut dyn Actions) {
+        let mut owed: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for out in self.out.values() {
             let row = &self.workloads[out.workload.0];
             let loads = if out.serving { 2 } else { 4 };
@@ -1189,8 +1203,8 @@
         silent.for_each(|(server, _)| self.set_aside(orders, server));
     }
 
-    fn wake_then(&mut self, orders: &mut dyn Orders, delay: Micros, step: Step) {
-        let token = Token(self.next_token);
+    fn wake_then(&mut self, orders: &mut dyn Actions, delay: Micros, step: Step) {
+        let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.steps.insert(token, step);
         orders.wake_after(delay, token);
--- a/src/functions.rs
+++ b/src/functions.rs
@@ -17,7 +17,7 @@
     /// Jobs of it that are not over; while there is one it is not forgotten.
     pub jobs: u32,
     /// Workers that may hold it, so that nobody has to ask all of them.
-    pub at: BTreeSet<ServerId>,
+    pub at: BTreeSet<WorkerId>,
 }
 
 /// Functions that are known.
@@ -79,7 +79,7 @@
     }
 
     /// A worker holds these no longer.
-    pub fn lost(&mut self, server: ServerId, lost: &Holdings) {
+    pub fn lost(&mut self, server: WorkerId, lost: &Holdings) {
         for function in lost.keys() {
             self.get_mut(*function).into_iter().for_each(|f| _ = f.at.remove(&server));
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
 //! What the decisions are told and what they may order: ids, time, the rows handed over at start-up,
-//! and the `Orders` trait. No wire, no input or output, no decision.
+//! and the `Actions` trait. No wire, no input or output, no decision.
 
 /// Whole microseconds; a point on the instance's clock or a length of time.
 pub type Micros = u64;
@@ -37,11 +37,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ServerId(pub u64);
+pub struct WorkerId(pub u64);
 
-impl ServerId {
+impl WorkerId {
     pub fn named(name: &str) -> Self {
-        ServerId(digest(name))
+        WorkerId(digest(name))
     }
 }
 
@@ -56,11 +56,11 @@
 
 /// A job's id as the client side gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct JobId(pub [u8; 36]);
+pub struct RequestId(pub [u8; 36]);
 
 /// A timer's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Token(pub u64);
+pub struct TimerToken(pub u64);
 
 /// Position of a workload among the start-up rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,14 +80,14 @@
 
 impl RackId {
     /// The one of a server of which none was told: it shares with nobody what it has seen.
-    pub fn alone(server: ServerId) -> Self {
+    pub fn alone(server: WorkerId) -> Self {
         RackId(!((server.0 >> 1) as i64))
     }
 }
 
 /// Where a repeat of a keyed job is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Within {
+pub enum IdempotencyScope {
     Everywhere,
     Zone,
     Rack,
@@ -95,16 +95,16 @@
 
 /// What a second attempt of a job would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     Idempotent,
-    Keyed { within: Within, window: Micros },
+    Keyed { within: IdempotencyScope, window: Micros },
     AtMostOnce,
 }
 
 /// One row a workload.
 #[derive(Clone, Debug)]
-pub struct WorkloadRow {
-    pub effect: Effect,
+pub struct WorkloadConfig {
+    pub effect: RetrySafety,
     pub start_target: Micros,
     pub importance: f64,
     /// What is left of the importance once the start target has passed.
@@ -113,13 +113,13 @@
 
 /// One row a customer.
 #[derive(Clone, Debug)]
-pub struct CustomerRow {
+pub struct CustomerConfig {
     pub jobs_per_s: f64,
 }
 
 /// What a deployment allows.
 #[derive(Clone, Debug)]
-pub struct Permits {
+pub struct AttemptPolicy {
     pub attempts: usize,
     pub cancel: bool,
     pub second_copies: bool,
@@ -129,7 +129,7 @@
 
 /// Figures of the rules on drains, cold model servers and orders to load.
 #[derive(Clone, Debug)]
-pub struct RuleFigures {
+pub struct SlowStartRules {
     pub cold_share: f64,
     pub warm_within: Micros,
     pub fall_multiple: f64,
@@ -138,14 +138,14 @@
 
 /// All that an instance is told when it starts.
 #[derive(Clone, Debug)]
-pub struct Startup {
+pub struct StartupConfig {
     pub seed: u64,
     pub me: u64,
     pub routers: u64,
-    pub workloads: Vec<WorkloadRow>,
-    pub customers: Vec<CustomerRow>,
-    pub permits: Permits,
-    pub rules: RuleFigures,
+    pub workloads: Vec<WorkloadConfig>,
+    pub customers: Vec<CustomerConfig>,
+    pub permits: AttemptPolicy,
+    pub rules: SlowStartRules,
     pub over_share: f64,
     pub keep: Micros,
     /// Answers tell how many jobs of the same function the model server held.
@@ -158,7 +158,7 @@
     pub list_by_asking: bool,
 }
 
-impl Startup {
+impl StartupConfig {
     /// µs, over the workloads; 0 without any.
     pub fn mean_target(&self) -> f64 {
         let targets = self.workloads.iter().map(|w| w.start_target as f64);
@@ -168,7 +168,7 @@
 
 /// What a router has learned of one life of a model server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct WorkerHistory {
     /// Jobs that it had room for; 0 where that is not known.
     pub room: f64,
     /// How much of a start target its answers took, and the part of them that were errors.
@@ -178,16 +178,16 @@
     pub aside: bool,
 }
 
-impl Learned {
+impl WorkerHistory {
     /// Room, lag and errors; whether it was in doubt.
     pub fn of([room, lag, errors]: [f64; 3], aside: bool) -> Self {
-        Learned { room, lag, errors, aside }
+        WorkerHistory { room, lag, errors, aside }
     }
 }
 
 /// How complete a list of model servers is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListKind {
     Changes,
     Full,
     Saved,
@@ -195,7 +195,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerStatus {
     Ready,
     Draining,
     Gone,
@@ -203,9 +203,9 @@
 
 /// One model server as the list names it.
 #[derive(Clone, Debug)]
-pub struct Listed {
-    pub server: ServerId,
-    pub standing: Standing,
+pub struct Endpoint {
+    pub server: WorkerId,
+    pub standing: WorkerStatus,
     pub up_since: Micros,
     pub zone: Option<ZoneId>,
     pub rack: RackId,
@@ -214,8 +214,8 @@
 
 /// A job as it comes in.
 #[derive(Clone, Debug)]
-pub struct Arrival {
-    pub job: JobId,
+pub struct RequestArrival {
+    pub job: RequestId,
     pub function: FunctionId,
     pub workload: WorkloadId,
     pub customer: Option<CustomerId>,
@@ -244,7 +244,7 @@
 
 /// What an answer says of the function's copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Copy {
+pub enum LoadState {
     Unsaid,
     Stood,
     Begun,
@@ -254,12 +254,12 @@
 
 /// The result of one attempt, whole.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct AttemptResult {
     pub outcome: Outcome,
     /// The job is over, by this answer or earlier.
     pub closed: bool,
     pub elapsed: Micros,
-    pub copy: Copy,
+    pub copy: LoadState,
     /// Jobs of the function that the model server held when this one came, where told.
     pub company: u32,
     /// Jobs of all functions that it holds, where reported.
@@ -269,13 +269,13 @@
 }
 
 /// What the decisions may order. All take effect at the time of the call.
-pub trait Orders {
+pub trait Actions {
     /// `begin`: the time from which on nothing of it may leave any more, as a repeat would not be known then.
-    fn send(&mut self, job: JobId, server: ServerId, patience: Micros, begin: Micros);
-    fn cancel(&mut self, job: JobId, attempt: usize);
-    fn push_back(&mut self, job: JobId, come_back: Option<Micros>);
-    fn kill(&mut self, job: JobId);
-    fn wake_after(&mut self, delay: Micros, token: Token);
+    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, begin: Micros);
+    fn cancel(&mut self, job: RequestId, attempt: usize);
+    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>);
+    fn kill(&mut self, job: RequestId);
+    fn wake_after(&mut self, delay: Micros, token: TimerToken);
     fn note(&mut self, text: &str);
     /// Ask for the list of model servers and its changes.
     fn watch(&mut self);
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -14,7 +14,7 @@
 
 /// One attempt at a server.
 pub(crate) struct Tried {
-    pub server: ServerId,
+    pub server: WorkerId,
     pub rack: RackId,
     pub zone: Option<ZoneId>,
     pub sent: Micros,
@@ -27,7 +27,7 @@
     pub function: FunctionId,
     pub workload: WorkloadId,
     /// By the terms that it was taken under.
-    pub effect: Effect,
+    pub effect: RetrySafety,
     pub customer: Option<CustomerId>,
     pub came: Micros,
     pub deadline: Micros,
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -110,42 +110,42 @@
 /// [`Servers::account`] keeps the sums true, so that no event and no beat has to walk all of them.
 #[derive(Default)]
 pub(crate) struct Servers {
-    known: BTreeMap<ServerId, Server>,
+    known: BTreeMap<WorkerId, Server>,
     /// Those that the list holds ready, by weight.
     open: Members<HashOrder>,
     /// Jobs at all open ones, those of others as of the last beat.
     jobs: Jobs,
     /// Those of which something ends by itself, by when.
-    due: BTreeSet<(Micros, ServerId)>,
+    due: BTreeSet<(Micros, WorkerId)>,
     /// Those that may be aside or on trial: all that are, and some that were.
-    doubtful: BTreeSet<ServerId>,
+    doubtful: BTreeSet<WorkerId>,
     /// Those that are not open, and go once nothing is out there.
-    closing: BTreeSet<ServerId>,
+    closing: BTreeSet<WorkerId>,
     /// Those without room, as no pace was known.
-    roomless: BTreeSet<ServerId>,
+    roomless: BTreeSet<WorkerId>,
     /// Beats so far.
     beat: u64,
 }
 
-impl Index<&ServerId> for Servers {
+impl Index<&WorkerId> for Servers {
     type Output = Server;
 
-    fn index(&self, id: &ServerId) -> &Server {
+    fn index(&self, id: &WorkerId) -> &Server {
         &self.known[id]
     }
 }
 
 impl Servers {
-    pub fn get(&self, id: &ServerId) -> Option<&Server> {
+    pub fn get(&self, id: &WorkerId) -> Option<&Server> {
         self.known.get(id)
     }
 
     /// For changes that move neither sums nor ends; others go through [`Servers::change`].
-    pub fn get_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
+    pub fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Server> {
         self.known.get_mut(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&ServerId, &Server)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &Server)> {
         self.known.iter()
     }
 
@@ -169,13 +169,13 @@
         self.jobs.running + self.jobs.others.max(0.0)
     }
 
-    pub fn insert(&mut self, id: ServerId, server: Server) {
+    pub fn insert(&mut self, id: WorkerId, server: Server) {
         self.known.insert(id, server);
         self.change(id, |_| {});
     }
 
     /// Changes one that is known: its life, its place in the list, what is out there.
-    pub fn change<T>(&mut self, id: ServerId, how: impl FnOnce(&mut Server) -> T) -> T {
+    pub fn change<T>(&mut self, id: WorkerId, how: impl FnOnce(&mut Server) -> T) -> T {
         let before = self.jobs_at(id);
         let server = self.known.get_mut(&id).expect("only known servers change");
         let result = how(server);
@@ -193,13 +193,13 @@
     }
 
     /// Jobs at one as they count for the sums.
-    pub fn jobs_at(&self, id: ServerId) -> Jobs {
+    pub fn jobs_at(&self, id: WorkerId) -> Jobs {
         let server = self.known.get(&id).filter(|server| server.open);
         server.map_or(Jobs::default(), |s| Jobs { running: s.running(), others: s.others.at(self.beat) })
     }
 
     /// Takes over what has changed of one since `before`.
-    pub fn account(&mut self, id: ServerId, before: Jobs) {
+    pub fn account(&mut self, id: WorkerId, before: Jobs) {
         let after = self.jobs_at(id);
         self.jobs.running += after.running - before.running;
         self.jobs.others += after.others - before.others;
@@ -207,7 +207,7 @@
     }
 
     /// Notes when the next of what ends by itself at a server does: a kept copy, a rest, work sent cold.
-    pub fn schedule(&mut self, id: ServerId) {
+    pub fn schedule(&mut self, id: WorkerId) {
         let Some(server) = self.known.get_mut(&id) else { return };
         let ends = |hold: &&Holding| hold.out == 0 && hold.loading.is_none();
         let holds = server.holds.values().map(Box::as_ref).filter(ends);
@@ -224,20 +224,20 @@
     }
 
     /// Takes out one of which something has ended by now; [`Servers::schedule`] puts it in again.
-    pub fn next_due(&mut self, now: Micros) -> Option<ServerId> {
+    pub fn next_due(&mut self, now: Micros) -> Option<WorkerId> {
         let (_, id) = self.due.first().copied().filter(|(at, _)| *at <= now)?;
         self.due.pop_first();
         Some(id)
     }
 
     /// Takes out those that are not open and have nothing out.
-    pub fn take_gone(&mut self) -> Vec<(ServerId, Server)> {
-        let gone = |id: &&ServerId| self.known[id].out == 0;
-        let gone: Vec<ServerId> = self.closing.iter().filter(gone).copied().collect();
+    pub fn take_gone(&mut self) -> Vec<(WorkerId, Server)> {
+        let gone = |id: &&WorkerId| self.known[id].out == 0;
+        let gone: Vec<WorkerId> = self.closing.iter().filter(gone).copied().collect();
         gone.into_iter().filter_map(|id| Some((id, self.remove(id)?))).collect()
     }
 
-    fn remove(&mut self, id: ServerId) -> Option<Server> {
+    fn remove(&mut self, id: WorkerId) -> Option<Server> {
         let server = self.known.remove(&id)?;
         self.closing.remove(&id);
         self.doubtful.remove(&id);
@@ -254,12 +254,12 @@
     }
 
     /// Notes one that is aside or on trial from now on.
-    pub fn doubt(&mut self, id: ServerId) {
+    pub fn doubt(&mut self, id: WorkerId) {
         self.doubtful.insert(id);
     }
 
     /// Whether one may be aside or on trial.
-    pub fn doubtful(&self, id: &ServerId) -> bool {
+    pub fn doubtful(&self, id: &WorkerId) -> bool {
         self.doubtful.contains(id)
     }
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -8,7 +8,7 @@
 #[test]
 fn names_keep_their_digests() {
     let line =
-        |name: &&str| format!("{name:?} {:016x} {:016x}", ServerId::named(name).0, FunctionId::named(name).0);
+        |name: &&str| format!("{name:?} {:016x} {:016x}", WorkerId::named(name).0, FunctionId::named(name).0);
     let lines: Vec<String> = NAMES.iter().map(line).collect();
     insta::assert_snapshot!("digests", lines.join("\n"));
 }
@@ -24,8 +24,8 @@
 /// the home.
 fn first_workers(function: &str) -> String {
     let weighted =
-        |n: u64| Listed { weight: [1.0, 0.5, 2.25][n as usize % 3], ..listed(n, Standing::Ready, 0) };
-    let mut bench = Bench::new(rows(Effect::Idempotent), 0);
+        |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..listed(n, WorkerStatus::Ready, 0) };
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 0);
     bench.list(&(0..20).map(weighted).collect::<Vec<_>>());
     let mut first = Vec::new();
     for n in 0..4 {
@@ -33,7 +33,7 @@
         let home = bench.sends(n)[0];
         bench.close(n, 0, &answer(Outcome::Finished));
         let place = (0..20).find(|n| server(*n) == home).expect("a listed worker");
-        bench.list(&[Listed { standing: Standing::Gone, ..weighted(place) }]);
+        bench.list(&[Endpoint { standing: WorkerStatus::Gone, ..weighted(place) }]);
         first.push(place.to_string());
     }
     first.join(" ")
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -6,8 +6,9 @@
 
 #[test]
 fn home_is_shared_and_stable() {
-    let homes = |servers: u64, seed: u64| -> Vec<ServerId> {
-        let mut bench = Bench::new(Startup { seed, me: seed, ..rows(Effect::Idempotent) }, servers);
+    let homes = |servers: u64, seed: u64| -> Vec<WorkerId> {
+        let mut bench =
+            Bench::new(StartupConfig { seed, me: seed, ..rows(RetrySafety::Idempotent) }, servers);
         for n in 0..40 {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
             bench.close(n, 0, &answer(Outcome::Finished));
@@ -21,7 +22,7 @@
 
 #[test]
 fn overflow_moves_to_the_next_and_waits_for_its_load() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     let home = bench.warm("hut");
     (1..6).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     assert!((1..3).all(|n| bench.sends(n) == [home]), "lanes of the home first");
@@ -30,14 +31,14 @@
     let next = bench.sends(3)[0];
     assert_ne!(next, home);
     assert!(bench.sends(4).is_empty() && bench.sends(5).is_empty(), "one answer is awaited there");
-    bench.close(3, 0, &Answer { copy: Copy::Begun, ..answer(Outcome::Finished) });
+    bench.close(3, 0, &AttemptResult { copy: LoadState::Begun, ..answer(Outcome::Finished) });
     assert_eq!((bench.sends(4)[0], bench.sends(5)[0]), (next, next));
 }
 
-#[test_case(Effect::Idempotent, true, 2; "a copy follows")]
-#[test_case(Effect::AtMostOnce, true, 1; "never of an at-most-once job")]
-#[test_case(Effect::Idempotent, false, 1; "nor where second copies are not allowed")]
-fn hedge(effect: Effect, second_copies: bool, sends: usize) {
+#[test_case(RetrySafety::Idempotent, true, 2; "a copy follows")]
+#[test_case(RetrySafety::AtMostOnce, true, 1; "never of an at-most-once job")]
+#[test_case(RetrySafety::Idempotent, false, 1; "nor where second copies are not allowed")]
+fn hedge(effect: RetrySafety, second_copies: bool, sends: usize) {
     let mut rows = rows(effect);
     rows.permits.second_copies = second_copies;
     let mut bench = Bench::new(rows, 8);
@@ -58,7 +59,7 @@
 #[test_case(4900, 1; "the answer is awaited")]
 #[test_case(5200, 2; "no longer")]
 fn hold_ends(ms: Micros, sends: usize) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.arrive(1, "hut", 9000 * MS);
     bench.pass(ms * MS);
     assert_eq!(bench.sends(1).len(), sends);
@@ -68,7 +69,7 @@
 #[test_case(Outcome::NoConnection, 1; "one connection refused")]
 #[test_case(Outcome::Error, 2; "two errors close together")]
 fn set_aside(outcome: Outcome, times: u8) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     let home = bench.warm("hut");
     for n in 1..=times {
         bench.arrive(n, "hut", 5000 * MS);
@@ -83,7 +84,7 @@
 #[test_case(0, false; "three at one moment")]
 #[test_case(5, true; "three one after the other")]
 fn broken(gap: Micros, aside: bool) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     let home = bench.warm("hut");
     for n in 1..=3 {
         bench.arrive(n, "hut", 5000 * MS);
@@ -101,7 +102,7 @@
 #[test_case(1, false; "one slow job")]
 #[test_case(2, true; "two answers owed")]
 fn silence(jobs: u8, aside: bool) {
-    let mut rows = rows(Effect::AtMostOnce);
+    let mut rows = rows(RetrySafety::AtMostOnce);
     rows.workloads[0].start_target = 1000 * MS;
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
@@ -114,7 +115,7 @@
 // What cannot finish in time any more waits behind what can; what is given up is told so at once.
 #[test]
 fn late_jobs_go_last_and_are_pushed_back() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 1);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 1);
     bench.warm("hut");
     (1..3).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     bench.arrive(3, "hut", 5000 * MS);
@@ -134,12 +135,12 @@
 #[test_case(60, 400, 1, true; "not so the other customer")]
 #[test_case(60, 9000, 0, true; "nor for ever")]
 fn full_rests(elapsed_ms: Micros, wait_ms: Micros, customer: usize, again: bool) {
-    let mut rows = rows(Effect::Idempotent);
-    rows.customers = vec![CustomerRow { jobs_per_s: 500.0 }, CustomerRow { jobs_per_s: 500.0 }];
+    let mut rows = rows(RetrySafety::Idempotent);
+    rows.customers = vec![CustomerConfig { jobs_per_s: 500.0 }, CustomerConfig { jobs_per_s: 500.0 }];
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
     bench.arrive(1, "hut", 9000 * MS);
-    bench.close(1, 0, &Answer { elapsed: elapsed_ms * MS, ..answer(Outcome::Full) });
+    bench.close(1, 0, &AttemptResult { elapsed: elapsed_ms * MS, ..answer(Outcome::Full) });
     bench.pass(wait_ms * MS);
     bench.customer = Some(customer);
     bench.arrive(2, "hut", 5000 * MS);
@@ -150,7 +151,7 @@
 #[test_case(false, 3; "oldest first")]
 #[test_case(true, 4; "a second try last")]
 fn second_tries(retry: bool, first: u8) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 1);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 1);
     bench.warm("hut");
     (1..3).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     bench.retry = retry;
@@ -166,7 +167,7 @@
 #[test_case(false, true; "first tries")]
 #[test_case(true, false; "second tries")]
 fn further_attempts_are_earned(retry: bool, earned: bool) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 200);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 200);
     let fails = |bench: &mut Bench, n: u8| {
         bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
         bench.close(n, 0, &answer(Outcome::Error));
@@ -185,8 +186,8 @@
 #[test_case(1000.0, 3; "all within the share: oldest first")]
 #[test_case(1.0, 4; "the third job is beyond the share")]
 fn shares(jobs_per_s: f64, first: u8) {
-    let mut rows = rows(Effect::Idempotent);
-    rows.customers = vec![CustomerRow { jobs_per_s }, CustomerRow { jobs_per_s: 1000.0 }];
+    let mut rows = rows(RetrySafety::Idempotent);
+    rows.customers = vec![CustomerConfig { jobs_per_s }, CustomerConfig { jobs_per_s: 1000.0 }];
     let mut bench = Bench::new(rows, 1);
     bench.customer = Some(1);
     bench.warm("hut");
@@ -203,13 +204,13 @@
 /// One worker whose room is 10 jobs (a share of 40 jobs a second for half the start target): twenty functions
 /// are loaded there, then some attempts time out, then one job comes for each function. How many go out?
 fn sent_of_twenty(routers: u64, time_outs: u8, timed_out_ms: Micros, overtaken: bool) -> usize {
-    let mut rows = Startup { routers, ..rows(Effect::Idempotent) };
-    rows.customers = vec![CustomerRow { jobs_per_s: 40.0 }];
+    let mut rows = StartupConfig { routers, ..rows(RetrySafety::Idempotent) };
+    rows.customers = vec![CustomerConfig { jobs_per_s: 40.0 }];
     rows.permits.attempts = 1;
     let mut bench = Bench::new(rows, 1);
     for n in 1..21 {
         bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-        bench.close(n, 0, &Answer { elapsed: 70 * MS, ..answer(Outcome::Finished) });
+        bench.close(n, 0, &AttemptResult { elapsed: 70 * MS, ..answer(Outcome::Finished) });
     }
     for n in 21..21 + time_outs {
         bench.arrive(n, "hut-1", 5000 * MS);
@@ -218,7 +219,7 @@
             bench.arrive(n + 100, "hut-1", 5000 * MS);
             bench.close(n + 100, 0, &answer(Outcome::Finished));
         }
-        bench.close(n, 0, &Answer { elapsed: timed_out_ms * MS, ..answer(Outcome::TimedOut) });
+        bench.close(n, 0, &AttemptResult { elapsed: timed_out_ms * MS, ..answer(Outcome::TimedOut) });
     }
     (41..61).for_each(|n| bench.arrive(n, &format!("hut-{}", n - 40), 5000 * MS));
     bench.pass(100 * MS);
@@ -242,7 +243,7 @@
 #[test_case(1, 1; "alone")]
 #[test_case(100, 2; "one of a hundred")]
 fn many_routers_spread_a_hot_function(routers: u64, least: usize) {
-    let mut bench = Bench::new(Startup { routers, ..rows(Effect::Idempotent) }, 8);
+    let mut bench = Bench::new(StartupConfig { routers, ..rows(RetrySafety::Idempotent) }, 8);
     let mut used = std::collections::BTreeSet::new();
     for n in 0..100 {
         bench.arrive(n, "hut", 5000 * MS);
@@ -258,11 +259,11 @@
 #[test_case(0.5, true; "calm")]
 #[test_case(9.0, false; "jammed")]
 fn jam(loads: f64, spreads: bool) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.warm("hut");
     for n in 100..140 {
         bench.arrive(n, "other", 5000 * MS);
-        bench.close(n, 0, &Answer { loads: Some(loads), ..answer(Outcome::Finished) });
+        bench.close(n, 0, &AttemptResult { loads: Some(loads), ..answer(Outcome::Finished) });
     }
     (1..4).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     bench.pass(200 * MS);
@@ -274,14 +275,14 @@
 #[test_case(false, false; "on trial")]
 #[test_case(true, true; "proved by another job")]
 fn at_most_once_passes_over(proved: bool, home_takes: bool) {
-    let mut rows = rows(Effect::Idempotent);
-    rows.workloads.push(WorkloadRow { effect: Effect::AtMostOnce, ..rows.workloads[0].clone() });
+    let mut rows = rows(RetrySafety::Idempotent);
+    rows.workloads.push(WorkloadConfig { effect: RetrySafety::AtMostOnce, ..rows.workloads[0].clone() });
     rows.permits.attempts = 1;
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
     for n in 100..140 {
         bench.arrive(n, "other", 5000 * MS);
-        bench.close(n, 0, &Answer { loads: Some(9.0), ..answer(Outcome::Finished) });
+        bench.close(n, 0, &AttemptResult { loads: Some(9.0), ..answer(Outcome::Finished) });
     }
     bench.arrive(1, "hut", 5000 * MS);
     bench.close(1, 0, &answer(Outcome::NoConnection));
@@ -300,7 +301,7 @@
 #[test]
 fn same_events_same_actions() {
     let run = || {
-        let mut bench = Bench::new(rows(Effect::Idempotent), 5);
+        let mut bench = Bench::new(rows(RetrySafety::Idempotent), 5);
         for n in 0..60 {
             bench.arrive(n, &format!("hut-{}", n % 7), 3000 * MS);
             bench.pass(30 * MS);
@@ -318,7 +319,7 @@
 #[test_case(true, [1, 2], 1; "limits are shared")]
 fn less_time_left(limits_shared: bool, order: [u8; 2], given_up: usize) {
     let begin = || {
-        let mut bench = Bench::new(Startup { limits_shared, ..rows(Effect::Idempotent) }, 0);
+        let mut bench = Bench::new(StartupConfig { limits_shared, ..rows(RetrySafety::Idempotent) }, 0);
         bench.arrive(9, "hut", 5000 * MS);
         bench.arrive(2, "hut", 4000 * MS);
         bench.pass(5 * MS);
@@ -327,7 +328,7 @@
     let mut bench = begin();
     bench.arrive(1, "hut", 5000 * MS);
     bench.control.left(&mut bench.record, job(9));
-    bench.list(&[listed(0, Standing::Ready, 0)]);
+    bench.list(&[listed(0, WorkerStatus::Ready, 0)]);
     let sent =
         bench.record.did.iter().filter_map(|d| if let Did::Send(j, _) = d { Some(j.0[0]) } else { None });
     assert_eq!(sent.collect::<Vec<_>>(), order);
@@ -339,7 +340,7 @@
 // A client that leaves: what still waits at a worker for its job is taken back.
 #[test]
 fn a_client_that_leaves() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.arrive(1, "hut", 5000 * MS);
     bench.control.left(&mut bench.record, job(1));
     assert_eq!(bench.record.did.last(), Some(&Did::Cancel(job(1), 0)));
@@ -349,7 +350,7 @@
 #[test_case(1, 12; "alone, the bound on loads holds")]
 #[test_case(20, 14; "one of twenty")]
 fn homes_that_others_keep(routers: u64, sent: usize) {
-    let mut bench = Bench::new(Startup { routers, ..rows(Effect::Idempotent) }, 8);
+    let mut bench = Bench::new(StartupConfig { routers, ..rows(RetrySafety::Idempotent) }, 8);
     let names: Vec<String> = (0..14).map(|n| format!("hut-{n}")).collect();
     for name in &names {
         bench.arrive(250, name, 5000 * MS);
@@ -364,7 +365,7 @@
 #[test_case(0, 8; "what is asked in vain")]
 #[test_case(200, 20; "what is finished")]
 fn pace_without_shares(finished: u8, most: usize) {
-    let mut bench = Bench::new(Startup { customers: vec![], ..rows(Effect::Idempotent) }, 1);
+    let mut bench = Bench::new(StartupConfig { customers: vec![], ..rows(RetrySafety::Idempotent) }, 1);
     bench.customer = None;
     for n in 0..200 {
         bench.arrive(n, "hut", 5000 * MS);
@@ -384,7 +385,7 @@
 // Names that clients made up once do not stay; a function at work or waited for does.
 #[test]
 fn functions_are_forgotten() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     for n in 0..200u8 {
         bench.arrive(n, &format!("hut-{n}"), 500_000 * MS);
         if n > 0 {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -43,23 +43,23 @@
     told: bool,
     born: bool,
     late: Micros,
-    answers: BTreeMap<(Micros, JobId, usize), ServerId>,
-    sent: BTreeMap<JobId, usize>,
+    answers: BTreeMap<(Micros, RequestId, usize), WorkerId>,
+    sent: BTreeMap<RequestId, usize>,
 }
 
 impl Router {
-    fn start(day: &Day, me: u64, now: Micros, list: &[Listed]) -> (Control, Record) {
-        let effect = Effect::Idempotent;
-        let mut rows = Startup { me, seed: me + 1, routers: day.routers, ..rows(effect) };
-        rows.customers = vec![CustomerRow { jobs_per_s: day.pace * WORKERS as f64 }];
+    fn start(day: &Day, me: u64, now: Micros, list: &[Endpoint]) -> (Control, Record) {
+        let effect = RetrySafety::Idempotent;
+        let mut rows = StartupConfig { me, seed: me + 1, routers: day.routers, ..rows(effect) };
+        rows.customers = vec![CustomerConfig { jobs_per_s: day.pace * WORKERS as f64 }];
         let mut record = Record { now, ..Record::default() };
         let mut control = Control::new(now, rows, &mut record);
-        control.list(&mut record, ListKind::Full, list);
+        control.list(&mut record, EndpointListKind::Full, list);
         (control, record)
     }
 
     /// Carries out what was ordered: when each attempt at the fresh worker began.
-    fn settle(&mut self, fresh: ServerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
+    fn settle(&mut self, fresh: WorkerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
         for did in std::mem::take(&mut self.record.did) {
             let Did::Send(job, to) = did else { continue };
             let n = self.sent.entry(job).or_default();
@@ -86,15 +86,15 @@
 
 /// The worst moment of the fresh worker's first seconds: what it got within a span, what was allowed.
 fn worst(day: Day, seed: u64) -> (f64, usize, f64) {
-    let rules = rows(Effect::Idempotent).rules;
+    let rules = rows(RetrySafety::Idempotent).rules;
     let mut rng = Rand64::new(u128::from(seed));
     let begin = 100_000 * MS;
     let birth = begin + 20_000 * MS;
     let fresh = server(WORKERS);
-    let old: Vec<Listed> = (0..WORKERS).map(|n| listed(n, Standing::Ready, 0)).collect();
+    let old: Vec<Endpoint> = (0..WORKERS).map(|n| listed(n, WorkerStatus::Ready, 0)).collect();
     let mut new = old.clone();
-    new.push(listed(WORKERS, Standing::Ready, birth));
-    new[..day.drain].iter_mut().for_each(|entry| entry.standing = Standing::Draining);
+    new.push(listed(WORKERS, WorkerStatus::Ready, birth));
+    new[..day.drain].iter_mut().for_each(|entry| entry.standing = WorkerStatus::Draining);
     new.drain(..day.gone);
     let mut routers: Vec<Router> = (0..day.routers)
         .map(|me| {
@@ -124,7 +124,7 @@
             r.control.clock(now);
             if !r.told && now >= birth + r.late {
                 r.told = true;
-                r.control.list(&mut r.record, ListKind::Full, &new);
+                r.control.list(&mut r.record, EndpointListKind::Full, &new);
             }
             while let Some((&(at, job, n), &from)) = r.answers.first_key_value()
                 && at <= now
@@ -133,7 +133,7 @@
                 let fails = from == fresh && rng.rand_range(0..10) < day.errors;
                 let outcome = if fails { Outcome::Error } else { Outcome::Finished };
                 let elapsed = (WORK as f64 / if from == fresh { warmth } else { 1.0 }) as Micros;
-                r.control.answered(&mut r.record, job, n, &Answer { elapsed, ..answer(outcome) });
+                r.control.answered(&mut r.record, job, n, &AttemptResult { elapsed, ..answer(outcome) });
                 r.settle(fresh, warmth, &mut rng, &mut began);
             }
             r.wake(now);
@@ -148,8 +148,8 @@
                     // A few functions have most of the jobs.
                     let function = (rng.rand_float().powi(3) * 60.0) as u64;
                     let version = u64::from(day.versions && now >= birth && function.is_multiple_of(2));
-                    let arrival = Arrival {
-                        job: JobId(id),
+                    let arrival = RequestArrival {
+                        job: RequestId(id),
                         function: FunctionId::named(&format!("hut-{function}-{version}")),
                         workload: WorkloadId(0),
                         customer: Some(CustomerId(0)),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,21 +4,21 @@
 use common::*;
 use test_case::test_case;
 
-const RACK: Effect = Effect::Keyed { within: Within::Rack, window: 3000 * MS };
-const ALL: Effect = Effect::Keyed { within: Within::Everywhere, window: 3000 * MS };
+const RACK: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3000 * MS };
+const ALL: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window: 3000 * MS };
 
 // Rule 2: what follows each way an attempt can close, for each kind of effect.
-#[test_case(Effect::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
-#[test_case(Effect::Idempotent, Outcome::Full, 2, false; "idempotent after full moves on")]
-#[test_case(Effect::AtMostOnce, Outcome::Full, 2, false; "at-most-once after full moves on")]
-#[test_case(Effect::AtMostOnce, Outcome::Missing, 2, false; "at-most-once after a miss moves on")]
-#[test_case(Effect::AtMostOnce, Outcome::NoConnection, 2, false; "at-most-once without connection moves on")]
-#[test_case(Effect::AtMostOnce, Outcome::Error, 1, true; "at-most-once after an error is killed")]
-#[test_case(Effect::AtMostOnce, Outcome::Broken, 1, true; "at-most-once after a break is killed")]
-#[test_case(Effect::AtMostOnce, Outcome::TimedOut, 1, true; "at-most-once after a time-out is killed")]
-#[test_case(Effect::AtMostOnce, Outcome::Cancelled, 1, true; "at-most-once after a cancel is killed")]
+#[test_case(RetrySafety::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
+#[test_case(RetrySafety::Idempotent, Outcome::Full, 2, false; "idempotent after full moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Full, 2, false; "at-most-once after full moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Missing, 2, false; "at-most-once after a miss moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::NoConnection, 2, false; "at-most-once without connection moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Error, 1, true; "at-most-once after an error is killed")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Broken, 1, true; "at-most-once after a break is killed")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::TimedOut, 1, true; "at-most-once after a time-out is killed")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Cancelled, 1, true; "at-most-once after a cancel is killed")]
 #[test_case(ALL, Outcome::Error, 2, false; "keyed everywhere runs again")]
-fn after(effect: Effect, outcome: Outcome, sends: usize, killed: bool) {
+fn after(effect: RetrySafety, outcome: Outcome, sends: usize, killed: bool) {
     let mut bench = Bench::new(rows(effect), 8);
     bench.arrive(1, "hut", 5000 * MS);
     bench.close(1, 0, &answer(outcome));
@@ -37,7 +37,7 @@
     bench.close(1, 0, &answer(Outcome::Error));
     let sent = bench.sends(1);
     assert_eq!(sent.len() == 2, again);
-    let rack = |s: &ServerId| (0..8).find(|n| server(*n) == *s).map(|n| n / 2);
+    let rack = |s: &WorkerId| (0..8).find(|n| server(*n) == *s).map(|n| n / 2);
     assert!(sent.iter().all(|s| rack(s) == rack(&sent[0])));
     assert_eq!(bench.ends(1), if again { vec![] } else { vec![Did::Kill(job(1))] });
 }
@@ -46,10 +46,10 @@
 #[test_case(Some(ZoneId(1)), true; "a zone that is named")]
 #[test_case(None, false; "zones that are not")]
 fn keyed_by_zone(zone: Option<ZoneId>, again: bool) {
-    let mut rows = rows(Effect::Keyed { within: Within::Zone, window: 3000 * MS });
+    let mut rows = rows(RetrySafety::Keyed { within: IdempotencyScope::Zone, window: 3000 * MS });
     rows.permits.second_copies = false;
     let mut bench = Bench::new(rows, 0);
-    let entry = |n| Listed { zone, ..listed(n, Standing::Ready, 0) };
+    let entry = |n| Endpoint { zone, ..listed(n, WorkerStatus::Ready, 0) };
     bench.list(&(0..8).map(entry).collect::<Vec<_>>());
     bench.arrive(1, "hut", 8000 * MS);
     bench.close(1, 0, &answer(Outcome::Error));
@@ -59,8 +59,8 @@
 
 // A further attempt has to have left while its repeat would still be known; a first one has no such time.
 #[test_case(RACK, Some(3000 * MS - 20 * MS); "keyed: to the end of its window, with care")]
-#[test_case(Effect::Idempotent, None; "idempotent")]
-fn begins_in_time(effect: Effect, within: Option<Micros>) {
+#[test_case(RetrySafety::Idempotent, None; "idempotent")]
+fn begins_in_time(effect: RetrySafety, within: Option<Micros>) {
     let mut bench = Bench::new(rows(effect), 8);
     let came = bench.record.now;
     bench.arrive(1, "hut", 8000 * MS);
@@ -72,11 +72,11 @@
 }
 
 // Rule 1: every job ends once, before its client leaves, and nothing follows.
-#[test_case(Effect::Idempotent, 0, 5000; "held without any worker")]
-#[test_case(Effect::AtMostOnce, 0, 5000; "at-most-once held without any worker")]
-#[test_case(Effect::Idempotent, 0, 5; "client about to leave")]
-#[test_case(Effect::Idempotent, 0, 45; "client leaves within two beats")]
-fn held_jobs_end(effect: Effect, servers: u64, left_ms: Micros) {
+#[test_case(RetrySafety::Idempotent, 0, 5000; "held without any worker")]
+#[test_case(RetrySafety::AtMostOnce, 0, 5000; "at-most-once held without any worker")]
+#[test_case(RetrySafety::Idempotent, 0, 5; "client about to leave")]
+#[test_case(RetrySafety::Idempotent, 0, 45; "client leaves within two beats")]
+fn held_jobs_end(effect: RetrySafety, servers: u64, left_ms: Micros) {
     let mut bench = Bench::new(rows(effect), servers);
     bench.arrive(1, "hut", left_ms * MS);
     bench.pass(left_ms * MS);
@@ -87,7 +87,7 @@
 
 #[test]
 fn nothing_follows_the_end() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     let home = bench.warm("hut");
     bench.arrive(1, "hut", 5000 * MS);
     bench.pass(8000 * MS);
@@ -95,17 +95,17 @@
     bench.close(1, 0, &answer(Outcome::Finished));
     let before = bench.record.did.len();
     bench.control.left(&mut bench.record, job(1));
-    let late = Answer { closed: true, ..answer(Outcome::Error) };
+    let late = AttemptResult { closed: true, ..answer(Outcome::Error) };
     bench.close(1, 1, &late);
     bench.pass(8000 * MS);
     assert_eq!(bench.record.did.len(), before);
 }
 
 // Rule 3: nothing new to a worker from the moment of being told, whichever path a job comes by.
-#[test_case(Standing::Draining; "draining")]
-#[test_case(Standing::Gone; "gone")]
-fn told(standing: Standing) {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+#[test_case(WorkerStatus::Draining; "draining")]
+#[test_case(WorkerStatus::Gone; "gone")]
+fn told(standing: WorkerStatus) {
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     let home = bench.warm("hut");
     let n = (0..8).find(|n| server(*n) == home).expect("a listed worker");
     bench.arrive(1, "hut", 5000 * MS);
@@ -125,14 +125,14 @@
 #[test_case(0, 4; "just started")]
 #[test_case(10_000, 6; "warm")]
 fn cold(age_ms: Micros, sends: usize) {
-    let mut rows = rows(Effect::Idempotent);
-    rows.customers = vec![CustomerRow { jobs_per_s: 20.0 }];
+    let mut rows = rows(RetrySafety::Idempotent);
+    rows.customers = vec![CustomerConfig { jobs_per_s: 20.0 }];
     let mut bench = Bench::new(rows, 0);
-    bench.list(&[listed(0, Standing::Ready, bench.record.now)]);
+    bench.list(&[listed(0, WorkerStatus::Ready, bench.record.now)]);
     bench.pass(age_ms * MS);
     for n in 1..7 {
         bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-        bench.close(n, 0, &Answer { elapsed: 5 * MS, ..answer(Outcome::Full) });
+        bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Full) });
     }
     assert_eq!((1..7).map(|n| bench.sends(n).len()).sum::<usize>(), sends);
 }
@@ -145,14 +145,14 @@
 fn cold_sum(routers: u64, asks: u8) {
     let mut sent = 0;
     for me in 0..routers {
-        let mut rows = Startup { me, seed: me, routers, ..rows(Effect::Idempotent) };
-        rows.customers = vec![CustomerRow { jobs_per_s: 160.0 }];
+        let mut rows = StartupConfig { me, seed: me, routers, ..rows(RetrySafety::Idempotent) };
+        rows.customers = vec![CustomerConfig { jobs_per_s: 160.0 }];
         let mut bench = Bench::new(rows, 7);
         let now = bench.record.now;
-        bench.list(&[listed(7, Standing::Ready, now)]);
+        bench.list(&[listed(7, WorkerStatus::Ready, now)]);
         for n in 0..asks {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-            bench.close(n, 0, &Answer { elapsed: 5 * MS, ..answer(Outcome::Full) });
+            bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Full) });
             bench.pass(900 * MS / u64::from(asks));
         }
         sent += (0..asks).flat_map(|n| bench.sends(n)).filter(|s| *s == server(7)).count();
@@ -168,15 +168,15 @@
 fn cold_after_waiting() {
     let mut sent = 0;
     for me in 0..200 {
-        let mut rows = Startup { me, seed: me, routers: 200, ..rows(Effect::Idempotent) };
-        rows.customers = vec![CustomerRow { jobs_per_s: 1600.0 }];
+        let mut rows = StartupConfig { me, seed: me, routers: 200, ..rows(RetrySafety::Idempotent) };
+        rows.customers = vec![CustomerConfig { jobs_per_s: 1600.0 }];
         let mut bench = Bench::new(rows, 20);
         for n in 100..110 {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
             (0..4).for_each(|k| bench.close(n, k, &answer(Outcome::NoConnection)));
         }
         (0..8).for_each(|n| bench.arrive(n, &format!("hut-{n}"), 5000 * MS));
-        bench.list(&[listed(27, Standing::Ready, bench.record.now)]);
+        bench.list(&[listed(27, WorkerStatus::Ready, bench.record.now)]);
         sent += (0..8).flat_map(|n| bench.sends(n)).filter(|s| *s == server(27)).count();
     }
     assert!(sent > 0 && sent <= 30, "{sent}");
@@ -186,7 +186,7 @@
 // once that is told.
 #[test]
 fn one_attempt_at_a_time() {
-    let mut rows = rows(Effect::Idempotent);
+    let mut rows = rows(RetrySafety::Idempotent);
     rows.permits.second_copies = false;
     let mut bench = Bench::new(rows, 8);
     bench.warm("hut");
@@ -202,7 +202,7 @@
 // No more jobs are cancelled at workers that were set aside than can be sent on: the others stay there.
 #[test]
 fn a_cancel_is_paid_for_when_it_is_ordered() {
-    let mut rows = rows(Effect::Idempotent);
+    let mut rows = rows(RetrySafety::Idempotent);
     rows.permits.second_copies = false;
     let mut bench = Bench::new(rows, 8);
     let names: Vec<String> = (0..64).map(|n| format!("hut-{n}")).collect();
@@ -223,9 +223,9 @@
 
 // A switch of the rows: a job keeps its effect, and a copy that is out where none may be any more is taken
 // back.
-#[test_case(Effect::AtMostOnce, Effect::Idempotent, 1, 1; "at-most-once stays so")]
-#[test_case(Effect::Idempotent, Effect::AtMostOnce, 2, 0; "idempotent stays so")]
-fn switched(taken: Effect, then: Effect, sends: usize, kills: usize) {
+#[test_case(RetrySafety::AtMostOnce, RetrySafety::Idempotent, 1, 1; "at-most-once stays so")]
+#[test_case(RetrySafety::Idempotent, RetrySafety::AtMostOnce, 2, 0; "idempotent stays so")]
+fn switched(taken: RetrySafety, then: RetrySafety, sends: usize, kills: usize) {
     let mut bench = Bench::new(rows(taken), 8);
     bench.arrive(1, "hut", 5000 * MS);
     bench.control.switch(&mut bench.record, rows(then));
@@ -235,12 +235,12 @@
 
 #[test]
 fn switched_off_copies() {
-    let mut bench = Bench::new(rows(Effect::Idempotent), 8);
+    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.warm("hut");
     bench.arrive(1, "hut", 5000 * MS);
     bench.pass(2600 * MS);
     assert_eq!(bench.sends(1).len(), 2);
-    let mut without = rows(Effect::Idempotent);
+    let mut without = rows(RetrySafety::Idempotent);
     without.permits.second_copies = false;
     bench.control.switch(&mut bench.record, without);
     let cancels = bench.record.did.iter().filter(|d| matches!(d, Did::Cancel(..)));
@@ -253,8 +253,8 @@
 #[test_case(0, 1000.0, true, true, false; "in doubt")]
 #[test_case(5, 1.5, true, false, true; "of another life")]
 fn recalled(up_since: Micros, room: f64, aside: bool, taken: bool, as_before: bool) {
-    let sends = |told: Option<Learned>| {
-        let mut bench = Bench::new(rows(Effect::Idempotent), 1);
+    let sends = |told: Option<WorkerHistory>| {
+        let mut bench = Bench::new(rows(RetrySafety::Idempotent), 1);
         if let Some(told) = told {
             assert_eq!(bench.control.recall(server(0), up_since, &told), taken);
         }
@@ -262,7 +262,7 @@
         let before = bench.control.learned().map(|(_, _, l)| (l.room, l.aside)).collect::<Vec<_>>();
         (before, (0..60).map(|n| bench.sends(n).len()).sum::<usize>())
     };
-    let (fresh, told) = (sends(None), sends(Some(Learned { room, lag: 0.0, errors: 0.0, aside })));
+    let (fresh, told) = (sends(None), sends(Some(WorkerHistory { room, lag: 0.0, errors: 0.0, aside })));
     assert_eq!(told == fresh, as_before, "{told:?} and {fresh:?}");
     assert!(told.1 <= fresh.1 && told.0[0].0 <= fresh.0[0].0);
     assert!(told.1 > 0, "it is tried");
