--- a/benches/crowd.rs
+++ b/benches/crowd.rs
@@ -34,17 +34,17 @@
         *n += 1;
     }
     fn cancel(&mut self, _: RequestId, _: usize) {}
-    fn push_back(&mut self, _: RequestId, _: Option<Micros>) {
+    fn reject(&mut self, _: RequestId, _: Option<Micros>) {
         self.ended += 1;
     }
-    fn kill(&mut self, _: RequestId) {
+    fn fail(&mut self, _: RequestId) {
         self.ended += 1;
     }
-    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
+    fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.insert((self.now + delay, token));
     }
-    fn note(&mut self, _: &str) {}
-    fn watch(&mut self) {}
+    fn log(&mut self, _: &str) {}
+    fn watch_endpoints(&mut self) {}
 }
 
 fn id(n: u64) -> RequestId {
@@ -55,43 +55,48 @@
 
 fn rows() -> StartupConfig {
     let row = |start_target| WorkloadConfig {
-        effect: RetrySafety::Idempotent,
-        start_target,
-        importance: 1.0,
-        late_part: 0.2,
+        retry_safety: RetrySafety::Idempotent,
+        latency_objective: start_target,
+        priority_weight: 1.0,
+        late_priority_factor: 0.2,
     };
     StartupConfig {
         seed: 1,
-        me: 0,
-        routers: 1,
+        router_index: 0,
+        router_count: 1,
         workloads: vec![row(500 * MS), row(600 * S)],
         customers: Vec::new(),
-        permits: AttemptPolicy {
-            attempts: 4,
-            cancel: true,
-            second_copies: true,
-            come_back: true,
-            come_back_max: S,
+        attempt_policy: AttemptPolicy {
+            max_attempts: 4,
+            cancel_allowed: true,
+            hedging_allowed: true,
+            retry_after_allowed: true,
+            max_retry_after: S,
         },
-        rules: SlowStartRules { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
-        over_share: 0.1,
-        keep: 60 * S,
-        tells_company: true,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.2,
+            warmup_time: 10 * S,
+            overload_factor: 2.0,
+            overload_window: S,
+        },
+        over_quota_factor: 0.1,
+        cache_lifetime: 60 * S,
+        reports_same_function: true,
         weights_shared: true,
-        limits_shared: false,
-        list_by_asking: false,
+        timeouts_shared: false,
+        watches_endpoints: false,
     }
 }
 
 fn answer() -> AttemptResult {
     AttemptResult {
         outcome: Outcome::Finished,
-        closed: true,
+        request_ended: true,
         elapsed: 100 * MS,
-        copy: LoadState::Stood,
-        company: 0,
-        held: None,
-        loads: None,
+        load_state: LoadState::Loaded,
+        same_function_in_flight: 0,
+        reported_in_flight: None,
+        reported_loads: None,
     }
 }
 
@@ -103,30 +108,30 @@
         let next = [timer, answer_at].into_iter().flatten().min().filter(|at| *at <= until);
         let Some(at) = next else { break };
         bench.now = bench.now.max(at);
-        control.clock(bench.now);
+        control.advance_to(bench.now);
         if answer_at == Some(at) {
             let (_, job, n) = bench.answers.pop_front().expect("there is one");
-            control.answered(bench, job, n, &answer());
+            control.attempt_finished(bench, job, n, &answer());
         } else {
             let (_, token) = bench.timers.pop_first().expect("there is one");
-            control.wake(bench, token);
+            control.timer_fired(bench, token);
         }
     }
     bench.now = until;
-    control.clock(until);
+    control.advance_to(until);
 }
 
 fn arrival(n: u64, function: &str, workload: usize) -> RequestArrival {
     RequestArrival {
-        job: id(n),
+        request: id(n),
         function: FunctionId::named(function),
         workload: WorkloadId(workload),
         customer: None,
-        left: if workload == 0 { 5 * S } else { 900 * S },
-        lanes: 64,
+        time_left: if workload == 0 { 5 * S } else { 900 * S },
+        concurrency: 64,
         retry: false,
         load_time: Some(if workload == 0 { 500 * MS } else { 200 * S }),
-        paid: 1.0,
+        priority_factor: 1.0,
     }
 }
 
@@ -135,19 +140,23 @@
     let mut bench = Bench { now: 1_000 * S, ..Bench::default() };
     let mut control = Control::new(bench.now, rows(), &mut bench);
     let listed = |n| Endpoint {
-        server: WorkerId::named(&format!("w{n}")),
-        standing: WorkerStatus::Ready,
+        worker: WorkerId::named(&format!("w{n}")),
+        status: WorkerStatus::Ready,
         up_since: 0,
         zone: None,
         rack: RackId(0),
         weight: 1.0,
     };
-    control.clock(bench.now);
-    control.list(&mut bench, EndpointListKind::Full, &(0..workers).map(listed).collect::<Vec<_>>());
+    control.advance_to(bench.now);
+    control.endpoints_updated(
+        &mut bench,
+        EndpointListKind::Full,
+        &(0..workers).map(listed).collect::<Vec<_>>(),
+    );
     let mut next = 0;
     let mut ask = |control: &mut Control, bench: &mut Bench, function: &str, workload| {
         next += 1;
-        control.job(bench, &arrival(next, function, workload));
+        control.request_arrived(bench, &arrival(next, function, workload));
     };
     // Every function is served once, a few at a time, as the bound on loads wants it.
     for n in 0..workers {
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -52,23 +52,23 @@
         self.actions.push(json!({"op": "call-off", "msg-id": id_text(&job), "send-no": attempt}));
     }
 
-    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>) {
+    fn reject(&mut self, job: RequestId, come_back: Option<Micros>) {
         self.actions.push(json!({"op": "decline", "msg-id": id_text(&job), "wait": come_back.map(ms)}));
     }
 
-    fn kill(&mut self, job: RequestId) {
+    fn fail(&mut self, job: RequestId) {
         self.actions.push(json!({"op": "report-failure", "msg-id": id_text(&job)}));
     }
 
-    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
+    fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.actions.push(json!({"op": "after", "offset": ms(delay), "token": token.0}));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.actions.push(json!({"op": "journal-line", "message": text}));
     }
 
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.actions.push(json!({"op": "watch", "active": true}));
     }
 }
@@ -131,7 +131,7 @@
         let names = &self.names;
         let reply = &mut Reply { names, actions: Vec::new() };
         let control = &mut self.control;
-        control.clock(now);
+        control.advance_to(now);
         match op {
             "endpoints" => {
                 let kind = match text(event, "kind")? {
@@ -144,7 +144,7 @@
                 let entries =
                     maybe(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
                 let entries = entries.iter().map(|e| listed(e, names)).collect::<Read<Vec<_>>>()?;
-                control.list(reply, kind, &entries);
+                control.endpoints_updated(reply, kind, &entries);
             }
             "knock" => {
                 let customer = match maybe(event, "customer") {
@@ -153,35 +153,40 @@
                     Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
                 };
                 let arrival = RequestArrival {
-                    job: job(event)?,
+                    request: job(event)?,
                     function: FunctionId::named(text(event, "model")?),
                     workload: WorkloadId(position(&names.words.workloads, event, "type")?),
                     customer,
-                    left: time(event, "left")?,
+                    time_left: time(event, "left")?,
                     retry: mark(event, "retry")?,
-                    lanes: number_or(event, "at-once", 1.0)? as u32,
+                    concurrency: number_or(event, "at-once", 1.0)? as u32,
                     load_time: maybe(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
-                    paid: 1.0,
+                    priority_factor: 1.0,
                 };
-                control.job(reply, &arrival);
+                control.request_arrived(reply, &arrival);
             }
             "closed-attempt" => {
                 let detail = number_or(event, "detail", 0.0)? as u32;
                 let usage = maybe(event, "usage").unwrap_or(&Value::Null);
                 let answer = AttemptResult {
                     outcome: outcome(event)?,
-                    closed: mark(event, "terminal")?,
+                    request_ended: mark(event, "terminal")?,
                     elapsed: time_or_none(event, "elapsed")?,
-                    copy: copy_note(detail & 7),
-                    company: detail >> 3,
-                    held: maybe(usage, "concurrent").and_then(Value::as_f64),
-                    loads: maybe(usage, "x1").and_then(Value::as_f64),
+                    load_state: copy_note(detail & 7),
+                    same_function_in_flight: detail >> 3,
+                    reported_in_flight: maybe(usage, "concurrent").and_then(Value::as_f64),
+                    reported_loads: maybe(usage, "x1").and_then(Value::as_f64),
                 };
-                control.answered(reply, job(event)?, number_or(event, "send-no", 0.0)? as usize, &answer);
+                control.attempt_finished(
+                    reply,
+                    job(event)?,
+                    number_or(event, "send-no", 0.0)? as usize,
+                    &answer,
+                );
             }
-            "streaming" => control.streaming(job(event)?),
-            "expired" => control.left(reply, job(event)?),
-            "wakeup" => control.wake(reply, TimerToken(whole(event, "token")?)),
+            "streaming" => control.response_started(job(event)?),
+            "expired" => control.client_disconnected(reply, job(event)?),
+            "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
             // Nothing is decided on these yet: no probe, message or order to load is ever sent.
             "probed" | "whisper" | "stands" => {}
             other => return Err(Unfit::Event(other.to_owned())),
@@ -193,14 +198,14 @@
 fn outcome(event: &Value) -> Read<Outcome> {
     Ok(match number_or(event, "code", 0.0)? as i64 {
         0 => Outcome::Finished,
-        1 => Outcome::Missing,
+        1 => Outcome::NotLoaded,
         255 => Outcome::Error,
-        254 => Outcome::Full,
+        254 => Outcome::Overloaded,
         253 => Outcome::TimedOut,
-        252 => Outcome::NoConnection,
-        251 => Outcome::Broken,
+        252 => Outcome::ConnectFailed,
+        251 => Outcome::ConnectionLost,
         250 => Outcome::Cancelled,
-        249 => Outcome::Moot,
+        249 => Outcome::Superseded,
         other => return Err(Unfit::field("code", format!("{other} is not known"))),
     })
 }
@@ -208,8 +213,8 @@
 fn listed(entry: &Value, names: &Names) -> Read<Endpoint> {
     let place = |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
     Ok(Endpoint {
-        server: WorkerId::named(text(entry, "server")?),
-        standing: match text(entry, "condition")? {
+        worker: WorkerId::named(text(entry, "server")?),
+        status: match text(entry, "condition")? {
             "Ready" => WorkerStatus::Ready,
             "Terminating" => WorkerStatus::Draining,
             "Gone" => WorkerStatus::Gone,
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,8 +2,8 @@
 //! slow day; damped before the module; answered with a time to come back that spreads the return.
 //!
 //! Decisions without I/O: what happens and when is handed in, chance comes from a seed. Nothing is shared
-//! between routers; each keeps to what its own clients and its own answers show. `docs/admission.md` weighs the
-//! ways.
+//! between routers; each keeps to what its own clients and its own answers show. `docs/admission.md` weighs
+//! the ways.
 pub mod advice;
 pub mod doors;
 pub mod gate;
--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes behind docs/CAPACITY.md: what each machine holds and does at several sizes, a line through it, and
-//! what the smaller sizes foretell of the largest. `cargo bench -p applepond-capacity --bench slopes [-- PART]`,
-//! PART one of `control`, `events`, `members`, `tallies`, `list`. With a file's name, ending in `.svg`, and
-//! no PART it draws need against allowance by the size of the fleet.
+//! what the smaller sizes foretell of the largest. `cargo bench -p applepond-capacity --bench slopes [--
+//! PART]`, PART one of `control`, `events`, `members`, `tallies`, `list`. With a file's name, ending in
+//! `.svg`, and no PART it draws need against allowance by the size of the fleet.
 //!
 //! Simulated time and one thread; times are those of a shared machine, bytes and messages are counts.
 #[path = "../../membership/tests/common/mod.rs"]
@@ -134,9 +134,9 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = members::Paper::fleet(1, routers, members::lossy(0.0));
+        let mut fleet = members::SimulatedNetwork::fleet(1, routers, members::lossy(0.0));
         fleet.pass(60 * members::S);
-        let sum = |fleet: &members::Paper| {
+        let sum = |fleet: &members::SimulatedNetwork| {
             let all = fleet.all.iter().flatten();
             all.fold((0, 0), |(bytes, messages), p| (bytes + p.bytes, messages + p.messages))
         };
@@ -166,8 +166,8 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = tallies::Paper::fleet(1, routers, tallies::lossy(0.0));
-        let publish = |fleet: &mut tallies::Paper| {
+        let mut fleet = tallies::SimulatedNetwork::fleet(1, routers, tallies::lossy(0.0));
+        let publish = |fleet: &mut tallies::SimulatedNetwork| {
             for n in 0..routers {
                 let at = fleet.now + PUBLISHED_EACH_S * tallies::S / routers as u64;
                 fleet.until(at, |_| false);
@@ -175,7 +175,8 @@
             }
         };
         publish(&mut fleet);
-        let bytes = |fleet: &tallies::Paper| fleet.all.iter().flatten().map(|p| p.bytes).sum::<u64>();
+        let bytes =
+            |fleet: &tallies::SimulatedNetwork| fleet.all.iter().flatten().map(|p| p.bytes).sum::<u64>();
         let (from, begun, since) = (bytes(&fleet), Instant::now(), fleet.now);
         publish(&mut fleet);
         let took = begun.elapsed();
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -154,17 +154,17 @@
     fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.cancelled.push((job, attempt));
     }
-    fn push_back(&mut self, job: RequestId, _: Option<Micros>) {
+    fn reject(&mut self, job: RequestId, _: Option<Micros>) {
         self.ended.push(job);
     }
-    fn kill(&mut self, job: RequestId) {
+    fn fail(&mut self, job: RequestId) {
         self.ended.push(job);
     }
-    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
+    fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.insert((self.now + delay, token));
     }
-    fn note(&mut self, _: &str) {}
-    fn watch(&mut self) {}
+    fn log(&mut self, _: &str) {}
+    fn watch_endpoints(&mut self) {}
 }
 
 /// A request under way and its attempts so far.
@@ -206,40 +206,49 @@
 fn startup(size: &Size) -> StartupConfig {
     StartupConfig {
         seed: 1,
-        me: 0,
-        routers: size.routers,
+        router_index: 0,
+        router_count: size.routers,
         workloads: vec![WorkloadConfig {
-            effect: RetrySafety::Idempotent,
-            start_target: SECOND,
-            importance: 1.0,
-            late_part: 0.2,
+            retry_safety: RetrySafety::Idempotent,
+            latency_objective: SECOND,
+            priority_weight: 1.0,
+            late_priority_factor: 0.2,
         }],
-        customers: vec![CustomerConfig { jobs_per_s: size.calls_per_s * size.routers as f64 * CAPACITY }],
-        permits: AttemptPolicy {
-            attempts: 4,
-            cancel: true,
-            second_copies: true,
-            come_back: true,
-            come_back_max: SECOND,
+        customers: vec![CustomerConfig {
+            requests_per_second: size.calls_per_s * size.routers as f64 * CAPACITY,
+        }],
+        attempt_policy: AttemptPolicy {
+            max_attempts: 4,
+            cancel_allowed: true,
+            hedging_allowed: true,
+            retry_after_allowed: true,
+            max_retry_after: SECOND,
         },
-        rules: SlowStartRules {
-            cold_share: 0.2,
-            warm_within: 10 * SECOND,
-            fall_multiple: 2.0,
-            fall_span: SECOND,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.2,
+            warmup_time: 10 * SECOND,
+            overload_factor: 2.0,
+            overload_window: SECOND,
         },
-        over_share: 0.1,
-        keep: KEEP,
-        tells_company: true,
+        over_quota_factor: 0.1,
+        cache_lifetime: KEEP,
+        reports_same_function: true,
         weights_shared: true,
-        limits_shared: false,
-        list_by_asking: false,
+        timeouts_shared: false,
+        watches_endpoints: false,
     }
 }
 
 fn listed(server: WorkerId, standing: WorkerStatus, up_since: Micros) -> Endpoint {
     let rack = RackId((server.0 % 1000) as i64);
-    Endpoint { server, standing, up_since, zone: Some(ZoneId((server.0 % 12) as usize)), rack, weight: 1.0 }
+    Endpoint {
+        worker: server,
+        status: standing,
+        up_since,
+        zone: Some(ZoneId((server.0 % 12) as usize)),
+        rack,
+        weight: 1.0,
+    }
 }
 
 fn request_id(number: u64) -> RequestId {
@@ -260,7 +269,7 @@
             (0..size.workers).map(|n| WorkerId::named(&format!("worker-{n}"))).collect();
         let list: Vec<Endpoint> = workers.iter().map(|id| listed(*id, WorkerStatus::Ready, 0)).collect();
         let mut start = Cost::default();
-        meter.run(&mut start, || control.list(&mut world, EndpointListKind::Full, &list));
+        meter.run(&mut start, || control.endpoints_updated(&mut world, EndpointListKind::Full, &list));
         HollowRouter {
             control,
             meter,
@@ -286,7 +295,7 @@
 
     /// Functions that the router knows at present.
     pub fn functions(&self) -> usize {
-        self.control.functions()
+        self.control.known_functions()
     }
 
     /// So many workers go in one message of the list, as with a rack or a zone. What that costs.
@@ -296,7 +305,7 @@
         let gone = self.workers.split_off(keep);
         let entries: Vec<Endpoint> = gone.into_iter().map(|id| listed(id, WorkerStatus::Gone, 0)).collect();
         self.meter.run(&mut costs.lists, || {
-            self.control.list(&mut self.world, EndpointListKind::Changes, &entries)
+            self.control.endpoints_updated(&mut self.world, EndpointListKind::Changes, &entries)
         });
         self.carry_out();
         costs
@@ -313,7 +322,7 @@
             entries.push(listed(id, WorkerStatus::Ready, self.world.now));
         }
         self.meter.run(&mut costs.lists, || {
-            self.control.list(&mut self.world, EndpointListKind::Changes, &entries)
+            self.control.endpoints_updated(&mut self.world, EndpointListKind::Changes, &entries)
         });
         self.carry_out();
         costs
@@ -335,13 +344,13 @@
             ];
             let now = due.into_iter().min().unwrap_or(until).max(self.world.now);
             self.world.now = now;
-            self.control.clock(now);
+            self.control.advance_to(now);
             if due[3] <= now {
                 self.answer(&mut costs);
             } else if due[2] <= now {
                 self.meter.run(&mut costs.timers, || {
                     let (_, token) = self.world.timers.pop_first().expect("it is due");
-                    self.control.wake(&mut self.world, token);
+                    self.control.timer_fired(&mut self.world, token);
                 });
             } else if due[1] <= now {
                 next_change = now + self.wait(self.size.list_changes_per_s);
@@ -370,17 +379,17 @@
         self.next_request += 1;
         self.requests.insert(id.0, Request { function, attempts: 0 });
         let arrival = RequestArrival {
-            job: id,
+            request: id,
             function: FunctionId::named(&format!("function-{function}")),
             workload: WorkloadId(0),
             customer: Some(CustomerId(0)),
-            left: 5 * SECOND,
-            lanes: 8,
+            time_left: 5 * SECOND,
+            concurrency: 8,
             retry: false,
             load_time: Some(LOAD),
-            paid: 1.0,
+            priority_factor: 1.0,
         };
-        self.meter.run(&mut costs.requests, || self.control.job(&mut self.world, &arrival));
+        self.meter.run(&mut costs.requests, || self.control.request_arrived(&mut self.world, &arrival));
     }
 
     /// A worker drains and goes, or a new one comes, in turn: the size of the list stays.
@@ -395,7 +404,7 @@
             listed(id, WorkerStatus::Ready, self.world.now)
         };
         self.meter.run(&mut costs.lists, || {
-            self.control.list(&mut self.world, EndpointListKind::Changes, &[entry])
+            self.control.endpoints_updated(&mut self.world, EndpointListKind::Changes, &[entry])
         });
     }
 
@@ -409,14 +418,16 @@
         self.copies.insert(copy, self.world.now + KEEP);
         let answer = AttemptResult {
             outcome: Outcome::Finished,
-            closed: true,
+            request_ended: true,
             elapsed: if stood { SERVICE } else { SERVICE + LOAD },
-            copy: if stood { LoadState::Stood } else { LoadState::Begun },
-            company: (fleet_per_s * SERVICE as f64 / 1e6).min(4.0) as u32,
-            held: Some(2.0),
-            loads: Some(0.1),
+            load_state: if stood { LoadState::Loaded } else { LoadState::LoadStarted },
+            same_function_in_flight: (fleet_per_s * SERVICE as f64 / 1e6).min(4.0) as u32,
+            reported_in_flight: Some(2.0),
+            reported_loads: Some(0.1),
         };
-        self.meter.run(&mut costs.answers, || self.control.answered(&mut self.world, job, attempt, &answer));
+        self.meter.run(&mut costs.answers, || {
+            self.control.attempt_finished(&mut self.world, job, attempt, &answer)
+        });
         self.requests.remove(&job.0);
         self.ends.served += 1;
     }
--- a/crates/capacity/tests/messages.rs
+++ b/crates/capacity/tests/messages.rs
@@ -17,9 +17,9 @@
 
 /// Bytes and messages a second that an instance of membership sends once its fleet has settled.
 fn membership(routers: usize) -> [f64; 2] {
-    let mut fleet = members::Paper::fleet(1, routers, members::lossy(0.0));
+    let mut fleet = members::SimulatedNetwork::fleet(1, routers, members::lossy(0.0));
     fleet.pass(30 * members::S);
-    let sum = |fleet: &members::Paper| {
+    let sum = |fleet: &members::SimulatedNetwork| {
         let all = fleet.all.iter().flatten();
         all.fold([0, 0], |[bytes, messages], process| [bytes + process.bytes, messages + process.messages])
     };
@@ -31,8 +31,8 @@
 
 /// Bytes a second that an instance of gossip sends while each router publishes.
 fn gossip(routers: usize) -> f64 {
-    let mut fleet = tallies::Paper::fleet(1, routers, tallies::lossy(0.0));
-    let publish = |fleet: &mut tallies::Paper| {
+    let mut fleet = tallies::SimulatedNetwork::fleet(1, routers, tallies::lossy(0.0));
+    let publish = |fleet: &mut tallies::SimulatedNetwork| {
         for n in 0..routers {
             let at = fleet.now + PUBLISHED_EACH_S * tallies::S / routers as u64;
             fleet.until(at, |_| false);
@@ -40,7 +40,9 @@
         }
     };
     publish(&mut fleet);
-    let bytes = |fleet: &tallies::Paper| fleet.all.iter().flatten().map(|process| process.bytes).sum::<u64>();
+    let bytes = |fleet: &tallies::SimulatedNetwork| {
+        fleet.all.iter().flatten().map(|process| process.bytes).sum::<u64>()
+    };
     let from = bytes(&fleet);
     publish(&mut fleet);
     (bytes(&fleet) - from) as f64 / routers as f64 / PUBLISHED_EACH_S as f64
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -215,11 +215,11 @@
     let who = (row.name.clone(), row.zone.clone(), row.listen);
     let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
     let memory = Rc::new(RefCell::new(Memory::default()));
-    let (me, birth) = (RouterId::named(&row.name), view.borrow().members.me().birth);
+    let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.me().instance_id);
     let desk = Threads::new(me, (founding(row), fresh), row.votes.clone(), row.snapshot.clone(), rig.disk);
     let place = Place {
         me,
-        birth,
+        instance_id,
         incarnation: view.borrow().members.me().incarnation,
         keepers: named(&row.keepers),
         founding: founding(row),
@@ -243,7 +243,7 @@
 /// and keys; where a key cannot be read, or another part needs a restart, nothing of the file is taken.
 pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: News) -> News {
     let begun = Instant::now();
-    let mut most = held.rows.routers;
+    let mut most = held.rows.router_count;
     let mut count = Count::new(most as usize);
     Box::new(move || {
         let mut told = false;
@@ -264,16 +264,16 @@
                             Err(why) => return Some(Err(why)),
                         }
                     }
-                    most = merged.rows.routers;
+                    most = merged.rows.router_count;
                     held = merged;
                     told = true;
                 }
             },
         }
-        let was = held.rows.routers;
+        let was = held.rows.router_count;
         let live = view.borrow().members.live();
         let now = begun.elapsed().as_micros() as Micros;
-        held.rows.routers = count.parts(now, live, most as usize) as u64;
-        (told || was != held.rows.routers).then(|| Ok(held.clone()))
+        held.rows.router_count = count.parts(now, live, most as usize) as u64;
+        (told || was != held.rows.router_count).then(|| Ok(held.clone()))
     })
 }
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -1,8 +1,8 @@
 //! A fleet of three whose routers are replaced one by one on the files that each left: each step is agreed on
 //! by all, and no stored file or message is refused.
 //!
-//! `APPLEPOND_BEFORE=PATH cargo test -p applepond-cli --test upgrade` begins with the build of an earlier version
-//! and puts one router back to it at the end; without it all steps are of this build.
+//! `APPLEPOND_BEFORE=PATH cargo test -p applepond-cli --test upgrade` begins with the build of an earlier
+//! version and puts one router back to it at the end; without it all steps are of this build.
 mod common;
 use common::*;
 use serde_json::{Value, json};
--- a/crates/consensus/src/convener.rs
+++ b/crates/consensus/src/convener.rs
@@ -116,10 +116,10 @@
 impl<V: Clone> Convener<V> {
     /// `birth` is this process' own, drawn at its start; `named` are the keepers by the settings, which is
     /// whom it asks first, and nothing more.
-    pub fn new(birth: InstanceId, named: &[RouterId], seed: u64) -> Self {
+    pub fn new(instance_id: InstanceId, named: &[RouterId], seed: u64) -> Self {
         Convener {
             named: named.to_vec(),
-            ballot: Ballot::first(birth),
+            ballot: Ballot::first(instance_id),
             doing: Doing::Nothing,
             until: Micros::MAX,
             tries: 0,
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -63,7 +63,7 @@
 }
 
 impl Ballot {
-    pub fn first(birth: InstanceId) -> Self {
-        Ballot { round: 0, by: birth.0 }
+    pub fn first(instance_id: InstanceId) -> Self {
+        Ballot { round: 0, by: instance_id.0 }
     }
 }
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -55,12 +55,12 @@
     ///
     /// # Panics
     /// Where keepers are none, more than `KEEPERS_MOST` or an even number.
-    pub fn new(birth: InstanceId, keepers: &[KeeperId], seed: u64) -> Self {
+    pub fn new(instance_id: InstanceId, keepers: &[KeeperId], seed: u64) -> Self {
         let keepers: BTreeSet<KeeperId> = keepers.iter().copied().collect();
         assert!(keepers.len() % 2 == 1 && keepers.len() <= KEEPERS_MOST, "one, three or five keepers");
         Proposer {
             keepers,
-            ballot: Ballot::first(birth),
+            ballot: Ballot::first(instance_id),
             doing: Doing::Nothing,
             until: Micros::MAX,
             tries: 0,
--- a/crates/consensus/src/register.rs
+++ b/crates/consensus/src/register.rs
@@ -101,7 +101,7 @@
 
 pub struct Register<V> {
     me: RouterId,
-    birth: InstanceId,
+    instance_id: InstanceId,
     named: Vec<RouterId>,
     /// It has a keeper beside it, and why that one does not vote.
     keeps: bool,
@@ -156,7 +156,7 @@
     /// `keeps`: a `Voter` stands beside it. Empty-handed at its start, whatever a snapshot may say.
     pub fn new(
         now: Micros,
-        (me, birth): (RouterId, InstanceId),
+        (me, instance_id): (RouterId, InstanceId),
         named: &[RouterId],
         keeps: bool,
         seed: u64,
@@ -164,11 +164,11 @@
         let mut rng = Rand64::new(u128::from(seed));
         Register {
             me,
-            birth,
+            instance_id,
             named: named.to_vec(),
             keeps,
             doubt: None,
-            convener: Convener::new(birth, named, seed),
+            convener: Convener::new(instance_id, named, seed),
             begun: now,
             mine: false,
             // All keepers start at once with their fleet; the first to try is mostly alone.
@@ -190,8 +190,8 @@
         }
     }
 
-    pub fn birth(&self) -> InstanceId {
-        self.birth
+    pub fn instance_id(&self) -> InstanceId {
+        self.instance_id
     }
 
     /// What is agreed on, if it still counts. Look again wherever it is acted on.
@@ -344,7 +344,7 @@
                     // Guards against an empty past that is none: all have lost what they had agreed on.
                     self.standstill = Some(Standstill::Remembered);
                 } else if now >= self.born + FOUND_WAIT {
-                    let line = InstanceId(self.birth.0 ^ self.convener.ballot().round.rotate_left(32));
+                    let line = InstanceId(self.instance_id.0 ^ self.convener.ballot().round.rotate_left(32));
                     let (before, value) = (Vec::new(), V::default());
                     let agreed = Agreed { line, number: 1, keepers, before, value };
                     self.convener.write(now, agreed, &mut Ask(orders));
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -134,7 +134,7 @@
     pub keepers: Vec<Keeper<Marks>>,
     disks: Vec<Option<Vote<Marks>>>,
     pub proposers: Vec<Proposer<Marks>>,
-    births: Vec<u64>,
+    instance_ids: Vec<u64>,
     /// What each adds to the value: another one in each of its lives.
     marks: Vec<u8>,
     next_birth: u64,
@@ -177,15 +177,18 @@
 
 impl World {
     pub fn new(plant: Plant, keepers: usize, proposers: usize, left: [u8; 3]) -> Self {
-        let births: Vec<u64> = (1..=proposers as u64).collect();
+        let instance_ids: Vec<u64> = (1..=proposers as u64).collect();
         World {
             plant,
             keepers: (0..keepers).map(|_| Keeper::new(FLEET, Ok(None))).collect(),
             disks: vec![None; keepers],
-            proposers: births.iter().map(|b| Proposer::new(InstanceId(*b), &ids(keepers), *b)).collect(),
-            next_birth: births.len() as u64 + 1,
-            marks: births.iter().map(|b| *b as u8).collect(),
-            births,
+            proposers: instance_ids
+                .iter()
+                .map(|b| Proposer::new(InstanceId(*b), &ids(keepers), *b))
+                .collect(),
+            next_birth: instance_ids.len() as u64 + 1,
+            marks: instance_ids.iter().map(|b| *b as u8).collect(),
+            instance_ids,
             net: BTreeMap::new(),
             left,
             accepted: BTreeMap::new(),
@@ -210,7 +213,7 @@
             .collect();
         each.sort_unstable();
         let mut hasher = H::default();
-        (each, &self.births, &self.marks, self.left).hash(&mut hasher);
+        (each, &self.instance_ids, &self.marks, self.left).hash(&mut hasher);
         self.accepted.iter().for_each(|(ballot, (value, _))| (ballot, value).hash(&mut hasher));
         self.proposers.iter().for_each(|p| p.state().hash(&mut hasher));
         hasher.finish()
@@ -279,12 +282,13 @@
             Step::CrashProposer(p) => {
                 self.left[2] -= 1;
                 if self.plant != Plant::BallotAgain {
-                    self.births[*p] = self.next_birth;
+                    self.instance_ids[*p] = self.next_birth;
                 }
                 self.marks[*p] = self.next_birth as u8;
                 self.next_birth += 1;
-                let birth = self.births[*p];
-                self.proposers[*p] = Proposer::new(InstanceId(birth), &ids(self.keepers.len()), birth);
+                let instance_id = self.instance_ids[*p];
+                self.proposers[*p] =
+                    Proposer::new(InstanceId(instance_id), &ids(self.keepers.len()), instance_id);
             }
         }
         Ok(())
--- a/crates/consensus/tests/convene.rs
+++ b/crates/consensus/tests/convene.rs
@@ -50,7 +50,7 @@
     conveners: Vec<Convener<Marks>>,
     guards: Guards,
     marks: Vec<u8>,
-    births: u64,
+    instance_ids: u64,
     net: BTreeMap<Message, u8>,
     /// Tries, repeats, crashes, wipes that may still happen.
     left: [u8; 4],
@@ -95,7 +95,7 @@
             conveners: (1..=conveners as u64).map(of).collect(),
             guards,
             marks: (1..=conveners as u8).collect(),
-            births: conveners as u64 + 1,
+            instance_ids: conveners as u64 + 1,
             net: BTreeMap::new(),
             left,
             written: BTreeMap::new(),
@@ -264,17 +264,17 @@
             Step::Lose(message) => self.remove(message),
             Step::Crash(c) => {
                 self.left[2] -= 1;
-                let birth = self.births;
-                self.births += 1;
-                self.marks[*c] = birth as u8;
+                let instance_id = self.instance_ids;
+                self.instance_ids += 1;
+                self.marks[*c] = instance_id as u8;
                 self.conveners[*c] =
-                    Convener::new(InstanceId(birth), &named(3), birth).with_guards(self.guards);
+                    Convener::new(InstanceId(instance_id), &named(3), instance_id).with_guards(self.guards);
             }
             Step::Wipe(k) => {
                 self.left[3] -= 1;
-                self.births += 1;
+                self.instance_ids += 1;
                 self.disks[*k] = None;
-                self.keepers[*k] = (InstanceId(900 + self.births), Keeper::new(7, Ok(None)));
+                self.keepers[*k] = (InstanceId(900 + self.instance_ids), Keeper::new(7, Ok(None)));
             }
         }
         let conveners = &self.conveners;
@@ -350,7 +350,7 @@
             if let Err(why) = world.step(&step) {
                 return (Some(format!("seed {seed}: {why}")), written, changes);
             }
-            if world.births > 200 {
+            if world.instance_ids > 200 {
                 break;
             }
         }
--- a/crates/consensus/tests/points/main.rs
+++ b/crates/consensus/tests/points/main.rs
@@ -15,7 +15,7 @@
 }
 
 /// Whether all come to hold this.
-fn settles(paper: &mut Paper, text: &str) -> bool {
+fn settles(paper: &mut SimulatedNetwork, text: &str) -> bool {
     (0..12).any(|_| {
         paper.wish(text);
         paper.until(2 * S, |p| p.all_hold(text))
@@ -23,8 +23,8 @@
 }
 
 /// What the help of a keeper in doubt says.
-fn mend(paper: &mut Paper) -> usize {
-    let doubt = |p: &Paper, n: usize| match p.standstill(n) {
+fn mend(paper: &mut SimulatedNetwork) -> usize {
+    let doubt = |p: &SimulatedNetwork, n: usize| match p.standstill(n) {
         Some(Standstill::InDoubt(why)) => Some(why),
         _ => None,
     };
@@ -41,9 +41,9 @@
 
 /// A register's life: founded, changed, its convener killed, a disk lost, changed again. Where nothing is
 /// agreed on, an operator does what the router's own words say, and nothing else.
-fn life(paper: &mut Paper) -> Result<Done, String> {
+fn life(paper: &mut SimulatedNetwork) -> Result<Done, String> {
     let mut done = Done::default();
-    let mut step = |paper: &mut Paper, text: &str| {
+    let mut step = |paper: &mut SimulatedNetwork, text: &str| {
         let mut agreed = settles(paper, text);
         if !agreed {
             let many = mend(paper);
@@ -83,8 +83,8 @@
     Ok(done)
 }
 
-fn play(at: Option<(u64, Fault)>) -> (Paper, Result<Done, String>) {
-    let mut paper = Paper::new(SEED, 5, 3);
+fn play(at: Option<(u64, Fault)>) -> (SimulatedNetwork, Result<Done, String>) {
+    let mut paper = SimulatedNetwork::new(SEED, 5, 3);
     paper.points.at = at;
     let done = life(&mut paper);
     (paper, done)
--- a/crates/consensus/tests/points/paper.rs
+++ b/crates/consensus/tests/points/paper.rs
@@ -107,7 +107,7 @@
 }
 
 /// Routers whose first three (or as named) keep the register; one seed, one run.
-pub struct Paper {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub all: Vec<Option<Machine>>,
     pub disks: Vec<PaperDisk>,
@@ -118,7 +118,7 @@
     pub rng: Rand64,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
-    births: u64,
+    instance_ids: u64,
     /// Of each process, where its clock began and how much too fast it runs, in a millionth.
     clocks: Vec<(u64, i64)>,
     /// When each value was first known to be written: nothing before it may count a lease later.
@@ -131,9 +131,9 @@
     RouterId(1_000 + n as u64)
 }
 
-impl Paper {
+impl SimulatedNetwork {
     pub fn new(seed: u64, routers: usize, keepers: usize) -> Self {
-        let mut paper = Paper {
+        let mut paper = SimulatedNetwork {
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             disks: Vec::new(),
@@ -144,7 +144,7 @@
             rng: Rand64::new(u128::from(seed)),
             events: BTreeMap::new(),
             next: 0,
-            births: 0,
+            instance_ids: 0,
             clocks: vec![(0, 0); routers],
             written: BTreeMap::new(),
             lines: BTreeSet::new(),
@@ -173,19 +173,20 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        self.births += 1;
-        let birth = InstanceId(self.births * 7919 + self.rng.rand_u64() % 1000);
+        self.instance_ids += 1;
+        let instance_id = InstanceId(self.instance_ids * 7919 + self.rng.rand_u64() % 1000);
         self.clocks[n] = (self.rng.rand_range(0..1 << 40), self.rng.rand_range(0..900) as i64 - 450);
         let disk = &self.disks[n];
         let keeps = self.named.contains(&router(n)) || disk.vote.is_some();
         let found = if disk.torn { Err(Trouble::Torn) } else { Ok(disk.vote.clone()) };
         let voter = keeps.then(|| Voter::new(self.fleet, disk.id, found));
         let now = self.clock(n, self.now);
-        let mut register = Register::new(now, (router(n), birth), &self.named, keeps, self.rng.rand_u64());
+        let mut register =
+            Register::new(now, (router(n), instance_id), &self.named, keeps, self.rng.rand_u64());
         register.keeper_doubts(voter.as_ref().and_then(Voter::trouble));
         let next = self.truly(n, register.next());
         self.all[n] = Some(Machine { register, voter, stopped: 0 });
-        self.push(next, Event::Wake(n, birth));
+        self.push(next, Event::Wake(n, instance_id));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -194,8 +195,8 @@
 
     /// The disk is lost: there is another one, empty, when the process starts again.
     pub fn lose(&mut self, n: usize) {
-        self.births += 1;
-        let id = InstanceId(600_000 + self.births);
+        self.instance_ids += 1;
+        let id = InstanceId(600_000 + self.instance_ids);
         self.disks[n] = PaperDisk { id, vote: None, torn: false, does: Does::Keeps };
     }
 
@@ -226,9 +227,9 @@
         let Some(m) = self.all[n].as_mut() else { return false };
         let Some(number) = m.register.held(now).map(|h| h.agreed.number) else { return false };
         m.register.wish(now, number, text.to_owned());
-        let (next, birth) = (m.register.next(), m.register.birth());
+        let (next, instance_id) = (m.register.next(), m.register.instance_id());
         let at = self.truly(n, next);
-        self.push(at, Event::Wake(n, birth));
+        self.push(at, Event::Wake(n, instance_id));
         true
     }
 
@@ -354,9 +355,9 @@
             self.die(n);
             return None;
         }
-        let (next, birth) = (machine.register.next(), machine.register.birth());
+        let (next, instance_id) = (machine.register.next(), machine.register.instance_id());
         let at = self.truly(n, next);
-        self.push(at, Event::Wake(n, birth));
+        self.push(at, Event::Wake(n, instance_id));
         Some(out.messages)
     }
 
@@ -382,7 +383,7 @@
     }
 
     /// Plays until the condition holds; whether it did by then.
-    pub fn until(&mut self, by: u64, holds: impl Fn(&Paper) -> bool) -> bool {
+    pub fn until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
         while let Some((&(at, k), _)) = self.events.iter().next() {
             if at > by {
@@ -397,14 +398,14 @@
                     }
                     continue;
                 }
-                Event::Wake(n, birth) => {
+                Event::Wake(n, instance_id) => {
                     let Some(m) = self.all[n].as_ref() else { continue };
-                    if m.register.birth() != birth || self.clock(n, at) < m.register.next() {
+                    if m.register.instance_id() != instance_id || self.clock(n, at) < m.register.next() {
                         continue;
                     }
                     if at < m.stopped {
                         let stopped = m.stopped;
-                        self.push(stopped, Event::Wake(n, birth));
+                        self.push(stopped, Event::Wake(n, instance_id));
                         continue;
                     }
                     (n, None)
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -7,22 +7,22 @@
 use test_case::test_case;
 
 /// A fleet that has agreed on a text; three of its routers keep it.
-fn agreed(seed: u64, routers: usize) -> Paper {
-    let mut paper = Paper::new(seed, routers, 3);
+fn agreed(seed: u64, routers: usize) -> SimulatedNetwork {
+    let mut paper = SimulatedNetwork::new(seed, routers, 3);
     assert!(paper.until(12 * S, |p| p.all_hold("")), "founded: {:?}", paper.standstill(0));
     assert!(settle(&mut paper, "a"), "written and copied");
     paper
 }
 
 /// Wishes for it until all hold it: who convenes may change, and a wish is lost with it.
-fn settle(paper: &mut Paper, text: &str) -> bool {
+fn settle(paper: &mut SimulatedNetwork, text: &str) -> bool {
     (0..8).any(|_| {
         paper.wish(text);
         paper.until(3 * S, |p| p.all_hold(text))
     })
 }
 
-fn sound(paper: &Paper) {
+fn sound(paper: &SimulatedNetwork) {
     assert_eq!(paper.broken, None);
 }
 
@@ -93,8 +93,9 @@
     paper.pass(S);
     paper.start(other);
     let new = paper.disks[other].id;
-    let taken_in =
-        |p: &Paper| p.held(4).is_some_and(|a| a.before.is_empty() && a.keepers.iter().any(|s| s.disk == new));
+    let taken_in = |p: &SimulatedNetwork| {
+        p.held(4).is_some_and(|a| a.before.is_empty() && a.keepers.iter().any(|s| s.disk == new))
+    };
     assert!(paper.until(8 * S, taken_in));
     assert!(paper.all_hold("a"));
     sound(&paper);
@@ -127,7 +128,7 @@
 // Nothing counts before leases of a life before have ended, however it was founded.
 #[test]
 fn a_founding_ripens() {
-    let mut paper = Paper::new(5, 5, 3);
+    let mut paper = SimulatedNetwork::new(5, 5, 3);
     assert!(paper.until(9 * S, |p| p.standstill(0) == Some(Standstill::Ripens)
         || p.standstill(1) == Some(Standstill::Ripens)
         || p.standstill(2) == Some(Standstill::Ripens)));
@@ -215,7 +216,7 @@
         }
         paper.pass(10 * S);
         let named = paper.named.clone();
-        let moved = |p: &Paper| {
+        let moved = |p: &SimulatedNetwork| {
             p.held(7).is_some_and(|a| {
                 a.before.is_empty()
                     && a.keepers.len() == 3
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -7,7 +7,7 @@
 use crate::wording::{Message, Talk};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -124,9 +124,9 @@
         (client, results)
     }
 
-    fn wake(&mut self, wire: &mut dyn Wire, at: Micros, then: Then) {
+    fn wake(&mut self, transport: &mut dyn Transport, at: Micros, then: Then) {
         self.wakes.push(Some(then));
-        wire.wake_at(at, Wake(self.wakes.len() as u64 - 1));
+        transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
     }
 
     fn settle(&self, now: Micros, job: usize, got: Got) {
@@ -137,7 +137,7 @@
         }
     }
 
-    fn ask(&mut self, now: Micros, wire: &mut dyn Wire, job: usize, router: usize, twin: bool) {
+    fn ask(&mut self, now: Micros, transport: &mut dyn Transport, job: usize, router: usize, twin: bool) {
         let planned = &self.plan[job];
         if now >= planned.at + planned.limit {
             return self.settle(now, job, Got::Nothing);
@@ -146,20 +146,20 @@
         let at = self.routers.borrow()[router];
         let (conn, stands) = match idle {
             Some(n) => (self.idle.swap_remove(n).1, true),
-            None => (wire.connect(at, planned.limit), false),
+            None => (transport.connect(at, planned.limit), false),
         };
         self.next += 1;
         self.exchanges.insert(self.next, Exchange { job, conn, router, open: true, twin });
         let talk = self.talks.entry(conn).or_insert_with(|| (Talk::new(Side::Client), 0));
         talk.1 = self.next;
         let (limit, number) = (planned.at + planned.limit + LISTENS, self.next);
-        self.wake(wire, limit, Then::GiveUp(number));
+        self.wake(transport, limit, Then::GiveUp(number));
         if stands {
-            self.write(now, wire, conn);
+            self.write(now, transport, conn);
         }
     }
 
-    fn write(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some((_, number)) = self.talks.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.job];
@@ -191,23 +191,30 @@
             let head = attributes.iter().fold(head, |h, (n, v)| h.field(&format!("ce-{n}"), v));
             head.field("Content-Type", "application/json").body(b"{\"nights\":2}")
         };
-        wire.write(conn, &bytes);
+        transport.write(conn, &bytes);
         let (router, event) = (exchange.router as u64, Event::from(format!("{} {}", p.source, p.id)));
         let limit = p.at + p.limit;
         self.ledger.write(now, Saw::Asked { exchange: *number, router, event, limit });
     }
 
-    fn again(&mut self, now: Micros, wire: &mut dyn Wire, job: usize, router: usize, wait: Micros) -> bool {
+    fn again(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        job: usize,
+        router: usize,
+        wait: Micros,
+    ) -> bool {
         let p = &self.plan[job];
         let may = self.tries[job] < p.tries && now + wait < p.at + p.limit;
         if may {
             self.tries[job] += 1;
-            self.wake(wire, now + wait, Then::Ask { job, router, twin: false });
+            self.wake(transport, now + wait, Then::Ask { job, router, twin: false });
         }
         may
     }
 
-    fn answered(&mut self, now: Micros, wire: &mut dyn Wire, number: u64, answer: &Message) {
+    fn answered(&mut self, now: Micros, transport: &mut dyn Transport, number: u64, answer: &Message) {
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else {
             return self.ledger.write(now, Saw::Stray { exchange: number });
         };
@@ -226,7 +233,7 @@
                     Some(next) => {
                         self.plan[job] = next;
                         self.tries[job] = 1;
-                        self.ask(now, wire, job, router, false);
+                        self.ask(now, transport, job, router, false);
                     }
                     None => self.settle(now, job, if late { Got::Late } else { Got::Finished }),
                 }
@@ -237,7 +244,7 @@
                 let told = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
                 let own = self.plan[job].stays.filter(|_| self.plan[job].ignores);
                 let wait = own.unwrap_or(told);
-                if !self.again(now, wire, job, router, wait) {
+                if !self.again(now, transport, job, router, wait) {
                     self.settle(now, job, Got::PushedBack);
                 }
             }
@@ -247,7 +254,7 @@
         }
     }
 
-    fn gone(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, never: bool) {
+    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, never: bool) {
         self.idle.retain(|(_, c)| *c != conn);
         let Some((_, number)) = self.talks.remove(&conn) else { return };
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
@@ -258,7 +265,7 @@
         let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
         let wait = stays.unwrap_or(ELSEWHERE);
         let may = never || self.plan[job].idempotent;
-        let goes_on = twin || may && self.again(now, wire, job, elsewhere, wait);
+        let goes_on = twin || may && self.again(now, transport, job, elsewhere, wait);
         if !goes_on {
             self.settle(now, job, Got::Broken);
         }
@@ -266,48 +273,48 @@
 }
 
 impl Machine for Client {
-    fn start(&mut self, _: Micros, wire: &mut dyn Wire) {
+    fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         for job in 0..self.plan.len() {
             let p = self.plan[job].clone();
             self.tries[job] = 1;
-            self.wake(wire, p.at, Then::Ask { job, router: p.router, twin: false });
+            self.wake(transport, p.at, Then::Ask { job, router: p.router, twin: false });
             if let Some(after) = p.twin_after {
-                self.wake(wire, p.at + after, Then::Ask { job, router: p.router, twin: true });
+                self.wake(transport, p.at + after, Then::Ask { job, router: p.router, twin: true });
             }
             if let Some(after) = p.leaves_after {
-                self.wake(wire, p.at + after, Then::Leave(job));
+                self.wake(transport, p.at + after, Then::Leave(job));
             }
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: Listener) {}
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        self.write(now, wire, conn);
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {}
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        self.write(now, transport, conn);
     }
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some((talk, number)) = self.talks.get_mut(&conn) else { return };
         let number = *number;
         match talk.hear(bytes) {
-            Some(answers) => answers.iter().for_each(|a| self.answered(now, wire, number, a)),
+            Some(answers) => answers.iter().for_each(|a| self.answered(now, transport, number, a)),
             None => self.ledger.write(now, Saw::Stray { exchange: number }),
         }
     }
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        wire.cut(conn);
-        self.gone(now, wire, conn, false);
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        transport.cut(conn);
+        self.gone(now, transport, conn, false);
     }
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, _: u64) {
-        self.gone(now, wire, conn, why == Closed::Never);
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
+        self.gone(now, transport, conn, why == Closed::Never);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.wakes[wake.0 as usize].take() {
             Some(Then::Ask { job, .. }) if self.results.borrow().got[job].0 != Got::Nothing => {}
-            Some(Then::Ask { job, router, twin }) => self.ask(now, wire, job, router, twin),
+            Some(Then::Ask { job, router, twin }) => self.ask(now, transport, job, router, twin),
             Some(Then::Leave(job)) => {
                 let mine = self.exchanges.iter_mut().filter(|(_, e)| e.job == job && e.open);
                 for (number, exchange) in mine {
                     exchange.open = false;
-                    wire.cut(exchange.conn);
+                    transport.cut(exchange.conn);
                     self.talks.remove(&exchange.conn);
                     self.ledger.write(now, Saw::Left { exchange: *number });
                 }
@@ -317,7 +324,7 @@
                 let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
                 exchange.open = false;
                 let (job, conn) = (exchange.job, exchange.conn);
-                wire.cut(conn);
+                transport.cut(conn);
                 self.talks.remove(&conn);
                 self.ledger.write(now, Saw::GaveUp { exchange: number });
                 self.settle(now, job, Got::Broken);
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -3,7 +3,7 @@
 use crate::wording::Talk;
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,10 +50,18 @@
         Hosts { listen, rows, changes, silence: (0, 0), stale: None, ledger, talks: BTreeMap::new() }
     }
 
-    fn tell(&self, now: Micros, wire: &mut dyn Wire, conn: Conn, router: u64, kind: &str, rows: &[&Row]) {
+    fn tell(
+        &self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        router: u64,
+        kind: &str,
+        rows: &[&Row],
+    ) {
         let workers: Vec<Value> = rows.iter().map(|r| r.json()).collect();
         let line = format!("{}\n", json!({"kind": kind, "workers": workers}));
-        wire.write(conn, &encode::chunk(line.as_bytes()));
+        transport.write(conn, &encode::chunk(line.as_bytes()));
         for row in rows {
             let (worker, ready) = (row.name.clone(), row.standing == "ready");
             self.ledger.write(now, Saw::Told { router, worker, ready, started: row.started });
@@ -62,18 +70,18 @@
 }
 
 impl Machine for Hosts {
-    fn start(&mut self, _: Micros, wire: &mut dyn Wire) {
-        wire.listen(self.listen, 10_000).expect("the host list's port is free");
-        wire.wake_at(self.silence.0, SILENT);
+    fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
+        transport.listen(self.listen, 10_000).expect("the host list's port is free");
+        transport.wake_at(self.silence.0, SILENT);
         for (n, (at, _)) in self.changes.iter().enumerate() {
-            wire.wake_at(*at, Wake(n as u64));
+            transport.wake_at(*at, Wake(n as u64));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
         self.talks.insert(conn, (Talk::new(Side::Server), None));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some((talk, watches)) = self.talks.get_mut(&conn) else { return };
         let Some(asked) = talk.hear(bytes).and_then(|mut m| m.pop()) else { return };
         if let Some((name, standing)) =
@@ -82,39 +90,39 @@
             let known = self.rows.iter().find(|r| *r.name == *name).cloned();
             let standing = ["ready", "draining", "gone"].into_iter().find(|s| *s == standing);
             let status = if known.is_some() && standing.is_some() { 200 } else { 404 };
-            wire.write(conn, &encode::response(status).body(b""));
+            transport.write(conn, &encode::response(status).body(b""));
             if let (Some(row), Some(standing)) = (known, standing) {
                 self.changes.push((now, Row { standing, ..row }));
-                wire.wake_at(now, Wake(self.changes.len() as u64 - 1));
+                transport.wake_at(now, Wake(self.changes.len() as u64 - 1));
             }
             return;
         }
         if (self.silence.0..self.silence.1).contains(&now) {
             self.talks.remove(&conn);
-            return wire.cut(conn);
+            return transport.cut(conn);
         }
         let router = asked.target.rsplit("router=").next().and_then(|r| r.parse().ok()).unwrap_or(0);
         *watches = Some(router);
-        wire.write(conn, &encode::response(200).field("Content-Type", "application/jsonl").chunked());
+        transport.write(conn, &encode::response(200).field("Content-Type", "application/jsonl").chunked());
         let stale = self.stale.as_ref().filter(|(from, until, _)| (*from..*until).contains(&now));
         let mut rows: Vec<&Row> = self.rows.iter().collect();
         if let Some((_, _, old)) = stale {
             rows.iter_mut().filter(|row| row.name == old.name).for_each(|row| *row = old);
         }
-        self.tell(now, wire, conn, router, "full", &rows);
+        self.tell(now, transport, conn, router, "full", &rows);
     }
-    fn half_closed(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.talks.remove(&conn);
-        wire.cut(conn);
+        transport.cut(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
         self.talks.remove(&conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake == SILENT {
             // Whoever watched finds out by the end of its connection, and asks again.
-            std::mem::take(&mut self.talks).keys().for_each(|conn| wire.cut(*conn));
+            std::mem::take(&mut self.talks).keys().for_each(|conn| transport.cut(*conn));
             return;
         }
         let row = self.changes[wake.0 as usize].1.clone();
@@ -124,7 +132,7 @@
         }
         let watching = self.talks.iter().filter_map(|(c, (_, w))| w.map(|router| (*c, router)));
         for (conn, router) in watching.collect::<Vec<_>>() {
-            self.tell(now, wire, conn, router, "changes", &[&row]);
+            self.tell(now, transport, conn, router, "changes", &[&row]);
         }
         self.rows.retain(|r| r.standing != "gone");
     }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,7 +3,7 @@
 pub mod client;
 pub mod hosts;
 pub mod ledger;
-pub mod paper;
+pub mod simulated_transport;
 pub mod store;
 pub mod wording;
 pub mod worker;
--- a/crates/fakes/src/paper.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -1,11 +1,11 @@
 //! A wire on paper, for tests of machines without sockets: what they wrote, opened and cut, with time moved
 //! by hand.
-use applepond_reactor::{Conn, Listener, Micros, Wake, Wire};
+use applepond_reactor::{Conn, Listener, Micros, Transport, Wake};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 #[derive(Default)]
-pub struct Paper {
+pub struct SimulatedTransport {
     next: u64,
     pub connects: Vec<(Conn, SocketAddr)>,
     pub written: BTreeMap<Conn, Vec<u8>>,
@@ -30,7 +30,7 @@
     timers: BTreeSet<(Micros, u64, Wake)>,
 }
 
-impl Wire for Paper {
+impl Transport for SimulatedTransport {
     fn connect(&mut self, to: SocketAddr, _: Micros) -> Conn {
         self.next += 1;
         self.connects.push((Conn(self.next), to));
@@ -113,7 +113,7 @@
     }
 }
 
-impl Paper {
+impl SimulatedTransport {
     /// A number for a connection that a test opens.
     pub fn number(&mut self) -> Conn {
         self.next += 1;
--- a/crates/fakes/src/wording.rs
+++ b/crates/fakes/src/wording.rs
@@ -1,6 +1,6 @@
 //! One peer's side of an HTTP connection: whole messages in, kept as plain names and texts.
 use applepond_http::Fault;
-use applepond_http::decode::{Decoder, Fields, Side, Sink, Step};
+use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
 use std::collections::BTreeMap;
 
 /// Bytes of a head and of a body at most: stand-ins are given more room than routers allow.
@@ -40,7 +40,7 @@
     }
 }
 
-impl Sink for Taking {
+impl Visitor for Taking {
     fn request(&mut self, _: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
         self.fields(fields);
         self.now.target = target.to_owned();
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::wording::{Message, Talk};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use oorandom::Rand64;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -195,22 +195,22 @@
         }
     }
 
-    fn wake(&mut self, wire: &mut dyn Wire, at: Micros, then: Then) {
+    fn wake(&mut self, transport: &mut dyn Transport, at: Micros, then: Then) {
         self.wakes.push(Some(then));
-        wire.wake_at(at, Wake(self.wakes.len() as u64 - 1));
+        transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
     }
 
-    fn rise(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn rise(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.started = now;
         self.ledger.write(now, Saw::Rose { worker: self.build.name.clone() });
-        self.up = wire.listen(self.build.listen, 10_000).ok().map(|(l, _)| l);
+        self.up = transport.listen(self.build.listen, 10_000).ok().map(|(l, _)| l);
     }
 
-    fn die(&mut self, wire: &mut dyn Wire) {
+    fn die(&mut self, transport: &mut dyn Transport) {
         if let Some(up) = self.up.take() {
-            wire.deafen(up, true);
+            transport.deafen(up, true);
         }
-        self.talks.keys().chain(self.fetches.keys()).for_each(|c| wire.cut(*c));
+        self.talks.keys().chain(self.fetches.keys()).for_each(|c| transport.cut(*c));
         self.life += 1;
         self.talks.clear();
         self.jobs.clear();
@@ -242,7 +242,7 @@
 
     fn answer(
         &mut self,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         conn: Conn,
         status: u16,
         mark: &str,
@@ -282,34 +282,34 @@
         let bytes = head.body(body.as_bytes());
         match self.mood {
             Mood::CutAnswers => {
-                wire.write(conn, &bytes[..bytes.len() / 2]);
-                wire.finish(conn);
+                transport.write(conn, &bytes[..bytes.len() / 2]);
+                transport.finish(conn);
             }
             Mood::Garbage if conn.0.is_multiple_of(2) => {
-                wire.write(conn, b"\x16\x03\x01 certainly no HTTP\r\n\r\n")
+                transport.write(conn, b"\x16\x03\x01 certainly no HTTP\r\n\r\n")
             }
-            Mood::Garbage => wire.write(conn, &encode::response(200).body(b"no event")),
-            Mood::TwoAnswers => wire.write(conn, &[bytes.clone(), bytes].concat()),
-            _ => wire.write(conn, &bytes),
+            Mood::Garbage => transport.write(conn, &encode::response(200).body(b"no event")),
+            Mood::TwoAnswers => transport.write(conn, &[bytes.clone(), bytes].concat()),
+            _ => transport.write(conn, &bytes),
         }
     }
 
-    fn turn_to(&mut self, wire: &mut dyn Wire, mood: Mood) {
+    fn turn_to(&mut self, transport: &mut dyn Transport, mood: Mood) {
         if let Some(up) = self.up {
             match mood {
-                Mood::NoHandshakes => wire.deafen(up, false),
-                _ => wire.hear(up),
+                Mood::NoHandshakes => transport.deafen(up, false),
+                _ => transport.hear(up),
             }
         }
         self.mood = mood;
     }
 
-    fn came(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, asked: &Message) {
+    fn came(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, asked: &Message) {
         if let Some(name) = asked.target.strip_prefix("/-/mood?") {
             let mood = Mood::named(name);
-            mood.into_iter().for_each(|mood| self.turn_to(wire, mood));
+            mood.into_iter().for_each(|mood| self.turn_to(transport, mood));
             let status = if mood.is_some() { 200 } else { 404 };
-            return wire.write(conn, &encode::response(status).body(b""));
+            return transport.write(conn, &encode::response(status).body(b""));
         }
         let event: Event = Rc::from(format!("{} {}", asked.field("ce-source"), asked.field("ce-id")));
         let router = asked.number("applepond-router").unwrap_or(0);
@@ -319,32 +319,32 @@
         if self.falls(now, router, work) {
             let by = self.pressed.iter().map(|(_, router, _)| *router).collect();
             self.ledger.write(now, Saw::Fell { worker, by });
-            return self.die(wire);
+            return self.die(transport);
         }
-        let away = |me: &mut Self, wire: &mut dyn Wire, company| {
+        let away = |me: &mut Self, transport: &mut dyn Transport, company| {
             me.ledger.write(now, Saw::TurnedAway { worker: me.build.name.clone(), event: event.clone() });
-            me.answer(wire, conn, 503, "full", "", company);
+            me.answer(transport, conn, 503, "full", "", company);
         };
         let customer = asked.field("ce-customer").bytes().fold(0u8, u8::wrapping_add);
         match self.mood {
             Mood::Hang => return,
             Mood::FailFast(share) if self.rng.rand_float() < share => {
                 self.ledger.write(now, Saw::Began { worker, event });
-                return self.answer(wire, conn, 500, "", "", 0);
+                return self.answer(transport, conn, 500, "", "", 0);
             }
-            Mood::RefuseAll => return away(self, wire, 0),
-            Mood::RefuseCustomer(shut) if shut == customer => return away(self, wire, 0),
+            Mood::RefuseAll => return away(self, transport, 0),
+            Mood::RefuseCustomer(shut) if shut == customer => return away(self, transport, 0),
             _ => {}
         }
         let marked = asked.field("ce-fingerprint") == "true";
         if marked && self.rack.borrow().get(&event).is_some_and(|until| now < *until) {
             self.ledger.write(now, Saw::Dropped { worker, event });
-            return self.answer(wire, conn, 200, "", "", 0);
+            return self.answer(transport, conn, 200, "", "", 0);
         }
         let function: Rc<str> = Rc::from(asked.field("applepond-function"));
         let company = self.jobs.values().filter(|j| j.function == function).count();
         if self.queue.len() >= self.build.queue {
-            return away(self, wire, company);
+            return away(self, transport, company);
         }
         let note = match self.copies.get(&function) {
             Some(copy) if copy.loading => "awaited",
@@ -352,17 +352,17 @@
             None => {
                 let memory_mb = asked.number("applepond-memory-mb").unwrap_or(1);
                 if !self.make_room(now, memory_mb) {
-                    return away(self, wire, company);
+                    return away(self, transport, company);
                 }
                 let lanes = asked.number("applepond-lanes").unwrap_or(1) as usize;
                 let copy = Copy { memory_mb, lanes, running: 0, loading: true, last: now };
                 self.copies.insert(function.clone(), copy);
                 match self.build.store {
                     Some(store) => {
-                        let fetch = wire.connect(store, 1_000_000);
+                        let fetch = transport.connect(store, 1_000_000);
                         self.fetches.insert(fetch, (function.clone(), Talk::new(Side::Client)));
                     }
-                    None => self.wake(wire, now + self.build.load, Then::Loaded(function.clone())),
+                    None => self.wake(transport, now + self.build.load, Then::Loaded(function.clone())),
                 }
                 "begun"
             }
@@ -380,7 +380,7 @@
         let job = Job { event, function, work, marked, note, company, running: false, opening };
         self.jobs.insert(conn, job);
         self.queue.push_back(conn);
-        self.go_on(now, wire);
+        self.go_on(now, transport);
     }
 
     /// Unloads idle copies, the one idle longest first; those at work or loading stay.
@@ -400,7 +400,7 @@
     }
 
     /// Begins what may begin: oldest first, where a copy has a lane and a core is free.
-    fn go_on(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn go_on(&mut self, now: Micros, transport: &mut dyn Transport) {
         let mut free = self.build.cores.saturating_sub(self.jobs.values().filter(|j| j.running).count());
         for conn in self.queue.iter().copied().collect::<Vec<_>>() {
             let Some(job) = self.jobs.get_mut(&conn) else { continue };
@@ -417,7 +417,7 @@
             self.ledger.write(now, Saw::Began { worker, event });
             work += opening.map_or(0, |opening| self.prepares(now, &opening));
             let at = now + (work as f64 / self.warmth(now)) as Micros;
-            self.wake(wire, at, Then::Done(conn, self.life));
+            self.wake(transport, at, Then::Done(conn, self.life));
         }
     }
 
@@ -441,7 +441,7 @@
         took
     }
 
-    fn done(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn done(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(job) = self.jobs.remove(&conn) else { return };
         if let Some(copy) = self.copies.get_mut(&job.function) {
             copy.running -= 1;
@@ -453,103 +453,103 @@
         if job.marked {
             self.rack.borrow_mut().insert(job.event.clone(), now + self.build.window);
         }
-        self.answer(wire, conn, 200, "", job.note, job.company);
-        self.go_on(now, wire);
+        self.answer(transport, conn, 200, "", job.note, job.company);
+        self.go_on(now, transport);
     }
 
-    fn load_failed(&mut self, now: Micros, wire: &mut dyn Wire, function: &Rc<str>) {
+    fn load_failed(&mut self, now: Micros, transport: &mut dyn Transport, function: &Rc<str>) {
         self.copies.remove(function);
         let waits = |j: &Job| j.function == *function;
         let jobs: Vec<Conn> = self.jobs.iter().filter(|(_, j)| waits(j)).map(|(c, _)| *c).collect();
         for conn in jobs {
             self.jobs.remove(&conn);
             self.queue.retain(|c| *c != conn);
-            self.answer(wire, conn, 500, "", "load-failed", 0);
+            self.answer(transport, conn, 500, "", "load-failed", 0);
         }
-        self.go_on(now, wire);
+        self.go_on(now, transport);
     }
 
     /// The caller has gone: that is a cancel. What waits is dropped, what runs is told to stop, and frees its
     /// core.
-    fn gone(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.talks.remove(&conn);
         if let Some(job) = self.jobs.remove(&conn) {
             self.queue.retain(|c| *c != conn);
             if let Some(copy) = self.copies.get_mut(&job.function).filter(|_| job.running) {
                 copy.running -= 1;
             }
-            self.go_on(now, wire);
+            self.go_on(now, transport);
         }
         if let Some((function, _)) = self.fetches.remove(&conn) {
-            self.load_failed(now, wire, &function);
+            self.load_failed(now, transport, &function);
         }
     }
 }
 
 impl Machine for Worker {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         for n in 0..self.script.len() {
             let at = self.script[n].0;
-            self.wake(wire, at, Then::Turn(n));
+            self.wake(transport, at, Then::Turn(n));
         }
         // One whose script begins with its rise comes later.
         if self.script.first().is_none_or(|(_, turn)| *turn != Turn::Rise) {
-            self.rise(now, wire);
+            self.rise(now, transport);
             self.started = now.saturating_sub(self.build.warm_within);
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
         self.talks.insert(conn, Talk::new(Side::Server));
     }
-    fn connected(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         if let Some((function, _)) = self.fetches.get(&conn) {
-            wire.write(conn, &encode::request("GET", &format!("/model/{function}"), "store").empty());
+            transport.write(conn, &encode::request("GET", &format!("/model/{function}"), "store").empty());
         }
     }
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some((function, talk)) = self.fetches.get_mut(&conn) {
             let Some(answer) = talk.hear(bytes).unwrap_or_default().pop() else { return };
             let function = function.clone();
             self.fetches.remove(&conn);
-            wire.cut(conn);
+            transport.cut(conn);
             match answer.status {
-                200 => self.wake(wire, now + self.build.load, Then::Loaded(function)),
-                _ => self.load_failed(now, wire, &function),
+                200 => self.wake(transport, now + self.build.load, Then::Loaded(function)),
+                _ => self.load_failed(now, transport, &function),
             }
         } else if let Some(talk) = self.talks.get_mut(&conn) {
             match talk.hear(bytes) {
-                Some(asked) => asked.iter().for_each(|m| self.came(now, wire, conn, m)),
-                None => wire.cut(conn),
+                Some(asked) => asked.iter().for_each(|m| self.came(now, transport, conn, m)),
+                None => transport.cut(conn),
             }
         }
     }
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        wire.cut(conn);
-        self.gone(now, wire, conn);
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        transport.cut(conn);
+        self.gone(now, transport, conn);
     }
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, _: Closed, _: u64) {
-        self.gone(now, wire, conn);
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+        self.gone(now, transport, conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.wakes[wake.0 as usize].take() {
             Some(Then::Turn(n)) => match self.script[n].1 {
-                Turn::Mood(mood) => self.turn_to(wire, mood),
-                Turn::Die => self.die(wire),
-                Turn::Rise => self.rise(now, wire),
+                Turn::Mood(mood) => self.turn_to(transport, mood),
+                Turn::Die => self.die(transport),
+                Turn::Rise => self.rise(now, transport),
             },
             Some(Then::Done(conn, life)) if life == self.life => {
                 if !matches!(self.mood, Mood::Hang | Mood::Stall) {
-                    self.done(now, wire, conn);
+                    self.done(now, transport, conn);
                 } else {
-                    self.wake(wire, now + 100_000, Then::Done(conn, life));
+                    self.wake(transport, now + 100_000, Then::Done(conn, life));
                 }
             }
             Some(Then::Loaded(function)) => {
                 if let Some(copy) = self.copies.get_mut(&function) {
                     copy.loading = false;
                 }
-                self.go_on(now, wire);
+                self.go_on(now, transport);
             }
             _ => {}
         }
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -46,8 +46,8 @@
 
 /// Whom a message is for that is for one process of a router alone: one that was kept from before its start
 /// is not for it.
-pub fn process(name: u64, birth: u64) -> u64 {
-    let mut x = name ^ birth.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+pub fn process(name: u64, instance_id: u64) -> u64 {
+    let mut x = name ^ instance_id.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (x ^ (x >> 32)) | 1
 }
@@ -78,7 +78,7 @@
 
 /// Seals and opens for one router.
 pub struct Envelopes {
-    birth: u64,
+    instance_id: u64,
     me: u64,
     /// The last one that opened was for this process alone.
     mine: bool,
@@ -96,10 +96,10 @@
     ///
     /// # Panics
     /// Where there is no key.
-    pub fn new(birth: u64, me: u64, keys: Vec<Key>) -> Self {
+    pub fn new(instance_id: u64, me: u64, keys: Vec<Key>) -> Self {
         assert!(!keys.is_empty(), "a fleet has a key");
         let (heard, dropped) = (BTreeMap::new(), BTreeMap::new());
-        Envelopes { birth, me, mine: false, keys, count: 0, opened: 0, heard, dropped }
+        Envelopes { instance_id, me, mine: false, keys, count: 0, opened: 0, heard, dropped }
     }
 
     /// Other keys from now on.
@@ -117,7 +117,7 @@
         self.count += 1;
         let mut bytes = vec![VERSION];
         bytes.extend_from_slice(&[0; HASH]);
-        for number in [self.birth, to, self.count] {
+        for number in [self.instance_id, to, self.count] {
             bytes.extend_from_slice(&number.to_le_bytes());
         }
         bytes.extend_from_slice(message);
@@ -154,24 +154,24 @@
             return Err(Dropped::Foreign);
         }
         let number = |n: usize| u64::from_le_bytes(sealed[8 * n..8 * n + 8].try_into().expect("eight bytes"));
-        let (birth, to, count) = (number(0), number(1), number(2));
-        let mine = to == process(self.me, self.birth);
+        let (instance_id, to, count) = (number(0), number(1), number(2));
+        let mine = to == process(self.me, self.instance_id);
         if to != 0 && to != self.me && !mine {
             return Err(Dropped::Misled);
         }
-        self.fresh(birth, count)?;
+        self.fresh(instance_id, count)?;
         self.mine = mine;
-        Ok((birth, &sealed[3 * 8..]))
+        Ok((instance_id, &sealed[3 * 8..]))
     }
 
     /// Guards against a datagram that was kept and comes again.
-    fn fresh(&mut self, birth: u64, count: u64) -> Result<(), Dropped> {
-        if birth == self.birth {
+    fn fresh(&mut self, instance_id: u64, count: u64) -> Result<(), Dropped> {
+        if instance_id == self.instance_id {
             return Err(Dropped::Replayed);
         }
         self.opened += 1;
         let at = self.opened;
-        if let Some(heard) = self.heard.get_mut(&birth) {
+        if let Some(heard) = self.heard.get_mut(&instance_id) {
             heard.at = at;
             if count > heard.highest {
                 let by = count - heard.highest;
@@ -194,10 +194,10 @@
             return Ok(());
         }
         if self.heard.len() >= SENDERS_MOST {
-            let oldest = self.heard.iter().min_by_key(|(_, h)| h.at).map(|(birth, _)| *birth);
-            oldest.map(|birth| self.heard.remove(&birth));
+            let oldest = self.heard.iter().min_by_key(|(_, h)| h.at).map(|(instance_id, _)| *instance_id);
+            oldest.map(|instance_id| self.heard.remove(&instance_id));
         }
-        self.heard.insert(birth, Heard { highest: count, below: 0, at });
+        self.heard.insert(instance_id, Heard { highest: count, below: 0, at });
         Ok(())
     }
 
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -78,7 +78,7 @@
 /// What a router is told of itself and its place.
 pub struct Place {
     pub me: RouterId,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     pub incarnation: u64,
     pub keepers: Vec<RouterId>,
     pub founding: u64,
@@ -133,7 +133,7 @@
     ) -> Self {
         let rows =
             [tallies::Row { kind: SEEN, life: SEEN_LIFE }, tallies::Row { kind: PANE, life: Panes::LIFE }];
-        let who = (place.me, place.birth);
+        let who = (place.me, place.instance_id);
         let register = || Register::new(now, who, &place.keepers, place.keeps, seed.rotate_left(7));
         Shared {
             me: place.me,
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -2,7 +2,7 @@
 use crate::envelope::{Envelopes, Key, process};
 use crate::shared::Shared;
 use applepond_membership::{Actions, Change, Guards, InstanceId, Me, MemberStatus, Members, RouterId, Seen};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -75,10 +75,10 @@
         seed: u64,
         (through, guards): (Option<SocketAddr>, Guards),
     ) -> (Self, Rc<RefCell<View>>) {
-        let birth = InstanceId(seed | 1);
+        let instance_id = InstanceId(seed | 1);
         // Later starts have higher ones, as far as the clock goes on; where it went back, the others say so.
-        let me = Me { name, zone, address: listen, birth, incarnation: now };
-        let envelopes = Envelopes::new(birth.0, RouterId::named(&me.name).0, keys);
+        let me = Me { name, zone, address: listen, instance_id, incarnation: now };
+        let envelopes = Envelopes::new(instance_id.0, RouterId::named(&me.name).0, keys);
         let members = Members::new(now, me, seeds, seed).with_guards(guards);
         let shared = None;
         let view = View { members, shared, envelopes, sent: 0, unsent: 0, unread: 0 };
@@ -93,20 +93,20 @@
         self
     }
 
-    fn open(&mut self, now: Micros, wire: &mut dyn Wire) {
-        match wire.post(self.listen) {
+    fn open(&mut self, now: Micros, transport: &mut dyn Transport) {
+        match transport.post(self.listen) {
             Ok((post, at)) => {
                 tracing::info!(%at, "fleet: the port is open");
                 self.post = Some(post);
             }
             Err(error) => {
                 tracing::warn!(at = %self.listen, %error, reason = "fleet-port", "fleet: no port");
-                wire.wake_at(now + OPEN_AGAIN, Wake(0));
+                transport.wake_at(now + OPEN_AGAIN, Wake(0));
             }
         }
     }
 
-    fn with(&mut self, now: Micros, wire: &mut dyn Wire, call: impl FnOnce(&mut View, &mut Said)) {
+    fn with(&mut self, now: Micros, transport: &mut dyn Transport, call: impl FnOnce(&mut View, &mut Said)) {
         let mut said = Said::default();
         let mut view = self.view.borrow_mut();
         call(&mut view, &mut said);
@@ -115,15 +115,15 @@
         for (to, message) in said.shared {
             // For one process alone: the one that is known under the name.
             let Some(record) = view.members.record(to) else { continue };
-            messages.push((record.address, process(to.0, record.birth.0), message));
+            messages.push((record.address, process(to.0, record.instance_id.0), message));
         }
         for (to, whom, message) in messages {
             let Some(sealed) = view.envelopes.seal(whom, &message) else { continue };
             let taken = match (self.post, self.through) {
-                (Some(post), None) => wire.datagram_to(post, to, &sealed),
+                (Some(post), None) => transport.datagram_to(post, to, &sealed),
                 (Some(post), Some(rig)) => {
                     let front = format!("{to}\n");
-                    wire.datagram_to(post, rig, &[front.as_bytes(), &sealed].concat())
+                    transport.datagram_to(post, rig, &[front.as_bytes(), &sealed].concat())
                 }
                 (None, _) => false,
             };
@@ -134,14 +134,14 @@
         let next = view.members.next();
         if next != self.armed {
             self.armed = next;
-            wire.wake_at(next, Wake(1));
+            transport.wake_at(next, Wake(1));
         }
         let Some(shared) = &view.shared else { return };
         let next = shared.look(now).map_or(shared.next(), |look| look.min(shared.next()));
         // One that is set already and comes sooner looks again.
         if self.looks <= now || next < self.looks {
             self.looks = next;
-            wire.wake_at(next, Wake(2));
+            transport.wake_at(next, Wake(2));
         }
     }
 }
@@ -209,28 +209,28 @@
 }
 
 impl Machine for Fleet {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
-        self.open(now, wire);
-        self.with(now, wire, |_, _| {});
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
+        self.open(now, transport);
+        self.with(now, transport, |_, _| {});
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: Listener) {}
-    fn connected(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn bytes(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: &[u8]) {}
-    fn half_closed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-    fn closed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: Closed, _: u64) {}
-    fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {}
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn bytes(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
+    fn half_closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
 
-    fn told(&mut self, now: Micros, wire: &mut dyn Wire, _: Conn, bytes: &[u8]) {
-        self.with(now, wire, |view, said| {
+    fn told(&mut self, now: Micros, transport: &mut dyn Transport, _: Conn, bytes: &[u8]) {
+        self.with(now, transport, |view, said| {
             let View { members, envelopes, unread, shared, .. } = view;
-            let Ok((birth, message)) = envelopes.open(bytes) else { return };
+            let Ok((instance_id, message)) = envelopes.open(bytes) else { return };
             // Messages of members begin with a small number, those of what is shared with a mark.
             if message.first().is_none_or(|mark| *mark < MARKS) {
                 *unread += u64::from(members.heard(now, message, said).is_err());
                 return;
             }
             // Guards against one that was kept from before this process: it is for another one.
-            let from = members.by_birth(InstanceId(birth)).filter(|_| envelopes.was_for_me());
+            let from = members.by_birth(InstanceId(instance_id)).filter(|_| envelopes.was_for_me());
             match (from, shared) {
                 (Some(from), Some(shared)) => said.shared.extend(shared.heard(now, from, message)),
                 _ => *unread += 1,
@@ -238,18 +238,18 @@
         });
     }
 
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake.0 == 0 {
-            return self.open(now, wire);
+            return self.open(now, transport);
         }
         if wake.0 == 2 {
-            return self.with(now, wire, |view, said| {
+            return self.with(now, transport, |view, said| {
                 let View { members, shared, .. } = view;
                 said.shared.extend(shared.iter_mut().flat_map(|s| s.wake(now, members)));
             });
         }
         let ends = (self.ends)();
-        self.with(now, wire, |view, said| {
+        self.with(now, transport, |view, said| {
             if ends && view.members.me().standing != MemberStatus::Left {
                 view.members.leave(now, said);
             } else if now >= view.members.next() {
@@ -262,7 +262,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use applepond_fakes::paper::Paper;
+    use applepond_fakes::simulated_transport::SimulatedTransport;
     use test_case::test_case;
 
     const BEGIN: Micros = 1_000_000_000;
@@ -278,9 +278,9 @@
     }
 
     /// Fires what is due by then.
-    fn pass(fleet: &mut Fleet, wire: &mut Paper, until: Micros) {
-        while let Some((at, wake)) = wire.due(until) {
-            fleet.woken(at, wire, wake);
+    fn pass(fleet: &mut Fleet, transport: &mut SimulatedTransport, until: Micros) {
+        while let Some((at, wake)) = transport.due(until) {
+            fleet.woken(at, transport, wake);
         }
     }
 
@@ -288,45 +288,48 @@
     #[test_case(3, false, 0; "no descriptor for three seconds")]
     #[test_case(0, true, 1; "a socket that refuses to send")]
     fn goes_on_without(no_posts: usize, refuses: bool, least: u64) {
-        let mut wire = Paper::default();
-        wire.no_posts = no_posts;
+        let mut transport = SimulatedTransport::default();
+        transport.no_posts = no_posts;
         let (mut fleet, view) = fleet("a", 1, 2, b"a secret of some length");
-        fleet.start(BEGIN, &mut wire);
+        fleet.start(BEGIN, &mut transport);
         if refuses {
-            wire.stuck.insert(fleet.post.expect("open"));
+            transport.stuck.insert(fleet.post.expect("open"));
         }
-        pass(&mut fleet, &mut wire, BEGIN + 10_000_000);
+        pass(&mut fleet, &mut transport, BEGIN + 10_000_000);
         let page = page(&view.borrow(), BEGIN + 10_000_000);
         assert_eq!(page["live"], 1);
         assert!(page["datagrams"]["not-taken"].as_u64() >= Some(least));
-        assert_eq!(wire.datagrams.is_empty(), refuses, "and sends once it can");
+        assert_eq!(transport.datagrams.is_empty(), refuses, "and sends once it can");
     }
 
     // Keys are changed while the process runs: what only the old one sealed is foreign from then on.
     #[test]
     fn other_keys() {
         let (old, new) = (&b"a secret of some length"[..], &b"another secret as long"[..]);
-        let (mut wire, mut others) = (Paper::default(), Paper::default());
+        let (mut transport, mut others) = (SimulatedTransport::default(), SimulatedTransport::default());
         let ((mut one, view), (mut other, others_view)) = (fleet("a", 1, 2, old), fleet("b", 2, 1, old));
-        one.start(BEGIN, &mut wire);
+        one.start(BEGIN, &mut transport);
         other.start(BEGIN, &mut others);
-        let told = |one: &mut Fleet, wire: &mut Paper, others: &mut Paper, at: Micros| {
+        let told = |one: &mut Fleet,
+                    transport: &mut SimulatedTransport,
+                    others: &mut SimulatedTransport,
+                    at: Micros| {
             for (conn, _, bytes) in std::mem::take(&mut others.datagrams) {
-                one.told(at, wire, conn, &bytes);
+                one.told(at, transport, conn, &bytes);
             }
         };
         pass(&mut other, &mut others, BEGIN + 1_000_000);
-        told(&mut one, &mut wire, &mut others, BEGIN + 1_000_000);
+        told(&mut one, &mut transport, &mut others, BEGIN + 1_000_000);
         assert_eq!(page(&view.borrow(), BEGIN)["members"].as_array().map(Vec::len), Some(2));
         let seeds = vec![SocketAddr::from(([127, 0, 0, 1], 2))];
         view.borrow_mut().renew(seeds.clone(), vec![key(new)]);
         pass(&mut other, &mut others, BEGIN + 2_000_000);
-        told(&mut one, &mut wire, &mut others, BEGIN + 2_000_000);
+        told(&mut one, &mut transport, &mut others, BEGIN + 2_000_000);
         let foreign = page(&view.borrow(), BEGIN)["datagrams"]["dropped"]["foreign"].as_u64();
         assert!(foreign >= Some(1));
         others_view.borrow_mut().renew(seeds, vec![key(new)]);
         pass(&mut other, &mut others, BEGIN + 3_000_000);
-        told(&mut one, &mut wire, &mut others, BEGIN + 3_000_000);
+        told(&mut one, &mut transport, &mut others, BEGIN + 3_000_000);
         assert_eq!(page(&view.borrow(), BEGIN)["datagrams"]["dropped"]["foreign"].as_u64(), foreign);
     }
 }
--- a/crates/fleet/tests/envelope.rs
+++ b/crates/fleet/tests/envelope.rs
@@ -8,8 +8,8 @@
 }
 
 /// Router 7 of this birth under key 0.
-fn seven(birth: u64) -> Envelopes {
-    Envelopes::new(birth, 7, vec![key(0)])
+fn seven(instance_id: u64) -> Envelopes {
+    Envelopes::new(instance_id, 7, vec![key(0)])
 }
 
 /// The sender of all that is opened here.
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -8,8 +8,8 @@
 
 use applepond_gateway::Gateway;
 use applepond_http::Fault;
-use applepond_http::decode::{Decoder, Fields, Side, Sink, Step};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Wake, Wire};
+use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct Ends(usize);
 
-impl Sink for Ends {
+impl Visitor for Ends {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
         Ok(())
     }
@@ -93,48 +93,48 @@
 
 macro_rules! quiet {
     () => {
-        fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {}
-        fn half_closed(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn) {
-            wire.cut(conn);
+        fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+        fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+            transport.cut(conn);
         }
-        fn closed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: Closed, _: u64) {}
+        fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
     };
 }
 
 impl Machine for Echo {
     quiet!();
-    fn start(&mut self, _: Micros, wire: &mut dyn Wire) {
-        let (_, at) = wire.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
+    fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
+        let (_, at) = transport.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
         self.at.send(at).expect("the main thread waits");
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
         self.talks.insert(conn, decoder(Side::Server));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
         unused()
     }
-    fn bytes(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let talk = self.talks.get_mut(&conn).expect("accepted");
         (0..whole(talk, bytes).expect("sound requests"))
-            .for_each(|_| wire.write(conn, common::DONE.as_bytes()));
+            .for_each(|_| transport.write(conn, common::DONE.as_bytes()));
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Wire, _: Wake) {}
+    fn woken(&mut self, _: Micros, _: &mut dyn Transport, _: Wake) {}
 }
 
 impl Machine for Forwarder {
     quiet!();
-    fn start(&mut self, _: Micros, wire: &mut dyn Wire) {
-        let (_, at) = wire.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
+    fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
+        let (_, at) = transport.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
         self.at.send(at).expect("the main thread waits");
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
         self.callers.insert(conn, (decoder(Side::Server), Vec::new(), None));
     }
-    fn connected(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         let request = self.links.get(&conn).and_then(|(_, c, _, _)| c.map(|c| self.callers[&c].1.clone()));
-        wire.write(conn, &request.unwrap_or_default());
+        transport.write(conn, &request.unwrap_or_default());
     }
-    fn bytes(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some((decoder, request, link)) = self.callers.get_mut(&conn) {
             request.extend_from_slice(bytes);
             if whole(decoder, bytes).expect("sound requests") == 0 {
@@ -145,10 +145,10 @@
                 Some(idle) => {
                     *link = Some(idle);
                     self.links.get_mut(&idle).expect("kept").1 = Some(conn);
-                    wire.write(idle, request);
+                    transport.write(idle, request);
                 }
                 None => {
-                    let new = wire.connect(self.workers[self.turn], 1_000_000);
+                    let new = transport.connect(self.workers[self.turn], 1_000_000);
                     *link = Some(new);
                     self.links.insert(new, (self::decoder(Side::Client), Some(conn), Vec::new(), self.turn));
                 }
@@ -159,48 +159,48 @@
                 let answer = std::mem::take(answer);
                 self.idle[*turn].push(conn);
                 let caller = caller.take().expect("asked for");
-                wire.write(caller, &answer);
+                transport.write(caller, &answer);
                 self.callers.get_mut(&caller).expect("waits").1.clear();
             }
         }
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Wire, _: Wake) {}
+    fn woken(&mut self, _: Micros, _: &mut dyn Transport, _: Wake) {}
 }
 
 impl Hammer {
-    fn ask(&mut self, wire: &mut dyn Wire, conn: Conn, since: Micros) {
+    fn ask(&mut self, transport: &mut dyn Transport, conn: Conn, since: Micros) {
         self.asked += 1;
         let hut = format!("hut-{}", self.rng.rand_range(0..FUNCTIONS));
         let event = common::event("quote", &self.asked.to_string()).replace("hut", &hut);
         self.talks.get_mut(&conn).expect("open").1 = since;
-        wire.write(conn, event.as_bytes());
+        transport.write(conn, event.as_bytes());
     }
 }
 
 impl Machine for Hammer {
     quiet!();
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.begun = now;
         self.next = now;
         (0..ASKING).for_each(|_| {
-            wire.connect(self.to, 1_000_000);
+            transport.connect(self.to, 1_000_000);
         });
         if self.rate > 0.0 {
-            wire.wake_at(now, Wake(0));
+            transport.wake_at(now, Wake(0));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {
         unused()
     }
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.talks.insert(conn, (decoder(Side::Client), now));
         match self.waiting.pop_front() {
-            Some(since) => self.ask(wire, conn, since),
+            Some(since) => self.ask(transport, conn, since),
             None if self.rate > 0.0 => self.idle.push(conn),
-            None => self.ask(wire, conn, now),
+            None => self.ask(transport, conn, now),
         }
     }
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let (talk, since) = self.talks.get_mut(&conn).expect("open");
         let answers = whole(talk, bytes);
         if answers == Ok(0) {
@@ -215,21 +215,21 @@
             }
         }
         match self.waiting.pop_front() {
-            Some(since) => self.ask(wire, conn, since),
+            Some(since) => self.ask(transport, conn, since),
             None if self.rate > 0.0 => self.idle.push(conn),
-            None => self.ask(wire, conn, now),
+            None => self.ask(transport, conn, now),
         }
     }
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, _: Wake) {
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, _: Wake) {
         while self.next <= now {
             let since = self.next;
             self.next += (-(1.0 - self.rng.rand_float()).ln() / self.rate * 1e6) as Micros + 1;
             match self.idle.pop() {
-                Some(conn) => self.ask(wire, conn, since),
+                Some(conn) => self.ask(transport, conn, since),
                 None => self.waiting.push_back(since),
             }
         }
-        wire.wake_at(self.next, Wake(0));
+        transport.wake_at(self.next, Wake(0));
     }
 }
 
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -140,7 +140,7 @@
     use applepond::interface::IdempotencyScope;
     use test_case::test_case;
 
-    const MARKED: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 1 };
+    const MARKED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 1 };
 
     fn name(n: u32) -> Name {
         (Rc::from("/desk"), Rc::from(n.to_string()))
--- a/crates/gateway/src/fate.rs
+++ b/crates/gateway/src/fate.rs
@@ -26,15 +26,15 @@
 /// it.
 pub fn of_end(reached: Reached) -> Outcome {
     match reached {
-        Reached::NotOpen | Reached::NothingWritten => Outcome::NoConnection,
-        Reached::Written => Outcome::Broken,
+        Reached::NotOpen | Reached::NothingWritten => Outcome::ConnectFailed,
+        Reached::Written => Outcome::ConnectionLost,
     }
 }
 
 /// What this side's end means for a request of which nothing has left: it never ran. A connection that took
 /// nothing until the time was up is as good as none.
 pub fn of_unsent(outcome: Outcome) -> Outcome {
-    if outcome == Outcome::TimedOut { Outcome::NoConnection } else { Outcome::Moot }
+    if outcome == Outcome::TimedOut { Outcome::ConnectFailed } else { Outcome::Superseded }
 }
 
 /// Whether the same attempt may go out once more on a new connection, without a word to the module: only
@@ -49,8 +49,8 @@
 pub fn of_answer(status: u16, mark: Option<&str>, event: bool) -> Outcome {
     match (status, mark) {
         (200, None) if event => Outcome::Finished,
-        (503, Some("full")) => Outcome::Full,
-        (404, Some("missing")) => Outcome::Missing,
+        (503, Some("full")) => Outcome::Overloaded,
+        (404, Some("missing")) => Outcome::NotLoaded,
         _ => Outcome::Error,
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -3,10 +3,10 @@
 use crate::limit::Asked;
 use applepond::interface::{Micros, RequestId};
 use applepond_http::cloudevent::{self, EventSink, Reader};
-use applepond_http::decode::{Decoder, Fields, Side, Sink, Step};
+use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
 use applepond_http::encode::Lines;
 use applepond_http::{Fault, encode};
-use applepond_reactor::{Conn, Wire};
+use applepond_reactor::{Conn, Transport};
 use std::rc::Rc;
 
 /// Bytes of a head at most (431 beyond): four times what event headers take.
@@ -99,7 +99,7 @@
     }
 }
 
-impl Sink for Incoming {
+impl Visitor for Incoming {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
         *self = Incoming::new(self.names.clone());
         let path = target.split('?').next().unwrap_or(target);
@@ -235,7 +235,7 @@
         }
     }
 
-    pub fn feed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    pub fn feed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if self.doing == Doing::Leaving {
             return;
         }
@@ -244,12 +244,12 @@
         }
         self.decoder.feed(bytes);
         if self.doing == Doing::Waiting && self.decoder.waiting() > PIPELINE_MOST {
-            wire.reading(conn, false);
+            transport.reading(conn, false);
         }
     }
 
     /// The next whole request, if the one before has been answered.
-    pub fn next(&mut self, wire: &mut dyn Wire, conn: Conn) -> Option<Result<Ask, Fault>> {
+    pub fn next(&mut self, transport: &mut dyn Transport, conn: Conn) -> Option<Result<Ask, Fault>> {
         if self.doing != Doing::Reading {
             return None;
         }
@@ -264,7 +264,7 @@
             }
             Ok(Step::More) => {
                 if std::mem::take(&mut self.incoming.go_on) {
-                    wire.write(conn, encode::CONTINUE);
+                    transport.write(conn, encode::CONTINUE);
                 }
                 None
             }
@@ -273,43 +273,43 @@
     }
 
     /// Answers the exchange that waits; whatever comes after it is read on.
-    pub fn answer(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, told: &Told) {
+    pub fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Told) {
         if self.doing != Doing::Waiting {
             return;
         }
         let keep = self.keep && !(self.peer_ended && self.decoder.idle());
-        wire.write(conn, &told.encode(keep));
+        transport.write(conn, &told.encode(keep));
         self.job = None;
         if keep {
             self.doing = Doing::Reading;
             self.until = now + WRITE_LIMIT;
-            wire.reading(conn, !self.peer_ended);
+            transport.reading(conn, !self.peer_ended);
         } else {
-            self.leave(now, wire, conn);
+            self.leave(now, transport, conn);
         }
     }
 
     /// Answers what cannot be read, and ends the connection: where the next request begins is not known.
-    pub fn refuse(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, fault: &Fault) {
-        wire.write(conn, &encode::problem_answer(fault, None, None, false));
-        self.leave(now, wire, conn);
+    pub fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+        transport.write(conn, &encode::problem_answer(fault, None, None, false));
+        self.leave(now, transport, conn);
     }
 
-    fn leave(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn leave(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.doing = Doing::Leaving;
         self.until = now + WRITE_LIMIT;
-        wire.finish(conn);
+        transport.finish(conn);
     }
 
     /// The peer ended its side: it may still read, so what it asked before is answered first.
-    pub fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    pub fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peer_ended = true;
         if self.doing == Doing::Reading {
             match self.decoder.finish(&mut self.incoming) {
                 Err(fault) if self.decoder.in_body() || self.decoder.waiting() > 0 => {
-                    self.refuse(now, wire, conn, &fault);
+                    self.refuse(now, transport, conn, &fault);
                 }
-                _ => self.leave(now, wire, conn),
+                _ => self.leave(now, transport, conn),
             }
         }
     }
@@ -323,26 +323,26 @@
 
     /// A look at the clock: 408 for a request that does not come to its end, silence for an idle connection,
     /// the end for a client that does not take its answer.
-    pub fn patience(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) -> Patience {
+    pub fn patience(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) -> Patience {
         if self.doing == Doing::Waiting {
             return Patience::Until(now + READ_LIMIT);
         }
         if now < self.until {
             return Patience::Until(self.until);
         }
-        let unsent = wire.unsent(conn) > 0;
+        let unsent = transport.unsent(conn) > 0;
         if self.doing == Doing::Leaving || unsent {
-            wire.cut(conn);
+            transport.cut(conn);
             return Patience::Over;
         }
         if self.decoder.idle() && now < self.until + IDLE_LIMIT - WRITE_LIMIT {
             return Patience::Until(self.until + IDLE_LIMIT - WRITE_LIMIT);
         }
         if self.decoder.idle() {
-            self.leave(now, wire, conn);
+            self.leave(now, transport, conn);
         } else {
             let detail = "the request did not come to its end in time";
-            self.refuse(now, wire, conn, &Fault::new(408, "slow-request", detail));
+            self.refuse(now, transport, conn, &Fault::new(408, "slow-request", detail));
         }
         Patience::Until(self.until)
     }
--- a/crates/gateway/src/host_list.rs
+++ b/crates/gateway/src/host_list.rs
@@ -59,8 +59,8 @@
 impl From<&Entry> for Endpoint {
     fn from(e: &Entry) -> Self {
         Endpoint {
-            server: e.server,
-            standing: e.standing,
+            worker: e.server,
+            status: e.standing,
             up_since: e.up_since,
             zone: e.zone,
             rack: e.rack,
@@ -184,7 +184,7 @@
         standing,
         up_since: worker["started"].as_u64().unwrap_or(0).saturating_mul(1000),
         zone,
-        rack: worker["rack"].as_i64().map_or_else(|| RackId::alone(server), RackId),
+        rack: worker["rack"].as_i64().map_or_else(|| RackId::unshared(server), RackId),
         weight: worker["weight"].as_f64().unwrap_or(1.0),
     };
     Ok((name.to_owned(), address, entry))
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -27,19 +27,19 @@
     fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.0.push_back(Act::Cancel(job, attempt));
     }
-    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>) {
+    fn reject(&mut self, job: RequestId, come_back: Option<Micros>) {
         self.0.push_back(Act::PushBack(job, come_back));
     }
-    fn kill(&mut self, job: RequestId) {
+    fn fail(&mut self, job: RequestId) {
         self.0.push_back(Act::Kill(job));
     }
-    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
+    fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.0.push_back(Act::Wake(delay, token));
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.0.push_back(Act::Note(text.to_owned()));
     }
-    fn watch(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.0.push_back(Act::Watch);
     }
 }
@@ -172,7 +172,7 @@
         let attempt = life.attempts.get_mut(n).filter(|e| !e.closed)?;
         attempt.closed = true;
         self.out.remove(&(attempt.until, job, n));
-        let answer = AttemptResult { closed: life.ended, elapsed: now - attempt.sent, ..answer };
+        let answer = AttemptResult { request_ended: life.ended, elapsed: now - attempt.sent, ..answer };
         self.forget(job);
         Some(answer)
     }
@@ -201,11 +201,11 @@
 pub fn ended(outcome: Outcome) -> AttemptResult {
     AttemptResult {
         outcome,
-        closed: false,
+        request_ended: false,
         elapsed: 0,
-        copy: LoadState::Unsaid,
-        company: 0,
-        held: None,
-        loads: None,
+        load_state: LoadState::Unreported,
+        same_function_in_flight: 0,
+        reported_in_flight: None,
+        reported_loads: None,
     }
 }
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -6,7 +6,7 @@
 use applepond::interface::{LoadState, RequestId, WorkerId};
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
-use applepond_http::decode::{Decoder, Fields, Side, Sink};
+use applepond_http::decode::{Decoder, Fields, Side, Visitor};
 use applepond_http::encode::Lines;
 
 /// Bytes of an answer's head and body at most: an answer beyond it counts as broken.
@@ -35,7 +35,7 @@
         Answering {
             status: 0,
             mark: None,
-            copy: LoadState::Unsaid,
+            copy: LoadState::Unreported,
             company: 0,
             held: None,
             loads: None,
@@ -55,11 +55,11 @@
             "outcome" => self.mark = Some(value.to_owned()),
             "copy" => {
                 self.copy = match value {
-                    "stood" => LoadState::Stood,
-                    "begun" => LoadState::Begun,
-                    "awaited" => LoadState::Awaited,
+                    "stood" => LoadState::Loaded,
+                    "begun" => LoadState::LoadStarted,
+                    "awaited" => LoadState::LoadPending,
                     "load-failed" => LoadState::LoadFailed,
-                    _ => LoadState::Unsaid,
+                    _ => LoadState::Unreported,
                 }
             }
             "company" => self.company = value.parse().unwrap_or(0),
@@ -75,7 +75,7 @@
     fn data(&mut self, _: Option<&str>, _: Vec<u8>) {}
 }
 
-impl Sink for Answering {
+impl Visitor for Answering {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
         Err(Fault::new(400, "bad-head", "an answer is wanted"))
     }
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -12,9 +12,9 @@
 use applepond_admission::watch::Called;
 use applepond_admission::{Gate, Passage};
 use applepond_http::Fault;
-use applepond_http::decode::{Decoder, Fields, Side, Sink, Step as Decoded};
+use applepond_http::decode::{Decoder, Fields, Side, Step as Decoded, Visitor};
 use applepond_http::encode::{self, Lines};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use applepond_storage::Record;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -50,7 +50,7 @@
 const LINE_MOST: usize = 8 * 1024 * 1024;
 
 /// What a timer leaves to do.
-type Step = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Wire)>;
+type Step = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport)>;
 
 /// What this gateway keeps of a job beside its life.
 struct Task {
@@ -119,7 +119,7 @@
     whole: VecDeque<Vec<u8>>,
 }
 
-impl Sink for ListLines {
+impl Visitor for ListLines {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
         Err(Fault::new(400, "bad-head", "an answer is wanted"))
     }
@@ -250,7 +250,7 @@
         let gate = Gate::new(now, deployment.rows.seed);
         Gateway {
             gate,
-            chains: chained::Chains::new(deployment.rows.keep),
+            chains: chained::Chains::new(deployment.rows.cache_lifetime),
             said: Called::Calm,
             picks: picks(&deployment),
             control,
@@ -302,7 +302,7 @@
     }
 
     /// Takes new settings, or keeps the old ones whole. What was taken in goes on under its old terms.
-    fn switch(&mut self, now: Micros, wire: &mut dyn Wire, new: Result<Deployment, NotTaken>) {
+    fn switch(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, NotTaken>) {
         let only = |keys: switch::Refused| NotTaken::Restart(keys.join(", "));
         let merged = match new.and_then(|new| switch::merge(&self.deployment, new).map_err(only)) {
             Ok(merged) => merged,
@@ -317,14 +317,14 @@
         self.deployment = merged;
         self.picks = picks(&self.deployment);
         self.callers.values_mut().for_each(|caller| caller.rename(&self.picks));
-        self.control.clock(now);
-        self.control.switch(&mut self.acts, self.deployment.rows.clone());
+        self.control.advance_to(now);
+        self.control.reconfigure(&mut self.acts, self.deployment.rows.clone());
         if self.deployment.hosts.is_none() {
-            self.named_workers(now, wire);
+            self.named_workers(now, transport);
         }
     }
 
-    fn named_workers(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn named_workers(&mut self, now: Micros, transport: &mut dyn Transport) {
         let entry = |w: &NamedWorker| Entry {
             server: WorkerId::named(&w.name),
             standing: WorkerStatus::Ready,
@@ -335,7 +335,7 @@
         };
         let named = self.deployment.workers.iter().map(|w| (w.name.clone(), w.address, entry(w)));
         let taken = self.listed.take(EndpointListKind::Full, named.collect());
-        self.listed(now, wire, &taken);
+        self.listed(now, transport, &taken);
     }
 
     /// Where chains are recorded; without it they are known as long as this instance lives.
@@ -344,10 +344,10 @@
         self
     }
 
-    fn after(&mut self, now: Micros, wire: &mut dyn Wire, delay: Micros, step: Step) {
+    fn after(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros, step: Step) {
         self.next_step += 2;
         self.steps.insert(self.next_step, step);
-        wire.wake_at(now + delay, Wake(self.next_step));
+        transport.wake_at(now + delay, Wake(self.next_step));
     }
 
     // ---- The module's orders -----------------------------------------------------------------
@@ -355,34 +355,34 @@
     /// Carries out what the module ordered, and what comes of that, until nothing is left. A client whose
     /// answer went out may have sent its next request already: those are taken here, one after the other, and
     /// not from within each other, or a long pipeline would fill the stack.
-    fn settle(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
-            self.carry_out(now, wire);
+            self.carry_out(now, transport);
             if let Some((job, todo)) = self.chains.begun.pop_front() {
-                self.chain_goes_on(now, wire, job, todo);
+                self.chain_goes_on(now, transport, job, todo);
                 continue;
             }
             if let Some((then, end)) = self.chains.ends.pop_front() {
-                then(self, now, wire, end);
+                then(self, now, transport, end);
                 continue;
             }
             match self.ready.pop_front() {
-                Some(conn) => self.read_on(now, wire, conn),
-                None if self.write_down(now, wire) => {}
+                Some(conn) => self.read_on(now, transport, conn),
+                None if self.write_down(now, transport) => {}
                 None if self.acts.0.is_empty() && self.chains.ends.is_empty() => return,
                 None => {}
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some(act) = self.acts.0.pop_front() {
             match act {
                 Act::Send(job, server, patience, begin) => {
-                    self.execute(now, wire, job, server, (patience, begin));
+                    self.execute(now, transport, job, server, (patience, begin));
                 }
                 Act::Cancel(job, n) => {
-                    self.drop_attempt(now, wire, job, n, Outcome::Cancelled);
+                    self.drop_attempt(now, transport, job, n, Outcome::Cancelled);
                 }
                 Act::PushBack(job, come_back) => {
                     // In a storm the module's word stands, but all its pushbacks together would be a second
@@ -407,7 +407,7 @@
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
                     let id = self.tasks.get(job).map(|t| t.of.name.1.clone());
                     let told = front::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
-                    self.end(now, wire, job, told);
+                    self.end(now, transport, job, told);
                 }
                 Act::Kill(job) => {
                     let Some(task) = self.tasks.get(job) else { continue };
@@ -419,11 +419,11 @@
                     };
                     let id = task.of.name.1.clone();
                     let told = front::problem(Ending::Killed, &fault, Some(&id), None);
-                    self.end(now, wire, job, told);
+                    self.end(now, transport, job, told);
                 }
                 // The module's timers are many and carry their own number: they travel as they are, ours are
                 // odd.
-                Act::Wake(delay, token) => wire.wake_at(now + delay, Wake(token.0 << 1)),
+                Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
                 Act::Note(text) => tracing::info!(target: "module", "{text}"),
                 // The list is pushed to whoever is connected to it, so there is nothing to ask for.
                 Act::Watch => {}
@@ -435,45 +435,50 @@
     fn execute(
         &mut self,
         now: Micros,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         job: RequestId,
         server: WorkerId,
         times: (Micros, Micros),
     ) {
-        let most = self.deployment.rows.permits.attempts;
+        let most = self.deployment.rows.attempt_policy.max_attempts;
         match self.tasks.execute(now, job, server, times, most) {
             Some(Ok(n)) => {
                 self.counts.attempts += 1;
                 if let Some(worker) = self.listed.get_mut(server) {
                     worker.out += 1;
                 }
-                self.arm(now, wire);
-                self.connect(now, wire, job, n);
+                self.arm(now, transport);
+                self.connect(now, transport, job, n);
             }
-            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Moot)),
+            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
 
-    fn arm(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn arm(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some(until) = self.tasks.arm() {
-            self.after(now, wire, until.saturating_sub(now), Box::new(|g, now, wire| g.times_up(now, wire)));
+            self.after(
+                now,
+                transport,
+                until.saturating_sub(now),
+                Box::new(|g, now, transport| g.times_up(now, transport)),
+            );
         }
     }
 
-    fn times_up(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some((job, n)) = self.tasks.due(now) {
-            self.drop_attempt(now, wire, job, n, Outcome::TimedOut);
+            self.drop_attempt(now, transport, job, n, Outcome::TimedOut);
         }
-        self.arm(now, wire);
+        self.arm(now, transport);
     }
 
-    fn connect(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize) {
+    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, n: usize) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         let server = task.attempts[n].server;
         let at_most_once = task.of.effect == RetrySafety::AtMostOnce;
         let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
-            self.close(now, job, n, ended(Outcome::NoConnection));
+            self.close(now, job, n, ended(Outcome::ConnectFailed));
             return;
         };
         let rested = if at_most_once { IDLE_AT_MOST_ONCE } else { IDLE_LIMIT };
@@ -483,34 +488,34 @@
             Some((conn, _)) => {
                 let link = self.links.get_mut(&conn).expect("idle connections are known");
                 link.carries = Some((job, n));
-                link.sent_before = wire.sent(conn);
+                link.sent_before = transport.sent(conn);
                 conn
             }
             None => {
-                let conn = wire.connect(worker.address, self.deployment.connect_limit);
+                let conn = transport.connect(worker.address, self.deployment.connect_limit);
                 self.links.insert(conn, Link::new(server, (job, n)));
                 conn
             }
         };
         task.attempts[n].link = Some(conn);
         if fresh {
-            self.write(now, wire, conn);
+            self.write(now, transport, conn);
         }
     }
 
     /// Writes the request of the attempt that a connection carries.
-    fn write(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get(&conn) else { return };
         let Some((job, n)) = link.carries else { return };
         let Some(worker) = self.listed.get(link.server) else { return };
         // Its client has gone while the connection was made, or it is a repeat that would not be known now.
         if !self.tasks.get(job).is_some_and(|task| task.may_begin(now, n)) {
-            self.drop_attempt(now, wire, job, n, Outcome::Moot);
+            self.drop_attempt(now, transport, job, n, Outcome::Superseded);
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
         if worker.standing != WorkerStatus::Ready {
-            self.drop_attempt(now, wire, job, n, Outcome::NoConnection);
+            self.drop_attempt(now, transport, job, n, Outcome::ConnectFailed);
             return;
         }
         let Some(task) = self.tasks.get(job) else { return };
@@ -525,7 +530,7 @@
             .field("applepond-workload", &self.deployment.workloads[task.of.workload].name)
             .number("applepond-lanes", u64::from(row.lanes))
             .number("applepond-memory-mb", u64::from(row.memory_mb))
-            .number("applepond-router", self.deployment.rows.me)
+            .number("applepond-router", self.deployment.rows.router_index)
             .number("applepond-execution", n as u64)
             .number("applepond-time-left-ms", task.deadline.saturating_sub(now) / 1000);
         if let Some(opening) = &task.of.opening {
@@ -537,16 +542,23 @@
                 head = head.number("applepond-opening-lease-ms", lease / 1000);
             }
         }
-        wire.write(conn, &head.body(&task.of.data));
+        transport.write(conn, &head.body(&task.of.data));
     }
 
     /// Ends an attempt from this side, by a cancel or because its time is up: the worker is told by the end
     /// of its connection, and whatever it answers after that is never read.
-    fn drop_attempt(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize, outcome: Outcome) {
+    fn drop_attempt(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        job: RequestId,
+        n: usize,
+        outcome: Outcome,
+    ) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         let Some(attempt) = task.attempts.get_mut(n).filter(|e| !e.closed) else { return };
         if let Some(conn) = attempt.link.take() {
-            wire.cut(conn);
+            transport.cut(conn);
             self.links.remove(&conn);
         }
         task.timed_out |= outcome == Outcome::TimedOut;
@@ -561,14 +573,14 @@
             worker.out = worker.out.saturating_sub(1);
         }
         tracing::debug!(n, ?answer.outcome, answer.elapsed, "attempt closed");
-        self.control.clock(now);
-        self.control.answered(&mut self.acts, job, n, &answer);
+        self.control.advance_to(now);
+        self.control.attempt_finished(&mut self.acts, job, n, &answer);
     }
 
     // ---- The end of a job --------------------------------------------------------------------
 
     /// The one place where a job ends: each exchange that waits gets the answer, the log its line.
-    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, told: Rc<Told>) {
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, told: Rc<Told>) {
         let Some(task) = self.tasks.end(job) else { return };
         if let Some(then) = task.of.then.take() {
             let end = chained::StepEnd { told, took: now - task.came, stood: task.of.stood };
@@ -601,7 +613,7 @@
         self.tasks.forget(job);
         for conn in callers {
             if let Some(caller) = self.callers.get_mut(&conn) {
-                caller.answer(now, wire, conn, &told);
+                caller.answer(now, transport, conn, &told);
                 self.ready.push_back(conn);
             }
         }
@@ -610,31 +622,31 @@
     // ---- The clients' side -------------------------------------------------------------------
 
     /// Takes the requests that are whole, as far as answers allow.
-    fn read_on(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn read_on(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(caller) = self.callers.get_mut(&conn)
-            && let Some(asked) = caller.next(wire, conn)
+            && let Some(asked) = caller.next(transport, conn)
         {
             match asked {
                 Ok(Ask::Event(draft)) => match self.take(now, conn, *draft) {
                     Ok(()) => {}
-                    Err(told) => self.answer(now, wire, conn, &told),
+                    Err(told) => self.answer(now, transport, conn, &told),
                 },
                 Ok(Ask::StatePage) => {
                     let told = self.state_page(now);
-                    self.answer(now, wire, conn, &told);
+                    self.answer(now, transport, conn, &told);
                 }
                 Err(fault) => {
                     self.counts.refused += 1;
                     tracing::info!(reason = fault.reason, status = fault.status, "request refused");
-                    caller.refuse(now, wire, conn, &fault);
+                    caller.refuse(now, transport, conn, &fault);
                 }
             }
         }
     }
 
-    fn answer(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, told: &Told) {
+    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Told) {
         if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.answer(now, wire, conn, told);
+            caller.answer(now, transport, conn, told);
         }
     }
 
@@ -734,7 +746,7 @@
                 client,
                 name: digest,
                 retry: draft.retry,
-                importance: self.deployment.rows.workloads[workload].importance,
+                importance: self.deployment.rows.workloads[workload].priority_weight,
                 left,
             },
         );
@@ -764,7 +776,7 @@
                 let rows = &self.deployment.rows.customers;
                 let found = self.deployment.customers.iter().position(|c| c == named);
                 // Settings that were switched away from may have left the name behind, without a share.
-                let found = found.filter(|n| rows[*n].jobs_per_s > 0.0);
+                let found = found.filter(|n| rows[*n].requests_per_second > 0.0);
                 found.map(|n| Some(CustomerId(n))).ok_or(())
             }
         }
@@ -800,18 +812,18 @@
         self.next_job += 1;
         let job = job_id(self.deployment.rows.seed, self.next_job);
         let arrival = RequestArrival {
-            job,
+            request: job,
             function: FunctionId::named(&wanted.function),
             workload: WorkloadId(wanted.workload),
             customer: wanted.customer,
-            left: wanted.left,
-            lanes: row.lanes,
+            time_left: wanted.left,
+            concurrency: row.lanes,
             retry: wanted.retry,
             load_time: row.load_time.or_else(|| {
                 let memory = self.memory.as_ref()?;
                 memory.load_time(now, FunctionId::named(&wanted.function))
             }),
-            paid: wanted.paid,
+            priority_factor: wanted.paid,
         };
         let task = Task {
             name: wanted.name,
@@ -825,13 +837,13 @@
             data: wanted.data,
             row,
             opening: wanted.opening,
-            effect: self.deployment.rows.workloads[wanted.workload].effect,
+            effect: self.deployment.rows.workloads[wanted.workload].retry_safety,
             stood: false,
             then: wanted.then,
         };
-        self.tasks.begin(job, now, now + arrival.left, task);
-        self.control.clock(now);
-        self.control.job(&mut self.acts, &arrival);
+        self.tasks.begin(job, now, now + arrival.time_left, task);
+        self.control.advance_to(now);
+        self.control.request_arrived(&mut self.acts, &arrival);
         job
     }
 
@@ -850,8 +862,8 @@
             tracing::info!(%id, %source, reason = "client-left", "job ended");
             self.claims.drop(&task.of.name);
             self.tasks.drop(job);
-            self.control.clock(now);
-            self.control.left(&mut self.acts, job);
+            self.control.advance_to(now);
+            self.control.client_disconnected(&mut self.acts, job);
         }
     }
 
@@ -895,7 +907,7 @@
         let c = &self.counts;
         let body = serde_json::json!({
             "now_us": now,
-            "router": self.deployment.rows.me,
+            "router": self.deployment.rows.router_index,
             "settings": {"switched": c.switched, "kept": c.kept},
             "jobs": {"open": open, "taken": c.jobs,
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
@@ -921,26 +933,26 @@
 
     // ---- The workers' side -------------------------------------------------------------------
 
-    fn link_bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let Some((job, n)) = link.carries else {
             // Nobody asked: a second answer, or garbage. What it belongs to can't be told.
-            self.drop_link(wire, conn);
+            self.drop_link(transport, conn);
             return;
         };
         link.decoder.feed(bytes);
         match link.decoder.step(&mut link.answering) {
             Ok(Decoded::More) => {}
-            Ok(Decoded::Done) => self.link_answered(now, wire, conn),
+            Ok(Decoded::Done) => self.link_answered(now, transport, conn),
             Err(fault) => {
                 tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
-                self.drop_attempt(now, wire, job, n, Outcome::Broken);
+                self.drop_attempt(now, transport, job, n, Outcome::ConnectionLost);
             }
         }
     }
 
     /// An answer is whole: the connection is free for the next, and the attempt closes.
-    fn link_answered(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn link_answered(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let mut answering = std::mem::take(&mut link.answering);
         let Some((job, n)) = link.carries.take() else { return };
@@ -956,7 +968,7 @@
         match worker.filter(|w| clean && w.idle.len() < IDLE_MOST) {
             Some(worker) => worker.idle.push((conn, now)),
             None => {
-                wire.cut(conn);
+                transport.cut(conn);
                 self.links.remove(&conn);
             }
         }
@@ -964,20 +976,32 @@
         if let Some(task) = self.tasks.get_mut(job) {
             task.attempts[n].link = None;
             if outcome == Outcome::Finished && !task.ended {
-                task.of.stood = answering.copy != LoadState::Begun && answering.copy != LoadState::Awaited;
+                task.of.stood =
+                    answering.copy != LoadState::LoadStarted && answering.copy != LoadState::LoadPending;
                 let mut lines = std::mem::take(&mut answering.lines);
                 lines.field("applepond-executions", &task.attempts.len().to_string());
                 let body = std::mem::take(&mut answering.body);
                 let told = Told::finished(lines, body);
-                self.end(now, wire, job, Rc::new(told));
+                self.end(now, transport, job, Rc::new(told));
             }
         }
         let Answering { copy, company, held, loads, .. } = answering;
-        self.close(now, job, n, AttemptResult { copy, company, held, loads, ..ended(outcome) });
+        self.close(
+            now,
+            job,
+            n,
+            AttemptResult {
+                load_state: copy,
+                same_function_in_flight: company,
+                reported_in_flight: held,
+                reported_loads: loads,
+                ..ended(outcome)
+            },
+        );
     }
 
     /// A connection to a worker is gone, or its worker has ended its side.
-    fn link_gone(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, sent: u64) {
+    fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         let Some(mut link) = self.links.remove(&conn) else { return };
         let Some((job, n)) = link.carries else {
             if let Some(worker) = self.listed.get_mut(link.server) {
@@ -988,22 +1012,22 @@
         // An answer without a length ends with its connection.
         if link.decoder.in_body() && link.decoder.finish(&mut link.answering).is_ok() {
             self.links.insert(conn, link);
-            self.link_answered(now, wire, conn);
+            self.link_answered(now, transport, conn);
             return;
         }
         let reached = fate::reached(link.open, link.sent_before, sent);
         if let Some(task) = self.tasks.get_mut(job) {
             task.attempts[n].link = None;
             if fate::again(reached, link.kept, why) && !task.ended {
-                self.connect(now, wire, job, n);
+                self.connect(now, transport, job, n);
                 return;
             }
         }
         self.close(now, job, n, ended(fate::of_end(reached)));
     }
 
-    fn drop_link(&mut self, wire: &mut dyn Wire, conn: Conn) {
-        wire.cut(conn);
+    fn drop_link(&mut self, transport: &mut dyn Transport, conn: Conn) {
+        transport.cut(conn);
         if let Some(link) = self.links.remove(&conn)
             && let Some(worker) = self.listed.get_mut(link.server)
         {
@@ -1011,35 +1035,35 @@
         }
     }
 
-    fn sweep(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn sweep(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, worker) in self.listed.iter_mut() {
             let old = worker.idle.iter().take_while(|(_, since)| now >= since + IDLE_LIMIT).count();
             for (conn, _) in worker.idle.drain(..old) {
-                wire.cut(conn);
+                transport.cut(conn);
                 self.links.remove(&conn);
             }
         }
         if let Some(new) = (self.news)() {
-            self.switch(now, wire, new);
+            self.switch(now, transport, new);
         }
         if let Some(openings) = &mut self.openings {
             openings.workers(self.listed.iter().filter(|(_, w)| w.standing == WorkerStatus::Ready).count());
         }
-        self.after(now, wire, SWEEP, Box::new(|g, now, wire| g.sweep(now, wire)));
+        self.after(now, transport, SWEEP, Box::new(|g, now, transport| g.sweep(now, transport)));
     }
 
     /// Again and again, and more often in the first seconds: what is told then is worth most.
-    fn remembers(&mut self, now: Micros, wire: &mut dyn Wire) {
-        self.remember(now, wire);
+    fn remembers(&mut self, now: Micros, transport: &mut dyn Transport) {
+        self.remember(now, transport);
         let pause = if now < self.born + EARLY { EARLY_LOOK } else { SWEEP };
-        self.after(now, wire, pause, Box::new(|g, now, wire| g.remembers(now, wire)));
+        self.after(now, transport, pause, Box::new(|g, now, transport| g.remembers(now, transport)));
     }
 
     /// Hands over what was learned, takes up what is to be recalled, and lets go whom memory withholds no
     /// more.
-    fn remember(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn remember(&mut self, now: Micros, transport: &mut dyn Transport) {
         let Some(memory) = &mut self.memory else { return };
-        self.control.clock(now);
+        self.control.advance_to(now);
         if let Some((usual, promises)) = memory.own(now) {
             if let Some([rate, opened, pace]) = usual {
                 self.gate.recall(now, (rate, opened), pace);
@@ -1050,11 +1074,11 @@
             memory.saw_usual(now, [rate, opened, self.gate.pace(now)]);
         }
         for (server, up_since, told) in memory.recalls(now) {
-            if self.control.recall(server, up_since, &told) {
+            if self.control.restore_worker_history(server, up_since, &told) {
                 memory.recalled(server, up_since);
             }
         }
-        for (server, up_since, seen) in self.control.learned() {
+        for (server, up_since, seen) in self.control.worker_histories() {
             if self.listed.get(server).is_some_and(|w| w.answered && w.up_since == up_since) {
                 memory.saw(now, server, up_since, &seen);
             }
@@ -1080,16 +1104,16 @@
         }
         if !entries.is_empty() {
             let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
-            self.control.list(&mut self.acts, EndpointListKind::Changes, &entries);
-            self.settle(now, wire);
+            self.control.endpoints_updated(&mut self.acts, EndpointListKind::Changes, &entries);
+            self.settle(now, transport);
         }
     }
 
     // ---- The host list -----------------------------------------------------------------------
 
-    fn listed(&mut self, now: Micros, wire: &mut dyn Wire, taken: &Taken) {
+    fn listed(&mut self, now: Micros, transport: &mut dyn Transport, taken: &Taken) {
         for conn in &taken.cut {
-            wire.cut(*conn);
+            transport.cut(*conn);
             self.links.remove(conn);
         }
         let mut entries = taken.entries.clone();
@@ -1114,27 +1138,27 @@
             }
         }
         let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
-        self.control.clock(now);
-        self.control.list(&mut self.acts, taken.kind, &entries);
+        self.control.advance_to(now);
+        self.control.endpoints_updated(&mut self.acts, taken.kind, &entries);
     }
 
-    fn watch(&mut self, wire: &mut dyn Wire) {
+    fn watch(&mut self, transport: &mut dyn Transport) {
         let Some(at) = self.deployment.hosts else { return };
-        let conn = wire.connect(at, self.deployment.connect_limit);
+        let conn = transport.connect(at, self.deployment.connect_limit);
         self.watch.conn = Some(conn);
         self.watch.decoder = Some(Decoder::new(Side::Client, LINE_MOST, u64::MAX));
         self.watch.lines = ListLines::default();
     }
 
-    fn watch_gone(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn watch_gone(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.watch.conn = None;
         let pause = self.watch.pause;
         self.watch.pause = (pause * 2).min(WATCH_AGAIN_MOST);
         tracing::warn!(again_in_us = pause, "the host list is out of reach; the last one holds");
-        self.after(now, wire, pause, Box::new(|g, _, wire| g.watch(wire)));
+        self.after(now, transport, pause, Box::new(|g, _, transport| g.watch(transport)));
     }
 
-    fn watch_bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn watch_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(decoder) = self.watch.decoder.as_mut() else { return };
         decoder.feed(bytes);
         let done = decoder.step(&mut self.watch.lines);
@@ -1142,7 +1166,7 @@
             match self.listed.line(&line, &self.deployment.zones) {
                 Ok(taken) => {
                     self.watch.pause = WATCH_AGAIN;
-                    self.listed(now, wire, &taken);
+                    self.listed(now, transport, &taken);
                 }
                 Err(why) => {
                     tracing::warn!(%why, "a line of the host list cannot be read; the last one holds")
@@ -1150,8 +1174,8 @@
             }
         }
         if !matches!(done, Ok(Decoded::More)) {
-            wire.cut(conn);
-            self.watch_gone(now, wire);
+            transport.cut(conn);
+            self.watch_gone(now, transport);
         }
     }
 }
@@ -1177,109 +1201,110 @@
 }
 
 impl Machine for Gateway {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         let most = self.deployment.callers_most;
-        match wire.listen(self.deployment.listen, most) {
+        match transport.listen(self.deployment.listen, most) {
             Ok((_, at)) => (self.on_listening)(at),
             Err(error) => tracing::error!(listen = %self.deployment.listen, %error, "cannot listen"),
         }
         if !self.deployment.workers.is_empty() {
-            self.named_workers(now, wire);
+            self.named_workers(now, transport);
         }
-        self.resume_chains(now, wire);
-        self.watch(wire);
-        self.sweep(now, wire);
+        self.resume_chains(now, transport);
+        self.watch(transport);
+        self.sweep(now, transport);
         if self.memory.is_some() {
-            self.remembers(now, wire);
+            self.remembers(now, transport);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn accepted(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, listener: Listener) {
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
         if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.damping) {
-            wire.deafen(listener, false);
-            self.after(now, wire, pause, Box::new(move |_, _, wire| wire.hear(listener)));
+            transport.deafen(listener, false);
+            self.after(now, transport, pause, Box::new(move |_, _, transport| transport.hear(listener)));
         }
         self.callers.insert(conn, Caller::new(now, self.deployment.body_most, self.picks.clone()));
-        self.look_at_caller(now, wire, conn);
+        self.look_at_caller(now, transport, conn);
     }
 
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.watch.conn == Some(conn) {
             let at = self.deployment.hosts.map(|a| a.to_string()).unwrap_or_default();
-            wire.write(
+            transport.write(
                 conn,
-                &encode::request("GET", &format!("/watch?router={}", self.deployment.rows.me), &at).empty(),
+                &encode::request("GET", &format!("/watch?router={}", self.deployment.rows.router_index), &at)
+                    .empty(),
             );
         } else if let Some(link) = self.links.get_mut(&conn) {
             link.open = true;
-            self.write(now, wire, conn);
+            self.write(now, transport, conn);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.feed(now, wire, conn, bytes);
-            self.read_on(now, wire, conn);
+            caller.feed(now, transport, conn, bytes);
+            self.read_on(now, transport, conn);
         } else if self.watch.conn == Some(conn) {
-            self.watch_bytes(now, wire, conn, bytes);
+            self.watch_bytes(now, transport, conn, bytes);
         } else {
-            self.link_bytes(now, wire, conn, bytes);
+            self.link_bytes(now, transport, conn, bytes);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.half_closed(now, wire, conn);
+            caller.half_closed(now, transport, conn);
         } else if self.watch.conn == Some(conn) {
-            wire.cut(conn);
-            self.watch_gone(now, wire);
+            transport.cut(conn);
+            self.watch_gone(now, transport);
         } else if self.links.contains_key(&conn) {
-            let sent = wire.sent(conn);
-            wire.cut(conn);
-            self.link_gone(now, wire, conn, Closed::Ended, sent);
+            let sent = transport.sent(conn);
+            transport.cut(conn);
+            self.link_gone(now, transport, conn, Closed::Ended, sent);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, sent: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         if self.callers.contains_key(&conn) {
             self.caller_gone(now, conn);
         } else if self.watch.conn == Some(conn) {
-            self.watch_gone(now, wire);
+            self.watch_gone(now, transport);
         } else {
-            self.link_gone(now, wire, conn, why, sent);
+            self.link_gone(now, transport, conn, why, sent);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn flushed(&mut self, now: Micros, _: &mut dyn Wire, conn: Conn) {
+    fn flushed(&mut self, now: Micros, _: &mut dyn Transport, conn: Conn) {
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.flushed(now);
         }
     }
 
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake.0 & 1 == 0 {
-            self.control.clock(now);
-            self.control.wake(&mut self.acts, TimerToken(wake.0 >> 1));
+            self.control.advance_to(now);
+            self.control.timer_fired(&mut self.acts, TimerToken(wake.0 >> 1));
         } else if let Some(step) = self.steps.remove(&wake.0) {
-            step(self, now, wire);
+            step(self, now, transport);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 }
 
 impl Gateway {
     /// Looks whether a client has used up its patience, and again when it next could have.
-    fn look_at_caller(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn look_at_caller(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
-        match caller.patience(now, wire, conn) {
+        match caller.patience(now, transport, conn) {
             Patience::Until(at) => {
-                let step: Step = Box::new(move |g, now, wire| g.look_at_caller(now, wire, conn));
-                self.after(now, wire, at.saturating_sub(now).min(LOOK), step);
+                let step: Step = Box::new(move |g, now, transport| g.look_at_caller(now, transport, conn));
+                self.after(now, transport, at.saturating_sub(now).min(LOOK), step);
             }
             Patience::Over => self.caller_gone(now, conn),
         }
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/machine/chained.rs
@@ -8,7 +8,7 @@
 use applepond::interface::*;
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
-use applepond_reactor::{Conn, Wire};
+use applepond_reactor::{Conn, Transport};
 use applepond_storage::kept::{ANSWER_MOST, number};
 use applepond_storage::{Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record, resumed};
 use applepond_workflow::run::Needs;
@@ -42,7 +42,7 @@
 }
 
 /// What a step leaves to do.
-pub type Then = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Wire, StepEnd)>;
+pub type Then = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport, StepEnd)>;
 
 /// One chain, until its last step has ended.
 pub struct Chain {
@@ -239,7 +239,7 @@
         if fresh && !self.chains.pace.admit(now) {
             self.chains.counts.held_back += 1;
             let wait = self.gate.come_back(now, client, digest, left);
-            let wait = wait.filter(|_| self.deployment.rows.permits.come_back);
+            let wait = wait.filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
             let detail = "as many chains run as come to their end; a retry does no harm";
             let fault = Fault::new(503, "chains-full", detail);
             return Err(front::problem(Ending::PushedBack, &fault, Some(&id), wait));
@@ -316,7 +316,7 @@
 
     /// Chains on record that had not come to their end: whoever asked for one may ask again until its time is
     /// up; then it goes on without anybody, which takes back what must be taken back.
-    pub(super) fn resume_chains(&mut self, now: Micros, wire: &mut dyn Wire) {
+    pub(super) fn resume_chains(&mut self, now: Micros, transport: &mut dyn Transport) {
         let open = match self.chains.record.open() {
             Ok(open) => open,
             Err(why) => return tracing::error!(%why, reason = "no-record", "the record cannot be read"),
@@ -328,16 +328,16 @@
             let wait = kept.deadline.saturating_sub(now);
             let (source, id) = &name;
             tracing::info!(%id, %source, reason = "open-chain", wait, "a chain was cut off");
-            self.after(now, wire, wait, Box::new(move |g, now, _| g.resume_alone(now, name)));
+            self.after(now, transport, wait, Box::new(move |g, now, _| g.resume_alone(now, name)));
         }
-        self.clear_record(now, wire);
+        self.clear_record(now, transport);
     }
 
-    fn clear_record(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn clear_record(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Err(why) = self.chains.record.clear(now) {
             tracing::error!(%why, reason = "no-record", "the record cannot be cleared");
         }
-        self.after(now, wire, CLEARS, Box::new(|g, now, wire| g.clear_record(now, wire)));
+        self.after(now, transport, CLEARS, Box::new(|g, now, transport| g.clear_record(now, transport)));
     }
 
     fn resume_alone(&mut self, now: Micros, name: Name) {
@@ -363,7 +363,7 @@
 
     /// Writes down what waits for it, in one transaction for all chains of this turn; then sends and answers
     /// what was waiting. Where that fails nothing is sent: the steps end as ones that never ran.
-    pub(super) fn write_down(&mut self, now: Micros, wire: &mut dyn Wire) -> bool {
+    pub(super) fn write_down(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
         let waiting = std::mem::take(&mut self.chains.unwritten);
         let finished = std::mem::take(&mut self.chains.unanswered);
         if waiting.is_empty() && finished.is_empty() {
@@ -376,15 +376,15 @@
             }
         }
         let jobs = waiting.iter().map(|w| w.job).chain(finished.iter().map(|(job, _)| *job));
-        let written = self.write_chains(now, wire, jobs.collect());
+        let written = self.write_chains(now, transport, jobs.collect());
         // Their work is done, whether that could be written down or not.
         for (job, ended) in finished {
-            self.end_chain(now, wire, job, ended);
+            self.end_chain(now, transport, job, ended);
             if written {
                 self.chains.drop_closed(&BTreeSet::from([job]));
             }
             // Where it was not, it stays until that is made up for.
-            self.chain_goes_on(now, wire, job, Vec::new());
+            self.chain_goes_on(now, transport, job, Vec::new());
         }
         for w in waiting {
             if written {
@@ -395,13 +395,18 @@
                 chain.kept.steps.remove(&(w.step.0 as u32));
             }
             let todo = self.with_run(now, w.job, |run, needs| run.not_written(now, w.step, needs));
-            self.chain_goes_on(now, wire, w.job, todo);
+            self.chain_goes_on(now, transport, w.job, todo);
         }
         true
     }
 
     /// Writes these chains and all that are behind.
-    fn write_chains(&mut self, now: Micros, wire: &mut dyn Wire, mut jobs: BTreeSet<RequestId>) -> bool {
+    fn write_chains(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        mut jobs: BTreeSet<RequestId>,
+    ) -> bool {
         jobs.append(&mut self.chains.behind);
         let chains = jobs.iter().filter_map(|job| self.chains.open.get(job));
         let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
@@ -411,7 +416,7 @@
             self.chains.counts.not_written += 1;
             tracing::error!(%why, reason = "no-record", "chains were not written down");
             self.chains.behind.extend(jobs);
-            self.write_behind(now, wire, WRITTEN_AGAIN);
+            self.write_behind(now, transport, WRITTEN_AGAIN);
         } else {
             self.chains.drop_closed(&jobs);
         }
@@ -422,7 +427,7 @@
     fn keep_end(
         &mut self,
         now: Micros,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         job: RequestId,
         step: StepId,
         how: How,
@@ -436,29 +441,29 @@
             small.then(|| KeptAnswer { lines: told.lines.bytes().to_vec(), body: told.body.clone() });
         let end = KeptEnd { how: number(how), fields: fields.collect(), answer };
         chain.kept.steps.entry(step.0 as u32).or_default().end = Some(end);
-        self.behind(now, wire, job);
+        self.behind(now, transport, job);
     }
 
-    fn behind(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId) {
+    fn behind(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId) {
         if self.chains.open.get(&job).is_none_or(|c| !c.on_record) {
             return;
         }
         self.chains.behind.insert(job);
-        self.write_behind(now, wire, WRITTEN_SOON);
+        self.write_behind(now, transport, WRITTEN_SOON);
     }
 
     /// Has chains that are behind written after a while, unless that is to be done anyway.
-    fn write_behind(&mut self, now: Micros, wire: &mut dyn Wire, wait: Micros) {
+    fn write_behind(&mut self, now: Micros, transport: &mut dyn Transport, wait: Micros) {
         if std::mem::replace(&mut self.chains.timer, true) {
             return;
         }
-        let step = |g: &mut Gateway, now: Micros, wire: &mut dyn Wire| {
+        let step = |g: &mut Gateway, now: Micros, transport: &mut dyn Transport| {
             g.chains.timer = false;
             if !g.chains.behind.is_empty() {
-                g.write_chains(now, wire, BTreeSet::new());
+                g.write_chains(now, transport, BTreeSet::new());
             }
         };
-        self.after(now, wire, wait, Box::new(step));
+        self.after(now, transport, wait, Box::new(step));
     }
 
     /// Lets a chain's run decide, with what its steps need now.
@@ -480,7 +485,13 @@
     }
 
     /// Carries out what a chain's run wants, in its order.
-    pub(super) fn chain_goes_on(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, todo: Vec<Do>) {
+    pub(super) fn chain_goes_on(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        job: RequestId,
+        todo: Vec<Do>,
+    ) {
         for what in todo {
             match what {
                 Do::Begin { step, function, until } => {
@@ -496,11 +507,11 @@
                     let wait = until.saturating_sub(now);
                     self.after(
                         now,
-                        wire,
+                        transport,
                         wait,
-                        Box::new(move |g, now, wire| {
+                        Box::new(move |g, now, transport| {
                             let todo = g.with_run(now, job, |run, needs| run.again(now, step, needs));
-                            g.chain_goes_on(now, wire, job, todo);
+                            g.chain_goes_on(now, transport, job, todo);
                         }),
                     );
                 }
@@ -508,7 +519,7 @@
                     // It may not have been sent yet.
                     self.chains.unwritten.retain(|w| (w.job, w.step) != (job, step));
                     let out = self.chains.open.get_mut(&job).and_then(|c| c.out.remove(&step));
-                    out.into_iter().for_each(|of_step| self.abandon(now, wire, of_step));
+                    out.into_iter().for_each(|of_step| self.abandon(now, transport, of_step));
                 }
                 Do::End(ended) => match self.chains.open.get_mut(&job) {
                     // Once it is told as finished nothing may take it back, also not after a kill.
@@ -516,7 +527,7 @@
                         chain.kept.closed = true;
                         self.chains.unanswered.push((job, ended));
                     }
-                    _ => self.end_chain(now, wire, job, ended),
+                    _ => self.end_chain(now, transport, job, ended),
                 },
                 Do::Undo { step, function } => {
                     let done = |c: &Chain| {
@@ -535,7 +546,7 @@
             chain.kept.closed = true;
             if chain.on_record {
                 // It stays until that is written.
-                return self.behind(now, wire, job);
+                return self.behind(now, transport, job);
             }
             self.chains.open.remove(&job);
         }
@@ -573,7 +584,8 @@
         let paid = self.with_run(now, job, |run, needs| run.paid(now, needs));
         let Some(chain) = self.chains.open.get(&job) else { return };
         let id = FunctionId::named(&function);
-        let then: Then = Box::new(move |g, now, wire, end| g.step_ended(now, wire, job, step, id, &end));
+        let then: Then =
+            Box::new(move |g, now, transport, end| g.step_ended(now, transport, job, step, id, &end));
         let wanted = self.wanted(chain, step, function, until.saturating_sub(now), then);
         self.chains.counts.steps += 1;
         let of_step = self.begin(now, Wanted { paid, ..wanted });
@@ -586,7 +598,7 @@
     fn step_ended(
         &mut self,
         now: Micros,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         job: RequestId,
         step: StepId,
         function: FunctionId,
@@ -604,26 +616,26 @@
         let told = end.told.clone();
         let read = move |name: &str| field(&told.body, name);
         let ending = how(end.told.ending);
-        self.keep_end(now, wire, job, step, ending, &end.told);
+        self.keep_end(now, transport, job, step, ending, &end.told);
         let come_back = end.told.come_back;
         let todo =
             self.with_run(now, job, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
-        self.chain_goes_on(now, wire, job, todo);
+        self.chain_goes_on(now, transport, job, todo);
     }
 
     /// Ends a step's job from this side: nobody waits for it any more.
-    fn abandon(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId) {
+    fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId) {
         let Some(task) = self.tasks.get_mut(job) else { return };
         task.ended = true;
         task.of.then = None;
         let attempts = task.attempts.len();
         if task.out() == 0 {
             self.tasks.forget(job);
-            self.control.clock(now);
-            self.control.left(&mut self.acts, job);
+            self.control.advance_to(now);
+            self.control.client_disconnected(&mut self.acts, job);
             return;
         }
-        (0..attempts).for_each(|n| self.drop_attempt(now, wire, job, n, Outcome::Cancelled));
+        (0..attempts).for_each(|n| self.drop_attempt(now, transport, job, n, Outcome::Cancelled));
     }
 
     /// Begins an undo, and again until it has finished.
@@ -631,10 +643,10 @@
         let Some(chain) = self.chains.open.get(&job) else { return };
         let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
         let again = function.clone();
-        let then: Then = Box::new(move |g, now, wire, end| {
+        let then: Then = Box::new(move |g, now, transport, end| {
             if end.told.ending != Ending::Finished && now < last {
                 let wait = end.told.come_back.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
-                g.after(now, wire, wait, Box::new(move |g, now, _| g.undo(now, job, step, again, last)));
+                g.after(now, transport, wait, Box::new(move |g, now, _| g.undo(now, job, step, again, last)));
                 return;
             }
             if end.told.ending != Ending::Finished
@@ -646,8 +658,8 @@
             if let Some(chain) = g.chains.open.get_mut(&job) {
                 chain.undos -= 1;
             }
-            g.keep_end(now, wire, job, step, how(end.told.ending), &end.told);
-            g.chain_goes_on(now, wire, job, Vec::new());
+            g.keep_end(now, transport, job, step, how(end.told.ending), &end.told);
+            g.chain_goes_on(now, transport, job, Vec::new());
         });
         self.chains.counts.undos += 1;
         let wanted = self.wanted(chain, step, function, left, then);
@@ -655,7 +667,7 @@
     }
 
     /// The one place where a chain is answered.
-    fn end_chain(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, ended: Ended) {
+    fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, ended: Ended) {
         let Some(chain) = self.chains.open.get_mut(&job) else { return };
         let id = chain.name.1.clone();
         let failed = |step: StepId, why: Why| {
@@ -692,8 +704,10 @@
                 counts.pushed_back += 1;
                 counts.refused_for_time += u64::from(why == Why::NoTime);
                 let (reason, detail) = failed(step, why);
-                let wait =
-                    chain.come_back.or(Some(COME_BACK)).filter(|_| self.deployment.rows.permits.come_back);
+                let wait = chain
+                    .come_back
+                    .or(Some(COME_BACK))
+                    .filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
                 let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
                 front::problem(Ending::PushedBack, &fault, Some(&id), wait)
             }
@@ -735,7 +749,7 @@
         chain.answered = true;
         for conn in std::mem::take(&mut chain.callers) {
             if let Some(caller) = self.callers.get_mut(&conn) {
-                caller.answer(now, wire, conn, &told);
+                caller.answer(now, transport, conn, &told);
                 self.ready.push_back(conn);
             }
         }
--- a/crates/gateway/src/switch.rs
+++ b/crates/gateway/src/switch.rs
@@ -29,7 +29,7 @@
         ("record", old.record == new.record),
         ("fleet", old.fleet.as_ref().map(FleetRow::place) == new.fleet.as_ref().map(FleetRow::place)),
         ("seed", old.rows.seed == new.rows.seed),
-        ("router", old.rows.me == new.rows.me),
+        ("router", old.rows.router_index == new.rows.router_index),
         ("bounds.clients", old.callers_most == new.callers_most),
         ("bounds.event_bytes", old.body_most == new.body_most),
         ("bounds.remember_for", old.remember_for == new.remember_for),
@@ -65,7 +65,7 @@
     }
     // A share of none: the customer is not known any more, and asks for nothing of the whole.
     let shares = std::mem::take(&mut rows.customers);
-    rows.customers = vec![CustomerConfig { jobs_per_s: 0.0 }; customers.len()];
+    rows.customers = vec![CustomerConfig { requests_per_second: 0.0 }; customers.len()];
     for (place, row) in customer_places.iter().zip(shares) {
         rows.customers[*place] = row;
     }
--- a/crates/gateway/tests/chains.rs
+++ b/crates/gateway/tests/chains.rs
@@ -13,7 +13,7 @@
     Step {
         name: name.into(),
         workload,
-        effect: deployment(0).rows.workloads[workload].effect,
+        effect: deployment(0).rows.workloads[workload].retry_safety,
         function: Function::Named(format!("{name}-fn")),
         at_least: 20 * MS,
         optional: false,
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A wire on paper: what the gateway wrote, opened and cut, with time moved by hand.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::*;
-use applepond_fakes::paper::Paper;
+use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::deployment::{FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
 use applepond_gateway::{Deployment, Gateway};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Transport};
 use applepond_storage::{Kept, Memory, Name, Record};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 /// A gateway with its paper wire.
 pub struct Bench {
     pub gateway: Gateway,
-    pub paper: Paper,
+    pub paper: SimulatedTransport,
     pub now: Micros,
     /// Settings that the gateway finds when it next asks.
     pub news: Rc<RefCell<Option<Deployment>>>,
@@ -28,39 +28,44 @@
 pub fn deployment(workers: u16) -> Deployment {
     let effects = [
         ("quote", RetrySafety::Idempotent),
-        ("hold", RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S }),
+        ("hold", RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S }),
         ("confirm", RetrySafety::AtMostOnce),
     ];
     let address = |n: u16| SocketAddr::from(([127, 0, 0, 1], 9000 + n));
     Deployment {
         rows: StartupConfig {
             seed: 7,
-            me: 0,
-            routers: 1,
+            router_index: 0,
+            router_count: 1,
             workloads: effects
                 .iter()
                 .map(|(_, effect)| WorkloadConfig {
-                    effect: *effect,
-                    start_target: 500 * MS,
-                    importance: 1.0,
-                    late_part: 0.2,
+                    retry_safety: *effect,
+                    latency_objective: 500 * MS,
+                    priority_weight: 1.0,
+                    late_priority_factor: 0.2,
                 })
                 .collect(),
-            customers: vec![CustomerConfig { jobs_per_s: 1000.0 }],
-            permits: AttemptPolicy {
-                attempts: 4,
-                cancel: true,
-                second_copies: true,
-                come_back: true,
-                come_back_max: S,
+            customers: vec![CustomerConfig { requests_per_second: 1000.0 }],
+            attempt_policy: AttemptPolicy {
+                max_attempts: 4,
+                cancel_allowed: true,
+                hedging_allowed: true,
+                retry_after_allowed: true,
+                max_retry_after: S,
             },
-            rules: SlowStartRules { cold_share: 0.2, warm_within: 10 * S, fall_multiple: 2.0, fall_span: S },
-            over_share: 0.1,
-            keep: 10 * S,
-            tells_company: true,
+            slow_start: SlowStartRules {
+                initial_capacity: 0.2,
+                warmup_time: 10 * S,
+                overload_factor: 2.0,
+                overload_window: S,
+            },
+            over_quota_factor: 0.1,
+            cache_lifetime: 10 * S,
+            reports_same_function: true,
             weights_shared: true,
-            limits_shared: false,
-            list_by_asking: false,
+            timeouts_shared: false,
+            watches_endpoints: false,
         },
         listen: address(0),
         workloads: effects
@@ -112,7 +117,7 @@
         let found = news.clone();
         let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_record(record);
         let gateway = gateway.with_news(Box::new(move || found.borrow_mut().take().map(Ok)));
-        let mut bench = Bench { gateway, paper: Paper::default(), now, news };
+        let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
         bench.gateway.start(now, &mut bench.paper);
         bench
     }
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -2,7 +2,7 @@
 //! hearsay that is not passed on as its own sight.
 mod common;
 use applepond::interface::*;
-use applepond_fakes::paper::Paper;
+use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::Gateway;
 use applepond_reactor::Machine;
 use applepond_recovery::{About, Fact, Memory, What};
@@ -59,7 +59,7 @@
     let found = news.clone();
     let gateway = gateway.with_memory(Box::new(Shelf(memory.clone())));
     let gateway = gateway.with_news(Box::new(move || found.borrow_mut().take().map(Ok)));
-    let mut bench = Bench { gateway, paper: Paper::default(), now, news };
+    let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
     bench.gateway.start(now, &mut bench.paper);
     (bench, memory)
 }
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -6,11 +6,11 @@
     use applepond_reactor::Closed;
     use test_case::test_case;
 
-    #[test_case(false, 0, 0, Outcome::NoConnection; "never open")]
-    #[test_case(true, 0, 0, Outcome::NoConnection; "open, nothing written")]
-    #[test_case(true, 700, 700, Outcome::NoConnection; "kept, nothing of this one written")]
-    #[test_case(true, 700, 701, Outcome::Broken; "kept, one byte written")]
-    #[test_case(true, 0, 9000, Outcome::Broken; "all written")]
+    #[test_case(false, 0, 0, Outcome::ConnectFailed; "never open")]
+    #[test_case(true, 0, 0, Outcome::ConnectFailed; "open, nothing written")]
+    #[test_case(true, 700, 700, Outcome::ConnectFailed; "kept, nothing of this one written")]
+    #[test_case(true, 700, 701, Outcome::ConnectionLost; "kept, one byte written")]
+    #[test_case(true, 0, 9000, Outcome::ConnectionLost; "all written")]
     fn ends(open: bool, before: u64, sent: u64, want: Outcome) {
         assert_eq!(of_end(reached(open, before, sent)), want);
     }
@@ -25,9 +25,9 @@
 
     #[test_case(200, None, true, Outcome::Finished; "finished")]
     #[test_case(200, None, false, Outcome::Error; "garbage with a good status")]
-    #[test_case(503, Some("full"), false, Outcome::Full; "full, by the worker's own mark")]
+    #[test_case(503, Some("full"), false, Outcome::Overloaded; "full, by the worker's own mark")]
     #[test_case(503, None, false, Outcome::Error; "503 of who knows whom proves nothing")]
-    #[test_case(404, Some("missing"), false, Outcome::Missing; "missing")]
+    #[test_case(404, Some("missing"), false, Outcome::NotLoaded; "missing")]
     #[test_case(404, None, false, Outcome::Error; "404 without the mark")]
     #[test_case(500, Some("full"), false, Outcome::Error; "a mark that does not fit its status")]
     fn answers(status: u16, mark: Option<&str>, event: bool, want: Outcome) {
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -52,7 +52,7 @@
     let mut deployment = common::deployment(workers);
     deployment.listen = "127.0.0.1:0".parse().expect("an address");
     deployment.callers_most = 5_000;
-    deployment.rows.customers[0].jobs_per_s = 100_000.0;
+    deployment.rows.customers[0].requests_per_second = 100_000.0;
     deployment.workloads.iter_mut().for_each(|w| w.function.lanes = 64);
     let begin = reactor.now();
     for (n, worker) in deployment.workers.iter_mut().enumerate() {
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -12,12 +12,13 @@
 /// other terms for it.
 fn other() -> Deployment {
     let mut d = deployment(3);
-    d.rows.permits.second_copies = false;
-    d.rows.limits_shared = true;
+    d.rows.attempt_policy.hedging_allowed = false;
+    d.rows.timeouts_shared = true;
     d.rows.workloads =
-        vec![WorkloadConfig { effect: RetrySafety::Idempotent, ..d.rows.workloads[2].clone() }];
+        vec![WorkloadConfig { retry_safety: RetrySafety::Idempotent, ..d.rows.workloads[2].clone() }];
     d.workloads = vec![d.workloads[2].clone()];
-    (d.customers, d.rows.customers) = (vec!["towers".into()], vec![CustomerConfig { jobs_per_s: 500.0 }]);
+    (d.customers, d.rows.customers) =
+        (vec!["towers".into()], vec![CustomerConfig { requests_per_second: 500.0 }]);
     d
 }
 
@@ -30,7 +31,7 @@
 #[test_case(|d| d.listen.set_port(1), "listen")]
 #[test_case(|d| d.hosts = Some(d.listen), "hosts")]
 #[test_case(|d| d.record = Some("r".into()), "record")]
-#[test_case(|d| d.rows.me = 1, "router")]
+#[test_case(|d| d.rows.router_index = 1, "router")]
 #[test_case(|d| d.rows.seed = 8, "seed")]
 #[test_case(|d| d.callers_most = 1, "bounds.clients")]
 #[test_case(|d| d.body_most = 1, "bounds.event_bytes")]
@@ -48,14 +49,14 @@
 fn rows_keep_their_places_there_and_back_and_there() {
     let (first, second) = (deployment(3), other());
     let there = merge(&first, second.clone()).expect("it fits");
-    let effects: Vec<RetrySafety> = there.rows.workloads.iter().map(|w| w.effect).collect();
+    let effects: Vec<RetrySafety> = there.rows.workloads.iter().map(|w| w.retry_safety).collect();
     assert_eq!(effects[2], RetrySafety::Idempotent);
-    assert_eq!(effects[..2], [first.rows.workloads[0].effect, first.rows.workloads[1].effect]);
+    assert_eq!(effects[..2], [first.rows.workloads[0].retry_safety, first.rows.workloads[1].retry_safety]);
     let types: Vec<usize> = there.workloads.iter().map(|w| w.types.len()).collect();
     assert_eq!((types, there.customers.len()), (vec![0, 0, 1], 2));
-    assert_eq!(there.rows.customers.iter().map(|c| c.jobs_per_s).collect::<Vec<_>>(), [0.0, 500.0]);
+    assert_eq!(there.rows.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(), [0.0, 500.0]);
     let back = merge(&there, first.clone()).expect("it fits");
-    assert_eq!(back.rows.customers.iter().map(|c| c.jobs_per_s).collect::<Vec<_>>(), [1000.0, 0.0]);
+    assert_eq!(back.rows.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(), [1000.0, 0.0]);
     assert_eq!(format!("{:?}", back.rows.workloads), format!("{:?}", first.rows.workloads));
     let again = merge(&back, second).expect("it fits");
     assert_eq!((again.workloads.len(), again.customers.len()), (3, 2), "a switch to and fro adds nothing");
@@ -96,7 +97,7 @@
     let links = b.links();
     assert_eq!(b.requests(), 2, "the hedge delay has passed");
     let mut new = deployment(3);
-    new.rows.permits.second_copies = false;
+    new.rows.attempt_policy.hedging_allowed = false;
     b.switches(new);
     assert_eq!(links.iter().filter(|l| b.paper.cut.contains(l)).count(), 1);
     let second = b.asks("quote", "2");
--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -26,7 +26,7 @@
     let (mut took, mut rate) = (Vec::new(), 0);
     let mut never = 0;
     for seed in 0..SEEDS {
-        let mut paper = Paper::fleet(seed, routers, lossy(lost));
+        let mut paper = SimulatedNetwork::fleet(seed, routers, lossy(lost));
         paper.pass(5 * S);
         for n in 0..5 {
             let begun = paper.now;
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -40,7 +40,7 @@
     Message(usize, usize, Vec<u8>),
 }
 
-pub struct Paper {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub all: Vec<Option<Process>>,
     pub link: Link,
@@ -56,11 +56,11 @@
     RouterId::named(&format!("r{n}"))
 }
 
-impl Paper {
+impl SimulatedNetwork {
     pub fn fleet(seed: u64, routers: usize, link: Link) -> Self {
         let mut rings = Rings::default();
         (0..routers).for_each(|n| rings.insert(id(n)));
-        let mut paper = Paper {
+        let mut paper = SimulatedNetwork {
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             link,
@@ -108,7 +108,7 @@
     }
 
     /// Plays until the condition holds, looked at after each event; whether it did by then.
-    pub fn until(&mut self, by: u64, holds: impl Fn(&Paper) -> bool) -> bool {
+    pub fn until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         while let Some((&(at, n), _)) = self.events.iter().next() {
             if at > by {
                 break;
--- a/crates/gossip/tests/paper.rs
+++ b/crates/gossip/tests/paper.rs
@@ -11,7 +11,7 @@
 #[test_case(300, 0.0, 5; "three hundred")]
 fn all_hold_what_one_says(routers: usize, lost: f64, seconds: u64) {
     for seed in 1..=3 {
-        let mut paper = Paper::fleet(seed, routers, lossy(lost));
+        let mut paper = SimulatedNetwork::fleet(seed, routers, lossy(lost));
         paper.pass(5 * S);
         paper.put(7, 1, b"9 ms");
         let by = paper.now + seconds * S;
@@ -23,7 +23,7 @@
 // Nothing known is not zero: who has said nothing is in no answer, and an empty word is not a word.
 #[test]
 fn who_says_nothing_is_not_in_it() {
-    let mut paper = Paper::fleet(1, 5, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(1, 5, lossy(0.0));
     paper.put(0, 1, b"0");
     let now = paper.now;
     paper.all[1].as_mut().expect("there").tallies.put(now, PACE, Key(1), b"5").expect("room");
@@ -40,7 +40,7 @@
 #[test_case(2)]
 fn repeated_late_and_reordered(seed: u64) {
     let link: Link = Box::new(|_, _, _, rng| (rng.rand_float() >= 0.2).then(|| rng.rand_range(0..3 * S)));
-    let mut paper = Paper::fleet(seed, 12, link);
+    let mut paper = SimulatedNetwork::fleet(seed, 12, link);
     for n in 0..400u64 {
         let (who, key) = (paper.rng.rand_range(0..12) as usize, paper.rng.rand_range(0..5));
         paper.put(who, key, format!("{n}").as_bytes());
@@ -60,7 +60,7 @@
 #[test_case(2; "a higher incarnation")]
 #[test_case(0; "the clock went back")]
 fn a_new_incarnation_voids_the_old(incarnation: u64) {
-    let mut paper = Paper::fleet(3, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(3, 20, lossy(0.0));
     paper.put(5, 1, b"old");
     paper.put(5, 2, b"old too");
     paper.pass(5 * S);
@@ -69,7 +69,7 @@
     paper.start(5, incarnation);
     paper.put(5, 1, b"new");
     let by = paper.now + 10 * S;
-    let new = |p: &Paper| {
+    let new = |p: &SimulatedNetwork| {
         (0..20).all(|n| p.told(n, 1).get(&5).is_some_and(|v| v == b"new") && p.told(n, 2).is_empty())
     };
     assert!(paper.until(by, new), "what was said before is void everywhere");
@@ -77,11 +77,11 @@
 
 #[test]
 fn words_of_the_gone_fade() {
-    let mut paper = Paper::fleet(4, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(4, 20, lossy(0.0));
     paper.put(5, 1, b"x");
     paper.pass(4 * S);
     paper.kill(5);
-    let gone = |paper: &mut Paper| {
+    let gone = |paper: &mut SimulatedNetwork| {
         let (now, live) = (paper.now, (0..20).filter(|n| *n != 5).map(id).collect::<BTreeSet<_>>());
         paper.all.iter_mut().flatten().for_each(|p| p.tallies.present(now, live.clone()));
     };
@@ -103,7 +103,7 @@
 // What is not written again ends by its own age, which travels with it: nobody makes it young again.
 #[test]
 fn a_word_ends_by_its_age() {
-    let mut paper = Paper::fleet(5, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(5, 20, lossy(0.0));
     paper.put(5, 1, b"x");
     paper.pass(50 * S);
     paper.start(6, 2);
@@ -116,7 +116,7 @@
 // Two halves that do not hear each other hold both words afterwards.
 #[test]
 fn halves_heal() {
-    let mut paper = Paper::fleet(6, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(6, 20, lossy(0.0));
     paper.pass(3 * S);
     paper.link = Box::new(|_, a, b, _| ((a < 10) == (b < 10)).then_some(400));
     paper.put(1, 1, b"one half");
@@ -131,7 +131,7 @@
 // One-way cut: the one who is not heard learns all the same, and says nothing to anybody.
 #[test]
 fn a_cut_one_way() {
-    let mut paper = Paper::fleet(7, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(7, 20, lossy(0.0));
     paper.pass(3 * S);
     paper.link = Box::new(|_, a, _, _| (a != 3).then_some(400));
     paper.put(3, 1, b"unheard");
@@ -217,7 +217,7 @@
 // Who is lied about says so again under an incarnation above the lie; the lie is void everywhere then.
 #[test]
 fn a_lie_about_another() {
-    let mut paper = Paper::fleet(8, 20, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(8, 20, lossy(0.0));
     paper.put(5, 1, b"true");
     paper.pass(4 * S);
     let lie = forged::tells(id(5), 40, 0, 9, &[(1, 9, b"false")]);
@@ -226,7 +226,7 @@
     liar.tallies.heard(now, id(8), &lie, &mut Out::default()).expect("well formed");
     assert_eq!(paper.told(9, 1)[&5], b"false");
     let by = paper.now + 10 * S;
-    let right = |p: &Paper| (0..20).all(|n| p.told(n, 1).get(&5).is_some_and(|v| v == b"true"));
+    let right = |p: &SimulatedNetwork| (0..20).all(|n| p.told(n, 1).get(&5).is_some_and(|v| v == b"true"));
     assert!(paper.until(by, |p| right(p) && p.one_view()));
     // It goes on lying ten times a second: the origin answers once a second, and no more.
     let before = paper.at(5).incarnation();
--- a/crates/http/src/cloudevent.rs
+++ b/crates/http/src/cloudevent.rs
@@ -69,7 +69,7 @@
 
 impl Reader {
     /// Reads a request's head: the attributes of binary mode come out here.
-    pub fn head(fields: &Fields<'_>, sink: &mut dyn EventSink) -> Result<Reader, Fault> {
+    pub fn head(fields: &Fields<'_>, visitor: &mut dyn EventSink) -> Result<Reader, Fault> {
         let media = fields.get("content-type");
         let kind = essence(media.unwrap_or(""));
         let mut reader =
@@ -95,7 +95,7 @@
                 Fault::new(400, "bad-attribute", format!("attribute '{name}' is not UTF-8 once decoded"))
             })?;
             check(&name, &value, &mut reader.seen)?;
-            sink.attribute(&name, &value);
+            visitor.attribute(&name, &value);
         }
         reader.whole()?;
         Ok(reader)
@@ -111,9 +111,9 @@
     }
 
     /// Reads the body: data in binary mode, everything in structured mode.
-    pub fn body(mut self, bytes: Vec<u8>, sink: &mut dyn EventSink) -> Result<(), Fault> {
+    pub fn body(mut self, bytes: Vec<u8>, visitor: &mut dyn EventSink) -> Result<(), Fault> {
         if !self.structured {
-            sink.data(self.media.as_deref(), bytes);
+            visitor.data(self.media.as_deref(), bytes);
             return Ok(());
         }
         let bad = |detail: String| Fault::new(400, "bad-json", detail);
@@ -136,18 +136,18 @@
             if name == "datacontenttype" {
                 media = Some(text);
             } else {
-                sink.attribute(name, &text);
+                visitor.attribute(name, &text);
             }
         }
         self.whole()?;
         // JSON format, section 3.1.1.
         match (event.get("data"), event.get("data_base64")) {
             (Some(_), Some(_)) => return Err(bad("data and data_base64 exclude each other".into())),
-            (None, None) => sink.data(media.as_deref(), Vec::new()),
+            (None, None) => visitor.data(media.as_deref(), Vec::new()),
             (None, Some(text)) => {
                 let bytes = text.as_str().and_then(|t| base64::prelude::BASE64_STANDARD.decode(t).ok());
                 let bytes = bytes.ok_or_else(|| bad("data_base64 is no base64 text".into()))?;
-                sink.data(media.as_deref(), bytes);
+                visitor.data(media.as_deref(), bytes);
             }
             (Some(data), None) => {
                 let kind = essence(media.as_deref().unwrap_or("application/json"));
@@ -156,7 +156,7 @@
                     Value::String(text) if !json => text.clone().into_bytes(),
                     data => data.to_string().into_bytes(),
                 };
-                sink.data(Some(media.as_deref().unwrap_or("application/json")), bytes);
+                visitor.data(Some(media.as_deref().unwrap_or("application/json")), bytes);
             }
         }
         Ok(())
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -9,7 +9,7 @@
 const CHUNK_DIGITS_MOST: usize = 15;
 
 /// What a decoder tells of one message, in this order: a head, the body in pieces, the end.
-pub trait Sink {
+pub trait Visitor {
     /// A request's head (RFC 9112, section 3).
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault>;
     /// A response's head (RFC 9112, section 4). Interim ones (1xx) are not told.
@@ -147,27 +147,27 @@
     }
 
     /// Decodes until one message ends or bytes run out. After a fault the connection is of no more use.
-    pub fn step(&mut self, sink: &mut dyn Sink) -> Result<Step, Fault> {
+    pub fn step(&mut self, visitor: &mut dyn Visitor) -> Result<Step, Fault> {
         loop {
             match self.state {
                 State::Head => {
                     let Some(length) = self.head_length()? else { return Ok(Step::More) };
-                    if self.head(length, sink)? {
-                        return self.ended(sink);
+                    if self.head(length, visitor)? {
+                        return self.ended(visitor);
                     }
                 }
                 State::Sized(left) => {
-                    let n = self.pass_body(left, sink)?;
+                    let n = self.pass_body(left, visitor)?;
                     self.state = State::Sized(left - n);
                     if left == n {
-                        return self.ended(sink);
+                        return self.ended(visitor);
                     }
                     if n == 0 {
                         return Ok(Step::More);
                     }
                 }
                 State::UntilClose => {
-                    self.pass_body(u64::MAX, sink)?;
+                    self.pass_body(u64::MAX, visitor)?;
                     return Ok(Step::More);
                 }
                 State::ChunkSize => {
@@ -180,7 +180,7 @@
                     self.state = if size == 0 { State::Trailers } else { State::Chunk(size) };
                 }
                 State::Chunk(left) => {
-                    let n = self.pass_body(left, sink)?;
+                    let n = self.pass_body(left, visitor)?;
                     self.state = if n == left { State::ChunkEnd } else { State::Chunk(left - n) };
                     if n == 0 {
                         return Ok(Step::More);
@@ -202,7 +202,7 @@
                     let empty = matches!(&self.rest()[..line], b"\r\n" | b"\n");
                     self.take(line);
                     if empty {
-                        return self.ended(sink);
+                        return self.ended(visitor);
                     }
                 }
             }
@@ -210,18 +210,18 @@
     }
 
     /// The peer ended its side. A message without a length ends here; one that is not whole is a fault.
-    pub fn finish(&mut self, sink: &mut dyn Sink) -> Result<(), Fault> {
+    pub fn finish(&mut self, visitor: &mut dyn Visitor) -> Result<(), Fault> {
         match self.state {
-            State::UntilClose => self.ended(sink).map(|_| ()),
+            State::UntilClose => self.ended(visitor).map(|_| ()),
             State::Head if self.rest().iter().all(|b| matches!(b, b'\r' | b'\n')) => Ok(()),
             _ => Err(Fault::new(400, "cut-short", "the connection ended inside a message")),
         }
     }
 
-    fn ended(&mut self, sink: &mut dyn Sink) -> Result<Step, Fault> {
+    fn ended(&mut self, visitor: &mut dyn Visitor) -> Result<Step, Fault> {
         self.state = State::Head;
         self.body = 0;
-        sink.end(self.keep)?;
+        visitor.end(self.keep)?;
         Ok(Step::Done)
     }
 
@@ -229,14 +229,14 @@
         Fault::new(413, "body-too-large", format!("a body may have {} bytes", self.body_most))
     }
 
-    fn pass_body(&mut self, most: u64, sink: &mut dyn Sink) -> Result<u64, Fault> {
+    fn pass_body(&mut self, most: u64, visitor: &mut dyn Visitor) -> Result<u64, Fault> {
         let n = most.min(self.waiting() as u64);
         self.body += n;
         if self.body > self.body_most {
             return Err(self.body_too_large());
         }
         if n > 0 {
-            sink.body(&self.buffer[self.start..self.start + n as usize])?;
+            visitor.body(&self.buffer[self.start..self.start + n as usize])?;
             self.take(n as usize);
         }
         Ok(n)
@@ -276,7 +276,7 @@
     }
 
     /// Decodes a head that is whole; true where the message has no body.
-    fn head(&mut self, length: usize, sink: &mut dyn Sink) -> Result<bool, Fault> {
+    fn head(&mut self, length: usize, visitor: &mut dyn Visitor) -> Result<bool, Fault> {
         let mut table = [httparse::EMPTY_HEADER; FIELDS_MOST];
         let bytes = &self.buffer[self.start..self.start + length];
         let bad = |why: httparse::Error| match why {
@@ -307,7 +307,7 @@
                     return Err(self.body_too_large());
                 }
                 let keep = keeps(version, &fields);
-                sink.request(method, target, &fields)?;
+                visitor.request(method, target, &fields)?;
                 (framing, keep)
             }
             Side::Client => {
@@ -325,7 +325,7 @@
                 let framing = if bare { None } else { framing(&fields)? };
                 let framing = framing.unwrap_or(if bare { State::Sized(0) } else { State::UntilClose });
                 let keep = keeps(version, &fields) && framing != State::UntilClose;
-                sink.response(status, &fields)?;
+                visitor.response(status, &fields)?;
                 (framing, keep)
             }
         };
