--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages, whole and cut at every byte, and what is no message.
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
-use applepond_http::decode::{Decoder, Fields, Side, Sink, Step};
+use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
 use applepond_http::encode;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -36,7 +36,7 @@
     }
 }
 
-impl Sink for Record {
+impl Visitor for Record {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
         self.told.push(format!("{method} {target}"));
         if self.events {
--- a/crates/membership/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -51,7 +51,7 @@
 fn kill(routers: usize, seeds: u64, guards: Guards) -> Vec<u64> {
     let mut took = Vec::new();
     for seed in 0..seeds {
-        let mut paper = Paper::fleet_with(seed, routers, lossy(0.02), guards);
+        let mut paper = SimulatedNetwork::fleet_with(seed, routers, lossy(0.02), guards);
         paper.pass(seed * 70 * MS);
         let (dead, at) = (routers / 2, paper.now);
         paper.kill(dead);
@@ -68,7 +68,7 @@
 
 /// Live routers removed in so many s.
 fn removed(routers: usize, seconds: u64, guards: Guards, fault: &'static Fault) -> usize {
-    let mut paper = Paper::fleet_with(1, routers, fault.link(), guards);
+    let mut paper = SimulatedNetwork::fleet_with(1, routers, fault.link(), guards);
     let (mut rng, before) = (Rand64::new(5), paper.removals());
     for _ in 0..seconds {
         for _ in 0..if fault.pauses { routers / 20 } else { 0 } {
@@ -131,10 +131,10 @@
 
 /// Bytes and messages a second of an instance, and ms of CPU a second of it, without a fault.
 fn costs(routers: usize, seconds: u64) -> (u64, u64, f64) {
-    let mut paper = Paper::fleet(1, routers, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(1, routers, lossy(0.02));
     // What is left to say of the start does not count.
     paper.pass(10 * S);
-    let sum = |p: &Paper, of: fn(&Process) -> u64| p.all.iter().flatten().map(of).sum::<u64>();
+    let sum = |p: &SimulatedNetwork, of: fn(&Process) -> u64| p.all.iter().flatten().map(of).sum::<u64>();
     let (bytes, messages) = (sum(&paper, |p| p.bytes), sum(&paper, |p| p.messages));
     let begun = Instant::now();
     paper.pass(seconds * S);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -144,7 +144,7 @@
     pub name: String,
     pub zone: String,
     pub address: SocketAddr,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     /// Raised by its own process alone: a higher one overrules all that was said of a lower one.
     pub incarnation: u64,
     pub standing: MemberStatus,
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -11,7 +11,7 @@
     pub zone: String,
     /// Where others reach it.
     pub address: SocketAddr,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     /// The first incarnation: higher than that of any earlier process under the name, as far as can be told.
     pub incarnation: u64,
 }
@@ -110,7 +110,7 @@
 /// A newcomer under the name of a router that is there, until that one has answered or has not.
 struct Door {
     newcomer: SocketAddr,
-    birth: InstanceId,
+    instance_id: InstanceId,
     until: Micros,
 }
 
@@ -163,7 +163,7 @@
 
 fn digest(id: RouterId, record: &Record) -> u32 {
     let standing = record.standing as u64 + 1;
-    let mut x = id.0 ^ record.birth.0.rotate_left(17) ^ record.incarnation.rotate_left(40) ^ standing;
+    let mut x = id.0 ^ record.instance_id.0.rotate_left(17) ^ record.incarnation.rotate_left(40) ^ standing;
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     (x ^ (x >> 32)) as u32
 }
@@ -176,8 +176,8 @@
     /// `seed` is for chance; where `seeds` names nobody else, this router begins a fleet of its own.
     pub fn new(now: Micros, me: Me, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         let id = RouterId::named(&me.name);
-        let Me { name, zone, address, birth, incarnation } = me;
-        let mine = Record { name, zone, address, birth, incarnation, standing: MemberStatus::Joining };
+        let Me { name, zone, address, instance_id, incarnation } = me;
+        let mine = Record { name, zone, address, instance_id, incarnation, standing: MemberStatus::Joining };
         let mut rng = Rand64::new(u128::from(seed));
         let mut members = Members {
             now,
@@ -296,8 +296,8 @@
     }
 
     /// Whose process this is.
-    pub fn by_birth(&self, birth: InstanceId) -> Option<RouterId> {
-        self.routers.iter().find(|(_, r)| r.record.birth == birth).map(|(id, _)| *id)
+    pub fn by_birth(&self, instance_id: InstanceId) -> Option<RouterId> {
+        self.routers.iter().find(|(_, r)| r.record.instance_id == instance_id).map(|(id, _)| *id)
     }
 
     pub fn neighbours(&self) -> &[RouterId] {
@@ -565,8 +565,8 @@
     // ---- Records -----------------------------------------------------------------------------
 
     fn head(&self) -> Head {
-        let Record { address, birth, incarnation, .. } = self.mine;
-        Head { from: self.me, birth, incarnation, address }
+        let Record { address, instance_id, incarnation, .. } = self.mine;
+        Head { from: self.me, instance_id, incarnation, address }
     }
 
     fn sum(&mut self, id: RouterId, record: &Record) {
@@ -608,7 +608,7 @@
         self.sum(id, &record);
         let (before, after) =
             (was.as_ref().is_some_and(|w| w.standing.takes_part()), record.standing.takes_part());
-        let same = was.as_ref().is_some_and(|w| w.birth == record.birth);
+        let same = was.as_ref().is_some_and(|w| w.instance_id == record.instance_id);
         let router = self.routers.entry(id).or_insert_with(|| Router::new(now, record.clone()));
         if !same {
             *router = Router { shown: router.shown, since: router.since, ..Router::new(now, record.clone()) };
@@ -682,7 +682,7 @@
             return self.adopt(orders, id, record);
         };
         let old = &known.record;
-        if old.birth == record.birth {
+        if old.instance_id == record.instance_id {
             let later = record.incarnation > old.incarnation;
             let same = record.incarnation == old.incarnation;
             let ends = record.standing == MemberStatus::Left && old.standing.takes_part();
@@ -697,7 +697,8 @@
             }
             return;
         }
-        if (record.incarnation, record.birth) <= (old.incarnation, old.birth) || !record.standing.takes_part()
+        if (record.incarnation, record.instance_id) <= (old.incarnation, old.instance_id)
+            || !record.standing.takes_part()
         {
             return;
         }
@@ -719,13 +720,13 @@
     /// What others say of this router. An older process of its name gives way or holds it; a word that it
     /// left or is another is refuted.
     fn about_me(&mut self, orders: &mut dyn Actions, record: Record) {
-        let Record { birth, incarnation, standing, .. } = record;
-        if birth == self.mine.birth {
+        let Record { instance_id, incarnation, standing, .. } = record;
+        if instance_id == self.mine.instance_id {
             if incarnation > self.mine.incarnation || standing != self.mine.standing && !standing.takes_part()
             {
                 self.refute(orders, incarnation);
             }
-        } else if (incarnation, birth) > (self.mine.incarnation, self.mine.birth) {
+        } else if (incarnation, instance_id) > (self.mine.incarnation, self.mine.instance_id) {
             if self.admitted {
                 self.give_way(orders, record.address);
             } else {
@@ -798,15 +799,15 @@
     /// Asks the one that holds the name; its answer shuts the door, its silence opens it.
     fn knock(&mut self, orders: &mut dyn Actions, id: RouterId, record: &Record) {
         let until = self.now + DOOR;
-        let (newcomer, birth) = (record.address, record.birth);
+        let (newcomer, instance_id) = (record.address, record.instance_id);
         match self.door.get(&id) {
-            Some(door) if door.birth == birth && self.now >= door.until => {
+            Some(door) if door.instance_id == instance_id && self.now >= door.until => {
                 self.door.remove(&id);
                 self.adopt(orders, id, record.clone());
             }
             Some(_) => {}
             None if self.door.len() < DOOR_MOST => {
-                self.door.insert(id, Door { newcomer, birth, until });
+                self.door.insert(id, Door { newcomer, instance_id, until });
                 let to = self.routers[&id].record.address;
                 orders.send(to, Message::probe(&self.head(), self.me).bytes());
             }
@@ -830,7 +831,7 @@
         let Some(door) = self.door.remove(&id) else { return };
         let holder = self.routers[&id].record.address;
         let head = self.head();
-        orders.send(door.newcomer, Message::refused(&head, door.birth, holder).bytes());
+        orders.send(door.newcomer, Message::refused(&head, door.instance_id, holder).bytes());
         orders.send(holder, Message::taken(&head, door.newcomer).bytes());
     }
 
@@ -858,8 +859,8 @@
     fn word(&self, id: RouterId, voter: RouterId) -> Option<Word> {
         let router = self.routers.get(&id)?;
         let vote = router.votes.iter().find(|v| v.voter == voter)?;
-        let Record { birth, incarnation, .. } = router.record;
-        Some(Word { subject: id, birth, incarnation, voter, stamp: vote.stamp, says: vote.says })
+        let Record { instance_id, incarnation, .. } = router.record;
+        Some(Word { subject: id, instance_id, incarnation, voter, stamp: vote.stamp, says: vote.says })
     }
 
     /// As much news as a beat has room for, the least told first; each has gone once more with it.
@@ -984,8 +985,8 @@
         let Reading { members, orders, .. } = self;
         let (now, id) = (members.now, head.from);
         if id == members.me {
-            if head.birth != members.mine.birth {
-                let message = Message::refused(&members.head(), head.birth, members.mine.address);
+            if head.instance_id != members.mine.instance_id {
+                let message = Message::refused(&members.head(), head.instance_id, members.mine.address);
                 orders.send(head.address, message.bytes());
             }
             return false;
@@ -997,7 +998,7 @@
             }
             return false;
         };
-        if router.record.birth != head.birth || head.incarnation < router.record.incarnation {
+        if router.record.instance_id != head.instance_id || head.incarnation < router.record.incarnation {
             // A process that was replaced, one that is about to replace, or its own older word, late or
             // repeated, which proves nothing of now: the writer learns what is known.
             if members.answers > 0 {
@@ -1063,15 +1064,15 @@
             && asker != self.members.me
             && let Some(to) = self.members.routers.get(&asker).map(|r| r.record.address)
         {
-            self.orders.send(to, Message::vouch(&self.members.head(), head.from, head.birth).bytes());
+            self.orders.send(to, Message::vouch(&self.members.head(), head.from, head.instance_id).bytes());
         }
     }
 
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId) {
+    fn vouch(&mut self, head: &Head, whom: RouterId, instance_id: InstanceId) {
         let now = self.members.now;
         if self.greet(head)
             && let Some(router) = self.members.routers.get_mut(&whom)
-            && router.record.birth == birth
+            && router.record.instance_id == instance_id
         {
             router.vouched = Some(now);
         }
@@ -1083,8 +1084,11 @@
         self.members.answer(self.orders, head.address, |n| own[n] != view[n]);
     }
 
-    fn refused(&mut self, _: &Head, birth: InstanceId, holder: SocketAddr) {
-        if birth == self.members.mine.birth && holder != self.members.mine.address && !self.members.admitted {
+    fn refused(&mut self, _: &Head, instance_id: InstanceId, holder: SocketAddr) {
+        if instance_id == self.members.mine.instance_id
+            && holder != self.members.mine.address
+            && !self.members.admitted
+        {
             self.members.give_way(self.orders, holder);
         }
     }
@@ -1098,7 +1102,7 @@
 
     fn record(&mut self, head: &Head, record: Record) {
         let id = RouterId::named(&record.name);
-        let direct = id == head.from && record.birth == head.birth;
+        let direct = id == head.from && record.instance_id == head.instance_id;
         self.members.merge(self.orders, record, direct);
     }
 
@@ -1109,7 +1113,7 @@
             let (old, new) =
                 (word.incarnation < members.entered, word.incarnation >= members.mine.incarnation);
             match word.says {
-                _ if word.birth != members.mine.birth || old => {}
+                _ if word.instance_id != members.mine.instance_id || old => {}
                 Says::Gone if members.removed_by.len() < VOTES_MOST => {
                     members.removed_by.insert(word.voter, now);
                     let (at, said) = members.removed.unwrap_or((now + REMOVED_WAIT, 0));
@@ -1126,7 +1130,9 @@
             if word.says != Says::Withdrawn && held.is_none_or(|own| own.stamp < word.stamp) {
                 let known = members.routers.get_mut(&word.subject);
                 let same = |r: &&mut Router| {
-                    r.takes_part() && r.record.birth == word.birth && r.record.incarnation == word.incarnation
+                    r.takes_part()
+                        && r.record.instance_id == word.instance_id
+                        && r.record.incarnation == word.incarnation
                 };
                 if let Some(router) = known.filter(same) {
                     router.votes.retain(|v| v.voter != word.voter);
@@ -1138,11 +1144,11 @@
             return;
         }
         let Some(router) = members.routers.get_mut(&word.subject).filter(|r| r.takes_part()) else { return };
-        let Record { birth, incarnation, .. } = router.record;
-        if (birth, incarnation) != (word.birth, word.incarnation) {
+        let Record { instance_id, incarnation, .. } = router.record;
+        if (instance_id, incarnation) != (word.instance_id, word.incarnation) {
             // Its own process has spoken since: whoever still says this learns so.
             let room = members.news.len() < NEWS_MOST;
-            if birth == word.birth && incarnation > word.incarnation && room {
+            if instance_id == word.instance_id && incarnation > word.incarnation && room {
                 members.news.entry(News::Record(word.subject)).or_insert(1);
                 members.flush.get_or_insert(now + FLUSH);
             }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     pub from: RouterId,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     pub incarnation: u64,
     pub address: SocketAddr,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
     pub subject: RouterId,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     pub incarnation: u64,
     pub voter: RouterId,
     /// Later words of a voter carry higher ones.
@@ -60,11 +60,11 @@
     fn ask(&mut self, head: &Head, whom: RouterId);
     fn probe(&mut self, head: &Head, asker: RouterId);
     fn yes(&mut self, head: &Head, asker: RouterId);
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId);
+    fn vouch(&mut self, head: &Head, whom: RouterId, instance_id: InstanceId);
     /// The writer's view by parts: those that differ are wanted.
     fn compare(&mut self, head: &Head, view: &[u32; BUCKETS]);
     /// The reader's name is another's.
-    fn refused(&mut self, head: &Head, birth: InstanceId, holder: SocketAddr);
+    fn refused(&mut self, head: &Head, instance_id: InstanceId, holder: SocketAddr);
     /// Somebody else wanted the reader's name.
     fn taken(&mut self, head: &Head, by: SocketAddr);
     fn record(&mut self, head: &Head, record: Record);
@@ -106,8 +106,8 @@
     pub fn yes(head: &Head, asker: RouterId) -> Self {
         Self::begin(YES, head, &asker)
     }
-    pub fn vouch(head: &Head, whom: RouterId, birth: InstanceId) -> Self {
-        Self::begin(VOUCH, head, &(whom, birth))
+    pub fn vouch(head: &Head, whom: RouterId, instance_id: InstanceId) -> Self {
+        Self::begin(VOUCH, head, &(whom, instance_id))
     }
     pub fn compare(head: &Head, view: &[u32; BUCKETS]) -> Self {
         Self::begin(COMPARE, head, view)
@@ -115,8 +115,8 @@
     pub fn news(head: &Head) -> Self {
         Self::begin(NEWS, head, &())
     }
-    pub fn refused(head: &Head, birth: InstanceId, holder: SocketAddr) -> Self {
-        Self::begin(REFUSED, head, &(birth, holder))
+    pub fn refused(head: &Head, instance_id: InstanceId, holder: SocketAddr) -> Self {
+        Self::begin(REFUSED, head, &(instance_id, holder))
     }
     pub fn taken(head: &Head, by: SocketAddr) -> Self {
         Self::begin(TAKEN, head, &by)
@@ -219,13 +219,13 @@
         PROBE => say!(probe, take(&mut rest)?),
         YES => say!(yes, take(&mut rest)?),
         VOUCH => {
-            let (whom, birth) = take(&mut rest)?;
-            say!(vouch, whom, birth);
+            let (whom, instance_id) = take(&mut rest)?;
+            say!(vouch, whom, instance_id);
         }
         COMPARE => say!(compare, &take(&mut rest)?),
         REFUSED => {
-            let (birth, holder) = take(&mut rest)?;
-            say!(refused, birth, holder);
+            let (instance_id, holder) = take(&mut rest)?;
+            say!(refused, instance_id, holder);
         }
         TAKEN => say!(taken, take(&mut rest)?),
         _ => {}
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -29,7 +29,7 @@
     pub messages: u64,
 }
 
-pub struct Paper {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub all: Vec<Option<Process>>,
     pub link: Link,
@@ -37,7 +37,7 @@
     rng: Rand64,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
-    births: u64,
+    instance_ids: u64,
     /// Of all that start from now on.
     pub guards: Guards,
     /// Taken off the first incarnation of those that start: the system's clock went back.
@@ -79,9 +79,9 @@
     Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
 }
 
-impl Paper {
+impl SimulatedNetwork {
     pub fn new(seed: u64, link: Link) -> Self {
-        Paper {
+        SimulatedNetwork {
             now: 1_000 * S,
             all: Vec::new(),
             link,
@@ -89,7 +89,7 @@
             rng: Rand64::new(u128::from(seed)),
             events: BTreeMap::new(),
             next: 0,
-            births: 100,
+            instance_ids: 100,
             guards: Guards::ALL,
             clock_back: 0,
             at: BTreeMap::new(),
@@ -98,14 +98,14 @@
 
     /// So many routers, the first three their seeds, after time to find each other.
     pub fn fleet(seed: u64, routers: usize, link: Link) -> Self {
-        Paper::fleet_with(seed, routers, link, Guards::ALL)
+        SimulatedNetwork::fleet_with(seed, routers, link, Guards::ALL)
     }
 
     pub fn fleet_with(seed: u64, routers: usize, link: Link, guards: Guards) -> Self {
-        let mut paper = Paper::new(seed, lossy(0.0));
+        let mut paper = SimulatedNetwork::new(seed, lossy(0.0));
         paper.guards = guards;
         (0..routers).for_each(|n| paper.start(n, &name(n), address(n), &[0, 1, 2]));
-        let settled = |p: &Paper| p.one_view(routers);
+        let settled = |p: &SimulatedNetwork| p.one_view(routers);
         assert!(paper.until(30 * S, settled), "{routers} routers find each other");
         paper.link = link;
         paper
@@ -117,15 +117,15 @@
     }
 
     pub fn start_with(&mut self, n: usize, name: &str, at: SocketAddr, seeds: Vec<SocketAddr>) {
-        self.births += 1;
-        let birth = InstanceId(self.births * 7919 + self.rng.rand_u64() % 1000);
+        self.instance_ids += 1;
+        let instance_id = InstanceId(self.instance_ids * 7919 + self.rng.rand_u64() % 1000);
         let zone = format!("z{}", n % 3);
         let me = Me {
             name: name.to_owned(),
             zone,
             address: at,
-            birth,
-            incarnation: self.births - self.clock_back,
+            instance_id,
+            incarnation: self.instance_ids - self.clock_back,
         };
         let members = Members::new(self.now, me, seeds, self.rng.rand_u64()).with_guards(self.guards);
         self.all.resize_with(self.all.len().max(n + 1), || None);
@@ -140,7 +140,7 @@
             messages: 0,
         };
         self.all[n] = Some(process);
-        self.event(due, Event::Wake(n, birth));
+        self.event(due, Event::Wake(n, instance_id));
     }
 
     fn event(&mut self, at: u64, event: Event) {
@@ -156,8 +156,8 @@
         let until = self.now + time;
         let process = self.all[n].as_mut().expect("it runs");
         process.stopped = Some(until);
-        let birth = process.members.me().birth;
-        self.event(until, Event::Wake(n, birth));
+        let instance_id = process.members.me().instance_id;
+        self.event(until, Event::Wake(n, instance_id));
     }
 
     pub fn members(&self, n: usize) -> &Members {
@@ -195,7 +195,7 @@
         let Some(process) = self.all[n].as_mut() else { return };
         let mut out = Out::default();
         call(&mut process.members, self.now, &mut out);
-        let (due, birth) = (process.members.next(), process.members.me().birth);
+        let (due, instance_id) = (process.members.next(), process.members.me().instance_id);
         process.changes.extend(out.changes.into_iter().map(|c| (self.now, c)));
         for (to, message) in out.messages {
             let Some(to) = self.at.get(&to).copied() else { continue };
@@ -212,7 +212,7 @@
                 }
             }
         }
-        self.event(due, Event::Wake(n, birth));
+        self.event(due, Event::Wake(n, instance_id));
     }
 
     pub fn leave(&mut self, n: usize) {
@@ -247,10 +247,10 @@
         }
         match event {
             Event::Message(_, message) => self.call(n, |m, now, out| _ = m.heard(now, &message, out)),
-            Event::Wake(_, birth) => {
+            Event::Wake(_, instance_id) => {
                 let members = &self.all[n].as_ref().expect("just seen").members;
                 // A timer of a process before, or one that an earlier call has made needless.
-                if members.me().birth == birth && members.next() <= self.now {
+                if members.me().instance_id == instance_id && members.next() <= self.now {
                     self.call(n, |m, now, out| m.wake(now, out));
                 }
             }
@@ -266,7 +266,7 @@
     }
 
     /// Lets time pass until something holds, or for as long as this.
-    pub fn until(&mut self, most: u64, holds: impl Fn(&Paper) -> bool) -> bool {
+    pub fn until(&mut self, most: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let end = self.now + most;
         while self.now < end {
             self.pass(50 * MS);
@@ -279,16 +279,16 @@
 }
 
 fn head(of: &Record) -> Head {
-    let Record { birth, incarnation, address, .. } = *of;
-    Head { from: RouterId::named(&of.name), birth, incarnation, address }
+    let Record { instance_id, incarnation, address, .. } = *of;
+    Head { from: RouterId::named(&of.name), instance_id, incarnation, address }
 }
 
 /// A message that says of a router that it is gone.
 pub fn lie(from: &Record, of: &Record, stamp: u64) -> Vec<u8> {
-    let Record { birth, incarnation, .. } = *of;
+    let Record { instance_id, incarnation, .. } = *of;
     let (subject, voter) = (RouterId::named(&of.name), RouterId::named(&from.name));
     let mut message = Message::news(&head(from));
-    message.word(&Word { subject, birth, incarnation, voter, stamp, says: Says::Gone });
+    message.word(&Word { subject, instance_id, incarnation, voter, stamp, says: Says::Gone });
     message.bytes().to_vec()
 }
 
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -7,7 +7,7 @@
 fn head() -> Head {
     Head {
         from: RouterId(0xaabb_ccdd_0011_2233),
-        birth: InstanceId(987_654_321),
+        instance_id: InstanceId(987_654_321),
         incarnation: 300,
         address: "10.1.2.3:7946".parse().expect("an address"),
     }
@@ -18,7 +18,7 @@
         name: "router-7".into(),
         zone: "zone-a".into(),
         address: "[fd00::7]:7946".parse().expect("an address"),
-        birth: InstanceId(123_456_789),
+        instance_id: InstanceId(123_456_789),
         incarnation: 4,
         standing,
     }
@@ -27,7 +27,7 @@
 fn word(says: Says) -> Word {
     Word {
         subject: RouterId(77),
-        birth: InstanceId(88),
+        instance_id: InstanceId(88),
         incarnation: 9,
         voter: RouterId(0xffee_ddcc_bbaa_9988),
         stamp: 1_000_000,
@@ -80,14 +80,14 @@
     fn yes(&mut self, head: &Head, asker: RouterId) {
         self.0.push(Message::yes(head, asker));
     }
-    fn vouch(&mut self, head: &Head, whom: RouterId, birth: InstanceId) {
-        self.0.push(Message::vouch(head, whom, birth));
+    fn vouch(&mut self, head: &Head, whom: RouterId, instance_id: InstanceId) {
+        self.0.push(Message::vouch(head, whom, instance_id));
     }
     fn compare(&mut self, head: &Head, view: &[u32; BUCKETS]) {
         self.0.push(Message::compare(head, view));
     }
-    fn refused(&mut self, head: &Head, birth: InstanceId, holder: SocketAddr) {
-        self.0.push(Message::refused(head, birth, holder));
+    fn refused(&mut self, head: &Head, instance_id: InstanceId, holder: SocketAddr) {
+        self.0.push(Message::refused(head, instance_id, holder));
     }
     fn taken(&mut self, head: &Head, by: SocketAddr) {
         self.0.push(Message::taken(head, by));
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -49,7 +49,7 @@
         name: name(n),
         zone,
         address,
-        birth: InstanceId(7),
+        instance_id: InstanceId(7),
         incarnation: 9,
         standing: MemberStatus::Alive,
     }
@@ -58,7 +58,12 @@
 /// One of each kind, with two records behind.
 fn messages() -> Vec<Vec<u8>> {
     let (own, other) = (record(1), RouterId::named("r2"));
-    let head = Head { from: RouterId::named("r1"), birth: own.birth, incarnation: 9, address: own.address };
+    let head = Head {
+        from: RouterId::named("r1"),
+        instance_id: own.instance_id,
+        incarnation: 9,
+        address: own.address,
+    };
     let all = [
         Message::beat(&head, Some(5), 77),
         Message::ask(&head, other),
@@ -105,7 +110,12 @@
 #[test]
 fn a_message_has_a_most() {
     let own = record(1);
-    let head = Head { from: RouterId::named("r1"), birth: own.birth, incarnation: 9, address: own.address };
+    let head = Head {
+        from: RouterId::named("r1"),
+        instance_id: own.instance_id,
+        incarnation: 9,
+        address: own.address,
+    };
     let mut message = Message::news(&head);
     let fit = (0..1_000).take_while(|n| message.record(&record(*n))).count();
     assert!(fit > 10 && message.bytes().len() <= MESSAGE_MOST);
@@ -122,7 +132,7 @@
             bytes[at] ^= 1 << bit;
         }
         bytes.extend(tail);
-        let mut paper = Paper::fleet(1, 3, lossy(0.0));
+        let mut paper = SimulatedNetwork::fleet(1, 3, lossy(0.0));
         (0..3).for_each(|n| paper.tell(n, &bytes));
         paper.pass(S);
         prop_assert!((0..3).all(|n| paper.live(n) >= 1));
--- a/crates/membership/tests/paper.rs
+++ b/crates/membership/tests/paper.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_kill_is_known_to_all() {
     for seed in 0..5 {
-        let mut paper = Paper::fleet(seed, FLEET, lossy(0.02));
+        let mut paper = SimulatedNetwork::fleet(seed, FLEET, lossy(0.02));
         paper.kill(7);
         assert!(paper.until(6 * S, |p| p.one_view(FLEET - 1)), "seed {seed}");
         assert!((0..FLEET).filter(|n| *n != 7).all(|n| paper.shown(n, Shown::Gone) == ["r7"]));
@@ -20,7 +20,7 @@
 #[test_case(0.3, false; "a third lost each way")]
 #[test_case(0.2, true; "a fifth lost and pauses of 0.2 to 2 s")]
 fn nobody_alive_is_removed(loss: f64, pauses: bool) {
-    let mut paper = Paper::fleet(1, FLEET, lossy(loss));
+    let mut paper = SimulatedNetwork::fleet(1, FLEET, lossy(loss));
     let mut rng = oorandom::Rand64::new(5);
     for _ in 0..600 {
         if pauses {
@@ -40,7 +40,7 @@
 #[test_case(5, true)]
 #[test_case(20, true)]
 fn stopped(seconds: u64, removed: bool) {
-    let mut paper = Paper::fleet(3, FLEET, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(3, FLEET, lossy(0.02));
     let before = paper.members(4).me().incarnation;
     paper.stop(4, seconds * S);
     paper.pass(seconds * S - S / 10);
@@ -59,7 +59,7 @@
 // What was sent to it meanwhile is lost, so that it has heard nobody for long when it wakes.
 #[test]
 fn stopped_with_nothing_in_its_socket() {
-    let mut paper = Paper::fleet(3, FLEET, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(3, FLEET, lossy(0.0));
     paper.link = Box::new(|_, _, b, _| (b != 4).then_some(300));
     paper.stop(4, 5 * S);
     paper.pass(5 * S - S / 10);
@@ -74,7 +74,7 @@
 // Messages that a router wrote before it raised its incarnation do not keep it alive after its death.
 #[test]
 fn old_messages_prove_nothing() {
-    let mut paper = Paper::fleet(16, 6, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(16, 6, lossy(0.0));
     let kept = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let keep = kept.clone();
     paper.bend = Some(Box::new(move |from, message| {
@@ -102,7 +102,7 @@
 // The only two that could confirm cannot reach each other: nobody is removed by one voice, until they can.
 #[test]
 fn killed_and_stopped_while_those_who_could_confirm_are_cut() {
-    let mut paper = Paper::fleet(2, 4, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(2, 4, lossy(0.0));
     paper.kill(0);
     paper.stop(1, 8 * S);
     let cut = |a: usize, b: usize| [a, b].contains(&2) && [a, b].contains(&3);
@@ -116,7 +116,7 @@
 // Nobody answers at the seeds, or they name nobody else: it says so by its standing and goes on asking.
 #[test]
 fn joins_alone() {
-    let mut paper = Paper::new(1, lossy(0.0));
+    let mut paper = SimulatedNetwork::new(1, lossy(0.0));
     paper.start(5, "r5", address(5), &[0, 1]);
     paper.start(6, "r6", address(6), &[6]);
     paper.pass(20 * S);
@@ -129,7 +129,7 @@
 // Two under one name: the later one is refused, and both are told.
 #[test]
 fn two_under_one_name() {
-    let mut paper = Paper::fleet(4, 6, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(4, 6, lossy(0.02));
     paper.start(9, "r3", address(9), &[0, 1]);
     paper.pass(10 * S);
     assert!(paper.members(9).is_refused() && !paper.members(3).is_refused());
@@ -143,7 +143,7 @@
 // process takes its place under one above it. While a process runs only the monotonic clock counts.
 #[test]
 fn restart_after_the_clock_went_back() {
-    let mut paper = Paper::fleet(5, 8, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(5, 8, lossy(0.02));
     let before = paper.members(2).me().incarnation;
     paper.kill(2);
     paper.clock_back = 90;
@@ -156,7 +156,7 @@
 // Restarted at once under its name and address; the old process' messages come after it.
 #[test]
 fn restart_within_a_second() {
-    let mut paper = Paper::fleet(5, 8, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(5, 8, lossy(0.02));
     let late = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let kept = late.clone();
     paper.bend = Some(Box::new(move |from, message| {
@@ -171,21 +171,21 @@
     paper.pass(300 * MS);
     paper.start(2, "r2", address(2), &[0, 1]);
     assert!(paper.until(5 * S, |p| p.one_view(8)));
-    let birth = paper.members(2).me().birth;
-    let changes = |p: &Paper| (0..8).map(|n| p.changes(n).count()).sum::<usize>();
+    let instance_id = paper.members(2).me().instance_id;
+    let changes = |p: &SimulatedNetwork| (0..8).map(|n| p.changes(n).count()).sum::<usize>();
     let before = changes(&paper);
     for message in late.borrow().iter() {
         (0..8).filter(|n| *n != 2).for_each(|n| paper.tell(n, message));
     }
     paper.pass(5 * S);
     assert!(paper.one_view(8) && changes(&paper) == before);
-    assert!(paper.members(0).seen().any(|s| s.record.birth == birth));
+    assert!(paper.members(0).seen().any(|s| s.record.instance_id == instance_id));
 }
 
 // The process that was replaced while it stood still gives way when it wakes.
 #[test]
 fn the_replaced_gives_way() {
-    let mut paper = Paper::fleet(6, 8, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(6, 8, lossy(0.0));
     paper.stop(2, 30 * S);
     paper.pass(S);
     paper.start(12, "r2", address(12), &[0, 1]);
@@ -200,7 +200,7 @@
 #[test]
 fn slow_replies() {
     let slow: Link = Box::new(|_, _, _, rng| Some(400 * MS + rng.rand_range(0..400) * MS));
-    let mut paper = Paper::fleet(7, FLEET, slow);
+    let mut paper = SimulatedNetwork::fleet(7, FLEET, slow);
     paper.pass(120 * S);
     assert_eq!(paper.removals(), 0);
     assert!((0..FLEET).all(|n| paper.live(n) == FLEET));
@@ -215,9 +215,10 @@
 #[test_case(|a, _| a == 4, FLEET - 1; "one hears all and is heard by nobody: to the others it is gone")]
 #[test_case(|a, b| a == 4 && b > 6, FLEET; "one is heard by some only")]
 fn one_sided(cut: Cut, live: usize) {
-    let mut paper = Paper::fleet(8, FLEET, Box::new(move |_, a, b, _| (!cut(a, b)).then_some(300)));
+    let mut paper =
+        SimulatedNetwork::fleet(8, FLEET, Box::new(move |_, a, b, _| (!cut(a, b)).then_some(300)));
     paper.pass(10 * S);
-    let count = |p: &Paper| (0..FLEET).filter(|n| *n != 4).map(|n| p.live(n)).collect::<Vec<_>>();
+    let count = |p: &SimulatedNetwork| (0..FLEET).filter(|n| *n != 4).map(|n| p.live(n)).collect::<Vec<_>>();
     assert_eq!(count(&paper), vec![live; FLEET - 1]);
     let accused = |c: &&(u64, Change)| matches!(&c.1, Change::Shown { is: Shown::Suspected, .. });
     assert_eq!(paper.changes(4).filter(accused).count(), 0, "who hears nobody accuses nobody");
@@ -232,7 +233,8 @@
 
 #[test]
 fn a_lame_link_is_named() {
-    let mut paper = Paper::fleet(8, 6, Box::new(|_, a, b, _| (!(a == 0 && b == 1)).then_some(300)));
+    let mut paper =
+        SimulatedNetwork::fleet(8, 6, Box::new(|_, a, b, _| (!(a == 0 && b == 1)).then_some(300)));
     paper.pass(10 * S);
     let lame =
         |n: usize, of: &str| paper.members(n).seen().find(|s| s.record.name == of).and_then(|s| s.lame);
@@ -245,7 +247,8 @@
 #[test_case(6, 6; "six and fourteen")]
 #[test_case(1, FLEET; "one alone removes nobody")]
 fn halves(at: usize, few: usize) {
-    let mut paper = Paper::fleet(9, FLEET, Box::new(move |_, a, b, _| ((a < at) == (b < at)).then_some(300)));
+    let mut paper =
+        SimulatedNetwork::fleet(9, FLEET, Box::new(move |_, a, b, _| ((a < at) == (b < at)).then_some(300)));
     paper.pass(60 * S);
     assert!((0..at).all(|n| paper.live(n) == few) && (at..FLEET).all(|n| paper.live(n) == FLEET - at));
     paper.link = lossy(0.02);
@@ -259,7 +262,7 @@
 // A deluded peer that hears nobody and one that lies remove nobody.
 #[test]
 fn a_liar_removes_nobody() {
-    let mut paper = Paper::fleet(10, FLEET, lossy(0.1));
+    let mut paper = SimulatedNetwork::fleet(10, FLEET, lossy(0.1));
     // It says of everybody else that they are gone, as often as it says anything.
     let views: Vec<Seen> = paper.members(3).seen().collect();
     let me = paper.members(3).me().clone();
@@ -285,7 +288,7 @@
 #[test_case(Some("old-incarnation"), 0; "with the guard taken out")]
 fn a_lone_voice_is_refuted(without: Option<&str>, raised: u64) {
     let guards = without.and_then(Guards::without).unwrap_or(Guards::ALL);
-    let mut paper = Paper::fleet_with(18, 5, lossy(0.0), guards);
+    let mut paper = SimulatedNetwork::fleet_with(18, 5, lossy(0.0), guards);
     let (one, two) = (paper.members(1).me().clone(), paper.members(2).me().clone());
     paper.pass(S);
     paper.tell(2, &lie(&one, &two, 7));
@@ -296,13 +299,13 @@
 // The highest numbers there are, from a peer that holds the key: no panic.
 #[test]
 fn highest_numbers() {
-    let mut paper = Paper::fleet(17, 5, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(17, 5, lossy(0.0));
     let (one, two) = (paper.members(1).me().clone(), paper.members(2).me().clone());
     let messages = [
         lie(&one, &two, u64::MAX),
         lie(&two, &one, u64::MAX),
         news(&one, &Record { incarnation: u64::MAX, ..two.clone() }),
-        news(&one, &Record { incarnation: u64::MAX, birth: InstanceId(u64::MAX), ..two }),
+        news(&one, &Record { incarnation: u64::MAX, instance_id: InstanceId(u64::MAX), ..two }),
     ];
     for message in &messages {
         (0..5).for_each(|n| paper.tell(n, message));
@@ -319,8 +322,8 @@
     let flaps: Link = Box::new(|now, a, b, _| {
         (!(a.min(b) == 0 && a.max(b) == 1 && (now / S).is_multiple_of(2))).then_some(300)
     });
-    let mut paper = Paper::fleet(11, FLEET, flaps);
-    let changes = |p: &Paper| (0..FLEET).map(|n| p.changes(n).count()).sum::<usize>();
+    let mut paper = SimulatedNetwork::fleet(11, FLEET, flaps);
+    let changes = |p: &SimulatedNetwork| (0..FLEET).map(|n| p.changes(n).count()).sum::<usize>();
     let before = changes(&paper);
     paper.pass(600 * S);
     assert!(changes(&paper) - before <= 4, "{}", changes(&paper) - before);
@@ -328,14 +331,14 @@
 
 #[test]
 fn three_hundred_at_once() {
-    let mut paper = Paper::new(12, lossy(0.02));
+    let mut paper = SimulatedNetwork::new(12, lossy(0.02));
     (0..300).for_each(|n| paper.start(n, &name(n), address(n), &[0, 1, 2]));
     assert!(paper.until(20 * S, |p| p.one_view(300)));
 }
 
 #[test]
 fn a_word_of_leave_needs_no_votes() {
-    let mut paper = Paper::fleet(13, FLEET, lossy(0.1));
+    let mut paper = SimulatedNetwork::fleet(13, FLEET, lossy(0.1));
     paper.leave(5);
     paper.pass(100 * MS);
     paper.kill(5);
@@ -346,7 +349,7 @@
 // Half of the fleet at once, and back at once: those that watch each other are not needed to tell.
 #[test]
 fn half_killed_at_once() {
-    let mut paper = Paper::fleet(14, FLEET, lossy(0.02));
+    let mut paper = SimulatedNetwork::fleet(14, FLEET, lossy(0.02));
     (0..10).for_each(|n| paper.kill(n));
     assert!(paper.until(6 * S, |p| p.one_view(10)));
     (0..10).for_each(|n| paper.start(n, &name(n), address(n), &[11, 12]));
@@ -356,7 +359,7 @@
 // What was said of a router before it was gone does not bring it back.
 #[test]
 fn old_gossip_brings_nobody_back() {
-    let mut paper = Paper::fleet(15, 6, lossy(0.0));
+    let mut paper = SimulatedNetwork::fleet(15, 6, lossy(0.0));
     let record = paper.members(2).me().clone();
     paper.kill(2);
     assert!(paper.until(6 * S, |p| p.one_view(5)));
@@ -370,7 +373,7 @@
 #[test]
 fn one_seed_one_run() {
     let run = |seed: u64| {
-        let mut paper = Paper::fleet(seed, FLEET, lossy(0.2));
+        let mut paper = SimulatedNetwork::fleet(seed, FLEET, lossy(0.2));
         paper.kill(1);
         paper.stop(2, 5 * S);
         paper.pass(20 * S);
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -4,7 +4,7 @@
 use applepond_http::{Fault, encode};
 use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part};
 use applepond_platform::config::Start;
-use applepond_reactor::{Conn, Wire};
+use applepond_reactor::{Conn, Transport};
 use std::collections::BTreeSet;
 
 /// Bytes of a head at most (431 beyond): calls have a few hundred.
@@ -116,7 +116,12 @@
     }
 
     /// The next whole request with its body, if the one before has been answered.
-    pub fn next(&mut self, wire: &mut dyn Wire, conn: Conn, start: &Start) -> Option<Result<Request, Fault>> {
+    pub fn next(
+        &mut self,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        start: &Start,
+    ) -> Option<Result<Request, Fault>> {
         if self.doing != Doing::Reading {
             return None;
         }
@@ -134,7 +139,7 @@
             }
             Ok(Step::More) => {
                 if std::mem::take(&mut self.part.go_on) {
-                    wire.write(conn, encode::CONTINUE);
+                    transport.write(conn, encode::CONTINUE);
                 }
                 None
             }
@@ -144,7 +149,14 @@
 
     /// Answers the request that waits; whatever comes after it is read on. `last`: nothing more is taken
     /// here.
-    pub fn answer(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, reply: &Reply, last: bool) {
+    pub fn answer(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        reply: &Reply,
+        last: bool,
+    ) {
         if self.doing != Doing::Waiting {
             return;
         }
@@ -156,7 +168,7 @@
         if !keep {
             head = head.field("Connection", "close");
         }
-        wire.write(conn, &head.body(&reply.body));
+        transport.write(conn, &head.body(&reply.body));
         self.job = None;
         if keep {
             self.doing = Doing::Reading;
@@ -164,22 +176,22 @@
             self.until = now + IDLE_LIMIT;
             self.idle = self.decoder.idle();
         } else {
-            self.leave(now, wire, conn);
+            self.leave(now, transport, conn);
         }
     }
 
     /// Answers what is no call, and ends the connection: where the next request begins is not known.
-    pub fn refuse(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, fault: &Fault) {
-        wire.write(conn, &encode::problem_answer(fault, None, None, false));
-        self.leave(now, wire, conn);
+    pub fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+        transport.write(conn, &encode::problem_answer(fault, None, None, false));
+        self.leave(now, transport, conn);
     }
 
     /// Nothing more is taken; the connection goes once all that is owed on it is out.
-    pub fn leave(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    pub fn leave(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.doing = Doing::Leaving;
         self.idle = false;
         self.until = now + SILENT_LIMIT;
-        wire.finish(conn);
+        transport.finish(conn);
     }
 }
 
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -11,7 +11,7 @@
 use applepond_platform::config::{Member, Start};
 use applepond_platform::fault::Unfit;
 use applepond_platform::line;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
@@ -48,7 +48,7 @@
 const ECHO_TAG: &str = "works";
 
 /// What a timer leaves to do.
-type Step = Box<dyn FnOnce(&mut Node, Micros, &mut dyn Wire)>;
+type Step = Box<dyn FnOnce(&mut Node, Micros, &mut dyn Transport)>;
 
 /// What the process is told from outside.
 pub enum News {
@@ -149,47 +149,47 @@
     }
 
     /// The module's timers are many and carry their own number: they travel as they are, even; ours are odd.
-    fn after(&mut self, now: Micros, wire: &mut dyn Wire, delay: Micros, step: Step) {
+    fn after(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros, step: Step) {
         self.next_step += 2;
         self.steps.insert(self.next_step, step);
-        wire.wake_at(now + delay, Wake(self.next_step));
+        transport.wake_at(now + delay, Wake(self.next_step));
     }
 
     // ---- The module's orders -----------------------------------------------------------------
 
     /// Carries out what the module ordered, and what comes of that, until nothing is left.
-    fn settle(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         if !self.later.is_empty() && !self.watch.stale(now) {
             self.ready.extend(std::mem::take(&mut self.later));
         }
         loop {
             while let Some(act) = self.acts.0.pop_front() {
-                self.carry_out(now, wire, act);
+                self.carry_out(now, transport, act);
             }
             if let Some(conn) = self.ready.pop_front() {
-                self.read_on(now, wire, conn);
+                self.read_on(now, transport, conn);
             } else if let Some(conn) = self.dirty.pop() {
-                self.pump(now, wire, conn);
+                self.pump(now, transport, conn);
             } else {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, wire: &mut dyn Wire, act: Act) {
+    fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport, act: Act) {
         match act {
             Act::Send(job, server, patience, begin) => {
-                self.execute(now, wire, job, server, (patience, begin));
+                self.execute(now, transport, job, server, (patience, begin));
             }
             Act::Cancel(job, n) => self.drop_attempt(now, job, n, Outcome::Cancelled),
             Act::PushBack(job, come_back) => {
-                self.end(now, wire, job, Reply { come_back, ..Reply::bare(503) });
+                self.end(now, transport, job, Reply { come_back, ..Reply::bare(503) });
             }
             Act::Kill(job) => {
                 let late = self.lives.get(job).is_some_and(|l| l.timed_out || now >= l.deadline);
-                self.end(now, wire, job, Reply::bare(if late { 504 } else { 502 }));
+                self.end(now, transport, job, Reply::bare(if late { 504 } else { 502 }));
             }
-            Act::Wake(delay, token) => wire.wake_at(now + delay, Wake(token.0 << 1)),
+            Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
             Act::Note(text) => tracing::info!(target: "module", "{text}"),
             // The list is asked for at each tick anyway.
             Act::Watch => {}
@@ -199,45 +199,45 @@
     fn execute(
         &mut self,
         now: Micros,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         job: RequestId,
         server: WorkerId,
         times: (Micros, Micros),
     ) {
-        let most = self.start.rows.permits.attempts;
+        let most = self.start.rows.attempt_policy.max_attempts;
         match self.lives.execute(now, job, server, times, most) {
             Some(Ok(n)) => {
-                self.arm(now, wire);
-                self.place(now, wire, job, n);
+                self.arm(now, transport);
+                self.place(now, transport, job, n);
             }
-            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Moot)),
+            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
 
     /// Sets the timer for the attempt whose time is up first, unless one fires earlier anyway.
-    fn arm(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn arm(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some(until) = self.lives.arm() {
-            let step: Step = Box::new(|node, now, wire| node.times_up(now, wire));
-            self.after(now, wire, until.saturating_sub(now), step);
+            let step: Step = Box::new(|node, now, transport| node.times_up(now, transport));
+            self.after(now, transport, until.saturating_sub(now), step);
         }
     }
 
-    fn times_up(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some((job, n)) = self.lives.due(now) {
             self.drop_attempt(now, job, n, Outcome::TimedOut);
         }
-        self.arm(now, wire);
+        self.arm(now, transport);
     }
 
     /// Puts an attempt on a connection that has room for it, a new one if need be.
-    fn place(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, n: usize) {
+    fn place(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, n: usize) {
         let Some(life) = self.lives.get_mut(job) else { return };
         let server = life.attempts[n].server;
         let wanted = life.may_begin(now, n);
         let ready = |w: &&mut Worker| wanted && w.standing == WorkerStatus::Ready;
         let Some(worker) = self.workers.get_mut(server).filter(ready) else {
-            return self.close(now, job, n, ended(Outcome::Moot));
+            return self.close(now, job, n, ended(Outcome::Superseded));
         };
         let idle_limit = (self.start.terms.idle_limit as f64 * IDLE_PART) as Micros;
         let usable = worker.links.iter().copied().filter(|conn| {
@@ -259,17 +259,17 @@
             Some(conn) => conn,
             // That there is no descriptor is not this server's fault.
             None if self.links.len() >= self.links_most => {
-                if self.make_room(now, wire) {
-                    return self.place(now, wire, job, n);
+                if self.make_room(now, transport) {
+                    return self.place(now, transport, job, n);
                 }
                 tracing::warn!(
                     links = self.links.len(),
                     "no descriptor is left for a connection to a server"
                 );
-                return self.close(now, job, n, ended(Outcome::Moot));
+                return self.close(now, job, n, ended(Outcome::Superseded));
             }
             _ => {
-                let conn = wire.connect(worker.address, self.start.terms.connect_limit);
+                let conn = transport.connect(worker.address, self.start.terms.connect_limit);
                 self.links.insert(conn, Link::new(now, server));
                 worker.links.push(conn);
                 conn
@@ -281,16 +281,16 @@
     }
 
     /// Ends the connection to a server that has lain idle longest, for one that is needed.
-    fn make_room(&mut self, now: Micros, wire: &mut dyn Wire) -> bool {
+    fn make_room(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
         let idle = self.links.iter().filter(|(_, link)| link.idle()).map(|(conn, link)| (link.busy, *conn));
         let oldest = idle.min();
-        oldest.into_iter().for_each(|(_, conn)| self.link_over(now, wire, conn));
+        oldest.into_iter().for_each(|(_, conn)| self.link_over(now, transport, conn));
         oldest.is_some()
     }
 
     /// Writes what waits on a connection, as far as the kernel takes it: what it has not begun to take can
     /// still be taken back.
-    fn pump(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn pump(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(link) = self.links.get_mut(&conn).filter(|l| l.open)
             && let Some(item) = link.queue.pop_front()
         {
@@ -304,7 +304,7 @@
                     // would not know any more when its connection comes up late or takes nothing, and against
                     // a server that drained, or went, while this process stood still and asked for no list.
                     if !life.may_begin(now, n) || self.watch.stale(now) {
-                        self.close(now, job, n, ended(Outcome::Moot));
+                        self.close(now, job, n, ended(Outcome::Superseded));
                         continue;
                     }
                     let mut bytes = life.of.head.clone();
@@ -312,7 +312,7 @@
                     (Some((job, n)), bytes)
                 }
             };
-            let taken = wire.offer(conn, &bytes);
+            let taken = transport.offer(conn, &bytes);
             if let Some((job, n)) = run {
                 if taken == 0 {
                     link.queue.push_front(Item::Run(job, n));
@@ -341,7 +341,8 @@
         let Some(attempt) = life.attempts.get(n).filter(|e| !e.closed) else { return };
         life.timed_out |= outcome == Outcome::TimedOut;
         // Whether the job may have another attempt for this one, but not beside it.
-        let alone = outcome == Outcome::Cancelled && !life.ended && !self.start.rows.permits.second_copies;
+        let alone =
+            outcome == Outcome::Cancelled && !life.ended && !self.start.rows.attempt_policy.hedging_allowed;
         let mut outcome = outcome;
         if let Some(conn) = attempt.link
             && let Some(link) = self.links.get_mut(&conn)
@@ -372,71 +373,80 @@
         let server = self.lives.get(job).map(|l| l.attempts[n].server.0);
         if let Some(answer) = self.lives.close(now, job, n, answer) {
             tracing::debug!(job = id_text(&job), n, server, ?answer, "attempt closed");
-            self.control.clock(now);
-            self.control.answered(&mut self.acts, job, n, &answer);
+            self.control.advance_to(now);
+            self.control.attempt_finished(&mut self.acts, job, n, &answer);
         }
     }
 
     /// The one place where a job ends.
-    fn end(&mut self, now: Micros, wire: &mut dyn Wire, job: RequestId, reply: Reply) {
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, reply: Reply) {
         let Some(life) = self.lives.end(job) else { return };
         tracing::debug!(job = id_text(&job), status = reply.status, took = now - life.came, "job ended");
         let caller = life.of.caller.take();
         self.lives.forget(job);
         if let Some(conn) = caller {
-            self.answer(now, wire, conn, &reply);
+            self.answer(now, transport, conn, &reply);
         }
     }
 
     // ---- The clients' side -------------------------------------------------------------------
 
-    fn answer(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, reply: &Reply) {
+    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, reply: &Reply) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
-        caller.answer(now, wire, conn, reply, self.leaving.is_some());
+        caller.answer(now, transport, conn, reply, self.leaving.is_some());
         self.patience.insert(conn, caller);
         self.ready.push_back(conn);
     }
 
     /// Takes the requests that are whole, as far as answers allow.
-    fn read_on(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn read_on(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.watch.stale(now) {
             self.later.insert(conn);
             return;
         }
         while let Some(caller) = self.callers.get_mut(&conn)
-            && let Some(asked) = caller.next(wire, conn, &self.start)
+            && let Some(asked) = caller.next(transport, conn, &self.start)
         {
             self.patience.remove(conn, caller);
             match asked {
                 Ok(Request { ask: Ask::Check, .. }) => {
-                    return self.answer(now, wire, conn, &Reply::bare(200));
+                    return self.answer(now, transport, conn, &Reply::bare(200));
                 }
                 Ok(Request { ask: Ask::Job(mut arrival, head), body, begun }) => {
                     let spent = now.saturating_sub(begun) + WAY_BACK;
-                    arrival.left = arrival.left.saturating_sub(spent).max(1);
-                    self.take(now, wire, conn, arrival, Task { caller: Some(conn), head, body });
+                    arrival.time_left = arrival.time_left.saturating_sub(spent).max(1);
+                    self.take(now, transport, conn, arrival, Task { caller: Some(conn), head, body });
                 }
                 Err(fault) => {
                     tracing::debug!(reason = fault.reason, detail = fault.detail, "refused");
-                    caller.refuse(now, wire, conn, &fault);
+                    caller.refuse(now, transport, conn, &fault);
                     self.patience.insert(conn, caller);
                 }
             }
         }
     }
 
-    fn take(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, arrival: RequestArrival, task: Task) {
-        let job = arrival.job;
+    fn take(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        arrival: RequestArrival,
+        task: Task,
+    ) {
+        let job = arrival.request;
         if self.lives.get(job).is_some() {
             // Another request under an open id: which of the two an answer belongs to could not be told.
-            return self.answer(now, wire, conn, &Reply::bare(409));
+            return self.answer(now, transport, conn, &Reply::bare(409));
         }
-        let RequestArrival { function, workload, left, lanes, retry, load_time, .. } = &arrival;
+        let RequestArrival {
+            function, workload, time_left: left, concurrency: lanes, retry, load_time, ..
+        } = &arrival;
         tracing::debug!(job = id_text(&job), ?function, ?workload, left, lanes, retry, ?load_time, "a job");
-        self.lives.begin(job, now, now + arrival.left, task);
+        self.lives.begin(job, now, now + arrival.time_left, task);
         self.callers.get_mut(&conn).expect("it has just asked").job = Some(job);
-        self.control.clock(now);
-        self.control.job(&mut self.acts, &arrival);
+        self.control.advance_to(now);
+        self.control.request_arrived(&mut self.acts, &arrival);
     }
 
     /// A client has gone: nothing is owed to it, and its job ends.
@@ -447,27 +457,27 @@
             && self.lives.end(job).is_some()
         {
             self.lives.forget(job);
-            self.control.clock(now);
-            self.control.left(&mut self.acts, job);
+            self.control.advance_to(now);
+            self.control.client_disconnected(&mut self.acts, job);
         }
     }
 
     /// Ends connections with which patience is over, and where there are too many, those that matter least.
     /// Never one whose job is open.
-    fn part_with_callers(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn part_with_callers(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             let many = self.callers.len() > self.callers_most;
-            let owes = |conn| wire.unsent(conn) > 0;
+            let owes = |conn| transport.unsent(conn) > 0;
             let least = if many { self.patience.least(now, owes) } else { None };
             let Some(conn) = self.patience.over(now).or(least) else { return };
-            wire.cut(conn);
+            transport.cut(conn);
             self.caller_gone(now, conn);
         }
     }
 
     // ---- The model servers' side -------------------------------------------------------------
 
-    fn link_bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let mut came = Came::default();
         let read = link.feed(bytes, &mut came);
@@ -479,23 +489,23 @@
             // Given up, told twice, or never asked for: nobody waits for it.
             let Some(n) = self.links.get_mut(&conn).and_then(|link| link.out.remove(&job)) else { continue };
             if answer.outcome == Outcome::Finished {
-                self.end(now, wire, job, Reply { body, ..Reply::bare(200) });
+                self.end(now, transport, job, Reply { body, ..Reply::bare(200) });
             }
             self.close(now, job, n, answer);
         }
         if let Err(fault) = read {
             tracing::debug!(reason = fault.reason, detail = fault.detail, "a connection to a server is cut");
-            self.link_over(now, wire, conn);
+            self.link_over(now, transport, conn);
         }
     }
 
     /// A connection that cannot be used any more is cut: what has left on it may have run.
-    fn link_over(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        wire.cut(conn);
-        self.link_gone(now, wire, conn);
+    fn link_over(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        transport.cut(conn);
+        self.link_gone(now, transport, conn);
     }
 
-    fn link_gone(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.remove(&conn) else { return };
         if !link.out.is_empty() {
             let (server, lost) = (link.server.0, link.out.len());
@@ -515,7 +525,7 @@
             let Item::Run(job, n) = item else { continue };
             if link.open {
                 // Nothing of it had left when the connection broke: it goes out on another one.
-                self.place(now, wire, job, n);
+                self.place(now, transport, job, n);
             } else {
                 self.close(now, job, n, ended(fate::of_end(Reached::NotOpen)));
             }
@@ -524,7 +534,7 @@
 
     /// A connection carries nothing new any more: what waits on it is taken back, what has left may come to
     /// its end.
-    fn part(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn part(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         link.parted = true;
         let queue = std::mem::take(&mut link.queue);
@@ -532,15 +542,15 @@
         link.queue = rests.into();
         for item in runs {
             if let Item::Run(job, n) = item {
-                self.close(now, job, n, ended(Outcome::Moot));
+                self.close(now, job, n, ended(Outcome::Superseded));
             }
         }
-        self.sweep_link(now, wire, conn);
+        self.sweep_link(now, transport, conn);
     }
 
     /// Cuts a connection that is of no more use: parted with and owing nothing, idle too long, or one that
     /// owes answers and does not even say that it works. Guards against peers that vanish without a word.
-    fn sweep_link(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn sweep_link(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let idle_limit = (self.start.terms.idle_limit as f64 * IDLE_PART) as Micros;
         let Some(link) = self.links.get_mut(&conn) else { return };
         let over = match link.asked {
@@ -549,7 +559,7 @@
             _ => link.load() == 0 && (link.parted || now >= link.busy + idle_limit),
         };
         if over {
-            self.link_over(now, wire, conn);
+            self.link_over(now, transport, conn);
         } else if link.open && link.asked.is_none() && link.owes() && now >= link.heard + QUIET {
             let mut bytes = Vec::new();
             line::echo(&mut bytes, ECHO_TAG);
@@ -561,14 +571,20 @@
 
     // ---- The list ----------------------------------------------------------------------------
 
-    fn listed(&mut self, now: Micros, wire: &mut dyn Wire, kind: EndpointListKind, list: &[Member]) {
+    fn listed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        kind: EndpointListKind,
+        list: &[Member],
+    ) {
         for conn in self.workers.take(kind, list) {
-            self.part(now, wire, conn);
+            self.part(now, transport, conn);
         }
         self.fleet = self.workers.ready().max(1);
         let entries: Vec<Endpoint> = list.iter().map(|m| m.listed.clone()).collect();
-        self.control.clock(now);
-        self.control.list(&mut self.acts, kind, &entries);
+        self.control.advance_to(now);
+        self.control.endpoints_updated(&mut self.acts, kind, &entries);
     }
 
     // ---- The way out -------------------------------------------------------------------------
@@ -576,15 +592,15 @@
     /// Ends once nothing is owed any more: whoever has connected is heard out, and each answer is with the
     /// kernel and its client has ended too, or what the kernel has not delivered would go with the process.
     /// Each connection takes one request more at the most, and patience bounds its silence.
-    fn wind_up(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn wind_up(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some((listener, _)) = self.listener.take() {
             // Whoever connected last is told of only after this call, and may be owed something.
-            return wire.deafen(listener, true);
+            return transport.deafen(listener, true);
         }
         for conn in self.patience.idle() {
             let caller = self.callers.get_mut(&conn).expect("idle ones are kept");
             self.patience.remove(conn, caller);
-            caller.leave(now, wire, conn);
+            caller.leave(now, transport, conn);
             self.patience.insert(conn, caller);
         }
         if self.lives.is_empty() && self.callers.is_empty() {
@@ -595,17 +611,17 @@
     // ---- Now and then ------------------------------------------------------------------------
 
     /// Listens, if need be as soon as the process before this one has given the address back.
-    fn listen(&mut self, now: Micros, wire: &mut dyn Wire, until: Micros) {
+    fn listen(&mut self, now: Micros, transport: &mut dyn Transport, until: Micros) {
         // One more than are kept open, so that a new one is seen and takes the place of another.
-        match wire.listen(self.start.listen, self.callers_most + 1) {
+        match transport.listen(self.start.listen, self.callers_most + 1) {
             Ok((listener, at)) => {
                 tracing::info!(%at, "listening");
                 self.listener = Some((listener, at));
             }
             Err(error) if error.kind() == ErrorKind::AddrInUse && now < until => {
                 tracing::warn!(listen = %self.start.listen, "the address is still in use");
-                let step: Step = Box::new(move |node, now, wire| node.listen(now, wire, until));
-                self.after(now, wire, TICK, step);
+                let step: Step = Box::new(move |node, now, transport| node.listen(now, transport, until));
+                self.after(now, transport, TICK, step);
             }
             Err(error) => {
                 tracing::error!(listen = %self.start.listen, %error, "cannot listen");
@@ -614,132 +630,132 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn tick(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some(news) = (self.news)() {
             match news {
                 News::Again(Ok(start)) => {
                     tracing::info!(names = %start.names, "a new configuration holds");
-                    self.watch.moved(wire, start.names);
+                    self.watch.moved(transport, start.names);
                 }
                 News::Again(Err(why)) => tracing::warn!(%why, "the old configuration holds"),
                 News::Leave => _ = self.leaving.get_or_insert(now),
             }
         }
-        self.watch.tick(now, wire);
-        self.part_with_callers(now, wire);
+        self.watch.tick(now, transport);
+        self.part_with_callers(now, transport);
         let mut conns: Vec<Conn> = self.links.keys().copied().collect();
         conns.sort_unstable();
         for conn in conns {
-            self.sweep_link(now, wire, conn);
+            self.sweep_link(now, transport, conn);
         }
         if self.leaving.is_some_and(|since| now >= since + ANSWER_ALL) {
-            self.control.clock(now);
-            self.control.end_all(&mut self.acts);
+            self.control.advance_to(now);
+            self.control.finish_all(&mut self.acts);
         }
         if self.leaving.is_some_and(|since| now >= since + LEAVING) {
-            self.wind_up(now, wire);
+            self.wind_up(now, transport);
         }
-        self.after(now, wire, TICK, Box::new(|node, now, wire| node.tick(now, wire)));
+        self.after(now, transport, TICK, Box::new(|node, now, transport| node.tick(now, transport)));
     }
 }
 
 impl Machine for Node {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (kind, list) in std::mem::take(&mut self.start.known) {
-            self.listed(now, wire, kind, &list);
+            self.listed(now, transport, kind, &list);
         }
-        self.listen(now, wire, now + LISTEN_LIMIT);
-        self.tick(now, wire);
-        self.settle(now, wire);
+        self.listen(now, transport, now + LISTEN_LIMIT);
+        self.tick(now, transport);
+        self.settle(now, transport);
     }
 
-    fn accepted(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Listener) {
         // Who hangs up wants no answer: what it asked for must not be sent on any more.
-        wire.hangup_first(conn);
+        transport.hangup_first(conn);
         let caller = Caller::new(now);
         self.patience.insert(conn, &caller);
         self.callers.insert(conn, caller);
-        self.part_with_callers(now, wire);
-        self.settle(now, wire);
+        self.part_with_callers(now, transport);
+        self.settle(now, transport);
     }
 
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if let Some(link) = self.links.get_mut(&conn) {
             link.open = true;
             link.heard = now;
             self.dirty.push(conn);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some(caller) = self.callers.get_mut(&conn) {
             if caller.doing == Doing::Reading {
                 self.patience.remove(conn, caller);
             }
-            let fits = caller.feed(now, wire.arrived(conn, now), bytes);
+            let fits = caller.feed(now, transport.arrived(conn, now), bytes);
             if caller.doing == Doing::Reading {
                 self.patience.insert(conn, caller);
             }
             if fits {
-                self.read_on(now, wire, conn);
+                self.read_on(now, transport, conn);
             } else {
-                wire.cut(conn);
+                transport.cut(conn);
                 self.caller_gone(now, conn);
             }
         } else {
-            self.link_bytes(now, wire, conn, bytes);
+            self.link_bytes(now, transport, conn, bytes);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         // Clients and model servers alike mean it when they close: no answer is owed, none comes.
         if self.callers.contains_key(&conn) {
-            wire.cut(conn);
+            transport.cut(conn);
             self.caller_gone(now, conn);
         } else {
-            self.link_over(now, wire, conn);
+            self.link_over(now, transport, conn);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
         if self.callers.contains_key(&conn) {
             self.caller_gone(now, conn);
         } else {
-            self.link_gone(now, wire, conn);
+            self.link_gone(now, transport, conn);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn told(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
-        if let Some(told) = self.watch.told(now, wire, conn, bytes, &self.start.words) {
+    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        if let Some(told) = self.watch.told(now, transport, conn, bytes, &self.start.words) {
             if told.left_out > 0 {
                 tracing::warn!(left_out = told.left_out, "servers of the list lack records");
             }
-            self.listed(now, wire, EndpointListKind::Full, &told.members);
+            self.listed(now, transport, EndpointListKind::Full, &told.members);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn flushed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.links.contains_key(&conn) {
             self.dirty.push(conn);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake.0 & 1 == 0 && self.watch.stale(now) {
             // What the module would send now would not be let go.
-            wire.wake_at(now + TICK, wake);
+            transport.wake_at(now + TICK, wake);
         } else if wake.0 & 1 == 0 {
-            self.control.clock(now);
-            self.control.wake(&mut self.acts, TimerToken(wake.0 >> 1));
+            self.control.advance_to(now);
+            self.control.timer_fired(&mut self.acts, TimerToken(wake.0 >> 1));
         } else if let Some(step) = self.steps.remove(&wake.0) {
-            step(self, now, wire);
+            step(self, now, transport);
         }
-        self.settle(now, wire);
+        self.settle(now, transport);
     }
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -2,7 +2,7 @@
 use applepond::interface::Micros;
 use applepond_platform::names::{self, Told};
 use applepond_platform::rows::Words;
-use applepond_reactor::{Conn, Wire};
+use applepond_reactor::{Conn, Transport};
 use oorandom::Rand32;
 use std::net::SocketAddr;
 
@@ -39,16 +39,16 @@
     }
 
     /// Another address from now on; the numbers continue.
-    pub fn moved(&mut self, wire: &mut dyn Wire, service: SocketAddr) {
+    pub fn moved(&mut self, transport: &mut dyn Transport, service: SocketAddr) {
         if self.service != service {
             self.service = service;
-            self.give_up(wire, 0);
+            self.give_up(transport, 0);
         }
     }
 
-    fn give_up(&mut self, wire: &mut dyn Wire, next: Micros) {
+    fn give_up(&mut self, transport: &mut dyn Transport, next: Micros) {
         if let Some((conn, _, since)) = self.asking.take() {
-            wire.cut(conn);
+            transport.cut(conn);
             self.asked = since;
         }
         self.next = next;
@@ -56,17 +56,17 @@
 
     /// Asks where it is time to: with a new id and from a new port each time, so that no late or false answer
     /// fits the question.
-    pub fn tick(&mut self, now: Micros, wire: &mut dyn Wire) {
+    pub fn tick(&mut self, now: Micros, transport: &mut dyn Transport) {
         if self.asking.is_some_and(|(_, _, since)| now >= since + ANSWER_LIMIT) {
-            self.give_up(wire, now);
+            self.give_up(transport, now);
         }
         if self.asking.is_some() || now < self.next && !self.stale(now) {
             return;
         }
-        match wire.datagrams(self.service) {
+        match transport.datagrams(self.service) {
             Some(conn) => {
                 let id = self.rng.rand_u32() as u16;
-                wire.datagram(conn, &names::query(id));
+                transport.datagram(conn, &names::query(id));
                 self.asking = Some((conn, id, now));
             }
             // No descriptor is left for a question: what is known has to do.
@@ -78,7 +78,7 @@
     pub fn told(
         &mut self,
         now: Micros,
-        wire: &mut dyn Wire,
+        transport: &mut dyn Transport,
         conn: Conn,
         bytes: &[u8],
         words: &Words,
@@ -86,19 +86,19 @@
         let (_, id, _) = self.asking.filter(|(asked, _, _)| *asked == conn)?;
         match names::answer(bytes, id, words) {
             Ok(told) if told.index >= self.index => {
-                self.give_up(wire, now + ASK_EVERY);
+                self.give_up(transport, now + ASK_EVERY);
                 let news = told.index > self.index;
                 self.index = told.index;
                 news.then_some(told)
             }
             Ok(told) => {
                 tracing::debug!(told = told.index, known = self.index, "an older list");
-                self.give_up(wire, now + ASK_AGAIN);
+                self.give_up(transport, now + ASK_AGAIN);
                 None
             }
             Err(why) => {
                 tracing::debug!(%why, "an answer of the name service is not taken");
-                self.give_up(wire, now + ASK_AGAIN);
+                self.give_up(transport, now + ASK_AGAIN);
                 None
             }
         }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -36,25 +36,25 @@
     pub fn take(&mut self, kind: EndpointListKind, list: &[Member]) -> Vec<Conn> {
         let mut parted = Vec::new();
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<WorkerId> = list.iter().map(|m| m.listed.server).collect();
+            let named: BTreeSet<WorkerId> = list.iter().map(|m| m.listed.worker).collect();
             for (_, worker) in self.0.iter_mut().filter(|(id, _)| !named.contains(id)) {
                 worker.standing = WorkerStatus::Gone;
                 parted.append(&mut worker.links);
             }
         }
         for Member { address, listed, .. } in list {
-            let worker = self.0.entry(listed.server).or_insert_with(|| Worker {
+            let worker = self.0.entry(listed.worker).or_insert_with(|| Worker {
                 address: *address,
-                standing: listed.standing,
+                standing: listed.status,
                 up_since: listed.up_since,
                 links: Vec::new(),
             });
             let same = worker.address == *address && worker.up_since == listed.up_since;
-            if !same || listed.standing != WorkerStatus::Ready {
+            if !same || listed.status != WorkerStatus::Ready {
                 parted.append(&mut worker.links);
             }
-            (worker.address, worker.standing) = (*address, listed.standing);
-            if listed.standing == WorkerStatus::Ready {
+            (worker.address, worker.standing) = (*address, listed.status);
+            if listed.status == WorkerStatus::Ready {
                 worker.up_since = listed.up_since;
             }
         }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! A router on a paper wire and one on real sockets, with model servers and clients played by hand.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::WorkerStatus;
-use applepond_fakes::paper::Paper;
+use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_node::{End, News, Node};
 use applepond_platform::config::{self, Start};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use serde_json::{Value, json};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
@@ -53,7 +53,7 @@
 
 pub struct Bench {
     pub node: Node,
-    pub paper: Paper,
+    pub paper: SimulatedTransport,
     pub now: Micros,
     pub news: Rc<RefCell<Vec<News>>>,
     pub over: Rc<Cell<bool>>,
@@ -74,7 +74,7 @@
             Box::new(move || told.borrow_mut().pop()),
             Box::new(move |end| ends.set(end == End::Left)),
         );
-        let mut bench = Bench { node, paper: Paper::default(), now, news, over };
+        let mut bench = Bench { node, paper: SimulatedTransport::default(), now, news, over };
         bench.node.start(now, &mut bench.paper);
         bench
     }
@@ -169,11 +169,11 @@
         ResourceRecord::new(Name::new(name).expect("a name").into_owned(), CLASS::IN, 0, data)
     };
     let members = start.known.iter().flat_map(|(_, list)| list);
-    for member in members.filter(|m| m.listed.standing != WorkerStatus::Gone) {
+    for member in members.filter(|m| m.listed.status != WorkerStatus::Gone) {
         let target = format!("{}.room-1.hosts", member.name);
         let SocketAddr::V4(at) = member.address else { continue };
         let name = Name::new(&target).expect("a name").into_owned();
-        let priority = u16::from(member.listed.standing != WorkerStatus::Ready);
+        let priority = u16::from(member.listed.status != WorkerStatus::Ready);
         let srv = SRV { priority, weight: 1305, port: at.port(), target: name };
         packet.answers.push(record("_rpc._tcp.mesh.local", RData::SRV(srv)));
         packet.additional_records.push(record(&target, RData::A(A { address: (*at.ip()).into() })));
@@ -214,36 +214,36 @@
 struct Shared(Rc<RefCell<Node>>, Rc<Cell<usize>>, Amid);
 
 impl Machine for Shared {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
-        self.0.borrow_mut().start(now, wire);
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
+        self.0.borrow_mut().start(now, transport);
     }
-    fn accepted(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, listener: Listener) {
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
         self.1.set(self.1.get() + 1);
-        self.0.borrow_mut().accepted(now, wire, conn, listener);
+        self.0.borrow_mut().accepted(now, transport, conn, listener);
     }
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        self.0.borrow_mut().connected(now, wire, conn);
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        self.0.borrow_mut().connected(now, transport, conn);
     }
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
-        self.0.borrow_mut().bytes(now, wire, conn, bytes);
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        self.0.borrow_mut().bytes(now, transport, conn, bytes);
         if let Some(act) = self.2.borrow_mut().take() {
             act();
         }
     }
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        self.0.borrow_mut().half_closed(now, wire, conn);
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        self.0.borrow_mut().half_closed(now, transport, conn);
     }
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, sent: u64) {
-        self.0.borrow_mut().closed(now, wire, conn, why, sent);
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
+        self.0.borrow_mut().closed(now, transport, conn, why, sent);
     }
-    fn told(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
-        self.0.borrow_mut().told(now, wire, conn, bytes);
+    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        self.0.borrow_mut().told(now, transport, conn, bytes);
     }
-    fn flushed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
-        self.0.borrow_mut().flushed(now, wire, conn);
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        self.0.borrow_mut().flushed(now, transport, conn);
     }
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
-        self.0.borrow_mut().woken(now, wire, wake);
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
+        self.0.borrow_mut().woken(now, transport, wake);
     }
 }
 
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -4,7 +4,7 @@
 use crate::rows::Words;
 use applepond::interface::*;
 use applepond_http::Fault;
-use applepond_http::decode::{Fields, Sink};
+use applepond_http::decode::{Fields, Visitor};
 
 /// Bytes of a call's body at most.
 pub const BODY_MOST: u64 = 16 * 1024;
@@ -109,29 +109,29 @@
         if !matches!(retry, None | Some("1")) {
             return Err(bad("Attempt-Again: 1 is wanted, or nothing"));
         }
-        let marked = matches!(self.rows.workloads[workload].effect, RetrySafety::Keyed { .. });
+        let marked = matches!(self.rows.workloads[workload].retry_safety, RetrySafety::Keyed { .. });
         let mark = match mark {
             Some(mark) if !hex(mark, 32) => return Err(bad("Once-Key: 32 hex digits are wanted")),
             None if marked => return Err(bad("Once-Key is wanted")),
             mark => mark,
         };
         let mut arrival = RequestArrival {
-            job: job_id(id),
+            request: job_id(id),
             function: FunctionId::named(function),
             workload: WorkloadId(workload),
             customer,
-            left: (left * 1000.0) as Micros,
-            lanes: 1,
+            time_left: (left * 1000.0) as Micros,
+            concurrency: 1,
             retry: retry.is_some(),
             load_time: None,
-            paid: 1.0,
+            priority_factor: 1.0,
         };
         for pair in extras.unwrap_or("").split(';').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once(':').ok_or_else(|| bad("X-Extras: pairs are wanted"))?;
             let value = number(value).ok_or_else(|| bad("X-Extras: numbers are wanted"))?;
             let in_range = match name {
                 "lanes" => {
-                    arrival.lanes = value as u32;
+                    arrival.concurrency = value as u32;
                     (1.0..=LANES_MOST).contains(&value)
                 }
                 "load_ms" => {
@@ -150,7 +150,7 @@
     }
 }
 
-impl Sink for Incoming<'_> {
+impl Visitor for Incoming<'_> {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
         *self.part = Part::default();
         self.part.ask = Some(match (method, target) {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -111,8 +111,8 @@
     let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
     let server = WorkerId::named(&name);
     let listed = Endpoint {
-        server,
-        standing: match text(entry, "phase")? {
+        worker: server,
+        status: match text(entry, "phase")? {
             "in_service" => WorkerStatus::Ready,
             "terminating" => WorkerStatus::Draining,
             "terminated" => WorkerStatus::Gone,
@@ -122,13 +122,13 @@
         zone: zone.map(ZoneId),
         rack: match maybe(entry, "cell") {
             Some(_) => RackId(number(entry, "cell")? as i64),
-            None => RackId::alone(server),
+            None => RackId::unshared(server),
         },
         weight: number_or(entry, "size", 1.0)?,
     };
     let address = match maybe(entry, "host_port") {
         // Of one that has gone, nobody needs to know where it was.
-        None if listed.standing == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
+        None if listed.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
     Ok(Member { name, address, listed })
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -61,10 +61,10 @@
     let id = text("rid").ok_or_else(|| spoilt("no id"))?;
     let outcome = match text("verb") {
         Some("OK") => Outcome::Finished,
-        Some("MISS") => Outcome::Missing,
-        Some("BUSY") => Outcome::Full,
+        Some("MISS") => Outcome::NotLoaded,
+        Some("BUSY") => Outcome::Overloaded,
         Some("ERR") => Outcome::Error,
-        Some("VOID") => Outcome::Moot,
+        Some("VOID") => Outcome::Superseded,
         Some("UP") => {
             words.works(id);
             return Ok(());
@@ -83,11 +83,11 @@
         pairs.into_iter().find(|(n, _)| n.trim() == name).and_then(|(_, v)| v.trim().parse::<f64>().ok())
     };
     let copy = match attrs.get("detail").and_then(Value::as_str) {
-        Some("hit") => LoadState::Stood,
-        Some("spawn") => LoadState::Begun,
-        Some("pending") => LoadState::Awaited,
+        Some("hit") => LoadState::Loaded,
+        Some("spawn") => LoadState::LoadStarted,
+        Some("pending") => LoadState::LoadPending,
         Some("spawn_failed") => LoadState::LoadFailed,
-        _ => LoadState::Unsaid,
+        _ => LoadState::Unreported,
     };
     let body = match (outcome, text("content")) {
         (Outcome::Finished, Some(content)) => {
@@ -97,12 +97,12 @@
     };
     let answer = AttemptResult {
         outcome,
-        closed: false,
+        request_ended: false,
         elapsed: 0,
-        copy,
-        company: number("same").filter(|n| *n >= 0.0).map_or(0, |n| n as u32),
-        held: reported("concurrent").filter(|n| n.is_finite()),
-        loads: reported("x1").filter(|n| n.is_finite()),
+        load_state: copy,
+        same_function_in_flight: number("same").filter(|n| *n >= 0.0).map_or(0, |n| n as u32),
+        reported_in_flight: reported("concurrent").filter(|n| n.is_finite()),
+        reported_loads: reported("x1").filter(|n| n.is_finite()),
     };
     words.answer(id, answer, body);
     Ok(())
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/names.rs
@@ -87,13 +87,13 @@
     let number = |name: &str| note(name).map_or(Some(0), |v| v.parse::<u64>().ok());
     let server = WorkerId::named(name);
     let listed = Endpoint {
-        server,
-        standing: if priority == 0 { WorkerStatus::Ready } else { WorkerStatus::Draining },
+        worker: server,
+        status: if priority == 0 { WorkerStatus::Ready } else { WorkerStatus::Draining },
         up_since: number("started")?.checked_mul(1000)?,
         zone: words.zones.iter().position(|z| z == zone).map(ZoneId),
         rack: match note("cell") {
             Some(_) => RackId(number("cell")? as i64),
-            None => RackId::alone(server),
+            None => RackId::unshared(server),
         },
         weight: f64::from(weight) / WEIGHT_PARTS,
     };
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -34,33 +34,36 @@
     let own = maybe(setup, "specifics").unwrap_or(&Value::Null);
     Ok(StartupConfig {
         seed,
-        me: number_or(setup, "self-index", 0.0)? as u64,
-        routers: (number_or(setup, "group-size", 1.0)? as u64).max(1),
+        router_index: number_or(setup, "self-index", 0.0)? as u64,
+        router_count: (number_or(setup, "group-size", 1.0)? as u64).max(1),
         workloads: array(setup, "lanes")?.iter().map(workload).collect::<Read<_>>()?,
         customers: maybe(setup, "projects")
             .and_then(Value::as_array)
             .into_iter()
             .flatten()
-            .map(|row| number_or(row, "quota-per-s", 0.0).map(|jobs_per_s| CustomerConfig { jobs_per_s }))
+            .map(|row| {
+                number_or(row, "quota-per-s", 0.0)
+                    .map(|jobs_per_s| CustomerConfig { requests_per_second: jobs_per_s })
+            })
             .collect::<Read<_>>()?,
-        permits: AttemptPolicy {
-            attempts: number_or(allowed, "attempts-cap", 1.0)? as usize,
-            cancel: mark(allowed, "cancel")?,
-            second_copies: mark(allowed, "second-copies")?,
-            come_back: mark(allowed, "retry-after")?,
-            come_back_max: time_or_none(allowed, "max-retry-after")?,
+        attempt_policy: AttemptPolicy {
+            max_attempts: number_or(allowed, "attempts-cap", 1.0)? as usize,
+            cancel_allowed: mark(allowed, "cancel")?,
+            hedging_allowed: mark(allowed, "second-copies")?,
+            retry_after_allowed: mark(allowed, "retry-after")?,
+            max_retry_after: time_or_none(allowed, "max-retry-after")?,
         },
-        rules: SlowStartRules {
-            cold_share: number_or(rules, "cold-from", 1.0)?,
-            warm_within: time_or_none(rules, "warm-within")?,
-            fall_multiple: number_or(rules, "fall-multiple", 1.0)?,
-            fall_span: time_or_none(rules, "fall")?,
+        slow_start: SlowStartRules {
+            initial_capacity: number_or(rules, "cold-from", 1.0)?,
+            warmup_time: time_or_none(rules, "warm-within")?,
+            overload_factor: number_or(rules, "fall-multiple", 1.0)?,
+            overload_window: time_or_none(rules, "fall")?,
         },
-        over_share: number_or(setup, "over-share-worth", 1.0)?,
-        keep: time_or_none(own, "keep")?,
-        tells_company: mark(own, "says-company")?,
-        limits_shared: true,
-        list_by_asking: maybe(setup, "discovery").and_then(Value::as_str) == Some("ask"),
+        over_quota_factor: number_or(setup, "over-share-worth", 1.0)?,
+        cache_lifetime: time_or_none(own, "keep")?,
+        reports_same_function: mark(own, "says-company")?,
+        timeouts_shared: true,
+        watches_endpoints: maybe(setup, "discovery").and_then(Value::as_str) == Some("ask"),
         weights_shared: maybe(setup, "weights").and_then(Value::as_str) != Some("live"),
     })
 }
@@ -70,7 +73,7 @@
         "idempotent" => RetrySafety::Idempotent,
         "at_most_once" => RetrySafety::AtMostOnce,
         "deduplicated" => RetrySafety::Keyed {
-            within: match text(row, "group")? {
+            scope: match text(row, "group")? {
                 "all" => IdempotencyScope::Everywhere,
                 "zone" => IdempotencyScope::Zone,
                 "cell" => IdempotencyScope::Rack,
@@ -81,20 +84,20 @@
         other => return Err(Unfit::field("idempotency", format!("'{other}' is not known"))),
     };
     Ok(WorkloadConfig {
-        effect,
-        start_target: time(row, "on-time")?,
-        importance: number_or(row, "worth", 1.0)?,
-        late_part: number_or(row, "late-worth", 0.0)?,
+        retry_safety: effect,
+        latency_objective: time(row, "on-time")?,
+        priority_weight: number_or(row, "worth", 1.0)?,
+        late_priority_factor: number_or(row, "late-worth", 0.0)?,
     })
 }
 
 /// What a note of the simulator says of the function's copy.
 pub fn copy_note(note: u32) -> LoadState {
     match note {
-        1 => LoadState::Stood,
-        2 => LoadState::Begun,
-        3 => LoadState::Awaited,
+        1 => LoadState::Loaded,
+        2 => LoadState::LoadStarted,
+        3 => LoadState::LoadPending,
         4 => LoadState::LoadFailed,
-        _ => LoadState::Unsaid,
+        _ => LoadState::Unreported,
     }
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -29,22 +29,24 @@
     let mut heard = Heard::default();
     line::read(line.as_bytes(), &mut heard).ok()?;
     let (_, a, body) = heard.0.pop()?;
-    Some((a.outcome, a.copy, a.company, a.held, a.loads, body))
+    Some((a.outcome, a.load_state, a.same_function_in_flight, a.reported_in_flight, a.reported_loads, body))
 }
 
 // Reports come under the names that the settings give them, which are not those of the protocol's example.
 #[test_case(
     r#"{"verb":"OK","rid":"a","attrs":{"detail":"hit","same":"3","use":"x1:2;concurrent:7"},
         "content":"b2s="}"#,
-    (Outcome::Finished, LoadState::Stood, 3, Some(7.0), Some(2.0), b"ok".to_vec()); "texts, with a report")]
+    (Outcome::Finished, LoadState::Loaded, 3, Some(7.0), Some(2.0), b"ok".to_vec()); "texts, with a report")]
 #[test_case(r#"{"verb":"OK","rid":"a","attrs":{"detail":"spawn","same":3},"content":""}"#,
-    (Outcome::Finished, LoadState::Begun, 3, None, None, vec![]); "numbers, without a body")]
-#[test_case(r#"{"verb":"BUSY","rid":"a"}"#, (Outcome::Full, LoadState::Unsaid, 0, None, None, vec![]); "full")]
+    (Outcome::Finished, LoadState::LoadStarted, 3, None, None, vec![]); "numbers, without a body")]
+#[test_case(r#"{"verb":"BUSY","rid":"a"}"#,
+    (Outcome::Overloaded, LoadState::Unreported, 0, None, None, vec![]); "full")]
 #[test_case(r#"{"verb":"MISS","rid":"a","attrs":{"detail":"spawn_failed"}}"#,
-    (Outcome::Missing, LoadState::LoadFailed, 0, None, None, vec![]); "a load that failed")]
+    (Outcome::NotLoaded, LoadState::LoadFailed, 0, None, None, vec![]); "a load that failed")]
 #[test_case(r#"{"verb":"ERR","rid":"a","attrs":{"detail":"pending","use":"concurrent:x;x1:-"}}"#,
-    (Outcome::Error, LoadState::Awaited, 0, None, None, vec![]); "a report that is none")]
-#[test_case(r#"{"verb":"VOID","rid":"a"}"#, (Outcome::Moot, LoadState::Unsaid, 0, None, None, vec![]); "void")]
+    (Outcome::Error, LoadState::LoadPending, 0, None, None, vec![]); "a report that is none")]
+#[test_case(r#"{"verb":"VOID","rid":"a"}"#,
+    (Outcome::Superseded, LoadState::Unreported, 0, None, None, vec![]); "void")]
 fn words(line: &str, want: Said) {
     assert_eq!(heard(line), Some(want));
 }
@@ -105,8 +107,11 @@
 #[test]
 fn a_call() {
     let (arrival, head, body) = asked(GOOD).expect("a good call");
-    assert_eq!((id_text(&arrival.job), arrival.workload.0, body), ("9b1f03aa5c7e2d41", 1, b"hi".to_vec()));
-    assert_eq!((arrival.left, arrival.lanes, arrival.retry), (1_500_000, 2, true));
+    assert_eq!(
+        (id_text(&arrival.request), arrival.workload.0, body),
+        ("9b1f03aa5c7e2d41", 1, b"hi".to_vec())
+    );
+    assert_eq!((arrival.time_left, arrival.concurrency, arrival.retry), (1_500_000, 2, true));
     assert_eq!((arrival.load_time, arrival.customer), (Some(80_500), Some(CustomerId(0))));
     assert!(String::from_utf8(head).expect("text").contains(r#""uniq":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211""#));
 }
@@ -184,8 +189,8 @@
     assert_eq!((first.name.as_str(), first.address.to_string()), ("s-00c41f7a", "10.1.0.9:8443".into()));
     let listed = &first.listed;
     assert_eq!((listed.zone, listed.rack, listed.weight), (Some(ZoneId(1)), RackId(2), 130.5));
-    assert_eq!((listed.up_since, listed.standing), (5_000, WorkerStatus::Ready));
-    assert_eq!(told.members[1].listed.standing, WorkerStatus::Draining);
+    assert_eq!((listed.up_since, listed.status), (5_000, WorkerStatus::Ready));
+    assert_eq!(told.members[1].listed.status, WorkerStatus::Draining);
 }
 
 #[test]
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -56,11 +56,18 @@
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
         self.put(to, REFUSED, &(ballot, promised));
     }
-    fn ask(&mut self, to: RouterId, birth: InstanceId, settings: u64, numbers: (u64, u64), need: &[Amount]) {
-        self.put(to, ASK, &(birth, settings, numbers, need));
+    fn ask(
+        &mut self,
+        to: RouterId,
+        instance_id: InstanceId,
+        settings: u64,
+        numbers: (u64, u64),
+        need: &[Amount],
+    ) {
+        self.put(to, ASK, &(instance_id, settings, numbers, need));
     }
-    fn given(&mut self, to: RouterId, birth: InstanceId, number: u64, extra: &[Amount]) {
-        self.put(to, GIVEN, &(birth, number, extra));
+    fn given(&mut self, to: RouterId, instance_id: InstanceId, number: u64, extra: &[Amount]) {
+        self.put(to, GIVEN, &(instance_id, number, extra));
     }
     fn elsewhere(&mut self, to: RouterId, divides: RouterId) {
         self.put(to, ELSEWHERE, &divides);
@@ -99,12 +106,13 @@
             office.refused(now, ballot, promised);
         }
         ASK => {
-            let (birth, settings, numbers, need) = whole::<(InstanceId, u64, (u64, u64), Vec<Amount>)>(rest)?;
-            office.asked(now, from, (birth, settings), numbers, &need, orders);
+            let (instance_id, settings, numbers, need) =
+                whole::<(InstanceId, u64, (u64, u64), Vec<Amount>)>(rest)?;
+            office.asked(now, from, (instance_id, settings), numbers, &need, orders);
         }
         GIVEN => {
-            let (birth, number, extra) = whole::<(InstanceId, u64, Vec<Amount>)>(rest)?;
-            office.given(now, from, birth, number, &extra);
+            let (instance_id, number, extra) = whole::<(InstanceId, u64, Vec<Amount>)>(rest)?;
+            office.given(now, from, instance_id, number, &extra);
         }
         ELSEWHERE => office.elsewhere(now, whole(rest)?, live),
         _ => return None,
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Place {
     pub name: RouterId,
-    pub birth: InstanceId,
+    pub instance_id: InstanceId,
     /// The keepers by their places, the same in all routers' settings.
     pub keepers: Vec<RouterId>,
     /// Routers that could ever be there.
@@ -52,8 +52,15 @@
     fn accepted(&mut self, to: RouterId, ballot: Ballot);
     fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
     /// `settings`: those of the asker, as `Place::settings` has them.
-    fn ask(&mut self, to: RouterId, birth: InstanceId, settings: u64, numbers: (u64, u64), need: &[Amount]);
-    fn given(&mut self, to: RouterId, birth: InstanceId, number: u64, extra: &[Amount]);
+    fn ask(
+        &mut self,
+        to: RouterId,
+        instance_id: InstanceId,
+        settings: u64,
+        numbers: (u64, u64),
+        need: &[Amount],
+    );
+    fn given(&mut self, to: RouterId, instance_id: InstanceId, number: u64, extra: &[Amount]);
     /// Somebody else divides, or seems to.
     fn elsewhere(&mut self, to: RouterId, divides: RouterId);
 }
@@ -103,7 +110,7 @@
             holder: Holder::new(now, &place.rows),
             divider: None,
             keeper,
-            proposer: keeps.then(|| Proposer::new(place.birth, &ids, seed)),
+            proposer: keeps.then(|| Proposer::new(place.instance_id, &ids, seed)),
             begun: now,
             // All keepers start at once with their fleet; the first to try is mostly alone.
             next_try: now + rng.rand_range(0..TAKE_OVER),
@@ -182,7 +189,7 @@
         let known = self.divides.filter(|d| live(*d) && now < self.heard + LEASE);
         let keepers = &self.place.keepers;
         let to = known.unwrap_or(keepers[number as usize % keepers.len()]);
-        orders.ask(to, self.place.birth, self.place.settings(), (number, turn), &need);
+        orders.ask(to, self.place.instance_id, self.place.settings(), (number, turn), &need);
     }
 
     // ---- The keeper's side -------------------------------------------------------------------
@@ -253,7 +260,7 @@
         let Some(keeper) = self.keeper_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
         let Some(Told::Read(term)) = proposer.promised(keeper, ballot, before, accepted) else { return };
-        let mine = term.as_ref().is_some_and(|t| t.by == self.place.birth);
+        let mine = term.as_ref().is_some_and(|t| t.by == self.place.instance_id);
         // Of a process before this one under the name nobody else is left to speak.
         let gone = term.as_ref().is_none_or(|t| t.name == self.place.name || !live(t.name));
         if !mine && !gone {
@@ -266,7 +273,7 @@
             self.divider = None;
         }
         let number = term.as_ref().map_or(1, |t| t.number + u64::from(!mine));
-        let (name, by, settings) = (self.place.name, self.place.birth, self.place.settings());
+        let (name, by, settings) = (self.place.name, self.place.instance_id, self.place.settings());
         let next = Term { number, name, by, settings };
         proposer.write(now, next, &mut Post(&self.place.keepers, orders));
     }
@@ -296,7 +303,7 @@
         &mut self,
         now: Micros,
         from: RouterId,
-        (birth, settings): (InstanceId, u64),
+        (instance_id, settings): (InstanceId, u64),
         numbers: (u64, u64),
         need: &[Amount],
         orders: &mut dyn Actions,
@@ -307,8 +314,8 @@
             return;
         }
         let divider = self.divider.as_mut().filter(|d| d.divides(now));
-        match divider.and_then(|d| d.asked(now, birth, numbers, need)) {
-            Some(extra) => orders.given(from, birth, numbers.0, &extra),
+        match divider.and_then(|d| d.asked(now, instance_id, numbers, need)) {
+            Some(extra) => orders.given(from, instance_id, numbers.0, &extra),
             None => {
                 if let Some(divides) = self.divides.filter(|d| *d != from && now < self.heard + LEASE) {
                     orders.elsewhere(from, divides);
@@ -317,8 +324,15 @@
         }
     }
 
-    pub fn given(&mut self, now: Micros, from: RouterId, birth: InstanceId, number: u64, extra: &[Amount]) {
-        if birth == self.place.birth {
+    pub fn given(
+        &mut self,
+        now: Micros,
+        from: RouterId,
+        instance_id: InstanceId,
+        number: u64,
+        extra: &[Amount],
+    ) {
+        if instance_id == self.place.instance_id {
             self.holder.given(now, number, extra);
             (self.divides, self.heard) = (Some(from), now);
         }
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -60,7 +60,7 @@
     pub spent: u64,
     pub messages: u64,
     pub next: u64,
-    pub births: u64,
+    pub instance_ids: u64,
 }
 
 pub fn row(routers: usize) -> Row {
@@ -71,16 +71,16 @@
     RouterId(n as u64)
 }
 
-pub fn office(now: u64, (n, routers): (usize, usize), birth: u64, found: Option<Vote<Term>>) -> Office {
+pub fn office(now: u64, (n, routers): (usize, usize), instance_id: u64, found: Option<Vote<Term>>) -> Office {
     let row = row(routers);
     let place = Place {
         name: name(n),
-        birth: InstanceId(birth),
+        instance_id: InstanceId(instance_id),
         keepers: (0..KEEPERS).map(name).collect(),
         routers: routers as u64,
         rows: vec![row],
     };
-    Office::new(now, place, (n < KEEPERS).then(|| Keeper::new(FLEET, Ok(found))), birth)
+    Office::new(now, place, (n < KEEPERS).then(|| Keeper::new(FLEET, Ok(found))), instance_id)
 }
 
 impl World {
@@ -110,7 +110,7 @@
             spent: 0,
             messages: 0,
             next: 0,
-            births: routers as u64,
+            instance_ids: routers as u64,
         }
     }
 
@@ -136,9 +136,9 @@
 
     /// Starts again under its name, with what its disk holds.
     pub fn start(&mut self, n: usize) {
-        self.births += 1;
+        self.instance_ids += 1;
         let (now, found) = (self.clock(n), self.all[n].disk.0.clone());
-        self.all[n].office = office(now, (n, self.all.len()), self.births, found);
+        self.all[n].office = office(now, (n, self.all.len()), self.instance_ids, found);
         (self.all[n].runs, self.all[n].stopped) = (true, 0);
     }
 
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -46,7 +46,7 @@
 #[test]
 fn messages_are_read() {
     let rows = vec![Row { whole: 1_000, floor: 10 }];
-    let place = Place { name: ME, birth: InstanceId(1), keepers: vec![ME], routers: 3, rows };
+    let place = Place { name: ME, instance_id: InstanceId(1), keepers: vec![ME], routers: 3, rows };
     let mut office = Office::new(0, place, Some(Keeper::new(3, Ok(None))), 1);
     for bytes in messages() {
         let mut answers = Written::by(ME);
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -37,7 +37,7 @@
 }
 
 /// What a machine may order. Actions take effect when its call returns, in their order.
-pub trait Wire {
+pub trait Transport {
     /// Opens a connection; `connected` or `closed` follows, the latter after `patience` at most.
     fn connect(&mut self, to: SocketAddr, patience: Micros) -> Conn;
     fn write(&mut self, conn: Conn, bytes: &[u8]);
@@ -89,17 +89,17 @@
 /// Something that is told of its connections and timers and orders in return; it reads no clock and no
 /// socket.
 pub trait Machine {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire);
-    fn accepted(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, listener: Listener);
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn);
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]);
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport);
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener);
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]);
     /// The peer ended its side; it may still read.
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn);
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
     /// The connection is gone. `sent` is what the kernel had taken of all that was written.
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, sent: u64);
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64);
     /// A datagram, from the one address that its socket takes them from or to a `post`.
-    fn told(&mut self, _: Micros, _: &mut dyn Wire, _: Conn, _: &[u8]) {}
+    fn told(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
     /// All that waited to be written is with the kernel, after a call that left something waiting.
-    fn flushed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn);
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake);
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake);
 }
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,6 +1,6 @@
 //! The shell on real sockets: one thread, epoll, no runtime.
 use crate::wheel::Wheel;
-use crate::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use crate::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use rustc_hash::FxHashMap;
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
@@ -295,7 +295,7 @@
     net::socket_with(family, SocketType::DGRAM, flags, Some(ipproto::UDP))
 }
 
-impl Wire for Port<'_> {
+impl Transport for Port<'_> {
     fn connect(&mut self, to: SocketAddr, patience: Micros) -> Conn {
         let begun = socket(&to).ok().and_then(|fd| match net::connect(&fd, &to) {
             Ok(()) | Err(Errno::INPROGRESS) => self.core.add(self.machine, fd, false, None),
@@ -498,7 +498,7 @@
     pub fn add(&mut self, machine: Box<dyn Machine>) -> usize {
         self.machines.push(Some(machine));
         let index = self.machines.len() - 1;
-        self.with(index, |m, now, wire| m.start(now, wire));
+        self.with(index, |m, now, transport| m.start(now, transport));
         self.settle();
         index
     }
@@ -511,7 +511,7 @@
         self.core.posts.retain(|_, p| p.machine != index);
     }
 
-    fn with(&mut self, index: usize, call: impl FnOnce(&mut dyn Machine, Micros, &mut dyn Wire)) {
+    fn with(&mut self, index: usize, call: impl FnOnce(&mut dyn Machine, Micros, &mut dyn Transport)) {
         if let Some(mut machine) = self.machines.get_mut(index).and_then(Option::take) {
             let now = self.core.now();
             call(machine.as_mut(), now, &mut Port { core: &mut self.core, machine: index });
@@ -527,12 +527,14 @@
             }
             match self.core.tell.pop_front() {
                 Some(Tell::Closed(m, conn, why, sent)) => {
-                    self.with(m, |m, now, wire| m.closed(now, wire, conn, why, sent));
+                    self.with(m, |m, now, transport| m.closed(now, transport, conn, why, sent));
                 }
                 Some(Tell::Accepted(m, conn, listener)) => {
-                    self.with(m, |m, now, wire| m.accepted(now, wire, conn, listener));
+                    self.with(m, |m, now, transport| m.accepted(now, transport, conn, listener));
+                }
+                Some(Tell::Flushed(m, conn)) => {
+                    self.with(m, |m, now, transport| m.flushed(now, transport, conn))
                 }
-                Some(Tell::Flushed(m, conn)) => self.with(m, |m, now, wire| m.flushed(now, wire, conn)),
                 None if self.core.dirty.is_empty() => return,
                 None => {}
             }
@@ -555,7 +557,7 @@
                 self.poll(Duration::ZERO)?;
             }
             match timer {
-                Timer::Machine(m, wake) => self.with(m, |m, now, wire| m.woken(now, wire, wake)),
+                Timer::Machine(m, wake) => self.with(m, |m, now, transport| m.woken(now, transport, wake)),
                 Timer::ConnectOver(conn) => {
                     if self.core.links.get(&conn.0).is_some_and(|l| !l.open) {
                         self.core.drop_link(conn, Some(Closed::Never));
@@ -620,7 +622,7 @@
                 // An error here is a refused earlier datagram, or that nothing waits any more.
                 let Some(post) = self.core.posts.get(&data) else { break };
                 let Ok((n, _)) = net::recv(&post.fd, &mut buffer[..], net::RecvFlags::empty()) else { break };
-                self.with(machine, |m, now, wire| m.told(now, wire, conn, &buffer[..n]));
+                self.with(machine, |m, now, transport| m.told(now, transport, conn, &buffer[..n]));
                 self.settle();
             }
             self.buffer = buffer;
@@ -633,7 +635,7 @@
                 && !flags.contains(epoll::EventFlags::HUP)
             {
                 link.open = true;
-                self.with(machine, |m, now, wire| m.connected(now, wire, conn));
+                self.with(machine, |m, now, transport| m.connected(now, transport, conn));
                 self.core.touch(conn);
             } else {
                 self.core.drop_link(conn, Some(Closed::Never));
@@ -647,7 +649,7 @@
                 link.hangup_told = true;
             }
             self.core.touch(conn);
-            self.with(machine, |m, now, wire| m.half_closed(now, wire, conn));
+            self.with(machine, |m, now, transport| m.half_closed(now, transport, conn));
             self.settle();
             return;
         }
@@ -685,13 +687,13 @@
                     let tell = !link.finishing && !link.hangup_told;
                     self.core.touch(conn);
                     if tell {
-                        self.with(machine, |m, now, wire| m.half_closed(now, wire, conn));
+                        self.with(machine, |m, now, transport| m.half_closed(now, transport, conn));
                     }
                 }
             }
             Ok((n, _)) => {
                 if !link.finishing {
-                    self.with(machine, |m, now, wire| m.bytes(now, wire, conn, &buffer[..n]));
+                    self.with(machine, |m, now, transport| m.bytes(now, transport, conn, &buffer[..n]));
                 }
             }
             Err(Errno::AGAIN | Errno::INTR) => {}
@@ -711,7 +713,7 @@
                         ear.open += 1;
                     }
                     self.core.arm_ear(listener);
-                    self.with(machine, |m, now, wire| m.accepted(now, wire, conn, listener));
+                    self.with(machine, |m, now, transport| m.accepted(now, transport, conn, listener));
                     self.settle();
                 }
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -1,5 +1,5 @@
 //! The shell on real loopback sockets. Each test turns until what it waits for has come, bounded by `TURNS`.
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -23,8 +23,8 @@
     flushed: usize,
 }
 
-type Act = Box<dyn FnMut(&mut dyn Wire, Conn, &[u8])>;
-type Start = Box<dyn FnMut(&mut dyn Wire, Micros)>;
+type Act = Box<dyn FnMut(&mut dyn Transport, Conn, &[u8])>;
+type Start = Box<dyn FnMut(&mut dyn Transport, Micros)>;
 
 /// Listens and writes down; `act` answers bytes.
 struct Probe {
@@ -35,32 +35,33 @@
 }
 
 impl Machine for Probe {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
-        let (_, at) = wire.listen("127.0.0.1:0".parse().expect("an address"), self.most).expect("a port");
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
+        let (_, at) =
+            transport.listen("127.0.0.1:0".parse().expect("an address"), self.most).expect("a port");
         self.seen.borrow_mut().at = Some(at);
-        (self.start)(wire, now);
+        (self.start)(transport, now);
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
         self.seen.borrow_mut().conns.push(conn);
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
         self.seen.borrow_mut().connected += 1;
     }
-    fn bytes(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         self.seen.borrow_mut().bytes += bytes.len();
-        (self.act)(wire, conn, bytes);
+        (self.act)(transport, conn, bytes);
     }
-    fn half_closed(&mut self, _: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.seen.borrow_mut().half += 1;
-        wire.finish(conn);
+        transport.finish(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Wire, conn: Conn, why: Closed, sent: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         self.seen.borrow_mut().closed.push((conn, why, sent));
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Wire, _: Conn) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
         self.seen.borrow_mut().flushed += 1;
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Wire, wake: Wake) {
+    fn woken(&mut self, _: Micros, _: &mut dyn Transport, wake: Wake) {
         let mut seen = self.seen.borrow_mut();
         let read = seen.bytes;
         seen.woken.push(wake.0);
@@ -70,7 +71,7 @@
 
 fn probe(
     most: usize,
-    start: impl FnMut(&mut dyn Wire, Micros) + 'static,
+    start: impl FnMut(&mut dyn Transport, Micros) + 'static,
     act: Act,
 ) -> (Reactor, Rc<RefCell<Seen>>) {
     let mut reactor = Reactor::new().expect("epoll");
@@ -95,7 +96,8 @@
 
 #[test]
 fn echo_and_half_close() {
-    let (mut reactor, seen) = probe(8, |_, _| (), Box::new(|wire, conn, bytes| wire.write(conn, bytes)));
+    let (mut reactor, seen) =
+        probe(8, |_, _| (), Box::new(|transport, conn, bytes| transport.write(conn, bytes)));
     let mut stream = client(&seen);
     stream.write_all(b"hello").expect("written");
     stream.shutdown(std::net::Shutdown::Write).expect("shut");
@@ -113,11 +115,11 @@
     let gone = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
     let (mut reactor, seen) = probe(
         8,
-        move |wire, now| {
-            wire.connect(gone, 1_000_000);
-            wire.wake_at(now + 20_000, Wake(2));
-            wire.wake_at(now + 1_000, Wake(1));
-            wire.wake_at(now, Wake(0));
+        move |transport, now| {
+            transport.connect(gone, 1_000_000);
+            transport.wake_at(now + 20_000, Wake(2));
+            transport.wake_at(now + 1_000, Wake(1));
+            transport.wake_at(now, Wake(0));
         },
         Box::new(|_, _, _| ()),
     );
@@ -130,7 +132,8 @@
 #[test]
 fn a_peer_that_never_reads_is_dropped_at_the_bound() {
     let big = vec![b'x'; 1024 * 1024];
-    let (mut reactor, seen) = probe(8, |_, _| (), Box::new(move |wire, conn, _| wire.write(conn, &big)));
+    let (mut reactor, seen) =
+        probe(8, |_, _| (), Box::new(move |transport, conn, _| transport.write(conn, &big)));
     let mut deaf = client(&seen);
     let mut other = client(&seen);
     for _ in 0..30 {
@@ -160,7 +163,8 @@
 
 #[test]
 fn paused_reading_pushes_back() {
-    let (mut reactor, seen) = probe(2, |_, _| (), Box::new(|wire, conn, _| wire.reading(conn, false)));
+    let (mut reactor, seen) =
+        probe(2, |_, _| (), Box::new(|transport, conn, _| transport.reading(conn, false)));
     let mut stream = client(&seen);
     stream.set_nonblocking(true).expect("set");
     let piece = vec![0u8; 64 * 1024];
@@ -185,9 +189,9 @@
 fn what_waits_is_read_before_timers(due: Micros, stands_still: u64) {
     let other: Rc<RefCell<Option<TcpStream>>> = Rc::default();
     let held = other.clone();
-    let act = Box::new(move |wire: &mut dyn Wire, _: Conn, _: &[u8]| {
+    let act = Box::new(move |transport: &mut dyn Transport, _: Conn, _: &[u8]| {
         if let Some(mut other) = held.take() {
-            wire.wake_at(after(due * 1_000), Wake(1));
+            transport.wake_at(after(due * 1_000), Wake(1));
             other.write_all(b"meanwhile").expect("it reads");
             std::thread::sleep(Duration::from_millis(stands_still));
         }
@@ -205,7 +209,7 @@
 #[test]
 fn all_that_waits_is_read_before_late_timers() {
     let (mut reactor, seen) =
-        probe(4, |_, _| {}, Box::new(|wire, _, _| wire.wake_at(after(10_000), Wake(1))));
+        probe(4, |_, _| {}, Box::new(|transport, _, _| transport.wake_at(after(10_000), Wake(1))));
     let mut stream = client(&seen);
     until(&mut reactor, || seen.borrow().conns.len() == 1);
     stream.write_all(b"go").expect("it reads");
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -59,10 +59,10 @@
         let mut note = |what, value: f64| {
             self.facts.note(now, Fact { about: about(what, server, up_since), value: value as f32, age: 0 });
         };
-        note(What::Room, seen.room);
-        note(What::Lag, seen.lag);
-        note(What::Errors, seen.errors);
-        if seen.aside {
+        note(What::Room, seen.concurrency_limit);
+        note(What::Lag, seen.queueing_delay);
+        note(What::Errors, seen.error_rate);
+        if seen.ejected {
             note(What::Aside, 1.0);
         } else {
             self.facts.drop(&about(What::Aside, server, up_since));
@@ -128,7 +128,12 @@
             // Half a word is twice the room.
             let room = get(What::Room, life).map_or(f64::MAX, |f| f64::from(f.value) / f.weight());
             let aside = get(What::Aside, life).is_some_and(|f| f.weight() >= DOUBT);
-            WorkerHistory { room, lag: part(What::Lag), errors: part(What::Errors), aside }
+            WorkerHistory {
+                concurrency_limit: room,
+                queueing_delay: part(What::Lag),
+                error_rate: part(What::Errors),
+                ejected: aside,
+            }
         };
         self.wanted.retain(|life| {
             [What::Room, What::Lag, What::Errors, What::Aside].iter().any(|w| get(*w, *life).is_some())
@@ -209,11 +214,14 @@
         let mut memory = Memory::default();
         memory.take(S, &[fact(What::Room, 4.0, 0), fact(What::Lag, 0.4, 0), fact(What::Aside, 1.0, 0)]);
         let young = memory.recalls(S);
-        assert!(young[0].2.aside);
-        assert!((young[0].2.room - 4.0).abs() < 1e-6 && (young[0].2.lag - 0.4).abs() < 1e-6);
+        assert!(young[0].2.ejected);
+        assert!(
+            (young[0].2.concurrency_limit - 4.0).abs() < 1e-6
+                && (young[0].2.queueing_delay - 0.4).abs() < 1e-6
+        );
         let later = memory.recalls(S + 20 * S);
-        assert!(later[0].2.room > 4.0 && later[0].2.lag < 0.4, "{later:?}");
-        assert!(!memory.recalls(S + 50 * S)[0].2.aside, "less than half a word");
+        assert!(later[0].2.concurrency_limit > 4.0 && later[0].2.queueing_delay < 0.4, "{later:?}");
+        assert!(!memory.recalls(S + 50 * S)[0].2.ejected, "less than half a word");
         memory.recalled(W, 5);
         assert!(memory.recalls(S).is_empty());
         memory.take(S, &[fact(What::Room, 4.0, 0)]);
@@ -297,7 +305,7 @@
     fn own_sight_is_young_and_takes_doubt_back() {
         let mut memory = Memory::default();
         memory.take(S, &[fact(What::Aside, 1.0, 0)]);
-        memory.saw(2 * S, W, 5, &WorkerHistory { room: 3.0, ..WorkerHistory::default() });
+        memory.saw(2 * S, W, 5, &WorkerHistory { concurrency_limit: 3.0, ..WorkerHistory::default() });
         let said: Vec<_> = memory.facts().all(2 * S).map(|f| (f.about.what, f.age)).collect();
         assert_eq!(said, [(What::Room, 0), (What::Lag, 0), (What::Errors, 0)]);
         memory.saw_load_time(S, FunctionId(3), 250_000);
--- a/crates/recovery/tests/cases.rs
+++ b/crates/recovery/tests/cases.rs
@@ -6,7 +6,7 @@
 use world::*;
 
 /// Kills these at once and starts them 1 s later; their disks kept or lost.
-fn restart(paper: &mut Paper, who: std::ops::Range<usize>, disks: bool) {
+fn restart(paper: &mut SimulatedNetwork, who: std::ops::Range<usize>, disks: bool) {
     for n in who.clone() {
         paper.kill(n);
         if !disks {
@@ -20,9 +20,9 @@
 #[test]
 fn one_comes_back_from_its_peers() {
     for seed in 1..=20 {
-        let mut paper = Paper::settled(seed, 20);
+        let mut paper = SimulatedNetwork::settled(seed, 20);
         restart(&mut paper, 3..4, false);
-        let back = |p: &Paper| p.at(3).peers.stage() == Stage::Told(3);
+        let back = |p: &SimulatedNetwork| p.at(3).peers.stage() == Stage::Told(3);
         assert!(paper.until(2 * S, back), "seed {seed}: {:?}", paper.at(3).peers.stage());
         assert_eq!(paper.holds(3, What::Room, 9), Some(13.0));
         assert_eq!((paper.holds(3, What::Drain, 0), paper.holds(3, What::Aside, 1)), (Some(1.0), Some(1.0)));
@@ -35,7 +35,7 @@
 fn not_ones_word() {
     let mut wrong = 0;
     for seed in 1..=20 {
-        let mut paper = Paper::settled(seed, 4);
+        let mut paper = SimulatedNetwork::settled(seed, 4);
         paper.liar = Some(1);
         paper.pass(3 * S);
         restart(&mut paper, 3..4, false);
@@ -50,10 +50,10 @@
 #[test_case(0.1; "a tenth is lost")]
 fn nineteen_at_once(lost: f64) {
     for seed in 1..=10 {
-        let mut paper = Paper::settled(seed, 20);
+        let mut paper = SimulatedNetwork::settled(seed, 20);
         paper.link = lossy(lost);
         restart(&mut paper, 1..20, false);
-        let all = |p: &Paper| (1..20).all(|n| matches!(p.at(n).peers.stage(), Stage::Told(_)));
+        let all = |p: &SimulatedNetwork| (1..20).all(|n| matches!(p.at(n).peers.stage(), Stage::Told(_)));
         assert!(paper.until(SPAN + S, all), "seed {seed}");
         assert!((1..20).all(|n| paper.holds(n, What::Drain, 0) == Some(1.0)), "seed {seed}");
         let most = |of: &std::collections::BTreeMap<(usize, u64), u64>| {
@@ -73,7 +73,7 @@
 // All at once and nobody knows anything: nothing is made up, and it is known that nothing is known.
 #[test]
 fn all_at_once_without_disks() {
-    let mut paper = Paper::settled(3, 20);
+    let mut paper = SimulatedNetwork::settled(3, 20);
     restart(&mut paper, 0..20, false);
     paper.pass(SPAN + S);
     for n in 0..20 {
@@ -88,7 +88,7 @@
 // All at once with their disks: each has what it knew, as old as it is.
 #[test]
 fn all_at_once_with_disks() {
-    let mut paper = Paper::settled(4, 20);
+    let mut paper = SimulatedNetwork::settled(4, 20);
     restart(&mut paper, 0..20, true);
     for n in 0..20 {
         assert_eq!(paper.holds(n, What::Drain, 0), Some(1.0), "before anybody is asked");
@@ -130,7 +130,7 @@
 #[test_case("long", Unusable::Long(SNAPSHOT_MOST + 1))]
 #[test_case("somebody else's", Unusable::Foreign)]
 fn a_disk_that_lies(kind: &str, why: Unusable) {
-    let mut paper = Paper::settled(5, 6);
+    let mut paper = SimulatedNetwork::settled(5, 6);
     paper.kill(2);
     let whole = paper.disks[2].clone().expect("written");
     paper.disks[2] = Some(disk(kind, &whole));
@@ -146,7 +146,7 @@
 
 #[test]
 fn every_bit_and_every_length() {
-    let paper = Paper::settled(6, 2);
+    let paper = SimulatedNetwork::settled(6, 2);
     let whole = paper.disks[1].clone().expect("written");
     for at in 0..whole.len() {
         assert!(read(1, Some(Boot(7)), paper.now, &whole[..at]).is_err(), "cut at {at}");
@@ -179,7 +179,7 @@
 
 #[test]
 fn an_older_file_in_place() {
-    let mut paper = Paper::settled(7, 4);
+    let mut paper = SimulatedNetwork::settled(7, 4);
     let old = paper.disks[1].clone();
     paper.pass(40 * S);
     paper.kill(1);
@@ -218,7 +218,7 @@
 // Cut anywhere a message is refused, and what nobody asked for changes nothing.
 #[test]
 fn messages_cut_and_unasked() {
-    let mut paper = Paper::settled(8, 3);
+    let mut paper = SimulatedNetwork::settled(8, 3);
     let some: Vec<Fact> = truth(3);
     let messages = [
         message::ask(router(1), 5, 0),
@@ -252,12 +252,12 @@
 // A lone survivor's word is half gone already; what one of three says alone is left out.
 #[test]
 fn a_lone_word() {
-    let mut paper = Paper::settled(10, 2);
+    let mut paper = SimulatedNetwork::settled(10, 2);
     restart(&mut paper, 1..2, false);
     assert!(paper.until(SPAN + S, |p| p.at(1).peers.stage() == Stage::Told(1)));
     let room = paper.at(1).facts.get(paper.now, &about(What::Room, 9)).expect("told");
     assert!(room.age >= What::Room.ages().1 / 2, "{room:?}");
-    let mut paper = Paper::settled(11, 4);
+    let mut paper = SimulatedNetwork::settled(11, 4);
     let (now, alone) = (paper.now, Fact { about: about(What::Aside, 50), value: 1.0, age: 0 });
     paper.all[1].as_mut().expect("there").facts.note(now, alone);
     restart(&mut paper, 3..4, false);
@@ -302,7 +302,7 @@
 #[test]
 fn guards_taken_out() {
     let emptiness = |guards: Guards| {
-        let mut paper = Paper::settled(9, 20);
+        let mut paper = SimulatedNetwork::settled(9, 20);
         paper.guards = guards;
         restart(&mut paper, 1..20, false);
         paper.pass(SPAN + S);
@@ -311,7 +311,7 @@
     assert_eq!(emptiness(Guards::ALL), 0);
     assert!(emptiness(Guards { empty_is_said: false, ..Guards::ALL }) > 5, "emptiness was believed");
     let rush = |guards: Guards| {
-        let mut paper = Paper::new(9, 120);
+        let mut paper = SimulatedNetwork::new(9, 120);
         paper.guards = guards;
         paper.pass(12 * S);
         paper.kill(0);
@@ -328,7 +328,7 @@
     let lie = |guards: Guards| {
         (1..=20)
             .filter(|seed| {
-                let mut paper = Paper::settled(*seed, 4);
+                let mut paper = SimulatedNetwork::settled(*seed, 4);
                 paper.liar = Some(1);
                 paper.guards = guards;
                 paper.pass(3 * S);
--- a/crates/recovery/tests/points/main.rs
+++ b/crates/recovery/tests/points/main.rs
@@ -7,7 +7,7 @@
 const SEED: u64 = 5;
 
 /// Three of four die, one of them without its disk, and come back.
-fn life(paper: &mut Paper) -> Result<(), String> {
+fn life(paper: &mut SimulatedNetwork) -> Result<(), String> {
     paper.pass(12 * S);
     (1..4).for_each(|n| paper.kill(n));
     paper.disks[3] = None;
@@ -18,7 +18,7 @@
         }
     });
     // A fault may have killed one meanwhile: it has its span from its own start.
-    let back = |p: &Paper| {
+    let back = |p: &SimulatedNetwork| {
         (0..4).all(|n| p.all[n].is_some() && p.at(n).peers.stage() != Stage::Asking && p.age(n) > SPAN / 2)
     };
     for _ in 0..24 {
@@ -37,8 +37,8 @@
     }
 }
 
-fn play(at: Option<(u64, Fault)>) -> (Paper, Result<(), String>) {
-    let mut paper = Paper::new(SEED, 4);
+fn play(at: Option<(u64, Fault)>) -> (SimulatedNetwork, Result<(), String>) {
+    let mut paper = SimulatedNetwork::new(SEED, 4);
     paper.points.at = at;
     let done = life(&mut paper);
     (paper, done)
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -98,7 +98,7 @@
     Start(usize),
 }
 
-pub struct Paper {
+pub struct SimulatedNetwork {
     pub now: u64,
     pub all: Vec<Option<Process>>,
     pub disks: Vec<Option<Vec<u8>>>,
@@ -148,9 +148,9 @@
     }
 }
 
-impl Paper {
+impl SimulatedNetwork {
     pub fn new(seed: u64, routers: usize) -> Self {
-        let mut paper = Paper {
+        let mut paper = SimulatedNetwork {
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             disks: vec![None; routers],
@@ -172,7 +172,7 @@
 
     /// A fleet that has been there for a while: each has seen all workers itself.
     pub fn settled(seed: u64, routers: usize) -> Self {
-        let mut paper = Paper::new(seed, routers);
+        let mut paper = SimulatedNetwork::new(seed, routers);
         paper.pass(12 * S);
         assert!(paper.all.iter().flatten().all(|p| p.seen && p.facts.len() > WORKERS as usize));
         paper.asked.clear();
@@ -288,7 +288,8 @@
     fn play(&mut self, event: Event) {
         let (now, live) = (self.now, self.live());
         let mut out = Out(Vec::new());
-        let is = |p: &Paper, n: usize, life: u64| p.all[n].as_ref().is_some_and(|p| p.life == life);
+        let is =
+            |p: &SimulatedNetwork, n: usize, life: u64| p.all[n].as_ref().is_some_and(|p| p.life == life);
         let n = match event {
             Event::Start(n) if self.all[n].is_none() => return self.start(n),
             Event::Start(_) => return,
@@ -354,7 +355,7 @@
         self.send(n, out.0);
     }
 
-    pub fn until(&mut self, by: u64, holds: impl Fn(&Paper) -> bool) -> bool {
+    pub fn until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
         while let Some((&(at, k), _)) = self.events.iter().next() {
             if at > by {
--- a/crates/scenarios/src/saboteur.rs
+++ b/crates/scenarios/src/saboteur.rs
@@ -1,6 +1,6 @@
 //! Faults planted between a router and its sockets, to prove the auditor: the router itself stays as it is,
 //! what it reads and writes is bent.
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Wake, Wire};
+use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -57,20 +57,25 @@
         Saboteur { inside, plant, state: State::default() }
     }
 
-    fn with(&mut self, now: Micros, wire: &mut dyn Wire, call: impl FnOnce(&mut dyn Machine, &mut dyn Wire)) {
+    fn with(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        call: impl FnOnce(&mut dyn Machine, &mut dyn Transport),
+    ) {
         let due = self.state.held.iter().position(|(at, _, _)| *at <= now);
         if let Some((_, to, bytes)) = due.map(|n| self.state.held.remove(n)) {
-            let own = wire.connect(to, 1_000_000);
+            let own = transport.connect(to, 1_000_000);
             self.state.own.insert(own, bytes);
         }
-        let mut bent = Bent { now, wire, plant: self.plant, state: &mut self.state };
+        let mut bent = Bent { now, transport, plant: self.plant, state: &mut self.state };
         call(self.inside.as_mut(), &mut bent);
     }
 }
 
 struct Bent<'a> {
     now: Micros,
-    wire: &'a mut dyn Wire,
+    transport: &'a mut dyn Transport,
     plant: Plant,
     state: &'a mut State,
 }
@@ -88,9 +93,9 @@
     }
 }
 
-impl Wire for Bent<'_> {
+impl Transport for Bent<'_> {
     fn connect(&mut self, to: SocketAddr, patience: Micros) -> Conn {
-        let conn = self.wire.connect(to, patience);
+        let conn = self.transport.connect(to, patience);
         self.state.links.insert(conn, to);
         conn
     }
@@ -107,7 +112,7 @@
         };
         if let Some(to) = to.filter(|_| bytes.starts_with(b"POST")) {
             for _ in 0..times {
-                let own = self.wire.connect(to, 1_000_000);
+                let own = self.transport.connect(to, 1_000_000);
                 self.state.own.insert(own, bytes.to_vec());
             }
         }
@@ -119,69 +124,69 @@
         }
         match self.plant {
             Plant::LostAnswer if turn => {}
-            Plant::DoubleAnswer if turn => self.wire.write(conn, &[bytes, bytes].concat()),
-            _ => self.wire.write(conn, bytes),
+            Plant::DoubleAnswer if turn => self.transport.write(conn, &[bytes, bytes].concat()),
+            _ => self.transport.write(conn, bytes),
         }
     }
     fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        self.wire.offer(conn, bytes)
+        self.transport.offer(conn, bytes)
     }
     fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
-        self.wire.datagrams(to)
+        self.transport.datagrams(to)
     }
     fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
-        self.wire.datagram(conn, bytes);
+        self.transport.datagram(conn, bytes);
     }
     fn unsent(&self, conn: Conn) -> usize {
-        self.wire.unsent(conn)
+        self.transport.unsent(conn)
     }
     fn sent(&self, conn: Conn) -> u64 {
-        self.wire.sent(conn)
+        self.transport.sent(conn)
     }
     fn reading(&mut self, conn: Conn, on: bool) {
-        self.wire.reading(conn, on);
+        self.transport.reading(conn, on);
     }
     fn arrived(&self, conn: Conn, now: Micros) -> Micros {
-        self.wire.arrived(conn, now)
+        self.transport.arrived(conn, now)
     }
     fn hangup_first(&mut self, conn: Conn) {
-        self.wire.hangup_first(conn);
+        self.transport.hangup_first(conn);
     }
     fn finish(&mut self, conn: Conn) {
-        self.wire.finish(conn);
+        self.transport.finish(conn);
     }
     fn cut(&mut self, conn: Conn) {
-        self.wire.cut(conn);
+        self.transport.cut(conn);
     }
     fn listen(&mut self, at: SocketAddr, most: usize) -> std::io::Result<(Listener, SocketAddr)> {
-        self.wire.listen(at, most)
+        self.transport.listen(at, most)
     }
     fn deafen(&mut self, listener: Listener, close: bool) {
-        self.wire.deafen(listener, close);
+        self.transport.deafen(listener, close);
     }
     fn hear(&mut self, listener: Listener) {
-        self.wire.hear(listener);
+        self.transport.hear(listener);
     }
     fn wake_at(&mut self, at: Micros, wake: Wake) {
-        self.wire.wake_at(at, wake);
+        self.transport.wake_at(at, wake);
     }
 }
 
 impl Machine for Saboteur {
-    fn start(&mut self, now: Micros, wire: &mut dyn Wire) {
-        self.with(now, wire, |m, w| m.start(now, w));
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
+        self.with(now, transport, |m, w| m.start(now, w));
     }
-    fn accepted(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, listener: Listener) {
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
         self.state.callers.insert(conn);
-        self.with(now, wire, |m, w| m.accepted(now, w, conn, listener));
+        self.with(now, transport, |m, w| m.accepted(now, w, conn, listener));
     }
-    fn connected(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         match self.state.own.get(&conn) {
-            Some(bytes) => wire.write(conn, bytes),
-            None => self.with(now, wire, |m, w| m.connected(now, w, conn)),
+            Some(bytes) => transport.write(conn, bytes),
+            None => self.with(now, transport, |m, w| m.connected(now, w, conn)),
         }
     }
-    fn bytes(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if self.state.own.contains_key(&conn) {
             return;
         }
@@ -205,30 +210,30 @@
                 bytes[at + 10] = b'0';
             }
         }
-        self.with(now, wire, |m, w| m.bytes(now, w, conn, &bytes));
+        self.with(now, transport, |m, w| m.bytes(now, w, conn, &bytes));
     }
-    fn told(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, bytes: &[u8]) {
-        self.with(now, wire, |m, w| m.told(now, w, conn, bytes));
+    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        self.with(now, transport, |m, w| m.told(now, w, conn, bytes));
     }
-    fn half_closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         match self.state.own.remove(&conn) {
-            Some(_) => wire.cut(conn),
-            None => self.with(now, wire, |m, w| m.half_closed(now, w, conn)),
+            Some(_) => transport.cut(conn),
+            None => self.with(now, transport, |m, w| m.half_closed(now, w, conn)),
         }
     }
-    fn closed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn, why: Closed, sent: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         self.state.callers.remove(&conn);
         self.state.links.remove(&conn);
         if self.state.own.remove(&conn).is_none() {
-            self.with(now, wire, |m, w| m.closed(now, w, conn, why, sent));
+            self.with(now, transport, |m, w| m.closed(now, w, conn, why, sent));
         }
     }
-    fn flushed(&mut self, now: Micros, wire: &mut dyn Wire, conn: Conn) {
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if !self.state.own.contains_key(&conn) {
-            self.with(now, wire, |m, w| m.flushed(now, w, conn));
+            self.with(now, transport, |m, w| m.flushed(now, w, conn));
         }
     }
-    fn woken(&mut self, now: Micros, wire: &mut dyn Wire, wake: Wake) {
-        self.with(now, wire, |m, w| m.woken(now, w, wake));
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
+        self.with(now, transport, |m, w| m.woken(now, w, wake));
     }
 }
--- a/crates/settings/src/chains.rs
+++ b/crates/settings/src/chains.rs
@@ -116,7 +116,7 @@
     Some(Step {
         name: raw.name.clone(),
         workload,
-        effect: rows.get(workload)?.effect,
+        effect: rows.get(workload)?.retry_safety,
         function,
         at_least: at_least?,
         optional: optional?,
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -51,11 +51,11 @@
         let come_back = p.mark("come_back", Some(true));
         let come_back_max = p.time("come_back_max", Some(S));
         Some(AttemptPolicy {
-            attempts: attempts? as usize,
-            cancel: cancel?,
-            second_copies: second_copies?,
-            come_back: come_back?,
-            come_back_max: come_back_max?,
+            max_attempts: attempts? as usize,
+            cancel_allowed: cancel?,
+            hedging_allowed: second_copies?,
+            retry_after_allowed: come_back?,
+            max_retry_after: come_back_max?,
         })
     });
     let rules = block(file, "rules", |p| {
@@ -64,10 +64,10 @@
         let fall_multiple = p.number("fall_multiple", 1.0..1000.0, None);
         let fall_span = p.time("fall_span", None);
         Some(SlowStartRules {
-            cold_share: cold_share?,
-            warm_within: warm_within?,
-            fall_multiple: fall_multiple?,
-            fall_span: fall_span?,
+            initial_capacity: cold_share?,
+            warmup_time: warm_within?,
+            overload_factor: fall_multiple?,
+            overload_window: fall_span?,
         })
     });
     let bounds = block(file, "bounds", |p| {
@@ -119,7 +119,7 @@
     let customers = file.named("customer").into_iter().map(|(name, part)| {
         let rate = part.number("jobs_per_s", 0.001..1e9, None);
         part.done();
-        rate.map(|jobs_per_s| (name, CustomerConfig { jobs_per_s }))
+        rate.map(|jobs_per_s| (name, CustomerConfig { requests_per_second: jobs_per_s }))
     });
     let customers: Vec<_> = customers.collect();
     let functions = file.named("function").into_iter().map(|(name, part)| {
@@ -156,18 +156,18 @@
     let (callers_most, body_most, remember_for, remember_most, remember_bytes) = bounds?;
     let rows = StartupConfig {
         seed: seed?,
-        me: me?,
-        routers: routers?,
+        router_index: me?,
+        router_count: routers?,
         workloads: workload_rows,
         customers: customer_rows,
-        permits: permits?,
-        rules: rules?,
-        over_share: over_share?,
-        keep: keep?,
-        tells_company: tells_company?,
+        attempt_policy: permits?,
+        slow_start: rules?,
+        over_quota_factor: over_share?,
+        cache_lifetime: keep?,
+        reports_same_function: tells_company?,
         weights_shared: weights_shared?,
-        limits_shared: limits_shared?,
-        list_by_asking: false,
+        timeouts_shared: limits_shared?,
+        watches_endpoints: false,
     };
     let deployment = Deployment {
         rows,
@@ -267,7 +267,7 @@
         "restartable" => RetrySafety::Idempotent,
         "run-once" => RetrySafety::AtMostOnce,
         _ => RetrySafety::Keyed {
-            within: match within?.as_str() {
+            scope: match within?.as_str() {
                 "everywhere" => IdempotencyScope::Everywhere,
                 "zone" => IdempotencyScope::Zone,
                 _ => IdempotencyScope::Rack,
@@ -276,10 +276,10 @@
         },
     };
     let rows = WorkloadConfig {
-        effect,
-        start_target: start_target?,
-        importance: importance?,
-        late_part: late_part?,
+        retry_safety: effect,
+        latency_objective: start_target?,
+        priority_weight: importance?,
+        late_priority_factor: late_part?,
     };
     let names = WorkloadNames {
         name: name.to_owned(),
@@ -399,6 +399,6 @@
     }
     let rack = part.whole_number("rack", 0..1 << 40, Some(0));
     let weight = part.number("weight", 0.001..1e6, Some(1.0));
-    let rack = if part.has("rack") { RackId(rack? as i64) } else { RackId::alone(WorkerId::named(&name)) };
+    let rack = if part.has("rack") { RackId(rack? as i64) } else { RackId::unshared(WorkerId::named(&name)) };
     Some(NamedWorker { name, address: address?, zone: place, rack, weight: weight? })
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -25,11 +25,14 @@
 #[test]
 fn a_good_file_with_its_defaults() {
     let d = deployment(GOOD).expect("no fault");
-    assert_eq!((d.rows.routers, d.rows.permits.attempts, d.workloads[0].deadline), (1, 4, 5_000_000));
-    assert!(!d.rows.limits_shared, "clients may name limits of their own");
+    assert_eq!(
+        (d.rows.router_count, d.rows.attempt_policy.max_attempts, d.workloads[0].deadline),
+        (1, 4, 5_000_000)
+    );
+    assert!(!d.rows.timeouts_shared, "clients may name limits of their own");
     let shared = deployment(&GOOD.replace("zones", "limits_shared = true\nzones")).expect("no fault");
-    assert!(shared.rows.limits_shared);
-    assert_eq!((d.workers[0].zone, d.rows.rules.fall_multiple), (Some(0), 2.5));
+    assert!(shared.rows.timeouts_shared);
+    assert_eq!((d.workers[0].zone, d.rows.slow_start.overload_factor), (Some(0), 2.5));
 }
 
 // Whose rack is not named, shares with nobody what it has seen.
--- a/crates/storage/src/kept.rs
+++ b/crates/storage/src/kept.rs
@@ -78,7 +78,7 @@
 fn again(effect: RetrySafety, sent: Micros, now: Micros) -> bool {
     match effect {
         RetrySafety::Idempotent => true,
-        RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window } => now < sent + window,
+        RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window } => now < sent + window,
         RetrySafety::Keyed { .. } | RetrySafety::AtMostOnce => false,
     }
 }
@@ -107,9 +107,8 @@
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
-    const EVERYWHERE: RetrySafety =
-        RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window: 3 * S };
-    const RACK: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S };
+    const EVERYWHERE: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3 * S };
+    const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
 
     #[test_case(RetrySafety::Idempotent, 9, None; "idempotent: begun again")]
     #[test_case(EVERYWHERE, 2, None; "keyed everywhere, in its window: begun again")]
--- a/crates/workflow/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-pub const MARKED: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3 * S };
+pub const MARKED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
 
 /// A step of 100 ms at the least that leads nowhere.
 pub fn step(name: &str, effect: RetrySafety) -> Step {
--- a/src/control.rs
+++ b/src/control.rs
@@ -2,7 +2,8 @@
 //!
 //! How it is called: an instance's owner makes one `Control` from the start-up rows and calls, for each
 //! event, `clock` and one of `list`, `job`, `answered`, `streaming`, `left`, `wake`, `switch` (other rows).
-//! Interface: `src/interface.rs` (ids, time, rows, `AttemptResult`, `Actions`). No wire, no input or output here.
+//! Interface: `src/interface.rs` (ids, time, rows, `AttemptResult`, `Actions`). No wire, no input or output
+//! here.
 //!
 //! The design (docs/design.md): a function's jobs go to its home, the first worker in a hash order that all
 //! routers share; lanes filled by own jobs move on to the next worker; one copy after the hedge delay; what
@@ -17,6 +18,7 @@
 //! 6. Loads: a bound on own loads under way.
 
 use crate::functions::Functions;
+use crate::hashing::{HashOrder, hash_pair, unit_interval};
 use crate::interface::*;
 use crate::requests::{Fate, Job, Tried};
 use crate::servers::{Holding, Server, Servers};
@@ -148,7 +150,7 @@
 impl Server {
     fn new(now: Micros, entry: &Endpoint, rows: &StartupConfig) -> Self {
         Server {
-            open: entry.standing == WorkerStatus::Ready,
+            open: entry.status == WorkerStatus::Ready,
             up_since: entry.up_since,
             zone: entry.zone,
             rack: entry.rack,
@@ -176,33 +178,6 @@
     }
 }
 
-/// The hash order of a function: weighted rendezvous, the same at all routers.
-pub(crate) struct HashOrder;
-
-impl Draw for HashOrder {
-    type Key = FunctionId;
-    type Member = WorkerId;
-
-    fn digest(id: WorkerId) -> u64 {
-        digest_second(id.0)
-    }
-
-    fn hash(function: FunctionId, digest: u64) -> u64 {
-        mix_digest(function.0, digest)
-    }
-
-    fn score(hash: u64, weight: f64) -> f64 {
-        let draw = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-        -draw.ln() / weight
-    }
-
-    fn least_hash(cutoff: f64, weight: f64) -> u64 {
-        // A little less than the hash of that score, so that no rounding leaves one out.
-        let draw = (-cutoff * weight).exp() * (1.0 - 1e-9);
-        ((draw * (1u64 << 53) as f64) as u64).saturating_sub(1) << 11
-    }
-}
-
 /// The table of workloads: a row each, only what is read.
 struct Workload {
     effect: RetrySafety,
@@ -217,11 +192,11 @@
 impl Workload {
     fn new(row: &WorkloadConfig) -> Self {
         Workload {
-            effect: row.effect,
-            start_target: row.start_target.max(1),
-            importance: row.importance,
-            late_part: row.late_part,
-            service: row.start_target as f64 * SERVICE_START,
+            effect: row.retry_safety,
+            start_target: row.latency_objective.max(1),
+            importance: row.priority_weight,
+            late_part: row.late_priority_factor,
+            service: row.latency_objective as f64 * SERVICE_START,
             longest: 0,
         }
     }
@@ -235,7 +210,7 @@
 
 impl Customer {
     fn new(now: Micros, row: &CustomerConfig) -> Self {
-        Customer { jobs_per_s: row.jobs_per_s, tokens: f64::MAX, at: now }
+        Customer { jobs_per_s: row.requests_per_second, tokens: f64::MAX, at: now }
     }
 }
 
@@ -290,8 +265,8 @@
             rng: Rand64::new(u128::from(rows.seed)),
             workloads: workloads.collect(),
             customers: customers.collect(),
-            mean_service: rows.mean_target() * SERVICE_START,
-            mean_target: rows.mean_target(),
+            mean_service: rows.mean_latency_objective() * SERVICE_START,
+            mean_target: rows.mean_latency_objective(),
             rows,
             servers: Servers::default(),
             functions: Functions::default(),
@@ -318,8 +293,8 @@
             pace: (0.0, 0.0),
             born: now,
         };
-        if control.rows.list_by_asking {
-            orders.watch();
+        if control.rows.watches_endpoints {
+            orders.watch_endpoints();
         }
         control.wake_then(orders, BEAT, Box::new(|c, o, _| c.beat(o)));
         control
@@ -328,17 +303,17 @@
     // ---- Events ----------------------------------------------------------------------------
 
     /// Functions that are known at present.
-    pub fn functions(&self) -> usize {
+    pub fn known_functions(&self) -> usize {
         self.functions.len()
     }
 
-    pub fn clock(&mut self, now: Micros) {
+    pub fn advance_to(&mut self, now: Micros) {
         self.now = now;
     }
 
     /// Other rows from now on, of the same workloads and customers in the same places, new ones after them.
     /// Jobs keep their effect; where no second copy may run any more, those that do are taken back.
-    pub fn switch(&mut self, orders: &mut dyn Actions, rows: StartupConfig) {
+    pub fn reconfigure(&mut self, orders: &mut dyn Actions, rows: StartupConfig) {
         for (n, row) in rows.workloads.iter().enumerate() {
             let mut new = Workload::new(row);
             if let Some(old) = self.workloads.get(n) {
@@ -350,12 +325,12 @@
         }
         for (n, row) in rows.customers.iter().enumerate() {
             match self.customers.get_mut(n) {
-                Some(old) => old.jobs_per_s = row.jobs_per_s,
+                Some(old) => old.jobs_per_s = row.requests_per_second,
                 None => self.customers.push(Customer::new(self.now, row)),
             }
         }
-        (self.mean_target, self.rows) = (rows.mean_target(), rows);
-        if !self.rows.permits.second_copies && self.rows.permits.cancel {
+        (self.mean_target, self.rows) = (rows.mean_latency_objective(), rows);
+        if !self.rows.attempt_policy.hedging_allowed && self.rows.attempt_policy.cancel_allowed {
             let out = |j: &Job| j.tried.iter().filter(|t| t.fate == Fate::Out).count();
             let double = self.jobs.iter().filter(|(_, j)| !j.streaming && out(j) > 1);
             double.for_each(|(id, j)| orders.cancel(*id, j.tried.len() - 1));
@@ -365,8 +340,13 @@
     }
 
     /// What was learned of each worker's life, and how long functions take to load.
-    pub fn learned(&self) -> impl Iterator<Item = (WorkerId, Micros, WorkerHistory)> + '_ {
-        let of = |s: &Server| WorkerHistory::of([s.room, s.lag, s.errors], s.trickle.is_some());
+    pub fn worker_histories(&self) -> impl Iterator<Item = (WorkerId, Micros, WorkerHistory)> + '_ {
+        let of = |s: &Server| WorkerHistory {
+            concurrency_limit: s.room,
+            queueing_delay: s.lag,
+            error_rate: s.errors,
+            ejected: s.trickle.is_some(),
+        };
         self.servers.iter().map(move |(id, s)| (*id, s.up_since, of(s)))
     }
 
@@ -376,37 +356,42 @@
 
     /// Takes up what was learned before a restart, or by others; false where it cannot be yet. A hint: it
     /// gives no more room than a newcomer has, and a worker in doubt is tried by one job.
-    pub fn recall(&mut self, id: WorkerId, up_since: Micros, told: &WorkerHistory) -> bool {
+    pub fn restore_worker_history(&mut self, id: WorkerId, up_since: Micros, told: &WorkerHistory) -> bool {
         let same = |s: &&mut Server| s.up_since == up_since && s.room > 0.0;
         let Some(s) = self.servers.get_mut(&id).filter(same) else { return false };
-        s.room = s.room.min(told.room.max(Self::room_least(self.pace, s.weight)));
-        (s.lag, s.errors) = (s.lag.max(told.lag), s.errors.max(told.errors));
-        s.trickle = s.trickle.or(told.aside.then_some(1));
+        s.room = s.room.min(told.concurrency_limit.max(Self::room_least(self.pace, s.weight)));
+        (s.lag, s.errors) = (s.lag.max(told.queueing_delay), s.errors.max(told.error_rate));
+        s.trickle = s.trickle.or(told.ejected.then_some(1));
         self.servers.doubt(id);
         true
     }
 
-    pub fn list(&mut self, orders: &mut dyn Actions, kind: EndpointListKind, entries: &[Endpoint]) {
+    pub fn endpoints_updated(
+        &mut self,
+        orders: &mut dyn Actions,
+        kind: EndpointListKind,
+        entries: &[Endpoint],
+    ) {
         if kind == EndpointListKind::Failed {
-            orders.watch();
+            orders.watch_endpoints();
             return;
         }
         if !std::mem::replace(&mut self.listed, true) {
             // Who drains as this router starts is part of what the customers' shares are meant for.
-            let there = entries.iter().filter(|e| e.standing != WorkerStatus::Gone);
+            let there = entries.iter().filter(|e| e.status != WorkerStatus::Gone);
             self.weight_most = there.map(|e| Server::new(self.now, e, &self.rows).weight).sum();
         }
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<WorkerId> = entries.iter().map(|e| e.server).collect();
+            let named: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
             let unnamed = self.servers.iter().filter(|(id, s)| s.open && !named.contains(id));
             let unnamed: Vec<WorkerId> = unnamed.map(|(id, _)| *id).collect();
             unnamed.into_iter().for_each(|id| self.servers.change(id, |s| s.open = false));
         }
         for entry in entries {
             let told = Server::new(self.now, entry, &self.rows);
-            let id = entry.server;
+            let id = entry.worker;
             match self.servers.get(&id) {
-                Some(s) if s.up_since == entry.up_since || entry.standing != WorkerStatus::Ready => {
+                Some(s) if s.up_since == entry.up_since || entry.status != WorkerStatus::Ready => {
                     self.servers.change(id, |s| {
                         (s.open, s.zone, s.rack, s.weight) = (told.open, told.zone, told.rack, told.weight);
                     });
@@ -416,7 +401,7 @@
                     let lost = self.servers.change(id, |s| s.succeed(told));
                     self.functions.lost(id, &lost);
                 }
-                None if entry.standing == WorkerStatus::Ready => self.servers.insert(id, told),
+                None if entry.status == WorkerStatus::Ready => self.servers.insert(id, told),
                 None => {}
             }
         }
@@ -458,12 +443,12 @@
         let shares = self.customers.iter().map(|c| c.jobs_per_s).sum::<f64>() / 1e6;
         // What is asked beyond what comes to an end is no pace.
         let taken = self.rate.min(self.done + (self.out.len() + self.held.len()) as f64);
-        let seen = self.per_us(taken) * self.rows.routers as f64;
+        let seen = self.per_us(taken) * self.rows.router_count as f64;
         let all = if shares > 0.0 { shares } else { seen };
         all / self.weight_most.max(1e-9)
     }
 
-    pub fn job(&mut self, orders: &mut dyn Actions, arrival: &RequestArrival) {
+    pub fn request_arrived(&mut self, orders: &mut dyn Actions, arrival: &RequestArrival) {
         let now = self.now;
         // Second tries earn nothing: in a storm of them copies and further attempts would grow with it.
         let earned = if arrival.retry { 0.0 } else { BUDGET_PER_JOB };
@@ -474,7 +459,7 @@
             self.evict();
         }
         let function = self.functions.called(arrival.function);
-        function.lanes = arrival.lanes.max(1);
+        function.lanes = arrival.concurrency.max(1);
         function.load_time = arrival.load_time.or(function.load_time);
         function.rate = function.rate * (-((now - function.last) as f64) / SPAN).exp() + 1.0;
         function.last = now;
@@ -482,19 +467,21 @@
         // Where all clients give a first try the same time, one with less left has spent the rest elsewhere:
         // on another try that nobody marks, or before this router while it stood still.
         let row = &mut self.workloads[arrival.workload.0];
-        row.longest = row.longest.max(arrival.left);
-        let waited = if self.rows.limits_shared { row.longest - arrival.left } else { 0 };
+        row.longest = row.longest.max(arrival.time_left);
+        let waited = if self.rows.timeouts_shared { row.longest - arrival.time_left } else { 0 };
         // A client's second try has lost its start target with the first one.
         let late = arrival.retry || waited as f64 + row.service > row.start_target as f64;
-        let share = if over { self.rows.over_share } else { 1.0 } * if late { row.late_part } else { 1.0 };
+        let share =
+            if over { self.rows.over_quota_factor } else { 1.0 } * if late { row.late_part } else { 1.0 };
         let job = Job {
             function: arrival.function,
             workload: arrival.workload,
             effect: row.effect,
             customer: arrival.customer,
             came: now.saturating_sub(waited),
-            deadline: now + arrival.left,
-            value: (self.workloads[arrival.workload.0].importance * share * arrival.paid * 1000.0) as u64,
+            deadline: now + arrival.time_left,
+            value: (self.workloads[arrival.workload.0].importance * share * arrival.priority_factor * 1000.0)
+                as u64,
             chance: self.rng.rand_u64(),
             tried: Vec::new(),
             streaming: false,
@@ -502,20 +489,20 @@
         };
         let came = job.came;
         let waits = self.held.highest(job.function).is_some_and(|value| value >= job.value);
-        self.forget(arrival.job);
-        self.jobs.insert(arrival.job, job);
-        self.hold(arrival.job);
-        let place = if waits { None } else { self.place(arrival.job) };
+        self.forget(arrival.request);
+        self.jobs.insert(arrival.request, job);
+        self.hold(arrival.request);
+        let place = if waits { None } else { self.place(arrival.request) };
         if let Some(server) = place {
-            self.held.remove(&(Reverse(self.jobs[&arrival.job].value), came, arrival.job));
-            self.send(orders, arrival.job, server, false);
-        } else if arrival.left <= LAST_CALL + BEAT {
+            self.held.remove(&(Reverse(self.jobs[&arrival.request].value), came, arrival.request));
+            self.send(orders, arrival.request, server, false);
+        } else if arrival.time_left <= LAST_CALL + BEAT {
             // A client about to leave: no beat would come in time to end the job.
-            self.give_up(orders, arrival.job);
+            self.give_up(orders, arrival.request);
         }
     }
 
-    pub fn answered(
+    pub fn attempt_finished(
         &mut self,
         orders: &mut dyn Actions,
         job: RequestId,
@@ -528,11 +515,11 @@
         self.dispatch(orders);
     }
 
-    pub fn streaming(&mut self, job: RequestId) {
+    pub fn response_started(&mut self, job: RequestId) {
         self.jobs.entry(job).and_modify(|j| j.streaming = true);
     }
 
-    pub fn left(&mut self, orders: &mut dyn Actions, job: RequestId) {
+    pub fn client_disconnected(&mut self, orders: &mut dyn Actions, job: RequestId) {
         // Clients that lose patience come again: what still waits for them at workers is only in the way.
         if self.jobs.contains_key(&job) {
             self.cancel_rest(orders, job);
@@ -540,7 +527,7 @@
         self.forget(job);
     }
 
-    pub fn wake(&mut self, orders: &mut dyn Actions, token: TimerToken) {
+    pub fn timer_fired(&mut self, orders: &mut dyn Actions, token: TimerToken) {
         self.steps.remove(&token).into_iter().for_each(|step| step(self, orders, None));
     }
 
@@ -570,14 +557,14 @@
     /// Jobs a µs that the others are taken to have of this function: as many as this one had before its last.
     fn elsewhere(&self, function: FunctionId) -> f64 {
         let before = (self.functions[&function].rate - 1.0).max(0.0);
-        self.per_us(before) * (self.rows.routers - 1) as f64
+        self.per_us(before) * (self.rows.router_count - 1) as f64
     }
 
     /// The worker for a job's next attempt, or None where it has to wait here.
     fn place(&mut self, id: RequestId) -> Option<WorkerId> {
         let function = self.jobs[&id].function;
         // What no worker may hold, and the others keep nowhere, waits while no further load may begin.
-        let kept = || self.elsewhere(function) * self.rows.keep as f64 >= KEPT_JOBS;
+        let kept = || self.elsewhere(function) * self.rows.cache_lifetime as f64 >= KEPT_JOBS;
         if self.loading.len() as f64 >= self.loads && self.functions[&function].at.is_empty() && !kept() {
             return None;
         }
@@ -630,7 +617,8 @@
             // The lane bound where own jobs say little: what all routers are taken to bring beyond a worker's
             // part moves on, by chance, so that their shares come out even.
             let part = takes * weight;
-            let moves_on = beyond > part && part_of_one(mix(job.chance, place as u64)) >= part / beyond;
+            let moves_on =
+                beyond > part && unit_interval(hash_pair(job.chance, place as u64)) >= part / beyond;
             // A job that cannot be repeated passes a worker over until another has found out how it is.
             let passed = |s: &Server| s.aside(now) || s.trickle == Some(1) && risky;
             if self.servers.doubtful(id) && passed(&self.servers[id]) {
@@ -644,7 +632,7 @@
             looked += 1;
             let (hold, elsewhere) = (server.holds.get(&function), server.others.at(beat));
             // What the other routers are taken to keep loaded at the home stands there for this one too.
-            let kept = home.is_none() && beyond.min(part) * self.rows.keep as f64 >= KEPT_JOBS;
+            let kept = home.is_none() && beyond.min(part) * self.rows.cache_lifetime as f64 >= KEPT_JOBS;
             let known = hold.is_some_and(|h| h.serving_until > now);
             let serving = known || kept && self.warmth(server) >= 1.0;
             if !serving && (settled || next.is_some()) {
@@ -657,7 +645,7 @@
             let small = if own == 0 && others < 1.0 { SMALL_EXTRA } else { 1.0 };
             // What is heard of the others is old and seen alike by all: a hard bound would shut the worker
             // for all of them at once and for long, so each job meets its own part of their crowd.
-            let met = 1.0 - part_of_one(mix(job.chance, id.0)) / 2.0;
+            let met = 1.0 - unit_interval(hash_pair(job.chance, id.0)) / 2.0;
             let crowded = server.running() + met * elsewhere >= server.room.min(crowd) * small * fresh;
             let lanes = f64::from(self.functions[&function].lanes);
             let filled = f64::from(own) + met * others >= lanes;
@@ -705,7 +693,7 @@
     fn serving_from(&self, function: FunctionId, from: &Ranked<WorkerId>) -> Vec<Ranked<WorkerId>> {
         let ranked = |id: &WorkerId| {
             let weight = self.servers[id].weight;
-            Ranked { score: HashOrder::score(mix(function.0, id.0), weight), weight, member: *id }
+            Ranked { score: HashOrder::score(hash_pair(function.0, id.0), weight), weight, member: *id }
         };
         let serves =
             |id: &&WorkerId| self.servers.get(id).is_some_and(|s| s.open && s.serving(self.now, function));
@@ -734,14 +722,15 @@
         self.functions.get_mut(function).expect("placed before").at.insert(server);
         s.out += 1;
         s.waiting += u32::from(!serving);
-        if now < s.up_since + self.rows.rules.warm_within && s.up_since > 0 {
-            s.cold_sent.push((now + self.rows.rules.fall_span, row.service / self.mean_service.max(1.0)));
+        if now < s.up_since + self.rows.slow_start.warmup_time && s.up_since > 0 {
+            s.cold_sent
+                .push((now + self.rows.slow_start.overload_window, row.service / self.mean_service.max(1.0)));
         }
         orders.send(id, server, job.deadline - now, begin);
         self.servers.account(server, before);
         let then: Step = Box::new(move |c, o, answer| c.closed(o, id, n, answer.expect("what it ends with")));
         self.out.insert((id, n), Out { server, function, workload, customer, sent: now, serving, then });
-        if !copy && self.rows.permits.second_copies && effect != RetrySafety::AtMostOnce {
+        if !copy && self.rows.attempt_policy.hedging_allowed && effect != RetrySafety::AtMostOnce {
             // The design's delay: twice the load time and the start target.
             let delay = 2 * self.load_time(function) + row.start_target;
             self.wake_then(orders, delay, Box::new(move |c, o, _| c.hedge(o, id, n)));
@@ -759,10 +748,10 @@
         if self.budget >= 1.0
             && let Some(server) = self.place(id)
         {
-            if self.rows.permits.second_copies {
+            if self.rows.attempt_policy.hedging_allowed {
                 self.budget -= 1.0;
                 self.send(orders, id, server, true);
-            } else if self.rows.permits.cancel {
+            } else if self.rows.attempt_policy.cancel_allowed {
                 self.budget -= 1.0;
                 // Stand-in where no copy may run beside it: `closed` sends the job on once this one is off.
                 orders.cancel(id, n);
@@ -777,10 +766,12 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.tried[n].closed = self.now;
         job.tried[n].fate = match answer.outcome {
-            Outcome::Missing | Outcome::Full | Outcome::NoConnection | Outcome::Moot => Fate::NeverRan,
+            Outcome::NotLoaded | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Superseded => {
+                Fate::NeverRan
+            }
             _ => Fate::MayHaveRun,
         };
-        if answer.closed {
+        if answer.request_ended {
             self.cancel_rest(orders, id);
             self.forget(id);
             return;
@@ -813,7 +804,7 @@
 
     /// Whether the job may have another attempt at all; `may_send` tells where.
     fn repeat_allowed(&self, job: &Job) -> bool {
-        self.now < Self::repeat_until(job) && job.tried.len() < self.rows.permits.attempts
+        self.now < Self::repeat_until(job) && job.tried.len() < self.rows.attempt_policy.max_attempts
     }
 
     /// Every send passes here: the list, repeats and their group, and workers this job has just left.
@@ -824,7 +815,7 @@
             return false;
         }
         match job.effect {
-            RetrySafety::Keyed { within, .. } => {
+            RetrySafety::Keyed { scope: within, .. } => {
                 job.tried.iter().filter(|t| t.fate != Fate::NeverRan).all(|t| match within {
                     IdempotencyScope::Everywhere => true,
                     IdempotencyScope::Zone => t.zone.is_some() && t.zone == s.zone,
@@ -841,29 +832,29 @@
         let may_have_run = job.tried.iter().any(|t| t.fate != Fate::NeverRan);
         let harmless = match job.effect {
             RetrySafety::Idempotent => true,
-            RetrySafety::Keyed { within: IdempotencyScope::Everywhere, .. } if self.repeat_allowed(job) => {
+            RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, .. } if self.repeat_allowed(job) => {
                 true
             }
             _ => !may_have_run,
         };
         if harmless {
-            let most = self.rows.permits.come_back_max.max(COME_BACK);
+            let most = self.rows.attempt_policy.max_retry_after.max(COME_BACK);
             let wait = COME_BACK + self.rng.rand_range(0..(most - COME_BACK).max(1));
-            orders.push_back(id, self.rows.permits.come_back.then_some(wait));
+            orders.reject(id, self.rows.attempt_policy.retry_after_allowed.then_some(wait));
         } else {
-            orders.kill(id);
+            orders.fail(id);
         }
         self.cancel_rest(orders, id);
         self.forget(id);
     }
 
     /// Ends all jobs, each with its one answer, for a process that has to go.
-    pub fn end_all(&mut self, orders: &mut dyn Actions) {
+    pub fn finish_all(&mut self, orders: &mut dyn Actions) {
         self.jobs.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(orders, id));
     }
 
     fn cancel_rest(&self, orders: &mut dyn Actions, id: RequestId) {
-        if self.rows.permits.cancel {
+        if self.rows.attempt_policy.cancel_allowed {
             let live = self.jobs[&id].tried.iter().enumerate().filter(|(_, t)| t.fate == Fate::Out);
             live.for_each(|(n, _)| orders.cancel(id, n));
         }
@@ -887,7 +878,7 @@
     fn learn_from(&mut self, orders: &mut dyn Actions, out: &Out, answer: &AttemptResult) {
         let (now, beat) = (self.now, self.servers.beat());
         let usual = self.load_time(out.function) as f64;
-        let others = (self.rows.routers - 1) as f64;
+        let others = (self.rows.router_count - 1) as f64;
         let pace = self.pace;
         let Some(s) = self.servers.get_mut(&out.server) else { return };
         let row = &mut self.workloads[out.workload.0];
@@ -903,24 +894,30 @@
             hold.loading = None;
             self.loading.remove(&(out.function, out.server));
         }
-        if matches!(answer.outcome, Outcome::Finished | Outcome::Missing | Outcome::Full | Outcome::Error) {
+        if matches!(
+            answer.outcome,
+            Outcome::Finished | Outcome::NotLoaded | Outcome::Overloaded | Outcome::Error
+        ) {
             s.heard = now;
             s.proved = s.proved.max(out.sent);
         }
-        if self.rows.tells_company && matches!(answer.outcome, Outcome::Finished | Outcome::Full) {
-            let told = f64::from(answer.company) * others / (others + 1.0);
+        if self.rows.reports_same_function
+            && matches!(answer.outcome, Outcome::Finished | Outcome::Overloaded)
+        {
+            let told = f64::from(answer.same_function_in_flight) * others / (others + 1.0);
             let known = hold.others.at_mut(beat);
             *known += CROWD_FRESH * (told - *known);
         }
-        if let Some(held) = answer.held {
+        if let Some(held) = answer.reported_in_flight {
             let known = s.others.at_mut(beat);
             *known += CROWD_FRESH * (held * others / (others + 1.0) - *known);
         }
-        self.under_way += SERVICE_FRESH * (answer.loads.unwrap_or(0.0) - self.under_way);
-        let stood = answer.copy == LoadState::Stood || (answer.copy == LoadState::Unsaid && out.serving);
+        self.under_way += SERVICE_FRESH * (answer.reported_loads.unwrap_or(0.0) - self.under_way);
+        let stood = answer.load_state == LoadState::Loaded
+            || (answer.load_state == LoadState::Unreported && out.serving);
         match answer.outcome {
             Outcome::Finished => {
-                (hold.loading, hold.serving_until) = (None, now + self.rows.keep);
+                (hold.loading, hold.serving_until) = (None, now + self.rows.cache_lifetime);
                 self.loading.remove(&(out.function, out.server));
                 self.done = self.done * (-((now - self.done_at) as f64) / SPAN).exp() + 1.0;
                 self.done_at = now;
@@ -934,8 +931,8 @@
                     }
                     // Each other router is taken to have as many there, on average, as this one.
                     let mean = others * answer.elapsed as f64 / SPAN;
-                    *hold.others.at_mut(beat) += if self.rows.tells_company { 0.0 } else { mean };
-                    *s.others.at_mut(beat) += if answer.held.is_some() { 0.0 } else { mean };
+                    *hold.others.at_mut(beat) += if self.rows.reports_same_function { 0.0 } else { mean };
+                    *s.others.at_mut(beat) += if answer.reported_in_flight.is_some() { 0.0 } else { mean };
                     s.lag += age.max(FRESH) * (part - s.lag);
                     if s.lag > LAG_HIGH {
                         Self::cut_room(s, now, row.start_target, (pace, beat));
@@ -948,7 +945,7 @@
                     s.trickle = (n * 2 < TRICKLE_END).then_some(n * 2);
                     s.backoff = if s.trickle.is_some() { s.backoff } else { ASIDE };
                 }
-                if answer.copy == LoadState::Begun {
+                if answer.load_state == LoadState::LoadStarted {
                     if answer.elapsed as f64 > usual * LOAD_SLOW {
                         self.loads_slow();
                     } else {
@@ -958,12 +955,12 @@
                     }
                 }
             }
-            Outcome::Missing | Outcome::Error if answer.copy == LoadState::LoadFailed => {
+            Outcome::NotLoaded | Outcome::Error if answer.load_state == LoadState::LoadFailed => {
                 hold.serving_until = 0;
                 self.loads_slow();
             }
-            Outcome::Missing => hold.serving_until = 0,
-            Outcome::Full => {
+            Outcome::NotLoaded => hold.serving_until = 0,
+            Outcome::Overloaded => {
                 hold.full_until = now + REST;
                 match out.customer {
                     // A full worker says so at once. One that takes its time turns away this customer alone.
@@ -977,14 +974,16 @@
                     }
                 }
             }
-            Outcome::NoConnection => {
+            Outcome::ConnectFailed => {
                 hold.serving_until = 0;
                 self.set_aside(orders, out.server);
             }
             // Connections break by themselves too. All that breaks at one moment is one sign, and a worker
             // that is gone refuses the next connection.
-            Outcome::Error | Outcome::Broken if answer.outcome == Outcome::Error || s.broken < now => {
-                s.broken = if answer.outcome == Outcome::Broken { now } else { s.broken };
+            Outcome::Error | Outcome::ConnectionLost
+                if answer.outcome == Outcome::Error || s.broken < now =>
+            {
+                s.broken = if answer.outcome == Outcome::ConnectionLost { now } else { s.broken };
                 s.errors += age.max(FRESH) * (1.0 - s.errors);
                 if s.errors > ERRORS_HIGH || s.trickle.is_some() {
                     self.set_aside(orders, out.server);
@@ -996,11 +995,18 @@
                 if answer.elapsed > row.start_target && s.proved <= out.sent =>
             {
                 s.lag += age.max(FRESH) * (answer.elapsed as f64 / row.start_target as f64 - s.lag);
-                *s.others.at_mut(beat) +=
-                    if answer.held.is_some() { 0.0 } else { others * answer.elapsed as f64 / SPAN };
+                *s.others.at_mut(beat) += if answer.reported_in_flight.is_some() {
+                    0.0
+                } else {
+                    others * answer.elapsed as f64 / SPAN
+                };
                 Self::cut_room(s, now, row.start_target, (pace, beat));
             }
-            Outcome::Error | Outcome::Broken | Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Error
+            | Outcome::ConnectionLost
+            | Outcome::TimedOut
+            | Outcome::Cancelled
+            | Outcome::Superseded => {}
         }
     }
 
@@ -1042,12 +1048,12 @@
 
     /// The part of its full pace that a worker has for certain: it rises about evenly from the cold share.
     fn warmth(&self, s: &Server) -> f64 {
-        let rules = &self.rows.rules;
-        if s.up_since == 0 || self.now >= s.up_since + rules.warm_within {
+        let rules = &self.rows.slow_start;
+        if s.up_since == 0 || self.now >= s.up_since + rules.warmup_time {
             return 1.0;
         }
-        let warm = self.now.saturating_sub(s.up_since) as f64 / rules.warm_within as f64;
-        rules.cold_share + (1.0 - rules.cold_share) * warm
+        let warm = self.now.saturating_sub(s.up_since) as f64 / rules.warmup_time as f64;
+        rules.initial_capacity + (1.0 - rules.initial_capacity) * warm
     }
 
     /// Whether a cold worker may be sent this job now. Each router keeps to its even part of the budget of a
@@ -1055,16 +1061,16 @@
     /// for the worker in a span, those that wait here too, or what has piled up would fall on it at once.
     /// One job draws once for a worker however often it asks.
     fn cold_budget(&self, s: &Server, job: &Job, id: WorkerId) -> bool {
-        let rules = &self.rows.rules;
+        let rules = &self.rows.slow_start;
         let warmth = self.warmth(s);
         if warmth >= 1.0 {
             return true;
         }
-        let span = rules.fall_span as f64;
+        let span = rules.overload_window as f64;
         // The list's weights are rough, and may count the cores of a slow kind: none counts above the mean.
         let open = self.servers.open().len().max(1) as f64;
         let pace = self.capacity_per_weight() * s.weight.min(self.weight / open);
-        let part = rules.fall_multiple * warmth * pace * span * COLD_CARE / self.rows.routers as f64;
+        let part = rules.overload_factor * warmth * pace * span * COLD_CARE / self.rows.router_count as f64;
         let spent: f64 = s.cold_sent.iter().map(|(_, work)| work).sum();
         let work = self.workloads[job.workload.0].service / self.mean_service.max(1.0);
         if spent + work <= part {
@@ -1073,7 +1079,7 @@
         let even = COLD_WANTED * self.rate * s.weight / self.weight;
         let new = self.per_us(even.max(self.functions[&job.function].rate)) * span;
         let wanted = (new + self.held.len().saturating_sub(1) as f64) * work;
-        spent == 0.0 && part_of_one(mix(job.chance, id.0)) < part / wanted.max(part)
+        spent == 0.0 && unit_interval(hash_pair(job.chance, id.0)) < part / wanted.max(part)
     }
 
     // ---- Mechanism 6: loads ----------------------------------------------------------------
@@ -1094,7 +1100,7 @@
     /// Whether a job is beyond this router's part of its customer's share. Only such jobs wait last.
     fn over_share(&mut self, customer: CustomerId) -> bool {
         let row = &mut self.customers[customer.0];
-        let per_us = row.jobs_per_s / 1e6 / self.rows.routers.max(1) as f64;
+        let per_us = row.jobs_per_s / 1e6 / self.rows.router_count.max(1) as f64;
         row.tokens = (row.tokens + (self.now - row.at) as f64 * per_us).min((per_us * SHARE_SPAN).max(1.0));
         row.at = self.now;
         let over = row.tokens < 1.0;
@@ -1207,6 +1213,6 @@
         let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.steps.insert(token, step);
-        orders.wake_after(delay, token);
+        orders.set_timer(delay, token);
     }
 }
