--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,282 +1,342 @@
-//! What the decisions are told and what they may order: ids, time, the rows handed over at start-up,
-//! and the `Actions` trait. No wire, no input or output, no decision.
+//! Types that [`Control`](crate::control::Control) and its owner exchange: ids, the startup configuration,
+//! the
+//! endpoint list, requests, results of attempts, and the [`Actions`] that the decisions ask for.
+//!
+//! Nothing here decides, and nothing here does any input or output.
 
-/// Whole microseconds; a point on the instance's clock or a length of time.
-pub type Micros = u64;
-
-/// Identity of a name: a fixed 64-bit digest, the same in every instance.
-fn digest(name: &str) -> u64 {
-    let fnv = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, fnv)
-}
-
-/// What of the second of two ids goes into their mix.
-pub(crate) fn digest_second(b: u64) -> u64 {
-    b.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-}
+use crate::hashing::digest;
 
-/// Mixes two ids into a place in a function's order; the same at every router.
-pub(crate) fn mix(a: u64, b: u64) -> u64 {
-    mix_digest(a, digest_second(b))
-}
-
-/// The same for a second id of which the digest is known.
-#[inline]
-pub(crate) fn mix_digest(a: u64, digest: u64) -> u64 {
-    let mut x = a ^ digest;
-    for _ in 0..2 {
-        x = (x ^ (x >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        x = (x ^ (x >> 29)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    }
-    x ^ (x >> 32)
-}
+/// A number of whole microseconds: a moment on the instance's monotonic clock, or a duration.
+pub type Micros = u64;
 
-/// Evenly spread bits as a number from 0 to 1.
-pub(crate) fn part_of_one(bits: u64) -> f64 {
-    (bits >> 11) as f64 / (1u64 << 53) as f64
-}
+// ---- Ids -------------------------------------------------------------------------------
 
+/// A worker (model server), by the digest of its name; the same at every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u64);
 
 impl WorkerId {
+    /// The id of the worker of this name.
     pub fn named(name: &str) -> Self {
         WorkerId(digest(name))
     }
 }
 
+/// A function, by the digest of its name; the same at every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionId(pub u64);
 
 impl FunctionId {
+    /// The id of the function of this name.
     pub fn named(name: &str) -> Self {
         FunctionId(digest(name))
     }
 }
 
-/// A job's id as the client side gave it.
+/// A request, by the id that its client side gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub [u8; 36]);
 
-/// A timer's number.
+/// A timer that was set by [`Actions::set_timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// Position of a workload among the start-up rows.
+/// A workload, by its position in [`StartupConfig::workloads`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkloadId(pub usize);
 
-/// Position of a customer among the start-up rows.
+/// A customer, by its position in [`StartupConfig::customers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CustomerId(pub usize);
 
-/// A place where machines stand, by its position in the start-up list.
+/// An availability zone, by its position in the deployment's list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A small set of model servers that know each other's idempotency keys.
+/// A small group of workers that recognize each other's idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RackId(pub i64);
 
 impl RackId {
-    /// The one of a server of which none was told: it shares with nobody what it has seen.
-    pub fn alone(server: WorkerId) -> Self {
-        RackId(!((server.0 >> 1) as i64))
+    /// The rack of a worker for which none is configured: it shares idempotency keys with no other worker.
+    pub fn unshared(worker: WorkerId) -> Self {
+        RackId(!((worker.0 >> 1) as i64))
     }
 }
 
-/// Where a repeat of a keyed job is dropped.
+// ---- Startup configuration -------------------------------------------------------------
+
+/// The set of workers within which a repeated idempotency key is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
+    /// All workers.
     Everywhere,
+    /// The workers of the first attempt's zone.
     Zone,
+    /// The workers of the first attempt's rack.
     Rack,
 }
 
-/// What a second attempt of a job would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
+    /// A repetition does no harm.
     Idempotent,
-    Keyed { within: IdempotencyScope, window: Micros },
+    /// The request carries an idempotency key: workers in `scope` drop a repetition for `window` after the
+    /// first
+    /// attempt was sent.
+    Keyed {
+        /// Where a repetition is recognized.
+        scope: IdempotencyScope,
+        /// How long a repetition is recognized.
+        window: Micros,
+    },
+    /// A second execution is never allowed.
     AtMostOnce,
 }
 
-/// One row a workload.
+/// The configuration of a workload (class of requests).
 #[derive(Clone, Debug)]
 pub struct WorkloadConfig {
-    pub effect: RetrySafety,
-    pub start_target: Micros,
-    pub importance: f64,
-    /// What is left of the importance once the start target has passed.
-    pub late_part: f64,
+    /// Whether its requests may be repeated.
+    pub retry_safety: RetrySafety,
+    /// Time from arrival within which a response has its full value.
+    pub latency_objective: Micros,
+    /// Relative value of a request.
+    pub priority_weight: f64,
+    /// Factor on the priority weight once the latency objective has been missed, from 0 to 1.
+    pub late_priority_factor: f64,
 }
 
-/// One row a customer.
+/// The configuration of a customer (tenant).
 #[derive(Clone, Debug)]
 pub struct CustomerConfig {
-    pub jobs_per_s: f64,
+    /// Quota over all routers.
+    pub requests_per_second: f64,
 }
 
-/// What a deployment allows.
+/// What the deployment allows for attempts and rejections.
 #[derive(Clone, Debug)]
 pub struct AttemptPolicy {
-    pub attempts: usize,
-    pub cancel: bool,
-    pub second_copies: bool,
-    pub come_back: bool,
-    pub come_back_max: Micros,
+    /// Attempts of a request at most, the first included.
+    pub max_attempts: usize,
+    /// Attempts in flight may be cancelled.
+    pub cancel_allowed: bool,
+    /// A second attempt may run beside the first.
+    pub hedging_allowed: bool,
+    /// Rejections may carry a time after which to retry.
+    pub retry_after_allowed: bool,
+    /// The longest such time.
+    pub max_retry_after: Micros,
 }
 
-/// Figures of the rules on drains, cold model servers and orders to load.
+/// How fast a worker that has just started may be loaded.
 #[derive(Clone, Debug)]
 pub struct SlowStartRules {
-    pub cold_share: f64,
-    pub warm_within: Micros,
-    pub fall_multiple: f64,
-    pub fall_span: Micros,
+    /// Share of its full capacity that a worker has when it starts, from 0 to 1.
+    pub initial_capacity: f64,
+    /// Time from its start after which a worker has its full capacity.
+    pub warmup_time: Micros,
+    /// Multiple of its current capacity within [`Self::overload_window`] at which a worker collapses.
+    pub overload_factor: f64,
+    /// Span of time over which the work sent to a worker is counted.
+    pub overload_window: Micros,
 }
 
-/// All that an instance is told when it starts.
+/// Everything that an instance is configured with when it starts.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
+    /// Seed of all random draws of the instance.
     pub seed: u64,
-    pub me: u64,
-    pub routers: u64,
+    /// Position of this router among [`Self::router_count`].
+    pub router_index: u64,
+    /// Number of routers that share workers and quotas; at least 1.
+    pub router_count: u64,
+    /// Workloads; [`WorkloadId`] is the position here.
     pub workloads: Vec<WorkloadConfig>,
+    /// Customers; [`CustomerId`] is the position here.
     pub customers: Vec<CustomerConfig>,
-    pub permits: AttemptPolicy,
-    pub rules: SlowStartRules,
-    pub over_share: f64,
-    pub keep: Micros,
-    /// Answers tell how many jobs of the same function the model server held.
-    pub tells_company: bool,
-    /// The weights in the list are the same for every router and do not follow the load.
+    /// What is allowed for attempts and rejections.
+    pub attempt_policy: AttemptPolicy,
+    /// How fast a new worker may be loaded.
+    pub slow_start: SlowStartRules,
+    /// Factor on the priority weight of requests beyond their customer's quota.
+    pub over_quota_factor: f64,
+    /// Time for which a worker keeps an idle function loaded at least.
+    pub cache_lifetime: Micros,
+    /// Responses report how many requests of the same function the worker had in flight.
+    pub reports_same_function: bool,
+    /// The weights in the endpoint list are the same for every router and do not follow the load.
     pub weights_shared: bool,
-    /// Clients give every first try of a workload the same time; less left means that it was spent elsewhere.
-    pub limits_shared: bool,
-    /// The list of model servers comes only to those that ask.
-    pub list_by_asking: bool,
+    /// Clients give every first try of a workload the same timeout; less time left was spent elsewhere.
+    pub timeouts_shared: bool,
+    /// The endpoint list is delivered only after [`Actions::watch_endpoints`].
+    pub watches_endpoints: bool,
 }
 
 impl StartupConfig {
-    /// µs, over the workloads; 0 without any.
-    pub fn mean_target(&self) -> f64 {
-        let targets = self.workloads.iter().map(|w| w.start_target as f64);
-        targets.sum::<f64>() / self.workloads.len().max(1) as f64
+    /// The mean latency objective of all workloads in microseconds; 0 without workloads.
+    pub fn mean_latency_objective(&self) -> f64 {
+        let objectives = self.workloads.iter().map(|workload| workload.latency_objective as f64);
+        objectives.sum::<f64>() / self.workloads.len().max(1) as f64
     }
 }
 
-/// What a router has learned of one life of a model server.
+// ---- Endpoints -------------------------------------------------------------------------
+
+/// What a router has measured of one incarnation of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerHistory {
-    /// Jobs that it had room for; 0 where that is not known.
-    pub room: f64,
-    /// How much of a start target its answers took, and the part of them that were errors.
-    pub lag: f64,
-    pub errors: f64,
-    /// It was set aside, or on trial after that.
-    pub aside: bool,
+    /// Requests of all routers that it could hold; 0 where that is unknown.
+    pub concurrency_limit: f64,
+    /// Response times as a multiple of the latency objective, as a moving average.
+    pub queueing_delay: f64,
+    /// Share of errors among its responses, as a moving average.
+    pub error_rate: f64,
+    /// It was ejected, or in its recovery ramp afterwards.
+    pub ejected: bool,
 }
 
-impl WorkerHistory {
-    /// Room, lag and errors; whether it was in doubt.
-    pub fn of([room, lag, errors]: [f64; 3], aside: bool) -> Self {
-        WorkerHistory { room, lag, errors, aside }
-    }
-}
-
-/// How complete a list of model servers is.
+/// How complete a delivered endpoint list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
+    /// Only the endpoints that changed.
     Changes,
+    /// All endpoints.
     Full,
+    /// All endpoints as of an earlier time, from a store of the platform.
     Saved,
+    /// The list could not be fetched; it holds no entries.
     Failed,
 }
 
+/// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
+    /// It takes requests.
     Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
+    /// It is no longer there.
     Gone,
 }
 
-/// One model server as the list names it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    pub server: WorkerId,
-    pub standing: WorkerStatus,
+    /// The worker.
+    pub worker: WorkerId,
+    /// Whether it takes requests.
+    pub status: WorkerStatus,
+    /// When it started; identifies the incarnation. 0: before anything that matters here.
     pub up_since: Micros,
+    /// Its zone, where known.
     pub zone: Option<ZoneId>,
+    /// Its rack.
     pub rack: RackId,
+    /// Its capacity relative to other workers.
     pub weight: f64,
 }
 
-/// A job as it comes in.
+// ---- Requests and attempts -------------------------------------------------------------
+
+/// A request as it arrives.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    pub job: RequestId,
+    /// Its id, unique among the requests in progress.
+    pub request: RequestId,
+    /// The function that it calls.
     pub function: FunctionId,
+    /// Its workload.
     pub workload: WorkloadId,
+    /// Its customer, where known.
     pub customer: Option<CustomerId>,
-    pub left: Micros,
-    pub lanes: u32,
-    /// The client has tried before, where clients say so.
+    /// Time until its deadline.
+    pub time_left: Micros,
+    /// Requests of the function that a worker is expected to run at once.
+    pub concurrency: u32,
+    /// The client says that it has tried before.
     pub retry: bool,
+    /// How long a worker takes to load the function, where known.
     pub load_time: Option<Micros>,
-    /// Times its workload's importance: 1, or more where work before it has been paid for.
-    pub paid: f64,
+    /// Factor on the workload's priority weight: 1, or more where earlier steps of a workflow have been
+    /// paid for.
+    pub priority_factor: f64,
 }
 
-/// How one attempt closed.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The worker executed the request and returned its result.
     Finished,
-    Missing,
+    /// The worker does not have the function; nothing was executed.
+    NotLoaded,
+    /// The worker reported an error; the request may have been executed.
     Error,
-    Full,
+    /// The worker had no capacity; nothing was executed.
+    Overloaded,
+    /// No response in time.
     TimedOut,
-    NoConnection,
-    Broken,
+    /// No connection could be established; nothing was executed.
+    ConnectFailed,
+    /// The connection was lost before the response.
+    ConnectionLost,
+    /// The router cancelled the attempt.
     Cancelled,
-    Moot,
+    /// The attempt was dropped before anything of it was executed, because another one took its place.
+    Superseded,
 }
 
-/// What an answer says of the function's copy.
+/// What a response reports about the function at its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadState {
-    Unsaid,
-    Stood,
-    Begun,
-    Awaited,
+    /// Nothing is reported.
+    Unreported,
+    /// The function was loaded already.
+    Loaded,
+    /// The attempt started the load.
+    LoadStarted,
+    /// The attempt waited for a load in progress.
+    LoadPending,
+    /// The load failed.
     LoadFailed,
 }
 
-/// The result of one attempt, whole.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The job is over, by this answer or earlier.
-    pub closed: bool,
+    /// The request has its final response, by this result or an earlier one.
+    pub request_ended: bool,
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    pub copy: LoadState,
-    /// Jobs of the function that the model server held when this one came, where told.
-    pub company: u32,
-    /// Jobs of all functions that it holds, where reported.
-    pub held: Option<f64>,
-    /// Loads under way or waiting there, where reported.
-    pub loads: Option<f64>,
+    /// What is reported about the function.
+    pub load_state: LoadState,
+    /// Requests of the function that the worker had when the attempt arrived; 0 where not reported.
+    pub same_function_in_flight: u32,
+    /// Requests of all functions that the worker has, where reported.
+    pub reported_in_flight: Option<f64>,
+    /// Loads in progress or queued at the worker, where reported.
+    pub reported_loads: Option<f64>,
 }
 
-/// What the decisions may order. All take effect at the time of the call.
+/// What the decisions ask their owner to do. Each call takes effect at the time of the call.
 pub trait Actions {
-    /// `begin`: the time from which on nothing of it may leave any more, as a repeat would not be known then.
-    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, begin: Micros);
-    fn cancel(&mut self, job: RequestId, attempt: usize);
-    fn push_back(&mut self, job: RequestId, come_back: Option<Micros>);
-    fn kill(&mut self, job: RequestId);
-    fn wake_after(&mut self, delay: Micros, token: TimerToken);
-    fn note(&mut self, text: &str);
-    /// Ask for the list of model servers and its changes.
-    fn watch(&mut self);
+    /// Sends the next attempt of a request. It may take `timeout`; nothing of it may leave from `not_after`
+    /// on, as a
+    /// repetition would not be recognized any more.
+    fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Micros, not_after: Micros);
+    /// Cancels an attempt, by its number from 0.
+    fn cancel(&mut self, request: RequestId, attempt: usize);
+    /// Ends a request with a rejection, after which a retry does no harm; `retry_after` names a time for it.
+    fn reject(&mut self, request: RequestId, retry_after: Option<Micros>);
+    /// Ends a request with a failure: it may have been executed.
+    fn fail(&mut self, request: RequestId);
+    /// Has [`Control::timer_fired`](crate::control::Control::timer_fired) called after `delay`.
+    fn set_timer(&mut self, delay: Micros, token: TimerToken);
+    /// Writes a line to the log.
+    fn log(&mut self, text: &str);
+    /// Asks for the endpoint list and its changes.
+    fn watch_endpoints(&mut self);
 }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,6 +1,7 @@
 //! What a router knows of each model server, and what is kept up beside it: sums over all, the members of the
 //! hash orders, and when something of a server ends by itself. State only, no decision.
-use crate::control::{FADE, HashOrder};
+use crate::control::FADE;
+use crate::hashing::HashOrder;
 use crate::interface::*;
 use applepond_rendezvous::Members;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,17 +30,17 @@
     fn cancel(&mut self, job: RequestId, attempt: usize) {
         self.did.push(Did::Cancel(job, attempt));
     }
-    fn push_back(&mut self, job: RequestId, _come_back: Option<Micros>) {
+    fn reject(&mut self, job: RequestId, _come_back: Option<Micros>) {
         self.did.push(Did::PushBack(job));
     }
-    fn kill(&mut self, job: RequestId) {
+    fn fail(&mut self, job: RequestId) {
         self.did.push(Did::Kill(job));
     }
-    fn wake_after(&mut self, delay: Micros, token: TimerToken) {
+    fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.push((self.now + delay, token));
     }
-    fn note(&mut self, _text: &str) {}
-    fn watch(&mut self) {}
+    fn log(&mut self, _text: &str) {}
+    fn watch_endpoints(&mut self) {}
 }
 
 pub const MS: Micros = 1000;
@@ -49,29 +49,34 @@
 pub fn rows(effect: RetrySafety) -> StartupConfig {
     StartupConfig {
         seed: 7,
-        me: 0,
-        routers: 1,
-        workloads: vec![WorkloadConfig { effect, start_target: 500 * MS, importance: 1.0, late_part: 0.2 }],
-        customers: vec![CustomerConfig { jobs_per_s: 1000.0 }],
-        permits: AttemptPolicy {
-            attempts: 4,
-            cancel: true,
-            second_copies: true,
-            come_back: true,
-            come_back_max: 1000 * MS,
+        router_index: 0,
+        router_count: 1,
+        workloads: vec![WorkloadConfig {
+            retry_safety: effect,
+            latency_objective: 500 * MS,
+            priority_weight: 1.0,
+            late_priority_factor: 0.2,
+        }],
+        customers: vec![CustomerConfig { requests_per_second: 1000.0 }],
+        attempt_policy: AttemptPolicy {
+            max_attempts: 4,
+            cancel_allowed: true,
+            hedging_allowed: true,
+            retry_after_allowed: true,
+            max_retry_after: 1000 * MS,
         },
-        rules: SlowStartRules {
-            cold_share: 0.2,
-            warm_within: 10_000 * MS,
-            fall_multiple: 2.0,
-            fall_span: 1000 * MS,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.2,
+            warmup_time: 10_000 * MS,
+            overload_factor: 2.0,
+            overload_window: 1000 * MS,
         },
-        over_share: 0.1,
-        keep: 10_000 * MS,
-        tells_company: false,
+        over_quota_factor: 0.1,
+        cache_lifetime: 10_000 * MS,
+        reports_same_function: false,
         weights_shared: true,
-        limits_shared: false,
-        list_by_asking: false,
+        timeouts_shared: false,
+        watches_endpoints: false,
     }
 }
 
@@ -81,7 +86,7 @@
 
 pub fn listed(n: u64, standing: WorkerStatus, up_since: Micros) -> Endpoint {
     let rack = RackId(n as i64 / 2);
-    Endpoint { server: server(n), standing, up_since, zone: Some(ZoneId(0)), rack, weight: 1.0 }
+    Endpoint { worker: server(n), status: standing, up_since, zone: Some(ZoneId(0)), rack, weight: 1.0 }
 }
 
 pub fn job(n: u8) -> RequestId {
@@ -90,8 +95,16 @@
 
 pub fn answer(outcome: Outcome) -> AttemptResult {
     let closed = outcome == Outcome::Finished;
-    let copy = if closed { LoadState::Stood } else { LoadState::Unsaid };
-    AttemptResult { outcome, closed, elapsed: 50 * MS, copy, company: 0, held: None, loads: None }
+    let copy = if closed { LoadState::Loaded } else { LoadState::Unreported };
+    AttemptResult {
+        outcome,
+        request_ended: closed,
+        elapsed: 50 * MS,
+        load_state: copy,
+        same_function_in_flight: 0,
+        reported_in_flight: None,
+        reported_loads: None,
+    }
 }
 
 /// One instance with its record and its clock.
@@ -112,31 +125,31 @@
         let mut record = Record { now: 100_000 * MS, ..Record::default() };
         let mut control = Control::new(record.now, rows, &mut record);
         let list: Vec<Endpoint> = (0..servers).map(|n| listed(n, WorkerStatus::Ready, 0)).collect();
-        control.list(&mut record, EndpointListKind::Saved, &list);
+        control.endpoints_updated(&mut record, EndpointListKind::Saved, &list);
         Bench { control, record, retry: false, customer: Some(0), workload: 0 }
     }
 
     pub fn list(&mut self, entries: &[Endpoint]) {
-        self.control.list(&mut self.record, EndpointListKind::Changes, entries);
+        self.control.endpoints_updated(&mut self.record, EndpointListKind::Changes, entries);
     }
 
     pub fn arrive(&mut self, n: u8, function: &str, left: Micros) {
         let arrival = RequestArrival {
-            job: job(n),
+            request: job(n),
             function: FunctionId::named(function),
             workload: WorkloadId(self.workload),
             customer: self.customer.map(CustomerId),
-            left,
-            lanes: 2,
+            time_left: left,
+            concurrency: 2,
             retry: self.retry,
             load_time: Some(1000 * MS),
-            paid: 1.0,
+            priority_factor: 1.0,
         };
-        self.control.job(&mut self.record, &arrival);
+        self.control.request_arrived(&mut self.record, &arrival);
     }
 
     pub fn close(&mut self, n: u8, attempt: usize, answer: &AttemptResult) {
-        self.control.answered(&mut self.record, job(n), attempt, answer);
+        self.control.attempt_finished(&mut self.record, job(n), attempt, answer);
     }
 
     /// Lets time pass, with every timer that falls due.
@@ -148,11 +161,11 @@
         {
             let (due, token) = self.record.timers.swap_remove(at);
             self.record.now = due;
-            self.control.clock(due);
-            self.control.wake(&mut self.record, token);
+            self.control.advance_to(due);
+            self.control.timer_fired(&mut self.record, token);
         }
         self.record.now = end;
-        self.control.clock(end);
+        self.control.advance_to(end);
     }
 
     pub fn sends(&self, n: u8) -> Vec<WorkerId> {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Digests of names and the hash order: routers of two versions that draw others do not share workers' caches.
+//! Digests of names and the hash order: routers of two versions that draw others do not share workers'
+//! caches.
 mod common;
 use applepond::interface::*;
 use common::*;
@@ -33,7 +34,7 @@
         let home = bench.sends(n)[0];
         bench.close(n, 0, &answer(Outcome::Finished));
         let place = (0..20).find(|n| server(*n) == home).expect("a listed worker");
-        bench.list(&[Endpoint { standing: WorkerStatus::Gone, ..weighted(place) }]);
+        bench.list(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
         first.push(place.to_string());
     }
     first.join(" ")
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -8,7 +8,7 @@
 fn home_is_shared_and_stable() {
     let homes = |servers: u64, seed: u64| -> Vec<WorkerId> {
         let mut bench =
-            Bench::new(StartupConfig { seed, me: seed, ..rows(RetrySafety::Idempotent) }, servers);
+            Bench::new(StartupConfig { seed, router_index: seed, ..rows(RetrySafety::Idempotent) }, servers);
         for n in 0..40 {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
             bench.close(n, 0, &answer(Outcome::Finished));
@@ -31,7 +31,7 @@
     let next = bench.sends(3)[0];
     assert_ne!(next, home);
     assert!(bench.sends(4).is_empty() && bench.sends(5).is_empty(), "one answer is awaited there");
-    bench.close(3, 0, &AttemptResult { copy: LoadState::Begun, ..answer(Outcome::Finished) });
+    bench.close(3, 0, &AttemptResult { load_state: LoadState::LoadStarted, ..answer(Outcome::Finished) });
     assert_eq!((bench.sends(4)[0], bench.sends(5)[0]), (next, next));
 }
 
@@ -40,7 +40,7 @@
 #[test_case(RetrySafety::Idempotent, false, 1; "nor where second copies are not allowed")]
 fn hedge(effect: RetrySafety, second_copies: bool, sends: usize) {
     let mut rows = rows(effect);
-    rows.permits.second_copies = second_copies;
+    rows.attempt_policy.hedging_allowed = second_copies;
     let mut bench = Bench::new(rows, 8);
     bench.warm("hut");
     bench.arrive(1, "hut", 9000 * MS);
@@ -66,7 +66,7 @@
 }
 
 // A worker that fails, whatever the sign, is left alone for a while and then gets a trickle.
-#[test_case(Outcome::NoConnection, 1; "one connection refused")]
+#[test_case(Outcome::ConnectFailed, 1; "one connection refused")]
 #[test_case(Outcome::Error, 2; "two errors close together")]
 fn set_aside(outcome: Outcome, times: u8) {
     let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
@@ -91,7 +91,7 @@
     }
     bench.pass(50 * MS);
     for n in 1..=3 {
-        bench.close(n, 0, &answer(Outcome::Broken));
+        bench.close(n, 0, &answer(Outcome::ConnectionLost));
         bench.pass(gap * MS);
     }
     bench.arrive(9, "hut", 5000 * MS);
@@ -103,7 +103,7 @@
 #[test_case(2, true; "two answers owed")]
 fn silence(jobs: u8, aside: bool) {
     let mut rows = rows(RetrySafety::AtMostOnce);
-    rows.workloads[0].start_target = 1000 * MS;
+    rows.workloads[0].latency_objective = 1000 * MS;
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
     (1..=jobs).for_each(|n| bench.arrive(n, "hut", 9000 * MS));
@@ -136,11 +136,12 @@
 #[test_case(60, 9000, 0, true; "nor for ever")]
 fn full_rests(elapsed_ms: Micros, wait_ms: Micros, customer: usize, again: bool) {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.customers = vec![CustomerConfig { jobs_per_s: 500.0 }, CustomerConfig { jobs_per_s: 500.0 }];
+    rows.customers =
+        vec![CustomerConfig { requests_per_second: 500.0 }, CustomerConfig { requests_per_second: 500.0 }];
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
     bench.arrive(1, "hut", 9000 * MS);
-    bench.close(1, 0, &AttemptResult { elapsed: elapsed_ms * MS, ..answer(Outcome::Full) });
+    bench.close(1, 0, &AttemptResult { elapsed: elapsed_ms * MS, ..answer(Outcome::Overloaded) });
     bench.pass(wait_ms * MS);
     bench.customer = Some(customer);
     bench.arrive(2, "hut", 5000 * MS);
@@ -187,7 +188,10 @@
 #[test_case(1.0, 4; "the third job is beyond the share")]
 fn shares(jobs_per_s: f64, first: u8) {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.customers = vec![CustomerConfig { jobs_per_s }, CustomerConfig { jobs_per_s: 1000.0 }];
+    rows.customers = vec![
+        CustomerConfig { requests_per_second: jobs_per_s },
+        CustomerConfig { requests_per_second: 1000.0 },
+    ];
     let mut bench = Bench::new(rows, 1);
     bench.customer = Some(1);
     bench.warm("hut");
@@ -204,9 +208,9 @@
 /// One worker whose room is 10 jobs (a share of 40 jobs a second for half the start target): twenty functions
 /// are loaded there, then some attempts time out, then one job comes for each function. How many go out?
 fn sent_of_twenty(routers: u64, time_outs: u8, timed_out_ms: Micros, overtaken: bool) -> usize {
-    let mut rows = StartupConfig { routers, ..rows(RetrySafety::Idempotent) };
-    rows.customers = vec![CustomerConfig { jobs_per_s: 40.0 }];
-    rows.permits.attempts = 1;
+    let mut rows = StartupConfig { router_count: routers, ..rows(RetrySafety::Idempotent) };
+    rows.customers = vec![CustomerConfig { requests_per_second: 40.0 }];
+    rows.attempt_policy.max_attempts = 1;
     let mut bench = Bench::new(rows, 1);
     for n in 1..21 {
         bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
@@ -243,7 +247,7 @@
 #[test_case(1, 1; "alone")]
 #[test_case(100, 2; "one of a hundred")]
 fn many_routers_spread_a_hot_function(routers: u64, least: usize) {
-    let mut bench = Bench::new(StartupConfig { routers, ..rows(RetrySafety::Idempotent) }, 8);
+    let mut bench = Bench::new(StartupConfig { router_count: routers, ..rows(RetrySafety::Idempotent) }, 8);
     let mut used = std::collections::BTreeSet::new();
     for n in 0..100 {
         bench.arrive(n, "hut", 5000 * MS);
@@ -263,7 +267,7 @@
     bench.warm("hut");
     for n in 100..140 {
         bench.arrive(n, "other", 5000 * MS);
-        bench.close(n, 0, &AttemptResult { loads: Some(loads), ..answer(Outcome::Finished) });
+        bench.close(n, 0, &AttemptResult { reported_loads: Some(loads), ..answer(Outcome::Finished) });
     }
     (1..4).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     bench.pass(200 * MS);
@@ -276,16 +280,17 @@
 #[test_case(true, true; "proved by another job")]
 fn at_most_once_passes_over(proved: bool, home_takes: bool) {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.workloads.push(WorkloadConfig { effect: RetrySafety::AtMostOnce, ..rows.workloads[0].clone() });
-    rows.permits.attempts = 1;
+    rows.workloads
+        .push(WorkloadConfig { retry_safety: RetrySafety::AtMostOnce, ..rows.workloads[0].clone() });
+    rows.attempt_policy.max_attempts = 1;
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
     for n in 100..140 {
         bench.arrive(n, "other", 5000 * MS);
-        bench.close(n, 0, &AttemptResult { loads: Some(9.0), ..answer(Outcome::Finished) });
+        bench.close(n, 0, &AttemptResult { reported_loads: Some(9.0), ..answer(Outcome::Finished) });
     }
     bench.arrive(1, "hut", 5000 * MS);
-    bench.close(1, 0, &answer(Outcome::NoConnection));
+    bench.close(1, 0, &answer(Outcome::ConnectFailed));
     bench.pass(600 * MS);
     if proved {
         bench.arrive(2, "hut", 5000 * MS);
@@ -319,7 +324,8 @@
 #[test_case(true, [1, 2], 1; "limits are shared")]
 fn less_time_left(limits_shared: bool, order: [u8; 2], given_up: usize) {
     let begin = || {
-        let mut bench = Bench::new(StartupConfig { limits_shared, ..rows(RetrySafety::Idempotent) }, 0);
+        let mut bench =
+            Bench::new(StartupConfig { timeouts_shared: limits_shared, ..rows(RetrySafety::Idempotent) }, 0);
         bench.arrive(9, "hut", 5000 * MS);
         bench.arrive(2, "hut", 4000 * MS);
         bench.pass(5 * MS);
@@ -327,7 +333,7 @@
     };
     let mut bench = begin();
     bench.arrive(1, "hut", 5000 * MS);
-    bench.control.left(&mut bench.record, job(9));
+    bench.control.client_disconnected(&mut bench.record, job(9));
     bench.list(&[listed(0, WorkerStatus::Ready, 0)]);
     let sent =
         bench.record.did.iter().filter_map(|d| if let Did::Send(j, _) = d { Some(j.0[0]) } else { None });
@@ -342,7 +348,7 @@
 fn a_client_that_leaves() {
     let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.arrive(1, "hut", 5000 * MS);
-    bench.control.left(&mut bench.record, job(1));
+    bench.control.client_disconnected(&mut bench.record, job(1));
     assert_eq!(bench.record.did.last(), Some(&Did::Cancel(job(1), 0)));
 }
 
@@ -350,7 +356,7 @@
 #[test_case(1, 12; "alone, the bound on loads holds")]
 #[test_case(20, 14; "one of twenty")]
 fn homes_that_others_keep(routers: u64, sent: usize) {
-    let mut bench = Bench::new(StartupConfig { routers, ..rows(RetrySafety::Idempotent) }, 8);
+    let mut bench = Bench::new(StartupConfig { router_count: routers, ..rows(RetrySafety::Idempotent) }, 8);
     let names: Vec<String> = (0..14).map(|n| format!("hut-{n}")).collect();
     for name in &names {
         bench.arrive(250, name, 5000 * MS);
@@ -372,7 +378,7 @@
         if n < finished {
             bench.close(n, 0, &answer(Outcome::Finished));
         } else if bench.sends(n).is_empty() {
-            bench.control.left(&mut bench.record, job(n));
+            bench.control.client_disconnected(&mut bench.record, job(n));
         }
         bench.pass(5 * MS);
     }
@@ -392,7 +398,7 @@
             bench.close(n, 0, &answer(Outcome::Finished));
         }
     }
-    let known = bench.control.functions();
+    let known = bench.control.known_functions();
     bench.pass(100_000 * MS);
-    assert_eq!((known, bench.control.functions()), (200, 1), "the one that is out stays");
+    assert_eq!((known, bench.control.known_functions()), (200, 1), "the one that is out stays");
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -50,11 +50,12 @@
 impl Router {
     fn start(day: &Day, me: u64, now: Micros, list: &[Endpoint]) -> (Control, Record) {
         let effect = RetrySafety::Idempotent;
-        let mut rows = StartupConfig { me, seed: me + 1, routers: day.routers, ..rows(effect) };
-        rows.customers = vec![CustomerConfig { jobs_per_s: day.pace * WORKERS as f64 }];
+        let mut rows =
+            StartupConfig { router_index: me, seed: me + 1, router_count: day.routers, ..rows(effect) };
+        rows.customers = vec![CustomerConfig { requests_per_second: day.pace * WORKERS as f64 }];
         let mut record = Record { now, ..Record::default() };
         let mut control = Control::new(now, rows, &mut record);
-        control.list(&mut record, EndpointListKind::Full, list);
+        control.endpoints_updated(&mut record, EndpointListKind::Full, list);
         (control, record)
     }
 
@@ -79,22 +80,22 @@
             .min_by_key(|i| self.record.timers[*i])
         {
             let (_, token) = self.record.timers.swap_remove(at);
-            self.control.wake(&mut self.record, token);
+            self.control.timer_fired(&mut self.record, token);
         }
     }
 }
 
 /// The worst moment of the fresh worker's first seconds: what it got within a span, what was allowed.
 fn worst(day: Day, seed: u64) -> (f64, usize, f64) {
-    let rules = rows(RetrySafety::Idempotent).rules;
+    let rules = rows(RetrySafety::Idempotent).slow_start;
     let mut rng = Rand64::new(u128::from(seed));
     let begin = 100_000 * MS;
-    let birth = begin + 20_000 * MS;
+    let instance_id = begin + 20_000 * MS;
     let fresh = server(WORKERS);
     let old: Vec<Endpoint> = (0..WORKERS).map(|n| listed(n, WorkerStatus::Ready, 0)).collect();
     let mut new = old.clone();
-    new.push(listed(WORKERS, WorkerStatus::Ready, birth));
-    new[..day.drain].iter_mut().for_each(|entry| entry.standing = WorkerStatus::Draining);
+    new.push(listed(WORKERS, WorkerStatus::Ready, instance_id));
+    new[..day.drain].iter_mut().for_each(|entry| entry.status = WorkerStatus::Draining);
     new.drain(..day.gone);
     let mut routers: Vec<Router> = (0..day.routers)
         .map(|me| {
@@ -109,22 +110,23 @@
     let mut began = Vec::new();
     let mut next = 0u64;
     let mut now = begin;
-    while now < birth + 6_000 * MS {
+    while now < instance_id + 6_000 * MS {
         now += STEP;
-        let warm = now.saturating_sub(birth) as f64 / rules.warm_within as f64;
-        let warmth = rules.cold_share + (1.0 - rules.cold_share) * warm;
+        let warm = now.saturating_sub(instance_id) as f64 / rules.warmup_time as f64;
+        let warmth = rules.initial_capacity + (1.0 - rules.initial_capacity) * warm;
         for (me, r) in routers.iter_mut().enumerate() {
-            if day.restarted > 0 && now >= birth && (me as u64).is_multiple_of(day.restarted) && !r.born {
+            if day.restarted > 0 && now >= instance_id && (me as u64).is_multiple_of(day.restarted) && !r.born
+            {
                 let (control, record) = Router::start(&day, me as u64, now, &new);
                 (r.control, r.record, r.born, r.told) = (control, record, true, true);
                 r.answers.clear();
                 r.sent.clear();
             }
             r.record.now = now;
-            r.control.clock(now);
-            if !r.told && now >= birth + r.late {
+            r.control.advance_to(now);
+            if !r.told && now >= instance_id + r.late {
                 r.told = true;
-                r.control.list(&mut r.record, EndpointListKind::Full, &new);
+                r.control.endpoints_updated(&mut r.record, EndpointListKind::Full, &new);
             }
             while let Some((&(at, job, n), &from)) = r.answers.first_key_value()
                 && at <= now
@@ -133,7 +135,12 @@
                 let fails = from == fresh && rng.rand_range(0..10) < day.errors;
                 let outcome = if fails { Outcome::Error } else { Outcome::Finished };
                 let elapsed = (WORK as f64 / if from == fresh { warmth } else { 1.0 }) as Micros;
-                r.control.answered(&mut r.record, job, n, &AttemptResult { elapsed, ..answer(outcome) });
+                r.control.attempt_finished(
+                    &mut r.record,
+                    job,
+                    n,
+                    &AttemptResult { elapsed, ..answer(outcome) },
+                );
                 r.settle(fresh, warmth, &mut rng, &mut began);
             }
             r.wake(now);
@@ -147,19 +154,19 @@
                     id[..8].copy_from_slice(&next.to_le_bytes());
                     // A few functions have most of the jobs.
                     let function = (rng.rand_float().powi(3) * 60.0) as u64;
-                    let version = u64::from(day.versions && now >= birth && function.is_multiple_of(2));
+                    let version = u64::from(day.versions && now >= instance_id && function.is_multiple_of(2));
                     let arrival = RequestArrival {
-                        job: RequestId(id),
+                        request: RequestId(id),
                         function: FunctionId::named(&format!("hut-{function}-{version}")),
                         workload: WorkloadId(0),
                         customer: Some(CustomerId(0)),
-                        left: 3000 * MS,
-                        lanes: 8,
+                        time_left: 3000 * MS,
+                        concurrency: 8,
                         retry: rng.rand_range(0..10) == 0,
                         load_time: Some(200 * MS),
-                        paid: 1.0,
+                        priority_factor: 1.0,
                     };
-                    r.control.job(&mut r.record, &arrival);
+                    r.control.request_arrived(&mut r.record, &arrival);
                     r.settle(fresh, warmth, &mut rng, &mut began);
                 }
                 due -= 1.0;
@@ -167,13 +174,14 @@
         }
     }
     let allowed = |at: Micros| {
-        let warm = at.saturating_sub(rules.fall_span).max(birth) - birth;
-        let warmth = rules.cold_share + (1.0 - rules.cold_share) * warm as f64 / rules.warm_within as f64;
-        let n = rules.fall_multiple * warmth * day.pace * rules.fall_span as f64 / 1e6;
+        let warm = at.saturating_sub(rules.overload_window).max(instance_id) - instance_id;
+        let warmth =
+            rules.initial_capacity + (1.0 - rules.initial_capacity) * warm as f64 / rules.warmup_time as f64;
+        let n = rules.overload_factor * warmth * day.pace * rules.overload_window as f64 / 1e6;
         n + 2.0 * n.sqrt() + 2.0
     };
     began.sort_unstable();
-    let within = |at: Micros| began.iter().filter(|b| **b + rules.fall_span > at && **b <= at).count();
+    let within = |at: Micros| began.iter().filter(|b| **b + rules.overload_window > at && **b <= at).count();
     let moments = began.iter().map(|at| (within(*at), allowed(*at)));
     let most = moments.map(|(n, most)| (n as f64 / most, n, most));
     most.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0, 1.0))
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,17 +4,19 @@
 use common::*;
 use test_case::test_case;
 
-const RACK: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Rack, window: 3000 * MS };
-const ALL: RetrySafety = RetrySafety::Keyed { within: IdempotencyScope::Everywhere, window: 3000 * MS };
+const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3000 * MS };
+const ALL: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3000 * MS };
 
 // Rule 2: what follows each way an attempt can close, for each kind of effect.
 #[test_case(RetrySafety::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
-#[test_case(RetrySafety::Idempotent, Outcome::Full, 2, false; "idempotent after full moves on")]
-#[test_case(RetrySafety::AtMostOnce, Outcome::Full, 2, false; "at-most-once after full moves on")]
-#[test_case(RetrySafety::AtMostOnce, Outcome::Missing, 2, false; "at-most-once after a miss moves on")]
-#[test_case(RetrySafety::AtMostOnce, Outcome::NoConnection, 2, false; "at-most-once without connection moves on")]
+#[test_case(RetrySafety::Idempotent, Outcome::Overloaded, 2, false; "idempotent after full moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::Overloaded, 2, false; "at-most-once after full moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::NotLoaded, 2, false; "at-most-once after a miss moves on")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::ConnectFailed, 2, false;
+    "at-most-once without connection moves on")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Error, 1, true; "at-most-once after an error is killed")]
-#[test_case(RetrySafety::AtMostOnce, Outcome::Broken, 1, true; "at-most-once after a break is killed")]
+#[test_case(RetrySafety::AtMostOnce, Outcome::ConnectionLost, 1, true;
+    "at-most-once after a break is killed")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::TimedOut, 1, true; "at-most-once after a time-out is killed")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Cancelled, 1, true; "at-most-once after a cancel is killed")]
 #[test_case(ALL, Outcome::Error, 2, false; "keyed everywhere runs again")]
@@ -30,7 +32,7 @@
 #[test_case(3000, false; "after the window it never does")]
 fn keyed(wait_ms: Micros, again: bool) {
     let mut rows = rows(RACK);
-    rows.permits.second_copies = false;
+    rows.attempt_policy.hedging_allowed = false;
     let mut bench = Bench::new(rows, 8);
     bench.arrive(1, "hut", 8000 * MS);
     bench.pass(wait_ms * MS);
@@ -46,8 +48,8 @@
 #[test_case(Some(ZoneId(1)), true; "a zone that is named")]
 #[test_case(None, false; "zones that are not")]
 fn keyed_by_zone(zone: Option<ZoneId>, again: bool) {
-    let mut rows = rows(RetrySafety::Keyed { within: IdempotencyScope::Zone, window: 3000 * MS });
-    rows.permits.second_copies = false;
+    let mut rows = rows(RetrySafety::Keyed { scope: IdempotencyScope::Zone, window: 3000 * MS });
+    rows.attempt_policy.hedging_allowed = false;
     let mut bench = Bench::new(rows, 0);
     let entry = |n| Endpoint { zone, ..listed(n, WorkerStatus::Ready, 0) };
     bench.list(&(0..8).map(entry).collect::<Vec<_>>());
@@ -94,8 +96,8 @@
     assert_eq!(bench.sends(1)[0], home);
     bench.close(1, 0, &answer(Outcome::Finished));
     let before = bench.record.did.len();
-    bench.control.left(&mut bench.record, job(1));
-    let late = AttemptResult { closed: true, ..answer(Outcome::Error) };
+    bench.control.client_disconnected(&mut bench.record, job(1));
+    let late = AttemptResult { request_ended: true, ..answer(Outcome::Error) };
     bench.close(1, 1, &late);
     bench.pass(8000 * MS);
     assert_eq!(bench.record.did.len(), before);
@@ -113,7 +115,7 @@
     bench.arrive(3, "hut", 5000 * MS);
     bench.list(&[listed(n, standing, 0)]);
     let before = bench.record.did.len();
-    bench.close(1, 0, &answer(Outcome::Full));
+    bench.close(1, 0, &answer(Outcome::Overloaded));
     bench.arrive(4, "hut", 5000 * MS);
     bench.pass(4000 * MS);
     let to_home = |d: &Did| matches!(d, Did::Send(_, s) if *s == home);
@@ -126,13 +128,13 @@
 #[test_case(10_000, 6; "warm")]
 fn cold(age_ms: Micros, sends: usize) {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.customers = vec![CustomerConfig { jobs_per_s: 20.0 }];
+    rows.customers = vec![CustomerConfig { requests_per_second: 20.0 }];
     let mut bench = Bench::new(rows, 0);
     bench.list(&[listed(0, WorkerStatus::Ready, bench.record.now)]);
     bench.pass(age_ms * MS);
     for n in 1..7 {
         bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-        bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Full) });
+        bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
     }
     assert_eq!((1..7).map(|n| bench.sends(n).len()).sum::<usize>(), sends);
 }
@@ -145,14 +147,19 @@
 fn cold_sum(routers: u64, asks: u8) {
     let mut sent = 0;
     for me in 0..routers {
-        let mut rows = StartupConfig { me, seed: me, routers, ..rows(RetrySafety::Idempotent) };
-        rows.customers = vec![CustomerConfig { jobs_per_s: 160.0 }];
+        let mut rows = StartupConfig {
+            router_index: me,
+            seed: me,
+            router_count: routers,
+            ..rows(RetrySafety::Idempotent)
+        };
+        rows.customers = vec![CustomerConfig { requests_per_second: 160.0 }];
         let mut bench = Bench::new(rows, 7);
         let now = bench.record.now;
         bench.list(&[listed(7, WorkerStatus::Ready, now)]);
         for n in 0..asks {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-            bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Full) });
+            bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
             bench.pass(900 * MS / u64::from(asks));
         }
         sent += (0..asks).flat_map(|n| bench.sends(n)).filter(|s| *s == server(7)).count();
@@ -168,12 +175,13 @@
 fn cold_after_waiting() {
     let mut sent = 0;
     for me in 0..200 {
-        let mut rows = StartupConfig { me, seed: me, routers: 200, ..rows(RetrySafety::Idempotent) };
-        rows.customers = vec![CustomerConfig { jobs_per_s: 1600.0 }];
+        let mut rows =
+            StartupConfig { router_index: me, seed: me, router_count: 200, ..rows(RetrySafety::Idempotent) };
+        rows.customers = vec![CustomerConfig { requests_per_second: 1600.0 }];
         let mut bench = Bench::new(rows, 20);
         for n in 100..110 {
             bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-            (0..4).for_each(|k| bench.close(n, k, &answer(Outcome::NoConnection)));
+            (0..4).for_each(|k| bench.close(n, k, &answer(Outcome::ConnectFailed)));
         }
         (0..8).for_each(|n| bench.arrive(n, &format!("hut-{n}"), 5000 * MS));
         bench.list(&[listed(27, WorkerStatus::Ready, bench.record.now)]);
@@ -187,11 +195,11 @@
 #[test]
 fn one_attempt_at_a_time() {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.permits.second_copies = false;
+    rows.attempt_policy.hedging_allowed = false;
     let mut bench = Bench::new(rows, 8);
     bench.warm("hut");
     (1..3).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
-    bench.close(2, 0, &answer(Outcome::NoConnection));
+    bench.close(2, 0, &answer(Outcome::ConnectFailed));
     assert_eq!((bench.sends(1).len(), bench.record.did.contains(&Did::Cancel(job(1), 0))), (1, true));
     bench.close(1, 0, &answer(Outcome::Cancelled));
     assert_eq!(bench.sends(1).len(), 2);
@@ -203,7 +211,7 @@
 #[test]
 fn a_cancel_is_paid_for_when_it_is_ordered() {
     let mut rows = rows(RetrySafety::Idempotent);
-    rows.permits.second_copies = false;
+    rows.attempt_policy.hedging_allowed = false;
     let mut bench = Bench::new(rows, 8);
     let names: Vec<String> = (0..64).map(|n| format!("hut-{n}")).collect();
     names.iter().for_each(|name| _ = bench.warm(name));
@@ -211,7 +219,7 @@
     let mut broken = std::collections::BTreeSet::new();
     for n in 0..64 {
         if broken.len() < 4 && bench.sends(n).len() == 1 && broken.insert(bench.sends(n)[0]) {
-            bench.close(n, 0, &answer(Outcome::NoConnection));
+            bench.close(n, 0, &answer(Outcome::ConnectFailed));
         }
     }
     let off = |n: &u8| bench.record.did.contains(&Did::Cancel(job(*n), 0));
@@ -228,7 +236,7 @@
 fn switched(taken: RetrySafety, then: RetrySafety, sends: usize, kills: usize) {
     let mut bench = Bench::new(rows(taken), 8);
     bench.arrive(1, "hut", 5000 * MS);
-    bench.control.switch(&mut bench.record, rows(then));
+    bench.control.reconfigure(&mut bench.record, rows(then));
     bench.close(1, 0, &answer(Outcome::Error));
     assert_eq!((bench.sends(1).len(), bench.ends(1).len()), (sends, kills));
 }
@@ -241,8 +249,8 @@
     bench.pass(2600 * MS);
     assert_eq!(bench.sends(1).len(), 2);
     let mut without = rows(RetrySafety::Idempotent);
-    without.permits.second_copies = false;
-    bench.control.switch(&mut bench.record, without);
+    without.attempt_policy.hedging_allowed = false;
+    bench.control.reconfigure(&mut bench.record, without);
     let cancels = bench.record.did.iter().filter(|d| matches!(d, Did::Cancel(..)));
     assert_eq!(cancels.collect::<Vec<_>>(), [&Did::Cancel(job(1), 1)]);
 }
@@ -256,13 +264,25 @@
     let sends = |told: Option<WorkerHistory>| {
         let mut bench = Bench::new(rows(RetrySafety::Idempotent), 1);
         if let Some(told) = told {
-            assert_eq!(bench.control.recall(server(0), up_since, &told), taken);
+            assert_eq!(bench.control.restore_worker_history(server(0), up_since, &told), taken);
         }
         (0..60).for_each(|n| bench.arrive(n, &format!("hut.{n}"), 5000 * MS));
-        let before = bench.control.learned().map(|(_, _, l)| (l.room, l.aside)).collect::<Vec<_>>();
+        let before = bench
+            .control
+            .worker_histories()
+            .map(|(_, _, l)| (l.concurrency_limit, l.ejected))
+            .collect::<Vec<_>>();
         (before, (0..60).map(|n| bench.sends(n).len()).sum::<usize>())
     };
-    let (fresh, told) = (sends(None), sends(Some(WorkerHistory { room, lag: 0.0, errors: 0.0, aside })));
+    let (fresh, told) = (
+        sends(None),
+        sends(Some(WorkerHistory {
+            concurrency_limit: room,
+            queueing_delay: 0.0,
+            error_rate: 0.0,
+            ejected: aside,
+        })),
+    );
     assert_eq!(told == fresh, as_before, "{told:?} and {fresh:?}");
     assert!(told.1 <= fresh.1 && told.0[0].0 <= fresh.0[0].0);
     assert!(told.1 > 0, "it is tried");
