--- a/benches/crowd.rs
+++ b/benches/crowd.rs
@@ -1,8 +1,8 @@
-//! What a job costs in the module: workers in the list x jobs that wait. `cargo bench --bench crowd`.
+//! What a request costs in the module: workers in the list x requests that wait. `cargo bench --bench crowd`.
 //!
-//! One router, 10 jobs a second a worker, answers after 100 ms, a function of its own for every worker; jobs
-//! that wait are of functions whose first load is never answered. µs of CPU a job, all events and beats
-//! included.
+//! One router, 10 requests a second a worker, answers after 100 ms, a function of its own for every worker;
+//! requests that wait are of functions whose first load is never answered. µs of CPU a request, all events
+//! and beats included.
 use applepond::control::Control;
 use applepond::interface::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -10,7 +10,7 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// Functions that the waiting jobs are of.
+/// Functions that the waiting requests are of.
 const WAITING_FUNCTIONS: u64 = 100;
 /// Longest real time that one row may take.
 const PATIENCE_S: f64 = 4.0;
@@ -26,10 +26,10 @@
 }
 
 impl Actions for Bench {
-    fn send(&mut self, job: RequestId, _: WorkerId, _: Micros, _: Micros) {
-        let n = self.attempts.entry(job.0).or_insert(0);
+    fn send(&mut self, request: RequestId, _: WorkerId, _: Micros, _: Micros) {
+        let n = self.attempts.entry(request.0).or_insert(0);
         if !self.silent {
-            self.answers.push_back((self.now + 100 * MS, job, *n));
+            self.answers.push_back((self.now + 100 * MS, request, *n));
         }
         *n += 1;
     }
@@ -110,8 +110,8 @@
         bench.now = bench.now.max(at);
         control.advance_to(bench.now);
         if answer_at == Some(at) {
-            let (_, job, n) = bench.answers.pop_front().expect("there is one");
-            control.attempt_finished(bench, job, n, &answer());
+            let (_, request, n) = bench.answers.pop_front().expect("there is one");
+            control.attempt_finished(bench, request, n, &answer());
         } else {
             let (_, token) = bench.timers.pop_first().expect("there is one");
             control.timer_fired(bench, token);
@@ -135,7 +135,7 @@
     }
 }
 
-/// µs a job, and how many jobs waited at the end.
+/// µs a request, and how many requests waited at the end.
 fn cost(workers: u64, waiting: u64) -> (f64, u64) {
     let mut bench = Bench { now: 1_000 * S, ..Bench::default() };
     let mut control = Control::new(bench.now, rows(), &mut bench);
@@ -175,14 +175,14 @@
     }
     bench.silent = false;
     let gap = S / (10 * workers);
-    let (begun, mut jobs) = (Instant::now(), 0u64);
-    while jobs < 40 * workers && begun.elapsed().as_secs_f64() < PATIENCE_S {
-        ask(&mut control, &mut bench, &format!("f{}", jobs * 7 % workers), 0);
-        jobs += 1;
+    let (begun, mut requests) = (Instant::now(), 0u64);
+    while requests < 40 * workers && begun.elapsed().as_secs_f64() < PATIENCE_S {
+        ask(&mut control, &mut bench, &format!("f{}", requests * 7 % workers), 0);
+        requests += 1;
         let until = bench.now + gap;
         pass(&mut control, &mut bench, until);
     }
-    (begun.elapsed().as_secs_f64() * 1e6 / jobs as f64, waiting - (bench.ended - ended))
+    (begun.elapsed().as_secs_f64() * 1e6 / requests as f64, waiting - (bench.ended - ended))
 }
 
 fn main() {
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -36,28 +36,29 @@
     time as f64 / 1000.0
 }
 
-fn id_text(job: &RequestId) -> &str {
-    std::str::from_utf8(&job.0).expect("ids came in as text")
+fn id_text(request: &RequestId) -> &str {
+    std::str::from_utf8(&request.0).expect("ids came in as text")
 }
 
 impl Actions for Reply<'_> {
     /// On the simulator's wire an attempt leaves when it is ordered.
-    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, _begin: Micros) {
+    fn send(&mut self, request: RequestId, server: WorkerId, patience: Micros, _begin: Micros) {
         let server = &self.names.servers[&server];
-        self.actions
-            .push(json!({"op": "try", "msg-id": id_text(&job), "server": server, "patience": ms(patience)}));
+        self.actions.push(
+            json!({"op": "try", "msg-id": id_text(&request), "server": server, "patience": ms(patience)}),
+        );
     }
 
-    fn cancel(&mut self, job: RequestId, attempt: usize) {
-        self.actions.push(json!({"op": "call-off", "msg-id": id_text(&job), "send-no": attempt}));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.actions.push(json!({"op": "call-off", "msg-id": id_text(&request), "send-no": attempt}));
     }
 
-    fn reject(&mut self, job: RequestId, come_back: Option<Micros>) {
-        self.actions.push(json!({"op": "decline", "msg-id": id_text(&job), "wait": come_back.map(ms)}));
+    fn reject(&mut self, request: RequestId, come_back: Option<Micros>) {
+        self.actions.push(json!({"op": "decline", "msg-id": id_text(&request), "wait": come_back.map(ms)}));
     }
 
-    fn fail(&mut self, job: RequestId) {
-        self.actions.push(json!({"op": "report-failure", "msg-id": id_text(&job)}));
+    fn fail(&mut self, request: RequestId) {
+        self.actions.push(json!({"op": "report-failure", "msg-id": id_text(&request)}));
     }
 
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
@@ -153,7 +154,7 @@
                     Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
                 };
                 let arrival = RequestArrival {
-                    request: job(event)?,
+                    request: request(event)?,
                     function: FunctionId::named(text(event, "model")?),
                     workload: WorkloadId(position(&names.words.workloads, event, "type")?),
                     customer,
@@ -179,13 +180,13 @@
                 };
                 control.attempt_finished(
                     reply,
-                    job(event)?,
+                    request(event)?,
                     number_or(event, "send-no", 0.0)? as usize,
                     &answer,
                 );
             }
-            "streaming" => control.response_started(job(event)?),
-            "expired" => control.client_disconnected(reply, job(event)?),
+            "streaming" => control.response_started(request(event)?),
+            "expired" => control.client_disconnected(reply, request(event)?),
             "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
             // Nothing is decided on these yet: no probe, message or order to load is ever sent.
             "probed" | "whisper" | "stands" => {}
@@ -227,7 +228,7 @@
     })
 }
 
-fn job(from: &Value) -> Read<RequestId> {
+fn request(from: &Value) -> Read<RequestId> {
     let id = text(from, "msg-id")?;
     id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "36 characters are wanted"))
 }
--- a/crates/admission/src/advice.rs
+++ b/crates/admission/src/advice.rs
@@ -8,10 +8,10 @@
 const SPREAD: f64 = 0.5;
 /// Times the wait doubles for a client that comes before its time: it loses to those that follow, not to all.
 const DOUBLES: u32 = 4;
-/// µs that a job needs to be worth coming back for.
+/// µs that a request needs to be worth coming back for.
 const WORTH: Micros = 100_000;
 /// µs named at most: the pace may be known better by then, above all to a router that has just started (in
-/// the drill 454 of 17,000 jobs of clients that follow were not done 60 s after, with workers idle).
+/// the drill 454 of 17,000 requests of clients that follow were not done 60 s after, with workers idle).
 const LONGEST: Micros = 20_000_000;
 
 #[derive(Default)]
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -10,7 +10,7 @@
 
 /// µs in which a client's tries lose half their weight.
 const HALF_LIFE: Micros = 10_000_000;
-/// µs for which a job's name is known: longer than any deadline.
+/// µs for which a request's name is known: longer than any deadline.
 const KNOWN: Micros = 60_000_000;
 /// Retries that a client has in any case, and a first try earns on top: the usual fifth of retry budgets.
 const RETRIES_FREE: f32 = 3.0;
@@ -23,8 +23,8 @@
 const FOR_FIRSTS_TOLD: f64 = 0.25;
 const FOR_IMPORTANT: f64 = 0.2;
 /// Part that a client over its budget, or before its time, leaves to all others. It is let in behind them
-/// rather than never: a job that could be done and is not keeps coming back, and the storm lasts (measured:
-/// 29 s instead of 11).
+/// rather than never: a request that could be done and is not keeps coming back, and the storm lasts
+/// (measured: 29 s instead of 11).
 const FOR_FOLLOWERS: f64 = 0.3;
 /// Part of the pace that a storm's advice hands out: the rest is for those who come of themselves.
 const ADVISED: f64 = 0.7;
@@ -42,12 +42,12 @@
 /// Jobs a second taken for the pace before any has finished.
 const PACE_UNKNOWN: f64 = 50.0;
 
-/// One job on its way in.
+/// One request on its way in.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     /// Digest of who asks.
     pub client: u64,
-    /// Digest of the job's name.
+    /// Digest of the request's name.
     pub name: u64,
     /// The client says that it has asked before.
     pub retry: bool,
@@ -73,7 +73,7 @@
     retries: Counts,
     /// Clients that came before their time.
     early: Counts,
-    /// Times told, by job.
+    /// Times told, by request.
     promises: Promises,
     doors: Doors,
     advice: Advice,
@@ -194,7 +194,7 @@
         Passage::Back { wait: self.come_back(now, arrival.client, arrival.name, arrival.left), why }
     }
 
-    /// When the job `name` of a client, pushed back here or by the module, should come back.
+    /// When the request `name` of a client, pushed back here or by the module, should come back.
     pub fn come_back(&mut self, now: Micros, client: u64, name: u64, left: Micros) -> Option<Micros> {
         let ignored = self.early.of(now, client).floor() as u32;
         let pace = self.advised(now);
@@ -204,7 +204,7 @@
         Some(wait)
     }
 
-    /// The module itself named a time to a job that it pushed back.
+    /// The module itself named a time to a request that it pushed back.
     pub fn told(&mut self, name: u64, until: Micros) {
         self.promises.told(name, until);
     }
@@ -219,7 +219,7 @@
         &self.doors
     }
 
-    /// A job's end: `finished`, or pushed back by the module; a kill is neither.
+    /// A request's end: `finished`, or pushed back by the module; a kill is neither.
     pub fn ended(&mut self, now: Micros, finished: bool, pushed_back: bool) {
         if finished {
             self.watch.finished.add(now);
@@ -233,7 +233,7 @@
         }
     }
 
-    /// What was usual before a restart, and the pace at which the fleet finished jobs then.
+    /// What was usual before a restart, and the pace at which the fleet finished requests then.
     pub fn recall(&mut self, now: Micros, (rate, opened): (f64, f64), pace: f64) {
         self.watch.recall(now, rate, opened);
         if self.pace == 0.0 {
--- a/crates/admission/src/promise.rs
+++ b/crates/admission/src/promise.rs
@@ -1,4 +1,4 @@
-//! Times to come back that were told, by the job they were told for, and whether they are kept.
+//! Times to come back that were told, by the request they were told for, and whether they are kept.
 //!
 //! A table of bounded size, one place an id: two ids that share a place drop the older promise, and whoever
 //! comes without one is taken to keep it. An error is thus in a client's favour.
@@ -8,11 +8,11 @@
 const PLACES: usize = 1 << 15;
 /// µs that a client may come early: times travel in whole ms.
 const EARLY: Micros = 10_000;
-/// µs past the promised time for which coming back still counts as following it; later, it is only a job
+/// µs past the promised time for which coming back still counts as following it; later, it is only a request
 /// seen before.
 const LATE: Micros = 5_000_000;
 
-/// How a job that is seen again stands to what it was told.
+/// How a request that is seen again stands to what it was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kept {
     /// Nothing is known to have been told.
@@ -42,12 +42,13 @@
         mix(29, id) as usize % PLACES
     }
 
-    /// The job `id` was told to come back at `until`.
+    /// The request `id` was told to come back at `until`.
     pub fn told(&mut self, id: u64, until: Micros) {
         self.0[Self::place(id)] = Place { id, until };
     }
 
-    /// The job is here again. A promise that was kept is done with; one that was not stands until the next.
+    /// The request is here again. A promise that was kept is done with; one that was not stands until the
+    /// next.
     pub fn came(&mut self, now: Micros, id: u64) -> Kept {
         let place = &mut self.0[Self::place(id)];
         if place.id != id || place.until == 0 {
@@ -91,7 +92,7 @@
         assert_eq!(promises.came(3 * S, 7), Kept::Untold);
     }
 
-    // Whatever number of jobs there is: nobody is called early who was not told.
+    // Whatever number of requests there is: nobody is called early who was not told.
     #[test]
     fn a_full_table_errs_in_the_clients_favour() {
         let mut promises = Promises::default();
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/watch.rs
@@ -9,7 +9,7 @@
 const HOUR: Micros = 3_600_000_000;
 const HOURS: usize = 24;
 /// Share of retries from which on it is a storm or a loop; below `SHARE_LOW` it ends. Clients that retry one
-/// lost answer in a hundred are far below; when a hall is cut each job comes back at least once.
+/// lost answer in a hundred are far below; when a hall is cut each request comes back at least once.
 const SHARE_HIGH: f64 = 0.3;
 const SHARE_LOW: f64 = 0.1;
 /// Times the usual number of connections opened anew from which on that speaks for a storm; alone it says
--- a/crates/admission/tests/days.rs
+++ b/crates/admission/tests/days.rs
@@ -21,7 +21,7 @@
         Day { gate: Gate::new(now, 7), now, next: 0, let_in: 0, back: 0, waits: Vec::new() }
     }
 
-    /// One job of a client; a retry carries the name of an earlier one.
+    /// One request of a client; a retry carries the name of an earlier one.
     fn ask(&mut self, client: u64, name: u64, told: bool) -> Passage {
         let arrival = Arrival { client, name, retry: told, importance: 1.0, left: 60 * S };
         let passage = self.gate.arrive(self.now, &arrival);
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -148,17 +148,17 @@
 }
 
 impl Actions for World {
-    fn send(&mut self, job: RequestId, server: WorkerId, _: Micros, _: Micros) {
-        self.sent.push((job, server));
+    fn send(&mut self, request: RequestId, server: WorkerId, _: Micros, _: Micros) {
+        self.sent.push((request, server));
     }
-    fn cancel(&mut self, job: RequestId, attempt: usize) {
-        self.cancelled.push((job, attempt));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.cancelled.push((request, attempt));
     }
-    fn reject(&mut self, job: RequestId, _: Option<Micros>) {
-        self.ended.push(job);
+    fn reject(&mut self, request: RequestId, _: Option<Micros>) {
+        self.ended.push(request);
     }
-    fn fail(&mut self, job: RequestId) {
-        self.ended.push(job);
+    fn fail(&mut self, request: RequestId) {
+        self.ended.push(request);
     }
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.insert((self.now + delay, token));
@@ -409,9 +409,9 @@
     }
 
     fn answer(&mut self, costs: &mut Costs) {
-        let ((_, job, attempt), server) = self.answers.pop_first().expect("it is due");
-        let Some(request) = self.requests.get(&job.0) else { return };
-        let function = request.function;
+        let ((_, request, attempt), server) = self.answers.pop_first().expect("it is due");
+        let Some(called) = self.requests.get(&request.0) else { return };
+        let function = called.function;
         let fleet_per_s = self.popularity.part(function) * self.size.calls_per_s * self.size.routers as f64;
         let copy = (server.0, function);
         let stood = self.copies.get(&copy).is_some_and(|until| *until > self.world.now);
@@ -426,9 +426,9 @@
             reported_loads: Some(0.1),
         };
         self.meter.run(&mut costs.answers, || {
-            self.control.attempt_finished(&mut self.world, job, attempt, &answer)
+            self.control.attempt_finished(&mut self.world, request, attempt, &answer)
         });
-        self.requests.remove(&job.0);
+        self.requests.remove(&request.0);
         self.ends.served += 1;
     }
 
@@ -442,22 +442,22 @@
     fn carry_out(&mut self) {
         // Buffers stay, or what they hold would count as the router's.
         let mut sent = std::mem::take(&mut self.world.sent);
-        for (job, server) in sent.drain(..) {
-            let Some(request) = self.requests.get_mut(&job.0) else { continue };
-            let attempt = request.attempts;
-            request.attempts += 1;
-            let function = request.function;
+        for (request, server) in sent.drain(..) {
+            let Some(called) = self.requests.get_mut(&request.0) else { continue };
+            let attempt = called.attempts;
+            called.attempts += 1;
+            let function = called.function;
             let stands = self.stands(server, function);
             if stands {
                 self.copies.insert((server.0, function), self.world.now + KEEP);
             }
             let took = if stands { SERVICE } else { SERVICE + LOAD };
-            self.answers.insert((self.world.now + took, job, attempt), server);
+            self.answers.insert((self.world.now + took, request, attempt), server);
         }
         self.world.sent = sent;
         self.world.cancelled.clear();
-        for job in self.world.ended.drain(..) {
-            self.requests.remove(&job.0);
+        for request in self.world.ended.drain(..) {
+            self.requests.remove(&request.0);
             self.ends.given_up += 1;
         }
     }
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -1,4 +1,4 @@
-//! `drill`: plays a day, prints what came of it, and exits 0 only if all rules held and no job went
+//! `drill`: plays a day, prints what came of it, and exits 0 only if all rules held and no request went
 //! unanswered.
 use applepond_scenarios::audit::Verdict;
 use applepond_scenarios::chains::{self, PLAN};
@@ -92,7 +92,7 @@
         #[arg(long)]
         keep: Option<std::path::PathBuf>,
     },
-    /// Most routers die and come back with jobs under way; judged from sockets.
+    /// Most routers die and come back with requests under way; judged from sockets.
     Comeback {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -440,7 +440,7 @@
         if json {
             println!(
                 "{}",
-                json!({"seed": seed, "routers": routers, "fault": fault, "way": way, "jobs": r.jobs,
+                json!({"seed": seed, "routers": routers, "fault": fault, "way": way, "jobs": r.requests,
                     "before": before, "dead": dead, "after-2s": after, "whole-ms": r.whole,
                     "loads": {"before": r.loads.0, "after": r.loads.1}, "fell": r.fell,
                     "strays": {"all": r.strays.0, "after-grace": r.strays.1},
@@ -449,7 +449,7 @@
             );
             continue;
         }
-        println!("comeback, seed {seed}, {routers} routers, {fault}, from {way}: {} jobs", r.jobs);
+        println!("comeback, seed {seed}, {routers} routers, {fault}, from {way}: {} jobs", r.requests);
         println!(
             "  in time: {:.1} % before, {:.1} % while they are dead, {:.1} % in the 2 s after the last start",
             100.0 * before,
@@ -511,13 +511,13 @@
         if json {
             println!(
                 "{}",
-                json!({"seed": seed, "routers": routers, "fault": fault, "way": way, "jobs": r.jobs,
+                json!({"seed": seed, "routers": routers, "fault": fault, "way": way, "jobs": r.requests,
                     "in-time": r.in_time, "preparing-s": r.preparing, "prepared": r.prepared,
                     "pinned": r.pinned, "most-at-one": r.most, "broken": r.broken, "looks-like": planted})
             );
             continue;
         }
-        println!("openings, seed {seed}, {routers} routers, {fault}, {way}: {} jobs", r.jobs);
+        println!("openings, seed {seed}, {routers} routers, {fault}, {way}: {} jobs", r.requests);
         println!(
             "  last 20 s: {:.1} % in time, {:.1} s of preparing for {} openings; {} came with a lease, {} at \
              one worker at most",
@@ -625,7 +625,7 @@
 }
 
 fn print_storm(report: &storm::Report, rows: bool) {
-    for (n, (jobs, ok, asked)) in report.seconds.iter().enumerate().filter(|_| rows) {
+    for (n, (requests, ok, asked)) in report.seconds.iter().enumerate().filter(|_| rows) {
         let at = if n == report.cut.0 {
             "cut"
         } else if n == report.cut.1 {
@@ -653,11 +653,13 @@
 fn print_table(report: &Report, seed: u64) {
     println!("\nbad day, seed {seed}");
     println!("  {:>7}  {:>5}  {:>7}  what happened", "from s", "jobs", "in time");
-    for (n, (jobs, served)) in report.windows.iter().enumerate().filter(|(_, (jobs, _))| *jobs > 0) {
+    for (n, (requests, served)) in
+        report.windows.iter().enumerate().filter(|(_, (requests, _))| *requests > 0)
+    {
         let from = n as u64 * 2_000_000;
         let within = report.story.iter().filter(|(at, _)| (from..from + 2_000_000).contains(at));
         let story: Vec<&str> = within.map(|(_, what)| what.as_str()).collect();
-        let part = 100.0 * *served as f64 / *jobs as f64;
+        let part = 100.0 * *served as f64 / *requests as f64;
         println!("  {:>7}  {jobs:>5}  {part:>6.1}%  {}", n * 2, story.join("; "));
     }
     let got: Vec<String> = report.got.iter().map(|(got, n)| format!("{n} {got:?}")).collect();
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -178,8 +178,8 @@
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
         self.0.borrow_mut().saw_usual(now, usual);
     }
-    fn promised(&mut self, now: Micros, job: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, job, wait);
+    fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
+        self.0.borrow_mut().promised(now, request, wait);
     }
     fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Routes jobs to workers that load functions on demand.
+/// Routes requests to workers that load functions on demand.
 #[derive(Parser)]
 #[command(name = "applepond", version)]
 struct Line {
--- a/crates/cli/tests/switch.rs
+++ b/crates/cli/tests/switch.rs
@@ -1,4 +1,4 @@
-//! A running process takes new settings by SIGHUP, there and back, with a job under way.
+//! A running process takes new settings by SIGHUP, there and back, with a request under way.
 mod common;
 use common::*;
 use rustix::process::{Pid, Signal, kill_process};
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -2,7 +2,7 @@
 //! leave.
 //!
 //! The contract of docs/gateway.md: a pushback may be retried by anybody, a connection that never stood too;
-//! what broke off in between only where the job is idempotent.
+//! what broke off in between only where the request is idempotent.
 use crate::ledger::{Event, Ledger, Saw};
 use crate::wording::{Message, Talk};
 use applepond_http::decode::Side;
@@ -22,7 +22,7 @@
 /// What a client asks next, once it has been answered after so many µs: none when it has all that it wants.
 pub type Follow = Rc<dyn Fn(&Planned, Micros, &Message) -> Option<Planned>>;
 
-/// One job as the script has it.
+/// One request as the script has it.
 #[derive(Clone)]
 pub struct Planned {
     pub at: Micros,
@@ -54,7 +54,7 @@
     pub follow: Option<Follow>,
 }
 
-/// How a job ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Got {
     #[default]
@@ -69,7 +69,7 @@
 }
 
 struct Exchange {
-    job: usize,
+    request: usize,
     conn: Conn,
     router: usize,
     open: bool,
@@ -83,7 +83,7 @@
 }
 
 enum Then {
-    Ask { job: usize, router: usize, twin: bool },
+    Ask { request: usize, router: usize, twin: bool },
     Leave(usize),
     GiveUp(u64),
 }
@@ -129,18 +129,18 @@
         transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
     }
 
-    fn settle(&self, now: Micros, job: usize, got: Got) {
+    fn settle(&self, now: Micros, request: usize, got: Got) {
         let mut results = self.results.borrow_mut();
-        if results.got[job].0 == Got::Nothing {
-            results.got[job] = (got, now - self.plan[job].at);
+        if results.got[request].0 == Got::Nothing {
+            results.got[request] = (got, now - self.plan[request].at);
             results.done += 1;
         }
     }
 
-    fn ask(&mut self, now: Micros, transport: &mut dyn Transport, job: usize, router: usize, twin: bool) {
-        let planned = &self.plan[job];
+    fn ask(&mut self, now: Micros, transport: &mut dyn Transport, request: usize, router: usize, twin: bool) {
+        let planned = &self.plan[request];
         if now >= planned.at + planned.limit {
-            return self.settle(now, job, Got::Nothing);
+            return self.settle(now, request, Got::Nothing);
         }
         let idle = self.idle.iter().position(|(r, _)| *r == router);
         let at = self.routers.borrow()[router];
@@ -149,7 +149,7 @@
             None => (transport.connect(at, planned.limit), false),
         };
         self.next += 1;
-        self.exchanges.insert(self.next, Exchange { job, conn, router, open: true, twin });
+        self.exchanges.insert(self.next, Exchange { request, conn, router, open: true, twin });
         let talk = self.talks.entry(conn).or_insert_with(|| (Talk::new(Side::Client), 0));
         talk.1 = self.next;
         let (limit, number) = (planned.at + planned.limit + LISTENS, self.next);
@@ -162,9 +162,9 @@
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some((_, number)) = self.talks.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
-        let p = &self.plan[exchange.job];
+        let p = &self.plan[exchange.request];
         let left = ((p.at + p.limit).saturating_sub(now) / 1000).to_string();
-        let (work, retry) = (p.work_ms.to_string(), (self.tries[exchange.job] > 1).to_string());
+        let (work, retry) = (p.work_ms.to_string(), (self.tries[exchange.request] > 1).to_string());
         let mark = p.keyed.to_string();
         let opening = p.opening.as_ref().map(|(name, size)| (name.as_str(), size.to_string()));
         let mut attributes = vec![
@@ -201,15 +201,15 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: usize,
+        request: usize,
         router: usize,
         wait: Micros,
     ) -> bool {
-        let p = &self.plan[job];
-        let may = self.tries[job] < p.tries && now + wait < p.at + p.limit;
+        let p = &self.plan[request];
+        let may = self.tries[request] < p.tries && now + wait < p.at + p.limit;
         if may {
-            self.tries[job] += 1;
-            self.wake(transport, now + wait, Then::Ask { job, router, twin: false });
+            self.tries[request] += 1;
+            self.wake(transport, now + wait, Then::Ask { request, router, twin: false });
         }
         may
     }
@@ -219,38 +219,38 @@
             return self.ledger.write(now, Saw::Stray { exchange: number });
         };
         exchange.open = false;
-        let (job, conn, router, twin) = (exchange.job, exchange.conn, exchange.router, exchange.twin);
+        let (request, conn, router, twin) = (exchange.request, exchange.conn, exchange.router, exchange.twin);
         self.ledger.write(now, Saw::Answered { exchange: number, status: answer.status });
         if answer.keep {
             self.idle.push((router, conn));
         }
-        let late = now > self.plan[job].at + self.plan[job].target;
+        let late = now > self.plan[request].at + self.plan[request].target;
         match answer.status {
             200 => {
-                let p = &self.plan[job];
+                let p = &self.plan[request];
                 let next = p.follow.as_ref().and_then(|follow| follow(p, now - p.at, answer));
                 match next.filter(|_| !late) {
                     Some(next) => {
-                        self.plan[job] = next;
-                        self.tries[job] = 1;
-                        self.ask(now, transport, job, router, false);
+                        self.plan[request] = next;
+                        self.tries[request] = 1;
+                        self.ask(now, transport, request, router, false);
                     }
-                    None => self.settle(now, job, if late { Got::Late } else { Got::Finished }),
+                    None => self.settle(now, request, if late { Got::Late } else { Got::Finished }),
                 }
             }
             503 | 429 if !twin => {
                 let seconds = answer.number("retry-after").unwrap_or(1) * 1_000_000;
                 let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
                 let told = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
-                let own = self.plan[job].stays.filter(|_| self.plan[job].ignores);
+                let own = self.plan[request].stays.filter(|_| self.plan[request].ignores);
                 let wait = own.unwrap_or(told);
-                if !self.again(now, transport, job, router, wait) {
-                    self.settle(now, job, Got::PushedBack);
+                if !self.again(now, transport, request, router, wait) {
+                    self.settle(now, request, Got::PushedBack);
                 }
             }
             503 | 429 => {}
-            502 | 504 => self.settle(now, job, Got::Killed),
-            other => self.settle(now, job, Got::Other(other)),
+            502 | 504 => self.settle(now, request, Got::Killed),
+            other => self.settle(now, request, Got::Other(other)),
         }
     }
 
@@ -259,30 +259,30 @@
         let Some((_, number)) = self.talks.remove(&conn) else { return };
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
         exchange.open = false;
-        let (job, router, twin) = (exchange.job, exchange.router, exchange.twin);
+        let (request, router, twin) = (exchange.request, exchange.router, exchange.twin);
         self.ledger.write(now, Saw::Cut { exchange: number });
-        let stays = self.plan[job].stays;
+        let stays = self.plan[request].stays;
         let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
         let wait = stays.unwrap_or(ELSEWHERE);
-        let may = never || self.plan[job].idempotent;
-        let goes_on = twin || may && self.again(now, transport, job, elsewhere, wait);
+        let may = never || self.plan[request].idempotent;
+        let goes_on = twin || may && self.again(now, transport, request, elsewhere, wait);
         if !goes_on {
-            self.settle(now, job, Got::Broken);
+            self.settle(now, request, Got::Broken);
         }
     }
 }
 
 impl Machine for Client {
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
-        for job in 0..self.plan.len() {
-            let p = self.plan[job].clone();
-            self.tries[job] = 1;
-            self.wake(transport, p.at, Then::Ask { job, router: p.router, twin: false });
+        for request in 0..self.plan.len() {
+            let p = self.plan[request].clone();
+            self.tries[request] = 1;
+            self.wake(transport, p.at, Then::Ask { request, router: p.router, twin: false });
             if let Some(after) = p.twin_after {
-                self.wake(transport, p.at + after, Then::Ask { job, router: p.router, twin: true });
+                self.wake(transport, p.at + after, Then::Ask { request, router: p.router, twin: true });
             }
             if let Some(after) = p.leaves_after {
-                self.wake(transport, p.at + after, Then::Leave(job));
+                self.wake(transport, p.at + after, Then::Leave(request));
             }
         }
     }
@@ -308,26 +308,26 @@
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.wakes[wake.0 as usize].take() {
-            Some(Then::Ask { job, .. }) if self.results.borrow().got[job].0 != Got::Nothing => {}
-            Some(Then::Ask { job, router, twin }) => self.ask(now, transport, job, router, twin),
-            Some(Then::Leave(job)) => {
-                let mine = self.exchanges.iter_mut().filter(|(_, e)| e.job == job && e.open);
+            Some(Then::Ask { request, .. }) if self.results.borrow().got[request].0 != Got::Nothing => {}
+            Some(Then::Ask { request, router, twin }) => self.ask(now, transport, request, router, twin),
+            Some(Then::Leave(request)) => {
+                let mine = self.exchanges.iter_mut().filter(|(_, e)| e.request == request && e.open);
                 for (number, exchange) in mine {
                     exchange.open = false;
                     transport.cut(exchange.conn);
                     self.talks.remove(&exchange.conn);
                     self.ledger.write(now, Saw::Left { exchange: *number });
                 }
-                self.settle(now, job, Got::Left);
+                self.settle(now, request, Got::Left);
             }
             Some(Then::GiveUp(number)) => {
                 let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
                 exchange.open = false;
-                let (job, conn) = (exchange.job, exchange.conn);
+                let (request, conn) = (exchange.request, exchange.conn);
                 transport.cut(conn);
                 self.talks.remove(&conn);
                 self.ledger.write(now, Saw::GaveUp { exchange: number });
-                self.settle(now, job, Got::Broken);
+                self.settle(now, request, Got::Broken);
             }
             None => {}
         }
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -16,7 +16,7 @@
     TurnedAway { worker: Rc<str>, event: Event },
     /// Its work began: the effect counts from here.
     Began { worker: Rc<str>, event: Event },
-    /// A job came whose lease has an opening kept.
+    /// A request came whose lease has an opening kept.
     Pinned { worker: Rc<str>, router: u64, opening: Rc<str> },
     /// It prepared an opening, which took so many µs of a core.
     Prepared { worker: Rc<str>, opening: Rc<str>, took: Micros },
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -26,7 +26,7 @@
     pub rack: i64,
     pub cores: usize,
     pub memory_mb: u64,
-    /// Jobs that may wait here; beyond it a job is turned away as full.
+    /// Jobs that may wait here; beyond it a request is turned away as full.
     pub queue: usize,
     pub store: Option<SocketAddr>,
     /// µs of a load after its fetch.
@@ -39,7 +39,7 @@
     /// Falls over when sent over `fall_multiple` times what it can do, over `fall_span`.
     pub fall_multiple: f64,
     pub fall_span: Micros,
-    /// µs for which repeats of keyed jobs are dropped.
+    /// µs for which repeats of keyed requests are dropped.
     pub window: Micros,
     pub seed: u64,
     /// Units of openings that it keeps prepared; one takes so many µs a unit to prepare.
@@ -67,11 +67,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mood {
     Well,
-    /// This share of the jobs fails at once.
+    /// This share of the requests fails at once.
     FailFast(f64),
-    /// Takes jobs and answers none, those that run included.
+    /// Takes requests and answers none, those that run included.
     Hang,
-    /// Stands still: takes jobs, and ends none before it is over.
+    /// Stands still: takes requests, and ends none before it is over.
     Stall,
     /// Answers only the first half of an answer, then ends the connection.
     CutAnswers,
@@ -81,7 +81,7 @@
     NoHandshakes,
     /// Turns everything away, saying so.
     RefuseAll,
-    /// Turns one customer's jobs away, taking its time.
+    /// Turns one customer's requests away, taking its time.
     RefuseCustomer(u8),
     /// Sends each answer twice.
     TwoAnswers,
@@ -156,7 +156,7 @@
     up: Option<Listener>,
     started: Micros,
     talks: BTreeMap<Conn, Talk>,
-    jobs: BTreeMap<Conn, Job>,
+    requests: BTreeMap<Conn, Job>,
     queue: VecDeque<Conn>,
     copies: BTreeMap<Rc<str>, Copy>,
     fetches: BTreeMap<Conn, (Rc<str>, Talk)>,
@@ -182,7 +182,7 @@
             up: None,
             started: 0,
             talks: BTreeMap::new(),
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             queue: VecDeque::new(),
             copies: BTreeMap::new(),
             fetches: BTreeMap::new(),
@@ -213,7 +213,7 @@
         self.talks.keys().chain(self.fetches.keys()).for_each(|c| transport.cut(*c));
         self.life += 1;
         self.talks.clear();
-        self.jobs.clear();
+        self.requests.clear();
         self.queue.clear();
         self.copies.clear();
         self.fetches.clear();
@@ -252,7 +252,7 @@
         let loads = self.copies.values().filter(|c| c.loading).count();
         let mut head = encode::response(status)
             .field("applepond-company", &company.min(30).to_string())
-            .field("applepond-held", &self.jobs.len().to_string())
+            .field("applepond-held", &self.requests.len().to_string())
             .field("applepond-loads", &loads.to_string());
         for (name, value) in [("applepond-outcome", mark), ("applepond-copy", note)] {
             if !value.is_empty() {
@@ -342,7 +342,7 @@
             return self.answer(transport, conn, 200, "", "", 0);
         }
         let function: Rc<str> = Rc::from(asked.field("applepond-function"));
-        let company = self.jobs.values().filter(|j| j.function == function).count();
+        let company = self.requests.values().filter(|j| j.function == function).count();
         if self.queue.len() >= self.build.queue {
             return away(self, transport, company);
         }
@@ -377,8 +377,8 @@
             let (worker, opening) = (self.build.name.clone(), opening.name.clone());
             self.ledger.write(now, Saw::Pinned { worker, router, opening });
         }
-        let job = Job { event, function, work, marked, note, company, running: false, opening };
-        self.jobs.insert(conn, job);
+        let request = Job { event, function, work, marked, note, company, running: false, opening };
+        self.requests.insert(conn, request);
         self.queue.push_back(conn);
         self.go_on(now, transport);
     }
@@ -387,11 +387,14 @@
     fn make_room(&mut self, now: Micros, wanted: u64) -> bool {
         let keep = self.build.keep;
         self.copies.retain(|f, c| {
-            c.loading || c.running > 0 || c.last + keep > now || self.jobs.values().any(|j| j.function == *f)
+            c.loading
+                || c.running > 0
+                || c.last + keep > now
+                || self.requests.values().any(|j| j.function == *f)
         });
         while self.copies.values().map(|c| c.memory_mb).sum::<u64>() + wanted > self.build.memory_mb {
             let idle = self.copies.iter().filter(|(f, c)| {
-                !c.loading && c.running == 0 && !self.jobs.values().any(|j| j.function == **f)
+                !c.loading && c.running == 0 && !self.requests.values().any(|j| j.function == **f)
             });
             let Some(oldest) = idle.min_by_key(|(_, c)| c.last).map(|(f, _)| f.clone()) else { return false };
             self.copies.remove(&oldest);
@@ -401,18 +404,18 @@
 
     /// Begins what may begin: oldest first, where a copy has a lane and a core is free.
     fn go_on(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let mut free = self.build.cores.saturating_sub(self.jobs.values().filter(|j| j.running).count());
+        let mut free = self.build.cores.saturating_sub(self.requests.values().filter(|j| j.running).count());
         for conn in self.queue.iter().copied().collect::<Vec<_>>() {
-            let Some(job) = self.jobs.get_mut(&conn) else { continue };
-            let Some(copy) = self.copies.get_mut(&job.function) else { continue };
+            let Some(request) = self.requests.get_mut(&conn) else { continue };
+            let Some(copy) = self.copies.get_mut(&request.function) else { continue };
             if free == 0 || copy.loading || copy.running >= copy.lanes {
                 continue;
             }
             free -= 1;
             copy.running += 1;
-            job.running = true;
-            let (worker, event, mut work) = (self.build.name.clone(), job.event.clone(), job.work);
-            let opening = job.opening.clone();
+            request.running = true;
+            let (worker, event, mut work) = (self.build.name.clone(), request.event.clone(), request.work);
+            let opening = request.opening.clone();
             self.queue.retain(|c| *c != conn);
             self.ledger.write(now, Saw::Began { worker, event });
             work += opening.map_or(0, |opening| self.prepares(now, &opening));
@@ -421,8 +424,8 @@
         }
     }
 
-    /// What a job has to wait for its opening: nothing where it is prepared. Where there is no room the one
-    /// longest not used goes, pinned ones last.
+    /// What a request has to wait for its opening: nothing where it is prepared. Where there is no room the
+    /// one longest not used goes, pinned ones last.
     fn prepares(&mut self, now: Micros, opening: &Opening) -> Micros {
         let pinned = now + opening.lease;
         if let Some(kept) = self.prepared.get_mut(&opening.name) {
@@ -442,27 +445,27 @@
     }
 
     fn done(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        let Some(job) = self.jobs.remove(&conn) else { return };
-        if let Some(copy) = self.copies.get_mut(&job.function) {
+        let Some(request) = self.requests.remove(&conn) else { return };
+        if let Some(copy) = self.copies.get_mut(&request.function) {
             copy.running -= 1;
             copy.last = now;
         }
-        let (worker, event) = (self.build.name.clone(), job.event.clone());
+        let (worker, event) = (self.build.name.clone(), request.event.clone());
         self.ledger.write(now, Saw::Done { worker, event: event.clone() });
         self.facts = facts(&event);
-        if job.marked {
-            self.rack.borrow_mut().insert(job.event.clone(), now + self.build.window);
+        if request.marked {
+            self.rack.borrow_mut().insert(request.event.clone(), now + self.build.window);
         }
-        self.answer(transport, conn, 200, "", job.note, job.company);
+        self.answer(transport, conn, 200, "", request.note, request.company);
         self.go_on(now, transport);
     }
 
     fn load_failed(&mut self, now: Micros, transport: &mut dyn Transport, function: &Rc<str>) {
         self.copies.remove(function);
         let waits = |j: &Job| j.function == *function;
-        let jobs: Vec<Conn> = self.jobs.iter().filter(|(_, j)| waits(j)).map(|(c, _)| *c).collect();
-        for conn in jobs {
-            self.jobs.remove(&conn);
+        let requests: Vec<Conn> = self.requests.iter().filter(|(_, j)| waits(j)).map(|(c, _)| *c).collect();
+        for conn in requests {
+            self.requests.remove(&conn);
             self.queue.retain(|c| *c != conn);
             self.answer(transport, conn, 500, "", "load-failed", 0);
         }
@@ -473,9 +476,9 @@
     /// core.
     fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.talks.remove(&conn);
-        if let Some(job) = self.jobs.remove(&conn) {
+        if let Some(request) = self.requests.remove(&conn) {
             self.queue.retain(|c| *c != conn);
-            if let Some(copy) = self.copies.get_mut(&job.function).filter(|_| job.running) {
+            if let Some(copy) = self.copies.get_mut(&request.function).filter(|_| request.running) {
                 copy.running -= 1;
             }
             self.go_on(now, transport);
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -224,7 +224,7 @@
 
     // ---- Openings ----------------------------------------------------------------------------
 
-    /// A job that was taken begins with this.
+    /// A request that was taken begins with this.
     pub fn uses(&mut self, name: &str, size: u32) {
         let Some(openings) = &mut self.openings else { return };
         let id = OpeningId(FunctionId::named(name).0);
@@ -234,7 +234,7 @@
         }
     }
 
-    /// For how long the worker of a job that is written now may keep it.
+    /// For how long the worker of a request that is written now may keep it.
     pub fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
         let openings = self.openings.as_ref()?;
         let held = self.register.as_ref()?.held(now)?;
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -1,7 +1,7 @@
 //! One instance on one core, beside a plain forwarder on the same reactor: `cargo bench --bench gateway`.
 //!
 //! Three threads: clients, the instance or the forwarder, workers that answer at once. Peak rate with 64
-//! connections always asking; then latency from the time a job should have been sent, at half of the
+//! connections always asking; then latency from the time a request should have been sent, at half of the
 //! gateway's peak; then bytes of a connection that lies idle. CPU is that of the middle thread alone.
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -63,7 +63,7 @@
     talks: BTreeMap<Conn, Decoder>,
 }
 
-/// Passes each request on as it came, in turn over the workers, and the answer back: no decision, no job.
+/// Passes each request on as it came, in turn over the workers, and the answer back: no decision, no request.
 struct Forwarder {
     at: mpsc::Sender<SocketAddr>,
     workers: Vec<SocketAddr>,
@@ -342,10 +342,10 @@
     let cpu = middle_thread.map_or(0, |t| t.join().expect("the middle ends"));
     worker_thread.join().expect("workers end");
     let out = out.lock().expect("all have ended");
-    let jobs = out.0.len();
+    let requests = out.0.len();
     Measured {
-        rate: jobs as f64 / (RUN as f64 * 0.8 / 1e6),
-        cpu_per_job: cpu as f64 * 0.8 / jobs.max(1) as f64,
+        rate: requests as f64 / (RUN as f64 * 0.8 / 1e6),
+        cpu_per_job: cpu as f64 * 0.8 / requests.max(1) as f64,
         p50: out.0.value_at_quantile(0.5),
         p99: out.0.value_at_quantile(0.99),
         refused: out.1,
@@ -357,8 +357,8 @@
     text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
-/// Bytes of this process a client connection that carried one job and lies idle; the clients' ends are bare
-/// sockets.
+/// Bytes of this process a client connection that carried one request and lies idle; the clients' ends are
+/// bare sockets.
 fn idle_bytes() -> usize {
     let stop = Arc::new(AtomicBool::new(false));
     let (addresses, worker_thread) = workers(&stop);
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,9 +1,9 @@
-//! Which exchanges share a job, and what is told again after its end.
+//! Which exchanges share a request, and what is told again after its end.
 //!
-//! A job's name is (`source`, `id`): CloudEvents makes two events with the same pair the same event. An
-//! exchange that names a running job joins it. After the end the answer is told again where another attempt
-//! could do harm, or could only repeat work; it is remembered for a time, and up to a number and a sum of
-//! bytes.
+//! A request's name is (`source`, `id`): CloudEvents makes two events with the same pair the same event. An
+//! exchange that names a running request joins it. After the end the answer is told again where another
+//! attempt could do harm, or could only repeat work; it is remembered for a time, and up to a number and a
+//! sum of bytes.
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// `source` and `id` of an event.
 pub type Name = (Rc<str>, Rc<str>);
 
-/// How a job ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Finished,
@@ -19,10 +19,10 @@
     Killed,
 }
 
-/// What to do with an exchange that names a job.
+/// What to do with an exchange that names a request.
 #[derive(Debug, PartialEq)]
 pub enum Claim<A> {
-    /// A job of its own.
+    /// A request of its own.
     New,
     /// It waits for this one's answer.
     Join(RequestId),
@@ -48,8 +48,8 @@
     bytes_most: usize,
 }
 
-/// Whether an ended job's answer is told again. A pushback invites another try, so that must be a new job. A
-/// kill promises nothing, and what may have run must not run again unless it is idempotent.
+/// Whether an ended request's answer is told again. A pushback invites another try, so that must be a new
+/// request. A kill promises nothing, and what may have run must not run again unless it is idempotent.
 fn told_again(ending: Ending, effect: RetrySafety) -> bool {
     match ending {
         Ending::Finished => true,
@@ -83,17 +83,17 @@
 
     pub fn claim(&mut self, now: Micros, name: &Name) -> Claim<A> {
         self.forget_old(now);
-        if let Some(job) = self.running.get(name) {
-            return Claim::Join(*job);
+        if let Some(request) = self.running.get(name) {
+            return Claim::Join(*request);
         }
         self.kept.get(name).map_or(Claim::New, |k| Claim::Again(k.answer.clone()))
     }
 
-    pub fn begin(&mut self, name: Name, job: RequestId) {
-        self.running.insert(name, job);
+    pub fn begin(&mut self, name: Name, request: RequestId) {
+        self.running.insert(name, request);
     }
 
-    /// A job that no exchange waits for any more and that has never been sent.
+    /// A request that no exchange waits for any more and that has never been sent.
     pub fn drop(&mut self, name: &Name) {
         self.running.remove(name);
     }
@@ -146,7 +146,7 @@
         (Rc::from("/desk"), Rc::from(n.to_string()))
     }
 
-    fn job(n: u8) -> RequestId {
+    fn request(n: u8) -> RequestId {
         RequestId([n; 36])
     }
 
@@ -159,8 +159,8 @@
     fn after_the_end(ending: Ending, effect: RetrySafety, again: bool) {
         let mut claims = Claims::new(1000, 10, 1000);
         assert_eq!(claims.claim(0, &name(1)), Claim::New);
-        claims.begin(name(1), job(1));
-        assert_eq!(claims.claim(5, &name(1)), Claim::Join(job(1)), "while it runs");
+        claims.begin(name(1), request(1));
+        assert_eq!(claims.claim(5, &name(1)), Claim::Join(request(1)), "while it runs");
         claims.end(10, &name(1), ending, effect, Rc::new("answer"), 6);
         let want = if again { Claim::Again(Rc::new("answer")) } else { Claim::New };
         assert_eq!(claims.claim(1009, &name(1)), want);
@@ -172,7 +172,7 @@
     fn bounded(most: usize, bytes: usize) {
         let mut claims = Claims::new(1000, most, bytes);
         for n in 0..100 {
-            claims.begin(name(n), job(n as u8));
+            claims.begin(name(n), request(n as u8));
             claims.end(u64::from(n), &name(n), Ending::Finished, RetrySafety::AtMostOnce, Rc::new(()), 9);
             assert!(claims.remembered() <= 4);
         }
--- a/crates/gateway/src/deployment.rs
+++ b/crates/gateway/src/deployment.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Where the name of a job's function comes from.
+/// Where the name of a request's function comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FunctionBy {
     /// An attribute of the event: `subject` or an extension.
@@ -33,7 +33,7 @@
     /// Values of the event attribute `type`.
     pub types: Vec<String>,
     pub function_by: FunctionBy,
-    /// Attributes that name a job's opening and its size, where its jobs have one.
+    /// Attributes that name a request's opening and its size, where its requests have one.
     pub opening_by: Option<(String, String)>,
     pub deadline: Micros,
     pub function: FunctionRow,
--- a/crates/gateway/src/fate.rs
+++ b/crates/gateway/src/fate.rs
@@ -44,8 +44,8 @@
     reached == Reached::NothingWritten && kept && why != Closed::Overflow
 }
 
-/// What a whole answer means. Only the worker's own mark proves that the job has not run: any other peer on
-/// the way may answer 503 or 404 to a job that has.
+/// What a whole answer means. Only the worker's own mark proves that the request has not run: any other peer
+/// on the way may answer 503 or 404 to a request that has.
 pub fn of_answer(status: u16, mark: Option<&str>, event: bool) -> Outcome {
     match (status, mark) {
         (200, None) if event => Outcome::Finished,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -144,7 +144,7 @@
     }
 }
 
-/// A job's one answer, told to each exchange that waits for it and, where remembered, later ones.
+/// A request's one answer, told to each exchange that waits for it and, where remembered, later ones.
 pub struct Told {
     pub ending: Ending,
     pub status: u16,
@@ -156,7 +156,7 @@
 }
 
 impl Told {
-    /// The answer of a job that finished.
+    /// The answer of a request that finished.
     pub fn finished(lines: Lines, body: Vec<u8>) -> Self {
         Told { ending: Ending::Finished, status: 200, reason: "finished", lines, body, come_back: None }
     }
@@ -198,7 +198,7 @@
     decoder: Decoder,
     incoming: Incoming,
     doing: Doing,
-    pub job: Option<RequestId>,
+    pub request: Option<RequestId>,
     keep: bool,
     peer_ended: bool,
     /// When patience with what is done now ends.
@@ -220,7 +220,7 @@
             decoder: Decoder::new(Side::Server, HEAD_MOST, body_most),
             incoming: Incoming::new(names),
             doing: Doing::Reading,
-            job: None,
+            request: None,
             keep: true,
             peer_ended: false,
             until: now + READ_LIMIT,
@@ -279,7 +279,7 @@
         }
         let keep = self.keep && !(self.peer_ended && self.decoder.idle());
         transport.write(conn, &told.encode(keep));
-        self.job = None;
+        self.request = None;
         if keep {
             self.doing = Doing::Reading;
             self.until = now + WRITE_LIMIT;
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -1,4 +1,4 @@
-//! The life of a job and of its attempts, whatever protocol they travel by: begun once, each attempt
+//! The life of a request and of its attempts, whatever protocol they travel by: begun once, each attempt
 //! closed once, one end, and the queue of those whose time runs. Kept here for every router around the
 //! module.
 use applepond::interface::*;
@@ -21,17 +21,17 @@
 pub struct Acts(pub VecDeque<Act>);
 
 impl Actions for Acts {
-    fn send(&mut self, job: RequestId, server: WorkerId, patience: Micros, begin: Micros) {
-        self.0.push_back(Act::Send(job, server, patience, begin));
+    fn send(&mut self, request: RequestId, server: WorkerId, patience: Micros, begin: Micros) {
+        self.0.push_back(Act::Send(request, server, patience, begin));
     }
-    fn cancel(&mut self, job: RequestId, attempt: usize) {
-        self.0.push_back(Act::Cancel(job, attempt));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.0.push_back(Act::Cancel(request, attempt));
     }
-    fn reject(&mut self, job: RequestId, come_back: Option<Micros>) {
-        self.0.push_back(Act::PushBack(job, come_back));
+    fn reject(&mut self, request: RequestId, come_back: Option<Micros>) {
+        self.0.push_back(Act::PushBack(request, come_back));
     }
-    fn fail(&mut self, job: RequestId) {
-        self.0.push_back(Act::Kill(job));
+    fn fail(&mut self, request: RequestId) {
+        self.0.push_back(Act::Kill(request));
     }
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.0.push_back(Act::Wake(delay, token));
@@ -44,7 +44,7 @@
     }
 }
 
-/// One attempt of a job.
+/// One attempt of a request.
 pub struct Attempt {
     pub server: WorkerId,
     pub sent: Micros,
@@ -57,7 +57,7 @@
     pub closed: bool,
 }
 
-/// One job, from its arrival until its last attempt has closed, and what its protocol keeps of it.
+/// One request, from its arrival until its last attempt has closed, and what its protocol keeps of it.
 pub struct Life<T> {
     pub came: Micros,
     pub deadline: Micros,
@@ -68,8 +68,8 @@
 }
 
 impl<T> Life<T> {
-    /// Whether an attempt of which nothing has left may still begin: somebody waits for its job, and where
-    /// it is a repeat, that would still be known.
+    /// Whether an attempt of which nothing has left may still begin: somebody waits for its request, and
+    /// where it is a repeat, that would still be known.
     pub fn may_begin(&self, now: Micros, n: usize) -> bool {
         !self.ended && now < self.attempts[n].begin
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// All jobs of one router.
+/// All requests of one router.
 pub struct Lives<T> {
     lives: BTreeMap<RequestId, Life<T>>,
     /// Attempts that are out, by when their time is up. One timer serves all of them: a timer for each
@@ -110,37 +110,37 @@
         (open, self.lives.values().map(Life::out).sum())
     }
 
-    pub fn get(&self, job: RequestId) -> Option<&Life<T>> {
-        self.lives.get(&job)
+    pub fn get(&self, request: RequestId) -> Option<&Life<T>> {
+        self.lives.get(&request)
     }
 
-    pub fn get_mut(&mut self, job: RequestId) -> Option<&mut Life<T>> {
-        self.lives.get_mut(&job)
+    pub fn get_mut(&mut self, request: RequestId) -> Option<&mut Life<T>> {
+        self.lives.get_mut(&request)
     }
 
-    pub fn begin(&mut self, job: RequestId, came: Micros, deadline: Micros, of: T) {
+    pub fn begin(&mut self, request: RequestId, came: Micros, deadline: Micros, of: T) {
         let life = Life { came, deadline, attempts: Vec::new(), ended: false, timed_out: false, of };
-        self.lives.insert(job, life);
+        self.lives.insert(request, life);
     }
 
-    /// Begins an attempt, by its number; none where there is no such job. An error is one that may not go
-    /// out: its job has ended, or has had as many as it may.
+    /// Begins an attempt, by its number; none where there is no such request. An error is one that may not go
+    /// out: its request has ended, or has had as many as it may.
     pub fn execute(
         &mut self,
         now: Micros,
-        job: RequestId,
+        request: RequestId,
         server: WorkerId,
         (patience, begin): (Micros, Micros),
         most: usize,
     ) -> Option<Result<usize, usize>> {
-        let life = self.lives.get_mut(&job)?;
+        let life = self.lives.get_mut(&request)?;
         let n = life.attempts.len();
         let until = now + patience;
         life.attempts.push(Attempt { server, sent: now, until, begin, link: None, closed: false });
         if life.ended || n >= most {
             return Some(Err(n));
         }
-        self.out.insert((until, job, n));
+        self.out.insert((until, request, n));
         Some(Ok(n))
     }
 
@@ -154,45 +154,45 @@
     /// An attempt whose time is up, each once.
     pub fn due(&mut self, now: Micros) -> Option<(RequestId, usize)> {
         self.armed = self.armed.filter(|at| *at > now);
-        let (_, job, n) = *self.out.first().filter(|(until, _, _)| *until <= now)?;
+        let (_, request, n) = *self.out.first().filter(|(until, _, _)| *until <= now)?;
         self.out.pop_first();
-        Some((job, n))
+        Some((request, n))
     }
 
-    /// Closes an attempt: what the module is to be told of it, once. A job that has ended goes with the
+    /// Closes an attempt: what the module is to be told of it, once. A request that has ended goes with the
     /// last that is out.
     pub fn close(
         &mut self,
         now: Micros,
-        job: RequestId,
+        request: RequestId,
         n: usize,
         answer: AttemptResult,
     ) -> Option<AttemptResult> {
-        let life = self.lives.get_mut(&job)?;
+        let life = self.lives.get_mut(&request)?;
         let attempt = life.attempts.get_mut(n).filter(|e| !e.closed)?;
         attempt.closed = true;
-        self.out.remove(&(attempt.until, job, n));
+        self.out.remove(&(attempt.until, request, n));
         let answer = AttemptResult { request_ended: life.ended, elapsed: now - attempt.sent, ..answer };
-        self.forget(job);
+        self.forget(request);
         Some(answer)
     }
 
-    /// The one end of a job: its record the first time, none after it.
-    pub fn end(&mut self, job: RequestId) -> Option<&mut Life<T>> {
-        let life = self.lives.get_mut(&job).filter(|l| !l.ended)?;
+    /// The one end of a request: its record the first time, none after it.
+    pub fn end(&mut self, request: RequestId) -> Option<&mut Life<T>> {
+        let life = self.lives.get_mut(&request).filter(|l| !l.ended)?;
         life.ended = true;
         Some(life)
     }
 
-    /// Drops a job that nobody waits for and of which nothing was ever sent.
-    pub fn drop(&mut self, job: RequestId) {
-        self.lives.remove(&job);
+    /// Drops a request that nobody waits for and of which nothing was ever sent.
+    pub fn drop(&mut self, request: RequestId) {
+        self.lives.remove(&request);
     }
 
-    /// Drops a job that has ended and has nothing out.
-    pub fn forget(&mut self, job: RequestId) {
-        if self.lives.get(&job).is_some_and(|l| l.ended && l.out() == 0) {
-            self.lives.remove(&job);
+    /// Drops a request that has ended and has nothing out.
+    pub fn forget(&mut self, request: RequestId) {
+        if self.lives.get(&request).is_some_and(|l| l.ended && l.out() == 0) {
+            self.lives.remove(&request);
         }
     }
 }
--- a/crates/gateway/src/limit.rs
+++ b/crates/gateway/src/limit.rs
@@ -1,4 +1,4 @@
-//! How long a job has.
+//! How long a request has.
 use applepond::interface::Micros;
 use applepond_http::Fault;
 
@@ -40,9 +40,9 @@
     }
 }
 
-/// Time left for a job that came now; none where it came too late to be answered at all. The nearest of the
-/// workload's limit, the relative time and the expiry wins: a client may shorten its job's time, not stretch
-/// it, and of two limits of its own the nearer one is when it will be gone.
+/// Time left for a request that came now; none where it came too late to be answered at all. The nearest of
+/// the workload's limit, the relative time and the expiry wins: a client may shorten its request's time, not
+/// stretch it, and of two limits of its own the nearer one is when it will be gone.
 pub fn left(now: Micros, workload: Micros, asked: Asked) -> Option<Micros> {
     let until = [Some(workload), asked.within, asked.expires.map(|at| at.saturating_sub(now))];
     let nearest = until.into_iter().flatten().min().unwrap_or(workload);
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -16,7 +16,7 @@
 /// An answer while it comes in.
 pub struct Answering {
     pub status: u16,
-    /// What the worker says of the job by itself: `full`, `missing`.
+    /// What the worker says of the request by itself: `full`, `missing`.
     pub mark: Option<String>,
     pub copy: LoadState,
     pub company: u32,
@@ -48,7 +48,7 @@
 }
 
 impl Answering {
-    /// One of the worker's own words about a job: a field `applepond-NAME`.
+    /// One of the worker's own words about a request: a field `applepond-NAME`.
     fn word(&mut self, name: &str, value: &str) {
         let number = || value.parse::<f64>().ok().filter(|v| v.is_finite());
         match name.to_ascii_lowercase().as_str() {
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -22,13 +22,13 @@
 
 mod chained;
 
-/// Idle connections kept a worker: more than one router has jobs there at a time.
+/// Idle connections kept a worker: more than one router has requests there at a time.
 const IDLE_MOST: usize = 64;
 /// µs after which an idle connection is not used any more: shorter than a worker keeps it, so that the
 /// worker's own closing does not meet a request on its way.
 const IDLE_LIMIT: Micros = 4_000_000;
-/// µs of idleness after which a connection carries no at-most-once job: should the worker have closed it
-/// after all, the job would count as one that may have run.
+/// µs of idleness after which a connection carries no at-most-once request: should the worker have closed it
+/// after all, the request would count as one that may have run.
 const IDLE_AT_MOST_ONCE: Micros = 500_000;
 /// µs between two looks for connections idle too long.
 const SWEEP: Micros = 1_000_000;
@@ -52,10 +52,10 @@
 /// What a timer leaves to do.
 type Step = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport)>;
 
-/// What this gateway keeps of a job beside its life.
+/// What this gateway keeps of a request beside its life.
 struct Task {
     name: Name,
-    /// Digests of who asked first, and of the job's name.
+    /// Digests of who asked first, and of the request's name.
     client: u64,
     digest: u64,
     workload: usize,
@@ -76,7 +76,7 @@
     then: Option<chained::Then>,
 }
 
-/// A job as it is begun, for a client or for a chain.
+/// A request as it is begun, for a client or for a chain.
 struct Wanted {
     name: Name,
     client: u64,
@@ -95,7 +95,7 @@
     then: Option<chained::Then>,
 }
 
-/// What a job begins with, and how large that is; a worker that has prepared it is quicker.
+/// What a request begins with, and how large that is; a worker that has prepared it is quicker.
 #[derive(Clone)]
 struct Opening {
     name: String,
@@ -147,7 +147,7 @@
 /// Counts since the start, for the state page.
 #[derive(Default)]
 struct Counts {
-    jobs: u64,
+    requests: u64,
     joined: u64,
     again: u64,
     finished: u64,
@@ -172,8 +172,8 @@
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros);
     /// What is usual here: first tries and connections opened a second, and the pace.
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]);
-    /// A job was told to come back in so many µs.
-    fn promised(&mut self, now: Micros, job: u64, wait: Micros);
+    /// A request was told to come back in so many µs.
+    fn promised(&mut self, now: Micros, request: u64, wait: Micros);
     /// What was usual before the start, and promises still to be kept; once.
     #[allow(clippy::type_complexity)] // two things that are taken up together
     fn own(&mut self, now: Micros) -> Option<(Option<[f64; 3]>, Vec<(u64, Micros)>)>;
@@ -188,11 +188,11 @@
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros>;
 }
 
-/// Openings of jobs over the fleet.
+/// Openings of requests over the fleet.
 pub trait Openings {
-    /// A job that was taken begins with it.
+    /// A request that was taken begins with it.
     fn uses(&mut self, name: &str, size: u32);
-    /// For how long the worker of a job that is written now may keep it for pinned.
+    /// For how long the worker of a request that is written now may keep it for pinned.
     fn rides(&self, now: Micros, name: &str) -> Option<Micros>;
     /// How many workers are ready.
     fn workers(&mut self, ready: usize);
@@ -289,7 +289,7 @@
         self
     }
 
-    /// Who counts openings over the fleet and says which ride on jobs.
+    /// Who counts openings over the fleet and says which ride on requests.
     pub fn with_openings(mut self, openings: Box<dyn Openings>) -> Self {
         self.openings = Some(openings);
         self
@@ -358,8 +358,8 @@
     fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             self.carry_out(now, transport);
-            if let Some((job, todo)) = self.chains.begun.pop_front() {
-                self.chain_goes_on(now, transport, job, todo);
+            if let Some((request, todo)) = self.chains.begun.pop_front() {
+                self.chain_goes_on(now, transport, request, todo);
                 continue;
             }
             if let Some((then, end)) = self.chains.ends.pop_front() {
@@ -378,39 +378,39 @@
     fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some(act) = self.acts.0.pop_front() {
             match act {
-                Act::Send(job, server, patience, begin) => {
-                    self.execute(now, transport, job, server, (patience, begin));
+                Act::Send(request, server, patience, begin) => {
+                    self.execute(now, transport, request, server, (patience, begin));
                 }
-                Act::Cancel(job, n) => {
-                    self.drop_attempt(now, transport, job, n, Outcome::Cancelled);
+                Act::Cancel(request, n) => {
+                    self.drop_attempt(now, transport, request, n, Outcome::Cancelled);
                 }
-                Act::PushBack(job, come_back) => {
+                Act::PushBack(request, come_back) => {
                     // In a storm the module's word stands, but all its pushbacks together would be a second
                     // wave.
-                    let advised = self.damps().then(|| self.tasks.get(job)).flatten();
+                    let advised = self.damps().then(|| self.tasks.get(request)).flatten();
                     let advised = advised.map(|t| (t.of.client, t.of.digest, t.deadline.saturating_sub(now)));
                     let come_back = match (advised, come_back) {
                         (Some((client, name, left)), Some(_)) => self.gate.come_back(now, client, name, left),
                         (None, Some(wait)) => {
-                            if let Some(task) = self.tasks.get(job) {
+                            if let Some(task) = self.tasks.get(request) {
                                 self.gate.told(task.of.digest, now + wait);
                             }
                             come_back
                         }
                         (_, None) => None,
                     };
-                    let digest = self.tasks.get(job).map(|t| t.of.digest);
+                    let digest = self.tasks.get(request).map(|t| t.of.digest);
                     if let (Some(memory), Some(digest), Some(wait)) = (&mut self.memory, digest, come_back) {
                         memory.promised(now, digest, wait);
                     }
                     let fault =
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
-                    let id = self.tasks.get(job).map(|t| t.of.name.1.clone());
+                    let id = self.tasks.get(request).map(|t| t.of.name.1.clone());
                     let told = front::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
-                    self.end(now, transport, job, told);
+                    self.end(now, transport, request, told);
                 }
-                Act::Kill(job) => {
-                    let Some(task) = self.tasks.get(job) else { continue };
+                Act::Kill(request) => {
+                    let Some(task) = self.tasks.get(request) else { continue };
                     let late = task.timed_out || now >= task.deadline;
                     let fault = if late {
                         Fault::new(504, "killed-late", "no answer came in time; the job may have run")
@@ -419,7 +419,7 @@
                     };
                     let id = task.of.name.1.clone();
                     let told = front::problem(Ending::Killed, &fault, Some(&id), None);
-                    self.end(now, transport, job, told);
+                    self.end(now, transport, request, told);
                 }
                 // The module's timers are many and carry their own number: they travel as they are, ours are
                 // odd.
@@ -436,21 +436,21 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         server: WorkerId,
         times: (Micros, Micros),
     ) {
         let most = self.deployment.rows.attempt_policy.max_attempts;
-        match self.tasks.execute(now, job, server, times, most) {
+        match self.tasks.execute(now, request, server, times, most) {
             Some(Ok(n)) => {
                 self.counts.attempts += 1;
                 if let Some(worker) = self.listed.get_mut(server) {
                     worker.out += 1;
                 }
                 self.arm(now, transport);
-                self.connect(now, transport, job, n);
+                self.connect(now, transport, request, n);
             }
-            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Superseded)),
+            Some(Err(n)) => self.close(now, request, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
@@ -467,18 +467,18 @@
     }
 
     fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some((job, n)) = self.tasks.due(now) {
-            self.drop_attempt(now, transport, job, n, Outcome::TimedOut);
+        while let Some((request, n)) = self.tasks.due(now) {
+            self.drop_attempt(now, transport, request, n, Outcome::TimedOut);
         }
         self.arm(now, transport);
     }
 
-    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, n: usize) {
-        let Some(task) = self.tasks.get_mut(job) else { return };
+    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, n: usize) {
+        let Some(task) = self.tasks.get_mut(request) else { return };
         let server = task.attempts[n].server;
         let at_most_once = task.of.effect == RetrySafety::AtMostOnce;
         let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
-            self.close(now, job, n, ended(Outcome::ConnectFailed));
+            self.close(now, request, n, ended(Outcome::ConnectFailed));
             return;
         };
         let rested = if at_most_once { IDLE_AT_MOST_ONCE } else { IDLE_LIMIT };
@@ -487,13 +487,13 @@
         let conn = match if fresh { worker.idle.pop() } else { None } {
             Some((conn, _)) => {
                 let link = self.links.get_mut(&conn).expect("idle connections are known");
-                link.carries = Some((job, n));
+                link.carries = Some((request, n));
                 link.sent_before = transport.sent(conn);
                 conn
             }
             None => {
                 let conn = transport.connect(worker.address, self.deployment.connect_limit);
-                self.links.insert(conn, Link::new(server, (job, n)));
+                self.links.insert(conn, Link::new(server, (request, n)));
                 conn
             }
         };
@@ -506,19 +506,19 @@
     /// Writes the request of the attempt that a connection carries.
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get(&conn) else { return };
-        let Some((job, n)) = link.carries else { return };
+        let Some((request, n)) = link.carries else { return };
         let Some(worker) = self.listed.get(link.server) else { return };
         // Its client has gone while the connection was made, or it is a repeat that would not be known now.
-        if !self.tasks.get(job).is_some_and(|task| task.may_begin(now, n)) {
-            self.drop_attempt(now, transport, job, n, Outcome::Superseded);
+        if !self.tasks.get(request).is_some_and(|task| task.may_begin(now, n)) {
+            self.drop_attempt(now, transport, request, n, Outcome::Superseded);
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
         if worker.standing != WorkerStatus::Ready {
-            self.drop_attempt(now, transport, job, n, Outcome::ConnectFailed);
+            self.drop_attempt(now, transport, request, n, Outcome::ConnectFailed);
             return;
         }
-        let Some(task) = self.tasks.get(job) else { return };
+        let Some(task) = self.tasks.get(request) else { return };
         let mut head = encode::request("POST", "/run", &worker.address.to_string());
         head = head.lines(&task.of.lines);
         if let Some(media) = &task.of.media {
@@ -551,40 +551,40 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         n: usize,
         outcome: Outcome,
     ) {
-        let Some(task) = self.tasks.get_mut(job) else { return };
+        let Some(task) = self.tasks.get_mut(request) else { return };
         let Some(attempt) = task.attempts.get_mut(n).filter(|e| !e.closed) else { return };
         if let Some(conn) = attempt.link.take() {
             transport.cut(conn);
             self.links.remove(&conn);
         }
         task.timed_out |= outcome == Outcome::TimedOut;
-        self.close(now, job, n, ended(outcome));
+        self.close(now, request, n, ended(outcome));
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, job: RequestId, n: usize, answer: AttemptResult) {
-        let server = self.tasks.get(job).map(|task| task.attempts[n].server);
-        let Some(answer) = self.tasks.close(now, job, n, answer) else { return };
+    fn close(&mut self, now: Micros, request: RequestId, n: usize, answer: AttemptResult) {
+        let server = self.tasks.get(request).map(|task| task.attempts[n].server);
+        let Some(answer) = self.tasks.close(now, request, n, answer) else { return };
         if let Some(worker) = server.and_then(|server| self.listed.get_mut(server)) {
             worker.out = worker.out.saturating_sub(1);
         }
         tracing::debug!(n, ?answer.outcome, answer.elapsed, "attempt closed");
         self.control.advance_to(now);
-        self.control.attempt_finished(&mut self.acts, job, n, &answer);
+        self.control.attempt_finished(&mut self.acts, request, n, &answer);
     }
 
-    // ---- The end of a job --------------------------------------------------------------------
+    // ---- The end of a request --------------------------------------------------------------------
 
-    /// The one place where a job ends: each exchange that waits gets the answer, the log its line.
-    fn end(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, told: Rc<Told>) {
-        let Some(task) = self.tasks.end(job) else { return };
+    /// The one place where a request ends: each exchange that waits gets the answer, the log its line.
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Told>) {
+        let Some(task) = self.tasks.end(request) else { return };
         if let Some(then) = task.of.then.take() {
             let end = chained::StepEnd { told, took: now - task.came, stood: task.of.stood };
-            self.tasks.forget(job);
+            self.tasks.forget(request);
             self.chains.ends.push_back((then, end));
             return;
         }
@@ -610,7 +610,7 @@
             "job ended"
         );
         let callers = std::mem::take(&mut task.of.callers);
-        self.tasks.forget(job);
+        self.tasks.forget(request);
         for conn in callers {
             if let Some(caller) = self.callers.get_mut(&conn) {
                 caller.answer(now, transport, conn, &told);
@@ -650,7 +650,8 @@
         }
     }
 
-    /// Takes one event: it joins its job, is told its answer again, or becomes a job. An error is its answer.
+    /// Takes one event: it joins its request, is told its answer again, or becomes a request. An error is
+    /// its answer.
     fn take(&mut self, now: Micros, conn: Conn, draft: Draft) -> Result<(), Rc<Told>> {
         let id = draft.id.clone();
         let refuse = |status, reason, detail: String| {
@@ -696,7 +697,7 @@
             return refuse(504, "expired", "the event's time was up when it came".to_owned());
         };
         let (client, digest, retry) = self.admit(now, &draft, workload, left)?;
-        self.counts.jobs += 1;
+        self.counts.requests += 1;
         if let (Some(openings), Some(opening)) = (&mut self.openings, &opening) {
             openings.uses(&opening.name, opening.size);
         }
@@ -717,16 +718,17 @@
             callers: vec![conn],
             then: None,
         };
-        let job = self.begin(now, wanted);
-        self.claims.begin(name, job);
+        let request = self.begin(now, wanted);
+        self.claims.begin(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.job = Some(job);
+            caller.request = Some(request);
         }
         Ok(())
     }
 
-    /// Whether there is room for one more, by number and by the gate; the digests of the client and the job's
-    /// name, and whether it is a retry. An error is the answer of a job pushed back before the module.
+    /// Whether there is room for one more, by number and by the gate; the digests of the client and the
+    /// request's name, and whether it is a retry. An error is the answer of a request pushed back before the
+    /// module.
     fn admit(
         &mut self,
         now: Micros,
@@ -785,15 +787,15 @@
     /// Has an exchange join what runs under its name, or be told what came of it. None: the name is new.
     fn taken(&mut self, now: Micros, conn: Conn, name: &Name) -> Option<Result<(), Rc<Told>>> {
         match self.claims.claim(now, name) {
-            Claim::Join(job) => {
+            Claim::Join(request) => {
                 self.counts.joined += 1;
-                match (self.tasks.get_mut(job), self.chains.open.get_mut(&job)) {
+                match (self.tasks.get_mut(request), self.chains.open.get_mut(&request)) {
                     (Some(task), _) => task.of.callers.push(conn),
                     (_, Some(chain)) => chain.callers.push(conn),
                     _ => unreachable!("what runs is known"),
                 }
                 if let Some(caller) = self.callers.get_mut(&conn) {
-                    caller.job = Some(job);
+                    caller.request = Some(request);
                 }
                 Some(Ok(()))
             }
@@ -805,14 +807,14 @@
         }
     }
 
-    /// Hands a job to the module.
+    /// Hands a request to the module.
     fn begin(&mut self, now: Micros, wanted: Wanted) -> RequestId {
         let names = &self.deployment.workloads[wanted.workload];
         let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.function).clone();
         self.next_job += 1;
-        let job = job_id(self.deployment.rows.seed, self.next_job);
+        let request = request_id(self.deployment.rows.seed, self.next_job);
         let arrival = RequestArrival {
-            request: job,
+            request,
             function: FunctionId::named(&wanted.function),
             workload: WorkloadId(wanted.workload),
             customer: wanted.customer,
@@ -841,29 +843,29 @@
             stood: false,
             then: wanted.then,
         };
-        self.tasks.begin(job, now, now + arrival.time_left, task);
+        self.tasks.begin(request, now, now + arrival.time_left, task);
         self.control.advance_to(now);
         self.control.request_arrived(&mut self.acts, &arrival);
-        job
+        request
     }
 
-    /// A client has gone. A job that never left for a worker ends with the last that waited for it; one that
-    /// did goes on, for the client may come back for its answer and must not make it run twice.
+    /// A client has gone. A request that never left for a worker ends with the last that waited for it; one
+    /// that did goes on, for the client may come back for its answer and must not make it run twice.
     fn caller_gone(&mut self, now: Micros, conn: Conn) {
-        let Some(job) = self.callers.remove(&conn).and_then(|c| c.job) else { return };
+        let Some(request) = self.callers.remove(&conn).and_then(|c| c.request) else { return };
         // A chain goes on: its client may come back for the answer.
-        if let Some(chain) = self.chains.open.get_mut(&job) {
+        if let Some(chain) = self.chains.open.get_mut(&request) {
             chain.callers.retain(|c| *c != conn);
         }
-        let Some(task) = self.tasks.get_mut(job) else { return };
+        let Some(task) = self.tasks.get_mut(request) else { return };
         task.of.callers.retain(|c| *c != conn);
         if task.of.callers.is_empty() && task.attempts.is_empty() && !task.ended {
             let Task { name: (source, id), .. } = &task.of;
             tracing::info!(%id, %source, reason = "client-left", "job ended");
             self.claims.drop(&task.of.name);
-            self.tasks.drop(job);
+            self.tasks.drop(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, job);
+            self.control.client_disconnected(&mut self.acts, request);
         }
     }
 
@@ -909,7 +911,7 @@
             "now_us": now,
             "router": self.deployment.rows.router_index,
             "settings": {"switched": c.switched, "kept": c.kept},
-            "jobs": {"open": open, "taken": c.jobs,
+            "jobs": {"open": open, "taken": c.requests,
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
                 "pushed-back": c.pushed_back, "killed": c.killed, "requests-refused": c.refused},
             "executions": {"out": out, "begun": c.attempts},
@@ -935,7 +937,7 @@
 
     fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let Some((job, n)) = link.carries else {
+        let Some((request, n)) = link.carries else {
             // Nobody asked: a second answer, or garbage. What it belongs to can't be told.
             self.drop_link(transport, conn);
             return;
@@ -946,7 +948,7 @@
             Ok(Decoded::Done) => self.link_answered(now, transport, conn),
             Err(fault) => {
                 tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
-                self.drop_attempt(now, transport, job, n, Outcome::ConnectionLost);
+                self.drop_attempt(now, transport, request, n, Outcome::ConnectionLost);
             }
         }
     }
@@ -955,7 +957,7 @@
     fn link_answered(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let mut answering = std::mem::take(&mut link.answering);
-        let Some((job, n)) = link.carries.take() else { return };
+        let Some((request, n)) = link.carries.take() else { return };
         link.kept = true;
         let server = link.server;
         // Bytes after the answer are a second one to the same request: that connection is not trusted
@@ -973,7 +975,7 @@
             }
         }
         let outcome = fate::of_answer(answering.status, answering.mark.as_deref(), answering.event);
-        if let Some(task) = self.tasks.get_mut(job) {
+        if let Some(task) = self.tasks.get_mut(request) {
             task.attempts[n].link = None;
             if outcome == Outcome::Finished && !task.ended {
                 task.of.stood =
@@ -982,13 +984,13 @@
                 lines.field("applepond-executions", &task.attempts.len().to_string());
                 let body = std::mem::take(&mut answering.body);
                 let told = Told::finished(lines, body);
-                self.end(now, transport, job, Rc::new(told));
+                self.end(now, transport, request, Rc::new(told));
             }
         }
         let Answering { copy, company, held, loads, .. } = answering;
         self.close(
             now,
-            job,
+            request,
             n,
             AttemptResult {
                 load_state: copy,
@@ -1003,7 +1005,7 @@
     /// A connection to a worker is gone, or its worker has ended its side.
     fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         let Some(mut link) = self.links.remove(&conn) else { return };
-        let Some((job, n)) = link.carries else {
+        let Some((request, n)) = link.carries else {
             if let Some(worker) = self.listed.get_mut(link.server) {
                 worker.idle.retain(|(c, _)| *c != conn);
             }
@@ -1016,14 +1018,14 @@
             return;
         }
         let reached = fate::reached(link.open, link.sent_before, sent);
-        if let Some(task) = self.tasks.get_mut(job) {
+        if let Some(task) = self.tasks.get_mut(request) {
             task.attempts[n].link = None;
             if fate::again(reached, link.kept, why) && !task.ended {
-                self.connect(now, transport, job, n);
+                self.connect(now, transport, request, n);
                 return;
             }
         }
-        self.close(now, job, n, ended(fate::of_end(reached)));
+        self.close(now, request, n, ended(fate::of_end(reached)));
     }
 
     fn drop_link(&mut self, transport: &mut dyn Transport, conn: Conn) {
@@ -1068,7 +1070,7 @@
             if let Some([rate, opened, pace]) = usual {
                 self.gate.recall(now, (rate, opened), pace);
             }
-            promises.into_iter().for_each(|(job, left)| self.gate.told(job, now + left));
+            promises.into_iter().for_each(|(request, left)| self.gate.told(request, now + left));
         }
         if let Some((rate, opened)) = self.gate.watch().usual(now) {
             memory.saw_usual(now, [rate, opened, self.gate.pace(now)]);
@@ -1193,7 +1195,7 @@
 }
 
 /// A number of this instance's as the module's kind of id.
-fn job_id(seed: u64, number: u64) -> RequestId {
+fn request_id(seed: u64, number: u64) -> RequestId {
     let text = format!("{seed:016x}-{number:019}");
     let mut id = [b'0'; 36];
     id.copy_from_slice(&text.as_bytes()[..36]);
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/machine/chained.rs
@@ -1,4 +1,4 @@
-//! Chains on their way: each step is a job of its own that no client waits for; what it leaves to do is a
+//! Chains on their way: each step is a request of its own that no client waits for; what it leaves to do is a
 //! closure, which is handed its end.
 use super::{Gateway, Wanted};
 use crate::claims::{Claim, Ending, Name};
@@ -32,7 +32,7 @@
 /// Fields of a chain's event that its steps' events do not take over.
 const OWN: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
 
-/// How a step's job ended.
+/// How a step's request ended.
 pub struct StepEnd {
     pub told: Rc<Told>,
     /// µs from its beginning to its end.
@@ -86,7 +86,7 @@
 
 /// A step with an effect that waits to be written down before it is sent.
 struct Waiting {
-    job: RequestId,
+    request: RequestId,
     step: StepId,
     function: String,
     until: Micros,
@@ -144,10 +144,10 @@
     }
 
     /// Chains that have come to their end, and whose record says so.
-    fn drop_closed(&mut self, jobs: &BTreeSet<RequestId>) {
-        for job in jobs {
-            if self.open.get(job).is_some_and(|c| c.kept.closed && c.answered) {
-                self.open.remove(job);
+    fn drop_closed(&mut self, requests: &BTreeSet<RequestId>) {
+        for request in requests {
+            if self.open.get(request).is_some_and(|c| c.kept.closed && c.answered) {
+                self.open.remove(request);
             }
         }
     }
@@ -244,10 +244,10 @@
             let fault = Fault::new(503, "chains-full", detail);
             return Err(front::problem(Ending::PushedBack, &fault, Some(&id), wait));
         }
-        self.counts.jobs += 1;
+        self.counts.requests += 1;
         self.chains.counts.taken += 1;
         self.next_job += 1;
-        let job = super::job_id(self.deployment.rows.seed, self.next_job);
+        let request = super::request_id(self.deployment.rows.seed, self.next_job);
         let customer_name = customer.map(|c| self.deployment.customers[c.0].clone());
         let on_record = before.is_some();
         let kept = before.unwrap_or_else(|| Kept {
@@ -265,11 +265,11 @@
         let chain =
             Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
         let chain = Chain { client, digest, on_record, ..chain };
-        self.claims.begin(name, job);
+        self.claims.begin(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.job = Some(job);
+            caller.request = Some(request);
         }
-        self.open_chain(now, job, chain);
+        self.open_chain(now, request, chain);
         Ok(())
     }
 
@@ -307,11 +307,11 @@
         }
     }
 
-    fn open_chain(&mut self, now: Micros, job: RequestId, chain: Chain) {
-        self.chains.open.insert(job, chain);
-        let todo = self.with_run(now, job, |run, needs| run.begin(now, needs));
+    fn open_chain(&mut self, now: Micros, request: RequestId, chain: Chain) {
+        self.chains.open.insert(request, chain);
+        let todo = self.with_run(now, request, |run, needs| run.begin(now, needs));
         // From the end of this turn on: a chain that is refused at once is answered like any other.
-        self.chains.begun.push_back((job, todo));
+        self.chains.begun.push_back((request, todo));
     }
 
     /// Chains on record that had not come to their end: whoever asked for one may ask again until its time is
@@ -352,11 +352,11 @@
         let customer = kept.customer.as_ref();
         let customer = customer.and_then(|c| self.deployment.customers.iter().position(|known| known == c));
         self.next_job += 1;
-        let job = super::job_id(self.deployment.rows.seed, self.next_job);
+        let request = super::request_id(self.deployment.rows.seed, self.next_job);
         let until = now + self.deployment.remember_for;
         let chain = self.chain(now, name.clone(), plan, Kept { until, ..kept }, customer.map(CustomerId));
-        self.claims.begin(name, job);
-        self.open_chain(now, job, chain);
+        self.claims.begin(name, request);
+        self.open_chain(now, request, chain);
     }
 
     // ---- The record ----------------------------------------------------------------------------
@@ -370,32 +370,32 @@
             return false;
         }
         for w in &waiting {
-            if let Some(chain) = self.chains.open.get_mut(&w.job) {
+            if let Some(chain) = self.chains.open.get_mut(&w.request) {
                 chain.on_record = true;
                 chain.kept.steps.insert(w.step.0 as u32, KeptStep { sent: now, end: None });
             }
         }
-        let jobs = waiting.iter().map(|w| w.job).chain(finished.iter().map(|(job, _)| *job));
-        let written = self.write_chains(now, transport, jobs.collect());
+        let requests = waiting.iter().map(|w| w.request).chain(finished.iter().map(|(request, _)| *request));
+        let written = self.write_chains(now, transport, requests.collect());
         // Their work is done, whether that could be written down or not.
-        for (job, ended) in finished {
-            self.end_chain(now, transport, job, ended);
+        for (request, ended) in finished {
+            self.end_chain(now, transport, request, ended);
             if written {
-                self.chains.drop_closed(&BTreeSet::from([job]));
+                self.chains.drop_closed(&BTreeSet::from([request]));
             }
             // Where it was not, it stays until that is made up for.
-            self.chain_goes_on(now, transport, job, Vec::new());
+            self.chain_goes_on(now, transport, request, Vec::new());
         }
         for w in waiting {
             if written {
-                self.begin_step(now, w.job, w.step, w.function, w.until);
+                self.begin_step(now, w.request, w.step, w.function, w.until);
                 continue;
             }
-            if let Some(chain) = self.chains.open.get_mut(&w.job) {
+            if let Some(chain) = self.chains.open.get_mut(&w.request) {
                 chain.kept.steps.remove(&(w.step.0 as u32));
             }
-            let todo = self.with_run(now, w.job, |run, needs| run.not_written(now, w.step, needs));
-            self.chain_goes_on(now, transport, w.job, todo);
+            let todo = self.with_run(now, w.request, |run, needs| run.not_written(now, w.step, needs));
+            self.chain_goes_on(now, transport, w.request, todo);
         }
         true
     }
@@ -405,20 +405,20 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        mut jobs: BTreeSet<RequestId>,
+        mut requests: BTreeSet<RequestId>,
     ) -> bool {
-        jobs.append(&mut self.chains.behind);
-        let chains = jobs.iter().filter_map(|job| self.chains.open.get(job));
+        requests.append(&mut self.chains.behind);
+        let chains = requests.iter().filter_map(|request| self.chains.open.get(request));
         let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
         self.chains.counts.writes += 1;
         let written = self.chains.record.keep(&rows);
         if let Err(why) = &written {
             self.chains.counts.not_written += 1;
             tracing::error!(%why, reason = "no-record", "chains were not written down");
-            self.chains.behind.extend(jobs);
+            self.chains.behind.extend(requests);
             self.write_behind(now, transport, WRITTEN_AGAIN);
         } else {
-            self.chains.drop_closed(&jobs);
+            self.chains.drop_closed(&requests);
         }
         written.is_ok()
     }
@@ -428,12 +428,12 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         step: StepId,
         how: How,
         told: &Told,
     ) {
-        let Some(chain) = self.chains.open.get_mut(&job) else { return };
+        let Some(chain) = self.chains.open.get_mut(&request) else { return };
         let fields = chain.run.asked(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), field(&told.body, name)?)));
         let small = how == How::Finished && told.body.len() <= ANSWER_MOST;
@@ -441,14 +441,14 @@
             small.then(|| KeptAnswer { lines: told.lines.bytes().to_vec(), body: told.body.clone() });
         let end = KeptEnd { how: number(how), fields: fields.collect(), answer };
         chain.kept.steps.entry(step.0 as u32).or_default().end = Some(end);
-        self.behind(now, transport, job);
+        self.behind(now, transport, request);
     }
 
-    fn behind(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId) {
-        if self.chains.open.get(&job).is_none_or(|c| !c.on_record) {
+    fn behind(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
+        if self.chains.open.get(&request).is_none_or(|c| !c.on_record) {
             return;
         }
-        self.chains.behind.insert(job);
+        self.chains.behind.insert(request);
         self.write_behind(now, transport, WRITTEN_SOON);
     }
 
@@ -470,10 +470,10 @@
     fn with_run<T: Default>(
         &mut self,
         now: Micros,
-        job: RequestId,
+        request: RequestId,
         decide: impl FnOnce(&mut Run, Needs<'_>) -> T,
     ) -> T {
-        let Some(chain) = self.chains.open.get_mut(&job) else { return T::default() };
+        let Some(chain) = self.chains.open.get_mut(&request) else { return T::default() };
         let (times, functions, workloads) =
             (&self.chains.times, &self.deployment.functions, &self.deployment.workloads);
         let needs = |step: &Step, function: &str, _ahead: Micros| {
@@ -489,18 +489,18 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         todo: Vec<Do>,
     ) {
         for what in todo {
             match what {
                 Do::Begin { step, function, until } => {
-                    let effect = self.chains.open.get(&job).map(|c| c.run.plan().step(step).effect);
+                    let effect = self.chains.open.get(&request).map(|c| c.run.plan().step(step).effect);
                     match effect {
                         Some(RetrySafety::Idempotent) | None => {
-                            self.begin_step(now, job, step, function, until)
+                            self.begin_step(now, request, step, function, until)
                         }
-                        _ => self.chains.unwritten.push(Waiting { job, step, function, until }),
+                        _ => self.chains.unwritten.push(Waiting { request, step, function, until }),
                     }
                 }
                 Do::Wait { step, until } => {
@@ -510,49 +510,49 @@
                         transport,
                         wait,
                         Box::new(move |g, now, transport| {
-                            let todo = g.with_run(now, job, |run, needs| run.again(now, step, needs));
-                            g.chain_goes_on(now, transport, job, todo);
+                            let todo = g.with_run(now, request, |run, needs| run.again(now, step, needs));
+                            g.chain_goes_on(now, transport, request, todo);
                         }),
                     );
                 }
                 Do::Cancel(step) => {
                     // It may not have been sent yet.
-                    self.chains.unwritten.retain(|w| (w.job, w.step) != (job, step));
-                    let out = self.chains.open.get_mut(&job).and_then(|c| c.out.remove(&step));
+                    self.chains.unwritten.retain(|w| (w.request, w.step) != (request, step));
+                    let out = self.chains.open.get_mut(&request).and_then(|c| c.out.remove(&step));
                     out.into_iter().for_each(|of_step| self.abandon(now, transport, of_step));
                 }
-                Do::End(ended) => match self.chains.open.get_mut(&job) {
+                Do::End(ended) => match self.chains.open.get_mut(&request) {
                     // Once it is told as finished nothing may take it back, also not after a kill.
                     Some(chain) if chain.on_record && matches!(ended, Ended::Finished(_)) => {
                         chain.kept.closed = true;
-                        self.chains.unanswered.push((job, ended));
+                        self.chains.unanswered.push((request, ended));
                     }
-                    _ => self.end_chain(now, transport, job, ended),
+                    _ => self.end_chain(now, transport, request, ended),
                 },
                 Do::Undo { step, function } => {
                     let done = |c: &Chain| {
                         let kept = c.kept.steps.get(&(step.0 as u32)).and_then(|s| s.end.as_ref());
                         kept.is_some_and(|end| end.how == number(How::Finished))
                     };
-                    if let Some(chain) = self.chains.open.get_mut(&job).filter(|c| !done(c)) {
+                    if let Some(chain) = self.chains.open.get_mut(&request).filter(|c| !done(c)) {
                         chain.undos += 1;
-                        self.undo(now, job, step, function, now + UNDO_FOR);
+                        self.undo(now, request, step, function, now + UNDO_FOR);
                     }
                 }
             }
         }
         let done = |c: &&mut Chain| c.run.has_ended().is_some() && c.undos == 0 && c.out.is_empty();
-        if let Some(chain) = self.chains.open.get_mut(&job).filter(done) {
+        if let Some(chain) = self.chains.open.get_mut(&request).filter(done) {
             chain.kept.closed = true;
             if chain.on_record {
                 // It stays until that is written.
-                return self.behind(now, transport, job);
+                return self.behind(now, transport, request);
             }
-            self.chains.open.remove(&job);
+            self.chains.open.remove(&request);
         }
     }
 
-    /// The job of a step: a name of its own, the chain's attributes and data.
+    /// The request of a step: a name of its own, the chain's attributes and data.
     fn wanted(&self, chain: &Chain, step: StepId, function: String, left: Micros, then: Then) -> Wanted {
         let row = chain.run.plan().step(step);
         let names = &self.deployment.workloads[row.workload];
@@ -580,16 +580,16 @@
         }
     }
 
-    fn begin_step(&mut self, now: Micros, job: RequestId, step: StepId, function: String, until: Micros) {
-        let paid = self.with_run(now, job, |run, needs| run.paid(now, needs));
-        let Some(chain) = self.chains.open.get(&job) else { return };
+    fn begin_step(&mut self, now: Micros, request: RequestId, step: StepId, function: String, until: Micros) {
+        let paid = self.with_run(now, request, |run, needs| run.paid(now, needs));
+        let Some(chain) = self.chains.open.get(&request) else { return };
         let id = FunctionId::named(&function);
         let then: Then =
-            Box::new(move |g, now, transport, end| g.step_ended(now, transport, job, step, id, &end));
+            Box::new(move |g, now, transport, end| g.step_ended(now, transport, request, step, id, &end));
         let wanted = self.wanted(chain, step, function, until.saturating_sub(now), then);
         self.chains.counts.steps += 1;
         let of_step = self.begin(now, Wanted { paid, ..wanted });
-        if let Some(chain) = self.chains.open.get_mut(&job) {
+        if let Some(chain) = self.chains.open.get_mut(&request) {
             chain.steps += 1;
             chain.out.insert(step, of_step);
         }
@@ -599,7 +599,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         step: StepId,
         function: FunctionId,
         end: &StepEnd,
@@ -607,7 +607,7 @@
         if end.told.ending == Ending::Finished {
             self.chains.times.finished(now, function, end.took, end.stood);
         }
-        let Some(chain) = self.chains.open.get_mut(&job) else { return };
+        let Some(chain) = self.chains.open.get_mut(&request) else { return };
         chain.out.remove(&step);
         chain.come_back = end.told.come_back;
         if end.told.ending == Ending::Finished {
@@ -616,50 +616,55 @@
         let told = end.told.clone();
         let read = move |name: &str| field(&told.body, name);
         let ending = how(end.told.ending);
-        self.keep_end(now, transport, job, step, ending, &end.told);
+        self.keep_end(now, transport, request, step, ending, &end.told);
         let come_back = end.told.come_back;
         let todo =
-            self.with_run(now, job, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
-        self.chain_goes_on(now, transport, job, todo);
+            self.with_run(now, request, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
+        self.chain_goes_on(now, transport, request, todo);
     }
 
-    /// Ends a step's job from this side: nobody waits for it any more.
-    fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId) {
-        let Some(task) = self.tasks.get_mut(job) else { return };
+    /// Ends a step's request from this side: nobody waits for it any more.
+    fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
+        let Some(task) = self.tasks.get_mut(request) else { return };
         task.ended = true;
         task.of.then = None;
         let attempts = task.attempts.len();
         if task.out() == 0 {
-            self.tasks.forget(job);
+            self.tasks.forget(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, job);
+            self.control.client_disconnected(&mut self.acts, request);
             return;
         }
-        (0..attempts).for_each(|n| self.drop_attempt(now, transport, job, n, Outcome::Cancelled));
+        (0..attempts).for_each(|n| self.drop_attempt(now, transport, request, n, Outcome::Cancelled));
     }
 
     /// Begins an undo, and again until it has finished.
-    fn undo(&mut self, now: Micros, job: RequestId, step: StepId, function: String, last: Micros) {
-        let Some(chain) = self.chains.open.get(&job) else { return };
+    fn undo(&mut self, now: Micros, request: RequestId, step: StepId, function: String, last: Micros) {
+        let Some(chain) = self.chains.open.get(&request) else { return };
         let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
         let again = function.clone();
         let then: Then = Box::new(move |g, now, transport, end| {
             if end.told.ending != Ending::Finished && now < last {
                 let wait = end.told.come_back.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
-                g.after(now, transport, wait, Box::new(move |g, now, _| g.undo(now, job, step, again, last)));
+                g.after(
+                    now,
+                    transport,
+                    wait,
+                    Box::new(move |g, now, _| g.undo(now, request, step, again, last)),
+                );
                 return;
             }
             if end.told.ending != Ending::Finished
-                && let Some(chain) = g.chains.open.get(&job)
+                && let Some(chain) = g.chains.open.get(&request)
             {
                 let (id, step) = (&chain.name.1, &chain.run.plan().step(step).name);
                 tracing::error!(%id, %step, reason = "undo-given-up", "a step was not taken back");
             }
-            if let Some(chain) = g.chains.open.get_mut(&job) {
+            if let Some(chain) = g.chains.open.get_mut(&request) {
                 chain.undos -= 1;
             }
-            g.keep_end(now, transport, job, step, how(end.told.ending), &end.told);
-            g.chain_goes_on(now, transport, job, Vec::new());
+            g.keep_end(now, transport, request, step, how(end.told.ending), &end.told);
+            g.chain_goes_on(now, transport, request, Vec::new());
         });
         self.chains.counts.undos += 1;
         let wanted = self.wanted(chain, step, function, left, then);
@@ -667,8 +672,8 @@
     }
 
     /// The one place where a chain is answered.
-    fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, ended: Ended) {
-        let Some(chain) = self.chains.open.get_mut(&job) else { return };
+    fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, ended: Ended) {
+        let Some(chain) = self.chains.open.get_mut(&request) else { return };
         let id = chain.name.1.clone();
         let failed = |step: StepId, why: Why| {
             let name = &chain.run.plan().step(step).name;
--- a/crates/gateway/tests/machine.rs
+++ b/crates/gateway/tests/machine.rs
@@ -22,7 +22,7 @@
     assert!(b.told(client).ends_with("{\"ok\": 1}") && b.told(client).contains("ce-type: result"));
 }
 
-// A client's retry joins the running job: one attempt, one answer to each exchange; after the end it is
+// A client's retry joins the running request: one attempt, one answer to each exchange; after the end it is
 // told again.
 #[test_case("quote"; "idempotent")]
 #[test_case("confirm"; "at-most-once")]
@@ -152,7 +152,7 @@
     assert!(b.statuses(next).is_empty(), "the second answer is not the next job's");
 }
 
-// What a worker says that is no answer: the job is not answered by it.
+// What a worker says that is no answer: the request is not answered by it.
 #[test_case("\x16\x03\x01 no HTTP\r\n\r\n", 502; "no HTTP")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 502; "no event")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 502; "two lengths")]
@@ -272,7 +272,7 @@
     assert!(state.contains("\"taken\":2") && state.contains("\"open\":1"), "never sent, it ended: {state}");
 }
 
-// Answers go out one by one and in the order of the requests, though the second job ends first.
+// Answers go out one by one and in the order of the requests, though the second request ends first.
 #[test]
 fn pipelined_requests() {
     let mut b = Bench::new(deployment(2));
@@ -503,7 +503,8 @@
     fn workers(&mut self, _: usize) {}
 }
 
-// A job's opening goes to its worker, with a lease while the list has it; a job is counted when it is taken.
+// A request's opening goes to its worker, with a lease while the list has it; a request is counted when it
+// is taken.
 #[test_case("opening: long", "size: 7", Some("applepond-opening-lease-ms: 2000"), &[("long", 7)]; "pinned")]
 #[test_case("opening: other", "size: 7", None, &[("other", 7)]; "not in the list")]
 #[test_case("opening: long", "size: seven", Some("lease-ms: 2000"), &[("long", 0)]; "of unknown size")]
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -22,8 +22,8 @@
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
         self.0.borrow_mut().saw_usual(now, usual);
     }
-    fn promised(&mut self, now: Micros, job: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, job, wait);
+    fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
+        self.0.borrow_mut().promised(now, request, wait);
     }
     fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
         self.0.borrow_mut().own(now)
@@ -64,7 +64,7 @@
     (bench, memory)
 }
 
-/// A job each for so many functions, so that each worker is the home of some.
+/// A request each for so many functions, so that each worker is the home of some.
 fn many(b: &mut Bench, from: usize) {
     some(b, from..from + 12);
 }
@@ -127,7 +127,7 @@
     assert_eq!(ages(&b).iter().filter(|age| **age <= S).count(), 1, "the one that has answered");
 }
 
-// A job that was told to come back before the restart is known to have been, and the next promise is kept
+// A request that was told to come back before the restart is known to have been, and the next promise is kept
 // too.
 #[test]
 fn promises_outlast_the_process() {
@@ -148,7 +148,7 @@
     assert_eq!(later.borrow_mut().own(after.now), None, "taken up by the gateway");
 }
 
-// A worker that a whole list leaves out is gone, with jobs still out there or not: what was said of it
+// A worker that a whole list leaves out is gone, with requests still out there or not: what was said of it
 // before does not bring it back.
 #[test]
 fn who_is_gone_stays_so() {
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -110,7 +110,7 @@
     }
 }
 
-// A thousand connections at the same moment, one job each: each gets exactly one answer, and none is left
+// A thousand connections at the same moment, one request each: each gets exactly one answer, and none is left
 // over.
 #[test]
 fn a_thousand_clients_at_once() {
@@ -132,7 +132,7 @@
     assert!(ok >= 500 && ok + ends.get(&Got::PushedBack).unwrap_or(&0) == 1_000, "{ends:?}");
 }
 
-// Workers that break off, hang, talk nonsense: an at-most-once job begins once and has its one answer.
+// Workers that break off, hang, talk nonsense: an at-most-once request begins once and has its one answer.
 #[test_case(Mood::CutAnswers, &[Got::Killed, Got::PushedBack]; "cut")]
 #[test_case(Mood::Garbage, &[Got::Killed, Got::PushedBack]; "garbage")]
 #[test_case(Mood::FailFast(1.0), &[Got::Killed, Got::PushedBack]; "fail")]
@@ -160,13 +160,14 @@
     assert!(ends.keys().all(|got| wanted.contains(got)), "{ends:?}");
 }
 
-// A worker dies while it runs jobs, and comes back: idempotent ones are answered by another.
+// A worker dies while it runs requests, and comes back: idempotent ones are answered by another.
 #[test]
 fn a_worker_dies_with_its_jobs() {
     let mut fleet = fleet(2, &[]);
     let at = fleet.reactor.now() + 50 * MS;
-    let jobs = (0..20).map(|n| Planned { work_ms: 200, ..planned(at, n, "quote") }).collect();
-    let (client, results) = Client::new(jobs, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
+    let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned(at, n, "quote") }).collect();
+    let (client, results) =
+        Client::new(requests, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
     let ledger = fleet.ledger.clone();
     until(&mut fleet.reactor, || ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Saw::Began { .. }))));
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -62,8 +62,8 @@
     assert_eq!((again.workloads.len(), again.customers.len()), (3, 2), "a switch to and fro adds nothing");
 }
 
-// An at-most-once job that was out at the switch stays one, though its workload may be repeated now; the next
-// may.
+// An at-most-once request that was out at the switch stays one, though its workload may be repeated now; the
+// next may.
 #[test]
 fn a_job_keeps_the_terms_it_was_taken_under() {
     let mut b = Bench::new(deployment(3));
@@ -87,7 +87,7 @@
     assert_eq!((b.statuses(client), b.requests()), (vec![200], 3));
 }
 
-// Two attempts are out when second copies are forbidden: one is taken back, and no job gets another.
+// Two attempts are out when second copies are forbidden: one is taken back, and no request gets another.
 #[test]
 fn copies_end_with_their_permit() {
     let mut b = Bench::new(deployment(3));
@@ -137,7 +137,8 @@
     assert_eq!((b.statuses(again), b.requests()), (vec![200], 2));
 }
 
-// Held jobs are not lost: the workers that the new settings name get them; those left out get nothing new.
+// Held requests are not lost: the workers that the new settings name get them; those left out get nothing
+// new.
 #[test]
 fn held_jobs_go_to_the_workers_of_the_new_settings() {
     let mut b = Bench::new(deployment(0));
--- a/crates/http/src/cloudevent.rs
+++ b/crates/http/src/cloudevent.rs
@@ -13,7 +13,7 @@
 const ENCODED: &AsciiSet = &CONTROLS.add(b' ').add(b'"').add(b'%');
 /// Characters of an attribute's name at most: the specification asks for 20, some extensions have a few more.
 const NAME_MOST: usize = 40;
-/// Bytes of an attribute's value at most: ids and sources are kept while their job runs.
+/// Bytes of an attribute's value at most: ids and sources are kept while their request runs.
 const VALUE_MOST: usize = 1024;
 /// Attributes that every event has (specification, section 3.1).
 const REQUIRED: [&str; 4] = ["id", "source", "specversion", "type"];
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -143,7 +143,8 @@
 }
 
 /// The body of an error (RFC 9457): `type`, `status`, `title` and `detail` of the RFC, with `reason` (the
-/// code that the log carries), the job's id where known, and `retry-after-ms` where the client may come back.
+/// code that the log carries), the request's id where known, and `retry-after-ms` where the client may come
+/// back.
 pub fn problem(fault: &Fault, id: Option<&str>, come_back_ms: Option<u64>) -> Vec<u8> {
     let mut body = json!({
         "type": format!("urn:applepond:problem:{}", fault.reason),
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -61,7 +61,7 @@
     decoder: Decoder,
     part: Part,
     pub doing: Doing,
-    pub job: Option<RequestId>,
+    pub request: Option<RequestId>,
     /// It has been answered before, and nothing of its next request is here.
     idle: bool,
     /// Bytes of later requests that were dropped.
@@ -82,7 +82,7 @@
             decoder: Decoder::new(Side::Server, HEAD_MOST, BODY_MOST),
             part: Part::default(),
             doing: Doing::Reading,
-            job: None,
+            request: None,
             idle: false,
             dropped: 0,
             first_byte: None,
@@ -169,7 +169,7 @@
             head = head.field("Connection", "close");
         }
         transport.write(conn, &head.body(&reply.body));
-        self.job = None;
+        self.request = None;
         if keep {
             self.doing = Doing::Reading;
             self.first_byte = self.next_first_byte.take();
@@ -195,8 +195,8 @@
     }
 }
 
-/// Connections that wait for no job, by when patience with them ends: those that have brought nothing yet,
-/// those that lie idle between two requests, and those amid a request or on their way out.
+/// Connections that wait for no request, by when patience with them ends: those that have brought nothing
+/// yet, those that lie idle between two requests, and those amid a request or on their way out.
 #[derive(Default)]
 pub struct Patience {
     silent: BTreeSet<(Micros, Conn)>,
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -23,7 +23,7 @@
     pub since: Micros,
     /// It carries nothing new any more and goes when it owes nothing.
     pub parted: bool,
-    /// Attempts of which at least a byte has left, by job: a model server gives back an id but once.
+    /// Attempts of which at least a byte has left, by request: a model server gives back an id but once.
     pub out: BTreeMap<RequestId, usize>,
     pub queue: VecDeque<Item>,
     /// Attempts that close as soon as all of the queue has left: the words that give them up wait in it.
@@ -49,7 +49,7 @@
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         // An id of another form was never sent: it belongs to nobody here.
         if id.len() == 16 {
-            self.answers.push((call::job_id(id), answer, body));
+            self.answers.push((call::request_id(id), answer, body));
         }
     }
     fn works(&mut self, _: &str) {
@@ -91,8 +91,8 @@
     }
 
     /// Takes an attempt back of which nothing has left.
-    pub fn take_back(&mut self, job: RequestId, n: usize) -> bool {
-        let waits = |i: &Item| matches!(i, Item::Run(j, m) if *j == job && *m == n);
+    pub fn take_back(&mut self, request: RequestId, n: usize) -> bool {
+        let waits = |i: &Item| matches!(i, Item::Run(j, m) if *j == request && *m == n);
         let found = self.queue.iter().position(waits);
         found.is_some_and(|at| self.queue.remove(at).is_some())
     }
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -66,7 +66,7 @@
     NoAddress,
 }
 
-/// What this router keeps of a job beside its life.
+/// What this router keeps of a request beside its life.
 struct Task {
     caller: Option<Conn>,
     /// The line that runs it, up to the time it has.
@@ -178,16 +178,16 @@
 
     fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport, act: Act) {
         match act {
-            Act::Send(job, server, patience, begin) => {
-                self.execute(now, transport, job, server, (patience, begin));
+            Act::Send(request, server, patience, begin) => {
+                self.execute(now, transport, request, server, (patience, begin));
             }
-            Act::Cancel(job, n) => self.drop_attempt(now, job, n, Outcome::Cancelled),
-            Act::PushBack(job, come_back) => {
-                self.end(now, transport, job, Reply { come_back, ..Reply::bare(503) });
+            Act::Cancel(request, n) => self.drop_attempt(now, request, n, Outcome::Cancelled),
+            Act::PushBack(request, come_back) => {
+                self.end(now, transport, request, Reply { come_back, ..Reply::bare(503) });
             }
-            Act::Kill(job) => {
-                let late = self.lives.get(job).is_some_and(|l| l.timed_out || now >= l.deadline);
-                self.end(now, transport, job, Reply::bare(if late { 504 } else { 502 }));
+            Act::Kill(request) => {
+                let late = self.lives.get(request).is_some_and(|l| l.timed_out || now >= l.deadline);
+                self.end(now, transport, request, Reply::bare(if late { 504 } else { 502 }));
             }
             Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
             Act::Note(text) => tracing::info!(target: "module", "{text}"),
@@ -200,17 +200,17 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        job: RequestId,
+        request: RequestId,
         server: WorkerId,
         times: (Micros, Micros),
     ) {
         let most = self.start.rows.attempt_policy.max_attempts;
-        match self.lives.execute(now, job, server, times, most) {
+        match self.lives.execute(now, request, server, times, most) {
             Some(Ok(n)) => {
                 self.arm(now, transport);
-                self.place(now, transport, job, n);
+                self.place(now, transport, request, n);
             }
-            Some(Err(n)) => self.close(now, job, n, ended(Outcome::Superseded)),
+            Some(Err(n)) => self.close(now, request, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
@@ -224,26 +224,26 @@
     }
 
     fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some((job, n)) = self.lives.due(now) {
-            self.drop_attempt(now, job, n, Outcome::TimedOut);
+        while let Some((request, n)) = self.lives.due(now) {
+            self.drop_attempt(now, request, n, Outcome::TimedOut);
         }
         self.arm(now, transport);
     }
 
     /// Puts an attempt on a connection that has room for it, a new one if need be.
-    fn place(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, n: usize) {
-        let Some(life) = self.lives.get_mut(job) else { return };
+    fn place(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, n: usize) {
+        let Some(life) = self.lives.get_mut(request) else { return };
         let server = life.attempts[n].server;
         let wanted = life.may_begin(now, n);
         let ready = |w: &&mut Worker| wanted && w.standing == WorkerStatus::Ready;
         let Some(worker) = self.workers.get_mut(server).filter(ready) else {
-            return self.close(now, job, n, ended(Outcome::Superseded));
+            return self.close(now, request, n, ended(Outcome::Superseded));
         };
         let idle_limit = (self.start.terms.idle_limit as f64 * IDLE_PART) as Micros;
         let usable = worker.links.iter().copied().filter(|conn| {
             let link = &self.links[conn];
             let fresh = link.load() > 0 || now < link.busy + idle_limit;
-            // Another answer to an earlier attempt of the job may still come here under the same id, also
+            // Another answer to an earlier attempt of the request may still come here under the same id, also
             // where it has had one.
             let used = life.attempts[..n].iter().any(|e| e.link == Some(*conn));
             fresh && !used && link.load() < self.start.terms.streams
@@ -260,13 +260,13 @@
             // That there is no descriptor is not this server's fault.
             None if self.links.len() >= self.links_most => {
                 if self.make_room(now, transport) {
-                    return self.place(now, transport, job, n);
+                    return self.place(now, transport, request, n);
                 }
                 tracing::warn!(
                     links = self.links.len(),
                     "no descriptor is left for a connection to a server"
                 );
-                return self.close(now, job, n, ended(Outcome::Superseded));
+                return self.close(now, request, n, ended(Outcome::Superseded));
             }
             _ => {
                 let conn = transport.connect(worker.address, self.start.terms.connect_limit);
@@ -276,7 +276,7 @@
             }
         };
         life.attempts[n].link = Some(conn);
-        self.links.get_mut(&conn).expect("just found").queue.push_back(Item::Run(job, n));
+        self.links.get_mut(&conn).expect("just found").queue.push_back(Item::Run(request, n));
         self.dirty.push(conn);
     }
 
@@ -297,31 +297,32 @@
             link.busy = now;
             let (run, bytes) = match item {
                 Item::Rest(bytes) => (None, bytes),
-                Item::Run(job, n) => {
-                    let Some(life) = self.lives.get(job) else { continue };
-                    // Guards against an attempt that begins though nobody waits for its job any more, also
-                    // where those that have begun may not be cancelled, against a repeat that a model server
-                    // would not know any more when its connection comes up late or takes nothing, and against
-                    // a server that drained, or went, while this process stood still and asked for no list.
+                Item::Run(request, n) => {
+                    let Some(life) = self.lives.get(request) else { continue };
+                    // Guards against an attempt that begins though nobody waits for its request any more,
+                    // also where those that have begun may not be cancelled, against a repeat that a model
+                    // server would not know any more when its connection comes up late or takes nothing, and
+                    // against a server that drained, or went, while this process stood still and asked for
+                    // no list.
                     if !life.may_begin(now, n) || self.watch.stale(now) {
-                        self.close(now, job, n, ended(Outcome::Superseded));
+                        self.close(now, request, n, ended(Outcome::Superseded));
                         continue;
                     }
                     let mut bytes = life.of.head.clone();
                     line::rest(&mut bytes, life.deadline.saturating_sub(now).div_ceil(1000), &life.of.body);
-                    (Some((job, n)), bytes)
+                    (Some((request, n)), bytes)
                 }
             };
             let taken = transport.offer(conn, &bytes);
-            if let Some((job, n)) = run {
+            if let Some((request, n)) = run {
                 if taken == 0 {
-                    link.queue.push_front(Item::Run(job, n));
+                    link.queue.push_front(Item::Run(request, n));
                     return;
                 }
                 if link.out.is_empty() {
                     link.heard = now;
                 }
-                link.out.insert(job, n);
+                link.out.insert(request, n);
             }
             if taken < bytes.len() {
                 link.queue.push_front(Item::Rest(bytes[taken..].to_vec()));
@@ -329,61 +330,66 @@
             }
         }
         let given_up = self.links.get_mut(&conn).filter(|l| l.open).map(|l| std::mem::take(&mut l.given_up));
-        for (job, n) in given_up.into_iter().flatten() {
-            self.close(now, job, n, ended(Outcome::Cancelled));
+        for (request, n) in given_up.into_iter().flatten() {
+            self.close(now, request, n, ended(Outcome::Cancelled));
         }
     }
 
     /// Ends an attempt from this side, by a cancel or because its time is up. What has not left is taken
     /// back and has never run; what has is given up by a line.
-    fn drop_attempt(&mut self, now: Micros, job: RequestId, n: usize, outcome: Outcome) {
-        let Some(life) = self.lives.get_mut(job) else { return };
+    fn drop_attempt(&mut self, now: Micros, request: RequestId, n: usize, outcome: Outcome) {
+        let Some(life) = self.lives.get_mut(request) else { return };
         let Some(attempt) = life.attempts.get(n).filter(|e| !e.closed) else { return };
         life.timed_out |= outcome == Outcome::TimedOut;
-        // Whether the job may have another attempt for this one, but not beside it.
+        // Whether the request may have another attempt for this one, but not beside it.
         let alone =
             outcome == Outcome::Cancelled && !life.ended && !self.start.rows.attempt_policy.hedging_allowed;
         let mut outcome = outcome;
         if let Some(conn) = attempt.link
             && let Some(link) = self.links.get_mut(&conn)
         {
-            if link.take_back(job, n) {
+            if link.take_back(request, n) {
                 outcome = fate::of_unsent(outcome);
-            } else if link.out.remove(&job).is_some() {
+            } else if link.out.remove(&request).is_some() {
                 let mut bytes = Vec::new();
-                line::undo(&mut bytes, id_text(&job));
+                line::undo(&mut bytes, id_text(&request));
                 link.queue.push_back(Item::Rest(bytes));
                 if alone {
                     // Guards against two that are out together where that is forbidden: this one closes when
                     // the word that gives it up has left.
-                    link.given_up.push((job, n));
+                    link.given_up.push((request, n));
                     self.dirty.push(conn);
                     return;
                 }
                 self.dirty.push(conn);
             } else {
-                link.given_up.retain(|given_up| *given_up != (job, n));
+                link.given_up.retain(|given_up| *given_up != (request, n));
             }
         }
-        self.close(now, job, n, ended(outcome));
+        self.close(now, request, n, ended(outcome));
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, job: RequestId, n: usize, answer: AttemptResult) {
-        let server = self.lives.get(job).map(|l| l.attempts[n].server.0);
-        if let Some(answer) = self.lives.close(now, job, n, answer) {
-            tracing::debug!(job = id_text(&job), n, server, ?answer, "attempt closed");
+    fn close(&mut self, now: Micros, request: RequestId, n: usize, answer: AttemptResult) {
+        let server = self.lives.get(request).map(|l| l.attempts[n].server.0);
+        if let Some(answer) = self.lives.close(now, request, n, answer) {
+            tracing::debug!(request = id_text(&request), n, server, ?answer, "attempt closed");
             self.control.advance_to(now);
-            self.control.attempt_finished(&mut self.acts, job, n, &answer);
+            self.control.attempt_finished(&mut self.acts, request, n, &answer);
         }
     }
 
-    /// The one place where a job ends.
-    fn end(&mut self, now: Micros, transport: &mut dyn Transport, job: RequestId, reply: Reply) {
-        let Some(life) = self.lives.end(job) else { return };
-        tracing::debug!(job = id_text(&job), status = reply.status, took = now - life.came, "job ended");
+    /// The one place where a request ends.
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, reply: Reply) {
+        let Some(life) = self.lives.end(request) else { return };
+        tracing::debug!(
+            request = id_text(&request),
+            status = reply.status,
+            took = now - life.came,
+            "job ended"
+        );
         let caller = life.of.caller.take();
-        self.lives.forget(job);
+        self.lives.forget(request);
         if let Some(conn) = caller {
             self.answer(now, transport, conn, &reply);
         }
@@ -434,36 +440,45 @@
         arrival: RequestArrival,
         task: Task,
     ) {
-        let job = arrival.request;
-        if self.lives.get(job).is_some() {
+        let request = arrival.request;
+        if self.lives.get(request).is_some() {
             // Another request under an open id: which of the two an answer belongs to could not be told.
             return self.answer(now, transport, conn, &Reply::bare(409));
         }
         let RequestArrival {
             function, workload, time_left: left, concurrency: lanes, retry, load_time, ..
         } = &arrival;
-        tracing::debug!(job = id_text(&job), ?function, ?workload, left, lanes, retry, ?load_time, "a job");
-        self.lives.begin(job, now, now + arrival.time_left, task);
-        self.callers.get_mut(&conn).expect("it has just asked").job = Some(job);
+        tracing::debug!(
+            request = id_text(&request),
+            ?function,
+            ?workload,
+            left,
+            lanes,
+            retry,
+            ?load_time,
+            "a job"
+        );
+        self.lives.begin(request, now, now + arrival.time_left, task);
+        self.callers.get_mut(&conn).expect("it has just asked").request = Some(request);
         self.control.advance_to(now);
         self.control.request_arrived(&mut self.acts, &arrival);
     }
 
-    /// A client has gone: nothing is owed to it, and its job ends.
+    /// A client has gone: nothing is owed to it, and its request ends.
     fn caller_gone(&mut self, now: Micros, conn: Conn) {
         let Some(caller) = self.callers.remove(&conn) else { return };
         self.patience.remove(conn, &caller);
-        if let Some(job) = caller.job
-            && self.lives.end(job).is_some()
+        if let Some(request) = caller.request
+            && self.lives.end(request).is_some()
         {
-            self.lives.forget(job);
+            self.lives.forget(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, job);
+            self.control.client_disconnected(&mut self.acts, request);
         }
     }
 
     /// Ends connections with which patience is over, and where there are too many, those that matter least.
-    /// Never one whose job is open.
+    /// Never one whose request is open.
     fn part_with_callers(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             let many = self.callers.len() > self.callers_most;
@@ -485,13 +500,15 @@
         if came.works || !came.answers.is_empty() {
             link.asked = None;
         }
-        for (job, answer, body) in came.answers {
+        for (request, answer, body) in came.answers {
             // Given up, told twice, or never asked for: nobody waits for it.
-            let Some(n) = self.links.get_mut(&conn).and_then(|link| link.out.remove(&job)) else { continue };
+            let Some(n) = self.links.get_mut(&conn).and_then(|link| link.out.remove(&request)) else {
+                continue;
+            };
             if answer.outcome == Outcome::Finished {
-                self.end(now, transport, job, Reply { body, ..Reply::bare(200) });
+                self.end(now, transport, request, Reply { body, ..Reply::bare(200) });
             }
-            self.close(now, job, n, answer);
+            self.close(now, request, n, answer);
         }
         if let Err(fault) = read {
             tracing::debug!(reason = fault.reason, detail = fault.detail, "a connection to a server is cut");
@@ -515,19 +532,19 @@
         if let Some(worker) = self.workers.get_mut(link.server) {
             worker.links.retain(|c| *c != conn);
         }
-        for (job, n) in link.out {
-            self.close(now, job, n, ended(fate::of_end(Reached::Written)));
+        for (request, n) in link.out {
+            self.close(now, request, n, ended(fate::of_end(Reached::Written)));
         }
-        for (job, n) in link.given_up {
-            self.close(now, job, n, ended(Outcome::Cancelled));
+        for (request, n) in link.given_up {
+            self.close(now, request, n, ended(Outcome::Cancelled));
         }
         for item in link.queue {
-            let Item::Run(job, n) = item else { continue };
+            let Item::Run(request, n) = item else { continue };
             if link.open {
                 // Nothing of it had left when the connection broke: it goes out on another one.
-                self.place(now, transport, job, n);
+                self.place(now, transport, request, n);
             } else {
-                self.close(now, job, n, ended(fate::of_end(Reached::NotOpen)));
+                self.close(now, request, n, ended(fate::of_end(Reached::NotOpen)));
             }
         }
     }
@@ -541,8 +558,8 @@
         let (runs, rests): (Vec<_>, Vec<_>) = queue.into_iter().partition(|i| matches!(i, Item::Run(..)));
         link.queue = rests.into();
         for item in runs {
-            if let Item::Run(job, n) = item {
-                self.close(now, job, n, ended(Outcome::Superseded));
+            if let Item::Run(request, n) = item {
+                self.close(now, request, n, ended(Outcome::Superseded));
             }
         }
         self.sweep_link(now, transport, conn);
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -147,13 +147,13 @@
             .collect()
     }
 
-    /// How often this job was sent, over all connections.
+    /// How often this request was sent, over all connections.
     pub fn runs(&self, id: u64) -> usize {
         let links = self.paper.connects.iter();
         links.flat_map(|(c, _)| self.lines(*c)).filter(|(verb, rid)| verb == "DO" && *rid == name(id)).count()
     }
 
-    /// The connection that carries a job, with the last of its attempts.
+    /// The connection that carries a request, with the last of its attempts.
     pub fn carries(&mut self, id: u64) -> Conn {
         let links = self.links();
         let on = links.iter().rev().find(|c| self.lines(**c).contains(&("DO".into(), name(id))));
--- a/crates/node/tests/machine.rs
+++ b/crates/node/tests/machine.rs
@@ -159,7 +159,7 @@
 }
 
 // Where there are too many connections, whoever has just come may still ask: the longest silent goes, else
-// the longest idle, never one whose job is open.
+// the longest idle, never one whose request is open.
 #[test_case(0; "all others asked once and stay")]
 #[test_case(100; "some never ask")]
 fn a_crowd_of_connections(silent: usize) {
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -20,7 +20,7 @@
 pub enum Ask {
     /// Whether this router serves.
     Check,
-    /// A job: what the module is told, and the head of the line that runs it.
+    /// A request: what the module is told, and the head of the line that runs it.
     Job(RequestArrival, Vec<u8>),
 }
 
@@ -57,16 +57,16 @@
     (plain && !text.is_empty() && text.len() <= DIGITS_MOST).then(|| text.parse().ok()).flatten()
 }
 
-/// A job's id in the module's form.
-pub fn job_id(text: &str) -> RequestId {
+/// A request's id in the module's form.
+pub fn request_id(text: &str) -> RequestId {
     let mut id = [b'0'; 36];
     id[..text.len()].copy_from_slice(text.as_bytes());
     RequestId(id)
 }
 
 /// The id as it came.
-pub fn id_text(job: &RequestId) -> &str {
-    std::str::from_utf8(&job.0[..16]).expect("ids came in as text")
+pub fn id_text(request: &RequestId) -> &str {
+    std::str::from_utf8(&request.0[..16]).expect("ids came in as text")
 }
 
 impl Incoming<'_> {
@@ -116,7 +116,7 @@
             mark => mark,
         };
         let mut arrival = RequestArrival {
-            request: job_id(id),
+            request: request_id(id),
             function: FunctionId::named(function),
             workload: WorkloadId(workload),
             customer,
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -14,7 +14,7 @@
     fn works(&mut self, tag: &str);
 }
 
-/// The part of a line that runs a job that is the same for each of its attempts, up to the time it has.
+/// The part of a line that runs a request that is the same for each of its attempts, up to the time it has.
 pub fn head(id: &str, workload: &str, function: &str, mark: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(192);
     let _ = write!(
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -87,7 +87,7 @@
     (words, applepond_platform::rows::startup(&settings, 1).expect("good settings"), vec![1_600_000; 2])
 }
 
-/// A job, its head and body; an error is the status of what is no call.
+/// A request, its head and body; an error is the status of what is no call.
 fn asked(request: &str) -> Result<(RequestArrival, Vec<u8>, Vec<u8>), u16> {
     let (words, rows, deadlines) = rows();
     let mut part = Part::default();
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -1,4 +1,4 @@
-//! What pinned openings save, on paper: jobs with openings by Zipf come to routers, each goes to one of
+//! What pinned openings save, on paper: requests with openings by Zipf come to routers, each goes to one of
 //! the model's workers; a worker prepares an opening that it has not kept. Beside each other in one run:
 //! the worker's LRU alone, each router pinning by its own counts, pins by the merged counts, and by the
 //! true ones. Prints a table; with a file's name it draws a chart there.
@@ -19,7 +19,7 @@
 /// Openings that a worker keeps, all of one size here, and how many of them may be pinned.
 const KEPT: usize = 60;
 const PINNED: f64 = 40.0;
-/// µs to prepare one, and of the rest of a job.
+/// µs to prepare one, and of the rest of a request.
 const PREPARE: u64 = 400_000;
 const WORK: u64 = 60_000;
 
@@ -38,7 +38,7 @@
 
 impl Worker {
     /// Whether it had it; it has it afterwards.
-    fn job(&mut self, now: u64, id: u64, pin: Option<u64>) -> bool {
+    fn request(&mut self, now: u64, id: u64, pin: Option<u64>) -> bool {
         let had = self.kept.contains_key(&id);
         if !had && self.kept.len() >= KEPT {
             // The one longest not used goes, pinned ones last.
@@ -78,7 +78,7 @@
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
     let mut pins: Vec<Pins> = (0..lists_of).map(|_| Pins::new(0, terms)).collect();
     let mut lists = vec![List::default(); lists_of];
-    let (mut prepared, mut jobs, mut took) = (0u64, 0u64, 0u64);
+    let (mut prepared, mut requests, mut took) = (0u64, 0u64, 0u64);
     for n in 0..RATE * SECONDS {
         let now = n * S / RATE;
         if n % RATE == 0 {
@@ -111,14 +111,14 @@
         panes[router].uses(OpeningId(id));
         let worker = &mut workers[rng.rand_range(0..WORKERS as u64) as usize];
         let list = &lists[if way == Way::Own { router } else { 0 }];
-        let had = worker.job(now, id, list.rides(now, now + RIDES, OpeningId(id)));
+        let had = worker.request(now, id, list.rides(now, now + RIDES, OpeningId(id)));
         if n >= WARM * RATE {
-            jobs += 1;
+            requests += 1;
             prepared += u64::from(!had);
             took += WORK + if had { 0 } else { PREPARE };
         }
     }
-    (prepared as f64 * PREPARE as f64 / 1e6, took as f64 / jobs as f64)
+    (prepared as f64 * PREPARE as f64 / 1e6, took as f64 / requests as f64)
 }
 
 /// One router's uses as if all saw the same.
--- a/crates/prefix_cache/src/decide.rs
+++ b/crates/prefix_cache/src/decide.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The lease that rides on a job with this opening: how long its worker may keep it for pinned.
-    /// `end`: until when the list counts here, looked at as the job is written.
+    /// The lease that rides on a request with this opening: how long its worker may keep it for pinned.
+    /// `end`: until when the list counts here, looked at as the request is written.
     pub fn rides(&self, now: Micros, end: Micros, id: OpeningId) -> Option<Micros> {
         // Guards against a list that is over: what it said may not be agreed on any more.
         (now < end && self.pins.iter().any(|p| p.id == id)).then_some(RIDES)
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -1,10 +1,10 @@
-//! Openings worth keeping prepared. Many jobs to one model begin alike; a worker that has prepared an
+//! Openings worth keeping prepared. Many requests to one model begin alike; a worker that has prepared an
 //! opening keeps it for a while. No router sees much of any, so each counts in sketches of bounded size,
 //! all are merged, and one list is agreed on. Machines without I/O: counts and the time in, a list and
 //! leases out. See docs/prefix-cache.md.
 //!
 //! Counts are told and only a hint; the list is what is agreed on, and counts as long as its copy does. A pin
-//! rides on the jobs that use it, as a lease with an end: there is no unpin that could be lost.
+//! rides on the requests that use it, as a lease with an end: there is no unpin that could be lost.
 mod decide;
 mod fault;
 mod panes;
@@ -45,8 +45,8 @@
 /// µs for which a pin stays at least once it is in, and stays out once it is out.
 pub const LEAST_IN: Micros = 20_000_000;
 pub const LEAST_OUT: Micros = 10_000_000;
-/// µs of a lease that rides on a job: at a dozen workers an opening that is worth a pin comes to each of them
-/// once in half a minute.
+/// µs of a lease that rides on a request: at a dozen workers an opening that is worth a pin comes to each of
+/// them once in half a minute.
 pub const RIDES: Micros = 60_000_000;
 /// µs after a list has shrunk for which its memory still counts as taken: leases, and copies of the list
 /// before that rode on until they ended.
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -34,7 +34,7 @@
         Panes { begun: now, number: 0, now: Sketch::default() }
     }
 
-    /// A job that uses this opening has come.
+    /// A request that uses this opening has come.
     pub fn uses(&mut self, id: OpeningId) {
         self.now.add(id, 1);
     }
--- a/crates/prefix_cache/tests/openings.rs
+++ b/crates/prefix_cache/tests/openings.rs
@@ -237,7 +237,7 @@
     assert_eq!(worth, [false, true, true, false]);
 }
 
-// A pin rides on a job only while the list counts.
+// A pin rides on a request only while the list counts.
 #[test_case(7, 5 * S, 8 * S, Some(RIDES); "while the list counts")]
 #[test_case(7, 8 * S, 8 * S, None; "the list is over")]
 #[test_case(9, 5 * S, 8 * S, None; "it is not in it")]
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -38,8 +38,8 @@
 /// A need is told above what was asked for by one part in so many: what is spare is lost to others.
 pub const SPARE: u64 = 32;
 /// µs of its part that a bucket may hold, and millionths of a unit that it may hold at least: with one unit a
-/// small part would lose what comes between two jobs. The burst of all is so much of the whole and two units
-/// a router.
+/// small part would lose what comes between two requests. The burst of all is so much of the whole and two
+/// units a router.
 pub const BURST: Micros = 100_000;
 pub const LEAST: u64 = 2 * UNIT;
 pub const UNIT: u64 = 1_000_000;
--- a/crates/recovery/src/facts.rs
+++ b/crates/recovery/src/facts.rs
@@ -24,7 +24,7 @@
     /// What is usual at this router, by key: first tries and connections opened a second, and its pace. Its
     /// own, nobody else's.
     Usual,
-    /// A job was told to come back after so many ms, by its digest. Its own too.
+    /// A request was told to come back after so many ms, by its digest. Its own too.
     Promise,
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -2,7 +2,7 @@
 //! disks may lose, bend or put back; and a few peers that are asked for theirs. Machines without I/O.
 //!
 //! **No fact is a permission.** A fact only ever makes a router more careful: less room, a worker tried
-//! by one job first, a drain that is kept. What may be spent is agreed on anew. Facts of an age that
+//! by one request first, a drain that is kept. What may be spent is agreed on anew. Facts of an age that
 //! nobody can know count as the oldest. See docs/recovery.md.
 mod facts;
 mod fault;
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -4,7 +4,7 @@
 use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Weight from which on a worker that was in doubt is tried by one job first.
+/// Weight from which on a worker that was in doubt is tried by one request first.
 const DOUBT: f64 = 0.5;
 
 /// Promises kept at most: those of the last moments, as older ones are over.
@@ -82,15 +82,15 @@
         }
     }
 
-    /// A job was told to come back in so many µs.
-    pub fn promised(&mut self, now: Micros, job: u64, wait: Micros) {
-        let about = About { what: What::Promise, key: job, life: 0 };
+    /// A request was told to come back in so many µs.
+    pub fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
+        let about = About { what: What::Promise, key: request, life: 0 };
         self.facts.drop(&about);
         self.facts.note(now, Fact { about, value: wait as f32 / 1e3, age: 0 });
-        self.promises.push_back(job);
+        self.promises.push_back(request);
         if self.promises.len() > PROMISES_MOST {
             let oldest = self.promises.pop_front();
-            oldest.into_iter().for_each(|job| self.facts.drop(&About { key: job, ..about }));
+            oldest.into_iter().for_each(|request| self.facts.drop(&About { key: request, ..about }));
         }
     }
 
@@ -278,14 +278,18 @@
         after.take(2 * S, &facts);
         let (usual, promises) = after.own(2 * S).expect("something");
         assert_eq!(usual, Some([40.0, 2.0, 300.0]));
-        assert_eq!(promises.iter().map(|(job, _)| *job).collect::<Vec<_>>(), [7], "the other one is over");
+        assert_eq!(
+            promises.iter().map(|(request, _)| *request).collect::<Vec<_>>(),
+            [7],
+            "the other one is over"
+        );
         assert!((1_990_000..=2_010_000).contains(&promises[0].1), "{promises:?}");
         assert!(after.own(2 * S).is_none(), "once");
         let unknown = crate::read(1, Some(crate::Boot(2)), 2 * S, &bytes).expect("whole");
         let mut after = Memory::default();
         after.take(2 * S, &unknown);
         assert!(after.own(2 * S).is_none_or(|(_, promises)| promises.is_empty()), "nobody knows its age");
-        (0..3_000).for_each(|job| before.promised(S, 100 + job, S));
+        (0..3_000).for_each(|request| before.promised(S, 100 + request, S));
         assert!(before.facts().len() <= PROMISES_MOST + 3);
     }
 
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -14,7 +14,7 @@
 /// Faults told of one rule at most; the count goes on.
 const TOLD: usize = 5;
 
-/// What a second attempt of an event's job would do.
+/// What a second attempt of an event's request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
--- a/crates/scenarios/src/chains.rs
+++ b/crates/scenarios/src/chains.rs
@@ -156,7 +156,7 @@
     };
     let day = Day {
         parts: (0..plan.workers).map(part).collect(),
-        jobs: desks(order, begin),
+        requests: desks(order, begin),
         store_stop: (0, 0),
         kill: (0, 0, 0),
         late_list: (0, 0),
@@ -189,7 +189,7 @@
         routers.push(Some(start(plan, file)?));
     }
     let addresses = Rc::new(RefCell::new(routers.iter().flatten().map(|r| r.at).collect()));
-    let (client, results) = Client::new(day.jobs.clone(), addresses, ledger.clone());
+    let (client, results) = Client::new(day.requests.clone(), addresses, ledger.clone());
     reactor.add(Box::new(client));
     let mut rng = Rand64::new(u128::from(plan.seed) << 32);
     let mut kills: Vec<(u64, Micros, Micros)> = Vec::new();
@@ -216,15 +216,15 @@
             told_at = now;
             let at = now.saturating_sub(begin) / S;
             let done = results.borrow().done;
-            progress(&format!("{at:>4} s  {done} of {} chains, {} kills", day.jobs.len(), kills.len()));
+            progress(&format!("{at:>4} s  {done} of {} chains, {} kills", day.requests.len(), kills.len()));
         }
     }
     drop(routers);
     let mut effects = BTreeMap::new();
     let mut until: BTreeMap<String, Micros> = BTreeMap::new();
-    for job in &day.jobs {
-        let id = job.id.strip_suffix("/price").unwrap_or(&job.id);
-        let chain = format!("{} {id}", job.source);
+    for request in &day.requests {
+        let id = request.id.strip_suffix("/price").unwrap_or(&request.id);
+        let chain = format!("{} {id}", request.source);
         for (step, effect) in [
             ("price", Effect::Idempotent),
             ("beds", Effect::Keyed),
@@ -233,7 +233,7 @@
         ] {
             effects.insert(Event::from(format!("{chain}/{step}")), effect);
         }
-        until.insert(chain, job.at + LIMIT);
+        until.insert(chain, request.at + LIMIT);
     }
     let terms = Terms { grace: day::GRACE, window: day::WINDOW, effects, kills, end };
     let mut report = Report::default();
@@ -243,8 +243,8 @@
         verdict
     });
     report.steps = report.verdict.attempts;
-    for (job, (got, _)) in day.jobs.iter().zip(&results.borrow().got) {
-        if job.at >= begin + LOADS {
+    for (request, (got, _)) in day.requests.iter().zip(&results.borrow().got) {
+        if request.at >= begin + LOADS {
             report.chains += 1;
             report.finished += usize::from(*got == Got::Finished);
         }
@@ -265,13 +265,14 @@
             }
         }
     });
-    for (job, (got, _)) in day.jobs.iter().zip(&results.borrow().got) {
+    for (request, (got, _)) in day.requests.iter().zip(&results.borrow().got) {
         let answered = !matches!(got, Got::Nothing | Got::Broken);
-        if order.plain || answered || !lasting.contains(&format!("{} {}", job.source, job.id)) {
+        if order.plain || answered || !lasting.contains(&format!("{} {}", request.source, request.id)) {
             continue;
         }
         report.unanswered.0 += 1;
-        let on_record = records.iter_mut().any(|r| matches!(r.read((&job.source, &job.id)), Ok(Some(_))));
+        let on_record =
+            records.iter_mut().any(|r| matches!(r.read((&request.source, &request.id)), Ok(Some(_))));
         report.unanswered.1 += usize::from(on_record);
     }
     Ok(report)
--- a/crates/scenarios/src/chart.rs
+++ b/crates/scenarios/src/chart.rs
@@ -7,7 +7,7 @@
 const SIZE: (u32, u32) = (960, 560);
 /// Colours of the plays, in their order; told apart in grey as well.
 const COLOURS: [RGBColor; 2] = [RGBColor(20, 90, 160), RGBColor(220, 120, 30)];
-/// A service within this share of the jobs of one second is drawn at the top.
+/// A service within this share of the requests of one second is drawn at the top.
 const TOP: f64 = 105.0;
 
 /// Draws plays of the same storm side by side, each under its name. An error is the drawing library's.
@@ -18,8 +18,8 @@
         area.fill(&WHITE).map_err(|e| Unplayed::machine("the chart", e))?;
         let rows = area.split_evenly((2, 1));
         let service = |r: &Report| -> Vec<(f64, f64)> {
-            let share = |(n, (jobs, ok, _)): (usize, &(usize, usize, usize))| {
-                (n as f64, 100.0 * *ok as f64 / (*jobs).max(1) as f64)
+            let share = |(n, (requests, ok, _)): (usize, &(usize, usize, usize))| {
+                (n as f64, 100.0 * *ok as f64 / (*requests).max(1) as f64)
             };
             r.seconds.iter().enumerate().map(share).collect()
         };
--- a/crates/scenarios/src/comeback.rs
+++ b/crates/scenarios/src/comeback.rs
@@ -1,5 +1,5 @@
-//! Most routers die and come back, with jobs under way: how soon service is whole again, and what the return
-//! costs others. Judged from the sockets of workers, store, clients and the rig between the routers.
+//! Most routers die and come back, with requests under way: how soon service is whole again, and what the
+//! return costs others. Judged from the sockets of workers, store, clients and the rig between the routers.
 use crate::audit::{Terms, Verdict, judge};
 use crate::day::{self, Day};
 use crate::fault::Unplayed;
@@ -23,12 +23,12 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// µs from the first process to the first job: routers find the list and each other.
+/// µs from the first process to the first request: routers find the list and each other.
 const SETTLES: Micros = 4 * S;
-/// µs of jobs before the first router dies, and of those the last that count as service before.
+/// µs of requests before the first router dies, and of those the last that count as service before.
 const BEFORE: Micros = 9 * S;
 const STEADY: Micros = 4 * S;
-/// µs between the first death and the first start, and of jobs after it.
+/// µs between the first death and the first start, and of requests after it.
 const DEAD: Micros = 3 * S;
 const AFTER: Micros = 13 * S;
 /// µs by which a drain comes before the deaths, and for which the list is behind after the starts.
@@ -44,7 +44,7 @@
 /// µs of a fetch from the store, and fetches at a time.
 const FETCH: Micros = 150 * MS;
 const FETCHES: usize = 24;
-/// Jobs a second a worker: 0.7 of what two cores do with jobs of 60 ms on average.
+/// Jobs a second a worker: 0.7 of what two cores do with requests of 60 ms on average.
 const RATE: f64 = 23.0;
 /// Asks that may come to one router in a tenth of a second: of three askers at a time all pages, and as many
 /// that look in vain.
@@ -81,8 +81,8 @@
 pub struct Report {
     pub broken: BTreeMap<&'static str, Vec<String>>,
     pub verdict: Verdict,
-    /// Share of jobs in time before the first death, while routers are dead, and in the 2 s after the last
-    /// start.
+    /// Share of requests in time before the first death, while routers are dead, and in the 2 s after the
+    /// last start.
     pub service: [f64; 3],
     /// The same in the last seconds of the drill.
     pub end: f64,
@@ -99,7 +99,7 @@
     pub asks: (u64, u64),
     /// Part of the asks of the first second after the starts that went to the most asked router.
     pub asks_part: f64,
-    pub jobs: usize,
+    pub requests: usize,
 }
 
 impl Report {
@@ -108,7 +108,7 @@
     }
 }
 
-/// The day of this drill: steady jobs, one worker that fails most of what it gets, one that drains.
+/// The day of this drill: steady requests, one worker that fails most of what it gets, one that drains.
 fn draw(order: &Order<'_>, begin: Micros, store: SocketAddr) -> Day {
     let plan = order.plan;
     let mut day = day::draw(plan.seed, begin, plan.workers, plan.routers, store);
@@ -121,13 +121,13 @@
     day.parts[0].standing = vec![(begin + BEFORE - DRAIN, "draining")];
     let length = BEFORE + DEAD + AFTER;
     let mut rng = Rand64::new(u128::from(plan.seed) ^ 0x5eed);
-    let (mut at, mut n, drawn) = (begin, 0, std::mem::take(&mut day.jobs));
+    let (mut at, mut n, drawn) = (begin, 0, std::mem::take(&mut day.requests));
     while at < begin + length {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE * plan.workers as f64) * S as f64) as Micros + 1;
-        let mut job = drawn[n % drawn.len()].clone();
-        (job.at, job.id) = (at, format!("job-{n}"));
-        (job.twin_after, job.leaves_after) = (None, None);
-        day.jobs.push(job);
+        let mut request = drawn[n % drawn.len()].clone();
+        (request.at, request.id) = (at, format!("job-{n}"));
+        (request.twin_after, request.leaves_after) = (None, None);
+        day.requests.push(request);
         n += 1;
     }
     day
@@ -212,12 +212,12 @@
         routers.push(Some(start(&plan, file)?));
     }
     let addresses = Rc::new(RefCell::new(routers.iter().flatten().map(|r| r.at).collect::<Vec<_>>()));
-    let (client, results) = Client::new(day.jobs.clone(), addresses, ledger.clone());
+    let (client, results) = Client::new(day.requests.clone(), addresses, ledger.clone());
     reactor.add(Box::new(client));
     let mut deaths = deaths(order, &mut rng);
     let (mut dead, mut kills, mut last, mut tenth) = (Vec::new(), Vec::new(), None, 0);
     let end = begin + BEFORE + DEAD + AFTER + 4 * S;
-    while reactor.now() < end && (results.borrow().done < day.jobs.len() || last.is_none()) {
+    while reactor.now() < end && (results.borrow().done < day.requests.len() || last.is_none()) {
         reactor.turn(Duration::from_millis(10)).map_err(|e| Unplayed::machine("epoll", e))?;
         let now = reactor.now();
         while let Some((_, n)) = deaths.first().copied().filter(|(at, _)| now >= begin + BEFORE + at) {
@@ -269,10 +269,10 @@
     let back: Vec<(u64, Micros)> = kills.iter().map(|(n, _, since)| (*n, *since)).collect();
     let terms =
         Terms { grace: day::GRACE, window: day::WINDOW, effects: effects(&day), kills, end: Micros::MAX };
-    let mut report = Report { jobs: day.jobs.len(), ..Report::default() };
+    let mut report = Report { requests: day.requests.len(), ..Report::default() };
     report.verdict = ledger.read(|ledger| judge(ledger, &terms));
     let in_time: Vec<(Micros, bool)> = day
-        .jobs
+        .requests
         .iter()
         .zip(&results.borrow().got)
         .map(|(j, (got, _))| (j.at, *got == Got::Finished))
@@ -294,22 +294,22 @@
     Ok(report)
 }
 
-/// Share of the jobs from one time to another that were answered in time; none where there were none.
-fn share(jobs: &[(Micros, bool)], from: Micros, until: Micros) -> Option<f64> {
+/// Share of the requests from one time to another that were answered in time; none where there were none.
+fn share(requests: &[(Micros, bool)], from: Micros, until: Micros) -> Option<f64> {
     let these: Vec<bool> =
-        jobs.iter().filter(|(at, _)| (from..until).contains(at)).map(|(_, ok)| *ok).collect();
+        requests.iter().filter(|(at, _)| (from..until).contains(at)).map(|(_, ok)| *ok).collect();
     (!these.is_empty()).then(|| these.iter().filter(|ok| **ok).count() as f64 / these.len() as f64)
 }
 
-fn serviced(report: &mut Report, jobs: &[(Micros, bool)], begin: Micros, last: Micros) {
+fn serviced(report: &mut Report, requests: &[(Micros, bool)], begin: Micros, last: Micros) {
     let first = begin + BEFORE;
-    let before = share(jobs, first - STEADY, first).unwrap_or(0.0);
-    let of = |from, until| share(jobs, from, until).unwrap_or(0.0);
+    let before = share(requests, first - STEADY, first).unwrap_or(0.0);
+    let of = |from, until| share(requests, from, until).unwrap_or(0.0);
     report.service = [before, of(first, last), of(last, last + 2 * S)];
-    let whole = |from: Micros| share(jobs, from, from + WINDOW).is_none_or(|s| s >= WHOLE * before);
+    let whole = |from: Micros| share(requests, from, from + WINDOW).is_none_or(|s| s >= WHOLE * before);
     let stays = |from: Micros| (0..=(STAYS - WINDOW) / (250 * MS)).all(|k| whole(from + k * 250 * MS));
-    let ends = jobs.last().map_or(last, |(at, _)| *at);
-    report.end = share(jobs, ends.saturating_sub(STAYS), ends).unwrap_or(0.0);
+    let ends = requests.last().map_or(last, |(at, _)| *at);
+    report.end = share(requests, ends.saturating_sub(STAYS), ends).unwrap_or(0.0);
     let mut at = last;
     while at + STAYS <= ends {
         if stays(at) {
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -18,7 +18,7 @@
 const RATE: f64 = 11.0;
 /// Times that in the jump.
 const JUMP: f64 = 2.0;
-/// Functions that jobs are drawn from, popularity falling as 1 / rank.
+/// Functions that requests are drawn from, popularity falling as 1 / rank.
 const FUNCTIONS: u64 = 40;
 /// µs for which a rack drops repeats.
 pub const WINDOW: Micros = 3 * S;
@@ -44,7 +44,7 @@
 
 pub struct Day {
     pub parts: Vec<Part>,
-    pub jobs: Vec<Planned>,
+    pub requests: Vec<Planned>,
     /// When the store stops, and goes on.
     pub store_stop: (Micros, Micros),
     /// Which router is killed, when, and when it is started again.
@@ -153,11 +153,11 @@
     ];
     story.sort();
     parts.iter_mut().for_each(|p| p.script.sort_by_key(|(at, _)| *at));
-    let jobs = jobs(&mut rng, begin, workers, routers, jump);
-    Day { parts, jobs, store_stop, kill: (killed, kill.0, kill.1), late_list, silence, story }
+    let requests = requests(&mut rng, begin, workers, routers, jump);
+    Day { parts, requests, store_stop, kill: (killed, kill.0, kill.1), late_list, silence, story }
 }
 
-fn jobs(
+fn requests(
     rng: &mut Rand64,
     begin: Micros,
     workers: usize,
@@ -165,7 +165,7 @@
     jump: (Micros, Micros),
 ) -> Vec<Planned> {
     let harmonic: f64 = (1..=FUNCTIONS).map(|r| 1.0 / r as f64).sum();
-    let mut jobs = Vec::new();
+    let mut requests = Vec::new();
     let mut at = begin;
     while at < begin + LENGTH {
         let times = if (jump.0..jump.1).contains(&at) { JUMP } else { 1.0 };
@@ -182,10 +182,10 @@
             _ => "confirm",
         };
         let chance = |rng: &mut Rand64, part: f64| rng.rand_float() < part;
-        jobs.push(Planned {
+        requests.push(Planned {
             at,
             source: format!("/desks/{}", rng.rand_range(0..9)),
-            id: format!("job-{}", jobs.len()),
+            id: format!("job-{}", requests.len()),
             kind,
             function: format!("{kind}-hut-{}", rank.unwrap_or(FUNCTIONS)),
             customer: if chance(rng, 0.6) { "snezka" } else { "labska" },
@@ -205,7 +205,7 @@
             follow: None,
         });
     }
-    jobs
+    requests
 }
 
 impl Day {
--- a/crates/scenarios/src/openings.rs
+++ b/crates/scenarios/src/openings.rs
@@ -1,5 +1,5 @@
 //! Jobs that begin alike: what pinned openings save at the workers, and who can have one pinned. Judged from
-//! what the workers saw: which jobs came with a lease, and what was prepared.
+//! what the workers saw: which requests came with a lease, and what was prepared.
 use crate::audit::{Terms, Verdict, judge};
 use crate::day::{self, Day};
 use crate::fault::Unplayed;
@@ -21,7 +21,7 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// µs from the first process to the first job, of jobs in all, and of the last of them that count.
+/// µs from the first process to the first request, of requests in all, and of the last of them that count.
 const SETTLES: Micros = 4 * S;
 const LENGTH: Micros = 52 * S;
 const COUNTS: Micros = 20 * S;
@@ -43,7 +43,7 @@
 const STARTS: Micros = 33 * S;
 /// µs of a lease, by the routers' pages.
 const LEASE: Micros = 60 * S;
-/// µs after its end for which a lease may still be seen: a job that was written before.
+/// µs after its end for which a lease may still be seen: a request that was written before.
 const SLACK: Micros = 500 * MS;
 
 pub const FAULTS: [&str; 4] = ["none", "kill", "keepers", "halves"];
@@ -64,7 +64,7 @@
 pub struct Report {
     pub broken: BTreeMap<&'static str, Vec<String>>,
     pub verdict: Verdict,
-    pub jobs: usize,
+    pub requests: usize,
     /// Share answered in time, s of preparing and openings prepared, in the time that counts.
     pub in_time: f64,
     pub preparing: f64,
@@ -74,7 +74,7 @@
     pub most: usize,
 }
 
-fn jobs(day: &mut Day, plan: &Plan, begin: Micros) {
+fn requests(day: &mut Day, plan: &Plan, begin: Micros) {
     let mut rng = Rand64::new(u128::from(plan.seed) ^ 0x0be9);
     let sums: Vec<f64> = (1..=OPENINGS)
         .scan(0.0, |sum, r| {
@@ -82,24 +82,25 @@
             Some(*sum)
         })
         .collect();
-    let drawn = std::mem::take(&mut day.jobs);
+    let drawn = std::mem::take(&mut day.requests);
     let (mut at, mut n) = (begin, 0);
     while at < begin + LENGTH {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE + LOOPS) * S as f64) as Micros + 1;
-        let mut job = drawn[n % drawn.len()].clone();
-        (job.at, job.id, job.twin_after, job.leaves_after) = (at, format!("job-{n}"), None, None);
+        let mut request = drawn[n % drawn.len()].clone();
+        (request.at, request.id, request.twin_after, request.leaves_after) =
+            (at, format!("job-{n}"), None, None);
         if n < 3 {
             // Once at each keeper's router: whoever proposes knows its size, and that it was asked for
             // elsewhere.
-            (job.router, job.opening) = (n, Some((LOOP.to_owned(), SIZE)));
+            (request.router, request.opening) = (n, Some((LOOP.to_owned(), SIZE)));
         } else if rng.rand_float() < LOOPS / (RATE + LOOPS) {
-            (job.router, job.opening) = (plan.routers - 1, Some((LOOP.to_owned(), SIZE)));
+            (request.router, request.opening) = (plan.routers - 1, Some((LOOP.to_owned(), SIZE)));
         } else {
             let drawn = rng.rand_float() * sums[OPENINGS as usize - 1];
             let rank = sums.partition_point(|sum| *sum < drawn);
-            job.opening = Some((format!("opening-{rank}"), SIZE));
+            request.opening = Some((format!("opening-{rank}"), SIZE));
         }
-        day.jobs.push(job);
+        day.requests.push(request);
         n += 1;
     }
 }
@@ -124,7 +125,7 @@
         (part.build.openings, part.build.prepare) = (KEPT, PREPARE);
     }
     day.parts.retain(|p| p.from_start);
-    jobs(&mut day, &plan, begin);
+    requests(&mut day, &plan, begin);
     let ledger = Ledger::default();
     reactor.add(Box::new(Store::new(store_at, 150 * MS, 24, ledger.clone())));
     for worker in day.workers(&ledger) {
@@ -156,7 +157,7 @@
         routers.push(Some(start(&plan, file)?));
     }
     let addresses = Rc::new(RefCell::new(routers.iter().flatten().map(|r| r.at).collect::<Vec<_>>()));
-    let (client, results) = Client::new(day.jobs.clone(), addresses, ledger.clone());
+    let (client, results) = Client::new(day.requests.clone(), addresses, ledger.clone());
     reactor.add(Box::new(client));
     let dies: Vec<usize> = match order.fault {
         // Most, the one with the loop among those that stay.
@@ -167,7 +168,7 @@
     let mut kills: Vec<(u64, Micros, Micros)> = Vec::new();
     let mut back = dies.is_empty();
     let end = begin + LENGTH + 6 * S;
-    while reactor.now() < end && (results.borrow().done < day.jobs.len() || !back) {
+    while reactor.now() < end && (results.borrow().done < day.requests.len() || !back) {
         reactor.turn(Duration::from_millis(10)).map_err(epoll)?;
         let now = reactor.now();
         if now >= begin + DIES && kills.is_empty() && !dies.is_empty() {
@@ -203,11 +204,11 @@
     drop(routers);
     let terms =
         Terms { grace: day::GRACE, window: day::WINDOW, effects: effects(&day), kills, end: Micros::MAX };
-    let mut report = Report { jobs: day.jobs.len(), ..Report::default() };
+    let mut report = Report { requests: day.requests.len(), ..Report::default() };
     report.verdict = ledger.read(|ledger| judge(ledger, &terms));
     let from = begin + LENGTH - COUNTS;
     let counts = day
-        .jobs
+        .requests
         .iter()
         .zip(&results.borrow().got)
         .filter(|(j, _)| j.at >= from)
--- a/crates/scenarios/src/run.rs
+++ b/crates/scenarios/src/run.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// µs from the first process to the first job: routers connect to the list meanwhile.
+/// µs from the first process to the first request: routers connect to the list meanwhile.
 const SETTLES: Micros = 1_500_000;
 /// µs after the last arrival until everything must have been told.
 const TAIL: Micros = 6_000_000;
@@ -32,10 +32,10 @@
 pub struct Report {
     pub verdict: Verdict,
     pub got: BTreeMap<Got, usize>,
-    /// By window: jobs, and those answered within their start target.
+    /// By window: requests, and those answered within their start target.
     pub windows: Vec<(usize, usize)>,
     pub story: Vec<(Micros, String)>,
-    /// µs to the answer of finished jobs: median, 99th percentile.
+    /// µs to the answer of finished requests: median, 99th percentile.
     pub took: (Micros, Micros),
 }
 
@@ -90,7 +90,7 @@
     }
     let addresses = routers.iter().flatten().map(|r| r.at).collect();
     let addresses: Rc<RefCell<Vec<SocketAddr>>> = Rc::new(RefCell::new(addresses));
-    let (client, results) = Client::new(day.jobs.clone(), addresses.clone(), ledger.clone());
+    let (client, results) = Client::new(day.requests.clone(), addresses.clone(), ledger.clone());
     reactor.add(Box::new(client));
     let (killed, mut from, mut until) = day.kill;
     if plan.die > 1 {
@@ -99,7 +99,7 @@
     let mut kills = Vec::new();
     let (mut told_at, mut story) = (0, day.story.iter().peekable());
     let end = begin + day::LENGTH + TAIL;
-    while reactor.now() < end && (results.borrow().done < day.jobs.len() || reactor.now() < until) {
+    while reactor.now() < end && (results.borrow().done < day.requests.len() || reactor.now() < until) {
         reactor.turn(Duration::from_millis(20)).map_err(|e| Unplayed::machine("epoll", e))?;
         let now = reactor.now();
         if now >= from && kills.is_empty() {
@@ -132,7 +132,7 @@
             progress(&format!(
                 "{:5.1} s  {done} of {} jobs",
                 now.saturating_sub(begin) as f64 / 1e6,
-                day.jobs.len()
+                day.requests.len()
             ));
         }
     }
@@ -147,23 +147,23 @@
     Ok(report(&day, begin, &results.borrow(), verdict))
 }
 
-/// What a second attempt of each job would do.
+/// What a second attempt of each request would do.
 pub fn effects(day: &Day) -> BTreeMap<Event, Effect> {
     let effect = |j: &applepond_fakes::client::Planned| match (j.idempotent, j.keyed) {
         (true, _) => Effect::Idempotent,
         (_, true) => Effect::Keyed,
         _ => Effect::AtMostOnce,
     };
-    day.jobs.iter().map(|j| (Event::from(format!("{} {}", j.source, j.id)), effect(j))).collect()
+    day.requests.iter().map(|j| (Event::from(format!("{} {}", j.source, j.id)), effect(j))).collect()
 }
 
 fn report(day: &Day, begin: Micros, results: &Results, verdict: Verdict) -> Report {
     let mut got = BTreeMap::new();
     let mut windows = vec![(0, 0); (day::LENGTH / WINDOW) as usize + 1];
     let mut took: Vec<Micros> = Vec::new();
-    for (job, (end, after)) in day.jobs.iter().zip(&results.got) {
+    for (request, (end, after)) in day.requests.iter().zip(&results.got) {
         *got.entry(*end).or_default() += 1;
-        let window = &mut windows[((job.at - begin) / WINDOW) as usize];
+        let window = &mut windows[((request.at - begin) / WINDOW) as usize];
         window.0 += 1;
         if *end == Got::Finished {
             window.1 += 1;
--- a/crates/scenarios/src/storm.rs
+++ b/crates/scenarios/src/storm.rs
@@ -27,7 +27,7 @@
 /// until it stands again and knows nothing.
 const RESTART: Micros = 3 * S;
 const RESTARTED: Micros = S;
-/// µs that clients stay with one job: through the cut, or they would give up and not storm.
+/// µs that clients stay with one request: through the cut, or they would give up and not storm.
 const LIMIT: Micros = 90 * S;
 /// Jobs a second a worker before the cut: a third of what it can do.
 const RATE: f64 = 11.0;
@@ -74,7 +74,7 @@
 #[derive(Default)]
 pub struct Report {
     pub verdict: Verdict,
-    /// By second: jobs that came, answered in time, and exchanges asked.
+    /// By second: requests that came, answered in time, and exchanges asked.
     pub seconds: Vec<(usize, usize, usize)>,
     /// Seconds of the cut and of its end.
     pub cut: (usize, usize),
@@ -86,15 +86,15 @@
     /// Fetches from the store after the cut, and functions asked for in that time.
     pub fetches: usize,
     pub functions: usize,
-    /// Attempts begun for each job answered in time: before the cut, and in the ten seconds after it.
+    /// Attempts begun for each request answered in time: before the cut, and in the ten seconds after it.
     pub attempts: (f64, f64),
     pub got: BTreeMap<Got, usize>,
 }
 
-fn jobs(order: &Order<'_>, begin: Micros, end: Micros) -> Vec<Planned> {
+fn requests(order: &Order<'_>, begin: Micros, end: Micros) -> Vec<Planned> {
     let mut rng = Rand64::new(u128::from(order.plan.seed));
     let harmonic: f64 = (1..=FUNCTIONS).map(|r| 1.0 / r as f64).sum();
-    let (mut at, mut jobs) = (begin, Vec::new());
+    let (mut at, mut requests) = (begin, Vec::new());
     while at < end {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE * order.plan.workers as f64) * S as f64) as Micros + 1;
         let mut draw = rng.rand_float() * harmonic;
@@ -104,10 +104,10 @@
         });
         let kind = ["quote", "quote", "hold", "confirm"][rng.rand_range(0..4) as usize];
         let client = rng.rand_range(0..order.clients);
-        jobs.push(Planned {
+        requests.push(Planned {
             at,
             source: format!("/client/{client}"),
-            id: format!("job-{}", jobs.len()),
+            id: format!("job-{}", requests.len()),
             kind,
             function: format!("{kind}-hut-{}", rank.unwrap_or(FUNCTIONS)),
             customer: if rng.rand_float() < 0.6 { "snezka" } else { "labska" },
@@ -127,7 +127,7 @@
             follow: None,
         });
     }
-    jobs
+    requests
 }
 
 fn signal(child: &std::process::Child, signal: Signal) {
@@ -171,7 +171,7 @@
     });
     let day = Day {
         parts: parts.collect(),
-        jobs: jobs(order, begin, end),
+        requests: requests(order, begin, end),
         store_stop: (0, 0),
         kill: (0, cut, heal),
         late_list: (0, 0),
@@ -194,7 +194,7 @@
     }
     let addresses: Vec<_> = routers.iter().flatten().map(|r| r.at).collect();
     let addresses = Rc::new(RefCell::new(addresses));
-    let (client, results) = Client::new(day.jobs.clone(), addresses.clone(), ledger.clone());
+    let (client, results) = Client::new(day.requests.clone(), addresses.clone(), ledger.clone());
     reactor.add(Box::new(client));
     let back = |n: usize, addresses: &[SocketAddr]| {
         // Where it stood before: its clients know no other address.
@@ -239,7 +239,7 @@
         if now >= told_at + 5 * S {
             told_at = now;
             let at = now.saturating_sub(begin) / S;
-            progress(&format!("{at:>4} s  {} of {} jobs", results.borrow().done, day.jobs.len()));
+            progress(&format!("{at:>4} s  {} of {} jobs", results.borrow().done, day.requests.len()));
         }
     }
     drop(routers);
@@ -255,7 +255,7 @@
     let terms = Terms {
         grace: day::GRACE,
         window: day::WINDOW,
-        effects: day.jobs.iter().map(named).collect(),
+        effects: day.requests.iter().map(named).collect(),
         kills: kills.collect(),
         end,
     };
@@ -263,13 +263,13 @@
     let second = |at: Micros| (at.saturating_sub(begin) / S) as usize;
     report.cut = (second(cut), second(heal));
     report.seconds = vec![(0, 0, 0); second(end) + 1];
-    for (job, (got, _)) in day.jobs.iter().zip(&results.borrow().got) {
-        let row = &mut report.seconds[second(job.at).min(second(end))];
+    for (request, (got, _)) in day.requests.iter().zip(&results.borrow().got) {
+        let row = &mut report.seconds[second(request.at).min(second(end))];
         row.0 += 1;
         row.1 += usize::from(*got == Got::Finished);
         *report.got.entry(*got).or_default() += 1;
     }
-    let in_use = day.jobs.iter().filter(|j| j.at >= cut).map(|j| j.function.as_str());
+    let in_use = day.requests.iter().filter(|j| j.at >= cut).map(|j| j.function.as_str());
     report.functions = in_use.collect::<BTreeSet<_>>().len();
     let mut begun = vec![0usize; report.seconds.len()];
     ledger.read(|seen| {
@@ -285,7 +285,7 @@
         }
     });
     report.peak = report.seconds[report.cut.1..].iter().map(|s| s.2).max().unwrap_or(0);
-    let share = |(jobs, ok, _): &(usize, usize, usize)| *ok as f64 / (*jobs).max(1) as f64;
+    let share = |(requests, ok, _): &(usize, usize, usize)| *ok as f64 / (*requests).max(1) as f64;
     let (from, to) = (report.cut.1, (report.cut.1 + 10).min(report.seconds.len()));
     let each = |span: std::ops::Range<usize>| {
         let done: usize = report.seconds[span.clone()].iter().map(|s| s.1).sum();
--- a/crates/wait_queue/benches/waiting.rs
+++ b/crates/wait_queue/benches/waiting.rs
@@ -1,5 +1,5 @@
-//! One event's look at what waits, in the indexes and in a plain set: the first job of each function, one in
-//! and out.
+//! One event's look at what waits, in the indexes and in a plain set: the first request of each function,
+//! one in and out.
 use applepond_wait_queue::{Key, Row, Waiting};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::cmp::Reverse;
@@ -17,26 +17,26 @@
 }
 
 fn benches(c: &mut Criterion) {
-    for jobs in [10u64, 1_000, 10_000] {
-        let mut group = c.benchmark_group(format!("waiting/{jobs}"));
+    for requests in [10u64, 1_000, 10_000] {
+        let mut group = c.benchmark_group(format!("waiting/{requests}"));
         let mut waiting = Waiting::default();
-        (0..jobs).for_each(|n| waiting.insert(key(n), row(n)));
+        (0..requests).for_each(|n| waiting.insert(key(n), row(n)));
         group.bench_function("indexes", |b| {
             b.iter(|| {
-                waiting.insert(key(jobs), row(jobs));
+                waiting.insert(key(requests), row(requests));
                 black_box(waiting.highest(1));
                 black_box(waiting.heads());
-                waiting.remove(&key(jobs));
+                waiting.remove(&key(requests));
             });
         });
-        let mut plain: BTreeMap<Key<u64>, Row<u64, u64>> = (0..jobs).map(|n| (key(n), row(n))).collect();
+        let mut plain: BTreeMap<Key<u64>, Row<u64, u64>> = (0..requests).map(|n| (key(n), row(n))).collect();
         group.bench_function("plain", |b| {
             b.iter(|| {
-                plain.insert(key(jobs), row(jobs));
+                plain.insert(key(requests), row(requests));
                 black_box(plain.iter().any(|(_, row)| row.function == FUNCTIONS));
                 let mut seen = BTreeSet::new();
                 black_box(plain.iter().filter(|(_, row)| seen.insert(row.function)).count());
-                plain.remove(&key(jobs));
+                plain.remove(&key(requests));
             });
         });
         group.finish();
--- a/crates/wait_queue/src/lib.rs
+++ b/crates/wait_queue/src/lib.rs
@@ -1,12 +1,12 @@
 //! Jobs that wait: one order over all of them, and indexes by what each waits for, so that an event costs
-//! what it can change and not what waits. State only: what to do with a job is its owner's decision.
+//! what it can change and not what waits. State only: what to do with a request is its owner's decision.
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Place in the order: most valuable first, then oldest (µs), then by id.
 pub type Key<J> = (Reverse<u64>, u64, J);
 
-/// What is known of a job while it waits; for another row it is taken out and put in again.
+/// What is known of a request while it waits; for another row it is taken out and put in again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row<F, W> {
     pub function: F,
@@ -94,30 +94,31 @@
         Some(row)
     }
 
-    /// The highest value among the function's jobs that were never sent.
+    /// The highest value among the function's requests that were never sent.
     pub fn highest(&self, function: F) -> Option<u64> {
         self.bare.get(&function).and_then(|set| set.first()).map(|key| key.0.0)
     }
 
-    /// In order: for each function the first of its jobs that were never sent, and every job that was.
+    /// In order: for each function the first of its requests that were never sent, and every request that
+    /// was.
     pub fn heads(&self) -> BTreeSet<Key<J>> {
         let first = self.bare.values().filter_map(|set| set.first());
         first.chain(&self.sent_before).copied().collect()
     }
 
-    /// The function's next never-sent job in the order.
+    /// The function's next never-sent request in the order.
     pub fn after(&self, function: F, key: &Key<J>) -> Option<Key<J>> {
         let set = self.bare.get(&function)?;
         set.range((std::ops::Bound::Excluded(*key), std::ops::Bound::Unbounded)).next().copied()
     }
 
-    /// The workload's jobs whose client leaves until then, that moment included.
+    /// The workload's requests whose client leaves until then, that moment included.
     pub fn leaving(&self, workload: W, until: u64) -> impl Iterator<Item = Key<J>> {
         let set = self.deadlines.get(&workload).into_iter().flatten();
         set.take_while(move |(deadline, _)| *deadline <= until).map(|(_, key)| *key)
     }
 
-    /// The workload's jobs with a start target to lose that came before then.
+    /// The workload's requests with a start target to lose that came before then.
     pub fn fresh_before(&self, workload: W, came: u64) -> impl Iterator<Item = Key<J>> {
         let set = self.fresh.get(&workload).into_iter().flatten();
         set.take_while(move |(at, _)| *at < came).map(|(_, key)| *key)
--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -27,8 +27,8 @@
     ) {
         let mut waiting = Waiting::default();
         let mut plain = Plain::new();
-        for (add, value, came, job, function, workload, deadline, (bare, late)) in steps {
-            let key = (Reverse(value), came, job);
+        for (add, value, came, request, function, workload, deadline, (bare, late)) in steps {
+            let key = (Reverse(value), came, request);
             if add {
                 let row = Row { function, workload, deadline, bare, late };
                 waiting.insert(key, row);
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -4,7 +4,7 @@
 
 /// Steps of one plan at most: a chain that grows without end is refused with its plan.
 pub const STEPS_MOST: usize = 32;
-/// Arms of one fork at most: each is a job at the same time.
+/// Arms of one fork at most: each is a request at the same time.
 pub const ARMS_MOST: usize = 8;
 
 /// A step's place in its plan.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub name: String,
-    /// Row of the workload that its jobs belong to.
+    /// Row of the workload that its requests belong to.
     pub workload: usize,
     pub effect: RetrySafety,
     pub function: Function,
--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -55,7 +55,7 @@
 /// What to do next, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Do {
-    /// Begin the step; its job's time is up at `until`.
+    /// Begin the step; its request's time is up at `until`.
     Begin {
         step: StepId,
         function: String,
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -124,7 +124,7 @@
     assert_eq!(b.ends(50, 1, How::MayHaveRun, &[]), ["begin confirm"]);
 }
 
-// A step's job is told the time left, less what those after it need and the way back.
+// A step's request is told the time left, less what those after it need and the way back.
 #[test]
 fn one_clock() {
     let mut b = Bench::new(vec![free("price").next(&[to(1)]), free("beds")]);
