--- a/src/control.rs
+++ b/src/control.rs
@@ -1,18 +1,19 @@
 //! All decisions of one router.
 //!
 //! How it is called: an instance's owner makes one `Control` from the start-up rows and calls, for each
-//! event, `clock` and one of `list`, `job`, `answered`, `streaming`, `left`, `wake`, `switch` (other rows).
-//! Interface: `src/interface.rs` (ids, time, rows, `AttemptResult`, `Actions`). No wire, no input or output
-//! here.
+//! event, `clock` and one of `list`, `request`, `answered`, `streaming`, `left`, `wake`, `switch` (other
+//! rows). Interface: `src/interface.rs` (ids, time, rows, `AttemptResult`, `Actions`). No wire, no input or
+//! output here.
 //!
-//! The design (docs/design.md): a function's jobs go to its home, the first worker in a hash order that all
-//! routers share; lanes filled by own jobs move on to the next worker; one copy after the hedge delay; what
-//! would begin a second load waits while this router's job at a worker not yet serving is unanswered.
+//! The design (docs/design.md): a function's requests go to its home, the first worker in a hash order that
+//! all routers share; lanes filled by own requests move on to the next worker; one copy after the hedge
+//! delay; what would begin a second load waits while this router's request at a worker not yet serving is
+//! unanswered.
 //!
 //! Mechanisms beside the design, six at most:
 //! 1. Set aside: a worker that errs, breaks or falls silent gets nothing, then a trickle that doubles.
 //! 2. Fresh workers: an even part, by chance, of a budget of work while a worker is cold.
-//! 3. Room: a bound on the jobs of all routers at a worker, moved by how late its answers are.
+//! 3. Room: a bound on the requests of all routers at a worker, moved by how late its answers are.
 //! 4. Further attempts, within one budget shared with copies.
 //! 5. Pushback: what waits here goes out by value and is pushed back once its start target is lost.
 //! 6. Loads: a bound on own loads under way.
@@ -48,17 +49,18 @@
 const ROOM_MOST: f64 = 64.0;
 /// Jobs of all routers at a worker that are never a crowd: below this chance decides, not load.
 const CROWD_FREE: f64 = 5.0;
-/// Times the mean of jobs a worker, by size, that make a crowd: the usual bound of bounded-load hashing.
+/// Times the mean of requests a worker, by size, that make a crowd: the usual bound of bounded-load hashing.
 const CROWD: f64 = 1.5;
 /// Part of the start target under which answers let room grow.
 const LAG_LOW: f64 = 0.2;
 /// Part of the start target that answers may take before room shrinks: half is left for chance.
 const LAG_HIGH: f64 = 0.33;
-/// µs for which a job, and its function, avoid a worker that has just turned it away: a few jobs' work.
+/// µs for which a request, and its function, avoid a worker that has just turned it away: a few requests'
+/// work.
 const REST: Micros = 300_000;
 /// Part of the start target within which a worker without room says so: turning away takes no work.
 const FULL_QUICK: f64 = 0.06;
-/// µs for which a customer's jobs keep away from a worker that turns it away alone.
+/// µs for which a customer's requests keep away from a worker that turns it away alone.
 const SHUT_REST: Micros = 8_000_000;
 /// Weight of a new answer in the running figures at least: the last ten or so count.
 const FRESH: f64 = 0.15;
@@ -68,7 +70,7 @@
 const CROWD_FRESH: f64 = 0.5;
 /// Weight of a new answer in a workload's usual time: slow, so that a short queue does not change it.
 const SERVICE_FRESH: f64 = 0.05;
-/// Part of the start target that a job is taken to need before any has finished.
+/// Part of the start target that a request is taken to need before any has finished.
 const SERVICE_START: f64 = 0.2;
 /// Factor on room at each shrinking: two steps halve it.
 const ROOM_CUT: f64 = 0.75;
@@ -78,13 +80,13 @@
 const ASIDE: Micros = 500_000;
 /// µs set aside at most: a worker that comes back is found within this.
 const ASIDE_MOST: Micros = 8_000_000;
-/// Overdue answers that make a worker silent: one can be a single slow job.
+/// Overdue answers that make a worker silent: one can be a single slow request.
 const SILENT_JOBS: u32 = 2;
 /// Jobs at once at which the doubling trickle ends: more than a worker usually has from one router.
 const TRICKLE_END: u32 = 16;
 /// Part of the allowed work that a cold worker is sent: figures for its capacity are guesses.
 const COLD_CARE: f64 = 0.5;
-/// Times its even part of the jobs for which a cold worker is expected to be wanted: hot functions,
+/// Times its even part of the requests for which a cold worker is expected to be wanted: hot functions,
 /// others full.
 const COLD_WANTED: f64 = 2.0;
 /// Workers still to pass in an order for each one that may hold the function, from which on those are sought
@@ -98,15 +100,15 @@
 const LOADS_LEAST: f64 = 3.0;
 /// Times the usual load time at which a load counts as slow.
 const LOAD_SLOW: f64 = 2.5;
-/// Part of a worker's pace that one function's jobs of all routers may take before they move on.
+/// Part of a worker's pace that one function's requests of all routers may take before they move on.
 const FUNCTION_PART: f64 = 0.8;
 /// Jobs of the other routers within the time that an idle copy is kept from which on it is taken to stand.
 const KEPT_JOBS: f64 = 2.0;
-/// Part of the mean of jobs a worker up to which one is idle enough to spread to.
+/// Part of the mean of requests a worker up to which one is idle enough to spread to.
 const SPREAD_IDLE: f64 = 0.5;
 /// Loads under way or waiting a worker, on average, from which on the store and the workers choke on them.
 const LOADS_CALM: f64 = 1.5;
-/// Times the room of a worker that a function without a job there may use.
+/// Times the room of a worker that a function without a request there may use.
 const SMALL_EXTRA: f64 = 1.5;
 /// Part of that span's weight that a router which has just started is taken to have seen at least.
 const RATE_KNOWN: f64 = 0.07;
@@ -124,9 +126,9 @@
 const PREFIXES_MOST: NonZeroUsize = NonZeroUsize::new(8_192).expect("above zero");
 /// Workers looked at for one that may begin a load: if none of so many takes it, the fleet is full.
 const WALK_MOST: usize = 256;
-/// Factor on what was heard of the others' jobs at each beat.
+/// Factor on what was heard of the others' requests at each beat.
 pub(crate) const FADE: f64 = 1.0 - BEAT as f64 / SPAN;
-/// µs before the client's time is up at which a held job is ended: more than one beat.
+/// µs before the client's time is up at which a held request is ended: more than one beat.
 const LAST_CALL: Micros = 30_000;
 /// µs named at least as a time to come back.
 const COME_BACK: Micros = 200_000;
@@ -136,7 +138,7 @@
 /// What to do with the result of a step: an attempt's answer, or nothing but the time.
 type Step = Box<dyn FnOnce(&mut Control, &mut dyn Actions, Option<&AttemptResult>)>;
 
-/// One attempt that is out, also when its job has ended.
+/// One attempt that is out, also when its request has ended.
 struct Out {
     server: WorkerId,
     function: FunctionId,
@@ -185,7 +187,7 @@
     importance: f64,
     late_part: f64,
     service: f64,
-    /// The longest time left that a job came with: what clients give a first try.
+    /// The longest time left that a request came with: what clients give a first try.
     longest: Micros,
 }
 
@@ -224,7 +226,7 @@
     functions: Functions,
     /// The first workers of functions' hash orders, as far as they are walked.
     prefixes: PrefixCache<HashOrder>,
-    jobs: BTreeMap<RequestId, Job>,
+    requests: BTreeMap<RequestId, Job>,
     /// Jobs that wait here: most valuable first, then oldest.
     held: Waiting<RequestId, FunctionId, WorkloadId>,
     /// Where own loads are under way.
@@ -239,12 +241,12 @@
     loads_cut: Micros,
     /// Loads under way at a worker, as told by answers of all of them.
     under_way: f64,
-    /// Faded count of own jobs until `job_at`, and of own answers until `done_at`.
+    /// Faded count of own requests until `job_at`, and of own answers until `done_at`.
     rate: f64,
     job_at: Micros,
     done: f64,
     done_at: Micros,
-    /// Sum of the ready workers' weights now and at the most, and jobs there a weight.
+    /// Sum of the ready workers' weights now and at the most, and requests there a weight.
     weight: f64,
     weight_least: f64,
     weight_most: f64,
@@ -271,7 +273,7 @@
             servers: Servers::default(),
             functions: Functions::default(),
             prefixes: PrefixCache::with_most(PREFIXES_MOST),
-            jobs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             held: Waiting::default(),
             loading: BTreeSet::new(),
             out: BTreeMap::new(),
@@ -332,7 +334,7 @@
         (self.mean_target, self.rows) = (rows.mean_latency_objective(), rows);
         if !self.rows.attempt_policy.hedging_allowed && self.rows.attempt_policy.cancel_allowed {
             let out = |j: &Job| j.tried.iter().filter(|t| t.fate == Fate::Out).count();
-            let double = self.jobs.iter().filter(|(_, j)| !j.streaming && out(j) > 1);
+            let double = self.requests.iter().filter(|(_, j)| !j.streaming && out(j) > 1);
             double.for_each(|(id, j)| orders.cancel(*id, j.tried.len() - 1));
         }
         self.weigh();
@@ -355,7 +357,7 @@
     }
 
     /// Takes up what was learned before a restart, or by others; false where it cannot be yet. A hint: it
-    /// gives no more room than a newcomer has, and a worker in doubt is tried by one job.
+    /// gives no more room than a newcomer has, and a worker in doubt is tried by one request.
     pub fn restore_worker_history(&mut self, id: WorkerId, up_since: Micros, told: &WorkerHistory) -> bool {
         let same = |s: &&mut Server| s.up_since == up_since && s.room > 0.0;
         let Some(s) = self.servers.get_mut(&id).filter(same) else { return false };
@@ -432,7 +434,7 @@
         (pace * weight * service * ROOM_LEAST).clamp(1.0, ROOM_MOST)
     }
 
-    /// A faded count of jobs as a rate; a router that has just started has not seen a whole span yet.
+    /// A faded count of requests as a rate; a router that has just started has not seen a whole span yet.
     fn per_us(&self, count: f64) -> f64 {
         let seen = 1.0 - (-((self.now - self.born) as f64) / SPAN).exp();
         count / SPAN / seen.max(RATE_KNOWN)
@@ -473,7 +475,7 @@
         let late = arrival.retry || waited as f64 + row.service > row.start_target as f64;
         let share =
             if over { self.rows.over_quota_factor } else { 1.0 } * if late { row.late_part } else { 1.0 };
-        let job = Job {
+        let request = Job {
             function: arrival.function,
             workload: arrival.workload,
             effect: row.effect,
@@ -487,17 +489,17 @@
             streaming: false,
             late,
         };
-        let came = job.came;
-        let waits = self.held.highest(job.function).is_some_and(|value| value >= job.value);
+        let came = request.came;
+        let waits = self.held.highest(request.function).is_some_and(|value| value >= request.value);
         self.forget(arrival.request);
-        self.jobs.insert(arrival.request, job);
+        self.requests.insert(arrival.request, request);
         self.hold(arrival.request);
         let place = if waits { None } else { self.place(arrival.request) };
         if let Some(server) = place {
-            self.held.remove(&(Reverse(self.jobs[&arrival.request].value), came, arrival.request));
+            self.held.remove(&(Reverse(self.requests[&arrival.request].value), came, arrival.request));
             self.send(orders, arrival.request, server, false);
         } else if arrival.time_left <= LAST_CALL + BEAT {
-            // A client about to leave: no beat would come in time to end the job.
+            // A client about to leave: no beat would come in time to end the request.
             self.give_up(orders, arrival.request);
         }
     }
@@ -505,26 +507,26 @@
     pub fn attempt_finished(
         &mut self,
         orders: &mut dyn Actions,
-        job: RequestId,
+        request: RequestId,
         attempt: usize,
         answer: &AttemptResult,
     ) {
-        let Some(out) = self.out.remove(&(job, attempt)) else { return };
+        let Some(out) = self.out.remove(&(request, attempt)) else { return };
         self.learn(orders, &out, answer);
         (out.then)(self, orders, Some(answer));
         self.dispatch(orders);
     }
 
-    pub fn response_started(&mut self, job: RequestId) {
-        self.jobs.entry(job).and_modify(|j| j.streaming = true);
+    pub fn response_started(&mut self, request: RequestId) {
+        self.requests.entry(request).and_modify(|j| j.streaming = true);
     }
 
-    pub fn client_disconnected(&mut self, orders: &mut dyn Actions, job: RequestId) {
+    pub fn client_disconnected(&mut self, orders: &mut dyn Actions, request: RequestId) {
         // Clients that lose patience come again: what still waits for them at workers is only in the way.
-        if self.jobs.contains_key(&job) {
-            self.cancel_rest(orders, job);
+        if self.requests.contains_key(&request) {
+            self.cancel_rest(orders, request);
         }
-        self.forget(job);
+        self.forget(request);
     }
 
     pub fn timer_fired(&mut self, orders: &mut dyn Actions, token: TimerToken) {
@@ -537,7 +539,7 @@
     fn dispatch(&mut self, orders: &mut dyn Actions) {
         let mut heads = self.held.heads();
         while let Some(key) = heads.pop_first() {
-            // Where the first job of a function finds no place, the others of it need not look.
+            // Where the first request of a function finds no place, the others of it need not look.
             let Some(server) = self.place(key.2) else { continue };
             if let Some(row) = self.held.remove(&key).filter(|row| row.bare) {
                 heads.extend(self.held.after(row.function, &key));
@@ -546,12 +548,18 @@
         }
     }
 
-    /// Lets a job wait here.
+    /// Lets a request wait here.
     fn hold(&mut self, id: RequestId) {
-        let job = &self.jobs[&id];
-        let (bare, late) = (job.tried.is_empty(), job.late);
-        let row = Row { function: job.function, workload: job.workload, deadline: job.deadline, bare, late };
-        self.held.insert((Reverse(job.value), job.came, id), row);
+        let request = &self.requests[&id];
+        let (bare, late) = (request.tried.is_empty(), request.late);
+        let row = Row {
+            function: request.function,
+            workload: request.workload,
+            deadline: request.deadline,
+            bare,
+            late,
+        };
+        self.held.insert((Reverse(request.value), request.came, id), row);
     }
 
     /// Jobs a µs that the others are taken to have of this function: as many as this one had before its last.
@@ -560,9 +568,9 @@
         self.per_us(before) * (self.rows.router_count - 1) as f64
     }
 
-    /// The worker for a job's next attempt, or None where it has to wait here.
+    /// The worker for a request's next attempt, or None where it has to wait here.
     fn place(&mut self, id: RequestId) -> Option<WorkerId> {
-        let function = self.jobs[&id].function;
+        let function = self.requests[&id].function;
         // What no worker may hold, and the others keep nowhere, waits while no further load may begin.
         let kept = || self.elsewhere(function) * self.rows.cache_lifetime as f64 >= KEPT_JOBS;
         if self.loading.len() as f64 >= self.loads && self.functions[&function].at.is_empty() && !kept() {
@@ -574,7 +582,7 @@
         place
     }
 
-    /// Walks the function's order for a job.
+    /// Walks the function's order for a request.
     fn walk(
         &mut self,
         id: RequestId,
@@ -582,10 +590,10 @@
         order: &mut Prefix<WorkerId>,
     ) -> Option<WorkerId> {
         let (now, beat) = (self.now, self.servers.beat());
-        let job = &self.jobs[&id];
-        let row = &self.workloads[job.workload.0];
-        let risky =
-            job.effect == RetrySafety::AtMostOnce && self.workloads.iter().any(|w| w.effect != job.effect);
+        let request = &self.requests[&id];
+        let row = &self.workloads[request.workload.0];
+        let risky = request.effect == RetrySafety::AtMostOnce
+            && self.workloads.iter().any(|w| w.effect != request.effect);
         let (mut home, mut warm, mut next, mut presumed) = (None, None, None, false);
         let mut beyond = self.elsewhere(function);
         let takes = self.capacity_per_weight() * FUNCTION_PART;
@@ -593,7 +601,8 @@
         let own = (function, WorkerId(0))..=(function, WorkerId(u64::MAX));
         let pending = LazyCell::new(|| self.loading.range(own).any(|(_, id)| self.servers[id].open));
         let gate = (self.loading.len() as f64) < self.loads;
-        // Nor while loads jam everywhere: each further one makes the others late, and moves no job in time.
+        // Nor while loads jam everywhere: each further one makes the others late, and moves no request in
+        // time.
         let jam = self.under_way > LOADS_CALM;
         let (open, holders) = (self.servers.open(), self.functions[&function].at.len());
         let (mut next_place, mut looked) = (0, 0);
@@ -614,12 +623,12 @@
             };
             let Some(Ranked { weight, member: id, .. }) = &found else { break };
             next_place += 1;
-            // The lane bound where own jobs say little: what all routers are taken to bring beyond a worker's
-            // part moves on, by chance, so that their shares come out even.
+            // The lane bound where own requests say little: what all routers are taken to bring beyond a
+            // worker's part moves on, by chance, so that their shares come out even.
             let part = takes * weight;
             let moves_on =
-                beyond > part && unit_interval(hash_pair(job.chance, place as u64)) >= part / beyond;
-            // A job that cannot be repeated passes a worker over until another has found out how it is.
+                beyond > part && unit_interval(hash_pair(request.chance, place as u64)) >= part / beyond;
+            // A request that cannot be repeated passes a worker over until another has found out how it is.
             let passed = |s: &Server| s.aside(now) || s.trickle == Some(1) && risky;
             if self.servers.doubtful(id) && passed(&self.servers[id]) {
                 continue;
@@ -641,16 +650,17 @@
             let (own, others, full) = hold.map_or((0, 0.0, 0), |h| (h.out, h.others.at(beat), h.full_until));
             let fresh = self.warmth(server);
             let crowd = CROWD_FREE + CROWD * self.busy_per_weight * server.weight;
-            // In a crowd the functions with most jobs there move on; a small one stays and spares a load.
+            // In a crowd the functions with most requests there move on; a small one stays and spares a load.
             let small = if own == 0 && others < 1.0 { SMALL_EXTRA } else { 1.0 };
             // What is heard of the others is old and seen alike by all: a hard bound would shut the worker
-            // for all of them at once and for long, so each job meets its own part of their crowd.
-            let met = 1.0 - unit_interval(hash_pair(job.chance, id.0)) / 2.0;
+            // for all of them at once and for long, so each request meets its own part of their crowd.
+            let met = 1.0 - unit_interval(hash_pair(request.chance, id.0)) / 2.0;
             let crowded = server.running() + met * elsewhere >= server.room.min(crowd) * small * fresh;
             let lanes = f64::from(self.functions[&function].lanes);
             let filled = f64::from(own) + met * others >= lanes;
-            let shut = job.customer.and_then(|c| server.shut.get(&c)).is_some_and(|until| now < *until);
-            let open = || !shut && now >= full && self.may_send(job, *id) && self.usable(server, job, *id);
+            let shut = request.customer.and_then(|c| server.shut.get(&c)).is_some_and(|until| now < *until);
+            let open =
+                || !shut && now >= full && self.may_send(request, *id) && self.usable(server, request, *id);
             let room = !filled && !crowded && open();
             // What the other routers alone fill is no crowd that is gone in a moment.
             let lasting =
@@ -685,7 +695,7 @@
         }
         // Overflow: it begins a load at the next worker only when no answer is awaited from a cold one,
         // and not for a crowd that is gone in a moment.
-        let patient = !lasting && now < job.came + (row.start_target as f64 * SPREAD_PART) as Micros;
+        let patient = !lasting && now < request.came + (row.start_target as f64 * SPREAD_PART) as Micros;
         if *pending || !gate || jam || (home_serves && patient) { None } else { next }
     }
 
@@ -705,13 +715,21 @@
 
     fn send(&mut self, orders: &mut dyn Actions, id: RequestId, server: WorkerId, copy: bool) {
         let now = self.now;
-        let job = self.jobs.get_mut(&id).expect("only jobs that are held here are sent");
-        let (function, workload, customer, n) = (job.function, job.workload, job.customer, job.tried.len());
-        let (effect, begin) = (job.effect, Self::repeat_until(job));
+        let request = self.requests.get_mut(&id).expect("only jobs that are held here are sent");
+        let (function, workload, customer, n) =
+            (request.function, request.workload, request.customer, request.tried.len());
+        let (effect, begin) = (request.effect, Self::repeat_until(request));
         let row = &self.workloads[workload.0];
         let before = self.servers.jobs_at(server);
         let s = self.servers.get_mut(&server).expect("place names known workers");
-        job.tried.push(Tried { server, rack: s.rack, zone: s.zone, sent: now, closed: now, fate: Fate::Out });
+        request.tried.push(Tried {
+            server,
+            rack: s.rack,
+            zone: s.zone,
+            sent: now,
+            closed: now,
+            fate: Fate::Out,
+        });
         let serving = s.serving(now, function);
         let hold = s.holds.entry(function).or_default();
         hold.out += 1;
@@ -726,7 +744,7 @@
             s.cold_sent
                 .push((now + self.rows.slow_start.overload_window, row.service / self.mean_service.max(1.0)));
         }
-        orders.send(id, server, job.deadline - now, begin);
+        orders.send(id, server, request.deadline - now, begin);
         self.servers.account(server, before);
         let then: Step = Box::new(move |c, o, answer| c.closed(o, id, n, answer.expect("what it ends with")));
         self.out.insert((id, n), Out { server, function, workload, customer, sent: now, serving, then });
@@ -740,9 +758,13 @@
     /// The one copy that follows an attempt that has not finished within the hedge delay, or whose worker
     /// has been set aside.
     fn hedge(&mut self, orders: &mut dyn Actions, id: RequestId, n: usize) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let alone = job.tried.len() == n + 1 && job.tried[n].fate == Fate::Out;
-        if !alone || job.streaming || !self.repeat_allowed(job) || job.deadline <= self.now + LAST_CALL {
+        let Some(request) = self.requests.get(&id) else { return };
+        let alone = request.tried.len() == n + 1 && request.tried[n].fate == Fate::Out;
+        if !alone
+            || request.streaming
+            || !self.repeat_allowed(request)
+            || request.deadline <= self.now + LAST_CALL
+        {
             return;
         }
         if self.budget >= 1.0
@@ -753,7 +775,8 @@
                 self.send(orders, id, server, true);
             } else if self.rows.attempt_policy.cancel_allowed {
                 self.budget -= 1.0;
-                // Stand-in where no copy may run beside it: `closed` sends the job on once this one is off.
+                // Stand-in where no copy may run beside it: `closed` sends the request on once this one is
+                // off.
                 orders.cancel(id, n);
             }
             return;
@@ -761,11 +784,11 @@
         self.wake_then(orders, 2 * BEAT, Box::new(move |c, o, _| c.hedge(o, id, n)));
     }
 
-    /// An attempt has closed: what its job does next.
+    /// An attempt has closed: what its request does next.
     fn closed(&mut self, orders: &mut dyn Actions, id: RequestId, n: usize, answer: &AttemptResult) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.tried[n].closed = self.now;
-        job.tried[n].fate = match answer.outcome {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.tried[n].closed = self.now;
+        request.tried[n].fate = match answer.outcome {
             Outcome::NotLoaded | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Superseded => {
                 Fate::NeverRan
             }
@@ -776,13 +799,17 @@
             self.forget(id);
             return;
         }
-        if job.streaming || job.tried.iter().any(|t| t.fate == Fate::Out) {
+        if request.streaming || request.tried.iter().any(|t| t.fate == Fate::Out) {
             return;
         }
-        // A cancel was paid for when it was ordered, or many at once would end jobs that nothing is left for.
-        let costs = job.tried[n].fate == Fate::MayHaveRun && answer.outcome != Outcome::Cancelled;
-        let job = &self.jobs[&id];
-        if job.deadline <= self.now + LAST_CALL || !self.repeat_allowed(job) || (costs && self.budget < 1.0) {
+        // A cancel was paid for when it was ordered, or many at once would end requests that nothing is left
+        // for.
+        let costs = request.tried[n].fate == Fate::MayHaveRun && answer.outcome != Outcome::Cancelled;
+        let request = &self.requests[&id];
+        if request.deadline <= self.now + LAST_CALL
+            || !self.repeat_allowed(request)
+            || (costs && self.budget < 1.0)
+        {
             self.give_up(orders, id);
             return;
         }
@@ -792,31 +819,31 @@
 
     // ---- Rules 1 and 2: one final answer, no effect twice ----------------------------------
 
-    /// Until when another attempt of the job may begin.
-    fn repeat_until(job: &Job) -> Micros {
-        let risky = job.tried.iter().filter(|t| t.fate != Fate::NeverRan).map(|t| t.sent).min();
-        match (risky, job.effect) {
+    /// Until when another attempt of the request may begin.
+    fn repeat_until(request: &Job) -> Micros {
+        let risky = request.tried.iter().filter(|t| t.fate != Fate::NeverRan).map(|t| t.sent).min();
+        match (risky, request.effect) {
             (None, _) | (_, RetrySafety::Idempotent) => Micros::MAX,
             (Some(first), RetrySafety::Keyed { window, .. }) => (first + window).saturating_sub(BEAT),
             (Some(_), RetrySafety::AtMostOnce) => 0,
         }
     }
 
-    /// Whether the job may have another attempt at all; `may_send` tells where.
-    fn repeat_allowed(&self, job: &Job) -> bool {
-        self.now < Self::repeat_until(job) && job.tried.len() < self.rows.attempt_policy.max_attempts
+    /// Whether the request may have another attempt at all; `may_send` tells where.
+    fn repeat_allowed(&self, request: &Job) -> bool {
+        self.now < Self::repeat_until(request) && request.tried.len() < self.rows.attempt_policy.max_attempts
     }
 
-    /// Every send passes here: the list, repeats and their group, and workers this job has just left.
-    fn may_send(&self, job: &Job, id: WorkerId) -> bool {
+    /// Every send passes here: the list, repeats and their group, and workers this request has just left.
+    fn may_send(&self, request: &Job, id: WorkerId) -> bool {
         let Some(s) = self.servers.get(&id).filter(|s| s.open) else { return false };
         let rested = |t: &Tried| t.server != id || (t.fate != Fate::Out && t.closed + REST <= self.now);
-        if !job.tried.iter().all(rested) || !self.repeat_allowed(job) {
+        if !request.tried.iter().all(rested) || !self.repeat_allowed(request) {
             return false;
         }
-        match job.effect {
+        match request.effect {
             RetrySafety::Keyed { scope: within, .. } => {
-                job.tried.iter().filter(|t| t.fate != Fate::NeverRan).all(|t| match within {
+                request.tried.iter().filter(|t| t.fate != Fate::NeverRan).all(|t| match within {
                     IdempotencyScope::Everywhere => true,
                     IdempotencyScope::Zone => t.zone.is_some() && t.zone == s.zone,
                     IdempotencyScope::Rack => t.rack == s.rack,
@@ -826,13 +853,15 @@
         }
     }
 
-    /// The one end of a job that this router decides: pushed back where the rules allow it, else killed.
+    /// The one end of a request that this router decides: pushed back where the rules allow it, else killed.
     fn give_up(&mut self, orders: &mut dyn Actions, id: RequestId) {
-        let Some(job) = self.jobs.get(&id).filter(|j| !j.streaming) else { return };
-        let may_have_run = job.tried.iter().any(|t| t.fate != Fate::NeverRan);
-        let harmless = match job.effect {
+        let Some(request) = self.requests.get(&id).filter(|j| !j.streaming) else { return };
+        let may_have_run = request.tried.iter().any(|t| t.fate != Fate::NeverRan);
+        let harmless = match request.effect {
             RetrySafety::Idempotent => true,
-            RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, .. } if self.repeat_allowed(job) => {
+            RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, .. }
+                if self.repeat_allowed(request) =>
+            {
                 true
             }
             _ => !may_have_run,
@@ -848,22 +877,22 @@
         self.forget(id);
     }
 
-    /// Ends all jobs, each with its one answer, for a process that has to go.
+    /// Ends all requests, each with its one answer, for a process that has to go.
     pub fn finish_all(&mut self, orders: &mut dyn Actions) {
-        self.jobs.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(orders, id));
+        self.requests.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(orders, id));
     }
 
     fn cancel_rest(&self, orders: &mut dyn Actions, id: RequestId) {
         if self.rows.attempt_policy.cancel_allowed {
-            let live = self.jobs[&id].tried.iter().enumerate().filter(|(_, t)| t.fate == Fate::Out);
+            let live = self.requests[&id].tried.iter().enumerate().filter(|(_, t)| t.fate == Fate::Out);
             live.for_each(|(n, _)| orders.cancel(id, n));
         }
     }
 
     fn forget(&mut self, id: RequestId) {
-        if let Some(job) = self.jobs.remove(&id) {
-            self.held.remove(&(Reverse(job.value), job.came, id));
-            self.functions.over(job.function);
+        if let Some(request) = self.requests.remove(&id) {
+            self.held.remove(&(Reverse(request.value), request.came, id));
+            self.functions.over(request.function);
         }
     }
 
@@ -990,7 +1019,8 @@
                 }
             }
             // No answer is one too: the worker took at least this long, and nothing faster says otherwise.
-            // Where later ones were answered meanwhile, the answer was lost or the job was long by itself.
+            // Where later ones were answered meanwhile, the answer was lost or the request was long by
+            // itself.
             Outcome::TimedOut | Outcome::Cancelled
                 if answer.elapsed > row.start_target && s.proved <= out.sent =>
             {
@@ -1035,13 +1065,13 @@
         self.servers.schedule(id);
         let stuck: Vec<(RequestId, usize)> =
             self.out.iter().filter(|(_, o)| o.server == id).map(|(k, _)| *k).collect();
-        for (job, n) in stuck {
-            self.hedge(orders, job, n);
+        for (request, n) in stuck {
+            self.hedge(orders, request, n);
         }
     }
 
-    fn usable(&self, s: &Server, job: &Job, id: WorkerId) -> bool {
-        s.trickle.is_none_or(|n| s.out < n) && self.cold_budget(s, job, id)
+    fn usable(&self, s: &Server, request: &Job, id: WorkerId) -> bool {
+        s.trickle.is_none_or(|n| s.out < n) && self.cold_budget(s, request, id)
     }
 
     // ---- Mechanism 2: fresh workers (rule 4) -----------------------------------------------
@@ -1056,11 +1086,11 @@
         rules.initial_capacity + (1.0 - rules.initial_capacity) * warm
     }
 
-    /// Whether a cold worker may be sent this job now. Each router keeps to its even part of the budget of a
-    /// span. Where that is less than a job, chance decides, by how many jobs this router is expected to have
-    /// for the worker in a span, those that wait here too, or what has piled up would fall on it at once.
-    /// One job draws once for a worker however often it asks.
-    fn cold_budget(&self, s: &Server, job: &Job, id: WorkerId) -> bool {
+    /// Whether a cold worker may be sent this request now. Each router keeps to its even part of the budget
+    /// of a span. Where that is less than a request, chance decides, by how many requests this router is
+    /// expected to have for the worker in a span, those that wait here too, or what has piled up would fall
+    /// on it at once. One request draws once for a worker however often it asks.
+    fn cold_budget(&self, s: &Server, request: &Job, id: WorkerId) -> bool {
         let rules = &self.rows.slow_start;
         let warmth = self.warmth(s);
         if warmth >= 1.0 {
@@ -1072,14 +1102,14 @@
         let pace = self.capacity_per_weight() * s.weight.min(self.weight / open);
         let part = rules.overload_factor * warmth * pace * span * COLD_CARE / self.rows.router_count as f64;
         let spent: f64 = s.cold_sent.iter().map(|(_, work)| work).sum();
-        let work = self.workloads[job.workload.0].service / self.mean_service.max(1.0);
+        let work = self.workloads[request.workload.0].service / self.mean_service.max(1.0);
         if spent + work <= part {
             return true;
         }
         let even = COLD_WANTED * self.rate * s.weight / self.weight;
-        let new = self.per_us(even.max(self.functions[&job.function].rate)) * span;
+        let new = self.per_us(even.max(self.functions[&request.function].rate)) * span;
         let wanted = (new + self.held.len().saturating_sub(1) as f64) * work;
-        spent == 0.0 && unit_interval(hash_pair(job.chance, id.0)) < part / wanted.max(part)
+        spent == 0.0 && unit_interval(hash_pair(request.chance, id.0)) < part / wanted.max(part)
     }
 
     // ---- Mechanism 6: loads ----------------------------------------------------------------
@@ -1097,7 +1127,7 @@
 
     // ---- Mechanism 5: shares, and the regular look at what waits ---------------------------
 
-    /// Whether a job is beyond this router's part of its customer's share. Only such jobs wait last.
+    /// Whether a request is beyond this router's part of its customer's share. Only such requests wait last.
     fn over_share(&mut self, customer: CustomerId) -> bool {
         let row = &mut self.customers[customer.0];
         let per_us = row.jobs_per_s / 1e6 / self.rows.router_count.max(1) as f64;
@@ -1175,16 +1205,16 @@
             due.extend(self.held.fresh_before(WorkloadId(n), done.saturating_sub(row.start_target)));
         }
         for key in due {
-            let job = self.jobs.get_mut(&key.2).expect("held jobs are kept");
-            let row = &self.workloads[job.workload.0];
+            let request = self.requests.get_mut(&key.2).expect("held jobs are kept");
+            let row = &self.workloads[request.workload.0];
             let done = now + row.service as Micros;
-            if job.late && now >= key.1 + 2 * BEAT && !loading.contains(&job.function)
-                || done.max(now + LAST_CALL) >= job.deadline
+            if request.late && now >= key.1 + 2 * BEAT && !loading.contains(&request.function)
+                || done.max(now + LAST_CALL) >= request.deadline
             {
                 self.give_up(orders, key.2);
-            } else if !job.late && done > key.1 + row.start_target {
-                job.value = (job.value as f64 * row.late_part) as u64;
-                job.late = true;
+            } else if !request.late && done > key.1 + row.start_target {
+                request.value = (request.value as f64 * row.late_part) as u64;
+                request.late = true;
                 self.held.remove(&key);
                 self.hold(key.2);
             }
--- a/src/functions.rs
+++ b/src/functions.rs
@@ -15,7 +15,7 @@
     pub last: Micros,
     pub rate: f64,
     /// Jobs of it that are not over; while there is one it is not forgotten.
-    pub jobs: u32,
+    pub requests: u32,
     /// Workers that may hold it, so that nobody has to ask all of them.
     pub at: BTreeSet<WorkerId>,
 }
@@ -54,23 +54,23 @@
     /// A function that is called: as it is known, or new.
     pub fn called(&mut self, id: FunctionId) -> &mut Function {
         let function = self.known.entry(id).or_default();
-        function.jobs += 1;
+        function.requests += 1;
         function
     }
 
-    /// One of its jobs is over.
+    /// One of its requests is over.
     pub fn over(&mut self, id: FunctionId) {
-        self.get_mut(id).into_iter().for_each(|function| function.jobs -= 1);
+        self.get_mut(id).into_iter().for_each(|function| function.requests -= 1);
     }
 
-    /// Forgets those that nobody has called for so long, that no worker may hold and that have no job.
+    /// Forgets those that nobody has called for so long, that no worker may hold and that have no request.
     pub fn forget_unused(&mut self, now: Micros, after: Micros) {
-        self.known.retain(|_, f| now < f.last + after || !f.at.is_empty() || f.jobs > 0);
+        self.known.retain(|_, f| now < f.last + after || !f.at.is_empty() || f.requests > 0);
     }
 
-    /// Takes out so many of those without a job, those called longest ago; ties go by name.
+    /// Takes out so many of those without a request, those called longest ago; ties go by name.
     pub fn evict(&mut self, number: usize) -> Vec<(FunctionId, Function)> {
-        let unused = self.known.iter().filter(|(_, function)| function.jobs == 0);
+        let unused = self.known.iter().filter(|(_, function)| function.requests == 0);
         let mut oldest: Vec<(Micros, FunctionId)> =
             unused.map(|(id, function)| (function.last, *id)).collect();
         oldest.sort_unstable();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! applepond: decides which worker runs a job, for functions that workers load on demand.
+//! applepond: decides which worker runs a request, for functions that workers load on demand.
 pub mod control;
 mod functions;
 mod hashing;
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -66,7 +66,7 @@
     pub lag: f64,
     pub cut_at: Micros,
     pub heard: Micros,
-    /// When the latest sent of the jobs that it has answered was sent.
+    /// When the latest sent of the requests that it has answered was sent.
     pub proved: Micros,
     pub errors: f64,
     pub broken: Micros,
@@ -83,7 +83,7 @@
 }
 
 impl Server {
-    /// Own jobs there that run or are about to: those that wait for a load take no core.
+    /// Own requests there that run or are about to: those that wait for a load take no core.
     pub fn running(&self) -> f64 {
         f64::from(self.out.saturating_sub(self.waiting))
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Own jobs that run and jobs of other routers, at one server or at all.
+/// Own requests that run and requests of other routers, at one server or at all.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Jobs {
     running: f64,
@@ -115,7 +115,7 @@
     /// Those that the list holds ready, by weight.
     open: Members<HashOrder>,
     /// Jobs at all open ones, those of others as of the last beat.
-    jobs: Jobs,
+    requests: Jobs,
     /// Those of which something ends by itself, by when.
     due: BTreeSet<(Micros, WorkerId)>,
     /// Those that may be aside or on trial: all that are, and some that were.
@@ -155,19 +155,19 @@
         &self.open
     }
 
-    /// Beats so far, by which others' jobs fade.
+    /// Beats so far, by which others' requests fade.
     pub fn beat(&self) -> u64 {
         self.beat
     }
 
     pub fn next_beat(&mut self) {
         self.beat += 1;
-        self.jobs.others *= FADE;
+        self.requests.others *= FADE;
     }
 
     /// Jobs at all open servers.
     pub fn busy(&self) -> f64 {
-        self.jobs.running + self.jobs.others.max(0.0)
+        self.requests.running + self.requests.others.max(0.0)
     }
 
     pub fn insert(&mut self, id: WorkerId, server: Server) {
@@ -202,8 +202,8 @@
     /// Takes over what has changed of one since `before`.
     pub fn account(&mut self, id: WorkerId, before: Jobs) {
         let after = self.jobs_at(id);
-        self.jobs.running += after.running - before.running;
-        self.jobs.others += after.others - before.others;
+        self.requests.running += after.running - before.running;
+        self.requests.others += after.others - before.others;
         self.schedule(id);
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -23,18 +23,18 @@
 }
 
 impl Actions for Record {
-    fn send(&mut self, job: RequestId, server: WorkerId, _patience: Micros, begin: Micros) {
-        self.begin.insert((job, server), begin);
-        self.did.push(Did::Send(job, server));
+    fn send(&mut self, request: RequestId, server: WorkerId, _patience: Micros, begin: Micros) {
+        self.begin.insert((request, server), begin);
+        self.did.push(Did::Send(request, server));
     }
-    fn cancel(&mut self, job: RequestId, attempt: usize) {
-        self.did.push(Did::Cancel(job, attempt));
+    fn cancel(&mut self, request: RequestId, attempt: usize) {
+        self.did.push(Did::Cancel(request, attempt));
     }
-    fn reject(&mut self, job: RequestId, _come_back: Option<Micros>) {
-        self.did.push(Did::PushBack(job));
+    fn reject(&mut self, request: RequestId, _come_back: Option<Micros>) {
+        self.did.push(Did::PushBack(request));
     }
-    fn fail(&mut self, job: RequestId) {
-        self.did.push(Did::Kill(job));
+    fn fail(&mut self, request: RequestId) {
+        self.did.push(Did::Kill(request));
     }
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.push((self.now + delay, token));
@@ -89,7 +89,7 @@
     Endpoint { worker: server(n), status: standing, up_since, zone: Some(ZoneId(0)), rack, weight: 1.0 }
 }
 
-pub fn job(n: u8) -> RequestId {
+pub fn request(n: u8) -> RequestId {
     RequestId([n; 36])
 }
 
@@ -135,7 +135,7 @@
 
     pub fn arrive(&mut self, n: u8, function: &str, left: Micros) {
         let arrival = RequestArrival {
-            request: job(n),
+            request: request(n),
             function: FunctionId::named(function),
             workload: WorkloadId(self.workload),
             customer: self.customer.map(CustomerId),
@@ -149,7 +149,7 @@
     }
 
     pub fn close(&mut self, n: u8, attempt: usize, answer: &AttemptResult) {
-        self.control.attempt_finished(&mut self.record, job(n), attempt, answer);
+        self.control.attempt_finished(&mut self.record, request(n), attempt, answer);
     }
 
     /// Lets time pass, with every timer that falls due.
@@ -169,7 +169,7 @@
     }
 
     pub fn sends(&self, n: u8) -> Vec<WorkerId> {
-        let sent = |d: &Did| if let Did::Send(j, s) = d { (*j == job(n)).then_some(*s) } else { None };
+        let sent = |d: &Did| if let Did::Send(j, s) = d { (*j == request(n)).then_some(*s) } else { None };
         self.record.did.iter().filter_map(sent).collect()
     }
 
@@ -177,12 +177,12 @@
         self.record
             .did
             .iter()
-            .filter(|d| **d == Did::Kill(job(n)) || **d == Did::PushBack(job(n)))
+            .filter(|d| **d == Did::Kill(request(n)) || **d == Did::PushBack(request(n)))
             .cloned()
             .collect()
     }
 
-    /// Sends a job of the function to its home and has it finish there, so that the home serves it.
+    /// Sends a request of the function to its home and has it finish there, so that the home serves it.
     pub fn warm(&mut self, function: &str) -> WorkerId {
         self.arrive(250, function, 5000 * MS);
         let home = self.sends(250)[0];
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -51,7 +51,7 @@
     bench.pass(3000 * MS);
     assert_eq!(bench.sends(1).len(), sends, "at most two copies live");
     bench.close(1, 0, &answer(Outcome::Finished));
-    let cancelled = bench.record.did.contains(&Did::Cancel(job(1), 1));
+    let cancelled = bench.record.did.contains(&Did::Cancel(request(1), 1));
     assert_eq!(cancelled, sends == 2, "the loser is cancelled");
 }
 
@@ -98,15 +98,15 @@
     assert_eq!(bench.sends(9).first() != Some(&home), aside);
 }
 
-// A worker that owes answers and says nothing is set aside; one slow job is not silence.
+// A worker that owes answers and says nothing is set aside; one slow request is not silence.
 #[test_case(1, false; "one slow job")]
 #[test_case(2, true; "two answers owed")]
-fn silence(jobs: u8, aside: bool) {
+fn silence(requests: u8, aside: bool) {
     let mut rows = rows(RetrySafety::AtMostOnce);
     rows.workloads[0].latency_objective = 1000 * MS;
     let mut bench = Bench::new(rows, 8);
     let home = bench.warm("hut");
-    (1..=jobs).for_each(|n| bench.arrive(n, "hut", 9000 * MS));
+    (1..=requests).for_each(|n| bench.arrive(n, "hut", 9000 * MS));
     bench.pass(3100 * MS);
     bench.arrive(9, "hut", 5000 * MS);
     assert_eq!(bench.sends(9).first() != Some(&home), aside);
@@ -124,11 +124,11 @@
     bench.close(1, 0, &answer(Outcome::Finished));
     assert!(bench.sends(3).is_empty() && bench.sends(4).len() == 1);
     bench.pass(80 * MS);
-    assert_eq!(bench.ends(3), vec![Did::PushBack(job(3))]);
+    assert_eq!(bench.ends(3), vec![Did::PushBack(request(3))]);
 }
 
-// A worker that was full for a function is left alone by its next jobs for a moment.
-// One that takes its time to say so turns away one customer alone: the other one's jobs still go there.
+// A worker that was full for a function is left alone by its next requests for a moment.
+// One that takes its time to say so turns away one customer alone: the other one's requests still go there.
 #[test_case(5, 100, 0, false; "still resting")]
 #[test_case(5, 400, 0, true; "tried again")]
 #[test_case(60, 400, 0, false; "a customer shut out stays away for longer")]
@@ -205,8 +205,9 @@
     assert_eq!((bench.sends(3).len(), bench.sends(4).len()), if first == 3 { (1, 0) } else { (0, 1) });
 }
 
-/// One worker whose room is 10 jobs (a share of 40 jobs a second for half the start target): twenty functions
-/// are loaded there, then some attempts time out, then one job comes for each function. How many go out?
+/// One worker whose room is 10 requests (a share of 40 requests a second for half the start target): twenty
+/// functions are loaded there, then some attempts time out, then one request comes for each function. How
+/// many go out?
 fn sent_of_twenty(routers: u64, time_outs: u8, timed_out_ms: Micros, overtaken: bool) -> usize {
     let mut rows = StartupConfig { router_count: routers, ..rows(RetrySafety::Idempotent) };
     rows.customers = vec![CustomerConfig { requests_per_second: 40.0 }];
@@ -242,7 +243,7 @@
     assert!(sends.contains(&sent), "{sent}");
 }
 
-// A function that this router asked for often is asked for by the others as well: its jobs spread over
+// A function that this router asked for often is asked for by the others as well: its requests spread over
 // several workers before any is full. With one router they stay at home.
 #[test_case(1, 1; "alone")]
 #[test_case(100, 2; "one of a hundred")]
@@ -258,7 +259,7 @@
     assert!(if least == 1 { used.len() == 1 } else { used.len() >= least });
 }
 
-// While the workers tell of loads jammed everywhere no overflow begins another one; the job waits for
+// While the workers tell of loads jammed everywhere no overflow begins another one; the request waits for
 // its home.
 #[test_case(0.5, true; "calm")]
 #[test_case(9.0, false; "jammed")]
@@ -274,8 +275,8 @@
     assert_eq!(bench.sends(3).len() == 1, spreads);
 }
 
-// An at-most-once job does not try out a worker that was set aside, nor does it wait for it while loads are
-// jammed: it passes it over until a job that can be repeated has found out.
+// An at-most-once request does not try out a worker that was set aside, nor does it wait for it while loads
+// are jammed: it passes it over until a request that can be repeated has found out.
 #[test_case(false, false; "on trial")]
 #[test_case(true, true; "proved by another job")]
 fn at_most_once_passes_over(proved: bool, home_takes: bool) {
@@ -333,7 +334,7 @@
     };
     let mut bench = begin();
     bench.arrive(1, "hut", 5000 * MS);
-    bench.control.client_disconnected(&mut bench.record, job(9));
+    bench.control.client_disconnected(&mut bench.record, request(9));
     bench.list(&[listed(0, WorkerStatus::Ready, 0)]);
     let sent =
         bench.record.did.iter().filter_map(|d| if let Did::Send(j, _) = d { Some(j.0[0]) } else { None });
@@ -343,13 +344,13 @@
     assert_eq!(bench.ends(2).len(), given_up);
 }
 
-// A client that leaves: what still waits at a worker for its job is taken back.
+// A client that leaves: what still waits at a worker for its request is taken back.
 #[test]
 fn a_client_that_leaves() {
     let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
     bench.arrive(1, "hut", 5000 * MS);
-    bench.control.client_disconnected(&mut bench.record, job(1));
-    assert_eq!(bench.record.did.last(), Some(&Did::Cancel(job(1), 0)));
+    bench.control.client_disconnected(&mut bench.record, request(1));
+    assert_eq!(bench.record.did.last(), Some(&Did::Cancel(request(1), 0)));
 }
 
 // Homes that the other routers are taken to keep loaded are no loads: the bound on own ones is not met.
@@ -378,7 +379,7 @@
         if n < finished {
             bench.close(n, 0, &answer(Outcome::Finished));
         } else if bench.sends(n).is_empty() {
-            bench.control.client_disconnected(&mut bench.record, job(n));
+            bench.control.client_disconnected(&mut bench.record, request(n));
         }
         bench.pass(5 * MS);
     }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -10,7 +10,7 @@
 
 const STEP: Micros = 5 * MS;
 const WORKERS: u64 = 12;
-/// Work of a job at a warm worker.
+/// Work of a request at a warm worker.
 const WORK: Micros = 60 * MS;
 
 /// What befalls the fleet beside the worker that comes.
@@ -62,11 +62,11 @@
     /// Carries out what was ordered: when each attempt at the fresh worker began.
     fn settle(&mut self, fresh: WorkerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
         for did in std::mem::take(&mut self.record.did) {
-            let Did::Send(job, to) = did else { continue };
-            let n = self.sent.entry(job).or_default();
+            let Did::Send(request, to) = did else { continue };
+            let n = self.sent.entry(request).or_default();
             let slow = if to == fresh { warmth } else { 1.0 };
             let work = -(rng.rand_float().max(1e-9)).ln() * WORK as f64 / slow;
-            self.answers.insert((self.record.now + work as Micros, job, *n), to);
+            self.answers.insert((self.record.now + work as Micros, request, *n), to);
             *n += 1;
             if to == fresh {
                 began.push(self.record.now);
@@ -128,7 +128,7 @@
                 r.told = true;
                 r.control.endpoints_updated(&mut r.record, EndpointListKind::Full, &new);
             }
-            while let Some((&(at, job, n), &from)) = r.answers.first_key_value()
+            while let Some((&(at, request, n), &from)) = r.answers.first_key_value()
                 && at <= now
             {
                 r.answers.pop_first();
@@ -137,7 +137,7 @@
                 let elapsed = (WORK as f64 / if from == fresh { warmth } else { 1.0 }) as Micros;
                 r.control.attempt_finished(
                     &mut r.record,
-                    job,
+                    request,
                     n,
                     &AttemptResult { elapsed, ..answer(outcome) },
                 );
@@ -152,7 +152,7 @@
                     next += 1;
                     let mut id = [0; 36];
                     id[..8].copy_from_slice(&next.to_le_bytes());
-                    // A few functions have most of the jobs.
+                    // A few functions have most of the requests.
                     let function = (rng.rand_float().powi(3) * 60.0) as u64;
                     let version = u64::from(day.versions && now >= instance_id && function.is_multiple_of(2));
                     let arrival = RequestArrival {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -25,7 +25,7 @@
     bench.arrive(1, "hut", 5000 * MS);
     bench.close(1, 0, &answer(outcome));
     assert_eq!(bench.sends(1).len(), sends);
-    assert_eq!(bench.ends(1), if killed { vec![Did::Kill(job(1))] } else { vec![] });
+    assert_eq!(bench.ends(1), if killed { vec![Did::Kill(request(1))] } else { vec![] });
 }
 
 #[test_case(0, true; "inside the window it runs again in its rack")]
@@ -41,7 +41,7 @@
     assert_eq!(sent.len() == 2, again);
     let rack = |s: &WorkerId| (0..8).find(|n| server(*n) == *s).map(|n| n / 2);
     assert!(sent.iter().all(|s| rack(s) == rack(&sent[0])));
-    assert_eq!(bench.ends(1), if again { vec![] } else { vec![Did::Kill(job(1))] });
+    assert_eq!(bench.ends(1), if again { vec![] } else { vec![Did::Kill(request(1))] });
 }
 
 // A zone that the settings do not name is none: two workers of such zones share no group that is known.
@@ -69,11 +69,11 @@
     bench.pass(50 * MS);
     bench.close(1, 0, &answer(Outcome::Error));
     bench.pass(500 * MS);
-    let begin: Vec<Micros> = bench.sends(1).iter().map(|to| bench.record.begin[&(job(1), *to)]).collect();
+    let begin: Vec<Micros> = bench.sends(1).iter().map(|to| bench.record.begin[&(request(1), *to)]).collect();
     assert_eq!(begin, [Micros::MAX, within.map_or(Micros::MAX, |within| came + within)]);
 }
 
-// Rule 1: every job ends once, before its client leaves, and nothing follows.
+// Rule 1: every request ends once, before its client leaves, and nothing follows.
 #[test_case(RetrySafety::Idempotent, 0, 5000; "held without any worker")]
 #[test_case(RetrySafety::AtMostOnce, 0, 5000; "at-most-once held without any worker")]
 #[test_case(RetrySafety::Idempotent, 0, 5; "client about to leave")]
@@ -82,7 +82,7 @@
     let mut bench = Bench::new(rows(effect), servers);
     bench.arrive(1, "hut", left_ms * MS);
     bench.pass(left_ms * MS);
-    assert_eq!(bench.ends(1), vec![Did::PushBack(job(1))]);
+    assert_eq!(bench.ends(1), vec![Did::PushBack(request(1))]);
     bench.pass(10_000 * MS);
     assert_eq!(bench.ends(1).len(), 1);
 }
@@ -96,14 +96,14 @@
     assert_eq!(bench.sends(1)[0], home);
     bench.close(1, 0, &answer(Outcome::Finished));
     let before = bench.record.did.len();
-    bench.control.client_disconnected(&mut bench.record, job(1));
+    bench.control.client_disconnected(&mut bench.record, request(1));
     let late = AttemptResult { request_ended: true, ..answer(Outcome::Error) };
     bench.close(1, 1, &late);
     bench.pass(8000 * MS);
     assert_eq!(bench.record.did.len(), before);
 }
 
-// Rule 3: nothing new to a worker from the moment of being told, whichever path a job comes by.
+// Rule 3: nothing new to a worker from the moment of being told, whichever path a request comes by.
 #[test_case(WorkerStatus::Draining; "draining")]
 #[test_case(WorkerStatus::Gone; "gone")]
 fn told(standing: WorkerStatus) {
@@ -139,8 +139,8 @@
     assert_eq!((1..7).map(|n| bench.sends(n).len()).sum::<usize>(), sends);
 }
 
-// Rule 4 as a sum: two hundred routers, each with a job for the same fresh worker, together stay within the
-// budget of a span, though each of them alone knows only of its own.
+// Rule 4 as a sum: two hundred routers, each with a request for the same fresh worker, together stay within
+// the budget of a span, though each of them alone knows only of its own.
 #[test_case(200, 1; "each asks once")]
 #[test_case(200, 5; "each asks five times")]
 #[test_case(3, 60; "three routers ask often")]
@@ -164,13 +164,13 @@
         }
         sent += (0..asks).flat_map(|n| bench.sends(n)).filter(|s| *s == server(7)).count();
     }
-    // 20 jobs a second for each of the 8 workers, of which a cold one may be sent 2 x 0.2 in a second, then
-    // more.
+    // 20 requests a second for each of the 8 workers, of which a cold one may be sent 2 x 0.2 in a second,
+    // then more.
     assert!(sent <= 11, "{sent}");
 }
 
 // What piled up at the routers while all others were set aside does not fall on a fresh worker at once: one
-// of 21 workers that do 1600 jobs a second together may be sent 2 x 0.2 x 76 in its first second.
+// of 21 workers that do 1600 requests a second together may be sent 2 x 0.2 x 76 in its first second.
 #[test]
 fn cold_after_waiting() {
     let mut sent = 0;
@@ -190,8 +190,8 @@
     assert!(sent > 0 && sent <= 30, "{sent}");
 }
 
-// Rule 2 where no second copy may run: a job at a worker that was set aside is cancelled first and sent on
-// once that is told.
+// Rule 2 where no second copy may run: a request at a worker that was set aside is cancelled first and sent
+// on once that is told.
 #[test]
 fn one_attempt_at_a_time() {
     let mut rows = rows(RetrySafety::Idempotent);
@@ -200,14 +200,14 @@
     bench.warm("hut");
     (1..3).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
     bench.close(2, 0, &answer(Outcome::ConnectFailed));
-    assert_eq!((bench.sends(1).len(), bench.record.did.contains(&Did::Cancel(job(1), 0))), (1, true));
+    assert_eq!((bench.sends(1).len(), bench.record.did.contains(&Did::Cancel(request(1), 0))), (1, true));
     bench.close(1, 0, &answer(Outcome::Cancelled));
     assert_eq!(bench.sends(1).len(), 2);
     bench.pass(4000 * MS);
     assert_eq!(bench.sends(1).len(), 2, "no copy after the hedge delay either");
 }
 
-// No more jobs are cancelled at workers that were set aside than can be sent on: the others stay there.
+// No more requests are cancelled at workers that were set aside than can be sent on: the others stay there.
 #[test]
 fn a_cancel_is_paid_for_when_it_is_ordered() {
     let mut rows = rows(RetrySafety::Idempotent);
@@ -222,15 +222,15 @@
             bench.close(n, 0, &answer(Outcome::ConnectFailed));
         }
     }
-    let off = |n: &u8| bench.record.did.contains(&Did::Cancel(job(*n), 0));
+    let off = |n: &u8| bench.record.did.contains(&Did::Cancel(request(*n), 0));
     let cancelled: Vec<u8> = (0..64).filter(off).collect();
     assert!(cancelled.len() > 5, "{}", cancelled.len());
     cancelled.iter().for_each(|n| bench.close(*n, 0, &answer(Outcome::Cancelled)));
     assert!(cancelled.iter().all(|n| bench.ends(*n).is_empty()), "none is given up");
 }
 
-// A switch of the rows: a job keeps its effect, and a copy that is out where none may be any more is taken
-// back.
+// A switch of the rows: a request keeps its effect, and a copy that is out where none may be any more is
+// taken back.
 #[test_case(RetrySafety::AtMostOnce, RetrySafety::Idempotent, 1, 1; "at-most-once stays so")]
 #[test_case(RetrySafety::Idempotent, RetrySafety::AtMostOnce, 2, 0; "idempotent stays so")]
 fn switched(taken: RetrySafety, then: RetrySafety, sends: usize, kills: usize) {
@@ -252,7 +252,7 @@
     without.attempt_policy.hedging_allowed = false;
     bench.control.reconfigure(&mut bench.record, without);
     let cancels = bench.record.did.iter().filter(|d| matches!(d, Did::Cancel(..)));
-    assert_eq!(cancels.collect::<Vec<_>>(), [&Did::Cancel(job(1), 1)]);
+    assert_eq!(cancels.collect::<Vec<_>>(), [&Did::Cancel(request(1), 1)]);
 }
 
 // What is recalled of a worker only ever makes more careful, and counts for the life that it was learned of.
