--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -633,7 +633,7 @@
         } else {
             ""
         };
-        println!("  {n:>4} s {jobs:>5} jobs {ok:>5} in time {asked:>6} asked  {at}");
+        println!("  {n:>4} s {requests:>5} requests {ok:>5} in time {asked:>6} asked  {at}");
     }
     let recovery = report.recovery.map_or("not seen".to_owned(), |s| format!("{s} s"));
     println!("  service before the cut {:.1} %; recovery after {recovery}", 100.0 * report.before);
@@ -660,7 +660,7 @@
         let within = report.story.iter().filter(|(at, _)| (from..from + 2_000_000).contains(at));
         let story: Vec<&str> = within.map(|(_, what)| what.as_str()).collect();
         let part = 100.0 * *served as f64 / *requests as f64;
-        println!("  {:>7}  {jobs:>5}  {part:>6.1}%  {}", n * 2, story.join("; "));
+        println!("  {:>7}  {requests:>5}  {part:>6.1}%  {}", n * 2, story.join("; "));
     }
     let got: Vec<String> = report.got.iter().map(|(got, n)| format!("{n} {got:?}")).collect();
     println!("  ends of jobs as clients saw them: {}", got.join(", "));
