--- /dev/null
+++ b/src/control/hedging.rs
@@ -0,0 +1,61 @@
+//! Hedged requests: one second attempt at the next worker where the first does not finish within the hedge
+//! delay.
+//!
+//! Guards against a worker that is slow for one request without being slow for all.
+
+use super::Control;
+use super::shedding::LAST_CALL;
+use super::timers::Timer;
+use crate::averages::TICK_INTERVAL;
+use crate::interface::{Actions, Micros, RetrySafety};
+use crate::state::request::{AttemptId, AttemptState, Request};
+
+/// Load times in the hedge delay: the design's delay is twice the load time and the latency objective.
+const DELAY_LOADS: u64 = 2;
+/// Time until a hedged attempt that found no worker is tried again.
+const RETRY_INTERVAL: Micros = 2 * TICK_INTERVAL;
+
+/// Whether an attempt is its request's latest and still in flight.
+fn is_latest_in_flight(request: &Request, id: AttemptId) -> bool {
+    request.attempts.len() == id.number + 1 && request.attempts[id.number].state == AttemptState::InFlight
+}
+
+impl Control {
+    /// Sets the timer after which an attempt is hedged, where the request may run twice at once.
+    pub(super) fn schedule_hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
+        let request = &self.requests[&id.request];
+        let policy = &self.config.attempt_policy;
+        if !policy.hedging_allowed || request.retry_safety == RetrySafety::AtMostOnce {
+            return;
+        }
+        let objective = self.workloads[request.workload].latency_objective;
+        let delay = DELAY_LOADS * self.load_time(request.function) + objective;
+        self.timers.set(actions, delay, Timer::Hedge(id));
+    }
+
+    /// Sends the one hedged attempt that follows an attempt which has not finished within the hedge delay,
+    /// or whose worker has been ejected.
+    pub(super) fn hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
+        let Some(request) = self.requests.get(&id.request) else { return };
+        let in_time = request.deadline > self.now + LAST_CALL;
+        let wanted = is_latest_in_flight(request, id) && !request.response_started;
+        if !wanted || !self.may_retry(request) || !in_time {
+            return;
+        }
+        if self.attempt_budget.has_token()
+            && let Some(worker) = self.select_worker(id.request)
+        {
+            if self.config.attempt_policy.hedging_allowed {
+                self.attempt_budget.spend();
+                self.send(actions, id.request, worker);
+            } else if self.config.attempt_policy.cancel_allowed {
+                // Where no second attempt may run beside it, the request is retried once this one is
+                // cancelled.
+                self.attempt_budget.spend();
+                actions.cancel(id.request, id.number);
+            }
+            return;
+        }
+        self.timers.set(actions, RETRY_INTERVAL, Timer::Hedge(id));
+    }
+}
--- /dev/null
+++ b/src/control/retry.rs
@@ -0,0 +1,159 @@
+//! Retries: whether a request may have another attempt, where, and within which budget (rules 1 and 2).
+//!
+//! Guards against a second execution of what may run only once, and against retries that double the load
+//! when workers fail. Every attempt that is sent passes [`Control::may_send`].
+
+use super::Control;
+use super::shedding::LAST_CALL;
+use crate::averages::TICK_INTERVAL;
+use crate::interface::{
+    Actions, AttemptResult, IdempotencyScope, Micros, Outcome, RequestId, RetrySafety, WorkerId,
+};
+use crate::state::request::{Attempt, AttemptId, AttemptState, Request};
+use crate::state::worker::Worker;
+
+/// Hedged attempts and retries earned by a request's first try: they must not double the load.
+const EARNED_PER_REQUEST: f64 = 0.05;
+/// Hedged attempts and retries saved up at most: enough for a short fault.
+const MAX_SAVED: f64 = 20.0;
+/// Time for which a request, and its function, avoid a worker that has just rejected it: the work of a few
+/// requests.
+pub(super) const REJECTION_BACKOFF: Micros = 300_000;
+
+/// The budget that hedged attempts and retries share, a token each.
+pub struct AttemptBudget {
+    tokens: f64,
+}
+
+impl Default for AttemptBudget {
+    /// A budget that is half full.
+    fn default() -> Self {
+        AttemptBudget { tokens: MAX_SAVED / 2.0 }
+    }
+}
+
+impl AttemptBudget {
+    /// Earns for a request that arrives. A client's retry earns nothing: in a retry storm the attempts of
+    /// this router would grow with it.
+    pub fn earn(&mut self, is_client_retry: bool) {
+        let earned = if is_client_retry { 0.0 } else { EARNED_PER_REQUEST };
+        self.tokens = (self.tokens + earned).min(MAX_SAVED);
+    }
+
+    /// Whether there is a token.
+    pub fn has_token(&self) -> bool {
+        self.tokens >= 1.0
+    }
+
+    /// Spends a token.
+    pub fn spend(&mut self) {
+        self.tokens -= 1.0;
+    }
+}
+
+/// The moment from which on no further attempt of the request may begin.
+pub(super) fn no_attempt_after(request: &Request) -> Micros {
+    let first_risk = request.possibly_executed().map(|attempt| attempt.sent_at).min();
+    match (first_risk, request.retry_safety) {
+        (None, _) | (_, RetrySafety::Idempotent) => Micros::MAX,
+        (Some(first), RetrySafety::Keyed { window, .. }) => (first + window).saturating_sub(TICK_INTERVAL),
+        (Some(_), RetrySafety::AtMostOnce) => 0,
+    }
+}
+
+/// Whether a worker recognizes a repetition of an attempt by its idempotency key.
+fn recognizes(scope: IdempotencyScope, worker: &Worker, attempt: &Attempt) -> bool {
+    match scope {
+        IdempotencyScope::Everywhere => true,
+        IdempotencyScope::Zone => attempt.zone.is_some() && attempt.zone == worker.zone,
+        IdempotencyScope::Rack => attempt.rack == worker.rack,
+    }
+}
+
+/// What a result says of whether the request was executed.
+fn state_after(outcome: Outcome) -> AttemptState {
+    match outcome {
+        Outcome::NotLoaded | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Superseded => {
+            AttemptState::NeverRan
+        }
+        Outcome::Finished
+        | Outcome::Error
+        | Outcome::TimedOut
+        | Outcome::ConnectionLost
+        | Outcome::Cancelled => AttemptState::MayHaveRun,
+    }
+}
+
+impl Control {
+    /// Whether the request may have another attempt at all; [`Control::may_send`] says where.
+    pub(super) fn may_retry(&self, request: &Request) -> bool {
+        self.now < no_attempt_after(request)
+            && request.attempts.len() < self.config.attempt_policy.max_attempts
+    }
+
+    /// Whether an attempt of the request may be sent to a worker: it is ready, the request has not just been
+    /// there, and a repetition does no harm there.
+    pub(super) fn may_send(&self, request: &Request, id: WorkerId) -> bool {
+        let Some(worker) = self.workers.get(&id).filter(|worker| worker.ready) else { return false };
+        let rested = |attempt: &Attempt| {
+            attempt.worker != id
+                || (attempt.state != AttemptState::InFlight
+                    && attempt.ended_at + REJECTION_BACKOFF <= self.now)
+        };
+        if !request.attempts.iter().all(rested) || !self.may_retry(request) {
+            return false;
+        }
+        match request.retry_safety {
+            RetrySafety::Keyed { scope, .. } => {
+                request.possibly_executed().all(|attempt| recognizes(scope, worker, attempt))
+            }
+            RetrySafety::Idempotent | RetrySafety::AtMostOnce => true,
+        }
+    }
+
+    /// Whether the client may be told that a retry of the request does no harm.
+    pub(super) fn is_safe_to_reject(&self, request: &Request) -> bool {
+        match request.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, .. } if self.may_retry(request) => true,
+            RetrySafety::Keyed { .. } | RetrySafety::AtMostOnce => {
+                request.possibly_executed().next().is_none()
+            }
+        }
+    }
+
+    /// Takes over that an attempt has ended, and decides what its request does next: it is over, another
+    /// attempt goes on, it waits for a retry, or it is given up.
+    pub(super) fn end_attempt(&mut self, actions: &mut dyn Actions, id: AttemptId, result: &AttemptResult) {
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let attempt = &mut request.attempts[id.number];
+        attempt.ended_at = self.now;
+        attempt.state = state_after(result.outcome);
+        if result.request_ended {
+            self.cancel_attempts(actions, id.request);
+            self.forget_request(id.request);
+            return;
+        }
+        // A cancel was paid for when it was ordered, or many at once would end requests that nothing is left
+        // for.
+        let costs_token = attempt.state == AttemptState::MayHaveRun && result.outcome != Outcome::Cancelled;
+        if request.response_started || request.in_flight() > 0 {
+            return;
+        }
+        self.retry_or_give_up(actions, id.request, costs_token);
+    }
+
+    fn retry_or_give_up(&mut self, actions: &mut dyn Actions, id: RequestId, costs_token: bool) {
+        let request = &self.requests[&id];
+        let in_time = request.deadline > self.now + LAST_CALL;
+        let affordable = !costs_token || self.attempt_budget.has_token();
+        if !in_time || !self.may_retry(request) || !affordable {
+            self.give_up(actions, id);
+            return;
+        }
+        if costs_token {
+            self.attempt_budget.spend();
+        }
+        self.enqueue(id);
+    }
+}
--- /dev/null
+++ b/src/control/traffic.rs
@@ -0,0 +1,48 @@
+//! Rates of requests, as this router sees them.
+
+use crate::averages::{AVERAGING_WINDOW, DecayingCounter, remaining_weight};
+use crate::interface::Micros;
+
+/// Part of the averaging window's weight that a router which has just started is taken to have seen at
+/// least: before that a few requests would look like a high rate.
+const MIN_OBSERVED_WEIGHT: f64 = 0.07;
+
+/// Counts of this router's arrivals and completions.
+pub(super) struct Traffic {
+    started_at: Micros,
+    arrivals: DecayingCounter,
+    completions: DecayingCounter,
+}
+
+impl Traffic {
+    /// Counts of a router that starts at `now`.
+    pub(super) fn starting_at(now: Micros) -> Self {
+        let counter = DecayingCounter::starting_at(now);
+        Traffic { started_at: now, arrivals: counter, completions: counter }
+    }
+
+    pub(super) fn record_arrival(&mut self, now: Micros) {
+        self.arrivals.record(now);
+    }
+
+    pub(super) fn record_completion(&mut self, now: Micros) {
+        self.completions.record(now);
+    }
+
+    /// Decayed count of arrivals.
+    pub(super) fn arrivals(&self) -> f64 {
+        self.arrivals.count()
+    }
+
+    /// Decayed count of finished attempts.
+    pub(super) fn completions(&self) -> f64 {
+        self.completions.count()
+    }
+
+    /// A decayed count as a rate in events a microsecond; a router that has just started has not observed a
+    /// whole window yet.
+    pub(super) fn rate(&self, now: Micros, decayed_count: f64) -> f64 {
+        let observed = 1.0 - remaining_weight(now - self.started_at);
+        decayed_count / AVERAGING_WINDOW / observed.max(MIN_OBSERVED_WEIGHT)
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,12 @@
-//! applepond: decides which worker runs a request, for functions that workers load on demand.
+//! Decides which worker runs a request, for functions that workers load on demand.
+//!
+//! Many routers each run one [`control::Control`] and share nothing. [`interface`] has the types that it
+//! exchanges with its owner.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
+
+mod averages;
 pub mod control;
-mod functions;
 mod hashing;
 pub mod interface;
-mod requests;
-mod servers;
+mod state;
