--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,16 +6,16 @@
 
 /// What the module ordered, in its order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Did {
+pub enum Action {
     Send(RequestId, WorkerId),
     Cancel(RequestId, usize),
-    PushBack(RequestId),
-    Kill(RequestId),
+    Reject(RequestId),
+    Fail(RequestId),
 }
 
 #[derive(Default)]
 pub struct Record {
-    pub did: Vec<Did>,
+    pub did: Vec<Action>,
     pub timers: Vec<(Micros, TimerToken)>,
     /// From when on each last attempt at a worker may not begin any more.
     pub begin: BTreeMap<(RequestId, WorkerId), Micros>,
@@ -23,18 +23,18 @@
 }
 
 impl Actions for Record {
-    fn send(&mut self, request: RequestId, server: WorkerId, _patience: Micros, begin: Micros) {
-        self.begin.insert((request, server), begin);
-        self.did.push(Did::Send(request, server));
+    fn send(&mut self, request: RequestId, worker: WorkerId, _patience: Micros, begin: Micros) {
+        self.begin.insert((request, worker), begin);
+        self.did.push(Action::Send(request, worker));
     }
     fn cancel(&mut self, request: RequestId, attempt: usize) {
-        self.did.push(Did::Cancel(request, attempt));
+        self.did.push(Action::Cancel(request, attempt));
     }
     fn reject(&mut self, request: RequestId, _come_back: Option<Micros>) {
-        self.did.push(Did::PushBack(request));
+        self.did.push(Action::Reject(request));
     }
     fn fail(&mut self, request: RequestId) {
-        self.did.push(Did::Kill(request));
+        self.did.push(Action::Fail(request));
     }
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
         self.timers.push((self.now + delay, token));
@@ -80,13 +80,13 @@
     }
 }
 
-pub fn server(n: u64) -> WorkerId {
+pub fn worker(n: u64) -> WorkerId {
     WorkerId::named(&format!("server.{n}"))
 }
 
-pub fn listed(n: u64, standing: WorkerStatus, up_since: Micros) -> Endpoint {
+pub fn endpoint(n: u64, standing: WorkerStatus, up_since: Micros) -> Endpoint {
     let rack = RackId(n as i64 / 2);
-    Endpoint { worker: server(n), status: standing, up_since, zone: Some(ZoneId(0)), rack, weight: 1.0 }
+    Endpoint { worker: worker(n), status: standing, up_since, zone: Some(ZoneId(0)), rack, weight: 1.0 }
 }
 
 pub fn request(n: u8) -> RequestId {
@@ -108,10 +108,10 @@
 }
 
 /// One instance with its record and its clock.
-pub struct Bench {
+pub struct TestRouter {
     pub control: Control,
     pub record: Record,
-    /// Jobs that arrive now are second tries.
+    /// Jobs that request_arrives now are second tries.
     pub retry: bool,
     /// The customer that asks now.
     pub customer: Option<usize>,
@@ -119,21 +119,21 @@
     pub workload: usize,
 }
 
-impl Bench {
+impl TestRouter {
     /// An instance that knows this many warm workers.
     pub fn new(rows: StartupConfig, servers: u64) -> Self {
         let mut record = Record { now: 100_000 * MS, ..Record::default() };
         let mut control = Control::new(record.now, rows, &mut record);
-        let list: Vec<Endpoint> = (0..servers).map(|n| listed(n, WorkerStatus::Ready, 0)).collect();
+        let list: Vec<Endpoint> = (0..servers).map(|n| endpoint(n, WorkerStatus::Ready, 0)).collect();
         control.endpoints_updated(&mut record, EndpointListKind::Saved, &list);
-        Bench { control, record, retry: false, customer: Some(0), workload: 0 }
+        TestRouter { control, record, retry: false, customer: Some(0), workload: 0 }
     }
 
     pub fn list(&mut self, entries: &[Endpoint]) {
         self.control.endpoints_updated(&mut self.record, EndpointListKind::Changes, entries);
     }
 
-    pub fn arrive(&mut self, n: u8, function: &str, left: Micros) {
+    pub fn request_arrives(&mut self, n: u8, function: &str, left: Micros) {
         let arrival = RequestArrival {
             request: request(n),
             function: FunctionId::named(function),
@@ -148,12 +148,12 @@
         self.control.request_arrived(&mut self.record, &arrival);
     }
 
-    pub fn close(&mut self, n: u8, attempt: usize, answer: &AttemptResult) {
+    pub fn attempt_ends(&mut self, n: u8, attempt: usize, answer: &AttemptResult) {
         self.control.attempt_finished(&mut self.record, request(n), attempt, answer);
     }
 
-    /// Lets time pass, with every timer that falls due.
-    pub fn pass(&mut self, time: Micros) {
+    /// Lets time advance, with every timer that falls due.
+    pub fn advance(&mut self, time: Micros) {
         let end = self.record.now + time;
         while let Some(at) = (0..self.record.timers.len())
             .filter(|i| self.record.timers[*i].0 <= end)
@@ -168,25 +168,26 @@
         self.control.advance_to(end);
     }
 
-    pub fn sends(&self, n: u8) -> Vec<WorkerId> {
-        let sent = |d: &Did| if let Did::Send(j, s) = d { (*j == request(n)).then_some(*s) } else { None };
+    pub fn sent_to(&self, n: u8) -> Vec<WorkerId> {
+        let sent =
+            |d: &Action| if let Action::Send(j, s) = d { (*j == request(n)).then_some(*s) } else { None };
         self.record.did.iter().filter_map(sent).collect()
     }
 
-    pub fn ends(&self, n: u8) -> Vec<Did> {
+    pub fn final_responses(&self, n: u8) -> Vec<Action> {
         self.record
             .did
             .iter()
-            .filter(|d| **d == Did::Kill(request(n)) || **d == Did::PushBack(request(n)))
+            .filter(|d| **d == Action::Fail(request(n)) || **d == Action::Reject(request(n)))
             .cloned()
             .collect()
     }
 
     /// Sends a request of the function to its home and has it finish there, so that the home serves it.
     pub fn warm(&mut self, function: &str) -> WorkerId {
-        self.arrive(250, function, 5000 * MS);
-        let home = self.sends(250)[0];
-        self.close(250, 0, &answer(Outcome::Finished));
+        self.request_arrives(250, function, 5000 * MS);
+        let home = self.sent_to(250)[0];
+        self.attempt_ends(250, 0, &answer(Outcome::Finished));
         self.record.did.clear();
         home
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -25,16 +25,16 @@
 /// the home.
 fn first_workers(function: &str) -> String {
     let weighted =
-        |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..listed(n, WorkerStatus::Ready, 0) };
-    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 0);
-    bench.list(&(0..20).map(weighted).collect::<Vec<_>>());
+        |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..endpoint(n, WorkerStatus::Ready, 0) };
+    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 0);
+    router.list(&(0..20).map(weighted).collect::<Vec<_>>());
     let mut first = Vec::new();
     for n in 0..4 {
-        bench.arrive(n, function, 5000 * MS);
-        let home = bench.sends(n)[0];
-        bench.close(n, 0, &answer(Outcome::Finished));
-        let place = (0..20).find(|n| server(*n) == home).expect("a listed worker");
-        bench.list(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
+        router.request_arrives(n, function, 5000 * MS);
+        let home = router.sent_to(n)[0];
+        router.attempt_ends(n, 0, &answer(Outcome::Finished));
+        let place = (0..20).find(|n| worker(*n) == home).expect("a listed worker");
+        router.list(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
         first.push(place.to_string());
     }
     first.join(" ")
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3000 * MS };
 const ALL: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3000 * MS };
 
-// Rule 2: what follows each way an attempt can close, for each kind of effect.
+// Rule 2: what follows each way an attempt can attempt_ends, for each kind of effect.
 #[test_case(RetrySafety::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
 #[test_case(RetrySafety::Idempotent, Outcome::Overloaded, 2, false; "idempotent after full moves on")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Overloaded, 2, false; "at-most-once after full moves on")]
@@ -20,12 +20,12 @@
 #[test_case(RetrySafety::AtMostOnce, Outcome::TimedOut, 1, true; "at-most-once after a time-out is killed")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Cancelled, 1, true; "at-most-once after a cancel is killed")]
 #[test_case(ALL, Outcome::Error, 2, false; "keyed everywhere runs again")]
-fn after(effect: RetrySafety, outcome: Outcome, sends: usize, killed: bool) {
-    let mut bench = Bench::new(rows(effect), 8);
-    bench.arrive(1, "hut", 5000 * MS);
-    bench.close(1, 0, &answer(outcome));
-    assert_eq!(bench.sends(1).len(), sends);
-    assert_eq!(bench.ends(1), if killed { vec![Did::Kill(request(1))] } else { vec![] });
+fn after(effect: RetrySafety, outcome: Outcome, sent_to: usize, killed: bool) {
+    let mut router = TestRouter::new(rows(effect), 8);
+    router.request_arrives(1, "hut", 5000 * MS);
+    router.attempt_ends(1, 0, &answer(outcome));
+    assert_eq!(router.sent_to(1).len(), sent_to);
+    assert_eq!(router.final_responses(1), if killed { vec![Action::Fail(request(1))] } else { vec![] });
 }
 
 #[test_case(0, true; "inside the window it runs again in its rack")]
@@ -33,15 +33,15 @@
 fn keyed(wait_ms: Micros, again: bool) {
     let mut rows = rows(RACK);
     rows.attempt_policy.hedging_allowed = false;
-    let mut bench = Bench::new(rows, 8);
-    bench.arrive(1, "hut", 8000 * MS);
-    bench.pass(wait_ms * MS);
-    bench.close(1, 0, &answer(Outcome::Error));
-    let sent = bench.sends(1);
+    let mut router = TestRouter::new(rows, 8);
+    router.request_arrives(1, "hut", 8000 * MS);
+    router.advance(wait_ms * MS);
+    router.attempt_ends(1, 0, &answer(Outcome::Error));
+    let sent = router.sent_to(1);
     assert_eq!(sent.len() == 2, again);
-    let rack = |s: &WorkerId| (0..8).find(|n| server(*n) == *s).map(|n| n / 2);
+    let rack = |s: &WorkerId| (0..8).find(|n| worker(*n) == *s).map(|n| n / 2);
     assert!(sent.iter().all(|s| rack(s) == rack(&sent[0])));
-    assert_eq!(bench.ends(1), if again { vec![] } else { vec![Did::Kill(request(1))] });
+    assert_eq!(router.final_responses(1), if again { vec![] } else { vec![Action::Fail(request(1))] });
 }
 
 // A zone that the settings do not name is none: two workers of such zones share no group that is known.
@@ -50,93 +50,94 @@
 fn keyed_by_zone(zone: Option<ZoneId>, again: bool) {
     let mut rows = rows(RetrySafety::Keyed { scope: IdempotencyScope::Zone, window: 3000 * MS });
     rows.attempt_policy.hedging_allowed = false;
-    let mut bench = Bench::new(rows, 0);
-    let entry = |n| Endpoint { zone, ..listed(n, WorkerStatus::Ready, 0) };
-    bench.list(&(0..8).map(entry).collect::<Vec<_>>());
-    bench.arrive(1, "hut", 8000 * MS);
-    bench.close(1, 0, &answer(Outcome::Error));
-    bench.pass(1000 * MS);
-    assert_eq!(bench.sends(1).len() == 2, again);
+    let mut router = TestRouter::new(rows, 0);
+    let entry = |n| Endpoint { zone, ..endpoint(n, WorkerStatus::Ready, 0) };
+    router.list(&(0..8).map(entry).collect::<Vec<_>>());
+    router.request_arrives(1, "hut", 8000 * MS);
+    router.attempt_ends(1, 0, &answer(Outcome::Error));
+    router.advance(1000 * MS);
+    assert_eq!(router.sent_to(1).len() == 2, again);
 }
 
 // A further attempt has to have left while its repeat would still be known; a first one has no such time.
 #[test_case(RACK, Some(3000 * MS - 20 * MS); "keyed: to the end of its window, with care")]
 #[test_case(RetrySafety::Idempotent, None; "idempotent")]
 fn begins_in_time(effect: RetrySafety, within: Option<Micros>) {
-    let mut bench = Bench::new(rows(effect), 8);
-    let came = bench.record.now;
-    bench.arrive(1, "hut", 8000 * MS);
-    bench.pass(50 * MS);
-    bench.close(1, 0, &answer(Outcome::Error));
-    bench.pass(500 * MS);
-    let begin: Vec<Micros> = bench.sends(1).iter().map(|to| bench.record.begin[&(request(1), *to)]).collect();
+    let mut router = TestRouter::new(rows(effect), 8);
+    let came = router.record.now;
+    router.request_arrives(1, "hut", 8000 * MS);
+    router.advance(50 * MS);
+    router.attempt_ends(1, 0, &answer(Outcome::Error));
+    router.advance(500 * MS);
+    let begin: Vec<Micros> =
+        router.sent_to(1).iter().map(|to| router.record.begin[&(request(1), *to)]).collect();
     assert_eq!(begin, [Micros::MAX, within.map_or(Micros::MAX, |within| came + within)]);
 }
 
-// Rule 1: every request ends once, before its client leaves, and nothing follows.
+// Rule 1: every request final_responses once, before its client leaves, and nothing follows.
 #[test_case(RetrySafety::Idempotent, 0, 5000; "held without any worker")]
 #[test_case(RetrySafety::AtMostOnce, 0, 5000; "at-most-once held without any worker")]
 #[test_case(RetrySafety::Idempotent, 0, 5; "client about to leave")]
 #[test_case(RetrySafety::Idempotent, 0, 45; "client leaves within two beats")]
 fn held_jobs_end(effect: RetrySafety, servers: u64, left_ms: Micros) {
-    let mut bench = Bench::new(rows(effect), servers);
-    bench.arrive(1, "hut", left_ms * MS);
-    bench.pass(left_ms * MS);
-    assert_eq!(bench.ends(1), vec![Did::PushBack(request(1))]);
-    bench.pass(10_000 * MS);
-    assert_eq!(bench.ends(1).len(), 1);
+    let mut router = TestRouter::new(rows(effect), servers);
+    router.request_arrives(1, "hut", left_ms * MS);
+    router.advance(left_ms * MS);
+    assert_eq!(router.final_responses(1), vec![Action::Reject(request(1))]);
+    router.advance(10_000 * MS);
+    assert_eq!(router.final_responses(1).len(), 1);
 }
 
 #[test]
 fn nothing_follows_the_end() {
-    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
-    let home = bench.warm("hut");
-    bench.arrive(1, "hut", 5000 * MS);
-    bench.pass(8000 * MS);
-    assert_eq!(bench.sends(1)[0], home);
-    bench.close(1, 0, &answer(Outcome::Finished));
-    let before = bench.record.did.len();
-    bench.control.client_disconnected(&mut bench.record, request(1));
+    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 8);
+    let home = router.warm("hut");
+    router.request_arrives(1, "hut", 5000 * MS);
+    router.advance(8000 * MS);
+    assert_eq!(router.sent_to(1)[0], home);
+    router.attempt_ends(1, 0, &answer(Outcome::Finished));
+    let before = router.record.did.len();
+    router.control.client_disconnected(&mut router.record, request(1));
     let late = AttemptResult { request_ended: true, ..answer(Outcome::Error) };
-    bench.close(1, 1, &late);
-    bench.pass(8000 * MS);
-    assert_eq!(bench.record.did.len(), before);
+    router.attempt_ends(1, 1, &late);
+    router.advance(8000 * MS);
+    assert_eq!(router.record.did.len(), before);
 }
 
 // Rule 3: nothing new to a worker from the moment of being told, whichever path a request comes by.
 #[test_case(WorkerStatus::Draining; "draining")]
 #[test_case(WorkerStatus::Gone; "gone")]
 fn told(standing: WorkerStatus) {
-    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
-    let home = bench.warm("hut");
-    let n = (0..8).find(|n| server(*n) == home).expect("a listed worker");
-    bench.arrive(1, "hut", 5000 * MS);
-    bench.arrive(2, "hut", 5000 * MS);
-    bench.arrive(3, "hut", 5000 * MS);
-    bench.list(&[listed(n, standing, 0)]);
-    let before = bench.record.did.len();
-    bench.close(1, 0, &answer(Outcome::Overloaded));
-    bench.arrive(4, "hut", 5000 * MS);
-    bench.pass(4000 * MS);
-    let to_home = |d: &Did| matches!(d, Did::Send(_, s) if *s == home);
-    assert!(!bench.record.did[before..].iter().any(to_home));
-    assert_eq!(bench.sends(1).len(), 2, "it goes elsewhere");
+    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 8);
+    let home = router.warm("hut");
+    let n = (0..8).find(|n| worker(*n) == home).expect("a listed worker");
+    router.request_arrives(1, "hut", 5000 * MS);
+    router.request_arrives(2, "hut", 5000 * MS);
+    router.request_arrives(3, "hut", 5000 * MS);
+    router.list(&[endpoint(n, standing, 0)]);
+    let before = router.record.did.len();
+    router.attempt_ends(1, 0, &answer(Outcome::Overloaded));
+    router.request_arrives(4, "hut", 5000 * MS);
+    router.advance(4000 * MS);
+    let to_home = |d: &Action| matches!(d, Action::Send(_, s) if *s == home);
+    assert!(!router.record.did[before..].iter().any(to_home));
+    assert_eq!(router.sent_to(1).len(), 2, "it goes elsewhere");
 }
 
 // Rule 4: a worker that has just started gets half of what it may be sent in a span; a warm one gets all.
 #[test_case(0, 4; "just started")]
 #[test_case(10_000, 6; "warm")]
-fn cold(age_ms: Micros, sends: usize) {
+fn cold(age_ms: Micros, sent_to: usize) {
     let mut rows = rows(RetrySafety::Idempotent);
     rows.customers = vec![CustomerConfig { requests_per_second: 20.0 }];
-    let mut bench = Bench::new(rows, 0);
-    bench.list(&[listed(0, WorkerStatus::Ready, bench.record.now)]);
-    bench.pass(age_ms * MS);
+    let mut router = TestRouter::new(rows, 0);
+    router.list(&[endpoint(0, WorkerStatus::Ready, router.record.now)]);
+    router.advance(age_ms * MS);
     for n in 1..7 {
-        bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-        bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
+        router.request_arrives(n, &format!("hut-{n}"), 5000 * MS);
+        router.attempt_ends(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
     }
-    assert_eq!((1..7).map(|n| bench.sends(n).len()).sum::<usize>(), sends);
+    assert_eq!((1..7).map(|n| router.sent_to(n).len()).sum::<usize>(), sent_to);
 }
 
 // Rule 4 as a sum: two hundred routers, each with a request for the same fresh worker, together stay within
@@ -154,15 +155,15 @@
             ..rows(RetrySafety::Idempotent)
         };
         rows.customers = vec![CustomerConfig { requests_per_second: 160.0 }];
-        let mut bench = Bench::new(rows, 7);
-        let now = bench.record.now;
-        bench.list(&[listed(7, WorkerStatus::Ready, now)]);
+        let mut router = TestRouter::new(rows, 7);
+        let now = router.record.now;
+        router.list(&[endpoint(7, WorkerStatus::Ready, now)]);
         for n in 0..asks {
-            bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-            bench.close(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
-            bench.pass(900 * MS / u64::from(asks));
+            router.request_arrives(n, &format!("hut-{n}"), 5000 * MS);
+            router.attempt_ends(n, 0, &AttemptResult { elapsed: 5 * MS, ..answer(Outcome::Overloaded) });
+            router.advance(900 * MS / u64::from(asks));
         }
-        sent += (0..asks).flat_map(|n| bench.sends(n)).filter(|s| *s == server(7)).count();
+        sent += (0..asks).flat_map(|n| router.sent_to(n)).filter(|s| *s == worker(7)).count();
     }
     // 20 requests a second for each of the 8 workers, of which a cold one may be sent 2 x 0.2 in a second,
     // then more.
@@ -178,14 +179,14 @@
         let mut rows =
             StartupConfig { router_index: me, seed: me, router_count: 200, ..rows(RetrySafety::Idempotent) };
         rows.customers = vec![CustomerConfig { requests_per_second: 1600.0 }];
-        let mut bench = Bench::new(rows, 20);
+        let mut router = TestRouter::new(rows, 20);
         for n in 100..110 {
-            bench.arrive(n, &format!("hut-{n}"), 5000 * MS);
-            (0..4).for_each(|k| bench.close(n, k, &answer(Outcome::ConnectFailed)));
+            router.request_arrives(n, &format!("hut-{n}"), 5000 * MS);
+            (0..4).for_each(|k| router.attempt_ends(n, k, &answer(Outcome::ConnectFailed)));
         }
-        (0..8).for_each(|n| bench.arrive(n, &format!("hut-{n}"), 5000 * MS));
-        bench.list(&[listed(27, WorkerStatus::Ready, bench.record.now)]);
-        sent += (0..8).flat_map(|n| bench.sends(n)).filter(|s| *s == server(27)).count();
+        (0..8).for_each(|n| router.request_arrives(n, &format!("hut-{n}"), 5000 * MS));
+        router.list(&[endpoint(27, WorkerStatus::Ready, router.record.now)]);
+        sent += (0..8).flat_map(|n| router.sent_to(n)).filter(|s| *s == worker(27)).count();
     }
     assert!(sent > 0 && sent <= 30, "{sent}");
 }
@@ -196,15 +197,18 @@
 fn one_attempt_at_a_time() {
     let mut rows = rows(RetrySafety::Idempotent);
     rows.attempt_policy.hedging_allowed = false;
-    let mut bench = Bench::new(rows, 8);
-    bench.warm("hut");
-    (1..3).for_each(|n| bench.arrive(n, "hut", 5000 * MS));
-    bench.close(2, 0, &answer(Outcome::ConnectFailed));
-    assert_eq!((bench.sends(1).len(), bench.record.did.contains(&Did::Cancel(request(1), 0))), (1, true));
-    bench.close(1, 0, &answer(Outcome::Cancelled));
-    assert_eq!(bench.sends(1).len(), 2);
-    bench.pass(4000 * MS);
-    assert_eq!(bench.sends(1).len(), 2, "no copy after the hedge delay either");
+    let mut router = TestRouter::new(rows, 8);
+    router.warm("hut");
+    (1..3).for_each(|n| router.request_arrives(n, "hut", 5000 * MS));
+    router.attempt_ends(2, 0, &answer(Outcome::ConnectFailed));
+    assert_eq!(
+        (router.sent_to(1).len(), router.record.did.contains(&Action::Cancel(request(1), 0))),
+        (1, true)
+    );
+    router.attempt_ends(1, 0, &answer(Outcome::Cancelled));
+    assert_eq!(router.sent_to(1).len(), 2);
+    router.advance(4000 * MS);
+    assert_eq!(router.sent_to(1).len(), 2, "no copy after the hedge delay either");
 }
 
 // No more requests are cancelled at workers that were set aside than can be sent on: the others stay there.
@@ -212,47 +216,47 @@
 fn a_cancel_is_paid_for_when_it_is_ordered() {
     let mut rows = rows(RetrySafety::Idempotent);
     rows.attempt_policy.hedging_allowed = false;
-    let mut bench = Bench::new(rows, 8);
+    let mut router = TestRouter::new(rows, 8);
     let names: Vec<String> = (0..64).map(|n| format!("hut-{n}")).collect();
-    names.iter().for_each(|name| _ = bench.warm(name));
-    names.iter().zip(0..).for_each(|(name, n)| bench.arrive(n, name, 5000 * MS));
+    names.iter().for_each(|name| _ = router.warm(name));
+    names.iter().zip(0..).for_each(|(name, n)| router.request_arrives(n, name, 5000 * MS));
     let mut broken = std::collections::BTreeSet::new();
     for n in 0..64 {
-        if broken.len() < 4 && bench.sends(n).len() == 1 && broken.insert(bench.sends(n)[0]) {
-            bench.close(n, 0, &answer(Outcome::ConnectFailed));
+        if broken.len() < 4 && router.sent_to(n).len() == 1 && broken.insert(router.sent_to(n)[0]) {
+            router.attempt_ends(n, 0, &answer(Outcome::ConnectFailed));
         }
     }
-    let off = |n: &u8| bench.record.did.contains(&Did::Cancel(request(*n), 0));
+    let off = |n: &u8| router.record.did.contains(&Action::Cancel(request(*n), 0));
     let cancelled: Vec<u8> = (0..64).filter(off).collect();
     assert!(cancelled.len() > 5, "{}", cancelled.len());
-    cancelled.iter().for_each(|n| bench.close(*n, 0, &answer(Outcome::Cancelled)));
-    assert!(cancelled.iter().all(|n| bench.ends(*n).is_empty()), "none is given up");
+    cancelled.iter().for_each(|n| router.attempt_ends(*n, 0, &answer(Outcome::Cancelled)));
+    assert!(cancelled.iter().all(|n| router.final_responses(*n).is_empty()), "none is given up");
 }
 
 // A switch of the rows: a request keeps its effect, and a copy that is out where none may be any more is
 // taken back.
 #[test_case(RetrySafety::AtMostOnce, RetrySafety::Idempotent, 1, 1; "at-most-once stays so")]
 #[test_case(RetrySafety::Idempotent, RetrySafety::AtMostOnce, 2, 0; "idempotent stays so")]
-fn switched(taken: RetrySafety, then: RetrySafety, sends: usize, kills: usize) {
-    let mut bench = Bench::new(rows(taken), 8);
-    bench.arrive(1, "hut", 5000 * MS);
-    bench.control.reconfigure(&mut bench.record, rows(then));
-    bench.close(1, 0, &answer(Outcome::Error));
-    assert_eq!((bench.sends(1).len(), bench.ends(1).len()), (sends, kills));
+fn switched(taken: RetrySafety, then: RetrySafety, sent_to: usize, kills: usize) {
+    let mut router = TestRouter::new(rows(taken), 8);
+    router.request_arrives(1, "hut", 5000 * MS);
+    router.control.reconfigure(&mut router.record, rows(then));
+    router.attempt_ends(1, 0, &answer(Outcome::Error));
+    assert_eq!((router.sent_to(1).len(), router.final_responses(1).len()), (sent_to, kills));
 }
 
 #[test]
 fn switched_off_copies() {
-    let mut bench = Bench::new(rows(RetrySafety::Idempotent), 8);
-    bench.warm("hut");
-    bench.arrive(1, "hut", 5000 * MS);
-    bench.pass(2600 * MS);
-    assert_eq!(bench.sends(1).len(), 2);
+    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 8);
+    router.warm("hut");
+    router.request_arrives(1, "hut", 5000 * MS);
+    router.advance(2600 * MS);
+    assert_eq!(router.sent_to(1).len(), 2);
     let mut without = rows(RetrySafety::Idempotent);
     without.attempt_policy.hedging_allowed = false;
-    bench.control.reconfigure(&mut bench.record, without);
-    let cancels = bench.record.did.iter().filter(|d| matches!(d, Did::Cancel(..)));
-    assert_eq!(cancels.collect::<Vec<_>>(), [&Did::Cancel(request(1), 1)]);
+    router.control.reconfigure(&mut router.record, without);
+    let cancels = router.record.did.iter().filter(|d| matches!(d, Action::Cancel(..)));
+    assert_eq!(cancels.collect::<Vec<_>>(), [&Action::Cancel(request(1), 1)]);
 }
 
 // What is recalled of a worker only ever makes more careful, and counts for the life that it was learned of.
@@ -261,22 +265,22 @@
 #[test_case(0, 1000.0, true, true, false; "in doubt")]
 #[test_case(5, 1.5, true, false, true; "of another life")]
 fn recalled(up_since: Micros, room: f64, aside: bool, taken: bool, as_before: bool) {
-    let sends = |told: Option<WorkerHistory>| {
-        let mut bench = Bench::new(rows(RetrySafety::Idempotent), 1);
+    let sent_to = |told: Option<WorkerHistory>| {
+        let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 1);
         if let Some(told) = told {
-            assert_eq!(bench.control.restore_worker_history(server(0), up_since, &told), taken);
+            assert_eq!(router.control.restore_worker_history(worker(0), up_since, &told), taken);
         }
-        (0..60).for_each(|n| bench.arrive(n, &format!("hut.{n}"), 5000 * MS));
-        let before = bench
+        (0..60).for_each(|n| router.request_arrives(n, &format!("hut.{n}"), 5000 * MS));
+        let before = router
             .control
             .worker_histories()
             .map(|(_, _, l)| (l.concurrency_limit, l.ejected))
             .collect::<Vec<_>>();
-        (before, (0..60).map(|n| bench.sends(n).len()).sum::<usize>())
+        (before, (0..60).map(|n| router.sent_to(n).len()).sum::<usize>())
     };
     let (fresh, told) = (
-        sends(None),
-        sends(Some(WorkerHistory {
+        sent_to(None),
+        sent_to(Some(WorkerHistory {
             concurrency_limit: room,
             queueing_delay: 0.0,
             error_rate: 0.0,
--- a/tests/ramp.rs
+++ b/tests/slow_start.rs
@@ -3,7 +3,7 @@
 mod common;
 use applepond::control::Control;
 use applepond::interface::*;
-use common::{Did, MS, Record, answer, listed, rows, server};
+use common::{Action, MS, Record, answer, endpoint, rows, worker};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -62,7 +62,7 @@
     /// Carries out what was ordered: when each attempt at the fresh worker began.
     fn settle(&mut self, fresh: WorkerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
         for did in std::mem::take(&mut self.record.did) {
-            let Did::Send(request, to) = did else { continue };
+            let Action::Send(request, to) = did else { continue };
             let n = self.sent.entry(request).or_default();
             let slow = if to == fresh { warmth } else { 1.0 };
             let work = -(rng.rand_float().max(1e-9)).ln() * WORK as f64 / slow;
@@ -91,10 +91,10 @@
     let mut rng = Rand64::new(u128::from(seed));
     let begin = 100_000 * MS;
     let instance_id = begin + 20_000 * MS;
-    let fresh = server(WORKERS);
-    let old: Vec<Endpoint> = (0..WORKERS).map(|n| listed(n, WorkerStatus::Ready, 0)).collect();
+    let fresh = worker(WORKERS);
+    let old: Vec<Endpoint> = (0..WORKERS).map(|n| endpoint(n, WorkerStatus::Ready, 0)).collect();
     let mut new = old.clone();
-    new.push(listed(WORKERS, WorkerStatus::Ready, instance_id));
+    new.push(endpoint(WORKERS, WorkerStatus::Ready, instance_id));
     new[..day.drain].iter_mut().for_each(|entry| entry.status = WorkerStatus::Draining);
     new.drain(..day.gone);
     let mut routers: Vec<Router> = (0..day.routers)
