--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,38 +1,49 @@
-//! Many wholly separate instances behind one wire.
+//! Many separate instances of the decisions behind one connection to the simulator.
+
 use applepond::control::Control;
-use applepond::interface::*;
+use applepond::interface::{
+    Actions, AttemptResult, CustomerId, Endpoint, EndpointListKind, FunctionId, Micros, Outcome, RackId,
+    RequestArrival, RequestId, TimerToken, WorkerId, WorkerStatus, WorkloadId, ZoneId,
+};
 use applepond_platform::fault::Unfit;
-use applepond_platform::fields::*;
+use applepond_platform::fields::{
+    Read, array, fault, mark, maybe, number_or, object, position, text, time, time_or_none, whole,
+};
 use applepond_platform::rows::{Words, copy_note, startup};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// All instances of this process, by the number that the wire gives them.
+/// Load states in the detail of a response; the rest of it counts requests of the same function.
+const LOAD_STATE_MASK: u32 = 7;
+const LOAD_STATE_BITS: u32 = 3;
+
+/// All instances of this process, by the numbers that the simulator gives them.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
 }
 
-/// One instance: its decisions and the names behind the ids.
+/// An instance with the names behind its ids.
 struct Instance {
     control: Control,
     names: Names,
 }
 
+/// The names that the simulator uses for workers and functions, and those of the configuration.
 #[derive(Default)]
 struct Names {
-    servers: BTreeMap<WorkerId, String>,
+    workers: BTreeMap<WorkerId, String>,
     functions: BTreeMap<FunctionId, String>,
     words: Words,
 }
 
-/// Writes what the decisions order as actions of the wire, in their order.
+/// Collects the actions of one event as the simulator's messages, in their order.
 struct Reply<'a> {
     names: &'a Names,
     actions: Vec<Value>,
 }
 
-fn ms(time: Micros) -> f64 {
+fn millis(time: Micros) -> f64 {
     time as f64 / 1000.0
 }
 
@@ -41,11 +52,11 @@
 }
 
 impl Actions for Reply<'_> {
-    /// On the simulator's wire an attempt leaves when it is ordered.
-    fn send(&mut self, request: RequestId, server: WorkerId, patience: Micros, _begin: Micros) {
-        let server = &self.names.servers[&server];
+    /// An attempt in the simulator leaves at once, so there is nothing to stop later.
+    fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Micros, _not_after: Micros) {
+        let worker = &self.names.workers[&worker];
         self.actions.push(
-            json!({"op": "try", "msg-id": id_text(&request), "server": server, "patience": ms(patience)}),
+            json!({"op": "try", "msg-id": id_text(&request), "server": worker, "patience": millis(timeout)}),
         );
     }
 
@@ -53,8 +64,9 @@
         self.actions.push(json!({"op": "call-off", "msg-id": id_text(&request), "send-no": attempt}));
     }
 
-    fn reject(&mut self, request: RequestId, come_back: Option<Micros>) {
-        self.actions.push(json!({"op": "decline", "msg-id": id_text(&request), "wait": come_back.map(ms)}));
+    fn reject(&mut self, request: RequestId, retry_after: Option<Micros>) {
+        self.actions
+            .push(json!({"op": "decline", "msg-id": id_text(&request), "wait": retry_after.map(millis)}));
     }
 
     fn fail(&mut self, request: RequestId) {
@@ -62,7 +74,7 @@
     }
 
     fn set_timer(&mut self, delay: Micros, token: TimerToken) {
-        self.actions.push(json!({"op": "after", "offset": ms(delay), "token": token.0}));
+        self.actions.push(json!({"op": "after", "offset": millis(delay), "token": token.0}));
     }
 
     fn log(&mut self, text: &str) {
@@ -75,7 +87,11 @@
 }
 
 impl Host {
-    /// Answers one batch; a fault names the instance and the field.
+    /// Handles one batch of events, a line of JSON, and returns the actions as another.
+    ///
+    /// # Errors
+    /// Fails on a batch that is not in form, with the instance and the field at fault. Earlier events of the
+    /// batch have taken effect; the caller has to end.
     pub fn batch(&mut self, line: &str) -> Result<String, Unfit> {
         let batch: Value =
             serde_json::from_str(line).map_err(|e| Unfit::NoJson(e.to_string()).at("batch"))?;
@@ -83,10 +99,10 @@
         let mut parts = Vec::new();
         for part in array(&batch, "parts").map_err(|why| why.at("batch"))? {
             let number = whole(part, "router").map_err(|why| why.at("batch"))?;
-            let told = |why: Unfit| why.at(format!("instance {number}"));
+            let at_instance = |why: Unfit| why.at(format!("instance {number}"));
             let mut actions = Vec::new();
-            for event in array(part, "arrivals").map_err(told)? {
-                actions.extend(self.event(number, now, event).map_err(told)?);
+            for event in array(part, "arrivals").map_err(at_instance)? {
+                actions.extend(self.event(number, now, event).map_err(at_instance)?);
             }
             if !actions.is_empty() {
                 parts.push(json!({"router": number, "orders": actions}));
@@ -122,7 +138,7 @@
         if op == "endpoints" {
             for entry in maybe(event, "members").and_then(Value::as_array).into_iter().flatten() {
                 let name = text(entry, "server")?;
-                self.names.servers.entry(WorkerId::named(name)).or_insert_with(|| name.to_owned());
+                self.names.workers.entry(WorkerId::named(name)).or_insert_with(|| name.to_owned());
             }
         }
         if op == "knock" {
@@ -134,56 +150,13 @@
         let control = &mut self.control;
         control.advance_to(now);
         match op {
-            "endpoints" => {
-                let kind = match text(event, "kind")? {
-                    "INCREMENTAL" => EndpointListKind::Changes,
-                    "FULL" => EndpointListKind::Full,
-                    "SAVED" => EndpointListKind::Saved,
-                    "FAILED" => EndpointListKind::Failed,
-                    other => return Err(Unfit::field("kind", format!("'{other}' is not known"))),
-                };
-                let entries =
-                    maybe(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-                let entries = entries.iter().map(|e| listed(e, names)).collect::<Read<Vec<_>>>()?;
-                control.endpoints_updated(reply, kind, &entries);
-            }
-            "knock" => {
-                let customer = match maybe(event, "customer") {
-                    None => None,
-                    Some(v) if v.as_u64() == Some(0) => None,
-                    Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
-                };
-                let arrival = RequestArrival {
-                    request: request(event)?,
-                    function: FunctionId::named(text(event, "model")?),
-                    workload: WorkloadId(position(&names.words.workloads, event, "type")?),
-                    customer,
-                    time_left: time(event, "left")?,
-                    retry: mark(event, "retry")?,
-                    concurrency: number_or(event, "at-once", 1.0)? as u32,
-                    load_time: maybe(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
-                    priority_factor: 1.0,
-                };
-                control.request_arrived(reply, &arrival);
-            }
+            "endpoints" => control.endpoints_updated(reply, list_kind(event)?, &endpoints(event, names)?),
+            "knock" => control.request_arrived(reply, &arrival(event, names)?),
             "closed-attempt" => {
-                let detail = number_or(event, "detail", 0.0)? as u32;
-                let usage = maybe(event, "usage").unwrap_or(&Value::Null);
-                let answer = AttemptResult {
-                    outcome: outcome(event)?,
-                    request_ended: mark(event, "terminal")?,
-                    elapsed: time_or_none(event, "elapsed")?,
-                    load_state: copy_note(detail & 7),
-                    same_function_in_flight: detail >> 3,
-                    reported_in_flight: maybe(usage, "concurrent").and_then(Value::as_f64),
-                    reported_loads: maybe(usage, "x1").and_then(Value::as_f64),
-                };
-                control.attempt_finished(
-                    reply,
-                    request(event)?,
-                    number_or(event, "send-no", 0.0)? as usize,
-                    &answer,
-                );
+                let result = attempt_result(event)?;
+                let request = request(event)?;
+                let number = number_or(event, "send-no", 0.0)? as usize;
+                control.attempt_finished(reply, request, number, &result);
             }
             "streaming" => control.response_started(request(event)?),
             "expired" => control.client_disconnected(reply, request(event)?),
@@ -196,6 +169,54 @@
     }
 }
 
+fn list_kind(event: &Value) -> Read<EndpointListKind> {
+    Ok(match text(event, "kind")? {
+        "INCREMENTAL" => EndpointListKind::Changes,
+        "FULL" => EndpointListKind::Full,
+        "SAVED" => EndpointListKind::Saved,
+        "FAILED" => EndpointListKind::Failed,
+        other => return Err(Unfit::field("kind", format!("'{other}' is not known"))),
+    })
+}
+
+fn endpoints(event: &Value, names: &Names) -> Read<Vec<Endpoint>> {
+    let entries = maybe(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+    entries.iter().map(|entry| endpoint(entry, names)).collect()
+}
+
+fn arrival(event: &Value, names: &Names) -> Read<RequestArrival> {
+    let customer = match maybe(event, "customer") {
+        None => None,
+        Some(value) if value.as_u64() == Some(0) => None,
+        Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
+    };
+    Ok(RequestArrival {
+        request: request(event)?,
+        function: FunctionId::named(text(event, "model")?),
+        workload: WorkloadId(position(&names.words.workloads, event, "type")?),
+        customer,
+        time_left: time(event, "left")?,
+        retry: mark(event, "retry")?,
+        concurrency: number_or(event, "at-once", 1.0)? as u32,
+        load_time: maybe(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
+        priority_factor: 1.0,
+    })
+}
+
+fn attempt_result(event: &Value) -> Read<AttemptResult> {
+    let detail = number_or(event, "detail", 0.0)? as u32;
+    let usage = maybe(event, "usage").unwrap_or(&Value::Null);
+    Ok(AttemptResult {
+        outcome: outcome(event)?,
+        request_ended: mark(event, "terminal")?,
+        elapsed: time_or_none(event, "elapsed")?,
+        load_state: copy_note(detail & LOAD_STATE_MASK),
+        same_function_in_flight: detail >> LOAD_STATE_BITS,
+        reported_in_flight: maybe(usage, "concurrent").and_then(Value::as_f64),
+        reported_loads: maybe(usage, "x1").and_then(Value::as_f64),
+    })
+}
+
 fn outcome(event: &Value) -> Read<Outcome> {
     Ok(match number_or(event, "code", 0.0)? as i64 {
         0 => Outcome::Finished,
@@ -211,8 +232,9 @@
     })
 }
 
-fn listed(entry: &Value, names: &Names) -> Read<Endpoint> {
-    let place = |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
+fn endpoint(entry: &Value, names: &Names) -> Read<Endpoint> {
+    let position_of =
+        |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
     Ok(Endpoint {
         worker: WorkerId::named(text(entry, "server")?),
         status: match text(entry, "condition")? {
@@ -222,7 +244,7 @@
             other => return Err(Unfit::field("condition", format!("'{other}' is not known"))),
         },
         up_since: time_or_none(entry, "up-since")?,
-        zone: place(&names.words.zones, "rack-zone")?.map(ZoneId),
+        zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
         rack: RackId(number_or(entry, "group", 0.0)? as i64),
         weight: number_or(entry, "nominal", 1.0)?,
     })
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_job_goes_out_under_its_own_names() {
+fn a_request_goes_out_under_its_own_names() {
     let reply = batch(&mut Host::default(), &[BOOT, LIST, KNOCK]).expect("a legal batch");
     let reply: serde_json::Value = serde_json::from_str(&reply).expect("one JSON value");
     assert_eq!(reply["parts"][0]["router"], 3);
