--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -7,7 +7,7 @@
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::switch::merge;
 use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
-use applepond_membership::{Count, Guards};
+use applepond_membership::{DampedCount, Safeguards};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_prefix_cache::Terms;
 use applepond_reactor::Micros;
@@ -91,7 +91,7 @@
 /// What a rig does to the fleet's part of a process: its datagrams go there, a guard is taken out.
 pub struct Rig {
     pub through: Option<SocketAddr>,
-    pub guards: Guards,
+    pub guards: Safeguards,
     /// What its disks do.
     pub disk: DiskFault,
     /// How it comes back.
@@ -215,12 +215,12 @@
     let who = (row.name.clone(), row.zone.clone(), row.listen);
     let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
     let memory = Rc::new(RefCell::new(Memory::default()));
-    let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.me().instance_id);
+    let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.local_record().instance_id);
     let desk = Threads::new(me, (founding(row), fresh), row.votes.clone(), row.snapshot.clone(), rig.disk);
     let place = Place {
         me,
         instance_id,
-        incarnation: view.borrow().members.me().incarnation,
+        incarnation: view.borrow().members.local_record().incarnation,
         keepers: named(&row.keepers),
         founding: founding(row),
         keeps: row.votes.is_some(),
@@ -244,7 +244,7 @@
 pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: News) -> News {
     let begun = Instant::now();
     let mut most = held.rows.router_count;
-    let mut count = Count::new(most as usize);
+    let mut count = DampedCount::new(most as usize);
     Box::new(move || {
         let mut told = false;
         match news() {
@@ -271,9 +271,9 @@
             },
         }
         let was = held.rows.router_count;
-        let live = view.borrow().members.live();
+        let live = view.borrow().members.live_count();
         let now = begun.elapsed().as_micros() as Micros;
-        held.rows.router_count = count.parts(now, live, most as usize) as u64;
+        held.rows.router_count = count.share_count(now, live, most as usize) as u64;
         (told || was != held.rows.router_count).then(|| Ok(held.clone()))
     })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -83,8 +83,8 @@
             if with_parent {
                 serve::end_with_parent();
             }
-            let guard = plant.as_deref().and_then(applepond_membership::Guards::without);
-            let guards = guard.unwrap_or(applepond_membership::Guards::ALL);
+            let guard = plant.as_deref().and_then(applepond_membership::Safeguards::without);
+            let guards = guard.unwrap_or(applepond_membership::Safeguards::ALL);
             let comeback = fleet::Return::without(plant.as_deref());
             let lone = plant.as_deref() == Some("lone-voter-pins");
             let openings = applepond_fleet::OpeningGuards { several: !lone };
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -184,7 +184,7 @@
             }
         }
         reactor.add(Box::new(fleet.with_end(Box::new(move || asked.load(Ordering::Relaxed)))));
-        left = Box::new(move || view.borrow().members.me().standing == MemberStatus::Left);
+        left = Box::new(move || view.borrow().members.local_record().status == MemberStatus::Left);
     }
     if !heard.get() {
         return ExitCode::FAILURE;
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -25,8 +25,8 @@
     put(&mut all, "platform", applepond_platform::fault::Unfit::each());
     put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
     put(&mut all, "storage", applepond_storage::StoreFault::each());
-    put(&mut all, "gossip", applepond_gossip::Refused::EACH.to_vec());
-    put(&mut all, "gossip", applepond_gossip::Unread::EACH.to_vec());
+    put(&mut all, "gossip", applepond_gossip::PublishError::ALL.to_vec());
+    put(&mut all, "gossip", applepond_gossip::MessageError::ALL.to_vec());
     all
 }
 
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -5,8 +5,8 @@
 use applepond::interface::FunctionId;
 use applepond_consensus::message::Written;
 use applepond_consensus::{self as accord, Register};
-use applepond_gossip::{self as tallies, Key, Kind, Tallies};
-use applepond_membership::{InstanceId, Members, RouterId};
+use applepond_gossip::{self as gossip, Gossip, Key, Kind};
+use applepond_membership::{InstanceId, Membership, RouterId};
 use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
 use applepond_reactor::Micros;
 use applepond_recovery::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
@@ -32,7 +32,7 @@
 
 pub struct Shared {
     me: RouterId,
-    pub tallies: Tallies,
+    pub gossip: Gossip,
     pub register: Option<Register<Charter>>,
     pub peers: Peers,
     memory: Rc<RefCell<Memory>>,
@@ -93,7 +93,7 @@
 #[derive(Default)]
 struct Messages(Vec<(RouterId, Vec<u8>)>);
 
-impl tallies::Actions for Messages {
+impl gossip::Actions for Messages {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
         self.0.push((to, message));
     }
@@ -131,13 +131,15 @@
         desk: Box<dyn Desk>,
         seed: u64,
     ) -> Self {
-        let rows =
-            [tallies::Row { kind: SEEN, life: SEEN_LIFE }, tallies::Row { kind: PANE, life: Panes::LIFE }];
+        let rows = [
+            gossip::KindLifetime { kind: SEEN, lifetime: SEEN_LIFE },
+            gossip::KindLifetime { kind: PANE, lifetime: Panes::LIFE },
+        ];
         let who = (place.me, place.instance_id);
         let register = || Register::new(now, who, &place.keepers, place.keeps, seed.rotate_left(7));
         Shared {
             me: place.me,
-            tallies: Tallies::new(now, place.me, place.incarnation, &rows, seed),
+            gossip: Gossip::new(now, place.me, place.incarnation, &rows, seed),
             register: (!place.keepers.is_empty()).then(register),
             peers: Peers::new(now, place.me, seed.rotate_left(13)),
             memory,
@@ -182,7 +184,7 @@
     pub fn next(&self) -> Micros {
         let register = self.register.as_ref().map_or(Micros::MAX, Register::next);
         let panes = self.openings.as_ref().map_or(Micros::MAX, |o| o.panes.next());
-        self.tallies.next().min(panes).min(register).min(self.peers.next()).min(self.next_snapshot)
+        self.gossip.next_deadline().min(panes).min(register).min(self.peers.next()).min(self.next_snapshot)
     }
 
     /// When to look at the disks, while they owe an answer.
@@ -191,15 +193,15 @@
     }
 
     /// All that is due; messages for others.
-    pub fn wake(&mut self, now: Micros, members: &Members) -> Vec<(RouterId, Vec<u8>)> {
+    pub fn wake(&mut self, now: Micros, members: &Membership) -> Vec<(RouterId, Vec<u8>)> {
         let mut out = Messages::default();
         self.disks(now, &mut out);
-        if self.view != Some(members.view()) {
-            self.view = Some(members.view());
-            self.tallies.present(now, members.there().chain([self.me]).collect());
+        if self.view != Some(members.view_digest()) {
+            self.view = Some(members.view_digest());
+            self.gossip.set_live_members(now, members.active_members().chain([self.me]).collect());
         }
-        self.tallies.wake(now, members.neighbours(), &mut out);
-        let live: Vec<RouterId> = members.there().collect();
+        self.gossip.handle_timeout(now, members.neighbours(), &mut out);
+        let live: Vec<RouterId> = members.active_members().collect();
         if now >= self.peers.next() {
             let facts = self.peers.wake(now, &live, &mut out);
             self.memory.borrow_mut().take(now, &facts);
@@ -259,7 +261,7 @@
         if let Some(over) = openings.panes.wake(now) {
             let key = Key(over.pane % PANES);
             // It has room for as many counters as it ever has.
-            let _ = self.tallies.put(now, PANE, key, &Panes::write(&over));
+            let _ = self.gossip.publish(now, PANE, key, &Panes::write(&over));
         }
         let Some(register) = &mut self.register else { return };
         let Some(held) = register.held(now) else { return };
@@ -274,8 +276,8 @@
         openings.looked = now;
         let guards = openings.guards;
         let panes = self
-            .tallies
-            .known(now, PANE)
+            .gossip
+            .entries(now, PANE)
             .filter_map(|t| Panes::read(t.key.0, t.value).ok().map(|told| (t.origin, told)));
         let counted = if guards.several { Panes::fleet(panes) } else { Panes::unbounded(panes) };
         let sizes = &openings.sizes;
@@ -313,7 +315,9 @@
     fn take(&mut self, now: Micros, from: RouterId, message: &[u8]) -> Vec<(RouterId, Vec<u8>)> {
         let mut out = Messages::default();
         let read = match message.first() {
-            Some(&tallies::MARK) => self.tallies.heard(now, from, message, &mut out).is_ok(),
+            Some(&gossip::PROTOCOL_MARKER) => {
+                self.gossip.handle_message(now, from, message, &mut out).is_ok()
+            }
             Some(&comeback::message::MARK) => {
                 let memory = self.memory.borrow();
                 let mut words = Return(now, &mut self.peers, &memory, &mut out);
@@ -340,7 +344,7 @@
 
     /// What others say they have seen agreed on, of this founding.
     fn remembered(&self, now: Micros) -> Vec<(InstanceId, u64)> {
-        let told = self.tallies.under(now, SEEN, Key(self.founding));
+        let told = self.gossip.entries_for_key(now, SEEN, Key(self.founding));
         told.filter_map(|t| postcard::from_bytes(t.value).ok()).collect()
     }
 
@@ -394,7 +398,7 @@
                 self.seen = (seen, now);
                 let value = postcard::to_stdvec(&seen.unwrap_or((InstanceId(0), 0))).unwrap_or_default();
                 // It is small, and in place of the one before.
-                let _ = self.tallies.put(now, SEEN, Key(self.founding), &value);
+                let _ = self.gossip.publish(now, SEEN, Key(self.founding), &value);
             }
             let standstill = register.standstill(now);
             if standstill != self.standstill {
@@ -428,14 +432,14 @@
                 "standstill": standstill})
         });
         let pins = self.openings.as_ref().map(|o| o.list.pins.len());
-        let (origins, bytes) = self.tallies.size();
+        let (origins, bytes) = self.gossip.size();
         let stage = match self.peers.stage() {
             Stage::Asking => "asking".to_owned(),
             Stage::Told(n) => format!("told by {n}"),
             Stage::Untold => "untold".to_owned(),
         };
         let facts = self.memory.borrow().facts().len();
-        let tallies = json!({"origins": origins, "bytes": bytes, "view": self.tallies.view(),
+        let tallies = json!({"origins": origins, "bytes": bytes, "view": self.gossip.view_digest(),
             "unread": self.unread});
         json!({"agreed": agreed, "tallies": tallies, "pins": pins,
             "comeback": {"stage": stage, "asks": self.peers.asks(), "facts": facts,
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -1,7 +1,9 @@
-//! Connects `Members` with a socket, the log and the state page; nothing is decided here.
+//! Connects `Membership` with a socket, the log and the state page; nothing is decided here.
 use crate::envelope::{Envelopes, Key, process};
 use crate::shared::Shared;
-use applepond_membership::{Actions, Change, Guards, InstanceId, Me, MemberStatus, Members, RouterId, Seen};
+use applepond_membership::{
+    Actions, Change, InstanceId, LocalIdentity, MemberStatus, MemberView, Membership, RouterId, Safeguards,
+};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -16,7 +18,7 @@
 
 /// What others of the process look at.
 pub struct View {
-    pub members: Members,
+    pub members: Membership,
     /// None where a rig looks at membership alone.
     pub shared: Option<Shared>,
     envelopes: Envelopes,
@@ -29,7 +31,7 @@
 impl View {
     /// Other seeds and keys from now on; messages under a key that is in neither list are foreign.
     pub fn renew(&mut self, seeds: Vec<SocketAddr>, keys: Vec<Key>) {
-        self.members.reseed(seeds);
+        self.members.set_seeds(seeds);
         self.envelopes.rekey(keys);
     }
 }
@@ -73,13 +75,13 @@
         seeds: Vec<SocketAddr>,
         keys: Vec<Key>,
         seed: u64,
-        (through, guards): (Option<SocketAddr>, Guards),
+        (through, guards): (Option<SocketAddr>, Safeguards),
     ) -> (Self, Rc<RefCell<View>>) {
         let instance_id = InstanceId(seed | 1);
         // Later starts have higher ones, as far as the clock goes on; where it went back, the others say so.
-        let me = Me { name, zone, address: listen, instance_id, incarnation: now };
+        let me = LocalIdentity { name, zone, address: listen, instance_id, incarnation: now };
         let envelopes = Envelopes::new(instance_id.0, RouterId::named(&me.name).0, keys);
-        let members = Members::new(now, me, seeds, seed).with_guards(guards);
+        let members = Membership::new(now, me, seeds, seed).with_guards(guards);
         let shared = None;
         let view = View { members, shared, envelopes, sent: 0, unsent: 0, unread: 0 };
         let view = Rc::new(RefCell::new(view));
@@ -131,7 +133,7 @@
             view.unsent += u64::from(!taken);
         }
         said.changes.iter().for_each(log);
-        let next = view.members.next();
+        let next = view.members.next_deadline();
         if next != self.armed {
             self.armed = next;
             transport.wake_at(next, Wake(1));
@@ -149,8 +151,8 @@
 /// One line of the log a change.
 fn log(change: &Change) {
     match change {
-        Change::Shown { name, was, is, by } => {
-            let (was, is) = (was.map_or("unknown", |w| w.word()), is.word());
+        Change::StatusChanged { name, previous: was, current: is, accusers: by } => {
+            let (was, is) = (was.map_or("unknown", |w| w.as_str()), is.as_str());
             tracing::info!(
                 reason = "fleet-standing",
                 router = name,
@@ -160,25 +162,25 @@
                 "fleet: a router"
             );
         }
-        Change::Lame { name, was, is } => {
+        Change::LinkFaultChanged { name, previous: was, current: is } => {
             tracing::info!(reason = "fleet-lame", router = name, ?was, ?is, "fleet: a link");
         }
-        Change::StoodStill(time) => {
+        Change::ProcessStalled(time) => {
             tracing::warn!(reason = "fleet-stood-still", us = time, "fleet: this process stood still");
         }
-        Change::Deaf(deaf) => {
+        Change::Isolated(deaf) => {
             tracing::warn!(reason = "fleet-deaf", deaf, "fleet: all neighbours are silent");
         }
-        Change::Returned(incarnation) => {
+        Change::Rejoined(incarnation) => {
             tracing::warn!(reason = "fleet-returned", incarnation, "fleet: this router had been removed");
         }
-        Change::Refused { holder } => {
+        Change::NameLost { holder } => {
             tracing::error!(reason = "fleet-refused", %holder, "fleet: another process has this name");
         }
-        Change::Taken { name, by } => {
+        Change::NameContested { name, claimant: by } => {
             tracing::error!(reason = "fleet-taken", router = name, %by, "fleet: name wanted");
         }
-        Change::Full { name } => {
+        Change::TableFull { name } => {
             tracing::error!(reason = "fleet-full", router = name, "fleet: more routers than are kept");
         }
     }
@@ -186,12 +188,12 @@
 
 /// The view for the state page.
 pub fn page(view: &View, now: Micros) -> Value {
-    let row = |seen: Seen| {
+    let row = |seen: MemberView| {
         let record = &seen.record;
         json!({"name": record.name, "zone": record.zone, "address": record.address.to_string(),
-            "incarnation": record.incarnation, "standing": seen.shown.word(),
-            "for-us": now.saturating_sub(seen.since), "by": seen.by,
-            "lame": seen.lame.map(|l| format!("{l:?}").to_lowercase())})
+            "incarnation": record.incarnation, "standing": seen.observed.as_str(),
+            "for-us": now.saturating_sub(seen.since), "by": seen.accusers,
+            "lame": seen.link_fault.map(|l| format!("{l:?}").to_lowercase())})
     };
     let members = &view.members;
     let dropped: serde_json::Map<String, Value> = view
@@ -200,9 +202,10 @@
         .iter()
         .map(|(why, n)| (format!("{why:?}").to_lowercase(), json!(n)))
         .collect();
-    json!({"live": members.live(), "live-by-zone": members.live_by_zone(), "view": members.view(),
-        "refused": members.is_refused(), "deaf": members.is_deaf(),
-        "members": members.seen().map(row).collect::<Vec<_>>(),
+    json!({"live": members.live_count(), "live-by-zone": members.live_count_by_zone(),
+        "view": members.view_digest(),
+        "refused": members.has_lost_name(), "deaf": members.is_isolated(),
+        "members": members.members().map(row).collect::<Vec<_>>(),
         "shared": view.shared.as_ref().map(|s| s.page(now)),
         "datagrams": {"sent": view.sent, "not-taken": view.unsent, "unreadable": view.unread,
             "dropped": dropped}})
@@ -226,11 +229,11 @@
             let Ok((instance_id, message)) = envelopes.open(bytes) else { return };
             // Messages of members begin with a small number, those of what is shared with a mark.
             if message.first().is_none_or(|mark| *mark < MARKS) {
-                *unread += u64::from(members.heard(now, message, said).is_err());
+                *unread += u64::from(members.handle_message(now, message, said).is_err());
                 return;
             }
             // Guards against one that was kept from before this process: it is for another one.
-            let from = members.by_birth(InstanceId(instance_id)).filter(|_| envelopes.was_for_me());
+            let from = members.router_of_instance(InstanceId(instance_id)).filter(|_| envelopes.was_for_me());
             match (from, shared) {
                 (Some(from), Some(shared)) => said.shared.extend(shared.heard(now, from, message)),
                 _ => *unread += 1,
@@ -250,10 +253,10 @@
         }
         let ends = (self.ends)();
         self.with(now, transport, |view, said| {
-            if ends && view.members.me().standing != MemberStatus::Left {
+            if ends && view.members.local_record().status != MemberStatus::Left {
                 view.members.leave(now, said);
-            } else if now >= view.members.next() {
-                view.members.wake(now, said);
+            } else if now >= view.members.next_deadline() {
+                view.members.handle_timeout(now, said);
             }
         });
     }
@@ -274,7 +277,7 @@
     fn fleet(name: &str, port: u16, seed: u16, secret: &[u8]) -> (Fleet, Rc<RefCell<View>>) {
         let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let who = (name.to_owned(), "z".to_owned(), at(port));
-        Fleet::new(BEGIN, who, vec![at(seed)], vec![key(secret)], u64::from(port), (None, Guards::ALL))
+        Fleet::new(BEGIN, who, vec![at(seed)], vec![key(secret)], u64::from(port), (None, Safeguards::ALL))
     }
 
     /// Fires what is due by then.
--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -9,10 +9,10 @@
 const SIZES: [usize; 3] = [20, 300, 1_000];
 const SEEDS: u64 = 3;
 /// A word a router each so many µs, of so many bytes: a pane of a sketch, as the openings tell it.
-const EACH: u64 = 5 * S;
+const ALL: u64 = 5 * S;
 const BYTES: usize = 200;
 
-struct Row {
+struct KindLifetime {
     /// Until all hold it, at the median and the latest of the words, and words that somebody never got.
     ms: (u64, u64),
     lost: usize,
@@ -22,7 +22,7 @@
 }
 
 /// One word at a time, looked at until all hold it.
-fn compared(routers: usize, lost: f64) -> Row {
+fn compared(routers: usize, lost: f64) -> KindLifetime {
     let (mut took, mut rate) = (Vec::new(), 0);
     let mut never = 0;
     for seed in 0..SEEDS {
@@ -40,29 +40,29 @@
         // All of them speak: what that costs.
         let (before, begun) = (paper.all.iter().flatten().map(|p| p.bytes).sum::<u64>(), paper.now);
         let mut at: Vec<(u64, usize)> =
-            (0..routers).map(|n| (begun + paper.rng.rand_range(0..EACH), n)).collect();
+            (0..routers).map(|n| (begun + paper.rng.rand_range(0..ALL), n)).collect();
         at.sort_unstable();
         for (at, n) in at {
             paper.until(at, |_| false);
             paper.put(n, 1, &[n as u8; BYTES]);
         }
-        paper.until(begun + 2 * EACH, |_| false);
+        paper.until(begun + 2 * ALL, |_| false);
         let after = paper.all.iter().flatten().map(|p| p.bytes).sum::<u64>();
-        rate += (after - before) / routers as u64 / (EACH / S) / SEEDS;
+        rate += (after - before) / routers as u64 / (ALL / S) / SEEDS;
     }
     took.sort_unstable();
     let words = took.len() + never;
     let at = |k: usize| took.get(k).copied().unwrap_or(0);
-    Row { ms: (at(took.len() / 2), at(took.len().max(1) - 1)), lost: never, words, rate }
+    KindLifetime { ms: (at(took.len() / 2), at(took.len().max(1) - 1)), lost: never, words, rate }
 }
 
 /// To everybody once: a message that is lost is never sent again.
-fn once(routers: usize, lost: f64) -> Row {
+fn once(routers: usize, lost: f64) -> KindLifetime {
     let mut rng = Rand64::new(1);
     let words = 5 * SEEDS as usize;
     let never = (0..words).filter(|_| (1..routers).any(|_| rng.rand_float() < lost)).count();
-    let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (EACH / S);
-    Row { ms: (1, 1), lost: never, words, rate }
+    let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (ALL / S);
+    KindLifetime { ms: (1, 1), lost: never, words, rate }
 }
 
 fn main() {
--- a/crates/gossip/src/fault.rs
+++ b/crates/gossip/src/fault.rs
@@ -4,51 +4,52 @@
 
 /// Why this router's own entry is not told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum Refused {
-    #[error("an entry of {0} bytes; {most} at most are told", most = crate::VALUE_MOST)]
+pub enum PublishError {
+    #[error("an entry of {0} bytes; {most} at most are told", most = crate::MAX_VALUE_BYTES)]
     #[diagnostic(
         code(tallies::long),
         help(
             "a fault of the program: report it with the line of the log; routing goes on without the entry"
         )
     )]
-    Long(usize),
-    #[error("this router tells {0} bytes already; {most} at most are", most = crate::ORIGIN_MOST)]
+    ValueTooLong(usize),
+    #[error("this router tells {0} bytes already; {most} at most are", most = crate::MAX_ORIGIN_BYTES)]
     #[diagnostic(
         code(tallies::full),
         help("fewer workers or functions a router, or a shorter list of openings; what is told stays told")
     )]
-    Full(usize),
+    OriginFull(usize),
 }
 
 /// Why a message is not taken; it changes nothing then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum Unread {
+pub enum MessageError {
     #[error("a message that ends early, goes on after its end or holds what no message holds")]
     #[diagnostic(
         code(tallies::unreadable),
         help("a router of another version, or a broken path: compare the versions of the routers")
     )]
-    Torn,
+    Malformed,
     #[error("a message with a number above all that are given out")]
     #[diagnostic(
         code(tallies::beyond),
         help("somebody with the fleet's key makes messages up: change the key files of all routers")
     )]
-    Beyond,
+    NumberOutOfRange,
     #[error("what it tells goes past a bound on bytes or origins")]
     #[diagnostic(
         code(tallies::no_room),
         help("look which origin tells so much (state page) and restart it; all others are told as before")
     )]
-    NoRoom,
+    LimitExceeded,
 }
 
-impl Refused {
+impl PublishError {
     /// One of each, for the table of codes.
-    pub const EACH: [Refused; 2] = [Refused::Long(0), Refused::Full(0)];
+    pub const ALL: [PublishError; 2] = [PublishError::ValueTooLong(0), PublishError::OriginFull(0)];
 }
 
-impl Unread {
-    pub const EACH: [Unread; 3] = [Unread::Torn, Unread::Beyond, Unread::NoRoom];
+impl MessageError {
+    pub const ALL: [MessageError; 3] =
+        [MessageError::Malformed, MessageError::NumberOutOfRange, MessageError::LimitExceeded];
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -9,9 +9,9 @@
 mod machine;
 mod message;
 
-pub use fault::{Refused, Unread};
-pub use machine::{Actions, Row, Tallies, Told};
-pub use message::MARK;
+pub use fault::{MessageError, PublishError};
+pub use machine::{Actions, Gossip, KindLifetime, PublishedEntry};
+pub use message::PROTOCOL_MARKER;
 
 use applepond::interface::Micros;
 use serde::{Deserialize, Serialize};
@@ -20,35 +20,35 @@
 
 /// µs between two comparisons that a router begins: each goes to one neighbour by chance, so news has gone
 /// around a thousand routers after some ten of them.
-pub const COMPARE: Micros = 250_000;
+pub const SYNC_INTERVAL: Micros = 250_000;
 /// Parts that are compared by themselves: one message has room for the digests of all.
-pub const PARTS: usize = 32;
+pub const DIGEST_BUCKETS: usize = 32;
 /// Bytes of a message at most, as in `members`: with its envelope every path carries it whole.
-pub const MESSAGE_MOST: usize = applepond_membership::MESSAGE_MOST;
+pub const MAX_MESSAGE_BYTES: usize = applepond_membership::MAX_MESSAGE_BYTES;
 /// Bytes of one value at most: a message carries the largest with all that stands around it.
-pub const VALUE_MOST: usize = 900;
+pub const MAX_VALUE_BYTES: usize = 900;
 /// Bytes kept of one origin at most: a sketch of some hundred counters and a row for each of some hundred
 /// workers.
-pub const ORIGIN_MOST: usize = 32 * 1024;
+pub const MAX_ORIGIN_BYTES: usize = 32 * 1024;
 /// Bytes kept of all origins at most: two thousand that tell 16 kB each.
-pub const WHOLE_MOST: usize = 32 * 1024 * 1024;
+pub const MAX_TOTAL_BYTES: usize = 32 * 1024 * 1024;
 /// Bytes counted for an entry beside its value, and for an origin beside its entries.
-pub const AROUND: usize = 64;
+pub const ENTRY_OVERHEAD_BYTES: usize = 64;
 /// Origins at most, as many as `members` knows routers.
-pub const ORIGINS_MOST: usize = applepond_membership::ROUTERS_MOST;
+pub const MAX_ORIGINS: usize = applepond_membership::MAX_ROUTERS;
 /// Bytes of messages that go out between two comparisons at most: 1 MB a second an instance at the most.
-pub const OUT_MOST: usize = 256 * 1024;
+pub const MAX_BYTES_PER_INTERVAL: usize = 256 * 1024;
 /// µs for which an entry counts where no row says otherwise; its origin writes again what is to stay.
-pub const LIFE: Micros = 60_000_000;
+pub const DEFAULT_LIFETIME: Micros = 60_000_000;
 /// µs for which what the gone have said still counts: a restart is back by then.
-pub const FADE: Micros = 30_000_000;
+pub const DEAD_ORIGIN_GRACE: Micros = 30_000_000;
 /// µs for which it is remembered that an origin was there, without its words: as long as `members` does.
-pub const REMEMBER: Micros = applepond_membership::REMEMBER;
+pub const DEAD_ORIGIN_RETENTION: Micros = applepond_membership::DEPARTED_RETENTION;
 /// µs between two times at which an origin raises its incarnation over words in its name: a liar that goes
 /// on costs so much and no more.
-pub const RAISE: Micros = 1_000_000;
+pub const INCARNATION_RAISE_INTERVAL: Micros = 1_000_000;
 /// Incarnations and versions are below it; what names a higher one is unreadable, so that none overflows.
-pub const NUMBER_MOST: u64 = 1 << 62;
+pub const MAX_NUMBER: u64 = 1 << 62;
 
 /// What sort of thing an entry tells; the table of them is the caller's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,12 +1,12 @@
 //! Messages between neighbours: a mark, a kind, then what it says, as postcard writes it. A message is read
 //! whole before any of it counts.
-use crate::fault::Unread;
+use crate::fault::MessageError;
 use crate::*;
 use applepond_membership::RouterId;
 use serde::de::DeserializeOwned;
 
 /// First byte of each message here; those of `members` begin with a small number.
-pub const MARK: u8 = 0xb1;
+pub const PROTOCOL_MARKER: u8 = 0xb1;
 
 const COMPARES: u8 = 1;
 const HOLDS: u8 = 2;
@@ -61,13 +61,13 @@
 
 fn put(kind: u8, what: &impl Serialize) -> Vec<u8> {
     // Numbers and bytes always can be written.
-    postcard::to_extend(what, vec![MARK, kind]).unwrap_or_default()
+    postcard::to_extend(what, vec![PROTOCOL_MARKER, kind]).unwrap_or_default()
 }
 
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Unread> {
+fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     match postcard::take_from_bytes(bytes) {
         Ok((read, [])) => Ok(read),
-        _ => Err(Unread::Torn),
+        _ => Err(MessageError::Malformed),
     }
 }
 
@@ -81,46 +81,47 @@
         }
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Message, Unread> {
-        let [MARK, kind, rest @ ..] = bytes else { return Err(Unread::Torn) };
-        if bytes.len() > MESSAGE_MOST {
-            return Err(Unread::Torn);
+    pub fn read(bytes: &[u8]) -> Result<Message, MessageError> {
+        let [PROTOCOL_MARKER, kind, rest @ ..] = bytes else { return Err(MessageError::Malformed) };
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::Malformed);
         }
         let message = match *kind {
             COMPARES => Message::Compares(whole(rest)?),
             HOLDS => Message::Holds(whole(rest)?),
             WANTS => Message::Wants(whole(rest)?),
             TELLS => Message::Tells(whole(rest)?),
-            _ => return Err(Unread::Torn),
+            _ => return Err(MessageError::Malformed),
         };
         message.sound()?;
         Ok(message)
     }
 
     /// What no honest router writes is not taken, so that nothing behind it has to ask.
-    fn sound(&self) -> Result<(), Unread> {
-        let low = |held: &[Held]| held.iter().all(|h| h.incarnation.max(h.upto) < NUMBER_MOST);
+    fn sound(&self) -> Result<(), MessageError> {
+        let low = |held: &[Held]| held.iter().all(|h| h.incarnation.max(h.upto) < MAX_NUMBER);
         let (formed, low) = match self {
-            Message::Compares(parts) => (parts.len() == PARTS, true),
+            Message::Compares(parts) => (parts.len() == DIGEST_BUCKETS, true),
             Message::Holds(holds) => {
                 let within = |h: &Held| (holds.first..=holds.last).contains(&h.origin);
-                ((holds.part as usize) < PARTS && holds.held.iter().all(within), low(&holds.held))
+                ((holds.part as usize) < DIGEST_BUCKETS && holds.held.iter().all(within), low(&holds.held))
             }
             Message::Wants(held) => (true, low(held)),
             Message::Tells(tells) => {
                 let mut last = tells.from;
                 let mut rising = |l: &Line| {
-                    let rises = l.version > last && l.version <= tells.upto && l.value.len() <= VALUE_MOST;
+                    let rises =
+                        l.version > last && l.version <= tells.upto && l.value.len() <= MAX_VALUE_BYTES;
                     last = l.version;
                     rises
                 };
                 let formed = tells.from <= tells.upto && tells.lines.iter().all(&mut rising);
-                (formed, tells.incarnation.max(tells.upto) < NUMBER_MOST)
+                (formed, tells.incarnation.max(tells.upto) < MAX_NUMBER)
             }
         };
         match (formed, low) {
-            (false, _) => Err(Unread::Torn),
-            (_, false) => Err(Unread::Beyond),
+            (false, _) => Err(MessageError::Malformed),
+            (_, false) => Err(MessageError::NumberOutOfRange),
             _ => Ok(()),
         }
     }
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -24,13 +24,13 @@
 
 impl Actions for Out {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
-        assert!(message.len() <= MESSAGE_MOST, "{} bytes", message.len());
+        assert!(message.len() <= MAX_MESSAGE_BYTES, "{} bytes", message.len());
         self.0.push((to, message));
     }
 }
 
 pub struct Process {
-    pub tallies: Tallies,
+    pub gossip: Gossip,
     pub neighbours: Vec<RouterId>,
     pub bytes: u64,
 }
@@ -78,12 +78,12 @@
     /// A new process, under this incarnation.
     pub fn start(&mut self, n: usize, incarnation: u64) {
         let seed = self.rng.rand_u64();
-        let rows = [Row { kind: PACE, life: 60 * S }];
-        let tallies = Tallies::new(self.now, id(n), incarnation, &rows, seed);
-        let neighbours = self.rings.beside(id(n));
+        let rows = [KindLifetime { kind: PACE, lifetime: 60 * S }];
+        let gossip = Gossip::new(self.now, id(n), incarnation, &rows, seed);
+        let neighbours = self.rings.neighbours_of(id(n));
         self.lives[n] += 1;
-        let at = tallies.next();
-        self.all[n] = Some(Process { tallies, neighbours, bytes: 0 });
+        let at = gossip.next_deadline();
+        self.all[n] = Some(Process { gossip, neighbours, bytes: 0 });
         self.push(at, Event::Wake(n, self.lives[n]));
     }
 
@@ -119,14 +119,14 @@
             let who = match event {
                 Event::Wake(n, life) => {
                     let Some(p) = self.all[n].as_mut().filter(|_| self.lives[n] == life) else { continue };
-                    p.tallies.wake(at, &p.neighbours, &mut out);
-                    let next = p.tallies.next();
+                    p.gossip.handle_timeout(at, &p.neighbours, &mut out);
+                    let next = p.gossip.next_deadline();
                     self.push(next, Event::Wake(n, life));
                     n
                 }
                 Event::Message(from, to, message) => {
                     let Some(p) = self.all[to].as_mut() else { continue };
-                    let _ = p.tallies.heard(at, id(from), &message, &mut out);
+                    let _ = p.gossip.handle_message(at, id(from), &message, &mut out);
                     to
                 }
             };
@@ -147,22 +147,22 @@
     pub fn put(&mut self, n: usize, key: u64, value: &[u8]) {
         let now = self.now;
         let p = self.all[n].as_mut().expect("there");
-        p.tallies.put(now, PACE, Key(key), value).expect("room");
+        p.gossip.publish(now, PACE, Key(key), value).expect("room");
     }
 
-    pub fn at(&self, n: usize) -> &Tallies {
-        &self.all[n].as_ref().expect("there").tallies
+    pub fn at(&self, n: usize) -> &Gossip {
+        &self.all[n].as_ref().expect("there").gossip
     }
 
     /// Who tells what under a key, as one router holds it.
     pub fn told(&self, n: usize, key: u64) -> BTreeMap<usize, Vec<u8>> {
-        let told = self.at(n).under(self.now, PACE, Key(key));
+        let told = self.at(n).entries_for_key(self.now, PACE, Key(key));
         told.map(|t| (self.ids[&t.origin], t.value.to_vec())).collect()
     }
 
     /// All that are there hold the same.
     pub fn one_view(&self) -> bool {
-        let mut views = self.all.iter().flatten().map(|p| p.tallies.view());
+        let mut views = self.all.iter().flatten().map(|p| p.gossip.view_digest());
         let first = views.next();
         views.all(|v| Some(v) == first)
     }
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -18,31 +18,31 @@
 /// Two neighbours of which one knows what the other has not heard: a comparison, what differs, what is
 /// wanted and what is said, until both hold the same.
 fn exchange() -> Vec<Vec<u8>> {
-    let rows: [Row; 0] = [];
-    let mut origin = Tallies::new(0, ORIGIN, 300, &rows, 1);
-    let mut other = Tallies::new(0, OTHER, 4, &rows, 2);
+    let rows: [KindLifetime; 0] = [];
+    let mut origin = Gossip::new(0, ORIGIN, 300, &rows, 1);
+    let mut other = Gossip::new(0, OTHER, 4, &rows, 2);
     for (key, value) in [(Key(7), &b"a value"[..]), (Key(0xffee_ddcc_bbaa_9988), b"another")] {
-        origin.put(1_000, PACE, key, value).expect("room");
+        origin.publish(1_000, PACE, key, value).expect("room");
     }
     origin.withdraw(2_000, PACE, Key(7));
-    other.put(1_500, Kind(2), Key(9), b"its own").expect("room");
+    other.publish(1_500, Kind(2), Key(9), b"its own").expect("room");
     let live: std::collections::BTreeSet<RouterId> = [ORIGIN, OTHER].into();
-    origin.present(3_000, live.clone());
-    other.present(3_000, live);
+    origin.set_live_members(3_000, live.clone());
+    other.set_live_members(3_000, live);
     let mut all = Vec::new();
     let mut out = Sent::default();
-    other.wake(COMPARE, &[ORIGIN], &mut out);
+    other.handle_timeout(SYNC_INTERVAL, &[ORIGIN], &mut out);
     let mut to_origin = true;
     while !out.0.is_empty() {
         let mut answers = Sent::default();
         for message in out.0 {
             let (reader, from) = if to_origin { (&mut origin, OTHER) } else { (&mut other, ORIGIN) };
-            reader.heard(COMPARE + 1_000, from, &message, &mut answers).expect("readable");
+            reader.handle_message(SYNC_INTERVAL + 1_000, from, &message, &mut answers).expect("readable");
             all.push(message);
         }
         (out, to_origin) = (answers, !to_origin);
     }
-    assert_eq!(origin.view(), other.view());
+    assert_eq!(origin.view_digest(), other.view_digest());
     all
 }
 
--- a/crates/gossip/tests/paper.rs
+++ b/crates/gossip/tests/paper.rs
@@ -26,11 +26,11 @@
     let mut paper = SimulatedNetwork::fleet(1, 5, lossy(0.0));
     paper.put(0, 1, b"0");
     let now = paper.now;
-    paper.all[1].as_mut().expect("there").tallies.put(now, PACE, Key(1), b"5").expect("room");
+    paper.all[1].as_mut().expect("there").gossip.publish(now, PACE, Key(1), b"5").expect("room");
     paper.pass(5 * S);
     assert_eq!(paper.told(4, 1).len(), 2, "two have spoken");
     let now = paper.now;
-    paper.all[1].as_mut().expect("there").tallies.withdraw(now, PACE, Key(1));
+    paper.all[1].as_mut().expect("there").gossip.withdraw(now, PACE, Key(1));
     paper.pass(5 * S);
     assert_eq!(paper.told(4, 1).into_iter().collect::<Vec<_>>(), [(0, b"0".to_vec())]);
 }
@@ -83,10 +83,10 @@
     paper.kill(5);
     let gone = |paper: &mut SimulatedNetwork| {
         let (now, live) = (paper.now, (0..20).filter(|n| *n != 5).map(id).collect::<BTreeSet<_>>());
-        paper.all.iter_mut().flatten().for_each(|p| p.tallies.present(now, live.clone()));
+        paper.all.iter_mut().flatten().for_each(|p| p.gossip.set_live_members(now, live.clone()));
     };
     gone(&mut paper);
-    paper.pass(FADE - S);
+    paper.pass(DEAD_ORIGIN_GRACE - S);
     assert_eq!(paper.told(9, 1).len(), 1, "a restart would be back by now");
     paper.pass(2 * S);
     assert!((0..20).filter(|n| *n != 5).all(|n| paper.told(n, 1).is_empty()));
@@ -95,7 +95,7 @@
     paper.pass(5 * S);
     assert!(paper.told(6, 1).is_empty());
     gone(&mut paper);
-    paper.pass(REMEMBER + S);
+    paper.pass(DEAD_ORIGIN_RETENTION + S);
     assert!((0..20).filter(|n| *n != 5).all(|n| paper.at(n).size().0 == 19), "forgotten in the end");
     assert!(paper.one_view());
 }
@@ -141,24 +141,24 @@
 }
 
 /// What `to` takes of a message made up by a neighbour, and whether it took it.
-fn lies(to: &mut Tallies, message: &[u8]) -> Result<(), Unread> {
-    to.heard(2_000 * S, id(1), message, &mut Out::default())
+fn lies(to: &mut Gossip, message: &[u8]) -> Result<(), MessageError> {
+    to.handle_message(2_000 * S, id(1), message, &mut Out::default())
 }
 
 // Cut anywhere, lengthened or bent, a message is refused or says what it may: it never panics and counts.
 #[test]
 fn cut_at_every_byte() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
-    one.put(S, PACE, Key(1), b"some value").expect("room");
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
+    one.publish(S, PACE, Key(1), b"some value").expect("room");
     let mut out = Out::default();
-    let mut other = Tallies::new(S, id(1), 1, &[], 2);
-    one.wake(2 * S, &[id(1)], &mut out);
+    let mut other = Gossip::new(S, id(1), 1, &[], 2);
+    one.handle_timeout(2 * S, &[id(1)], &mut out);
     let first = out.0[0].1.clone();
-    other.heard(2 * S, id(0), &first, &mut out).expect("a good message");
+    other.handle_message(2 * S, id(0), &first, &mut out).expect("a good message");
     let mut messages: Vec<Vec<u8>> = out.0.iter().map(|(_, l)| l.clone()).collect();
     for message in messages.clone() {
         let mut out = Out::default();
-        let _ = one.heard(2 * S, id(1), &message, &mut out);
+        let _ = one.handle_message(2 * S, id(1), &message, &mut out);
         messages.extend(out.0.into_iter().map(|(_, l)| l));
     }
     assert!(messages.len() > 3, "{}", messages.len());
@@ -170,10 +170,10 @@
             bent[at] ^= 0x55;
             refused += u64::from(lies(&mut other, &bent).is_err());
         }
-        assert_eq!(lies(&mut other, &[&message[..], &[0]].concat()), Err(Unread::Torn));
+        assert_eq!(lies(&mut other, &[&message[..], &[0]].concat()), Err(MessageError::Malformed));
     }
     assert!(refused > 0);
-    assert!(other.unread()[&Unread::Torn] > 0);
+    assert!(other.rejected_messages()[&MessageError::Malformed] > 0);
 }
 
 /// Messages by hand: what a holder of the key could write.
@@ -185,32 +185,44 @@
         #[derive(Serialize)]
         struct Line<'a>(u8, u64, u64, u64, &'a [u8]);
         let lines: Vec<Line<'_>> = lines.iter().map(|(key, v, value)| Line(1, *key, *v, 0, value)).collect();
-        postcard::to_extend(&(origin, inc, from, upto, lines), vec![MARK, 4]).expect("written")
+        postcard::to_extend(&(origin, inc, from, upto, lines), vec![PROTOCOL_MARKER, 4]).expect("written")
     }
 }
 
-#[test_case(forged::tells(id(1), NUMBER_MOST, 0, 1, &[]), Unread::Beyond; "an incarnation of nobody")]
-#[test_case(forged::tells(id(1), 1, 0, NUMBER_MOST, &[]), Unread::Beyond; "a version of nobody")]
-#[test_case(forged::tells(id(1), 1, 5, 4, &[]), Unread::Torn; "from behind its end")]
-#[test_case(forged::tells(id(1), 1, 0, 4, &[(1, 5, b"x")]), Unread::Torn; "a line past the end")]
-#[test_case(forged::tells(id(1), 1, 0, 4, &[(1, 2, b"x"), (2, 2, b"y")]), Unread::Torn; "one number twice")]
-#[test_case(forged::tells(id(1), 1, 0, 1, &[(1, 1, &[7; VALUE_MOST + 1])]), Unread::Torn; "a long value")]
-fn what_nobody_writes(message: Vec<u8>, why: Unread) {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
-    let before = one.view();
+#[test_case(
+    forged::tells(id(1), MAX_NUMBER, 0, 1, &[]),
+    MessageError::NumberOutOfRange; "an incarnation of nobody"
+)]
+#[test_case(
+    forged::tells(id(1), 1, 0, MAX_NUMBER, &[]),
+    MessageError::NumberOutOfRange; "a version of nobody"
+)]
+#[test_case(forged::tells(id(1), 1, 5, 4, &[]), MessageError::Malformed; "from behind its end")]
+#[test_case(forged::tells(id(1), 1, 0, 4, &[(1, 5, b"x")]), MessageError::Malformed; "a line past the end")]
+#[test_case(
+    forged::tells(id(1), 1, 0, 4, &[(1, 2, b"x"), (2, 2, b"y")]),
+    MessageError::Malformed; "one number twice"
+)]
+#[test_case(
+    forged::tells(id(1), 1, 0, 1, &[(1, 1, &[7; MAX_VALUE_BYTES + 1])]),
+    MessageError::Malformed; "a long value"
+)]
+fn what_nobody_writes(message: Vec<u8>, why: MessageError) {
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
+    let before = one.view_digest();
     assert_eq!(lies(&mut one, &message), Err(why));
-    assert_eq!((one.view(), one.unread()[&why]), (before, 1));
+    assert_eq!((one.view_digest(), one.rejected_messages()[&why]), (before, 1));
 }
 
 // A gap is not taken: what lies between would be missing for ever.
 #[test]
 fn no_gaps() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
     lies(&mut one, &forged::tells(id(1), 1, 3, 4, &[(1, 4, b"x")])).expect("well formed");
     assert_eq!(one.size().0, 1, "nothing is known of its beginning");
     lies(&mut one, &forged::tells(id(1), 1, 0, 2, &[(1, 2, b"x")])).expect("well formed");
     lies(&mut one, &forged::tells(id(1), 1, 3, 4, &[(1, 4, b"y")])).expect("well formed");
-    let told: Vec<Vec<u8>> = one.known(S, PACE).map(|t| t.value.to_vec()).collect();
+    let told: Vec<Vec<u8>> = one.entries(S, PACE).map(|t| t.value.to_vec()).collect();
     assert_eq!(told, [b"x"]);
 }
 
@@ -223,7 +235,7 @@
     let lie = forged::tells(id(5), 40, 0, 9, &[(1, 9, b"false")]);
     let now = paper.now;
     let liar = paper.all[9].as_mut().expect("there");
-    liar.tallies.heard(now, id(8), &lie, &mut Out::default()).expect("well formed");
+    liar.gossip.handle_message(now, id(8), &lie, &mut Out::default()).expect("well formed");
     assert_eq!(paper.told(9, 1)[&5], b"false");
     let by = paper.now + 10 * S;
     let right = |p: &SimulatedNetwork| (0..20).all(|n| p.told(n, 1).get(&5).is_some_and(|v| v == b"true"));
@@ -235,7 +247,7 @@
         let now = paper.now;
         let lie = forged::tells(id(5), next, 0, 9, &[(1, 9, b"false")]);
         let honest = paper.all[5].as_mut().expect("there");
-        honest.tallies.heard(now, id(8), &lie, &mut Out::default()).expect("well formed");
+        honest.gossip.handle_message(now, id(8), &lie, &mut Out::default()).expect("well formed");
         paper.pass(100 * MS);
     }
     let raised = paper.at(5).incarnation() - before;
@@ -245,68 +257,76 @@
 // At its bound an origin's own entry is refused by name; what it told stays.
 #[test]
 fn an_origin_at_its_bound() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
-    let told = (0..).take_while(|n| one.put(S, PACE, Key(*n), &[1; 400]).is_ok()).count();
-    assert_eq!(told, (ORIGIN_MOST - AROUND) / (400 + AROUND));
-    assert!(matches!(one.put(S, PACE, Key(999), &[1; 400]), Err(Refused::Full(_))));
-    assert_eq!(one.put(S, PACE, Key(0), &[2; 400]), Ok(()), "in place of another there is room");
-    assert_eq!(one.put(S, PACE, Key(0), &[0; VALUE_MOST + 1]), Err(Refused::Long(VALUE_MOST + 1)));
-    assert_eq!(one.known(S, PACE).count(), told);
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
+    let told = (0..).take_while(|n| one.publish(S, PACE, Key(*n), &[1; 400]).is_ok()).count();
+    assert_eq!(told, (MAX_ORIGIN_BYTES - ENTRY_OVERHEAD_BYTES) / (400 + ENTRY_OVERHEAD_BYTES));
+    assert!(matches!(one.publish(S, PACE, Key(999), &[1; 400]), Err(PublishError::OriginFull(_))));
+    assert_eq!(one.publish(S, PACE, Key(0), &[2; 400]), Ok(()), "in place of another there is room");
+    assert_eq!(
+        one.publish(S, PACE, Key(0), &[0; MAX_VALUE_BYTES + 1]),
+        Err(PublishError::ValueTooLong(MAX_VALUE_BYTES + 1))
+    );
+    assert_eq!(one.entries(S, PACE).count(), told);
 }
 
 // One that tells without end is not taken beyond its bound; all others are.
 #[test]
 fn others_at_their_bound() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
     let mut refused = 0;
     for n in 0..60u64 {
         let value = [7; 800];
         let message = forged::tells(id(1), 1, n, n + 1, &[(n, n + 1, &value)]);
-        refused += u64::from(lies(&mut one, &message) == Err(Unread::NoRoom));
+        refused += u64::from(lies(&mut one, &message) == Err(MessageError::LimitExceeded));
     }
     // Once, then what follows would leave a gap.
     assert_eq!(refused, 1);
-    assert!(one.size().1 <= ORIGIN_MOST + 2 * AROUND);
-    assert!(one.known(2_000 * S, PACE).count() > 30, "what it told before stays");
+    assert!(one.size().1 <= MAX_ORIGIN_BYTES + 2 * ENTRY_OVERHEAD_BYTES);
+    assert!(one.entries(2_000 * S, PACE).count() > 30, "what it told before stays");
     lies(&mut one, &forged::tells(id(2), 1, 0, 1, &[(1, 1, b"x")])).expect("the others are not harmed");
-    let many = (0..2 * ORIGINS_MOST as u64).filter(|n| {
-        lies(&mut one, &forged::tells(RouterId(n << 40 | 5), 1, 0, 1, &[])) == Err(Unread::NoRoom)
+    let many = (0..2 * MAX_ORIGINS as u64).filter(|n| {
+        lies(&mut one, &forged::tells(RouterId(n << 40 | 5), 1, 0, 1, &[]))
+            == Err(MessageError::LimitExceeded)
     });
-    assert_eq!(many.count(), ORIGINS_MOST + 3);
+    assert_eq!(many.count(), MAX_ORIGINS + 3);
 }
 
 // What an earlier life said, come late, is not taken for this one's.
 #[test]
 fn a_late_word_of_an_earlier_life() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
     lies(&mut one, &forged::tells(id(1), 7, 0, 1, &[(1, 1, b"now")])).expect("well formed");
     lies(&mut one, &forged::tells(id(1), 6, 0, 9, &[(1, 9, b"then")])).expect("well formed");
-    let told: Vec<Vec<u8>> = one.known(S, PACE).map(|t| t.value.to_vec()).collect();
+    let told: Vec<Vec<u8>> = one.entries(S, PACE).map(|t| t.value.to_vec()).collect();
     assert_eq!(told, [b"now"]);
 }
 
 // Whoever asks for however much: what goes out between two comparisons is bounded.
 #[test]
 fn a_bound_on_what_goes_out() {
-    let mut one = Tallies::new(S, id(0), 1, &[], 1);
-    (0..60).for_each(|key| one.put(S, PACE, Key(key), &[1; 400]).expect("room"));
-    let wants = postcard::to_extend(&vec![(id(0), 0u64, 0u64)], vec![MARK, 3]).expect("written");
+    let mut one = Gossip::new(S, id(0), 1, &[], 1);
+    (0..60).for_each(|key| one.publish(S, PACE, Key(key), &[1; 400]).expect("room"));
+    let wants = postcard::to_extend(&vec![(id(0), 0u64, 0u64)], vec![PROTOCOL_MARKER, 3]).expect("written");
     let mut out = Out::default();
     let sent = |out: &Out| out.0.iter().map(|(_, l)| l.len()).sum::<usize>();
-    (0..40).for_each(|_| one.heard(S, id(1), &wants, &mut out).expect("well formed"));
-    assert!((OUT_MOST - MESSAGE_MOST..=OUT_MOST).contains(&sent(&out)), "{}", sent(&out));
-    one.wake(2 * S, &[], &mut out);
-    one.heard(2 * S, id(1), &wants, &mut out).expect("well formed");
-    assert!(sent(&out) > OUT_MOST, "and goes on after the next one");
+    (0..40).for_each(|_| one.handle_message(S, id(1), &wants, &mut out).expect("well formed"));
+    assert!(
+        (MAX_BYTES_PER_INTERVAL - MAX_MESSAGE_BYTES..=MAX_BYTES_PER_INTERVAL).contains(&sent(&out)),
+        "{}",
+        sent(&out)
+    );
+    one.handle_timeout(2 * S, &[], &mut out);
+    one.handle_message(2 * S, id(1), &wants, &mut out).expect("well formed");
+    assert!(sent(&out) > MAX_BYTES_PER_INTERVAL, "and goes on after the next one");
 }
 
 #[test]
 fn errors_say_what_to_do() {
     use miette::Diagnostic;
-    let all: Vec<Box<dyn Diagnostic>> = Refused::EACH
+    let all: Vec<Box<dyn Diagnostic>> = PublishError::ALL
         .map(|e| Box::new(e) as Box<dyn Diagnostic>)
         .into_iter()
-        .chain(Unread::EACH.map(|e| Box::new(e) as Box<dyn Diagnostic>))
+        .chain(MessageError::ALL.map(|e| Box::new(e) as Box<dyn Diagnostic>))
         .collect();
     assert!(all.iter().all(|e| e.code().is_some() && e.help().is_some()));
 }
--- a/crates/membership/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -10,8 +10,13 @@
 use std::time::Instant;
 
 /// One accuser, no local health, no notice of having stood still.
-const PLAIN: Guards =
-    Guards { refutes: true, several: false, health: false, wakes: false, incarnations: true };
+const PLAIN: Safeguards = Safeguards {
+    refutation: true,
+    vote_quorum: false,
+    local_health: false,
+    pause_detection: false,
+    incarnation_bump: true,
+};
 /// Faults, each for so long: what is lost, which of eight pairs is cut one way, delay, and whether processes
 /// stand still for 0.2 to 2 s, one in twenty a second.
 struct Fault {
@@ -48,7 +53,7 @@
 }
 
 /// ms until each of the others took a killed one for gone, over so many seeds.
-fn kill(routers: usize, seeds: u64, guards: Guards) -> Vec<u64> {
+fn kill(routers: usize, seeds: u64, guards: Safeguards) -> Vec<u64> {
     let mut took = Vec::new();
     for seed in 0..seeds {
         let mut paper = SimulatedNetwork::fleet_with(seed, routers, lossy(0.02), guards);
@@ -56,10 +61,14 @@
         let (dead, at) = (routers / 2, paper.now);
         paper.kill(dead);
         paper.pass(8 * S);
-        let gone = |c: &&(u64, Change)| {
-            c.0 > at
-                && matches!(&c.1, Change::Shown { name, is: Shown::Gone, .. } if *name == format!("r{dead}"))
+        let dead_name = format!("r{dead}");
+        let is_removal = |change: &Change| match change {
+            Change::StatusChanged { name, current, .. } => {
+                *current == ObservedStatus::Dead && *name == dead_name
+            }
+            _ => false,
         };
+        let gone = |c: &&(u64, Change)| c.0 > at && is_removal(&c.1);
         let known = |n: usize| paper.changes(n).find(gone).map_or(8_000, |c| (c.0 - at) / MS);
         took.extend((0..routers).filter(|n| *n != dead).map(known));
     }
@@ -67,7 +76,7 @@
 }
 
 /// Live routers removed in so many s.
-fn removed(routers: usize, seconds: u64, guards: Guards, fault: &'static Fault) -> usize {
+fn removed(routers: usize, seconds: u64, guards: Safeguards, fault: &'static Fault) -> usize {
     let mut paper = SimulatedNetwork::fleet_with(1, routers, fault.link(), guards);
     let (mut rng, before) = (Rand64::new(5), paper.removals());
     for _ in 0..seconds {
@@ -87,7 +96,7 @@
 fn all_to_all(routers: usize, seconds: u64, fault: Option<&Fault>) -> (usize, Vec<u64>) {
     const STEP: u64 = 50 * MS;
     let (mut rng, end) = (Rand64::new(1), seconds * S);
-    let phase: Vec<u64> = (0..routers).map(|n| n as u64 * 7 % (BEAT / STEP)).collect();
+    let phase: Vec<u64> = (0..routers).map(|n| n as u64 * 7 % (HEARTBEAT_INTERVAL / STEP)).collect();
     let mut heard = vec![0; routers * routers];
     let mut gone = vec![false; routers * routers];
     let mut until = vec![0; routers];
@@ -101,8 +110,9 @@
                 until[n] = now.max(until[n]) + 200 * MS + rng.rand_range(0..1_800) * MS;
             }
         }
-        let acts =
-            |n: &usize| step % (BEAT / STEP) == phase[*n] && now >= until[*n] && (*n != dead || now < dies);
+        let acts = |n: &usize| {
+            step % (HEARTBEAT_INTERVAL / STEP) == phase[*n] && now >= until[*n] && (*n != dead || now < dies)
+        };
         for n in (0..routers).filter(acts) {
             for other in (0..routers).filter(|other| *other != n) {
                 let takes = match fault {
@@ -114,7 +124,7 @@
                 }
             }
             for of in (0..routers).filter(|of| *of != n) {
-                let is = now.saturating_sub(heard[n * routers + of]) > PATIENCE;
+                let is = now.saturating_sub(heard[n * routers + of]) > HEARTBEAT_TIMEOUT;
                 if is && !std::mem::replace(&mut gone[n * routers + of], is) {
                     if of == dead && now >= dies {
                         known.push((now - dies) / MS);
@@ -156,13 +166,16 @@
         let seeds = (100 / routers as u64).clamp(1, 5);
         let (bytes, messages, cpu) = costs(routers, seconds.min(20));
         println!("| {routers} | bytes/s, messages/s, CPU ms/s | {bytes}, {messages}, {cpu:.2} |");
-        let mut known =
-            [kill(routers, seeds, Guards::ALL), kill(routers, seeds, PLAIN), all_to_all(routers, 20, None).1];
+        let mut known = [
+            kill(routers, seeds, Safeguards::ALL),
+            kill(routers, seeds, PLAIN),
+            all_to_all(routers, 20, None).1,
+        ];
         let known = [0, 1, 2].map(|way| median_and(&mut known[way]));
         println!("| {routers} | ms to know (median, 99 %) | {known:?} |");
         // Each takes a quarter of an hour there.
         for fault in FAULTS.iter().filter(|_| routers <= 1_000) {
-            let ours = removed(routers, seconds, Guards::ALL, fault);
+            let ours = removed(routers, seconds, Safeguards::ALL, fault);
             let ways =
                 [ours, removed(routers, seconds, PLAIN, fault), all_to_all(routers, seconds, Some(fault)).0];
             println!("| {routers} | {} for {seconds} s: live ones removed | {ways:?} |", fault.name);
--- a/crates/membership/src/count.rs
+++ b/crates/membership/src/count.rs
@@ -9,32 +9,32 @@
 /// µs for which a view that lost more is distrusted: cuts are mended or known to somebody by then.
 const DISTRUST: Micros = 30_000_000;
 
-pub struct Count {
+pub struct DampedCount {
     told: usize,
     /// Since when the view has said fewer, without a look that said otherwise.
     fewer: Option<Micros>,
     distrusted: bool,
 }
 
-impl Count {
+impl DampedCount {
     /// `told` routers are what the settings say.
     pub fn new(told: usize) -> Self {
-        Count { told: told.max(1), fewer: None, distrusted: false }
+        DampedCount { told: told.max(1), fewer: None, distrusted: false }
     }
 
     /// Whether the view is held to be wrong at present.
-    pub fn distrusts(&self) -> bool {
+    pub fn distrusts_view(&self) -> bool {
         self.distrusted
     }
 
     /// Among how many what all share is divided here: never among fewer than the settings name as the most.
     /// Guards against parts by a view that may be wrong; only agreement could give the rest to those left.
-    pub fn parts(&mut self, now: Micros, live: usize, most: usize) -> usize {
-        self.look(now, live).max(most)
+    pub fn share_count(&mut self, now: Micros, live: usize, most: usize) -> usize {
+        self.observe(now, live).max(most)
     }
 
     /// Takes notice of the view; the count that holds from now on, never below one.
-    pub fn look(&mut self, now: Micros, live: usize) -> usize {
+    pub fn observe(&mut self, now: Micros, live: usize) -> usize {
         let live = live.max(1);
         if live >= self.told {
             (self.told, self.fewer, self.distrusted) = (live, None, false);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod message;
 mod rings;
 
-pub use count::Count;
-pub use machine::{Me, Members, Seen};
-pub use message::{MESSAGE_MOST, Trouble};
+pub use count::DampedCount;
+pub use machine::{LocalIdentity, MemberView, Membership};
+pub use message::{MAX_MESSAGE_BYTES, MessageError};
 pub use rings::Rings;
 
 use applepond::interface::Micros;
@@ -23,59 +23,59 @@
 
 /// µs between two beats to each neighbour: eight or more within patience, so that losses of a third leave
 /// one in a thousand silences to chance.
-pub const BEAT: Micros = 250_000;
+pub const HEARTBEAT_INTERVAL: Micros = 250_000;
 /// µs of silence after which a neighbour is accused: with `HOLD` above the two seconds that a process may
 /// stand still without being lost.
-pub const PATIENCE: Micros = 2_000_000;
+pub const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
 /// µs from enough votes to the end: a process that has just woken is heard, and its word gets around.
-pub const HOLD: Micros = 600_000;
+pub const SUSPICION_TIMEOUT: Micros = 600_000;
 /// µs after which a vote counts no more unless it is cast anew.
-pub const VOTE_LIFE: Micros = 4_000_000;
+pub const VOTE_LIFETIME: Micros = 4_000_000;
 /// µs after which a standing accusation is cast anew.
-pub const VOTE_AGAIN: Micros = 1_000_000;
+pub const VOTE_RENEWAL_INTERVAL: Micros = 1_000_000;
 /// µs that a timer may be late before this process counts as having stood still: far above a busy turn.
-pub const STALL: Micros = 150_000;
+pub const STALL_THRESHOLD: Micros = 150_000;
 /// µs for which patience is longer after this process stood still or accused somebody wrongly.
-pub const UNWELL: Micros = 10_000_000;
+pub const HEALTH_PENALTY_DURATION: Micros = 10_000_000;
 /// Part by which each such sign lengthens patience, and how many count at most: twice the patience.
-pub const UNWELL_PART: f64 = 0.25;
-pub const UNWELL_MOST: u32 = 4;
+pub const HEALTH_PENALTY_FACTOR: f64 = 0.25;
+pub const MAX_HEALTH_PENALTIES: u32 = 4;
 /// Neighbours that a process has at least when it suspects itself, where all of them are silent at once: one
 /// that hears nobody accuses nobody.
-pub const DEAF_LEAST: usize = 3;
+pub const MIN_NEIGHBOURS_TO_DETECT_ISOLATION: usize = 3;
 /// µs that a router waits for a second word that it is gone before it answers the first.
-pub const REMOVED_WAIT: Micros = 100_000;
+pub const REMOVAL_CONFIRMATION_WAIT: Micros = 100_000;
 /// Rings of neighbours: two neighbours a ring; ten observers give a majority of six where all differ.
-pub const RINGS: usize = 5;
+pub const RING_COUNT: usize = 5;
 /// Others that are asked at once whether they hear a silent neighbour.
-pub const RELAYS: usize = 3;
+pub const INDIRECT_PROBES: usize = 3;
 /// µs between two messages with nothing but news: news crosses the fleet in some tenths of a second.
-pub const FLUSH: Micros = 50_000;
+pub const FLUSH_INTERVAL: Micros = 50_000;
 /// Times that news goes to all neighbours: with ten of them, losses of a third stop none.
-pub const ROUNDS: u8 = 4;
+pub const RETRANSMIT_ROUNDS: u8 = 4;
 /// News that wait at most; beyond it the least sent of the rest waits for the comparison of views.
-pub const NEWS_MOST: usize = 2_048;
+pub const MAX_QUEUED_UPDATES: usize = 2_048;
 /// µs between two comparisons of views with a neighbour whose view differs.
-pub const COMPARE: Micros = 500_000;
+pub const SYNC_INTERVAL: Micros = 500_000;
 /// Messages of records that one comparison is answered with at most, and all of one beat.
-pub const ANSWER_MOST: usize = 16;
-pub const ANSWERS_MOST: usize = 64;
+pub const MAX_MESSAGES_PER_SYNC: usize = 16;
+pub const MAX_REPLIES_PER_HEARTBEAT: usize = 64;
 /// µs between two calls to seeds and to routers that are gone: they may be back.
-pub const CALL: Micros = 500_000;
+pub const CONTACT_INTERVAL: Micros = 500_000;
 /// µs for which those that are gone are remembered: older gossip cannot bring them back meanwhile.
-pub const REMEMBER: Micros = 600_000_000;
+pub const DEPARTED_RETENTION: Micros = 600_000_000;
 /// Routers known at most, those that are gone included; a further one is refused.
-pub const ROUTERS_MOST: usize = 8_192;
+pub const MAX_ROUTERS: usize = 8_192;
 /// Votes kept of one router at most: more than it has observers.
-pub const VOTES_MOST: usize = 32;
+pub const MAX_VOTES_PER_MEMBER: usize = 32;
 /// Newcomers under a name that is taken, looked into at a time.
-pub const DOOR_MOST: usize = 64;
+pub const MAX_PENDING_TAKEOVERS: usize = 64;
 /// µs in which the one that holds a name may answer before a newcomer takes it: sixteen questions.
-pub const DOOR: Micros = 4_000_000;
+pub const TAKEOVER_TIMEOUT: Micros = 4_000_000;
 /// µs between two words of a router that was removed and cannot be heard, at most.
-pub const RETURN_MOST: Micros = 30_000_000;
+pub const MAX_REJOIN_BACKOFF: Micros = 30_000_000;
 /// Bytes of a name, and of a zone, at most.
-pub const NAME_MOST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 
 // ---- Ids and records -------------------------------------------------------------------
 
@@ -102,19 +102,19 @@
     /// By its own word.
     Left,
     /// By the votes of others.
-    Gone,
+    Dead,
 }
 
 impl MemberStatus {
     /// It takes part: it has neighbours and is one.
-    pub fn takes_part(self) -> bool {
+    pub fn is_active(self) -> bool {
         matches!(self, MemberStatus::Joining | MemberStatus::Alive)
     }
 }
 
 /// What a router is taken for here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shown {
+pub enum ObservedStatus {
     Joining,
     Alive,
     /// At least one vote stands against it.
@@ -122,18 +122,18 @@
     /// Silent towards this router, heard by others.
     Unreachable,
     Left,
-    Gone,
+    Dead,
 }
 
-impl Shown {
-    pub fn word(self) -> &'static str {
+impl ObservedStatus {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Shown::Joining => "joining",
-            Shown::Alive => "alive",
-            Shown::Suspected => "suspected",
-            Shown::Unreachable => "unreachable from here",
-            Shown::Left => "left",
-            Shown::Gone => "gone",
+            ObservedStatus::Joining => "joining",
+            ObservedStatus::Alive => "alive",
+            ObservedStatus::Suspected => "suspected",
+            ObservedStatus::Unreachable => "unreachable from here",
+            ObservedStatus::Left => "left",
+            ObservedStatus::Dead => "gone",
         }
     }
 }
@@ -147,39 +147,44 @@
     pub instance_id: InstanceId,
     /// Raised by its own process alone: a higher one overrules all that was said of a lower one.
     pub incarnation: u64,
-    pub standing: MemberStatus,
+    pub status: MemberStatus,
 }
 
 /// What keeps a view from being wrong. Each can be taken out, to measure what it is worth and to prove the
 /// drill that would find it missing; in service all are in place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Guards {
+pub struct Safeguards {
     /// Whoever is accused says that it is there.
-    pub refutes: bool,
+    pub refutation: bool,
     /// Most of those that watch a router have to accuse it, two at the least.
-    pub several: bool,
+    pub vote_quorum: bool,
     /// Signs that this process or the other is slow lengthen patience.
-    pub health: bool,
+    pub local_health: bool,
     /// A process that stood still counts silence from its waking.
-    pub wakes: bool,
+    pub pause_detection: bool,
     /// Whoever refutes does so under a higher incarnation, also one that was removed and has heard of it from
     /// one voice only.
-    pub incarnations: bool,
+    pub incarnation_bump: bool,
 }
 
-impl Guards {
-    pub const ALL: Guards =
-        Guards { refutes: true, several: true, health: true, wakes: true, incarnations: true };
+impl Safeguards {
+    pub const ALL: Safeguards = Safeguards {
+        refutation: true,
+        vote_quorum: true,
+        local_health: true,
+        pause_detection: true,
+        incarnation_bump: true,
+    };
 
     /// All but the one whose lack is planted under this name; None where there is no such fault.
-    pub fn without(fault: &str) -> Option<Guards> {
-        let mut guards = Guards::ALL;
+    pub fn without(fault: &str) -> Option<Safeguards> {
+        let mut guards = Safeguards::ALL;
         let guard = match fault {
-            "no-refute" => &mut guards.refutes,
-            "lone-accuser" => &mut guards.several,
-            "no-health" => &mut guards.health,
-            "timer-after-pause" => &mut guards.wakes,
-            "old-incarnation" => &mut guards.incarnations,
+            "no-refute" => &mut guards.refutation,
+            "lone-accuser" => &mut guards.vote_quorum,
+            "no-health" => &mut guards.local_health,
+            "timer-after-pause" => &mut guards.pause_detection,
+            "old-incarnation" => &mut guards.incarnation_bump,
             _ => return None,
         };
         *guard = false;
@@ -189,7 +194,7 @@
 
 /// Which way of a link does not carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lame {
+pub enum LinkFault {
     /// They do not hear this router.
     Out,
     /// This router does not hear them, others do.
@@ -200,34 +205,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A router is taken for something else; `by`: on whose word, empty where it is this router's own.
-    Shown {
+    StatusChanged {
         name: String,
-        was: Option<Shown>,
-        is: Shown,
-        by: Vec<String>,
+        previous: Option<ObservedStatus>,
+        current: ObservedStatus,
+        accusers: Vec<String>,
     },
-    Lame {
+    LinkFaultChanged {
         name: String,
-        was: Option<Lame>,
-        is: Option<Lame>,
+        previous: Option<LinkFault>,
+        current: Option<LinkFault>,
     },
     /// This process stood still for so many µs.
-    StoodStill(Micros),
+    ProcessStalled(Micros),
     /// All neighbours are silent at once: is it they or I?
-    Deaf(bool),
+    Isolated(bool),
     /// This router had been removed and comes back under this incarnation: nothing given to it before holds.
-    Returned(u64),
+    Rejoined(u64),
     /// Another process holds this name; this one takes no part any more.
-    Refused {
+    NameLost {
         holder: SocketAddr,
     },
     /// Somebody asked to join under the name of a router that is there.
-    Taken {
+    NameContested {
         name: String,
-        by: SocketAddr,
+        claimant: SocketAddr,
     },
     /// The bound on routers is reached; this one is not taken in.
-    Full {
+    TableFull {
         name: String,
     },
 }
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,7 +1,7 @@
 //! Who watches whom: each ring is all routers in an order of its own, by a hash of ring and router; the two
 //! beside a router in each ring are its neighbours. All who share a view agree on it, and a router's part of
 //! the watch does not grow with the fleet.
-use crate::{RINGS, RouterId};
+use crate::{RING_COUNT, RouterId};
 use std::collections::BTreeMap;
 
 /// Spreads a ring's number and a router's id over all 64 bits (the finalizer of splitmix64).
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Default)]
 pub struct Rings {
-    rings: [BTreeMap<(u64, RouterId), ()>; RINGS],
+    rings: [BTreeMap<(u64, RouterId), ()>; RING_COUNT],
 }
 
 impl Rings {
@@ -39,9 +39,9 @@
     }
 
     /// The neighbours of a router, whether it is in the rings or not; in small fleets everybody else.
-    pub fn beside(&self, id: RouterId) -> Vec<RouterId> {
-        let mut found: Vec<RouterId> = Vec::with_capacity(2 * RINGS);
-        if self.len() <= 2 * RINGS + 1 {
+    pub fn neighbours_of(&self, id: RouterId) -> Vec<RouterId> {
+        let mut found: Vec<RouterId> = Vec::with_capacity(2 * RING_COUNT);
+        if self.len() <= 2 * RING_COUNT + 1 {
             found.extend(self.rings[0].keys().map(|(_, other)| *other).filter(|other| *other != id));
         } else {
             for (n, ring) in self.rings.iter().enumerate() {
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Members on a paper network: simulated time, faults by a function, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_membership::message::{Head, Message, Says, Word};
+use applepond_membership::message::{Header, Message, Opinion, Suspicion};
 use applepond_membership::*;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,7 +20,7 @@
 pub type Bend = Box<dyn FnMut(usize, &[u8]) -> Vec<Vec<u8>>>;
 
 pub struct Process {
-    pub members: Members,
+    pub members: Membership,
     /// It stands still until then.
     pub stopped: Option<u64>,
     socket: VecDeque<Vec<u8>>,
@@ -39,7 +39,7 @@
     next: u64,
     instance_ids: u64,
     /// Of all that start from now on.
-    pub guards: Guards,
+    pub guards: Safeguards,
     /// Taken off the first incarnation of those that start: the system's clock went back.
     pub clock_back: u64,
     at: BTreeMap<SocketAddr, usize>,
@@ -58,7 +58,7 @@
 
 impl Actions for Out {
     fn send(&mut self, to: SocketAddr, message: &[u8]) {
-        assert!(message.len() <= MESSAGE_MOST, "{} bytes", message.len());
+        assert!(message.len() <= MAX_MESSAGE_BYTES, "{} bytes", message.len());
         self.messages.push((to, message.to_vec()));
     }
     fn changed(&mut self, change: Change) {
@@ -90,7 +90,7 @@
             events: BTreeMap::new(),
             next: 0,
             instance_ids: 100,
-            guards: Guards::ALL,
+            guards: Safeguards::ALL,
             clock_back: 0,
             at: BTreeMap::new(),
         }
@@ -98,10 +98,10 @@
 
     /// So many routers, the first three their seeds, after time to find each other.
     pub fn fleet(seed: u64, routers: usize, link: Link) -> Self {
-        SimulatedNetwork::fleet_with(seed, routers, link, Guards::ALL)
+        SimulatedNetwork::fleet_with(seed, routers, link, Safeguards::ALL)
     }
 
-    pub fn fleet_with(seed: u64, routers: usize, link: Link, guards: Guards) -> Self {
+    pub fn fleet_with(seed: u64, routers: usize, link: Link, guards: Safeguards) -> Self {
         let mut paper = SimulatedNetwork::new(seed, lossy(0.0));
         paper.guards = guards;
         (0..routers).for_each(|n| paper.start(n, &name(n), address(n), &[0, 1, 2]));
@@ -120,17 +120,17 @@
         self.instance_ids += 1;
         let instance_id = InstanceId(self.instance_ids * 7919 + self.rng.rand_u64() % 1000);
         let zone = format!("z{}", n % 3);
-        let me = Me {
+        let me = LocalIdentity {
             name: name.to_owned(),
             zone,
             address: at,
             instance_id,
             incarnation: self.instance_ids - self.clock_back,
         };
-        let members = Members::new(self.now, me, seeds, self.rng.rand_u64()).with_guards(self.guards);
+        let members = Membership::new(self.now, me, seeds, self.rng.rand_u64()).with_guards(self.guards);
         self.all.resize_with(self.all.len().max(n + 1), || None);
         self.at.insert(at, n);
-        let due = members.next();
+        let due = members.next_deadline();
         let process = Process {
             members,
             stopped: None,
@@ -156,11 +156,11 @@
         let until = self.now + time;
         let process = self.all[n].as_mut().expect("it runs");
         process.stopped = Some(until);
-        let instance_id = process.members.me().instance_id;
+        let instance_id = process.members.local_record().instance_id;
         self.event(until, Event::Wake(n, instance_id));
     }
 
-    pub fn members(&self, n: usize) -> &Members {
+    pub fn members(&self, n: usize) -> &Membership {
         &self.all[n].as_ref().expect("it runs").members
     }
 
@@ -169,33 +169,35 @@
     }
 
     /// Those whom a router takes for `shown`.
-    pub fn shown(&self, n: usize, shown: Shown) -> Vec<String> {
-        self.members(n).seen().filter(|s| s.shown == shown).map(|s| s.record.name).collect()
+    pub fn shown(&self, n: usize, shown: ObservedStatus) -> Vec<String> {
+        self.members(n).members().filter(|s| s.observed == shown).map(|s| s.record.name).collect()
     }
 
     pub fn live(&self, n: usize) -> usize {
-        self.members(n).live()
+        self.members(n).live_count()
     }
 
     /// All that run count this many, themselves alive, and see the same.
     pub fn one_view(&self, live: usize) -> bool {
         let mut running = self.all.iter().flatten().filter(|p| p.stopped.is_none()).map(|p| &p.members);
         let Some(first) = running.next() else { return false };
-        let alive = |m: &Members| m.me().standing == MemberStatus::Alive && m.live() == live;
-        alive(first) && running.all(|m| alive(m) && m.view() == first.view())
+        let alive = |m: &Membership| m.local_record().status == MemberStatus::Alive && m.live_count() == live;
+        alive(first) && running.all(|m| alive(m) && m.view_digest() == first.view_digest())
     }
 
     /// How often any router took another for gone.
     pub fn removals(&self) -> usize {
-        let gone = |c: &&(u64, Change)| matches!(c.1, Change::Shown { is: Shown::Gone, .. });
+        let gone =
+            |c: &&(u64, Change)| matches!(c.1, Change::StatusChanged { current: ObservedStatus::Dead, .. });
         (0..self.all.len()).map(|n| self.changes(n).filter(gone).count()).sum()
     }
 
-    fn call(&mut self, n: usize, call: impl FnOnce(&mut Members, u64, &mut Out)) {
+    fn call(&mut self, n: usize, call: impl FnOnce(&mut Membership, u64, &mut Out)) {
         let Some(process) = self.all[n].as_mut() else { return };
         let mut out = Out::default();
         call(&mut process.members, self.now, &mut out);
-        let (due, instance_id) = (process.members.next(), process.members.me().instance_id);
+        let (due, instance_id) =
+            (process.members.next_deadline(), process.members.local_record().instance_id);
         process.changes.extend(out.changes.into_iter().map(|c| (self.now, c)));
         for (to, message) in out.messages {
             let Some(to) = self.at.get(&to).copied() else { continue };
@@ -221,7 +223,7 @@
 
     /// Hands a router a message as it stands.
     pub fn tell(&mut self, n: usize, message: &[u8]) {
-        self.call(n, |m, now, out| _ = m.heard(now, message, out));
+        self.call(n, |m, now, out| _ = m.handle_message(now, message, out));
     }
 
     fn step(&mut self) {
@@ -242,16 +244,18 @@
             // What waits in its socket is read before any timer.
             process.stopped = None;
             for message in std::mem::take(&mut process.socket) {
-                self.call(n, |m, now, out| _ = m.heard(now, &message, out));
+                self.call(n, |m, now, out| _ = m.handle_message(now, &message, out));
             }
         }
         match event {
-            Event::Message(_, message) => self.call(n, |m, now, out| _ = m.heard(now, &message, out)),
+            Event::Message(_, message) => {
+                self.call(n, |m, now, out| _ = m.handle_message(now, &message, out))
+            }
             Event::Wake(_, instance_id) => {
                 let members = &self.all[n].as_ref().expect("just seen").members;
                 // A timer of a process before, or one that an earlier call has made needless.
-                if members.me().instance_id == instance_id && members.next() <= self.now {
-                    self.call(n, |m, now, out| m.wake(now, out));
+                if members.local_record().instance_id == instance_id && members.next_deadline() <= self.now {
+                    self.call(n, |m, now, out| m.handle_timeout(now, out));
                 }
             }
         }
@@ -278,23 +282,23 @@
     }
 }
 
-fn head(of: &Record) -> Head {
+fn head(of: &Record) -> Header {
     let Record { instance_id, incarnation, address, .. } = *of;
-    Head { from: RouterId::named(&of.name), instance_id, incarnation, address }
+    Header { from: RouterId::named(&of.name), instance_id, incarnation, address }
 }
 
 /// A message that says of a router that it is gone.
-pub fn lie(from: &Record, of: &Record, stamp: u64) -> Vec<u8> {
+pub fn lie(from: &Record, of: &Record, sequence: u64) -> Vec<u8> {
     let Record { instance_id, incarnation, .. } = *of;
     let (subject, voter) = (RouterId::named(&of.name), RouterId::named(&from.name));
-    let mut message = Message::news(&head(from));
-    message.word(&Word { subject, instance_id, incarnation, voter, stamp, says: Says::Gone });
+    let mut message = Message::updates(&head(from));
+    message.suspicion(&Suspicion { subject, instance_id, incarnation, voter, sequence, says: Opinion::Dead });
     message.bytes().to_vec()
 }
 
 /// A message with one record.
 pub fn news(from: &Record, record: &Record) -> Vec<u8> {
-    let mut message = Message::news(&head(from));
+    let mut message = Message::updates(&head(from));
     message.record(record);
     message.bytes().to_vec()
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,11 +1,13 @@
 //! Bytes of messages between routers, and the digests of their names: a version that writes others cannot run
 //! beside the one before.
-use applepond_membership::message::{BUCKETS, Head, Message, Says, Word, Words, read};
+use applepond_membership::message::{
+    DIGEST_BUCKETS, Header, Message, MessageHandler, Opinion, Suspicion, read,
+};
 use applepond_membership::{InstanceId, MemberStatus, Record, RouterId};
 use std::net::SocketAddr;
 
-fn head() -> Head {
-    Head {
+fn head() -> Header {
+    Header {
         from: RouterId(0xaabb_ccdd_0011_2233),
         instance_id: InstanceId(987_654_321),
         incarnation: 300,
@@ -13,24 +15,24 @@
     }
 }
 
-fn record(standing: MemberStatus) -> Record {
+fn record(status: MemberStatus) -> Record {
     Record {
         name: "router-7".into(),
         zone: "zone-a".into(),
         address: "[fd00::7]:7946".parse().expect("an address"),
         instance_id: InstanceId(123_456_789),
         incarnation: 4,
-        standing,
+        status,
     }
 }
 
-fn word(says: Says) -> Word {
-    Word {
+fn word(says: Opinion) -> Suspicion {
+    Suspicion {
         subject: RouterId(77),
         instance_id: InstanceId(88),
         incarnation: 9,
         voter: RouterId(0xffee_ddcc_bbaa_9988),
-        stamp: 1_000_000,
+        sequence: 1_000_000,
         says,
     }
 }
@@ -39,25 +41,25 @@
 fn messages() -> Vec<Message> {
     let (head, other) = (head(), RouterId(70_000));
     let address = "10.9.8.7:1234".parse().expect("an address");
-    let parts: [u32; BUCKETS] = std::array::from_fn(|n| n as u32 * 65_537);
+    let parts: [u32; DIGEST_BUCKETS] = std::array::from_fn(|n| n as u32 * 65_537);
     let mut all = vec![
-        Message::beat(&head, Some(1_234_567), 0x0102_0304_0506_0708),
-        Message::beat(&head, None, 0),
-        Message::ask(&head, other),
-        Message::probe(&head, other),
-        Message::yes(&head, other),
-        Message::vouch(&head, other, InstanceId(5)),
-        Message::compare(&head, &parts),
-        Message::news(&head),
-        Message::refused(&head, InstanceId(5), address),
-        Message::taken(&head, address),
+        Message::heartbeat(&head, Some(1_234_567), 0x0102_0304_0506_0708),
+        Message::heartbeat(&head, None, 0),
+        Message::ping_request(&head, other),
+        Message::ping(&head, other),
+        Message::ack(&head, other),
+        Message::indirect_ack(&head, other, InstanceId(5)),
+        Message::sync_request(&head, &parts),
+        Message::updates(&head),
+        Message::name_conflict(&head, InstanceId(5), address),
+        Message::name_contested(&head, address),
     ];
-    let mut news = Message::news(&head);
-    for standing in [MemberStatus::Joining, MemberStatus::Alive, MemberStatus::Left, MemberStatus::Gone] {
-        assert!(news.record(&record(standing)));
+    let mut news = Message::updates(&head);
+    for status in [MemberStatus::Joining, MemberStatus::Alive, MemberStatus::Left, MemberStatus::Dead] {
+        assert!(news.record(&record(status)));
     }
-    for says in [Says::Withdrawn, Says::Silent, Says::Gone] {
-        assert!(news.word(&word(says)));
+    for says in [Opinion::Withdrawn, Opinion::Suspected, Opinion::Dead] {
+        assert!(news.suspicion(&word(says)));
     }
     all.push(news);
     all
@@ -65,37 +67,37 @@
 
 /// Writes again what is read.
 #[derive(Default)]
-struct Copies(Vec<Message>, Vec<Record>, Vec<Word>);
+struct Copies(Vec<Message>, Vec<Record>, Vec<Suspicion>);
 
-impl Words for Copies {
-    fn beat(&mut self, head: &Head, heard: Option<u64>, view: u64) {
-        self.0.push(Message::beat(head, heard, view));
+impl MessageHandler for Copies {
+    fn heartbeat(&mut self, head: &Header, heard: Option<u64>, view: u64) {
+        self.0.push(Message::heartbeat(head, heard, view));
     }
-    fn ask(&mut self, head: &Head, whom: RouterId) {
-        self.0.push(Message::ask(head, whom));
+    fn ping_request(&mut self, head: &Header, whom: RouterId) {
+        self.0.push(Message::ping_request(head, whom));
     }
-    fn probe(&mut self, head: &Head, asker: RouterId) {
-        self.0.push(Message::probe(head, asker));
+    fn ping(&mut self, head: &Header, asker: RouterId) {
+        self.0.push(Message::ping(head, asker));
     }
-    fn yes(&mut self, head: &Head, asker: RouterId) {
-        self.0.push(Message::yes(head, asker));
+    fn ack(&mut self, head: &Header, asker: RouterId) {
+        self.0.push(Message::ack(head, asker));
     }
-    fn vouch(&mut self, head: &Head, whom: RouterId, instance_id: InstanceId) {
-        self.0.push(Message::vouch(head, whom, instance_id));
+    fn indirect_ack(&mut self, head: &Header, whom: RouterId, instance_id: InstanceId) {
+        self.0.push(Message::indirect_ack(head, whom, instance_id));
     }
-    fn compare(&mut self, head: &Head, view: &[u32; BUCKETS]) {
-        self.0.push(Message::compare(head, view));
+    fn sync_request(&mut self, head: &Header, view: &[u32; DIGEST_BUCKETS]) {
+        self.0.push(Message::sync_request(head, view));
     }
-    fn refused(&mut self, head: &Head, instance_id: InstanceId, holder: SocketAddr) {
-        self.0.push(Message::refused(head, instance_id, holder));
+    fn name_conflict(&mut self, head: &Header, instance_id: InstanceId, holder: SocketAddr) {
+        self.0.push(Message::name_conflict(head, instance_id, holder));
     }
-    fn taken(&mut self, head: &Head, by: SocketAddr) {
-        self.0.push(Message::taken(head, by));
+    fn name_contested(&mut self, head: &Header, by: SocketAddr) {
+        self.0.push(Message::name_contested(head, by));
     }
-    fn record(&mut self, _: &Head, record: Record) {
+    fn record(&mut self, _: &Header, record: Record) {
         self.1.push(record);
     }
-    fn word(&mut self, _: &Head, word: Word) {
+    fn suspicion(&mut self, _: &Header, word: Suspicion) {
         self.2.push(word);
     }
 }
@@ -112,9 +114,9 @@
         let mut copies = Copies::default();
         assert_eq!(read(message.bytes(), &mut copies), Ok(()));
         // News has no call of its own.
-        let mut copy = copies.0.pop().unwrap_or_else(|| Message::news(&head()));
+        let mut copy = copies.0.pop().unwrap_or_else(|| Message::updates(&head()));
         assert!(copies.1.iter().all(|record| copy.record(record)));
-        assert!(copies.2.iter().all(|word| copy.word(word)));
+        assert!(copies.2.iter().all(|word| copy.suspicion(word)));
         assert_eq!(hex::encode(copy.bytes()), hex::encode(message.bytes()));
     }
 }
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Messages that are torn, bent or made up: a clear refusal, and nothing of them counts.
 mod common;
-use applepond_membership::message::{self, BUCKETS, Head, Message, Words};
+use applepond_membership::message::{self, DIGEST_BUCKETS, Header, Message, MessageHandler};
 use applepond_membership::*;
 use common::*;
 use proptest::prelude::*;
@@ -10,35 +10,35 @@
 #[derive(Default)]
 struct Count(usize);
 
-impl Words for Count {
-    fn beat(&mut self, _: &Head, _: Option<u64>, _: u64) {
+impl MessageHandler for Count {
+    fn heartbeat(&mut self, _: &Header, _: Option<u64>, _: u64) {
         self.0 += 1;
     }
-    fn ask(&mut self, _: &Head, _: RouterId) {
+    fn ping_request(&mut self, _: &Header, _: RouterId) {
         self.0 += 1;
     }
-    fn probe(&mut self, _: &Head, _: RouterId) {
+    fn ping(&mut self, _: &Header, _: RouterId) {
         self.0 += 1;
     }
-    fn yes(&mut self, _: &Head, _: RouterId) {
+    fn ack(&mut self, _: &Header, _: RouterId) {
         self.0 += 1;
     }
-    fn vouch(&mut self, _: &Head, _: RouterId, _: InstanceId) {
+    fn indirect_ack(&mut self, _: &Header, _: RouterId, _: InstanceId) {
         self.0 += 1;
     }
-    fn compare(&mut self, _: &Head, _: &[u32; BUCKETS]) {
+    fn sync_request(&mut self, _: &Header, _: &[u32; DIGEST_BUCKETS]) {
         self.0 += 1;
     }
-    fn refused(&mut self, _: &Head, _: InstanceId, _: SocketAddr) {
+    fn name_conflict(&mut self, _: &Header, _: InstanceId, _: SocketAddr) {
         self.0 += 1;
     }
-    fn taken(&mut self, _: &Head, _: SocketAddr) {
+    fn name_contested(&mut self, _: &Header, _: SocketAddr) {
         self.0 += 1;
     }
-    fn record(&mut self, _: &Head, _: Record) {
+    fn record(&mut self, _: &Header, _: Record) {
         self.0 += 1;
     }
-    fn word(&mut self, _: &Head, _: message::Word) {
+    fn suspicion(&mut self, _: &Header, _: message::Suspicion) {
         self.0 += 1;
     }
 }
@@ -51,29 +51,29 @@
         address,
         instance_id: InstanceId(7),
         incarnation: 9,
-        standing: MemberStatus::Alive,
+        status: MemberStatus::Alive,
     }
 }
 
 /// One of each kind, with two records behind.
 fn messages() -> Vec<Vec<u8>> {
     let (own, other) = (record(1), RouterId::named("r2"));
-    let head = Head {
+    let head = Header {
         from: RouterId::named("r1"),
         instance_id: own.instance_id,
         incarnation: 9,
         address: own.address,
     };
     let all = [
-        Message::beat(&head, Some(5), 77),
-        Message::ask(&head, other),
-        Message::probe(&head, other),
-        Message::yes(&head, other),
-        Message::vouch(&head, other, InstanceId(3)),
-        Message::compare(&head, &[3; BUCKETS]),
-        Message::news(&head),
-        Message::refused(&head, InstanceId(1), address(3)),
-        Message::taken(&head, address(3)),
+        Message::heartbeat(&head, Some(5), 77),
+        Message::ping_request(&head, other),
+        Message::ping(&head, other),
+        Message::ack(&head, other),
+        Message::indirect_ack(&head, other, InstanceId(3)),
+        Message::sync_request(&head, &[3; DIGEST_BUCKETS]),
+        Message::updates(&head),
+        Message::name_conflict(&head, InstanceId(1), address(3)),
+        Message::name_contested(&head, address(3)),
     ];
     let whole = |mut message: Message| {
         assert!(message.record(&record(4)) && message.record(&record(5)));
@@ -100,25 +100,25 @@
 
 #[test]
 fn names_are_looked_at() {
-    for bad in ["", "a b", "tab\t", &"x".repeat(NAME_MOST + 1)] {
+    for bad in ["", "a b", "tab\t", &"x".repeat(MAX_NAME_BYTES + 1)] {
         let message = news(&record(1), &Record { name: bad.to_owned(), ..record(2) });
         let mut said = Count::default();
-        assert_eq!((message::read(&message, &mut said), said.0), (Err(Trouble::Name), 0), "{bad:?}");
+        assert_eq!((message::read(&message, &mut said), said.0), (Err(MessageError::Name), 0), "{bad:?}");
     }
 }
 
 #[test]
 fn a_message_has_a_most() {
     let own = record(1);
-    let head = Head {
+    let head = Header {
         from: RouterId::named("r1"),
         instance_id: own.instance_id,
         incarnation: 9,
         address: own.address,
     };
-    let mut message = Message::news(&head);
+    let mut message = Message::updates(&head);
     let fit = (0..1_000).take_while(|n| message.record(&record(*n))).count();
-    assert!(fit > 10 && message.bytes().len() <= MESSAGE_MOST);
+    assert!(fit > 10 && message.bytes().len() <= MAX_MESSAGE_BYTES);
 }
 
 proptest! {
--- a/crates/membership/tests/paper.rs
+++ b/crates/membership/tests/paper.rs
@@ -12,7 +12,7 @@
         let mut paper = SimulatedNetwork::fleet(seed, FLEET, lossy(0.02));
         paper.kill(7);
         assert!(paper.until(6 * S, |p| p.one_view(FLEET - 1)), "seed {seed}");
-        assert!((0..FLEET).filter(|n| *n != 7).all(|n| paper.shown(n, Shown::Gone) == ["r7"]));
+        assert!((0..FLEET).filter(|n| *n != 7).all(|n| paper.shown(n, ObservedStatus::Dead) == ["r7"]));
     }
 }
 
@@ -41,7 +41,7 @@
 #[test_case(20, true)]
 fn stopped(seconds: u64, removed: bool) {
     let mut paper = SimulatedNetwork::fleet(3, FLEET, lossy(0.02));
-    let before = paper.members(4).me().incarnation;
+    let before = paper.members(4).local_record().incarnation;
     paper.stop(4, seconds * S);
     paper.pass(seconds * S - S / 10);
     let count: Vec<usize> = (0..FLEET).filter(|n| *n != 4).map(|n| paper.live(n)).collect();
@@ -49,10 +49,16 @@
     assert!(paper.until(5 * S, |p| p.one_view(FLEET)));
     paper.pass(10 * S);
     let accused = |c: &&(u64, Change)| {
-        matches!(&c.1, Change::Shown { is: Shown::Suspected | Shown::Unreachable | Shown::Gone, .. })
+        matches!(
+            &c.1,
+            Change::StatusChanged {
+                current: ObservedStatus::Suspected | ObservedStatus::Unreachable | ObservedStatus::Dead,
+                ..
+            }
+        )
     };
     assert_eq!(paper.changes(4).filter(accused).count(), 0, "it accuses nobody");
-    let returned = paper.changes(4).any(|(_, c)| matches!(c, Change::Returned(i) if *i > before));
+    let returned = paper.changes(4).any(|(_, c)| matches!(c, Change::Rejoined(i) if *i > before));
     assert_eq!(returned, removed);
 }
 
@@ -65,9 +71,10 @@
     paper.pass(5 * S - S / 10);
     paper.link = lossy(0.0);
     paper.pass(S / 2);
-    let accused = |c: &&(u64, Change)| matches!(&c.1, Change::Shown { is: Shown::Suspected, .. });
+    let accused =
+        |c: &&(u64, Change)| matches!(&c.1, Change::StatusChanged { current: ObservedStatus::Suspected, .. });
     assert_eq!(paper.changes(4).filter(accused).count(), 0, "it accuses nobody");
-    assert!(paper.changes(4).any(|(_, c)| matches!(c, Change::StoodStill(time) if *time > 4 * S)));
+    assert!(paper.changes(4).any(|(_, c)| matches!(c, Change::ProcessStalled(time) if *time > 4 * S)));
     assert!(paper.until(5 * S, |p| p.one_view(FLEET)));
 }
 
@@ -86,10 +93,10 @@
     }));
     paper.pass(S);
     paper.bend = None;
-    let lie = lie(paper.members(1).me(), paper.members(2).me(), 1);
+    let lie = lie(paper.members(1).local_record(), paper.members(2).local_record(), 1);
     paper.tell(2, &lie);
     paper.pass(S);
-    assert!(paper.members(2).me().incarnation > 3 && paper.one_view(6));
+    assert!(paper.members(2).local_record().incarnation > 3 && paper.one_view(6));
     paper.kill(2);
     let old = kept.borrow().first().expect("it beats").clone();
     for _ in 0..30 {
@@ -120,10 +127,10 @@
     paper.start(5, "r5", address(5), &[0, 1]);
     paper.start(6, "r6", address(6), &[6]);
     paper.pass(20 * S);
-    assert_eq!(paper.members(5).me().standing, MemberStatus::Joining, "every seed is dead");
-    assert_eq!(paper.members(6).me().standing, MemberStatus::Alive, "its seeds name only itself");
+    assert_eq!(paper.members(5).local_record().status, MemberStatus::Joining, "every seed is dead");
+    assert_eq!(paper.members(6).local_record().status, MemberStatus::Alive, "its seeds name only itself");
     paper.start(0, "r0", address(0), &[0, 1]);
-    assert!(paper.until(5 * S, |p| p.members(5).live() == 2 && p.members(0).live() == 2));
+    assert!(paper.until(5 * S, |p| p.members(5).live_count() == 2 && p.members(0).live_count() == 2));
 }
 
 // Two under one name: the later one is refused, and both are told.
@@ -132,10 +139,10 @@
     let mut paper = SimulatedNetwork::fleet(4, 6, lossy(0.02));
     paper.start(9, "r3", address(9), &[0, 1]);
     paper.pass(10 * S);
-    assert!(paper.members(9).is_refused() && !paper.members(3).is_refused());
+    assert!(paper.members(9).has_lost_name() && !paper.members(3).has_lost_name());
     let told = |n: usize, what: fn(&Change) -> bool| paper.changes(n).any(|(_, c)| what(c));
-    assert!(told(9, |c| matches!(c, Change::Refused { .. })));
-    assert!(told(3, |c| matches!(c, Change::Taken { .. })));
+    assert!(told(9, |c| matches!(c, Change::NameLost { .. })));
+    assert!(told(3, |c| matches!(c, Change::NameContested { .. })));
     assert!((0..6).all(|n| paper.live(n) == 6));
 }
 
@@ -144,13 +151,13 @@
 #[test]
 fn restart_after_the_clock_went_back() {
     let mut paper = SimulatedNetwork::fleet(5, 8, lossy(0.02));
-    let before = paper.members(2).me().incarnation;
+    let before = paper.members(2).local_record().incarnation;
     paper.kill(2);
     paper.clock_back = 90;
     paper.start(2, "r2", address(2), &[0, 1]);
-    assert!(paper.members(2).me().incarnation < before);
+    assert!(paper.members(2).local_record().incarnation < before);
     assert!(paper.until(10 * S, |p| p.one_view(8)));
-    assert!(paper.members(2).me().incarnation > before);
+    assert!(paper.members(2).local_record().incarnation > before);
 }
 
 // Restarted at once under its name and address; the old process' messages come after it.
@@ -171,7 +178,7 @@
     paper.pass(300 * MS);
     paper.start(2, "r2", address(2), &[0, 1]);
     assert!(paper.until(5 * S, |p| p.one_view(8)));
-    let instance_id = paper.members(2).me().instance_id;
+    let instance_id = paper.members(2).local_record().instance_id;
     let changes = |p: &SimulatedNetwork| (0..8).map(|n| p.changes(n).count()).sum::<usize>();
     let before = changes(&paper);
     for message in late.borrow().iter() {
@@ -179,7 +186,7 @@
     }
     paper.pass(5 * S);
     assert!(paper.one_view(8) && changes(&paper) == before);
-    assert!(paper.members(0).seen().any(|s| s.record.instance_id == instance_id));
+    assert!(paper.members(0).members().any(|s| s.record.instance_id == instance_id));
 }
 
 // The process that was replaced while it stood still gives way when it wakes.
@@ -190,9 +197,9 @@
     paper.pass(S);
     paper.start(12, "r2", address(12), &[0, 1]);
     paper.pass(20 * S);
-    assert_eq!(paper.members(12).me().standing, MemberStatus::Alive);
+    assert_eq!(paper.members(12).local_record().status, MemberStatus::Alive);
     paper.pass(15 * S);
-    assert!(paper.members(2).is_refused());
+    assert!(paper.members(2).has_lost_name());
     assert!((0..8).filter(|n| *n != 2).all(|n| paper.live(n) == 8));
 }
 
@@ -220,7 +227,8 @@
     paper.pass(10 * S);
     let count = |p: &SimulatedNetwork| (0..FLEET).filter(|n| *n != 4).map(|n| p.live(n)).collect::<Vec<_>>();
     assert_eq!(count(&paper), vec![live; FLEET - 1]);
-    let accused = |c: &&(u64, Change)| matches!(&c.1, Change::Shown { is: Shown::Suspected, .. });
+    let accused =
+        |c: &&(u64, Change)| matches!(&c.1, Change::StatusChanged { current: ObservedStatus::Suspected, .. });
     assert_eq!(paper.changes(4).filter(accused).count(), 0, "who hears nobody accuses nobody");
     let changes: usize = (0..FLEET).map(|n| paper.changes(n).count()).sum();
     paper.pass(60 * S);
@@ -236,10 +244,11 @@
     let mut paper =
         SimulatedNetwork::fleet(8, 6, Box::new(|_, a, b, _| (!(a == 0 && b == 1)).then_some(300)));
     paper.pass(10 * S);
-    let lame =
-        |n: usize, of: &str| paper.members(n).seen().find(|s| s.record.name == of).and_then(|s| s.lame);
-    assert_eq!((lame(0, "r1"), lame(1, "r0")), (Some(Lame::Out), Some(Lame::In)));
-    assert_eq!(paper.shown(1, Shown::Unreachable), ["r0"]);
+    let link_fault = |n: usize, of: &str| {
+        paper.members(n).members().find(|s| s.record.name == of).and_then(|s| s.link_fault)
+    };
+    assert_eq!((link_fault(0, "r1"), link_fault(1, "r0")), (Some(LinkFault::Out), Some(LinkFault::In)));
+    assert_eq!(paper.shown(1, ObservedStatus::Unreachable), ["r0"]);
 }
 
 // Each half goes on by itself; after the cut there is one view again within five seconds.
@@ -264,12 +273,12 @@
 fn a_liar_removes_nobody() {
     let mut paper = SimulatedNetwork::fleet(10, FLEET, lossy(0.1));
     // It says of everybody else that they are gone, as often as it says anything.
-    let views: Vec<Seen> = paper.members(3).seen().collect();
-    let me = paper.members(3).me().clone();
+    let views: Vec<MemberView> = paper.members(3).members().collect();
+    let me = paper.members(3).local_record().clone();
     let mut lies: Vec<Vec<u8>> = views.iter().map(|s| lie(&me, &s.record, u64::MAX / 2)).collect();
-    let gone = |s: &Seen| {
+    let gone = |s: &MemberView| {
         let incarnation = s.record.incarnation + 5;
-        news(&me, &Record { standing: MemberStatus::Gone, incarnation, ..s.record.clone() })
+        news(&me, &Record { status: MemberStatus::Dead, incarnation, ..s.record.clone() })
     };
     lies.extend(views.iter().skip(1).map(gone));
     paper.bend = Some(Box::new(move |from, message| {
@@ -287,20 +296,20 @@
 #[test_case(None, 1; "as in service")]
 #[test_case(Some("old-incarnation"), 0; "with the guard taken out")]
 fn a_lone_voice_is_refuted(without: Option<&str>, raised: u64) {
-    let guards = without.and_then(Guards::without).unwrap_or(Guards::ALL);
+    let guards = without.and_then(Safeguards::without).unwrap_or(Safeguards::ALL);
     let mut paper = SimulatedNetwork::fleet_with(18, 5, lossy(0.0), guards);
-    let (one, two) = (paper.members(1).me().clone(), paper.members(2).me().clone());
+    let (one, two) = (paper.members(1).local_record().clone(), paper.members(2).local_record().clone());
     paper.pass(S);
     paper.tell(2, &lie(&one, &two, 7));
-    paper.tell(2, &news(&one, &Record { standing: MemberStatus::Gone, ..two.clone() }));
-    assert_eq!(paper.members(2).me().incarnation, two.incarnation + raised);
+    paper.tell(2, &news(&one, &Record { status: MemberStatus::Dead, ..two.clone() }));
+    assert_eq!(paper.members(2).local_record().incarnation, two.incarnation + raised);
 }
 
 // The highest numbers there are, from a peer that holds the key: no panic.
 #[test]
 fn highest_numbers() {
     let mut paper = SimulatedNetwork::fleet(17, 5, lossy(0.0));
-    let (one, two) = (paper.members(1).me().clone(), paper.members(2).me().clone());
+    let (one, two) = (paper.members(1).local_record().clone(), paper.members(2).local_record().clone());
     let messages = [
         lie(&one, &two, u64::MAX),
         lie(&two, &one, u64::MAX),
@@ -343,7 +352,7 @@
     paper.pass(100 * MS);
     paper.kill(5);
     assert!(paper.until(S, |p| p.one_view(FLEET - 1)));
-    assert!((0..FLEET).filter(|n| *n != 5).all(|n| paper.shown(n, Shown::Left) == ["r5"]));
+    assert!((0..FLEET).filter(|n| *n != 5).all(|n| paper.shown(n, ObservedStatus::Left) == ["r5"]));
 }
 
 // Half of the fleet at once, and back at once: those that watch each other are not needed to tell.
@@ -360,10 +369,10 @@
 #[test]
 fn old_gossip_brings_nobody_back() {
     let mut paper = SimulatedNetwork::fleet(15, 6, lossy(0.0));
-    let record = paper.members(2).me().clone();
+    let record = paper.members(2).local_record().clone();
     paper.kill(2);
     assert!(paper.until(6 * S, |p| p.one_view(5)));
-    let old = news(paper.members(1).me(), &record);
+    let old = news(paper.members(1).local_record(), &record);
     paper.tell(0, &old);
     paper.pass(2 * S);
     assert!(paper.one_view(5));
--- a/crates/membership/tests/parts.rs
+++ b/crates/membership/tests/parts.rs
@@ -2,7 +2,7 @@
 
 mod count {
     use applepond::interface::Micros;
-    use applepond_membership::Count;
+    use applepond_membership::DampedCount;
     use test_case::test_case;
 
     const S: Micros = 1_000_000;
@@ -10,8 +10,8 @@
     #[test_case(25, 25; "more")]
     #[test_case(6, 20; "most are gone, for a minute")]
     fn parts(live: usize, want: usize) {
-        let mut count = Count::new(20);
-        let all: Vec<usize> = (0..60).map(|s| count.parts(s * S, live, 20)).collect();
+        let mut count = DampedCount::new(20);
+        let all: Vec<usize> = (0..60).map(|s| count.share_count(s * S, live, 20)).collect();
         assert!(all.iter().all(|parts| *parts == want), "{all:?}");
     }
 
@@ -24,9 +24,9 @@
     #[test_case(&[(0, 9, 20), (5, 12, 12)]; "some of them are back")]
     #[test_case(&[(0, 0, 20), (40, 0, 1)]; "never below one")]
     fn counts(looks: &[(Micros, usize, usize)]) {
-        let mut count = Count::new(20);
+        let mut count = DampedCount::new(20);
         for (at, live, told) in looks {
-            assert_eq!(count.look(at * S, *live), *told, "at {at} s");
+            assert_eq!(count.observe(at * S, *live), *told, "at {at} s");
         }
     }
 }
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -125,7 +125,7 @@
 
 impl Actions for Out {
     fn send(&mut self, to: RouterId, message: Vec<u8>) {
-        assert!(message.len() <= applepond_membership::MESSAGE_MOST, "{} bytes", message.len());
+        assert!(message.len() <= applepond_membership::MAX_MESSAGE_BYTES, "{} bytes", message.len());
         self.0.push((to, message));
     }
 }
--- a/crates/scenarios/src/members.rs
+++ b/crates/scenarios/src/members.rs
@@ -224,7 +224,7 @@
         self.watch("one-way", Duration::from_secs(8), &[]);
         // Between neighbours the link is named at both its ends.
         let all = self.look("one-way", &[]);
-        for (a, b) in lame.into_iter().filter(|(a, b)| rings.beside(id(*b)).contains(&id(*a))) {
+        for (a, b) in lame.into_iter().filter(|(a, b)| rings.neighbours_of(id(*b)).contains(&id(*a))) {
             let says = |at: usize, of: usize| {
                 all[at].as_ref().and_then(|v| row(v, of)).map(|m| m["lame"].clone()).unwrap_or_default()
             };
@@ -249,7 +249,7 @@
     fn one_voice(&mut self) -> Result<(), Unplayed> {
         let (rings, many) = (self.rings(), self.ports.len());
         let id = |n: usize| RouterId::named(&format!("r{n}"));
-        let beside = |n: usize, of: usize| rings.beside(id(of)).contains(&id(n));
+        let beside = |n: usize, of: usize| rings.neighbours_of(id(of)).contains(&id(n));
         let found = (0..many * many * many).map(|x| (x % many, x / many % many, x / many / many)).find(
             |(deluded, late, heard)| {
                 let apart = deluded != late && late != heard && heard != deluded;
@@ -284,7 +284,7 @@
             self.links.faults().cut.extend(ports.iter().map(|p| (*p, ports[stopped])));
             self.watch("stop", Duration::from_millis(time - 300), &[]);
             // Three neighbours are heard again before it wakes, the others just after it.
-            let beside = self.rings().beside(RouterId::named(&format!("r{stopped}")));
+            let beside = self.rings().neighbours_of(RouterId::named(&format!("r{stopped}")));
             let heard = (0..ports.len()).filter(|n| beside.contains(&RouterId::named(&format!("r{n}"))));
             for n in heard.take(3) {
                 self.links.faults().cut.remove(&(ports[n], ports[stopped]));
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -5,7 +5,7 @@
 use applepond_gateway::deployment::{
     FleetRow, FunctionBy, FunctionRow, NamedWorker, OpeningsRow, WorkloadNames,
 };
-use applepond_membership::NAME_MOST;
+use applepond_membership::MAX_NAME_BYTES;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -295,12 +295,12 @@
 /// A name or a zone of a router: what others read of it in their own logs.
 fn nameable(part: &Part<'_>, key: &str) -> Option<String> {
     let text = part.text(key, None)?;
-    let good = applepond_membership::message::nameable(&text);
+    let good = applepond_membership::message::is_valid_name(&text);
     if !good {
         part.fault(
             &part.place_of(key),
             format!("{key} = {text:?}"),
-            format!("1 to {NAME_MOST} printed characters, no blanks"),
+            format!("1 to {MAX_NAME_BYTES} printed characters, no blanks"),
         );
     }
     good.then_some(text)
