--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -11,7 +11,7 @@
 use applepond_membership::{InstanceId, RouterId};
 use applepond_prefix_cache::Terms;
 use applepond_reactor::Micros;
-use applepond_recovery::Memory;
+use applepond_recovery::ObservationStore;
 use clap::Subcommand;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -117,9 +117,9 @@
         match plant? {
             "no-peers" => Some(Return { alone: true, ..all }),
             "forgets-drains" => Some(Return { keeps_drains: false, ..all }),
-            "empty-is-zero" => Some(Return { guards: Guards { empty_is_said: false, ..Guards::ALL }, ..all }),
+            "empty-is-zero" => Some(Return { guards: Guards { reports_empty: false, ..Guards::ALL }, ..all }),
             "all-ask-one" => {
-                let guards = Guards { by_chance: false, spreads: false, ..Guards::ALL };
+                let guards = Guards { random_peers: false, spreads_retries: false, ..Guards::ALL };
                 Some(Return { guards, ..all })
             }
             _ => None,
@@ -166,36 +166,36 @@
 }
 
 /// The memory of a router as its gateway uses it.
-pub struct Shelf(pub Rc<RefCell<Memory>>, pub Return);
+pub struct Shelf(pub Rc<RefCell<ObservationStore>>, pub Return);
 
 impl Remembers for Shelf {
     fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
-        self.0.borrow_mut().saw(now, server, up_since, seen);
+        self.0.borrow_mut().record_worker(now, server, up_since, seen);
     }
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
-        self.0.borrow_mut().saw_load_time(now, function, took);
+        self.0.borrow_mut().record_load_time(now, function, took);
     }
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
-        self.0.borrow_mut().saw_usual(now, usual);
+        self.0.borrow_mut().record_baseline(now, usual);
     }
     fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, request, wait);
+        self.0.borrow_mut().record_scheduled_retry(now, request, wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
-        self.0.borrow_mut().own(now)
+    fn own(&mut self, now: Micros) -> Option<applepond_recovery::RouterHistory> {
+        self.0.borrow_mut().take_router_history(now)
     }
     fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
-        self.0.borrow_mut().recalls(now)
+        self.0.borrow_mut().pending_worker_history(now)
     }
     fn recalled(&mut self, server: WorkerId, up_since: Micros) {
-        self.0.borrow_mut().recalled(server, up_since);
+        self.0.borrow_mut().mark_restored(server, up_since);
     }
     fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
-        let made = self.0.borrow_mut().listed(now, server, up_since, is);
+        let made = self.0.borrow_mut().apply_listed_status(now, server, up_since, is);
         if self.1.keeps_drains { made } else { is }
     }
     fn whole(&mut self, named: &[(WorkerId, Micros)]) {
-        self.0.borrow_mut().whole(named);
+        self.0.borrow_mut().apply_complete_list(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
         self.0.borrow().load_time(now, function)
@@ -209,12 +209,12 @@
     row: &FleetRow,
     now: Micros,
     rig: &Rig,
-) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<Memory>>), NotTaken> {
+) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<ObservationStore>>), NotTaken> {
     let random = || getrandom::u64().map_err(|e| NotTaken::NoRandom(e.to_string()));
     let (seed, fresh) = (random()?, InstanceId(random()?));
     let who = (row.name.clone(), row.zone.clone(), row.listen);
     let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
-    let memory = Rc::new(RefCell::new(Memory::default()));
+    let memory = Rc::new(RefCell::new(ObservationStore::default()));
     let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.me().instance_id);
     let desk = Threads::new(me, (founding(row), fresh), row.votes.clone(), row.snapshot.clone(), rig.disk);
     let place = Place {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,7 +6,7 @@
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
 use applepond_scenarios::saboteur::{PLANTS, Saboteur};
-use applepond_storage::Disk;
+use applepond_storage::DiskStore;
 use clap::ValueEnum;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -118,7 +118,7 @@
         d.chains.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
     };
     let record = match &deployment.record {
-        Some(file) => match Disk::open(file) {
+        Some(file) => match DiskStore::open(file) {
             Ok(disk) => Some(Box::new(disk)),
             Err(why) => {
                 crate::told("the record of chains cannot be used: ", &why);
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -13,10 +13,10 @@
     ) {
         all.extend(each.into_iter().map(|e| (package, Box::new(e) as Box<dyn Diagnostic>)));
     }
-    put(&mut all, "consensus", applepond_consensus::Standstill::each());
-    put(&mut all, "consensus", vec![applepond_consensus::message::Unread]);
-    put(&mut all, "recovery", applepond_recovery::Unusable::EACH.to_vec());
-    put(&mut all, "recovery", vec![applepond_recovery::Unread]);
+    put(&mut all, "consensus", applepond_consensus::Unavailable::each());
+    put(&mut all, "consensus", vec![applepond_consensus::message::MalformedMessage]);
+    put(&mut all, "recovery", applepond_recovery::SnapshotError::EACH.to_vec());
+    put(&mut all, "recovery", vec![applepond_recovery::MalformedMessage]);
     put(&mut all, "scenarios", applepond_scenarios::fault::Unplayed::each());
     put(&mut all, "fleet", applepond_fleet::NoView::each());
     put(&mut all, "gateway", applepond_gateway::fault::Unlisted::each());
@@ -24,7 +24,7 @@
     put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
     put(&mut all, "platform", applepond_platform::fault::Unfit::each());
     put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
-    put(&mut all, "storage", applepond_storage::StoreFault::each());
+    put(&mut all, "storage", applepond_storage::StorageError::each());
     put(&mut all, "gossip", applepond_gossip::Refused::EACH.to_vec());
     put(&mut all, "gossip", applepond_gossip::Unread::EACH.to_vec());
     all
--- a/crates/consensus/src/convener.rs
+++ b/crates/consensus/src/convener.rs
@@ -10,88 +10,88 @@
 
 /// A keeper: the router, and the disk that holds its vote. A disk that is new is another keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seat {
-    pub name: RouterId,
+pub struct ReplicaId {
+    pub router: RouterId,
     pub disk: InstanceId,
 }
 
 /// What is agreed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Agreed<V> {
+pub struct RegisterState<V> {
     /// Drawn when it was founded: numbers of another line say nothing here.
-    pub line: InstanceId,
+    pub register_id: InstanceId,
     /// Rises with each value that is written.
-    pub number: u64,
-    pub keepers: Vec<Seat>,
+    pub version: u64,
+    pub replicas: Vec<ReplicaId>,
     /// Those before, while they change; else none.
-    pub before: Vec<Seat>,
+    pub previous_replicas: Vec<ReplicaId>,
     pub value: V,
 }
 
-impl<V> Agreed<V> {
+impl<V> RegisterState<V> {
     /// The sets of which most have to answer where this is the latest.
-    fn sets(&self) -> impl Iterator<Item = &Vec<Seat>> {
-        [&self.keepers, &self.before].into_iter().filter(|s| !s.is_empty())
+    fn sets(&self) -> impl Iterator<Item = &Vec<ReplicaId>> {
+        [&self.replicas, &self.previous_replicas].into_iter().filter(|s| !s.is_empty())
     }
 }
 
 /// Questions to keepers; `word` is the highest ballot that this process has heard of a disk of theirs.
-pub trait Questions<V> {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>);
+pub trait ReplicaRequests<V> {
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>);
     fn accept(
         &mut self,
         to: RouterId,
         ballot: Ballot,
-        agreed: &Agreed<V>,
+        agreed: &RegisterState<V>,
         word: Option<(InstanceId, Ballot)>,
     );
 }
 
 /// What has come of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard<V> {
+pub enum RoundOutcome<V> {
     /// Most of those who keep it have promised: this is the value, and who has answered.
-    Read(Agreed<V>, Vec<Seat>),
+    Read(RegisterState<V>, Vec<ReplicaId>),
     /// All that the settings name have answered, and none has ever accepted anything: it may be founded.
-    Empty(Vec<Seat>),
+    Uninitialized(Vec<ReplicaId>),
     /// Most keepers have accepted it: it is in every later value's past.
-    Written(Agreed<V>),
+    Committed(RegisterState<V>),
     /// Its disk holds less than it has said before, as from a copy of old. It does not count any more here.
-    Older(Seat),
+    StaleReplica(ReplicaId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Doing<V> {
-    Nothing,
-    Waiting,
+enum Phase<V> {
+    Idle,
+    Backoff,
     /// Who has promised, with which disk, and the latest that any of them has accepted.
-    Reading {
+    Preparing {
         heard: BTreeMap<RouterId, InstanceId>,
-        latest: Option<(Ballot, Agreed<V>)>,
+        latest: Option<(Ballot, RegisterState<V>)>,
         asked: BTreeSet<RouterId>,
     },
     /// Read; the sets of which most have to accept what is next, or all: what was founded may have been taken
     /// by some only.
-    Read(Vec<Vec<Seat>>, bool),
-    Writing {
-        agreed: Agreed<V>,
-        sets: Vec<Vec<Seat>>,
+    Prepared(Vec<Vec<ReplicaId>>, bool),
+    Accepting {
+        agreed: RegisterState<V>,
+        sets: Vec<Vec<ReplicaId>>,
         /// All of them, not most: it is founded, and whoever is left later has to know of it.
         all: bool,
-        heard: BTreeSet<Seat>,
+        heard: BTreeSet<ReplicaId>,
     },
 }
 
 #[derive(Clone, Debug)]
-pub struct Convener<V> {
+pub struct ReconfigurableProposer<V> {
     named: Vec<RouterId>,
     ballot: Ballot,
-    doing: Doing<V>,
+    doing: Phase<V>,
     until: Micros,
     tries: u32,
     /// The highest ballot that each disk has said it promised.
-    words: BTreeMap<Seat, Ballot>,
-    older: BTreeSet<Seat>,
+    words: BTreeMap<ReplicaId, Ballot>,
+    older: BTreeSet<ReplicaId>,
     rng: Rand64,
     guards: Guards,
 }
@@ -100,27 +100,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     /// A value is founded only where all have answered and are empty.
-    pub all_found: bool,
+    pub bootstrap_reads_all: bool,
     /// What is founded is taken by all of them.
-    pub all_take: bool,
+    pub bootstrap_writes_all: bool,
     /// While keepers change, most of both sets have to answer.
-    pub both_sets: bool,
+    pub joint_quorums: bool,
     /// A disk that is new is another keeper.
-    pub disks: bool,
+    pub disk_identity: bool,
 }
 
 impl Guards {
-    pub const ALL: Guards = Guards { all_found: true, all_take: true, both_sets: true, disks: true };
+    pub const ALL: Guards = Guards {
+        bootstrap_reads_all: true,
+        bootstrap_writes_all: true,
+        joint_quorums: true,
+        disk_identity: true,
+    };
 }
 
-impl<V: Clone> Convener<V> {
+impl<V: Clone> ReconfigurableProposer<V> {
     /// `birth` is this process' own, drawn at its start; `named` are the keepers by the settings, which is
     /// whom it asks first, and nothing more.
     pub fn new(instance_id: InstanceId, named: &[RouterId], seed: u64) -> Self {
-        Convener {
+        ReconfigurableProposer {
             named: named.to_vec(),
             ballot: Ballot::first(instance_id),
-            doing: Doing::Nothing,
+            doing: Phase::Idle,
             until: Micros::MAX,
             tries: 0,
             words: BTreeMap::new(),
@@ -135,40 +140,40 @@
         self
     }
 
-    pub fn rename(&mut self, named: &[RouterId]) {
+    pub fn set_configured_replicas(&mut self, named: &[RouterId]) {
         self.named = named.to_vec();
     }
 
     pub fn is_idle(&self) -> bool {
-        matches!(self.doing, Doing::Nothing)
+        matches!(self.doing, Phase::Idle)
     }
 
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    pub fn next(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         self.until
     }
 
     /// Whether an answer under this ballot can still change anything.
     pub fn awaits(&self, ballot: Ballot) -> bool {
-        ballot == self.ballot && matches!(self.doing, Doing::Reading { .. } | Doing::Writing { .. })
+        ballot == self.ballot && matches!(self.doing, Phase::Preparing { .. } | Phase::Accepting { .. })
     }
 
     /// Who has answered the try under way.
-    pub fn answered(&self) -> Vec<RouterId> {
+    pub fn responders(&self) -> Vec<RouterId> {
         match &self.doing {
-            Doing::Reading { heard, .. } => heard.keys().copied().collect(),
-            Doing::Writing { heard, .. } => heard.iter().map(|s| s.name).collect(),
+            Phase::Preparing { heard, .. } => heard.keys().copied().collect(),
+            Phase::Accepting { heard, .. } => heard.iter().map(|s| s.router).collect(),
             _ => Vec::new(),
         }
     }
 
     /// Of the set of keepers that has lost most: how many have answered with another disk, and of how many.
-    pub fn lost(&self) -> Option<(usize, usize)> {
-        let Doing::Reading { heard, latest: Some((_, agreed)), .. } = &self.doing else { return None };
-        let gone = |s: &&Seat| heard.get(&s.name).is_some_and(|disk| *disk != s.disk);
+    pub fn lost_replicas(&self) -> Option<(usize, usize)> {
+        let Phase::Preparing { heard, latest: Some((_, agreed)), .. } = &self.doing else { return None };
+        let gone = |s: &&ReplicaId| heard.get(&s.router).is_some_and(|disk| *disk != s.disk);
         agreed.sets().map(|set| (set.iter().filter(gone).count(), set.len())).max()
     }
 
@@ -181,51 +186,51 @@
     }
 
     fn word(&self, name: RouterId) -> Option<(InstanceId, Ballot)> {
-        let of = self.words.iter().filter(|(seat, _)| seat.name == name);
+        let of = self.words.iter().filter(|(seat, _)| seat.router == name);
         of.max_by_key(|(_, ballot)| **ballot).map(|(seat, ballot)| (seat.disk, *ballot))
     }
 
     /// Reads the value under a new ballot; what was under way is given up, and may yet be written.
-    pub fn read(&mut self, now: Micros, orders: &mut dyn Questions<V>) {
+    pub fn prepare(&mut self, now: Micros, orders: &mut dyn ReplicaRequests<V>) {
         self.ballot.round += 1;
-        self.until = now + PATIENCE;
+        self.until = now + RESPONSE_TIMEOUT;
         let asked: BTreeSet<RouterId> = self.named.iter().copied().collect();
         for name in &asked {
-            orders.promise(*name, self.ballot, self.word(*name));
+            orders.prepare(*name, self.ballot, self.word(*name));
         }
-        self.doing = Doing::Reading { heard: BTreeMap::new(), latest: None, asked };
+        self.doing = Phase::Preparing { heard: BTreeMap::new(), latest: None, asked };
     }
 
     /// Has this written in place of what was just read or founded. Without that nothing happens.
-    pub fn write(&mut self, now: Micros, agreed: Agreed<V>, orders: &mut dyn Questions<V>) {
-        let Doing::Read(read, first) = &mut self.doing else { return };
+    pub fn propose(&mut self, now: Micros, agreed: RegisterState<V>, orders: &mut dyn ReplicaRequests<V>) {
+        let Phase::Prepared(read, first) = &mut self.doing else { return };
         let mut sets = std::mem::take(read);
-        let all = *first && self.guards.all_take;
+        let all = *first && self.guards.bootstrap_writes_all;
         sets.extend(agreed.sets().filter(|s| !sets.contains(s)).cloned().collect::<Vec<_>>());
         // Guards against a change that is accepted by most of the one set and unknown to the other.
-        if !self.guards.both_sets {
-            sets = vec![agreed.keepers.clone()];
+        if !self.guards.joint_quorums {
+            sets = vec![agreed.replicas.clone()];
         }
-        let names: BTreeSet<RouterId> = sets.iter().flatten().map(|s| s.name).collect();
-        self.until = now + PATIENCE;
+        let names: BTreeSet<RouterId> = sets.iter().flatten().map(|s| s.router).collect();
+        self.until = now + RESPONSE_TIMEOUT;
         for name in names {
             orders.accept(name, self.ballot, &agreed, self.word(name));
         }
-        self.doing = Doing::Writing { agreed, sets, all, heard: BTreeSet::new() };
+        self.doing = Phase::Accepting { agreed, sets, all, heard: BTreeSet::new() };
     }
 
     /// What was read stays as it is.
-    pub fn leave(&mut self) {
-        (self.doing, self.until, self.tries) = (Doing::Nothing, Micros::MAX, 0);
+    pub fn abandon(&mut self) {
+        (self.doing, self.until, self.tries) = (Phase::Idle, Micros::MAX, 0);
     }
 
     /// Time for the next try, if it is; whether one began.
-    pub fn wake(&mut self, now: Micros, orders: &mut dyn Questions<V>) -> bool {
+    pub fn wake(&mut self, now: Micros, orders: &mut dyn ReplicaRequests<V>) -> bool {
         if now < self.until || self.is_idle() {
             return false;
         }
-        if matches!(self.doing, Doing::Waiting) {
-            self.read(now, orders);
+        if matches!(self.doing, Phase::Backoff) {
+            self.prepare(now, orders);
             return true;
         }
         self.again(now);
@@ -233,25 +238,25 @@
     }
 
     fn again(&mut self, now: Micros) {
-        let range = AGAIN << self.tries.min(AGAIN_DOUBLES);
+        let range = RETRY_BACKOFF << self.tries.min(RETRY_BACKOFF_MAX_DOUBLINGS);
         self.tries += 1;
-        self.doing = Doing::Waiting;
-        self.until = now + AGAIN + self.rng.rand_range(0..range);
+        self.doing = Phase::Backoff;
+        self.until = now + RETRY_BACKOFF + self.rng.rand_range(0..range);
     }
 
-    fn most(&self, set: &[Seat], has: impl Fn(&Seat) -> bool) -> bool {
+    fn most(&self, set: &[ReplicaId], has: impl Fn(&ReplicaId) -> bool) -> bool {
         2 * set.iter().filter(|seat| has(seat)).count() > set.len()
     }
 
     /// A keeper has promised `ballot`; `before`: what it had promised until then.
-    pub fn promised(
+    pub fn on_promised(
         &mut self,
-        seat: Seat,
+        seat: ReplicaId,
         (ballot, before): (Ballot, Ballot),
-        accepted: Option<(Ballot, Agreed<V>)>,
-        orders: &mut dyn Questions<V>,
-    ) -> Option<Heard<V>> {
-        let reading = matches!(self.doing, Doing::Reading { .. });
+        accepted: Option<(Ballot, RegisterState<V>)>,
+        orders: &mut dyn ReplicaRequests<V>,
+    ) -> Option<RoundOutcome<V>> {
+        let reading = matches!(self.doing, Phase::Preparing { .. });
         if ballot != self.ballot || !reading || self.older.contains(&seat) {
             return None;
         }
@@ -260,71 +265,72 @@
             Some(word) if *word == ballot => return None,
             Some(word) if before < *word => {
                 self.older.insert(seat);
-                return Some(Heard::Older(seat));
+                return Some(RoundOutcome::StaleReplica(seat));
             }
             _ => {}
         }
         self.words.insert(seat, ballot);
         // Guards against a liar that makes disks up: a word that is dropped is found out by another's.
-        if self.words.len() > WORDS_MOST {
+        if self.words.len() > MAX_KNOWN_PROMISES {
             self.words.pop_first();
         }
-        let Doing::Reading { heard, latest, asked } = &mut self.doing else { return None };
-        heard.insert(seat.name, seat.disk);
+        let Phase::Preparing { heard, latest, asked } = &mut self.doing else { return None };
+        heard.insert(seat.router, seat.disk);
         if accepted.as_ref().map(|(at, _)| at) > latest.as_ref().map(|(at, _)| at) {
             *latest = accepted;
         }
         let (heard, latest) = (heard.clone(), latest.as_ref().map(|(_, v)| v.clone()));
         let Some(agreed) = latest else {
             // Guards against an empty past that is none: one of them may know better.
-            let enough = if self.guards.all_found { self.named.len() } else { self.named.len() / 2 + 1 };
+            let enough =
+                if self.guards.bootstrap_reads_all { self.named.len() } else { self.named.len() / 2 + 1 };
             if self.named.iter().filter(|n| heard.contains_key(n)).count() < enough {
                 return None;
             }
-            let seats = heard.iter().map(|(name, disk)| Seat { name: *name, disk: *disk }).collect();
-            self.doing = Doing::Read(Vec::new(), true);
-            return Some(Heard::Empty(seats));
+            let seats = heard.iter().map(|(name, disk)| ReplicaId { router: *name, disk: *disk }).collect();
+            self.doing = Phase::Prepared(Vec::new(), true);
+            return Some(RoundOutcome::Uninitialized(seats));
         };
         // The latest names who keeps it; of those who were not asked yet an answer may be wanted too.
         let further: Vec<RouterId> =
-            agreed.sets().flatten().map(|s| s.name).filter(|n| asked.insert(*n)).collect();
+            agreed.sets().flatten().map(|s| s.router).filter(|n| asked.insert(*n)).collect();
         for name in further {
-            orders.promise(name, self.ballot, self.word(name));
+            orders.prepare(name, self.ballot, self.word(name));
         }
-        let disks = self.guards.disks;
-        let has = |s: &Seat| heard.get(&s.name).is_some_and(|disk| *disk == s.disk || !disks);
-        let sets: Vec<Vec<Seat>> = agreed.sets().cloned().collect();
-        let wanted = if self.guards.both_sets { &sets[..] } else { &sets[..1] };
+        let disks = self.guards.disk_identity;
+        let has = |s: &ReplicaId| heard.get(&s.router).is_some_and(|disk| *disk == s.disk || !disks);
+        let sets: Vec<Vec<ReplicaId>> = agreed.sets().cloned().collect();
+        let wanted = if self.guards.joint_quorums { &sets[..] } else { &sets[..1] };
         if !wanted.iter().all(|set| self.most(set, has)) {
             return None;
         }
-        self.doing = Doing::Read(sets, agreed.number <= 1);
-        let seats = heard.into_iter().map(|(name, disk)| Seat { name, disk }).collect();
-        Some(Heard::Read(agreed, seats))
+        self.doing = Phase::Prepared(sets, agreed.version <= 1);
+        let seats = heard.into_iter().map(|(name, disk)| ReplicaId { router: name, disk }).collect();
+        Some(RoundOutcome::Read(agreed, seats))
     }
 
     /// A keeper has accepted what was asked under this ballot.
-    pub fn accepted(&mut self, seat: Seat, ballot: Ballot) -> Option<Heard<V>> {
+    pub fn on_accepted(&mut self, seat: ReplicaId, ballot: Ballot) -> Option<RoundOutcome<V>> {
         if ballot != self.ballot || self.older.contains(&seat) {
             return None;
         }
-        let disks = self.guards.disks;
-        let Doing::Writing { agreed, sets, all, heard } = &mut self.doing else { return None };
+        let disks = self.guards.disk_identity;
+        let Phase::Accepting { agreed, sets, all, heard } = &mut self.doing else { return None };
         heard.insert(seat);
         let (heard, all) = (heard.clone(), *all);
         let (agreed, sets) = (agreed.clone(), sets.clone());
         self.words.insert(seat, ballot);
-        let has = |s: &Seat| heard.contains(s) || !disks && heard.iter().any(|h| h.name == s.name);
+        let has = |s: &ReplicaId| heard.contains(s) || !disks && heard.iter().any(|h| h.router == s.router);
         let most = sets.iter().all(|set| self.most(set, has));
         let written = if all { sets.iter().flatten().all(has) } else { most };
         written.then(|| {
-            self.leave();
-            Heard::Written(agreed)
+            self.abandon();
+            RoundOutcome::Committed(agreed)
         })
     }
 
     /// A keeper has promised a higher ballot: this try is over, the next goes above it.
-    pub fn refused(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
+    pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.ballot && promised > ballot && !self.is_idle() {
             self.ballot.round = self.ballot.round.max(promised.round);
             self.again(now);
--- a/crates/consensus/src/keeper.rs
+++ b/crates/consensus/src/keeper.rs
@@ -4,7 +4,7 @@
 
 /// All that a keeper must never forget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Vote<V> {
+pub struct AcceptorState<V> {
     /// The fleet that it keeps for; a disk of another one is refused.
     pub fleet: u64,
     /// Nothing below it is taken any more.
@@ -12,81 +12,83 @@
     pub accepted: Option<(Ballot, V)>,
 }
 
-impl<V> Vote<V> {
+impl<V> AcceptorState<V> {
     /// Of a keeper that has never voted.
-    pub fn none(fleet: u64) -> Self {
-        Vote { fleet, promised: Ballot::default(), accepted: None }
+    pub fn empty(fleet: u64) -> Self {
+        AcceptorState { fleet, promised: Ballot::default(), accepted: None }
     }
 }
 
 /// Why a keeper does not vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Trouble {
+pub enum AcceptorError {
     /// The disk took no more, or failed.
-    NotWritten,
+    WriteFailed,
     /// What is on it cannot be read.
-    Torn,
+    Corrupt,
     /// It is of another fleet.
-    Foreign,
+    WrongFleet,
     /// It holds less than was promised by it: put back from a copy.
-    Older,
+    RolledBack,
 }
 
-impl Trouble {
-    pub fn word(self) -> &'static str {
+impl AcceptorError {
+    pub fn label(self) -> &'static str {
         match self {
-            Trouble::NotWritten => "not-written",
-            Trouble::Torn => "torn",
-            Trouble::Foreign => "foreign",
-            Trouble::Older => "older",
+            AcceptorError::WriteFailed => "not-written",
+            AcceptorError::Corrupt => "torn",
+            AcceptorError::WrongFleet => "foreign",
+            AcceptorError::RolledBack => "older",
         }
     }
 }
 
 /// Where votes are kept.
-pub trait Votes<V> {
+pub trait AcceptorStorage<V> {
     /// Returns once the vote would outlast a power cut. An error is the disk's; nothing is known then of what
     /// is on it.
-    fn keep(&mut self, vote: &Vote<V>) -> Result<(), Trouble>;
+    fn persist(&mut self, vote: &AcceptorState<V>) -> Result<(), AcceptorError>;
 }
 
 /// One keeper. It answers questions one by one and remembers nothing but its vote.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Keeper<V> {
-    vote: Vote<V>,
-    trouble: Option<Trouble>,
+pub struct Acceptor<V> {
+    vote: AcceptorState<V>,
+    trouble: Option<AcceptorError>,
 }
 
-impl<V: Clone> Keeper<V> {
+impl<V: Clone> Acceptor<V> {
     /// `found`: what its disk holds, none where the disk is new. A keeper with trouble answers nothing.
-    pub fn new(fleet: u64, found: Result<Option<Vote<V>>, Trouble>) -> Self {
+    pub fn new(fleet: u64, found: Result<Option<AcceptorState<V>>, AcceptorError>) -> Self {
         let (vote, trouble) = match found {
-            Ok(Some(vote)) if vote.fleet != fleet => (Vote::none(fleet), Some(Trouble::Foreign)),
-            Ok(found) => (found.unwrap_or(Vote::none(fleet)), None),
-            Err(trouble) => (Vote::none(fleet), Some(trouble)),
+            Ok(Some(vote)) if vote.fleet != fleet => {
+                (AcceptorState::empty(fleet), Some(AcceptorError::WrongFleet))
+            }
+            Ok(found) => (found.unwrap_or(AcceptorState::empty(fleet)), None),
+            Err(trouble) => (AcceptorState::empty(fleet), Some(trouble)),
         };
-        Keeper { vote, trouble }
+        Acceptor { vote, trouble }
     }
 
     /// Why it does not vote, if it does not. Only a new start on a sound disk ends it.
-    pub fn trouble(&self) -> Option<Trouble> {
+    pub fn error(&self) -> Option<AcceptorError> {
         self.trouble
     }
 
     /// Another has heard this disk promise as much; the disk may hold more, and never less.
-    pub fn recall(&mut self, word: Option<Ballot>) {
+    pub fn observe_promise(&mut self, word: Option<Ballot>) {
         if word.is_some_and(|word| word > self.vote.promised) {
-            self.trouble = self.trouble.or(Some(Trouble::Older));
+            self.trouble = self.trouble.or(Some(AcceptorError::RolledBack));
         }
     }
 
-    pub fn vote(&self) -> &Vote<V> {
+    pub fn state(&self) -> &AcceptorState<V> {
         &self.vote
     }
 
     /// Writes before anybody is told. A write that fails leaves the disk unknown, so it was the last vote.
-    fn keep(&mut self, vote: Vote<V>, votes: &mut dyn Votes<V>) -> bool {
-        match votes.keep(&vote) {
+    fn keep(&mut self, vote: AcceptorState<V>, votes: &mut dyn AcceptorStorage<V>) -> bool {
+        match votes.persist(&vote) {
             Ok(()) => self.vote = vote,
             Err(trouble) => self.trouble = Some(trouble),
         }
@@ -96,10 +98,10 @@
     /// Promises to take nothing below this ballot. None: it does not vote. Ok: what it had promised before,
     /// and what it has accepted. Err: the ballot that it has promised, not below this one.
     #[allow(clippy::type_complexity)] // an answer of three, read in one place
-    pub fn promise(
+    pub fn prepare(
         &mut self,
         ballot: Ballot,
-        votes: &mut dyn Votes<V>,
+        votes: &mut dyn AcceptorStorage<V>,
     ) -> Option<Result<(Ballot, Option<(Ballot, V)>), Ballot>> {
         if self.trouble.is_some() {
             return None;
@@ -109,7 +111,7 @@
         if ballot < before {
             return Some(Err(before));
         }
-        let vote = Vote { promised: ballot, ..self.vote.clone() };
+        let vote = AcceptorState { promised: ballot, ..self.vote.clone() };
         if ballot > before && !self.keep(vote, votes) {
             return None;
         }
@@ -122,7 +124,7 @@
         &mut self,
         ballot: Ballot,
         value: V,
-        votes: &mut dyn Votes<V>,
+        votes: &mut dyn AcceptorStorage<V>,
     ) -> Option<Result<(), Ballot>> {
         if self.trouble.is_some() {
             return None;
@@ -131,7 +133,7 @@
             return Some(Err(self.vote.promised));
         }
         let known = self.vote.accepted.as_ref().is_some_and(|(at, _)| *at == ballot);
-        let vote = Vote { promised: ballot, accepted: Some((ballot, value)), ..self.vote };
+        let vote = AcceptorState { promised: ballot, accepted: Some((ballot, value)), ..self.vote };
         (known || self.keep(vote, votes)).then_some(Ok(()))
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -12,11 +12,11 @@
 mod register;
 mod voter;
 
-pub use convener::{Agreed, Convener, Guards, Heard, Questions, Seat};
-pub use keeper::{Keeper, Trouble, Vote, Votes};
-pub use proposer::{Actions as Ballots, Proposer, Told};
-pub use register::{Actions, Held, Register, Standstill};
-pub use voter::Voter;
+pub use convener::{Guards, ReconfigurableProposer, RegisterState, ReplicaId, ReplicaRequests, RoundOutcome};
+pub use keeper::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage};
+pub use proposer::{ProposalOutcome, Proposer, ProposerActions};
+pub use register::{Register, RegisterActions, RegisterLease, Unavailable};
+pub use voter::Replica;
 
 use applepond::interface::Micros;
 use applepond_membership::InstanceId;
@@ -26,33 +26,33 @@
 
 /// µs for which answers to one question are waited for: a keeper writes to its disk before it answers, and
 /// slow ones take 150 ms for that.
-pub const PATIENCE: Micros = 500_000;
+pub const RESPONSE_TIMEOUT: Micros = 500_000;
 /// µs before a proposer that was overtaken tries again, at least, and how often the range doubles: two that
 /// try at once would overtake each other for ever.
-pub const AGAIN: Micros = 10_000;
-pub const AGAIN_DOUBLES: u32 = 6;
+pub const RETRY_BACKOFF: Micros = 10_000;
+pub const RETRY_BACKOFF_MAX_DOUBLINGS: u32 = 6;
 /// Keepers at most; an even number bears no more losses than one fewer.
-pub const KEEPERS_MOST: usize = 5;
+pub const MAX_REPLICAS: usize = 5;
 
 /// Disks whose words a convener keeps at most: keepers, and those that were lost lately.
-pub const WORDS_MOST: usize = 64;
+pub const MAX_KNOWN_PROMISES: usize = 64;
 /// µs for which what was confirmed counts, from before the try that confirmed it.
-pub const LEASE: Micros = 3_000_000;
+pub const LEASE_DURATION: Micros = 3_000_000;
 /// µs between two confirmations by who convenes: two may be lost before anything ends.
-pub const CONFIRM: Micros = 700_000;
+pub const LEASE_RENEWAL_INTERVAL: Micros = 700_000;
 /// µs without news of what is agreed on before another convenes, and the range drawn on top of it.
-pub const TAKE_OVER: Micros = 1_200_000;
+pub const LEADER_TIMEOUT: Micros = 1_200_000;
 /// µs between two asks for a copy.
-pub const ASK: Micros = 700_000;
+pub const LEASE_REQUEST_INTERVAL: Micros = 700_000;
 /// One part in so many is what two clocks may drift apart.
-pub const DRIFT: u64 = 1_000;
+pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 /// µs from a start until an empty past may be believed: others that remember have been heard by then.
-pub const FOUND_WAIT: Micros = 2_000_000;
+pub const BOOTSTRAP_DELAY: Micros = 2_000_000;
 /// µs from a founding until it counts: whatever counted in a life before has ended, by the slowest clock.
-pub const RIPE: Micros = LEASE + 2 * LEASE / DRIFT + 100_000;
+pub const BOOTSTRAP_LEASE_WAIT: Micros = LEASE_DURATION + 2 * LEASE_DURATION / CLOCK_DRIFT_DIVISOR + 100_000;
 /// A keeper by its place in the settings that all routers share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct KeeperId(pub u8);
+pub struct ReplicaIndex(pub u8);
 
 /// One try of one process. `by` is drawn at the process' start and `round` only rises while it runs, so no
 /// ballot is used twice.
--- a/crates/consensus/src/register.rs
+++ b/crates/consensus/src/register.rs
@@ -9,33 +9,33 @@
 use thiserror::Error;
 
 /// Messages to others; each may be lost, late or repeated.
-pub trait Actions<V>: Questions<V> {
+pub trait RegisterActions<V>: ReplicaRequests<V> {
     fn promised(
         &mut self,
         to: RouterId,
         ballots: (Ballot, Ballot),
         disk: InstanceId,
-        accepted: Option<&(Ballot, Agreed<V>)>,
+        accepted: Option<&(Ballot, RegisterState<V>)>,
     );
     fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: InstanceId);
-    fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
+    fn rejected(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
     /// This keeper does not vote, and why.
-    fn doubts(&mut self, to: RouterId, ballot: Ballot, trouble: Trouble);
+    fn abstained(&mut self, to: RouterId, ballot: Ballot, trouble: AcceptorError);
     /// What is agreed on?
-    fn ask(&mut self, to: RouterId, number: u64);
+    fn request_state(&mut self, to: RouterId, number: u64);
     /// It is this, for so many µs more from when the ask was sent.
-    fn copy(&mut self, to: RouterId, number: u64, agreed: &Agreed<V>, left: Micros);
+    fn send_state(&mut self, to: RouterId, number: u64, agreed: &RegisterState<V>, left: Micros);
 }
 
 /// Why nothing is agreed on at present; what is shared goes on at its floors meanwhile.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum Standstill {
+pub enum Unavailable {
     #[error("{heard} of {of} keepers answer; more than half have to")]
     #[diagnostic(
         code(accord::too_few),
         help("start the routers named in 'keepers' or mend the way to them; nothing is lost meanwhile")
     )]
-    TooFew { heard: usize, of: usize },
+    NoQuorum { heard: usize, of: usize },
     #[error("{empty} of {of} keepers have lost what they had agreed on")]
     #[diagnostic(
         code(accord::majority_lost),
@@ -53,7 +53,7 @@
              fleet block of all routers"
         )
     )]
-    Remembered,
+    StateForgotten,
     #[error("the keepers' disks agree on less than others have seen, or on something of another life")]
     #[diagnostic(
         code(accord::past),
@@ -62,7 +62,7 @@
              files, raise 'founding' in the fleet block of all routers and start them again"
         )
     )]
-    Past,
+    StateRolledBack,
     #[error("this router's vote cannot be relied on ({0}), so it does not vote")]
     #[diagnostic(
         code(accord::keeper_in_doubt),
@@ -71,32 +71,32 @@
              its 'votes' file and start it again; the others take it in as a new keeper"
         )
     )]
-    InDoubt(&'static str),
+    AcceptorFailed(&'static str),
     #[error("what is agreed on was founded a moment ago; leases of a life before have to end first")]
     #[diagnostic(code(accord::ripens), help("nothing: it passes within seconds"))]
-    Ripens,
+    BootstrapPending,
 }
 
-impl Standstill {
+impl Unavailable {
     /// One of each, for the table of codes.
-    pub fn each() -> Vec<Standstill> {
+    pub fn each() -> Vec<Unavailable> {
         vec![
-            Standstill::TooFew { heard: 0, of: 0 },
-            Standstill::MajorityLost { empty: 0, of: 0 },
-            Standstill::Remembered,
-            Standstill::Past,
-            Standstill::InDoubt(""),
-            Standstill::Ripens,
+            Unavailable::NoQuorum { heard: 0, of: 0 },
+            Unavailable::MajorityLost { empty: 0, of: 0 },
+            Unavailable::StateForgotten,
+            Unavailable::StateRolledBack,
+            Unavailable::AcceptorFailed(""),
+            Unavailable::BootstrapPending,
         ]
     }
 }
 
 /// What is agreed on, as held here until it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held<V> {
-    pub agreed: Agreed<V>,
+pub struct RegisterLease<V> {
+    pub state: RegisterState<V>,
     /// By this process' clock; from then on it says nothing any more.
-    pub end: Micros,
+    pub expires_at: Micros,
 }
 
 pub struct Register<V> {
@@ -105,8 +105,8 @@
     named: Vec<RouterId>,
     /// It has a keeper beside it, and why that one does not vote.
     keeps: bool,
-    doubt: Option<Trouble>,
-    convener: Convener<V>,
+    doubt: Option<AcceptorError>,
+    convener: ReconfigurableProposer<V>,
     /// When the try under way began: what it confirms counts from there.
     begun: Micros,
     /// This router's try was the last that was written, as far as it knows.
@@ -117,7 +117,7 @@
     asked: Micros,
     /// Who answered last.
     from: Option<RouterId>,
-    held: Option<Held<V>>,
+    held: Option<RegisterLease<V>>,
     /// The highest that this process has heard of; never a permission, only what is older.
     seen: Option<(InstanceId, u64)>,
     /// The next value in place of that number, if it still is the one.
@@ -130,22 +130,22 @@
     empty: Vec<RouterId>,
     /// What others last said they remember.
     remembered: bool,
-    standstill: Option<Standstill>,
+    standstill: Option<Unavailable>,
     rng: Rand64,
 }
 
 /// The half of the orders that a try needs.
-struct Ask<'a, V>(&'a mut dyn Actions<V>);
+struct Ask<'a, V>(&'a mut dyn RegisterActions<V>);
 
-impl<V> Questions<V> for Ask<'_, V> {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
-        self.0.promise(to, ballot, word);
+impl<V> ReplicaRequests<V> for Ask<'_, V> {
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
+        self.0.prepare(to, ballot, word);
     }
     fn accept(
         &mut self,
         to: RouterId,
         ballot: Ballot,
-        agreed: &Agreed<V>,
+        agreed: &RegisterState<V>,
         word: Option<(InstanceId, Ballot)>,
     ) {
         self.0.accept(to, ballot, agreed, word);
@@ -168,12 +168,12 @@
             named: named.to_vec(),
             keeps,
             doubt: None,
-            convener: Convener::new(instance_id, named, seed),
+            convener: ReconfigurableProposer::new(instance_id, named, seed),
             begun: now,
             mine: false,
             // All keepers start at once with their fleet; the first to try is mostly alone.
-            next_try: now + FOUND_WAIT + rng.rand_range(0..TAKE_OVER),
-            next_ask: now + rng.rand_range(0..ASK),
+            next_try: now + BOOTSTRAP_DELAY + rng.rand_range(0..LEADER_TIMEOUT),
+            next_ask: now + rng.rand_range(0..LEASE_REQUEST_INTERVAL),
             asks: 0,
             asked: now,
             from: None,
@@ -195,48 +195,48 @@
     }
 
     /// What is agreed on, if it still counts. Look again wherever it is acted on.
-    pub fn held(&self, now: Micros) -> Option<&Held<V>> {
-        self.held.as_ref().filter(|h| now < h.end)
+    pub fn lease(&self, now: Micros) -> Option<&RegisterLease<V>> {
+        self.held.as_ref().filter(|h| now < h.expires_at)
     }
 
     /// The line and number last heard of, also where they no longer count.
-    pub fn seen(&self) -> Option<(InstanceId, u64)> {
+    pub fn highest_seen(&self) -> Option<(InstanceId, u64)> {
         self.seen
     }
 
     /// What stands in the way, where nothing counts.
-    pub fn standstill(&self, now: Micros) -> Option<Standstill> {
-        let doubt = self.doubt.map(|t| Standstill::InDoubt(t.word()));
-        doubt.or_else(|| self.standstill.clone().filter(|_| self.held(now).is_none()))
+    pub fn unavailable_reason(&self, now: Micros) -> Option<Unavailable> {
+        let doubt = self.doubt.map(|t| Unavailable::AcceptorFailed(t.label()));
+        doubt.or_else(|| self.standstill.clone().filter(|_| self.lease(now).is_none()))
     }
 
     /// This router convenes: it is the one to wish for changes.
-    pub fn convenes(&self, now: Micros) -> bool {
-        self.mine && self.held(now).is_some()
+    pub fn is_leader(&self, now: Micros) -> bool {
+        self.mine && self.lease(now).is_some()
     }
 
     /// Wishes for a value in place of this number. Only who convenes can have it written; whether it was is
     /// seen in what is held.
-    pub fn wish(&mut self, now: Micros, number: u64, value: V) {
-        if self.convenes(now) {
+    pub fn propose(&mut self, now: Micros, number: u64, value: V) {
+        if self.is_leader(now) {
             self.wish = Some((number, value));
             self.next_try = now;
         }
     }
 
     /// The keeper beside it does not vote, as it says.
-    pub fn keeper_doubts(&mut self, trouble: Option<Trouble>) {
+    pub fn set_acceptor_error(&mut self, trouble: Option<AcceptorError>) {
         self.doubt = trouble;
     }
 
     /// Other keepers by the settings: changed one by one, by agreement.
-    pub fn rename(&mut self, named: &[RouterId]) {
+    pub fn set_configured_replicas(&mut self, named: &[RouterId]) {
         self.named = named.to_vec();
-        self.convener.rename(named);
+        self.convener.set_configured_replicas(named);
     }
 
-    pub fn next(&self) -> Micros {
-        let tries = if self.convener.is_idle() { self.next_try } else { self.convener.next() };
+    pub fn next_wakeup(&self) -> Micros {
+        let tries = if self.convener.is_idle() { self.next_try } else { self.convener.next_wakeup() };
         let tries = if self.may_convene() { tries } else { Micros::MAX };
         tries.min(self.next_ask)
     }
@@ -246,16 +246,21 @@
     }
 
     /// `live`: whether a router seems to be there; only whom to ask goes by it.
-    pub fn wake(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions<V>) {
+    pub fn wake(
+        &mut self,
+        now: Micros,
+        live: &dyn Fn(RouterId) -> bool,
+        orders: &mut dyn RegisterActions<V>,
+    ) {
         if now >= self.next_ask {
-            self.next_ask = now + ASK;
+            self.next_ask = now + LEASE_REQUEST_INTERVAL;
             self.ask(now, live, orders);
         }
         if !self.may_convene() {
             return;
         }
         if !self.convener.is_idle() {
-            if now >= self.convener.next() {
+            if now >= self.convener.next_wakeup() {
                 if self.convener.awaits(self.convener.ballot()) {
                     self.missed();
                 }
@@ -264,12 +269,17 @@
                 }
             }
         } else if now >= self.next_try {
-            let lately = self.held(now).is_some_and(|h| h.end > now + LEASE - TAKE_OVER);
-            self.next_try =
-                now + if self.mine { CONFIRM } else { TAKE_OVER + self.rng.rand_range(0..TAKE_OVER) };
+            let lately =
+                self.lease(now).is_some_and(|h| h.expires_at > now + LEASE_DURATION - LEADER_TIMEOUT);
+            self.next_try = now
+                + if self.mine {
+                    LEASE_RENEWAL_INTERVAL
+                } else {
+                    LEADER_TIMEOUT + self.rng.rand_range(0..LEADER_TIMEOUT)
+                };
             if self.mine || !lately {
                 self.begin(now);
-                self.convener.read(now, &mut Ask(orders));
+                self.convener.prepare(now, &mut Ask(orders));
             }
         }
     }
@@ -282,141 +292,158 @@
 
     /// A try that most have not answered in time: which of the reasons it was.
     fn missed(&mut self) {
-        let answered = self.convener.answered();
+        let answered = self.convener.responders();
         let of = self.named.len();
         if answered.is_empty() && self.doubts.is_empty() {
-            self.standstill = Some(Standstill::TooFew { heard: 0, of });
+            self.standstill = Some(Unavailable::NoQuorum { heard: 0, of });
             return;
         }
         let empty = self.empty.len();
         // On a first start some have not come up yet; who knows of a past knows that it was lost.
         let past = self.remembered || self.seen.is_some();
-        self.standstill = Some(match self.convener.lost() {
-            Some((empty, of)) if 2 * empty >= of => Standstill::MajorityLost { empty, of },
-            _ if 2 * empty > of && past => Standstill::MajorityLost { empty, of },
-            _ => Standstill::TooFew { heard: answered.len(), of },
+        self.standstill = Some(match self.convener.lost_replicas() {
+            Some((empty, of)) if 2 * empty >= of => Unavailable::MajorityLost { empty, of },
+            _ if 2 * empty > of && past => Unavailable::MajorityLost { empty, of },
+            _ => Unavailable::NoQuorum { heard: answered.len(), of },
         });
     }
 
-    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn Actions<V>) {
+    fn ask(&mut self, now: Micros, live: &dyn Fn(RouterId) -> bool, orders: &mut dyn RegisterActions<V>) {
         self.asks += 1;
         self.asked = now;
-        let known = self.from.filter(|from| live(*from) && *from != self.me && self.held(now).is_some());
+        let known = self.from.filter(|from| live(*from) && *from != self.me && self.lease(now).is_some());
         let others: Vec<RouterId> = self.named.iter().copied().filter(|n| *n != self.me).collect();
         if others.is_empty() || self.mine {
             return;
         }
         let to = known.unwrap_or(others[self.asks as usize % others.len()]);
-        orders.ask(to, self.asks);
+        orders.request_state(to, self.asks);
     }
 
     // ---- The convener's side -----------------------------------------------------------------
 
     /// `remembered`: lines that others say they have seen, and how far; a hint, which only ever forbids.
-    pub fn promised(
+    pub fn on_promised(
         &mut self,
         now: Micros,
-        seat: Seat,
+        seat: ReplicaId,
         ballots: (Ballot, Ballot),
-        accepted: Option<(Ballot, Agreed<V>)>,
+        accepted: Option<(Ballot, RegisterState<V>)>,
         remembered: &[(InstanceId, u64)],
-        orders: &mut dyn Actions<V>,
+        orders: &mut dyn RegisterActions<V>,
     ) {
         self.remembered = !remembered.is_empty();
         let this_try = ballots.0 == self.convener.ballot();
-        if this_try && accepted.is_none() && !self.empty.contains(&seat.name) {
-            self.empty.push(seat.name);
+        if this_try && accepted.is_none() && !self.empty.contains(&seat.router) {
+            self.empty.push(seat.router);
         }
-        match self.convener.promised(seat, ballots, accepted, &mut Ask(orders)) {
-            Some(Heard::Read(agreed, seats)) => {
+        match self.convener.on_promised(seat, ballots, accepted, &mut Ask(orders)) {
+            Some(RoundOutcome::Read(agreed, seats)) => {
                 // Guards against disks that were all put back: what they agree on is older than what was
                 // known, or of another life.
-                let past =
-                    |(line, number): &(InstanceId, u64)| *line != agreed.line || *number > agreed.number;
+                let past = |(line, number): &(InstanceId, u64)| {
+                    *line != agreed.register_id || *number > agreed.version
+                };
                 if remembered.iter().chain(&self.seen).any(past) {
-                    self.standstill = Some(Standstill::Past);
-                    return self.leave(now, CONFIRM);
+                    self.standstill = Some(Unavailable::StateRolledBack);
+                    return self.leave(now, LEASE_RENEWAL_INTERVAL);
                 }
                 self.read(now, agreed, &seats, orders);
             }
-            Some(Heard::Empty(keepers)) => {
+            Some(RoundOutcome::Uninitialized(keepers)) => {
                 if self.remembered || self.seen.is_some() {
                     // Guards against an empty past that is none: all have lost what they had agreed on.
-                    self.standstill = Some(Standstill::Remembered);
-                } else if now >= self.born + FOUND_WAIT {
+                    self.standstill = Some(Unavailable::StateForgotten);
+                } else if now >= self.born + BOOTSTRAP_DELAY {
                     let line = InstanceId(self.instance_id.0 ^ self.convener.ballot().round.rotate_left(32));
                     let (before, value) = (Vec::new(), V::default());
-                    let agreed = Agreed { line, number: 1, keepers, before, value };
-                    self.convener.write(now, agreed, &mut Ask(orders));
+                    let agreed = RegisterState {
+                        register_id: line,
+                        version: 1,
+                        replicas: keepers,
+                        previous_replicas: before,
+                        value,
+                    };
+                    self.convener.propose(now, agreed, &mut Ask(orders));
                     return;
                 }
-                self.leave(now, CONFIRM);
+                self.leave(now, LEASE_RENEWAL_INTERVAL);
             }
             _ => {}
         }
     }
 
     fn leave(&mut self, now: Micros, wait: Micros) {
-        self.convener.leave();
-        self.next_try = now + wait + self.rng.rand_range(0..CONFIRM);
+        self.convener.abandon();
+        self.next_try = now + wait + self.rng.rand_range(0..LEASE_RENEWAL_INTERVAL);
     }
 
-    fn read(&mut self, now: Micros, agreed: Agreed<V>, heard: &[Seat], orders: &mut dyn Actions<V>) {
-        if agreed.number == 1 {
+    fn read(
+        &mut self,
+        now: Micros,
+        agreed: RegisterState<V>,
+        heard: &[ReplicaId],
+        orders: &mut dyn RegisterActions<V>,
+    ) {
+        if agreed.version == 1 {
             // Guards against leases of a fleet's life before: holders that are cut off still count on them.
             let since = match self.fresh {
-                Some((line, since)) if line == agreed.line => since,
+                Some((line, since)) if line == agreed.register_id => since,
                 _ => now,
             };
-            self.fresh = Some((agreed.line, since));
-            if now < since + RIPE {
-                self.standstill = Some(Standstill::Ripens);
-                self.leave(now, since + RIPE - now);
+            self.fresh = Some((agreed.register_id, since));
+            if now < since + BOOTSTRAP_LEASE_WAIT {
+                self.standstill = Some(Unavailable::BootstrapPending);
+                self.leave(now, since + BOOTSTRAP_LEASE_WAIT - now);
                 return;
             }
         }
         let mut next = agreed.clone();
-        let wish = self.wish.take().filter(|(on, _)| *on == agreed.number);
-        if agreed.number == 1 {
-            next.number = 2;
-        } else if !agreed.before.is_empty() {
-            (next.number, next.before) = (agreed.number + 1, Vec::new());
-        } else if let Some(keepers) = changed(&agreed.keepers, &self.named, heard) {
-            (next.number, next.before, next.keepers) = (agreed.number + 1, agreed.keepers, keepers);
+        let wish = self.wish.take().filter(|(on, _)| *on == agreed.version);
+        if agreed.version == 1 {
+            next.version = 2;
+        } else if !agreed.previous_replicas.is_empty() {
+            (next.version, next.previous_replicas) = (agreed.version + 1, Vec::new());
+        } else if let Some(keepers) = changed(&agreed.replicas, &self.named, heard) {
+            (next.version, next.previous_replicas, next.replicas) =
+                (agreed.version + 1, agreed.replicas, keepers);
         } else if let Some((_, value)) = wish {
-            (next.number, next.value) = (agreed.number + 1, value);
+            (next.version, next.value) = (agreed.version + 1, value);
         }
-        self.convener.write(now, next, &mut Ask(orders));
+        self.convener.propose(now, next, &mut Ask(orders));
     }
 
-    pub fn accepted(&mut self, now: Micros, seat: Seat, ballot: Ballot) {
-        let Some(Heard::Written(agreed)) = self.convener.accepted(seat, ballot) else { return };
-        self.seen = Some((agreed.line, agreed.number));
-        if agreed.number == 1 {
-            self.fresh = Some((agreed.line, now));
-            self.standstill = Some(Standstill::Ripens);
-            self.next_try = now + RIPE;
+    pub fn on_accepted(&mut self, now: Micros, seat: ReplicaId, ballot: Ballot) {
+        let Some(RoundOutcome::Committed(agreed)) = self.convener.on_accepted(seat, ballot) else { return };
+        self.seen = Some((agreed.register_id, agreed.version));
+        if agreed.version == 1 {
+            self.fresh = Some((agreed.register_id, now));
+            self.standstill = Some(Unavailable::BootstrapPending);
+            self.next_try = now + BOOTSTRAP_LEASE_WAIT;
             return;
         }
         // A change that is under way goes on at once.
-        let pause = if agreed.before.is_empty() { CONFIRM } else { 0 };
+        let pause = if agreed.previous_replicas.is_empty() { LEASE_RENEWAL_INTERVAL } else { 0 };
         (self.mine, self.next_try) = (true, now + pause);
         self.from = Some(self.me);
         self.standstill = None;
-        self.held = Some(Held { agreed, end: self.begun + LEASE - LEASE / DRIFT });
+        self.held = Some(RegisterLease {
+            state: agreed,
+            expires_at: self.begun + LEASE_DURATION - LEASE_DURATION / CLOCK_DRIFT_DIVISOR,
+        });
     }
 
-    pub fn refused(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
+    pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.convener.ballot() && promised > ballot && !self.convener.is_idle() {
             // Somebody else convenes; it is left to do so for a while, or both would go on overtaking.
             self.mine = false;
-            self.convener.refused(now, ballot, promised);
-            let wait = if self.held(now).is_some() { TAKE_OVER } else { AGAIN };
+            self.convener.on_rejected(now, ballot, promised);
+            let wait = if self.lease(now).is_some() { LEADER_TIMEOUT } else { RETRY_BACKOFF };
             self.leave(now, wait);
         }
     }
 
-    pub fn doubted(&mut self, from: RouterId, ballot: Ballot) {
+    pub fn on_abstained(&mut self, from: RouterId, ballot: Ballot) {
         if ballot == self.convener.ballot() && !self.doubts.contains(&from) {
             self.doubts.push(from);
         }
@@ -424,50 +451,63 @@
 
     // ---- Copies ------------------------------------------------------------------------------
 
-    pub fn asked(&mut self, now: Micros, from: RouterId, number: u64, orders: &mut dyn Actions<V>) {
-        if let Some(held) = self.held(now) {
-            orders.copy(from, number, &held.agreed, held.end - now);
+    pub fn on_state_request(
+        &mut self,
+        now: Micros,
+        from: RouterId,
+        number: u64,
+        orders: &mut dyn RegisterActions<V>,
+    ) {
+        if let Some(held) = self.lease(now) {
+            orders.send_state(from, number, &held.state, held.expires_at - now);
         }
     }
 
     /// An answer to this router's ask: it counts from when the ask was sent, and not from when it came.
-    pub fn copied(&mut self, now: Micros, from: RouterId, number: u64, agreed: Agreed<V>, left: Micros) {
+    pub fn on_state_response(
+        &mut self,
+        now: Micros,
+        from: RouterId,
+        number: u64,
+        agreed: RegisterState<V>,
+        left: Micros,
+    ) {
         // Guards against an answer to an ask of long ago, and one that claims more than there is.
-        if number != self.asks || left > LEASE {
+        if number != self.asks || left > LEASE_DURATION {
             return;
         }
-        let end = self.asked + left - left / DRIFT;
-        let older = self.seen.is_some_and(|(line, n)| line == agreed.line && n > agreed.number);
-        let other = self.seen.is_some_and(|(line, _)| line != agreed.line);
+        let end = self.asked + left - left / CLOCK_DRIFT_DIVISOR;
+        let older = self.seen.is_some_and(|(line, n)| line == agreed.register_id && n > agreed.version);
+        let other = self.seen.is_some_and(|(line, _)| line != agreed.register_id);
         if now >= end || older || other {
             return;
         }
-        let longer = self.held(now).is_none_or(|h| h.end < end || h.agreed.number < agreed.number);
+        let longer = self.lease(now).is_none_or(|h| h.expires_at < end || h.state.version < agreed.version);
         if longer {
-            self.seen = Some((agreed.line, agreed.number));
+            self.seen = Some((agreed.register_id, agreed.version));
             self.from = Some(from);
             self.mine &= from == self.me;
-            self.held = Some(Held { agreed, end });
+            self.held = Some(RegisterLease { state: agreed, expires_at: end });
         }
     }
 }
 
 /// One step from those who keep it to those that the settings name, if there is one: a lost disk is replaced,
 /// then a router that is not named makes room for one that is and answers.
-fn changed(keepers: &[Seat], named: &[RouterId], heard: &[Seat]) -> Option<Vec<Seat>> {
+fn changed(keepers: &[ReplicaId], named: &[RouterId], heard: &[ReplicaId]) -> Option<Vec<ReplicaId>> {
     let mut next = keepers.to_vec();
-    let has = |seats: &[Seat], name: RouterId| seats.iter().any(|s| s.name == name);
+    let has = |seats: &[ReplicaId], name: RouterId| seats.iter().any(|s| s.router == name);
     for seat in heard {
-        if let Some(place) = next.iter_mut().find(|s| s.name == seat.name && s.disk != seat.disk) {
+        if let Some(place) = next.iter_mut().find(|s| s.router == seat.router && s.disk != seat.disk) {
             *place = *seat;
             return Some(next);
         }
     }
-    let comes = heard.iter().find(|s| named.contains(&s.name) && !has(keepers, s.name));
-    let goes = next.iter().position(|s| !named.contains(&s.name));
+    let comes = heard.iter().find(|s| named.contains(&s.router) && !has(keepers, s.router));
+    let goes = next.iter().position(|s| !named.contains(&s.router));
     match (comes, goes) {
         (Some(seat), Some(place)) => next[place] = *seat,
-        (Some(seat), None) if next.len() < KEEPERS_MOST => next.push(*seat),
+        (Some(seat), None) if next.len() < MAX_REPLICAS => next.push(*seat),
         (None, Some(place)) if next.len() > named.len() => drop(next.remove(place)),
         _ => return None,
     }
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -131,8 +131,8 @@
 #[derive(Clone)]
 pub struct World {
     plant: Plant,
-    pub keepers: Vec<Keeper<Marks>>,
-    disks: Vec<Option<Vote<Marks>>>,
+    pub keepers: Vec<Acceptor<Marks>>,
+    disks: Vec<Option<AcceptorState<Marks>>>,
     pub proposers: Vec<Proposer<Marks>>,
     instance_ids: Vec<u64>,
     /// What each adds to the value: another one in each of its lives.
@@ -147,10 +147,10 @@
 }
 
 /// A disk in memory; `sound` keeps, else it does so in name only.
-struct Disk<'a>(&'a mut Option<Vote<Marks>>, bool);
+struct Disk<'a>(&'a mut Option<AcceptorState<Marks>>, bool);
 
-impl Votes<Marks> for Disk<'_> {
-    fn keep(&mut self, vote: &Vote<Marks>) -> Result<(), Trouble> {
+impl AcceptorStorage<Marks> for Disk<'_> {
+    fn persist(&mut self, vote: &AcceptorState<Marks>) -> Result<(), AcceptorError> {
         if self.1 {
             *self.0 = Some(vote.clone());
         }
@@ -160,19 +160,19 @@
 
 struct Out(usize, Vec<Message>);
 
-impl Ballots<Marks> for Out {
-    fn promise(&mut self, of: KeeperId, ballot: Ballot) {
+impl ProposerActions<Marks> for Out {
+    fn prepare(&mut self, of: ReplicaIndex, ballot: Ballot) {
         self.1.push(Message::AskPromise(self.0, of.0 as usize, ballot));
     }
-    fn accept(&mut self, by: KeeperId, ballot: Ballot, value: &Marks) {
+    fn accept(&mut self, by: ReplicaIndex, ballot: Ballot, value: &Marks) {
         self.1.push(Message::AskAccept(self.0, by.0 as usize, ballot, value.clone()));
     }
 }
 
 pub const FLEET: u64 = 7;
 
-fn ids(keepers: usize) -> Vec<KeeperId> {
-    (0..keepers as u8).map(KeeperId).collect()
+fn ids(keepers: usize) -> Vec<ReplicaIndex> {
+    (0..keepers as u8).map(ReplicaIndex).collect()
 }
 
 impl World {
@@ -180,7 +180,7 @@
         let instance_ids: Vec<u64> = (1..=proposers as u64).collect();
         World {
             plant,
-            keepers: (0..keepers).map(|_| Keeper::new(FLEET, Ok(None))).collect(),
+            keepers: (0..keepers).map(|_| Acceptor::new(FLEET, Ok(None))).collect(),
             disks: vec![None; keepers],
             proposers: instance_ids
                 .iter()
@@ -206,7 +206,7 @@
                 for (message, count) in self.net.iter().filter(|(message, _)| message.keeper() == k) {
                     (message.without(), count).hash(&mut hasher);
                 }
-                self.proposers.iter().for_each(|p| p.state_of(KeeperId(k as u8)).hash(&mut hasher));
+                self.proposers.iter().for_each(|p| p.state_of(ReplicaIndex(k as u8)).hash(&mut hasher));
                 self.accepted.values().for_each(|(_, by)| by.contains(&k).hash(&mut hasher));
                 hasher.finish()
             })
@@ -262,7 +262,7 @@
             Step::Begin(p) => {
                 self.left[0] -= 1;
                 let mut out = Out(*p, Vec::new());
-                self.proposers[*p].read(0, &mut out);
+                self.proposers[*p].prepare(0, &mut out);
                 self.send(out.1);
             }
             Step::Lose(message) => self.remove(message),
@@ -277,7 +277,7 @@
             Step::CrashKeeper(k) => {
                 self.left[2] -= 1;
                 let found = if self.plant == Plant::ForgetsVote { None } else { self.disks[*k].clone() };
-                self.keepers[*k] = Keeper::new(FLEET, Ok(found));
+                self.keepers[*k] = Acceptor::new(FLEET, Ok(found));
             }
             Step::CrashProposer(p) => {
                 self.left[2] -= 1;
@@ -309,7 +309,7 @@
         let told = match message.clone() {
             Message::AskPromise(p, k, ballot) => {
                 let mut disk = Disk(&mut self.disks[k], sound);
-                out.1.extend(self.keepers[k].promise(ballot, &mut disk).map(|answer| match answer {
+                out.1.extend(self.keepers[k].prepare(ballot, &mut disk).map(|answer| match answer {
                     Ok((before, accepted)) => Message::Promised(k, p, ballot, before, accepted),
                     Err(promised) => Message::Refused(k, p, ballot, promised),
                 }));
@@ -328,35 +328,35 @@
                 None
             }
             Message::Promised(k, p, ballot, before, accepted) => {
-                let told = self.proposers[p].promised(KeeperId(k as u8), ballot, before, accepted);
+                let told = self.proposers[p].on_promised(ReplicaIndex(k as u8), ballot, before, accepted);
                 told.map(|told| (p, told))
             }
             Message::Accepted(k, p, ballot) => {
-                let mut told = self.proposers[p].accepted(KeeperId(k as u8), ballot);
+                let mut told = self.proposers[p].on_accepted(ReplicaIndex(k as u8), ballot);
                 if again && self.plant == Plant::CountsTwice {
-                    let other = KeeperId(((k + 1) % self.keepers.len()) as u8);
-                    told = told.or(self.proposers[p].accepted(other, ballot));
+                    let other = ReplicaIndex(((k + 1) % self.keepers.len()) as u8);
+                    told = told.or(self.proposers[p].on_accepted(other, ballot));
                 }
                 told.map(|told| (p, told))
             }
             Message::Refused(_, p, ballot, promised) => {
-                self.proposers[p].refused(0, ballot, promised);
+                self.proposers[p].on_rejected(0, ballot, promised);
                 None
             }
         };
         self.send(out.1);
         match told {
-            Some((p, Told::Read(value))) => {
+            Some((p, ProposalOutcome::Read(value))) => {
                 let (mut value, mark) = (value.unwrap_or_default(), self.marks[p]);
                 // A try before may have been written without this one knowing.
                 if !value.contains(&mark) {
                     value.push(mark);
                 }
                 let mut out = Out(p, Vec::new());
-                self.proposers[p].write(0, value, &mut out);
+                self.proposers[p].propose(0, value, &mut out);
                 self.send(out.1);
             }
-            Some((p, Told::Written(value))) => {
+            Some((p, ProposalOutcome::Committed(value))) => {
                 self.written += 1;
                 let ballot = self.proposers[p].ballot();
                 let most = self.keepers.len() / 2 + 1;
@@ -364,7 +364,7 @@
                     return Err(format!("{value:?} told as written under {ballot:?}, and too few have it"));
                 }
             }
-            Some((_, Told::Older(k))) if matches!(self.plant, Plant::Sound) => {
+            Some((_, ProposalOutcome::StaleReplica(k))) if matches!(self.plant, Plant::Sound) => {
                 return Err(format!("{k:?} is sound and taken for older than its word"));
             }
             _ => {}
--- a/crates/consensus/tests/convene.rs
+++ b/crates/consensus/tests/convene.rs
@@ -9,27 +9,27 @@
 use std::time::Instant;
 use test_case::test_case;
 
-type Value = Agreed<Marks>;
+type Value = RegisterState<Marks>;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Promise(usize, usize, Ballot, Option<(InstanceId, Ballot)>),
     Accept(usize, usize, Ballot, Ordered, Option<(InstanceId, Ballot)>),
-    Promised(usize, Seat, Ballot, Ballot, Option<(Ballot, Ordered)>),
-    Accepted(usize, Seat, Ballot),
+    Promised(usize, ReplicaId, Ballot, Ballot, Option<(Ballot, Ordered)>),
+    Accepted(usize, ReplicaId, Ballot),
     Refused(usize, Ballot, Ballot),
 }
 
 /// A value in an order, for keeping messages apart.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Ordered(InstanceId, u64, Vec<Seat>, Vec<Seat>, Marks);
+struct Ordered(InstanceId, u64, Vec<ReplicaId>, Vec<ReplicaId>, Marks);
 
 fn ordered(v: &Value) -> Ordered {
-    Ordered(v.line, v.number, v.keepers.clone(), v.before.clone(), v.value.clone())
+    Ordered(v.register_id, v.version, v.replicas.clone(), v.previous_replicas.clone(), v.value.clone())
 }
 
 fn value(o: Ordered) -> Value {
-    Agreed { line: o.0, number: o.1, keepers: o.2, before: o.3, value: o.4 }
+    RegisterState { register_id: o.0, version: o.1, replicas: o.2, previous_replicas: o.3, value: o.4 }
 }
 
 #[derive(Clone, Debug)]
@@ -45,9 +45,9 @@
 
 #[derive(Clone)]
 struct World {
-    keepers: Vec<(InstanceId, Keeper<Value>)>,
-    disks: Vec<Option<Vote<Value>>>,
-    conveners: Vec<Convener<Marks>>,
+    keepers: Vec<(InstanceId, Acceptor<Value>)>,
+    disks: Vec<Option<AcceptorState<Value>>>,
+    conveners: Vec<ReconfigurableProposer<Marks>>,
     guards: Guards,
     marks: Vec<u8>,
     instance_ids: u64,
@@ -62,8 +62,8 @@
 
 struct Out(usize, Vec<Message>);
 
-impl Questions<Marks> for Out {
-    fn promise(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
+impl ReplicaRequests<Marks> for Out {
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
         self.1.push(Message::Promise(self.0, to.0 as usize, ballot, word));
     }
     fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<(InstanceId, Ballot)>) {
@@ -71,10 +71,10 @@
     }
 }
 
-struct Disk<'a>(&'a mut Option<Vote<Value>>);
+struct Disk<'a>(&'a mut Option<AcceptorState<Value>>);
 
-impl Votes<Value> for Disk<'_> {
-    fn keep(&mut self, vote: &Vote<Value>) -> Result<(), Trouble> {
+impl AcceptorStorage<Value> for Disk<'_> {
+    fn persist(&mut self, vote: &AcceptorState<Value>) -> Result<(), AcceptorError> {
         *self.0 = Some(vote.clone());
         Ok(())
     }
@@ -87,8 +87,8 @@
 impl World {
     fn new(guards: Guards, keepers: usize, conveners: usize, left: [u8; 4]) -> Self {
         let names = named(keepers.min(3));
-        let of = |b: u64| Convener::new(InstanceId(b), &names, b).with_guards(guards);
-        let keeper = |k: usize| (InstanceId(900 + k as u64), Keeper::new(7, Ok(None)));
+        let of = |b: u64| ReconfigurableProposer::new(InstanceId(b), &names, b).with_guards(guards);
+        let keeper = |k: usize| (InstanceId(900 + k as u64), Acceptor::new(7, Ok(None)));
         World {
             keepers: (0..keepers).map(keeper).collect(),
             disks: vec![None; keepers],
@@ -131,28 +131,28 @@
 
     /// The next value after one that was read: the mark of who writes, and one change of keepers.
     fn next(&mut self, c: usize, read: Value) -> Value {
-        let mut next = Agreed { number: read.number + 1, ..read.clone() };
+        let mut next = RegisterState { version: read.version + 1, ..read.clone() };
         if !next.value.contains(&self.marks[c]) {
             next.value.push(self.marks[c]);
         }
         if self.fixed {
             return next;
         }
-        if !read.before.is_empty() {
-            next.before = Vec::new();
+        if !read.previous_replicas.is_empty() {
+            next.previous_replicas = Vec::new();
             return next;
         }
-        let lost = read.keepers.iter().position(|s| self.keepers[s.name.0 as usize].0 != s.disk);
+        let lost = read.replicas.iter().position(|s| self.keepers[s.router.0 as usize].0 != s.disk);
         if let Some(n) = lost {
-            next.before = read.keepers.clone();
-            next.keepers[n].disk = self.keepers[read.keepers[n].name.0 as usize].0;
+            next.previous_replicas = read.replicas.clone();
+            next.replicas[n].disk = self.keepers[read.replicas[n].router.0 as usize].0;
             self.changes += 1;
-        } else if self.keepers.len() > 3 && read.number.is_multiple_of(3) {
+        } else if self.keepers.len() > 3 && read.version.is_multiple_of(3) {
             // One of them makes room for the router that keeps nothing.
-            let spare = (0..4).find(|k| read.keepers.iter().all(|s| s.name.0 != *k)).expect("one of four");
-            next.before = read.keepers.clone();
-            let place = &mut next.keepers[(read.number / 3) as usize % 3];
-            *place = Seat { name: RouterId(spare), disk: self.keepers[spare as usize].0 };
+            let spare = (0..4).find(|k| read.replicas.iter().all(|s| s.router.0 != *k)).expect("one of four");
+            next.previous_replicas = read.replicas.clone();
+            let place = &mut next.replicas[(read.version / 3) as usize % 3];
+            *place = ReplicaId { router: RouterId(spare), disk: self.keepers[spare as usize].0 };
             self.changes += 1;
         }
         next
@@ -163,9 +163,9 @@
         let heard = match message.clone() {
             Message::Promise(c, k, ballot, word) => {
                 let (disk, keeper) = &mut self.keepers[k];
-                let seat = Seat { name: RouterId(k as u64), disk: *disk };
-                keeper.recall(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
-                out.1.extend(keeper.promise(ballot, &mut Disk(&mut self.disks[k])).map(|a| match a {
+                let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
+                keeper.observe_promise(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
+                out.1.extend(keeper.prepare(ballot, &mut Disk(&mut self.disks[k])).map(|a| match a {
                     Ok((before, accepted)) => {
                         let accepted = accepted.map(|(b, v)| (b, ordered(&v)));
                         Message::Promised(c, seat, ballot, before, accepted)
@@ -176,8 +176,8 @@
             }
             Message::Accept(c, k, ballot, v, word) => {
                 let (disk, keeper) = &mut self.keepers[k];
-                let seat = Seat { name: RouterId(k as u64), disk: *disk };
-                keeper.recall(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
+                let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
+                keeper.observe_promise(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
                 out.1.extend(keeper.accept(ballot, value(v), &mut Disk(&mut self.disks[k])).map(
                     |a| match a {
                         Ok(()) => Message::Accepted(c, seat, ballot),
@@ -189,12 +189,12 @@
             Message::Promised(c, seat, ballot, before, accepted) => {
                 out.0 = c;
                 let accepted = accepted.map(|(b, v)| (b, value(v)));
-                let heard = self.conveners[c].promised(seat, (ballot, before), accepted, &mut out);
+                let heard = self.conveners[c].on_promised(seat, (ballot, before), accepted, &mut out);
                 heard.map(|h| (c, h))
             }
-            Message::Accepted(c, seat, ballot) => self.conveners[c].accepted(seat, ballot).map(|h| (c, h)),
+            Message::Accepted(c, seat, ballot) => self.conveners[c].on_accepted(seat, ballot).map(|h| (c, h)),
             Message::Refused(c, ballot, promised) => {
-                self.conveners[c].refused(0, ballot, promised);
+                self.conveners[c].on_rejected(0, ballot, promised);
                 None
             }
         };
@@ -202,16 +202,22 @@
         let Some((c, heard)) = heard else { return Ok(()) };
         let mut out = Out(c, Vec::new());
         let next = match heard {
-            Heard::Read(read, _) => Some(self.next(c, read)),
-            Heard::Empty(keepers) => {
+            RoundOutcome::Read(read, _) => Some(self.next(c, read)),
+            RoundOutcome::Uninitialized(keepers) => {
                 let (line, value) = (InstanceId(u64::from(self.marks[c])), vec![self.marks[c]]);
-                Some(Agreed { line, number: 1, keepers, before: Vec::new(), value })
+                Some(RegisterState {
+                    register_id: line,
+                    version: 1,
+                    replicas: keepers,
+                    previous_replicas: Vec::new(),
+                    value,
+                })
             }
-            Heard::Written(v) => return self.note(self.conveners[c].ballot(), v),
-            Heard::Older(seat) => return Err(format!("{seat:?} is sound and taken for older")),
+            RoundOutcome::Committed(v) => return self.note(self.conveners[c].ballot(), v),
+            RoundOutcome::StaleReplica(seat) => return Err(format!("{seat:?} is sound and taken for older")),
         };
         if let Some(next) = next {
-            self.conveners[c].write(0, next, &mut out);
+            self.conveners[c].propose(0, next, &mut out);
             self.send(out.1);
         }
         Ok(())
@@ -223,7 +229,7 @@
         let all: Vec<_> = self.written.iter().collect();
         for pair in all.windows(2) {
             let ((a, earlier), (b, later)) = (pair[0], pair[1]);
-            if later.line != earlier.line || !later.value.starts_with(&earlier.value) {
+            if later.register_id != earlier.register_id || !later.value.starts_with(&earlier.value) {
                 return Err(format!("{earlier:?} under {a:?}, then {later:?} under {b:?}"));
             }
         }
@@ -250,7 +256,7 @@
             Step::Begin(c) => {
                 self.left[0] -= 1;
                 let mut out = Out(*c, Vec::new());
-                self.conveners[*c].read(0, &mut out);
+                self.conveners[*c].prepare(0, &mut out);
                 self.send(out.1);
             }
             Step::Take(message) => {
@@ -268,13 +274,14 @@
                 self.instance_ids += 1;
                 self.marks[*c] = instance_id as u8;
                 self.conveners[*c] =
-                    Convener::new(InstanceId(instance_id), &named(3), instance_id).with_guards(self.guards);
+                    ReconfigurableProposer::new(InstanceId(instance_id), &named(3), instance_id)
+                        .with_guards(self.guards);
             }
             Step::Wipe(k) => {
                 self.left[3] -= 1;
                 self.instance_ids += 1;
                 self.disks[*k] = None;
-                self.keepers[*k] = (InstanceId(900 + self.instance_ids), Keeper::new(7, Ok(None)));
+                self.keepers[*k] = (InstanceId(900 + self.instance_ids), Acceptor::new(7, Ok(None)));
             }
         }
         let conveners = &self.conveners;
@@ -332,9 +339,9 @@
             } else if chance > 1.0 - wipes && !world.written.is_empty() {
                 // Never most of those who keep it, unless that is looked at: one is left then.
                 let last = world.written.values().next_back().expect("some");
-                let whole = |s: &&Seat| world.keepers[s.name.0 as usize].0 == s.disk;
-                let left = last.keepers.iter().filter(whole).count();
-                if most && left < 2 || !most && (!last.before.is_empty() || left < 3) {
+                let whole = |s: &&ReplicaId| world.keepers[s.router.0 as usize].0 == s.disk;
+                let left = last.replicas.iter().filter(whole).count();
+                if most && left < 2 || !most && (!last.previous_replicas.is_empty() || left < 3) {
                     continue;
                 }
                 Step::Wipe(any(&mut rng, routers))
@@ -371,12 +378,12 @@
 }
 
 // Each guard taken out is found, with the seed that shows it.
-#[test_case(Guards { all_found: false, ..Guards::ALL }, 3; "founded without all")]
-#[test_case(Guards { all_take: false, ..Guards::ALL }, 3; "founded, and not taken by all")]
-#[test_case(Guards { both_sets: false, ..Guards::ALL }, 4; "one set of two")]
-#[test_case(Guards { disks: false, ..Guards::ALL }, 3; "a new disk votes for the lost one")]
+#[test_case(Guards { bootstrap_reads_all: false, ..Guards::ALL }, 3; "founded without all")]
+#[test_case(Guards { bootstrap_writes_all: false, ..Guards::ALL }, 3; "founded, and not taken by all")]
+#[test_case(Guards { joint_quorums: false, ..Guards::ALL }, 4; "one set of two")]
+#[test_case(Guards { disk_identity: false, ..Guards::ALL }, 3; "a new disk votes for the lost one")]
 fn what_is_taken_out_is_found(guards: Guards, routers: usize) {
-    let most = !guards.all_found || !guards.all_take;
+    let most = !guards.bootstrap_reads_all || !guards.bootstrap_writes_all;
     let (broken, ..) = long(guards, routers, 3_000, (if most { 0.2 } else { 0.01 }, most));
     println!("{broken:?}");
     assert!(broken.is_some());
--- a/crates/consensus/tests/keepers.rs
+++ b/crates/consensus/tests/keepers.rs
@@ -8,27 +8,27 @@
 /// A disk whose writes fail from the Nth on; what the failed one has left on it is not known.
 struct Failing {
     left: usize,
-    holds: Option<Vote<Marks>>,
+    holds: Option<AcceptorState<Marks>>,
 }
 
-impl Votes<Marks> for Failing {
-    fn keep(&mut self, vote: &Vote<Marks>) -> Result<(), Trouble> {
+impl AcceptorStorage<Marks> for Failing {
+    fn persist(&mut self, vote: &AcceptorState<Marks>) -> Result<(), AcceptorError> {
         match self.left.checked_sub(1) {
             Some(left) => (self.left, self.holds) = (left, Some(vote.clone())),
-            None => return Err(Trouble::NotWritten),
+            None => return Err(AcceptorError::WriteFailed),
         }
         Ok(())
     }
 }
 
 #[derive(Default)]
-struct Asked(Vec<(KeeperId, Ballot, Option<Marks>)>);
+struct Asked(Vec<(ReplicaIndex, Ballot, Option<Marks>)>);
 
-impl Ballots<Marks> for Asked {
-    fn promise(&mut self, of: KeeperId, ballot: Ballot) {
+impl ProposerActions<Marks> for Asked {
+    fn prepare(&mut self, of: ReplicaIndex, ballot: Ballot) {
         self.0.push((of, ballot, None));
     }
-    fn accept(&mut self, by: KeeperId, ballot: Ballot, value: &Marks) {
+    fn accept(&mut self, by: ReplicaIndex, ballot: Ballot, value: &Marks) {
         self.0.push((by, ballot, Some(value.clone())));
     }
 }
@@ -44,68 +44,72 @@
 #[test_case(3)]
 fn the_nth_write_fails(nth: usize) {
     let mut disk = Failing { left: nth, holds: None };
-    let mut keeper = Keeper::new(FLEET, Ok(None));
+    let mut keeper = Acceptor::new(FLEET, Ok(None));
     let mut told = 0;
     for round in 1..=2 {
-        told += usize::from(keeper.promise(ballot(round), &mut disk).is_some());
+        told += usize::from(keeper.prepare(ballot(round), &mut disk).is_some());
         told += usize::from(keeper.accept(ballot(round), vec![round as u8], &mut disk).is_some());
     }
     assert_eq!(told, nth, "as many answers as writes");
-    assert_eq!(keeper.trouble(), Some(Trouble::NotWritten));
+    assert_eq!(keeper.error(), Some(AcceptorError::WriteFailed));
     // Restarted on what the disk has, it votes again, and has forgotten nothing that it told.
-    let again = Keeper::new(FLEET, Ok(disk.holds.clone()));
-    assert_eq!(again.trouble(), None);
-    assert_eq!(again.vote(), &disk.holds.unwrap_or(Vote::none(FLEET)));
+    let again = Acceptor::new(FLEET, Ok(disk.holds.clone()));
+    assert_eq!(again.error(), None);
+    assert_eq!(again.state(), &disk.holds.unwrap_or(AcceptorState::empty(FLEET)));
 }
 
-#[test_case(Err(Trouble::Torn), Trouble::Torn; "torn")]
-#[test_case(Ok(Some(Vote::none(FLEET + 1))), Trouble::Foreign; "of another fleet")]
-fn does_not_vote(found: Result<Option<Vote<Marks>>, Trouble>, trouble: Trouble) {
+#[test_case(Err(AcceptorError::Corrupt), AcceptorError::Corrupt; "torn")]
+#[test_case(Ok(Some(AcceptorState::empty(FLEET + 1))), AcceptorError::WrongFleet; "of another fleet")]
+fn does_not_vote(found: Result<Option<AcceptorState<Marks>>, AcceptorError>, trouble: AcceptorError) {
     let mut disk = Failing { left: 9, holds: None };
-    let mut keeper = Keeper::new(FLEET, found);
-    assert!(keeper.promise(ballot(1), &mut disk).is_none());
+    let mut keeper = Acceptor::new(FLEET, found);
+    assert!(keeper.prepare(ballot(1), &mut disk).is_none());
     assert!(keeper.accept(ballot(1), vec![1], &mut disk).is_none());
-    assert_eq!((keeper.trouble(), disk.holds), (Some(trouble), None));
+    assert_eq!((keeper.error(), disk.holds), (Some(trouble), None));
 }
 
 // Guards against a disk that was put back from a copy: its keeper would make a majority that has forgotten.
 #[test]
 fn older_than_its_word() {
-    let ids = [KeeperId(0), KeeperId(1), KeeperId(2)];
+    let ids = [ReplicaIndex(0), ReplicaIndex(1), ReplicaIndex(2)];
     let (mut proposer, mut asked) = (Proposer::new(InstanceId(1), &ids, 1), Asked::default());
     let mut disks: Vec<Failing> = (0..3).map(|_| Failing { left: 99, holds: None }).collect();
-    let mut keepers: Vec<Keeper<Marks>> = (0..3).map(|_| Keeper::new(FLEET, Ok(None))).collect();
-    let mut round = |proposer: &mut Proposer<Marks>, keepers: &mut Vec<Keeper<Marks>>, of: &[usize]| {
-        proposer.read(0, &mut asked);
+    let mut keepers: Vec<Acceptor<Marks>> = (0..3).map(|_| Acceptor::new(FLEET, Ok(None))).collect();
+    let mut round = |proposer: &mut Proposer<Marks>, keepers: &mut Vec<Acceptor<Marks>>, of: &[usize]| {
+        proposer.prepare(0, &mut asked);
         let ballot = proposer.ballot();
         let mut told = Vec::new();
         for k in of {
-            let Some(Ok((before, accepted))) = keepers[*k].promise(ballot, &mut disks[*k]) else { continue };
-            told.extend(proposer.promised(KeeperId(*k as u8), ballot, before, accepted));
+            let Some(Ok((before, accepted))) = keepers[*k].prepare(ballot, &mut disks[*k]) else { continue };
+            told.extend(proposer.on_promised(ReplicaIndex(*k as u8), ballot, before, accepted));
         }
         told
     };
-    assert_eq!(round(&mut proposer, &mut keepers, &[0, 1]), [Told::Read(None)]);
-    keepers[1] = Keeper::new(FLEET, Ok(None));
-    assert_eq!(round(&mut proposer, &mut keepers, &[0, 1]), [Told::Older(KeeperId(1))]);
+    assert_eq!(round(&mut proposer, &mut keepers, &[0, 1]), [ProposalOutcome::Read(None)]);
+    keepers[1] = Acceptor::new(FLEET, Ok(None));
+    assert_eq!(round(&mut proposer, &mut keepers, &[0, 1]), [ProposalOutcome::StaleReplica(ReplicaIndex(1))]);
     assert_eq!(round(&mut proposer, &mut keepers, &[0, 1]), [], "one is no majority of three");
-    assert_eq!(round(&mut proposer, &mut keepers, &[0, 2]), [Told::Read(None)], "the others go on");
+    assert_eq!(
+        round(&mut proposer, &mut keepers, &[0, 2]),
+        [ProposalOutcome::Read(None)],
+        "the others go on"
+    );
 }
 
 // Nobody answers, or another overtakes: it tries again by itself, above the ballot that it lost to.
 #[test]
 fn tries_again() {
     let (mut proposer, mut asked) =
-        (Proposer::<Marks>::new(InstanceId(1), &[KeeperId(0)], 1), Asked::default());
-    proposer.read(0, &mut asked);
-    proposer.wake(PATIENCE - 1, &mut asked);
+        (Proposer::<Marks>::new(InstanceId(1), &[ReplicaIndex(0)], 1), Asked::default());
+    proposer.prepare(0, &mut asked);
+    proposer.wake(RESPONSE_TIMEOUT - 1, &mut asked);
     assert_eq!(asked.0.len(), 1, "not before its patience ends");
-    proposer.wake(PATIENCE, &mut asked);
-    proposer.wake(proposer.next(), &mut asked);
+    proposer.wake(RESPONSE_TIMEOUT, &mut asked);
+    proposer.wake(proposer.next_wakeup(), &mut asked);
     assert_eq!((asked.0.len(), proposer.ballot().round), (2, 2));
-    proposer.refused(PATIENCE, proposer.ballot(), Ballot { round: 9, by: 2 });
-    let at = proposer.next();
-    assert!(at <= PATIENCE + AGAIN + (AGAIN << 1), "{at}");
+    proposer.on_rejected(RESPONSE_TIMEOUT, proposer.ballot(), Ballot { round: 9, by: 2 });
+    let at = proposer.next_wakeup();
+    assert!(at <= RESPONSE_TIMEOUT + RETRY_BACKOFF + (RETRY_BACKOFF << 1), "{at}");
     proposer.wake(at, &mut asked);
     assert_eq!(asked.0.last().map(|(_, ballot, _)| ballot.round), Some(10));
 }
--- a/crates/consensus/tests/points/main.rs
+++ b/crates/consensus/tests/points/main.rs
@@ -2,7 +2,7 @@
 //! them, then is played again for each of them with each kind of fault there. One that fails prints the line
 //! that plays it again.
 mod paper;
-use applepond_consensus::Standstill;
+use applepond_consensus::Unavailable;
 use paper::*;
 
 const SEED: u64 = 11;
@@ -25,7 +25,7 @@
 /// What the help of a keeper in doubt says.
 fn mend(paper: &mut SimulatedNetwork) -> usize {
     let doubt = |p: &SimulatedNetwork, n: usize| match p.standstill(n) {
-        Some(Standstill::InDoubt(why)) => Some(why),
+        Some(Unavailable::AcceptorFailed(why)) => Some(why),
         _ => None,
     };
     let doubts: Vec<_> = (0..3).filter_map(|n| Some((n, doubt(paper, n)?))).collect();
@@ -51,7 +51,7 @@
             agreed = many > 0 && settles(paper, text);
         }
         let named = (0..3).filter_map(|n| paper.standstill(n)).collect::<Vec<_>>();
-        let lost = |s: &Standstill| matches!(s, Standstill::MajorityLost { .. });
+        let lost = |s: &Unavailable| matches!(s, Unavailable::MajorityLost { .. });
         if !agreed && named.iter().any(lost) {
             (0..5).for_each(|n| paper.kill(n));
             (0..3).for_each(|n| paper.lose(n));
--- a/crates/consensus/tests/points/paper.rs
+++ b/crates/consensus/tests/points/paper.rs
@@ -27,16 +27,16 @@
 #[derive(Clone, Debug)]
 pub struct PaperDisk {
     pub id: InstanceId,
-    pub vote: Option<Vote<Agreed<Text>>>,
+    pub vote: Option<AcceptorState<RegisterState<Text>>>,
     pub torn: bool,
     pub does: Does,
 }
 
-impl Votes<Agreed<Text>> for PaperDisk {
-    fn keep(&mut self, vote: &Vote<Agreed<Text>>) -> Result<(), Trouble> {
+impl AcceptorStorage<RegisterState<Text>> for PaperDisk {
+    fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
         match self.does {
             Does::Keeps => self.vote = Some(vote.clone()),
-            Does::Fails => return Err(Trouble::NotWritten),
+            Does::Fails => return Err(AcceptorError::WriteFailed),
             Does::Lies => {}
         }
         Ok(())
@@ -88,7 +88,7 @@
 
 pub struct Machine {
     pub register: Register<Text>,
-    voter: Option<Voter<Text>>,
+    voter: Option<Replica<Text>>,
     /// It stands still until then.
     pub stopped: u64,
 }
@@ -178,13 +178,13 @@
         self.clocks[n] = (self.rng.rand_range(0..1 << 40), self.rng.rand_range(0..900) as i64 - 450);
         let disk = &self.disks[n];
         let keeps = self.named.contains(&router(n)) || disk.vote.is_some();
-        let found = if disk.torn { Err(Trouble::Torn) } else { Ok(disk.vote.clone()) };
-        let voter = keeps.then(|| Voter::new(self.fleet, disk.id, found));
+        let found = if disk.torn { Err(AcceptorError::Corrupt) } else { Ok(disk.vote.clone()) };
+        let voter = keeps.then(|| Replica::new(self.fleet, disk.id, found));
         let now = self.clock(n, self.now);
         let mut register =
             Register::new(now, (router(n), instance_id), &self.named, keeps, self.rng.rand_u64());
-        register.keeper_doubts(voter.as_ref().and_then(Voter::trouble));
-        let next = self.truly(n, register.next());
+        register.set_acceptor_error(voter.as_ref().and_then(Replica::error));
+        let next = self.truly(n, register.next_wakeup());
         self.all[n] = Some(Machine { register, voter, stopped: 0 });
         self.push(next, Event::Wake(n, instance_id));
     }
@@ -207,17 +207,17 @@
 
     pub fn convener(&self) -> Option<usize> {
         (0..self.all.len())
-            .find(|n| self.all[*n].as_ref().is_some_and(|m| m.register.convenes(self.clock(*n, self.now))))
+            .find(|n| self.all[*n].as_ref().is_some_and(|m| m.register.is_leader(self.clock(*n, self.now))))
     }
 
-    pub fn held(&self, n: usize) -> Option<Agreed<Text>> {
+    pub fn held(&self, n: usize) -> Option<RegisterState<Text>> {
         let now = self.clock(n, self.now);
-        self.all[n].as_ref()?.register.held(now).map(|h| h.agreed.clone())
+        self.all[n].as_ref()?.register.lease(now).map(|h| h.state.clone())
     }
 
-    pub fn standstill(&self, n: usize) -> Option<Standstill> {
+    pub fn standstill(&self, n: usize) -> Option<Unavailable> {
         let now = self.clock(n, self.now);
-        self.all[n].as_ref()?.register.standstill(now)
+        self.all[n].as_ref()?.register.unavailable_reason(now)
     }
 
     /// Whoever convenes wishes for this in place of what there is.
@@ -225,9 +225,9 @@
         let Some(n) = self.convener() else { return false };
         let now = self.clock(n, self.now);
         let Some(m) = self.all[n].as_mut() else { return false };
-        let Some(number) = m.register.held(now).map(|h| h.agreed.number) else { return false };
-        m.register.wish(now, number, text.to_owned());
-        let (next, instance_id) = (m.register.next(), m.register.instance_id());
+        let Some(number) = m.register.lease(now).map(|h| h.state.version) else { return false };
+        m.register.propose(now, number, text.to_owned());
+        let (next, instance_id) = (m.register.next_wakeup(), m.register.instance_id());
         let at = self.truly(n, next);
         self.push(at, Event::Wake(n, instance_id));
         true
@@ -314,36 +314,43 @@
         there: &[bool],
     ) -> Option<Vec<(RouterId, Vec<u8>)>> {
         struct At<'a>(&'a mut PaperDisk, &'a mut Points, usize, Option<Fault>);
-        impl Votes<Agreed<Text>> for At<'_> {
-            fn keep(&mut self, vote: &Vote<Agreed<Text>>) -> Result<(), Trouble> {
+        impl AcceptorStorage<RegisterState<Text>> for At<'_> {
+            fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
                 let n = self.2;
                 match self.1.pass(|| format!("r{n} writes its vote")) {
                     Some(f @ (Fault::KilledBefore | Fault::Half)) => {
                         self.0.torn |= f == Fault::Half;
                         self.3 = Some(f);
-                        return Err(Trouble::NotWritten);
+                        return Err(AcceptorError::WriteFailed);
                     }
                     Some(Fault::KilledAfter) => self.3 = Some(Fault::KilledAfter),
-                    Some(Fault::Error) => return Err(Trouble::NotWritten),
+                    Some(Fault::Error) => return Err(AcceptorError::WriteFailed),
                     Some(Fault::SaidDone) => return Ok(()),
                     _ => {}
                 }
-                self.0.keep(vote)
+                self.0.persist(vote)
             }
         }
-        let remembered: Vec<_> = self.all.iter().flatten().filter_map(|m| m.register.seen()).collect();
+        let remembered: Vec<_> =
+            self.all.iter().flatten().filter_map(|m| m.register.highest_seen()).collect();
         let machine = self.all[n].as_mut()?;
-        let mut out = message::Written::by(router(n));
+        let mut out = message::MessageWriter::new(router(n));
         let mut disk = At(&mut self.disks[n], &mut self.points, n, None);
         match message {
-            Some(message) if message::is_question(message) => {
+            Some(message) if message::is_acceptor_request(message) => {
                 if let Some(voter) = &mut machine.voter {
-                    let _ = message::vote(message, voter, &mut disk, &mut out);
-                    machine.register.keeper_doubts(voter.trouble());
+                    let _ = message::handle_acceptor_request(message, voter, &mut disk, &mut out);
+                    machine.register.set_acceptor_error(voter.error());
                 }
             }
             Some(message) => {
-                let _ = message::read(message, &mut machine.register, now, &remembered, &mut out);
+                let _ = message::handle_register_message(
+                    message,
+                    &mut machine.register,
+                    now,
+                    &remembered,
+                    &mut out,
+                );
             }
             None => {
                 let live = |r: RouterId| there[(r.0 - 1_000) as usize];
@@ -355,7 +362,7 @@
             self.die(n);
             return None;
         }
-        let (next, instance_id) = (machine.register.next(), machine.register.instance_id());
+        let (next, instance_id) = (machine.register.next_wakeup(), machine.register.instance_id());
         let at = self.truly(n, next);
         self.push(at, Event::Wake(n, instance_id));
         Some(out.messages)
@@ -365,15 +372,15 @@
     fn judge(&mut self) {
         for n in 0..self.all.len() {
             let Some(agreed) = self.held(n) else { continue };
-            self.lines.insert(agreed.line);
+            self.lines.insert(agreed.register_id);
             if self.lines.len() > 1 && self.fleet == FLEET && self.broken.is_none() {
                 self.broken = Some(format!("two lines at {} ms", self.now / MS));
             }
-            let key = (agreed.line.0, agreed.number);
+            let key = (agreed.register_id.0, agreed.version);
             self.written.entry(key).or_insert(self.now);
             let later = self.written.range((key.0, key.1 + 1)..(key.0, u64::MAX)).next();
             if let Some(((_, number), at)) = later
-                && self.now > at + LEASE
+                && self.now > at + LEASE_DURATION
                 && self.broken.is_none()
             {
                 let (now, at) = (self.now / MS, at / MS);
@@ -400,7 +407,8 @@
                 }
                 Event::Wake(n, instance_id) => {
                     let Some(m) = self.all[n].as_ref() else { continue };
-                    if m.register.instance_id() != instance_id || self.clock(n, at) < m.register.next() {
+                    if m.register.instance_id() != instance_id || self.clock(n, at) < m.register.next_wakeup()
+                    {
                         continue;
                     }
                     if at < m.stopped {
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -94,7 +94,7 @@
     paper.start(other);
     let new = paper.disks[other].id;
     let taken_in = |p: &SimulatedNetwork| {
-        p.held(4).is_some_and(|a| a.before.is_empty() && a.keepers.iter().any(|s| s.disk == new))
+        p.held(4).is_some_and(|a| a.previous_replicas.is_empty() && a.replicas.iter().any(|s| s.disk == new))
     };
     assert!(paper.until(8 * S, taken_in));
     assert!(paper.all_hold("a"));
@@ -113,8 +113,9 @@
     (0..3).for_each(|n| paper.start(n));
     paper.pass(20 * S);
     assert!((0..6).all(|n| paper.held(n).is_none()), "at their floors");
-    let named: Vec<Standstill> = (0..3).filter_map(|n| paper.standstill(n)).collect();
-    let wanted = if all { Standstill::Remembered } else { Standstill::MajorityLost { empty: 2, of: 3 } };
+    let named: Vec<Unavailable> = (0..3).filter_map(|n| paper.standstill(n)).collect();
+    let wanted =
+        if all { Unavailable::StateForgotten } else { Unavailable::MajorityLost { empty: 2, of: 3 } };
     assert!(named.contains(&wanted), "{named:?}");
     sound(&paper);
     // What the help says: all keepers stopped, their files removed, the founding raised.
@@ -129,12 +130,12 @@
 #[test]
 fn a_founding_ripens() {
     let mut paper = SimulatedNetwork::new(5, 5, 3);
-    assert!(paper.until(9 * S, |p| p.standstill(0) == Some(Standstill::Ripens)
-        || p.standstill(1) == Some(Standstill::Ripens)
-        || p.standstill(2) == Some(Standstill::Ripens)));
+    assert!(paper.until(9 * S, |p| p.standstill(0) == Some(Unavailable::BootstrapPending)
+        || p.standstill(1) == Some(Unavailable::BootstrapPending)
+        || p.standstill(2) == Some(Unavailable::BootstrapPending)));
     let ripens = paper.now;
     assert!(paper.until(9 * S, |p| (0..5).any(|n| p.held(n).is_some())));
-    assert!(paper.now - ripens >= LEASE, "{} ms", (paper.now - ripens) / MS);
+    assert!(paper.now - ripens >= LEASE_DURATION, "{} ms", (paper.now - ripens) / MS);
 }
 
 // An older file is put back in place: whoever heard the keeper's word tells it, and it stops voting.
@@ -147,7 +148,7 @@
     paper.kill(other);
     paper.disks[other] = old;
     paper.start(other);
-    let doubt = Standstill::InDoubt("older");
+    let doubt = Unavailable::AcceptorFailed("older");
     assert!(paper.until(4 * S, |p| p.standstill(other) == Some(doubt.clone())));
     assert!(paper.until(4 * S, |p| p.all_hold("b")));
     sound(&paper);
@@ -165,7 +166,7 @@
     paper.lines.clear();
     (0..6).for_each(|n| paper.start(n));
     assert!(paper.until(12 * S, |p| p.all_hold("")));
-    let line = paper.held(5).expect("agreed").line;
+    let line = paper.held(5).expect("agreed").register_id;
     let convener = paper.convener().expect("one of them");
     for n in (0..3).filter(|n| *n != convener) {
         paper.kill(n);
@@ -173,8 +174,8 @@
         paper.start(n);
     }
     paper.pass(20 * S);
-    assert!((0..6).all(|n| paper.held(n).is_none_or(|a| a.line == line)));
-    assert!((0..3).any(|n| paper.standstill(n) == Some(Standstill::Past)));
+    assert!((0..6).all(|n| paper.held(n).is_none_or(|a| a.register_id == line)));
+    assert!((0..3).any(|n| paper.standstill(n) == Some(Unavailable::StateRolledBack)));
     sound(&paper);
 }
 
@@ -191,7 +192,11 @@
             paper.pass(3 * S);
         }
         if does == Does::Fails {
-            assert_eq!(paper.standstill(bad), Some(Standstill::InDoubt("not-written")), "seed {seed}");
+            assert_eq!(
+                paper.standstill(bad),
+                Some(Unavailable::AcceptorFailed("not-written")),
+                "seed {seed}"
+            );
         }
         // The process dies: what the disk only said it had is gone.
         paper.kill(bad);
@@ -218,9 +223,9 @@
         let named = paper.named.clone();
         let moved = |p: &SimulatedNetwork| {
             p.held(7).is_some_and(|a| {
-                a.before.is_empty()
-                    && a.keepers.len() == 3
-                    && a.keepers.iter().all(|s| named.contains(&s.name))
+                a.previous_replicas.is_empty()
+                    && a.replicas.len() == 3
+                    && a.replicas.iter().all(|s| named.contains(&s.router))
             })
         };
         assert!(paper.until(20 * S, moved), "step {step}: {:?}", paper.held(7));
@@ -269,7 +274,7 @@
 
 // A copy counts from its ask, for no longer than a lease, and never in place of what is newer.
 #[test_case(1, 0, 7, 2 * S, false; "an answer to an ask before")]
-#[test_case(0, 0, 7, LEASE + 1, false; "more than a lease")]
+#[test_case(0, 0, 7, LEASE_DURATION + 1, false; "more than a lease")]
 #[test_case(0, 1, 7, 2 * S, false; "another line")]
 #[test_case(0, 0, 4, 2 * S, false; "less than was seen")]
 #[test_case(0, 0, 6, 2 * S, true; "newer")]
@@ -278,51 +283,51 @@
     let mut one: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &named, false, 1);
     let mut asked = 0;
     let mut ask = |one: &mut Register<Text>, now: u64| {
-        let mut out = message::Written::by(router(9));
+        let mut out = message::MessageWriter::new(router(9));
         one.wake(now, &|_| true, &mut out);
         asked += out.messages.len() as u64;
         asked
     };
-    let agreed = |line, number| Agreed {
-        line: InstanceId(line),
-        number,
-        keepers: vec![Seat { name: router(0), disk: InstanceId(5) }],
-        before: Vec::new(),
+    let agreed = |line, number| RegisterState {
+        register_id: InstanceId(line),
+        version: number,
+        replicas: vec![ReplicaId { router: router(0), disk: InstanceId(5) }],
+        previous_replicas: Vec::new(),
         value: "x".to_owned(),
     };
     let first = ask(&mut one, 2 * S);
-    one.copied(2 * S, router(0), first, agreed(3, 5), 2 * S);
-    assert_eq!(one.held(2 * S).map(|h| h.end), Some(4 * S - 2 * S / DRIFT));
+    one.on_state_response(2 * S, router(0), first, agreed(3, 5), 2 * S);
+    assert_eq!(one.lease(2 * S).map(|h| h.expires_at), Some(4 * S - 2 * S / CLOCK_DRIFT_DIVISOR));
     let second = ask(&mut one, 3 * S);
-    one.copied(3 * S, router(0), second - ask_back, agreed(3 + line, number), left);
-    let held = one.held(3 * S).map(|h| h.agreed.number);
+    one.on_state_response(3 * S, router(0), second - ask_back, agreed(3 + line, number), left);
+    let held = one.lease(3 * S).map(|h| h.state.version);
     assert_eq!(held == Some(number), taken, "{held:?}");
-    assert!(one.held(6 * S).is_none(), "and ends");
+    assert!(one.lease(6 * S).is_none(), "and ends");
 }
 
 #[test]
 fn messages_that_are_cut_or_made_up() {
     let mut paper = agreed(9, 4);
     let agreed = paper.held(3).expect("agreed");
-    let mut out = message::Written::by(router(1));
+    let mut out = message::MessageWriter::new(router(1));
     let ballot = Ballot { round: 1 << 40, by: 5 };
-    Questions::<Text>::promise(&mut out, router(0), ballot, None);
+    ReplicaRequests::<Text>::prepare(&mut out, router(0), ballot, None);
     out.accept(router(0), ballot, &agreed, None);
-    out.promised(router(0), (ballot, ballot), agreed.line, Some(&(ballot, agreed.clone())));
-    out.copy(router(0), 3, &agreed, 500);
-    let many = Agreed { keepers: vec![agreed.keepers[0]; KEEPERS_MOST + 1], ..agreed.clone() };
-    out.copy(router(0), 3, &many, 500);
-    let far = Agreed { number: u64::MAX, ..agreed };
-    out.copy(router(0), 3, &far, 500);
+    out.promised(router(0), (ballot, ballot), agreed.register_id, Some(&(ballot, agreed.clone())));
+    out.send_state(router(0), 3, &agreed, 500);
+    let many = RegisterState { replicas: vec![agreed.replicas[0]; MAX_REPLICAS + 1], ..agreed.clone() };
+    out.send_state(router(0), 3, &many, 500);
+    let far = RegisterState { version: u64::MAX, ..agreed };
+    out.send_state(router(0), 3, &far, 500);
     let m = paper.all[3].as_mut().expect("there");
     let mut disk = PaperDisk { id: InstanceId(1), vote: None, torn: false, does: Does::Keeps };
-    let mut voter: Voter<Text> = Voter::new(FLEET, InstanceId(1), Ok(None));
-    let mut sent = message::Written::by(router(3));
+    let mut voter: Replica<Text> = Replica::new(FLEET, InstanceId(1), Ok(None));
+    let mut sent = message::MessageWriter::new(router(3));
     let mut refused = 0;
     for (_, bytes) in &out.messages {
-        let mut read = |bytes: &[u8]| match message::is_question(bytes) {
-            true => message::vote(bytes, &mut voter, &mut disk, &mut sent),
-            false => message::read(bytes, &mut m.register, 0, &[], &mut sent),
+        let mut read = |bytes: &[u8]| match message::is_acceptor_request(bytes) {
+            true => message::handle_acceptor_request(bytes, &mut voter, &mut disk, &mut sent),
+            false => message::handle_register_message(bytes, &mut m.register, 0, &[], &mut sent),
         };
         (0..bytes.len()).for_each(|at| assert!(read(&bytes[..at]).is_err(), "cut at {at}"));
         refused += u64::from(read(bytes).is_err());
@@ -333,7 +338,7 @@
 #[test]
 fn errors_say_what_to_do() {
     use miette::Diagnostic;
-    let each = Standstill::each();
+    let each = Unavailable::each();
     assert!(each.iter().all(|e| e.code().is_some() && e.help().is_some()));
-    assert!(message::Unread.help().is_some());
+    assert!(message::MalformedMessage.help().is_some());
 }
--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/desk.rs
@@ -1,11 +1,11 @@
 //! Disks beside the router: a keeper's vote and the snapshot, each in a thread of its own. What is handed
 //! over is done there; a disk that takes its time holds up nobody but itself.
-use applepond_consensus::message::{self, Written};
-use applepond_consensus::{Agreed, Trouble, Vote, Voter, Votes};
+use applepond_consensus::message::{self, MessageWriter};
+use applepond_consensus::{AcceptorError, AcceptorState, AcceptorStorage, RegisterState, Replica};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_reactor::Micros;
-use applepond_recovery::Boot;
-use applepond_storage::{SnapshotFile, StoreFault, VoteFile};
+use applepond_recovery::BootId;
+use applepond_storage::{AcceptorFile, SnapshotFile, StorageError};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError, sync_channel};
 use std::thread::JoinHandle;
@@ -37,11 +37,11 @@
     /// A keeper's answers.
     Messages(Vec<(RouterId, Vec<u8>)>),
     /// Why the keeper does not vote, if it does not.
-    Keeper(Option<Trouble>),
+    Keeper(Option<AcceptorError>),
     /// The snapshot that was there at the start; a fault of the file beside it.
-    Found(Option<Vec<u8>>, Option<StoreFault>),
+    Found(Option<Vec<u8>>, Option<StorageError>),
     /// A snapshot is written, or was not.
-    Written(Option<StoreFault>),
+    Written(Option<StorageError>),
 }
 
 /// Disks as the router sees them: it hands over and looks, and never waits.
@@ -54,23 +54,23 @@
     /// Something is handed over whose answer is not there yet.
     fn waits(&self) -> bool;
     /// Which run of the kernel this is, and its clock in µs.
-    fn boot(&self) -> (Option<Boot>, Micros);
+    fn boot(&self) -> (Option<BootId>, Micros);
 }
 
 struct Votings {
-    file: VoteFile,
+    file: AcceptorFile,
     fault: DiskFault,
 }
 
-impl Votes<Agreed<Charter>> for Votings {
-    fn keep(&mut self, vote: &Vote<Agreed<Charter>>) -> Result<(), Trouble> {
+impl AcceptorStorage<RegisterState<Charter>> for Votings {
+    fn persist(&mut self, vote: &AcceptorState<RegisterState<Charter>>) -> Result<(), AcceptorError> {
         match self.fault {
             DiskFault::None => {}
             DiskFault::Late(time) => std::thread::sleep(time),
             DiskFault::Lies => return Ok(()),
-            DiskFault::Full => return Err(Trouble::NotWritten),
+            DiskFault::Full => return Err(AcceptorError::WriteFailed),
         }
-        self.file.keep(vote)
+        self.file.persist(vote)
     }
 }
 
@@ -80,13 +80,13 @@
     snapshots: Option<SyncSender<Vec<u8>>>,
     said: Receiver<Said>,
     waits: usize,
-    boot: Option<Boot>,
+    boot: Option<BootId>,
     threads: Vec<JoinHandle<()>>,
 }
 
-fn boot_id() -> Option<Boot> {
+fn boot_id() -> Option<BootId> {
     let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
-    u128::from_str_radix(&text.trim().replace('-', ""), 16).ok().map(Boot)
+    u128::from_str_radix(&text.trim().replace('-', ""), 16).ok().map(BootId)
 }
 
 fn boot_clock() -> Micros {
@@ -133,30 +133,30 @@
     asked: &Receiver<Vec<u8>>,
     say: &SyncSender<Said>,
 ) {
-    let (mut disk, mut voter) = match VoteFile::open(file, fresh) {
-        Ok((file, disk, found)) => (Some(Votings { file, fault }), Voter::new(fleet, disk, Ok(found))),
-        Err(trouble) => (None, Voter::<Charter>::new(fleet, fresh, Err(trouble))),
+    let (mut disk, mut voter) = match AcceptorFile::open(file, fresh) {
+        Ok((file, disk, found)) => (Some(Votings { file, fault }), Replica::new(fleet, disk, Ok(found))),
+        Err(trouble) => (None, Replica::<Charter>::new(fleet, fresh, Err(trouble))),
     };
-    let mut told = voter.trouble();
+    let mut told = voter.error();
     if say.send(Said::Keeper(told)).is_err() {
         return;
     }
     while let Ok(question) = asked.recv() {
         struct None;
-        impl Votes<Agreed<Charter>> for None {
-            fn keep(&mut self, _: &Vote<Agreed<Charter>>) -> Result<(), Trouble> {
-                Err(Trouble::NotWritten)
+        impl AcceptorStorage<RegisterState<Charter>> for None {
+            fn persist(&mut self, _: &AcceptorState<RegisterState<Charter>>) -> Result<(), AcceptorError> {
+                Err(AcceptorError::WriteFailed)
             }
         }
-        let mut out = Written::by(me);
-        let votes: &mut dyn Votes<Agreed<Charter>> = match &mut disk {
+        let mut out = MessageWriter::new(me);
+        let votes: &mut dyn AcceptorStorage<RegisterState<Charter>> = match &mut disk {
             Some(disk) => disk,
             Option::None => &mut None,
         };
         // One that cannot be read is answered by nothing.
-        let _ = message::vote(&question, &mut voter, votes, &mut out);
-        if voter.trouble() != told {
-            told = voter.trouble();
+        let _ = message::handle_acceptor_request(&question, &mut voter, votes, &mut out);
+        if voter.error() != told {
+            told = voter.error();
             if say.send(Said::Keeper(told)).is_err() {
                 return;
             }
@@ -180,7 +180,7 @@
         return;
     }
     while let Ok(bytes) = handed.recv() {
-        let full = || StoreFault::NotWritten { file: file.to_owned(), why: "no space left".to_owned() };
+        let full = || StorageError::WriteFailed { file: file.to_owned(), why: "no space left".to_owned() };
         // A folder that was missing may be there by now.
         if opened.is_err() {
             opened = SnapshotFile::open(file);
@@ -232,7 +232,7 @@
         self.waits > 0
     }
 
-    fn boot(&self) -> (Option<Boot>, Micros) {
+    fn boot(&self) -> (Option<BootId>, Micros) {
         (self.boot, boot_clock())
     }
 }
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -3,13 +3,15 @@
 //! here.
 use crate::desk::{Charter, Desk, Said};
 use applepond::interface::FunctionId;
-use applepond_consensus::message::Written;
+use applepond_consensus::message::MessageWriter;
 use applepond_consensus::{self as accord, Register};
 use applepond_gossip::{self as tallies, Key, Kind, Tallies};
 use applepond_membership::{InstanceId, Members, RouterId};
 use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
 use applepond_reactor::Micros;
-use applepond_recovery::{self as comeback, EVERY, Fact, Memory, Peers, Stage, message::Words};
+use applepond_recovery::{
+    self as comeback, Fact, ObservationStore, PeerRecovery, SNAPSHOT_INTERVAL, Stage, message::MessageVisitor,
+};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -34,8 +36,8 @@
     me: RouterId,
     pub tallies: Tallies,
     pub register: Option<Register<Charter>>,
-    pub peers: Peers,
-    memory: Rc<RefCell<Memory>>,
+    pub peers: PeerRecovery,
+    memory: Rc<RefCell<ObservationStore>>,
     desk: Box<dyn Desk>,
     founding: u64,
     next_snapshot: Micros,
@@ -44,7 +46,7 @@
     seen: (Option<(InstanceId, u64)>, Micros),
     /// What was last logged.
     stage: Stage,
-    standstill: Option<accord::Standstill>,
+    standstill: Option<accord::Unavailable>,
     openings: Option<Openings>,
     unread: u64,
     unusable: Option<String>,
@@ -106,20 +108,20 @@
 }
 
 /// A message of one that comes back, or of its peer.
-struct Return<'a>(Micros, &'a mut Peers, &'a Memory, &'a mut Messages);
+struct Return<'a>(Micros, &'a mut PeerRecovery, &'a ObservationStore, &'a mut Messages);
 
-impl Words for Return<'_> {
-    fn asked(&mut self, from: RouterId, number: u64, page: u16) {
-        self.1.asked(self.0, from, (number, page), self.2.facts(), self.3);
+impl MessageVisitor for Return<'_> {
+    fn on_request(&mut self, from: RouterId, number: u64, page: u16) {
+        self.1.on_request(self.0, from, (number, page), self.2.facts(), self.3);
     }
-    fn given(&mut self, from: RouterId, number: u64, page: u16, last: bool, facts: Vec<Fact>) {
-        self.1.given(self.0, from, number, page, last, facts, self.3);
+    fn on_page(&mut self, from: RouterId, number: u64, page: u16, last: bool, facts: Vec<Fact>) {
+        self.1.on_page(self.0, from, number, page, last, facts, self.3);
     }
-    fn later(&mut self, from: RouterId, number: u64, wait: Micros) {
-        self.1.told_later(self.0, from, number, wait);
+    fn on_retry_later(&mut self, from: RouterId, number: u64, wait: Micros) {
+        self.1.on_retry_later(self.0, from, number, wait);
     }
-    fn empty(&mut self, from: RouterId, number: u64) {
-        self.1.told_empty(self.0, from, number);
+    fn on_empty(&mut self, from: RouterId, number: u64) {
+        self.1.on_empty(self.0, from, number);
     }
 }
 
@@ -127,7 +129,7 @@
     pub fn new(
         now: Micros,
         place: Place,
-        memory: Rc<RefCell<Memory>>,
+        memory: Rc<RefCell<ObservationStore>>,
         desk: Box<dyn Desk>,
         seed: u64,
     ) -> Self {
@@ -139,14 +141,14 @@
             me: place.me,
             tallies: Tallies::new(now, place.me, place.incarnation, &rows, seed),
             register: (!place.keepers.is_empty()).then(register),
-            peers: Peers::new(now, place.me, seed.rotate_left(13)),
+            peers: PeerRecovery::new(now, place.me, seed.rotate_left(13)),
             memory,
             desk,
             founding: place.founding,
-            next_snapshot: if place.snapshots { now + EVERY } else { Micros::MAX },
+            next_snapshot: if place.snapshots { now + SNAPSHOT_INTERVAL } else { Micros::MAX },
             view: None,
             seen: (None, 0),
-            stage: Stage::Asking,
+            stage: Stage::Requesting,
             standstill: None,
             openings: place.openings.map(|terms| Openings {
                 panes: Panes::new(now),
@@ -167,7 +169,7 @@
     pub fn with_guards(mut self, guards: comeback::Guards, alone: bool) -> Self {
         self.peers = self.peers.with_guards(guards);
         if alone {
-            self.peers = self.peers.alone();
+            self.peers = self.peers.without_peers();
         }
         self
     }
@@ -175,14 +177,14 @@
     /// Other keepers by the settings: changed one by one, by agreement.
     pub fn rename(&mut self, keepers: &[RouterId]) {
         if let Some(register) = self.register.as_mut().filter(|_| !keepers.is_empty()) {
-            register.rename(keepers);
+            register.set_configured_replicas(keepers);
         }
     }
 
     pub fn next(&self) -> Micros {
-        let register = self.register.as_ref().map_or(Micros::MAX, Register::next);
+        let register = self.register.as_ref().map_or(Micros::MAX, Register::next_wakeup);
         let panes = self.openings.as_ref().map_or(Micros::MAX, |o| o.panes.next());
-        self.tallies.next().min(panes).min(register).min(self.peers.next()).min(self.next_snapshot)
+        self.tallies.next().min(panes).min(register).min(self.peers.next_wakeup()).min(self.next_snapshot)
     }
 
     /// When to look at the disks, while they owe an answer.
@@ -200,20 +202,20 @@
         }
         self.tallies.wake(now, members.neighbours(), &mut out);
         let live: Vec<RouterId> = members.there().collect();
-        if now >= self.peers.next() {
+        if now >= self.peers.next_wakeup() {
             let facts = self.peers.wake(now, &live, &mut out);
-            self.memory.borrow_mut().take(now, &facts);
+            self.memory.borrow_mut().import(now, &facts);
         }
-        if let Some(register) = self.register.as_mut().filter(|r| now >= r.next()) {
-            let mut written = Written::by(self.me);
+        if let Some(register) = self.register.as_mut().filter(|r| now >= r.next_wakeup()) {
+            let mut written = MessageWriter::new(self.me);
             register.wake(now, &|router| live.contains(&router), &mut written);
             out.0.extend(written.messages);
         }
         if now >= self.next_snapshot {
-            self.next_snapshot = now + EVERY;
+            self.next_snapshot = now + SNAPSHOT_INTERVAL;
             self.memory.borrow_mut().refresh(now);
             let (boot, at) = self.desk.boot();
-            let bytes = comeback::write(self.me.0, boot, at, now, self.memory.borrow().facts());
+            let bytes = comeback::encode_snapshot(self.me.0, boot, at, now, self.memory.borrow().facts());
             // While the one before is being written this one is left out: the next is younger.
             self.desk.snapshot(bytes);
         }
@@ -237,11 +239,11 @@
     /// For how long the worker of a request that is written now may keep it.
     pub fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
         let openings = self.openings.as_ref()?;
-        let held = self.register.as_ref()?.held(now)?;
+        let held = self.register.as_ref()?.lease(now)?;
         // Guards against a list that is not the one agreed on now.
-        let same = held.agreed.number == openings.number;
-        let list = if same { &openings.list } else { &List::read(&held.agreed.value).ok()? };
-        list.rides(now, held.end, OpeningId(FunctionId::named(name).0))
+        let same = held.state.version == openings.number;
+        let list = if same { &openings.list } else { &List::read(&held.state.value).ok()? };
+        list.rides(now, held.expires_at, OpeningId(FunctionId::named(name).0))
     }
 
     pub fn workers(&mut self, ready: usize) {
@@ -262,13 +264,13 @@
             let _ = self.tallies.put(now, PANE, key, &Panes::write(&over));
         }
         let Some(register) = &mut self.register else { return };
-        let Some(held) = register.held(now) else { return };
-        if held.agreed.number != openings.number {
-            openings.number = held.agreed.number;
-            openings.list = List::read(&held.agreed.value).unwrap_or_default();
+        let Some(held) = register.lease(now) else { return };
+        if held.state.version != openings.number {
+            openings.number = held.state.version;
+            openings.list = List::read(&held.state.value).unwrap_or_default();
         }
         // All panes of all routers are read for it, and the disks are looked at every other millisecond.
-        if !register.convenes(now) || now < openings.looked + PROPOSE {
+        if !register.is_leader(now) || now < openings.looked + PROPOSE {
             return;
         }
         openings.looked = now;
@@ -286,7 +288,7 @@
                 pins = next.pins.len(),
                 "openings: another list is wished for"
             );
-            register.wish(now, openings.number, next.write());
+            register.propose(now, openings.number, next.write());
         }
     }
 
@@ -314,20 +316,27 @@
         let mut out = Messages::default();
         let read = match message.first() {
             Some(&tallies::MARK) => self.tallies.heard(now, from, message, &mut out).is_ok(),
-            Some(&comeback::message::MARK) => {
+            Some(&comeback::message::PROTOCOL_TAG) => {
                 let memory = self.memory.borrow();
                 let mut words = Return(now, &mut self.peers, &memory, &mut out);
-                comeback::message::read(message, &mut words).is_ok()
+                comeback::message::decode(message, &mut words).is_ok()
             }
-            Some(&accord::message::MARK) if accord::message::is_question(message) => {
+            Some(&accord::message::PROTOCOL_TAG) if accord::message::is_acceptor_request(message) => {
                 self.desk.question(message);
                 true
             }
-            Some(&accord::message::MARK) => {
+            Some(&accord::message::PROTOCOL_TAG) => {
                 let remembered = self.remembered(now);
-                let mut written = Written::by(self.me);
+                let mut written = MessageWriter::new(self.me);
                 let read = self.register.as_mut().is_some_and(|register| {
-                    accord::message::read(message, register, now, &remembered, &mut written).is_ok()
+                    accord::message::handle_register_message(
+                        message,
+                        register,
+                        now,
+                        &remembered,
+                        &mut written,
+                    )
+                    .is_ok()
                 });
                 out.0.extend(written.messages);
                 read
@@ -351,12 +360,12 @@
                 Said::Messages(messages) => out.0.extend(messages),
                 Said::Keeper(trouble) => {
                     if let Some(register) = &mut self.register {
-                        register.keeper_doubts(trouble);
+                        register.set_acceptor_error(trouble);
                     }
                 }
                 Said::Found(bytes, fault) => {
                     let (boot, at) = self.desk.boot();
-                    let read = bytes.map(|b| comeback::read(self.me.0, boot, at, &b)).transpose();
+                    let read = bytes.map(|b| comeback::decode_snapshot(self.me.0, boot, at, &b)).transpose();
                     let why = match (&read, &fault) {
                         (Err(why), _) => Some(why.to_string()),
                         (_, Some(fault)) => Some(fault.to_string()),
@@ -370,8 +379,8 @@
                         && !facts.is_empty()
                     {
                         tracing::info!(reason = "snapshot", facts = facts.len(), "comeback: a snapshot");
-                        self.memory.borrow_mut().take(now, &facts);
-                        self.peers.had_snapshot(now);
+                        self.memory.borrow_mut().import(now, &facts);
+                        self.peers.snapshot_loaded(now);
                     }
                 }
                 Said::Written(None) => self.written += 1,
@@ -389,14 +398,14 @@
     /// Says on, and logs, what has changed.
     fn tell(&mut self, now: Micros) {
         if let Some(register) = &self.register {
-            let seen = register.seen();
+            let seen = register.highest_seen();
             if seen != self.seen.0 || seen.is_some() && now >= self.seen.1 + SEEN_AGAIN {
                 self.seen = (seen, now);
                 let value = postcard::to_stdvec(&seen.unwrap_or((InstanceId(0), 0))).unwrap_or_default();
                 // It is small, and in place of the one before.
                 let _ = self.tallies.put(now, SEEN, Key(self.founding), &value);
             }
-            let standstill = register.standstill(now);
+            let standstill = register.unavailable_reason(now);
             if standstill != self.standstill {
                 if let Some(why) = &standstill {
                     use miette::Diagnostic;
@@ -408,7 +417,7 @@
         }
         if self.peers.stage() != self.stage {
             self.stage = self.peers.stage();
-            let asks = self.peers.asks();
+            let asks = self.peers.requests_sent();
             tracing::info!(reason = "comeback", stage = ?self.stage, asks, "comeback: over");
         }
     }
@@ -417,28 +426,28 @@
     pub fn page(&self, now: Micros) -> Value {
         use miette::Diagnostic;
         let agreed = self.register.as_ref().map(|register| {
-            let held = register.held(now);
-            let standstill = register.standstill(now).map(|why| {
+            let held = register.lease(now);
+            let standstill = register.unavailable_reason(now).map(|why| {
                 json!({"code": why.code().map(|c| c.to_string()), "why": why.to_string(),
                     "help": why.help().map(|h| h.to_string())})
             });
-            json!({"number": held.map(|h| h.agreed.number), "for-us": held.map(|h| h.end - now),
-                "line": held.map(|h| h.agreed.line.0), "convenes": register.convenes(now),
-                "keepers": held.map(|h| h.agreed.keepers.iter().map(|s| s.name.0).collect::<Vec<_>>()),
+            json!({"number": held.map(|h| h.state.version), "for-us": held.map(|h| h.expires_at - now),
+                "line": held.map(|h| h.state.register_id.0), "convenes": register.is_leader(now),
+                "keepers": held.map(|h| h.state.replicas.iter().map(|s| s.router.0).collect::<Vec<_>>()),
                 "standstill": standstill})
         });
         let pins = self.openings.as_ref().map(|o| o.list.pins.len());
         let (origins, bytes) = self.tallies.size();
         let stage = match self.peers.stage() {
-            Stage::Asking => "asking".to_owned(),
-            Stage::Told(n) => format!("told by {n}"),
-            Stage::Untold => "untold".to_owned(),
+            Stage::Requesting => "asking".to_owned(),
+            Stage::Recovered(n) => format!("told by {n}"),
+            Stage::Exhausted => "untold".to_owned(),
         };
         let facts = self.memory.borrow().facts().len();
         let tallies = json!({"origins": origins, "bytes": bytes, "view": self.tallies.view(),
             "unread": self.unread});
         json!({"agreed": agreed, "tallies": tallies, "pins": pins,
-            "comeback": {"stage": stage, "asks": self.peers.asks(), "facts": facts,
+            "comeback": {"stage": stage, "asks": self.peers.requests_sent(), "facts": facts,
                 "snapshots": self.written, "unusable": self.unusable}})
     }
 }
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -15,7 +15,7 @@
 use applepond_http::decode::{Decoder, Fields, Side, Step as Decoded, Visitor};
 use applepond_http::encode::{self, Lines};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
-use applepond_storage::Record;
+use applepond_storage::WorkflowStore;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -339,7 +339,7 @@
     }
 
     /// Where chains are recorded; without it they are known as long as this instance lives.
-    pub fn with_record(mut self, record: Box<dyn Record>) -> Self {
+    pub fn with_record(mut self, record: Box<dyn WorkflowStore>) -> Self {
         self.chains.record = record;
         self
     }
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/machine/chained.rs
@@ -9,8 +9,10 @@
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Transport};
-use applepond_storage::kept::{ANSWER_MOST, number};
-use applepond_storage::{Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record, resumed};
+use applepond_storage::record::{MAX_STORED_RESPONSE_BYTES, outcome_code};
+use applepond_storage::{
+    MemoryStore, StepOutcome, StepRecord, StoredResponse, WorkflowRecord, WorkflowStore, recorded_steps,
+};
 use applepond_workflow::run::Needs;
 use applepond_workflow::{Do, Ended, How, Pace, Plan, Run, Step, StepId, Times, Why};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -67,7 +69,7 @@
     undos: usize,
     steps: u64,
     /// What is on record of it, or will be with the next write.
-    kept: Kept,
+    kept: WorkflowRecord,
     /// A step with an effect was sent: from then on it is on record.
     on_record: bool,
     answered: bool,
@@ -79,8 +81,8 @@
         if let Some((_, told)) = self.finished.as_ref().filter(|(of, _)| *of == step) {
             return Some((told.lines.clone(), told.body.clone()));
         }
-        let end = self.kept.steps.get(&(step.0 as u32))?.end.as_ref()?;
-        end.answer.as_ref().map(|a| (Lines::of(a.lines.clone()), a.body.clone()))
+        let end = self.kept.steps.get(&(step.0 as u32))?.outcome.as_ref()?;
+        end.response.as_ref().map(|a| (Lines::of(a.header_lines.clone()), a.body.clone()))
     }
 }
 
@@ -117,7 +119,7 @@
     times: Times,
     pace: Pace,
     counts: Counts,
-    pub record: Box<dyn Record>,
+    pub record: Box<dyn WorkflowStore>,
     unwritten: Vec<Waiting>,
     /// Chains that have finished, to be written down before they are answered.
     unanswered: Vec<(RequestId, Ended)>,
@@ -135,7 +137,7 @@
             times: Times::new(keep),
             pace: Pace::default(),
             counts: Counts::default(),
-            record: Box::new(Memory::default()),
+            record: Box::new(MemoryStore::default()),
             unwritten: Vec::new(),
             unanswered: Vec::new(),
             behind: BTreeSet::new(),
@@ -220,18 +222,18 @@
         let named = draft.picked(&chain_row.function_by).filter(|f| !f.is_empty()).map(str::to_owned);
         let digest_of_plan = digest(&plan, &self.deployment.workloads);
         let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
-        if lasts && draft.data.len() > ANSWER_MOST {
+        if lasts && draft.data.len() > MAX_STORED_RESPONSE_BYTES {
             return refuse(413, "large-chain", "the data of a chain with effects must fit its record");
         }
-        let before = match self.chains.record.read((&name.0, &name.1)) {
-            Ok(before) => before.filter(|kept| kept.until > now),
+        let before = match self.chains.record.load((&name.0, &name.1)) {
+            Ok(before) => before.filter(|kept| kept.expires_at > now),
             Err(why) if lasts => {
                 tracing::error!(%why, reason = "no-record", "the record cannot be read");
                 return refuse(503, "no-record", "what ran before cannot be known here");
             }
             Err(_) => None,
         };
-        if before.as_ref().is_some_and(|k| (&k.chain, k.plan) != (&plan.name, digest_of_plan)) {
+        if before.as_ref().is_some_and(|k| (&k.workflow, k.plan_digest) != (&plan.name, digest_of_plan)) {
             return refuse(502, "plan-changed", "it began by another plan; steps of it may have run");
         }
         let (client, digest, retry) = self.admit(now, &draft, plan.steps[0].workload, left)?;
@@ -250,18 +252,18 @@
         let request = super::request_id(self.deployment.rows.seed, self.next_job);
         let customer_name = customer.map(|c| self.deployment.customers[c.0].clone());
         let on_record = before.is_some();
-        let kept = before.unwrap_or_else(|| Kept {
-            chain: plan.name.clone(),
-            plan: digest_of_plan,
-            named,
+        let kept = before.unwrap_or_else(|| WorkflowRecord {
+            workflow: plan.name.clone(),
+            plan_digest: digest_of_plan,
+            function: named,
             customer: customer_name,
-            lines: draft.lines.without(&OWN).bytes().to_vec(),
-            media: draft.media,
+            header_lines: draft.lines.without(&OWN).bytes().to_vec(),
+            content_type: draft.media,
             data: draft.data,
-            ..Kept::default()
+            ..WorkflowRecord::default()
         });
         let until = now + left + self.deployment.remember_for;
-        let kept = Kept { deadline: now + left, until, closed: false, ..kept };
+        let kept = WorkflowRecord { deadline: now + left, expires_at: until, closed: false, ..kept };
         let chain =
             Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
         let chain = Chain { client, digest, on_record, ..chain };
@@ -279,10 +281,10 @@
         now: Micros,
         name: Name,
         plan: Arc<Plan>,
-        kept: Kept,
+        kept: WorkflowRecord,
         customer: Option<CustomerId>,
     ) -> Chain {
-        let recorded = resumed(&kept, &plan, now);
+        let recorded = recorded_steps(&kept, &plan, now);
         self.chains.counts.resumed += u64::from(!kept.steps.is_empty());
         Chain {
             name,
@@ -293,11 +295,11 @@
             retry: false,
             finished: None,
             come_back: None,
-            run: Run::new(now, plan, kept.named.clone(), kept.deadline, recorded),
+            run: Run::new(now, plan, kept.function.clone(), kept.deadline, recorded),
             callers: Vec::new(),
             out: BTreeMap::new(),
-            lines: Lines::of(kept.lines.clone()),
-            media: kept.media.clone(),
+            lines: Lines::of(kept.header_lines.clone()),
+            media: kept.content_type.clone(),
             data: Rc::new(kept.data.clone()),
             undos: 0,
             steps: 0,
@@ -317,13 +319,13 @@
     /// Chains on record that had not come to their end: whoever asked for one may ask again until its time is
     /// up; then it goes on without anybody, which takes back what must be taken back.
     pub(super) fn resume_chains(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let open = match self.chains.record.open() {
+        let open = match self.chains.record.unfinished() {
             Ok(open) => open,
             Err(why) => return tracing::error!(%why, reason = "no-record", "the record cannot be read"),
         };
         for (source, id) in open {
             let name: Name = (Rc::from(source), Rc::from(id));
-            let kept = self.chains.record.read((&name.0, &name.1));
+            let kept = self.chains.record.load((&name.0, &name.1));
             let Ok(Some(kept)) = kept else { continue };
             let wait = kept.deadline.saturating_sub(now);
             let (source, id) = &name;
@@ -334,7 +336,7 @@
     }
 
     fn clear_record(&mut self, now: Micros, transport: &mut dyn Transport) {
-        if let Err(why) = self.chains.record.clear(now) {
+        if let Err(why) = self.chains.record.remove_expired(now) {
             tracing::error!(%why, reason = "no-record", "the record cannot be cleared");
         }
         self.after(now, transport, CLEARS, Box::new(|g, now, transport| g.clear_record(now, transport)));
@@ -344,17 +346,24 @@
         if !matches!(self.claims.claim(now, &name), Claim::New) {
             return;
         }
-        let Ok(Some(kept)) = self.chains.record.read((&name.0, &name.1)) else { return };
+        let Ok(Some(kept)) = self.chains.record.load((&name.0, &name.1)) else { return };
         let mut rows = self.deployment.chains.iter().map(|row| row.plan.clone());
-        let plan = rows
-            .find(|plan| (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.chain, kept.plan));
+        let plan = rows.find(|plan| {
+            (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.workflow, kept.plan_digest)
+        });
         let Some(plan) = plan.filter(|_| !kept.closed) else { return };
         let customer = kept.customer.as_ref();
         let customer = customer.and_then(|c| self.deployment.customers.iter().position(|known| known == c));
         self.next_job += 1;
         let request = super::request_id(self.deployment.rows.seed, self.next_job);
         let until = now + self.deployment.remember_for;
-        let chain = self.chain(now, name.clone(), plan, Kept { until, ..kept }, customer.map(CustomerId));
+        let chain = self.chain(
+            now,
+            name.clone(),
+            plan,
+            WorkflowRecord { expires_at: until, ..kept },
+            customer.map(CustomerId),
+        );
         self.claims.begin(name, request);
         self.open_chain(now, request, chain);
     }
@@ -372,7 +381,7 @@
         for w in &waiting {
             if let Some(chain) = self.chains.open.get_mut(&w.request) {
                 chain.on_record = true;
-                chain.kept.steps.insert(w.step.0 as u32, KeptStep { sent: now, end: None });
+                chain.kept.steps.insert(w.step.0 as u32, StepRecord { sent_at: now, outcome: None });
             }
         }
         let requests = waiting.iter().map(|w| w.request).chain(finished.iter().map(|(request, _)| *request));
@@ -411,7 +420,7 @@
         let chains = requests.iter().filter_map(|request| self.chains.open.get(request));
         let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
         self.chains.counts.writes += 1;
-        let written = self.chains.record.keep(&rows);
+        let written = self.chains.record.save(&rows);
         if let Err(why) = &written {
             self.chains.counts.not_written += 1;
             tracing::error!(%why, reason = "no-record", "chains were not written down");
@@ -436,11 +445,11 @@
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
         let fields = chain.run.asked(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), field(&told.body, name)?)));
-        let small = how == How::Finished && told.body.len() <= ANSWER_MOST;
-        let answer =
-            small.then(|| KeptAnswer { lines: told.lines.bytes().to_vec(), body: told.body.clone() });
-        let end = KeptEnd { how: number(how), fields: fields.collect(), answer };
-        chain.kept.steps.entry(step.0 as u32).or_default().end = Some(end);
+        let small = how == How::Finished && told.body.len() <= MAX_STORED_RESPONSE_BYTES;
+        let answer = small
+            .then(|| StoredResponse { header_lines: told.lines.bytes().to_vec(), body: told.body.clone() });
+        let end = StepOutcome { code: outcome_code(how), fields: fields.collect(), response: answer };
+        chain.kept.steps.entry(step.0 as u32).or_default().outcome = Some(end);
         self.behind(now, transport, request);
     }
 
@@ -531,8 +540,8 @@
                 },
                 Do::Undo { step, function } => {
                     let done = |c: &Chain| {
-                        let kept = c.kept.steps.get(&(step.0 as u32)).and_then(|s| s.end.as_ref());
-                        kept.is_some_and(|end| end.how == number(How::Finished))
+                        let kept = c.kept.steps.get(&(step.0 as u32)).and_then(|s| s.outcome.as_ref());
+                        kept.is_some_and(|end| end.code == outcome_code(How::Finished))
                     };
                     if let Some(chain) = self.chains.open.get_mut(&request).filter(|c| !done(c)) {
                         chain.undos += 1;
@@ -719,7 +728,7 @@
             Ended::Failed(step, why) => {
                 chain.kept.failed = true;
                 // On record for as long as it may be taken back.
-                chain.kept.until = now + UNDO_FOR + self.deployment.remember_for;
+                chain.kept.expires_at = now + UNDO_FOR + self.deployment.remember_for;
                 counts.failed += 1;
                 let (reason, detail) = failed(step, why);
                 let status = if why == Why::NoTime { 504 } else { 502 };
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use applepond_gateway::deployment::{FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
 use applepond_gateway::{Deployment, Gateway};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport};
-use applepond_storage::{Kept, Memory, Name, Record};
+use applepond_storage::{MemoryStore, WorkflowKey, WorkflowRecord, WorkflowStore};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -108,11 +108,11 @@
 
 impl Bench {
     pub fn new(deployment: Deployment) -> Self {
-        Self::with(deployment, 1_000 * S, Box::new(Memory::default()))
+        Self::with(deployment, 1_000 * S, Box::new(MemoryStore::default()))
     }
 
     /// One that finds this record when it starts.
-    pub fn with(deployment: Deployment, now: Micros, record: Box<dyn Record>) -> Self {
+    pub fn with(deployment: Deployment, now: Micros, record: Box<dyn WorkflowStore>) -> Self {
         let news = Rc::new(RefCell::new(None));
         let found = news.clone();
         let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_record(record);
@@ -213,30 +213,36 @@
 /// A record that outlives its instance; the write of this number fails, where one is named.
 #[derive(Clone, Default)]
 pub struct Shared {
-    pub inner: Rc<RefCell<Memory>>,
+    pub inner: Rc<RefCell<MemoryStore>>,
     pub writes: Rc<RefCell<usize>>,
     pub fails: Option<usize>,
 }
 
-impl Record for Shared {
-    fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), applepond_storage::StoreFault> {
+impl WorkflowStore for Shared {
+    fn save(
+        &mut self,
+        chains: &[(WorkflowKey<'_>, &WorkflowRecord)],
+    ) -> Result<(), applepond_storage::StorageError> {
         *self.writes.borrow_mut() += 1;
         if self.fails == Some(*self.writes.borrow()) {
             let (file, why) = ("record".into(), "no space left".to_owned());
-            return Err(applepond_storage::StoreFault::NotWritten { file, why });
+            return Err(applepond_storage::StorageError::WriteFailed { file, why });
         }
-        self.inner.borrow_mut().keep(chains)
+        self.inner.borrow_mut().save(chains)
     }
-    fn read(&mut self, name: Name<'_>) -> Result<Option<Kept>, applepond_storage::StoreFault> {
-        self.inner.borrow_mut().read(name)
+    fn load(
+        &mut self,
+        name: WorkflowKey<'_>,
+    ) -> Result<Option<WorkflowRecord>, applepond_storage::StorageError> {
+        self.inner.borrow_mut().load(name)
     }
-    fn open(&mut self) -> Result<Vec<(String, String)>, applepond_storage::StoreFault> {
-        self.inner.borrow_mut().open()
+    fn unfinished(&mut self) -> Result<Vec<(String, String)>, applepond_storage::StorageError> {
+        self.inner.borrow_mut().unfinished()
     }
-    fn clear(&mut self, now: Micros) -> Result<usize, applepond_storage::StoreFault> {
-        self.inner.borrow_mut().clear(now)
+    fn remove_expired(&mut self, now: Micros) -> Result<usize, applepond_storage::StorageError> {
+        self.inner.borrow_mut().remove_expired(now)
     }
-    fn chains(&mut self) -> Result<u64, applepond_storage::StoreFault> {
-        self.inner.borrow_mut().chains()
+    fn count(&mut self) -> Result<u64, applepond_storage::StorageError> {
+        self.inner.borrow_mut().count()
     }
 }
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -5,55 +5,55 @@
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::Gateway;
 use applepond_reactor::Machine;
-use applepond_recovery::{About, Fact, Memory, What};
+use applepond_recovery::{Fact, FactKey, FactKind, ObservationStore};
 use common::*;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-struct Shelf(Rc<RefCell<Memory>>);
+struct Shelf(Rc<RefCell<ObservationStore>>);
 
 impl applepond_gateway::Memory for Shelf {
     fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
-        self.0.borrow_mut().saw(now, server, up_since, seen);
+        self.0.borrow_mut().record_worker(now, server, up_since, seen);
     }
     fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
-        self.0.borrow_mut().saw_load_time(now, function, took);
+        self.0.borrow_mut().record_load_time(now, function, took);
     }
     fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
-        self.0.borrow_mut().saw_usual(now, usual);
+        self.0.borrow_mut().record_baseline(now, usual);
     }
     fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, request, wait);
+        self.0.borrow_mut().record_scheduled_retry(now, request, wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
-        self.0.borrow_mut().own(now)
+    fn own(&mut self, now: Micros) -> Option<applepond_recovery::RouterHistory> {
+        self.0.borrow_mut().take_router_history(now)
     }
     fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
-        self.0.borrow_mut().recalls(now)
+        self.0.borrow_mut().pending_worker_history(now)
     }
     fn recalled(&mut self, server: WorkerId, up_since: Micros) {
-        self.0.borrow_mut().recalled(server, up_since);
+        self.0.borrow_mut().mark_restored(server, up_since);
     }
     fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
-        self.0.borrow_mut().listed(now, server, up_since, is)
+        self.0.borrow_mut().apply_listed_status(now, server, up_since, is)
     }
     fn whole(&mut self, named: &[(WorkerId, Micros)]) {
-        self.0.borrow_mut().whole(named);
+        self.0.borrow_mut().apply_complete_list(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
         self.0.borrow().load_time(now, function)
     }
 }
 
-fn fact(what: What, worker: &str, value: f32) -> Fact {
-    Fact { about: About { what, key: WorkerId::named(worker).0, life: 0 }, value, age: 0 }
+fn fact(what: FactKind, worker: &str, value: f32) -> Fact {
+    Fact { key: FactKey { kind: what, subject: WorkerId::named(worker).0, incarnation: 0 }, value, age: 0 }
 }
 
 /// A gateway with two workers that has these facts from before.
-fn told(facts: &[Fact]) -> (Bench, Rc<RefCell<Memory>>) {
+fn told(facts: &[Fact]) -> (Bench, Rc<RefCell<ObservationStore>>) {
     let now = 1_000 * S;
-    let memory = Rc::new(RefCell::new(Memory::default()));
-    memory.borrow_mut().take(now, facts);
+    let memory = Rc::new(RefCell::new(ObservationStore::default()));
+    memory.borrow_mut().import(now, facts);
     let gateway = Gateway::new(now, deployment(2), Box::new(|_| ()));
     let news = Rc::new(RefCell::new(None));
     let found = news.clone();
@@ -88,7 +88,7 @@
 #[test]
 fn a_drain_is_kept_over_a_restart() {
     for (worker, other) in [("w1", 9002), ("w2", 9001)] {
-        let (mut b, _) = told(&[fact(What::Drain, worker, 1.0)]);
+        let (mut b, _) = told(&[fact(FactKind::Draining, worker, 1.0)]);
         many(&mut b, 0);
         assert!(ports(&mut b).iter().all(|p| *p == other), "{worker}");
         b.pass(61 * S);
@@ -106,18 +106,19 @@
         let all = ports(&mut b);
         all.iter().filter(|p| **p == 9001).count()
     };
-    assert_eq!(asks(&[fact(What::Aside, "w1", 1.0)]), 1);
+    assert_eq!(asks(&[fact(FactKind::Ejected, "w1", 1.0)]), 1);
     assert!(asks(&[]) > 1);
 }
 
 // What it was told and has not seen itself does not become its own word.
 #[test]
 fn hearsay_does_not_stay_young() {
-    let (mut b, memory) = told(&[fact(What::Room, "w1", 3.0), fact(What::Room, "w2", 3.0)]);
+    let (mut b, memory) =
+        told(&[fact(FactKind::ConcurrencyLimit, "w1", 3.0), fact(FactKind::ConcurrencyLimit, "w2", 3.0)]);
     b.pass(10 * S);
     let ages = |b: &Bench| {
-        let facts: Vec<_> = memory.borrow().facts().all(b.now).collect();
-        facts.iter().filter(|f| f.about.what == What::Room).map(|f| f.age).collect::<Vec<_>>()
+        let facts: Vec<_> = memory.borrow().facts().iter(b.now).collect();
+        facts.iter().filter(|f| f.key.kind == FactKind::ConcurrencyLimit).map(|f| f.age).collect::<Vec<_>>()
     };
     assert!(ages(&b).iter().all(|age| *age >= 10 * S), "{:?}", ages(&b));
     b.asks("quote", "1");
@@ -138,14 +139,14 @@
     let client = b.asks("quote", "1");
     b.pass(4 * S);
     assert_eq!(b.statuses(client), [503], "nobody is there to serve it");
-    let promised = |memory: &Rc<RefCell<Memory>>, now| {
-        memory.borrow().facts().all(now).filter(|f| f.about.what == What::Promise).count()
+    let promised = |memory: &Rc<RefCell<ObservationStore>>, now| {
+        memory.borrow().facts().iter(now).filter(|f| f.key.kind == FactKind::ScheduledRetry).count()
     };
     assert_eq!(promised(&memory, b.now), 1);
-    let facts: Vec<Fact> = memory.borrow().facts().all(b.now).collect();
+    let facts: Vec<Fact> = memory.borrow().facts().iter(b.now).collect();
     let (mut after, later) = told(&facts);
     after.pass(S);
-    assert_eq!(later.borrow_mut().own(after.now), None, "taken up by the gateway");
+    assert_eq!(later.borrow_mut().take_router_history(after.now), None, "taken up by the gateway");
 }
 
 // A worker that a whole list leaves out is gone, with requests still out there or not: what was said of it
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -84,7 +84,7 @@
     bytes: &[u8],
     now: Micros,
     office: &mut Office,
-    disk: &mut dyn applepond_consensus::Votes<Term>,
+    disk: &mut dyn applepond_consensus::AcceptorStorage<Term>,
     live: &dyn Fn(RouterId) -> bool,
     orders: &mut dyn Actions,
 ) -> Option<()> {
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -2,7 +2,9 @@
 //! is its own. Who seems to be there only decides when somebody takes over; that two never give at once is by
 //! the register and by leases.
 use crate::*;
-use applepond_consensus::{Ballot, Keeper, KeeperId, Proposer, Told, Vote, Votes};
+use applepond_consensus::{
+    Acceptor, AcceptorState, AcceptorStorage, Ballot, ProposalOutcome, Proposer, ReplicaIndex,
+};
 use applepond_membership::{InstanceId, RouterId};
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
@@ -68,11 +70,11 @@
 /// The proposer's messages, to the keepers by name.
 struct Post<'a>(&'a [RouterId], &'a mut dyn Actions);
 
-impl applepond_consensus::Ballots<Term> for Post<'_> {
-    fn promise(&mut self, of: KeeperId, ballot: Ballot) {
+impl applepond_consensus::ProposerActions<Term> for Post<'_> {
+    fn prepare(&mut self, of: ReplicaIndex, ballot: Ballot) {
         self.1.promise(self.0[of.0 as usize], ballot);
     }
-    fn accept(&mut self, by: KeeperId, ballot: Ballot, value: &Term) {
+    fn accept(&mut self, by: ReplicaIndex, ballot: Ballot, value: &Term) {
         self.1.accept(self.0[by.0 as usize], ballot, value);
     }
 }
@@ -81,7 +83,7 @@
     place: Place,
     pub holder: Holder,
     divider: Option<Divider>,
-    keeper: Option<Keeper<Term>>,
+    keeper: Option<Acceptor<Term>>,
     /// Routers of keepers only.
     proposer: Option<Proposer<Term>>,
     /// When the try under way began, and when the next one may.
@@ -102,8 +104,8 @@
     ///
     /// # Panics
     /// Where keepers are none, more than five or an even number.
-    pub fn new(now: Micros, place: Place, keeper: Option<Keeper<Term>>, seed: u64) -> Self {
-        let ids: Vec<KeeperId> = (0..place.keepers.len() as u8).map(KeeperId).collect();
+    pub fn new(now: Micros, place: Place, keeper: Option<Acceptor<Term>>, seed: u64) -> Self {
+        let ids: Vec<ReplicaIndex> = (0..place.keepers.len() as u8).map(ReplicaIndex).collect();
         let keeps = place.keepers.contains(&place.name);
         let mut rng = Rand64::new(u128::from(seed));
         Office {
@@ -153,7 +155,8 @@
     /// When `wake` is to be called at the latest.
     pub fn next(&self) -> Micros {
         let proposer = self.proposer.as_ref();
-        let tries = proposer.map_or(Micros::MAX, |p| if p.is_idle() { self.next_try } else { p.next() });
+        let tries =
+            proposer.map_or(Micros::MAX, |p| if p.is_idle() { self.next_try } else { p.next_wakeup() });
         tries.min(self.next_ask)
     }
 
@@ -166,7 +169,7 @@
         let Some(proposer) = &mut self.proposer else { return };
         let mut post = Post(&self.place.keepers, orders);
         if !proposer.is_idle() {
-            if now >= proposer.next() {
+            if now >= proposer.next_wakeup() {
                 // A try that begins anew: what it confirms counts from here.
                 self.begun = now;
                 proposer.wake(now, &mut post);
@@ -178,7 +181,7 @@
             let gone = self.divides.is_none_or(|d| d == self.place.name || !live(d));
             if mine || gone && now >= self.heard + TAKE_OVER || now >= self.heard + 2 * LEASE {
                 self.begun = now;
-                proposer.read(now, &mut post);
+                proposer.prepare(now, &mut post);
             }
         }
     }
@@ -198,10 +201,10 @@
         &mut self,
         from: RouterId,
         ballot: Ballot,
-        disk: &mut dyn Votes<Term>,
+        disk: &mut dyn AcceptorStorage<Term>,
         orders: &mut dyn Actions,
     ) {
-        match self.keeper.as_mut().and_then(|k| k.promise(ballot, disk)) {
+        match self.keeper.as_mut().and_then(|k| k.prepare(ballot, disk)) {
             Some(Ok((before, accepted))) => orders.promised(from, ballot, before, accepted),
             Some(Err(promised)) => orders.refused(from, ballot, promised),
             None => {}
@@ -214,7 +217,7 @@
         ballot: Ballot,
         term: Term,
         now: Micros,
-        disk: &mut dyn Votes<Term>,
+        disk: &mut dyn AcceptorStorage<Term>,
         orders: &mut dyn Actions,
     ) {
         // Guards against a division by other settings: a keeper that has others does not vote for it.
@@ -238,14 +241,14 @@
     }
 
     /// What its keeper holds; for the state page.
-    pub fn vote(&self) -> Option<&Vote<Term>> {
-        self.keeper.as_ref().map(Keeper::vote)
+    pub fn vote(&self) -> Option<&AcceptorState<Term>> {
+        self.keeper.as_ref().map(Acceptor::state)
     }
 
     // ---- The proposer's side -----------------------------------------------------------------
 
-    fn keeper_of(&self, name: RouterId) -> Option<KeeperId> {
-        self.place.keepers.iter().position(|k| *k == name).map(|n| KeeperId(n as u8))
+    fn keeper_of(&self, name: RouterId) -> Option<ReplicaIndex> {
+        self.place.keepers.iter().position(|k| *k == name).map(|n| ReplicaIndex(n as u8))
     }
 
     pub fn promised(
@@ -259,12 +262,14 @@
     ) {
         let Some(keeper) = self.keeper_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
-        let Some(Told::Read(term)) = proposer.promised(keeper, ballot, before, accepted) else { return };
+        let Some(ProposalOutcome::Read(term)) = proposer.on_promised(keeper, ballot, before, accepted) else {
+            return;
+        };
         let mine = term.as_ref().is_some_and(|t| t.by == self.place.instance_id);
         // Of a process before this one under the name nobody else is left to speak.
         let gone = term.as_ref().is_none_or(|t| t.name == self.place.name || !live(t.name));
         if !mine && !gone {
-            proposer.leave();
+            proposer.abandon();
             (self.divides, self.heard, self.divider) = (term.map(|t| t.name), now, None);
             return;
         }
@@ -275,13 +280,13 @@
         let number = term.as_ref().map_or(1, |t| t.number + u64::from(!mine));
         let (name, by, settings) = (self.place.name, self.place.instance_id, self.place.settings());
         let next = Term { number, name, by, settings };
-        proposer.write(now, next, &mut Post(&self.place.keepers, orders));
+        proposer.propose(now, next, &mut Post(&self.place.keepers, orders));
     }
 
     pub fn accepted(&mut self, now: Micros, from: RouterId, ballot: Ballot) {
         let Some(keeper) = self.keeper_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
-        let Some(Told::Written(term)) = proposer.accepted(keeper, ballot) else { return };
+        let Some(ProposalOutcome::Committed(term)) = proposer.on_accepted(keeper, ballot) else { return };
         // Guards against settings that came since: most keepers have not voted for them.
         if term.settings != self.place.settings() {
             return;
@@ -294,7 +299,7 @@
     }
 
     pub fn refused(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
-        self.proposer.iter_mut().for_each(|p| p.refused(now, ballot, promised));
+        self.proposer.iter_mut().for_each(|p| p.on_rejected(now, ballot, promised));
     }
 
     // ---- Parts -------------------------------------------------------------------------------
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Offices on a paper network, three of them keepers; the sum of what is in force is judged at each step.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_consensus::{Keeper, Trouble, Vote, Votes};
+use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_quota::message::{Written, read};
 use applepond_quota::*;
@@ -16,10 +16,10 @@
 pub const WHOLE: Amount = 1_000 * UNIT;
 
 #[derive(Default)]
-pub struct Disk(pub Option<Vote<Term>>);
+pub struct Disk(pub Option<AcceptorState<Term>>);
 
-impl Votes<Term> for Disk {
-    fn keep(&mut self, vote: &Vote<Term>) -> Result<(), Trouble> {
+impl AcceptorStorage<Term> for Disk {
+    fn persist(&mut self, vote: &AcceptorState<Term>) -> Result<(), AcceptorError> {
         self.0 = Some(vote.clone());
         Ok(())
     }
@@ -71,7 +71,12 @@
     RouterId(n as u64)
 }
 
-pub fn office(now: u64, (n, routers): (usize, usize), instance_id: u64, found: Option<Vote<Term>>) -> Office {
+pub fn office(
+    now: u64,
+    (n, routers): (usize, usize),
+    instance_id: u64,
+    found: Option<AcceptorState<Term>>,
+) -> Office {
     let row = row(routers);
     let place = Place {
         name: name(n),
@@ -80,7 +85,7 @@
         routers: routers as u64,
         rows: vec![row],
     };
-    Office::new(now, place, (n < KEEPERS).then(|| Keeper::new(FLEET, Ok(found))), instance_id)
+    Office::new(now, place, (n < KEEPERS).then(|| Acceptor::new(FLEET, Ok(found))), instance_id)
 }
 
 impl World {
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Bytes of messages between processes: a version that writes others cannot run beside the one before.
-use applepond_consensus::{Ballot, Keeper, Trouble, Vote, Votes};
+use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_quota::message::{self, Written};
 use applepond_quota::*;
@@ -37,8 +37,8 @@
 
 struct Memory;
 
-impl Votes<Term> for Memory {
-    fn keep(&mut self, _: &Vote<Term>) -> Result<(), Trouble> {
+impl AcceptorStorage<Term> for Memory {
+    fn persist(&mut self, _: &AcceptorState<Term>) -> Result<(), AcceptorError> {
         Ok(())
     }
 }
@@ -47,7 +47,7 @@
 fn messages_are_read() {
     let rows = vec![Row { whole: 1_000, floor: 10 }];
     let place = Place { name: ME, instance_id: InstanceId(1), keepers: vec![ME], routers: 3, rows };
-    let mut office = Office::new(0, place, Some(Keeper::new(3, Ok(None))), 1);
+    let mut office = Office::new(0, place, Some(Acceptor::new(3, Ok(None))), 1);
     for bytes in messages() {
         let mut answers = Written::by(ME);
         let read = message::read(&bytes, 0, &mut office, &mut Memory, &|_| true, &mut answers);
--- a/crates/recovery/src/fault.rs
+++ b/crates/recovery/src/fault.rs
@@ -5,19 +5,19 @@
 
 /// Why a snapshot is not used. Nothing else depends on it: the router starts from its peers, or from nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum Unusable {
+pub enum SnapshotError {
     #[error("the snapshot's checksum does not fit: torn, bent or written over")]
     #[diagnostic(
         code(comeback::spoilt),
         help("nothing at once: it is written anew within seconds; if it happens again, replace the disk")
     )]
-    Spoilt,
+    Corrupt,
     #[error("the snapshot has form {0}, which this version does not read")]
     #[diagnostic(
         code(comeback::other_form),
         help("nothing: a newer version wrote it, and it is written anew within seconds")
     )]
-    OtherForm(u16),
+    UnsupportedFormat(u16),
     #[error("the snapshot is of another router or fleet")]
     #[diagnostic(
         code(comeback::foreign),
@@ -25,16 +25,20 @@
             "look which file 'snapshot' in the fleet block names: two routers may share it, or it was copied"
         )
     )]
-    Foreign,
+    WrongRouter,
     #[error("the snapshot has {0} bytes, more than any has")]
     #[diagnostic(code(comeback::long), help("look which file 'snapshot' in the fleet block names"))]
-    Long(usize),
+    TooLarge(usize),
 }
 
-impl Unusable {
+impl SnapshotError {
     /// One of each, for the table of codes.
-    pub const EACH: [Unusable; 4] =
-        [Unusable::Spoilt, Unusable::OtherForm(0), Unusable::Foreign, Unusable::Long(0)];
+    pub const EACH: [SnapshotError; 4] = [
+        SnapshotError::Corrupt,
+        SnapshotError::UnsupportedFormat(0),
+        SnapshotError::WrongRouter,
+        SnapshotError::TooLarge(0),
+    ];
 }
 
 /// Why a message is not taken; it changes nothing then.
@@ -44,4 +48,4 @@
     code(comeback::unreadable),
     help("a router of another version, or a broken path: compare the versions of the routers")
 )]
-pub struct Unread;
+pub struct MalformedMessage;
--- a/crates/recovery/src/peers.rs
+++ b/crates/recovery/src/peers.rs
@@ -4,8 +4,9 @@
 //! the median over those that gave; where one alone gave by the end of the span, its word counts as half
 //! gone already.
 use crate::{
-    AGAIN, AGAIN_MOST, ASKS_MOST, About, EMPTY, Fact, Facts, GIVE, GIVE_AT_ONCE, Micros, PAGE, PATIENCE,
-    PEERS, SPAN, message,
+    EMPTY_PEER_BACKOFF, FACTS_PER_PAGE, Fact, FactKey, Facts, MAX_REQUESTS, MAX_RETRY_DELAY, MIN_RETRY_DELAY,
+    Micros, PARALLEL_PEERS, RECOVERY_WINDOW, RESPONSE_TIMEOUT, SEND_BURST_BYTES, SEND_BYTES_PER_SECOND,
+    message,
 };
 use applepond_membership::RouterId;
 use oorandom::Rand64;
@@ -20,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// It asks; it serves meanwhile.
-    Asking,
+    Requesting,
     /// Facts were taken: how many peers gave them.
-    Told(usize),
+    Recovered(usize),
     /// Nobody had anything to say in time.
-    Untold,
+    Exhausted,
 }
 
 /// One peer that was asked.
@@ -37,7 +38,7 @@
     whole: bool,
 }
 
-pub struct Peers {
+pub struct PeerRecovery {
     me: RouterId,
     born: Micros,
     stage: Stage,
@@ -61,36 +62,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     /// One that is itself coming back says so, instead of giving the nothing it knows.
-    pub empty_is_said: bool,
+    pub reports_empty: bool,
     /// Askers beyond the bound are told a time of their own.
-    pub spreads: bool,
+    pub spreads_retries: bool,
     /// Whom to ask is drawn, and not the same for all.
-    pub by_chance: bool,
+    pub random_peers: bool,
     /// The median, not one's word.
     pub median: bool,
 }
 
 impl Guards {
-    pub const ALL: Guards = Guards { empty_is_said: true, spreads: true, by_chance: true, median: true };
+    pub const ALL: Guards =
+        Guards { reports_empty: true, spreads_retries: true, random_peers: true, median: true };
 }
 
-impl Peers {
+impl PeerRecovery {
     /// A router that starts at `now`.
     pub fn new(now: Micros, me: RouterId, seed: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
-        Peers {
+        PeerRecovery {
             me,
             born: now,
-            stage: Stage::Asking,
+            stage: Stage::Requesting,
             asked: BTreeMap::new(),
             empty: BTreeMap::new(),
             asks: 0,
             // Those that start at once need not ask at once.
-            next: now + rng.rand_range(0..AGAIN),
-            tokens: GIVE_AT_ONCE as f64,
+            next: now + rng.rand_range(0..MIN_RETRY_DELAY),
+            tokens: SEND_BURST_BYTES as f64,
             filled: now,
             away: 0,
-            ripe: now + SPAN,
+            ripe: now + RECOVERY_WINDOW,
             rng,
             guards: Guards::ALL,
         }
@@ -105,32 +107,32 @@
         self.stage
     }
 
-    pub fn asks(&self) -> u32 {
+    pub fn requests_sent(&self) -> u32 {
         self.asks
     }
 
-    pub fn next(&self) -> Micros {
-        if self.stage == Stage::Asking { self.next } else { Micros::MAX }
+    pub fn next_wakeup(&self) -> Micros {
+        if self.stage == Stage::Requesting { self.next } else { Micros::MAX }
     }
 
     /// Nobody is asked.
-    pub fn alone(mut self) -> Self {
-        self.stage = Stage::Untold;
+    pub fn without_peers(mut self) -> Self {
+        self.stage = Stage::Exhausted;
         self
     }
 
     /// A snapshot said something: it is as good as a peer's word to those that ask, and this one asks on.
-    pub fn had_snapshot(&mut self, now: Micros) {
+    pub fn snapshot_loaded(&mut self, now: Micros) {
         self.ripe = now;
     }
 
     /// Asks whoever is there, as far as `members` sees; what was learned, once it is all there is to be.
     pub fn wake(&mut self, now: Micros, live: &[RouterId], orders: &mut dyn Actions) -> Vec<Fact> {
-        if self.stage != Stage::Asking || now < self.next {
+        if self.stage != Stage::Requesting || now < self.next {
             return Vec::new();
         }
         let whole = self.asked.values().filter(|a| a.whole).count();
-        if whole >= PEERS || now >= self.born + SPAN || self.asks >= ASKS_MOST {
+        if whole >= PARALLEL_PEERS || now >= self.born + RECOVERY_WINDOW || self.asks >= MAX_REQUESTS {
             return self.end(now);
         }
         self.empty.retain(|_, until| now < *until);
@@ -148,17 +150,17 @@
                 continue;
             }
             self.asked.remove(&id);
-            self.empty.insert(id, now + PATIENCE);
+            self.empty.insert(id, now + RESPONSE_TIMEOUT);
         }
         let mut others: Vec<RouterId> = live
             .iter()
             .copied()
             .filter(|id| *id != self.me && !self.asked.contains_key(id) && !self.empty.contains_key(id))
             .collect();
-        while self.asked.len() < PEERS && !others.is_empty() && self.asks < ASKS_MOST {
+        while self.asked.len() < PARALLEL_PEERS && !others.is_empty() && self.asks < MAX_REQUESTS {
             let any = self.rng.rand_range(0..others.len() as u64) as usize;
             let first = (0..others.len()).min_by_key(|n| others[*n]).unwrap_or(0);
-            let to = others.swap_remove(if self.guards.by_chance { any } else { first });
+            let to = others.swap_remove(if self.guards.random_peers { any } else { first });
             self.ask(now, to, 0, orders);
         }
         self.rest(now);
@@ -169,8 +171,9 @@
     fn rest(&mut self, now: Micros) {
         let waits = self.asked.values().filter(|a| !a.whole).map(|a| a.until);
         let empties = self.empty.values().copied();
-        let soon = waits.chain(empties).min().unwrap_or(now + AGAIN);
-        self.next = soon.clamp(now + AGAIN / 10, now + PATIENCE).min(self.born + SPAN);
+        let soon = waits.chain(empties).min().unwrap_or(now + MIN_RETRY_DELAY);
+        self.next =
+            soon.clamp(now + MIN_RETRY_DELAY / 10, now + RESPONSE_TIMEOUT).min(self.born + RECOVERY_WINDOW);
     }
 
     fn ask(&mut self, now: Micros, to: RouterId, page: u16, orders: &mut dyn Actions) {
@@ -183,14 +186,14 @@
             facts: Vec::new(),
             whole: false,
         });
-        (row.number, row.page, row.until) = (number, page, now + PATIENCE);
-        orders.send(to, message::ask(self.me, number, page));
+        (row.number, row.page, row.until) = (number, page, now + RESPONSE_TIMEOUT);
+        orders.send(to, message::encode_request(self.me, number, page));
     }
 
     fn end(&mut self, now: Micros) -> Vec<Fact> {
         let gave: Vec<Vec<Fact>> =
             std::mem::take(&mut self.asked).into_values().filter(|a| a.whole).map(|a| a.facts).collect();
-        self.stage = if gave.is_empty() { Stage::Untold } else { Stage::Told(gave.len()) };
+        self.stage = if gave.is_empty() { Stage::Exhausted } else { Stage::Recovered(gave.len()) };
         if !gave.is_empty() {
             self.ripe = now;
         }
@@ -199,7 +202,7 @@
 
     /// A peer's page.
     #[allow(clippy::too_many_arguments)] // what a message says, in its order
-    pub fn given(
+    pub fn on_page(
         &mut self,
         now: Micros,
         from: RouterId,
@@ -211,11 +214,11 @@
     ) {
         // Guards against an answer to another ask, or of a peer that nobody asked.
         let Some(row) = self.asked.get_mut(&from) else { return };
-        if row.number != number || row.page != page || row.whole || self.stage != Stage::Asking {
+        if row.number != number || row.page != page || row.whole || self.stage != Stage::Requesting {
             return;
         }
         row.facts.extend(facts);
-        row.whole = last || row.facts.len() >= crate::FACTS_MOST;
+        row.whole = last || row.facts.len() >= crate::MAX_FACTS;
         if !row.whole {
             let next = page + 1;
             // A page that follows is no further ask of somebody.
@@ -225,21 +228,21 @@
         self.next = self.next.min(now);
     }
 
-    pub fn told_later(&mut self, now: Micros, from: RouterId, number: u64, wait: Micros) {
+    pub fn on_retry_later(&mut self, now: Micros, from: RouterId, number: u64, wait: Micros) {
         let Some(row) = self.asked.get(&from) else { return };
         if row.number == number && !row.whole {
             self.asked.remove(&from);
-            self.empty.insert(from, now + wait.min(AGAIN_MOST));
+            self.empty.insert(from, now + wait.min(MAX_RETRY_DELAY));
             self.rest(now);
         }
     }
 
-    pub fn told_empty(&mut self, now: Micros, from: RouterId, number: u64) {
+    pub fn on_empty(&mut self, now: Micros, from: RouterId, number: u64) {
         let Some(row) = self.asked.get(&from) else { return };
         if row.number == number && !row.whole {
             // It may have been told by then.
             self.asked.remove(&from);
-            self.empty.insert(from, now + EMPTY);
+            self.empty.insert(from, now + EMPTY_PEER_BACKOFF);
             self.next = self.next.min(now);
         }
     }
@@ -247,12 +250,12 @@
     // ---- Giving ------------------------------------------------------------------------------
 
     /// Whether this router's own sight is worth giving.
-    pub fn is_ripe(&self, now: Micros) -> bool {
+    pub fn can_serve(&self, now: Micros) -> bool {
         now >= self.ripe
     }
 
     /// Gives a page, or a time to come again, or says that it is empty.
-    pub fn asked(
+    pub fn on_request(
         &mut self,
         now: Micros,
         from: RouterId,
@@ -261,24 +264,26 @@
         orders: &mut dyn Actions,
     ) {
         // Guards against emptiness that is taken for a word: nothing known is not zero.
-        if self.guards.empty_is_said && !self.is_ripe(now) {
-            orders.send(from, message::empty(self.me, number));
+        if self.guards.reports_empty && !self.can_serve(now) {
+            orders.send(from, message::encode_empty(self.me, number));
             return;
         }
-        self.tokens += (now - self.filled.min(now)) as f64 * GIVE as f64 / 1e6;
-        self.tokens = self.tokens.min(GIVE_AT_ONCE as f64);
+        self.tokens += (now - self.filled.min(now)) as f64 * SEND_BYTES_PER_SECOND as f64 / 1e6;
+        self.tokens = self.tokens.min(SEND_BURST_BYTES as f64);
         self.filled = now;
-        let shared = facts.all(now).filter(|f| f.about.what.shared());
-        let mut these: Vec<Fact> = shared.skip(page as usize * PAGE).take(PAGE + 1).collect();
-        let last = these.len() <= PAGE;
-        these.truncate(PAGE);
-        let bytes = message::give(self.me, number, page, last, &these);
-        if self.tokens < bytes.len() as f64 && self.guards.spreads {
+        let shared = facts.iter(now).filter(|f| f.key.kind.is_shared());
+        let mut these: Vec<Fact> =
+            shared.skip(page as usize * FACTS_PER_PAGE).take(FACTS_PER_PAGE + 1).collect();
+        let last = these.len() <= FACTS_PER_PAGE;
+        these.truncate(FACTS_PER_PAGE);
+        let bytes = message::encode_page(self.me, number, page, last, &these);
+        if self.tokens < bytes.len() as f64 && self.guards.spreads_retries {
             // Each that is sent away is told a time behind those before it, and a little chance.
             self.away = (self.away + 1).min(1_000);
-            let line = u64::from(self.away) * bytes.len() as u64 * 1_000_000 / GIVE;
-            let wait = (AGAIN + line + self.rng.rand_range(0..AGAIN)).min(AGAIN_MOST);
-            orders.send(from, message::later(self.me, number, wait));
+            let line = u64::from(self.away) * bytes.len() as u64 * 1_000_000 / SEND_BYTES_PER_SECOND;
+            let wait =
+                (MIN_RETRY_DELAY + line + self.rng.rand_range(0..MIN_RETRY_DELAY)).min(MAX_RETRY_DELAY);
+            orders.send(from, message::encode_retry_later(self.me, number, wait));
             return;
         }
         self.away = self.away.saturating_sub(1);
@@ -289,18 +294,18 @@
 
 /// The middle one of what was said of each, as old as the oldest of those that said it.
 fn middle(gave: &[Vec<Fact>], median: bool) -> Vec<Fact> {
-    let mut said: BTreeMap<About, Vec<Fact>> = BTreeMap::new();
+    let mut said: BTreeMap<FactKey, Vec<Fact>> = BTreeMap::new();
     for facts in gave {
         let mut seen = BTreeSet::new();
-        for fact in facts.iter().filter(|f| seen.insert(f.about)) {
-            said.entry(fact.about).or_default().push(*fact);
+        for fact in facts.iter().filter(|f| seen.insert(f.key)) {
+            said.entry(fact.key).or_default().push(*fact);
         }
     }
     let most = gave.len() / 2 + 1;
-    let one = |(about, mut facts): (About, Vec<Fact>)| {
+    let one = |(about, mut facts): (FactKey, Vec<Fact>)| {
         facts.sort_by(|a, b| a.value.total_cmp(&b.value));
         let age = facts.iter().map(|f| f.age).max()?;
-        let mut fact = Fact { about, value: facts[(facts.len() - 1) / 2].value, age };
+        let mut fact = Fact { key: about, value: facts[(facts.len() - 1) / 2].value, age };
         if !median {
             return Some(facts[0]);
         }
@@ -309,7 +314,7 @@
             return None;
         }
         if gave.len() == 1 {
-            let (_, nothing) = about.what.ages();
+            let (_, nothing) = about.kind.lifetimes();
             fact.age = fact.age.max(nothing / 2);
         }
         Some(fact).filter(|f| f.weight() > 0.0)
--- a/crates/recovery/tests/points/main.rs
+++ b/crates/recovery/tests/points/main.rs
@@ -1,7 +1,7 @@
 //! Faults at numbered points of coming back: whatever an instance does with its disk and its socket is a
 //! point; a run counts them, then is played again for each of them with each kind of fault there.
 mod paper;
-use applepond_recovery::{SPAN, Stage, What};
+use applepond_recovery::{FactKind, RECOVERY_WINDOW, Stage};
 use paper::*;
 
 const SEED: u64 = 5;
@@ -19,7 +19,9 @@
     });
     // A fault may have killed one meanwhile: it has its span from its own start.
     let back = |p: &SimulatedNetwork| {
-        (0..4).all(|n| p.all[n].is_some() && p.at(n).peers.stage() != Stage::Asking && p.age(n) > SPAN / 2)
+        (0..4).all(|n| {
+            p.all[n].is_some() && p.at(n).peers.stage() != Stage::Requesting && p.age(n) > RECOVERY_WINDOW / 2
+        })
     };
     for _ in 0..24 {
         paper.pass(500 * MS);
@@ -31,7 +33,7 @@
     if !back(paper) {
         return Err("somebody is still asking after 12 s".to_owned());
     }
-    match (1..4).find(|n| paper.holds(*n, What::Drain, 0).is_none()) {
+    match (1..4).find(|n| paper.holds(*n, FactKind::Draining, 0).is_none()) {
         Some(n) => Err(format!("r{n} has forgotten a drain: {:?}", paper.at(n).peers.stage())),
         None => Ok(()),
     }
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/points/paper.rs
@@ -1,7 +1,7 @@
 //! Routers that come back, on a paper network with disks that lie: simulated time, one seed one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_membership::RouterId;
-use applepond_recovery::message::Words;
+use applepond_recovery::message::MessageVisitor;
 use applepond_recovery::*;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -19,19 +19,19 @@
     Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
 }
 
-pub fn about(what: What, key: u64) -> About {
-    About { what, key, life: 1 }
+pub fn about(what: FactKind, key: u64) -> FactKey {
+    FactKey { kind: what, subject: key, incarnation: 1 }
 }
 
 /// What holds in the paper world, which every router that lives has seen.
 pub fn truth(key: u64) -> Vec<Fact> {
     let mut facts = vec![
-        Fact { about: about(What::Room, key), value: 4.0 + key as f32, age: 0 },
-        Fact { about: about(What::Lag, key), value: 0.1, age: 0 },
+        Fact { key: about(FactKind::ConcurrencyLimit, key), value: 4.0 + key as f32, age: 0 },
+        Fact { key: about(FactKind::QueueingDelay, key), value: 0.1, age: 0 },
     ];
     match key {
-        0 => facts.push(Fact { about: about(What::Drain, 0), value: 1.0, age: 0 }),
-        1 => facts.push(Fact { about: about(What::Aside, 1), value: 1.0, age: 0 }),
+        0 => facts.push(Fact { key: about(FactKind::Draining, 0), value: 1.0, age: 0 }),
+        1 => facts.push(Fact { key: about(FactKind::Ejected, 1), value: 1.0, age: 0 }),
         _ => {}
     }
     facts
@@ -79,10 +79,10 @@
 }
 
 pub struct Process {
-    pub peers: Peers,
+    pub peers: PeerRecovery,
     pub facts: Facts,
     /// What its snapshot could not be used for.
-    pub unusable: Option<Unusable>,
+    pub unusable: Option<SnapshotError>,
     pub told: Vec<Fact>,
     life: u64,
     born: u64,
@@ -102,7 +102,7 @@
     pub now: u64,
     pub all: Vec<Option<Process>>,
     pub disks: Vec<Option<Vec<u8>>>,
-    pub boots: Vec<Option<Boot>>,
+    pub boots: Vec<Option<BootId>>,
     pub link: Link,
     pub rng: Rand64,
     pub points: Points,
@@ -133,18 +133,18 @@
 /// Takes a message at one process.
 struct At<'a>(u64, &'a mut Process, &'a mut Out);
 
-impl Words for At<'_> {
-    fn asked(&mut self, from: RouterId, number: u64, page: u16) {
-        self.1.peers.asked(self.0, from, (number, page), &self.1.facts, self.2);
+impl MessageVisitor for At<'_> {
+    fn on_request(&mut self, from: RouterId, number: u64, page: u16) {
+        self.1.peers.on_request(self.0, from, (number, page), &self.1.facts, self.2);
     }
-    fn given(&mut self, from: RouterId, number: u64, page: u16, last: bool, facts: Vec<Fact>) {
-        self.1.peers.given(self.0, from, number, page, last, facts, self.2);
+    fn on_page(&mut self, from: RouterId, number: u64, page: u16, last: bool, facts: Vec<Fact>) {
+        self.1.peers.on_page(self.0, from, number, page, last, facts, self.2);
     }
-    fn later(&mut self, from: RouterId, number: u64, wait: u64) {
-        self.1.peers.told_later(self.0, from, number, wait);
+    fn on_retry_later(&mut self, from: RouterId, number: u64, wait: u64) {
+        self.1.peers.on_retry_later(self.0, from, number, wait);
     }
-    fn empty(&mut self, from: RouterId, number: u64) {
-        self.1.peers.told_empty(self.0, from, number);
+    fn on_empty(&mut self, from: RouterId, number: u64) {
+        self.1.peers.on_empty(self.0, from, number);
     }
 }
 
@@ -154,7 +154,7 @@
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             disks: vec![None; routers],
-            boots: vec![Some(Boot(7)); routers],
+            boots: vec![Some(BootId(7)); routers],
             link: lossy(0.0),
             rng: Rand64::new(u128::from(seed)),
             points: Points::default(),
@@ -197,7 +197,7 @@
     pub fn start(&mut self, n: usize) {
         self.lives += 1;
         let (life, now) = (self.lives, self.now);
-        let mut peers = Peers::new(now, router(n), self.rng.rand_u64()).with_guards(self.guards);
+        let mut peers = PeerRecovery::new(now, router(n), self.rng.rand_u64()).with_guards(self.guards);
         let (mut facts, mut unusable) = (Facts::default(), None);
         let mut late = 0;
         let fault = self.points.pass(|| format!("r{n} reads its snapshot"));
@@ -212,11 +212,11 @@
             (Some(Fault::Half), Some(bytes)) => bytes.truncate(bytes.len() / 2),
             _ => {}
         }
-        match bytes.map(|b| read(n as u64, self.boots[n], now, &b)) {
+        match bytes.map(|b| decode_snapshot(n as u64, self.boots[n], now, &b)) {
             Some(Ok(all)) => {
-                all.into_iter().for_each(|f| facts.note(now, f));
+                all.into_iter().for_each(|f| facts.insert(now, f));
                 if !facts.is_empty() {
-                    peers.had_snapshot(now);
+                    peers.snapshot_loaded(now);
                 }
             }
             Some(Err(why)) => unusable = Some(why),
@@ -230,13 +230,13 @@
         self.push(now + late, Event::Wake(n, life));
         // What it sees itself takes time.
         self.push(now + 8 * S, Event::See(n, life));
-        self.push(now + EVERY, Event::Snap(n, life));
+        self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, life));
     }
 
     fn snap(&mut self, n: usize) {
         let Some(p) = self.all[n].as_ref() else { return };
-        let bytes = write(n as u64, self.boots[n], self.now, self.now, &p.facts);
-        assert!(bytes.len() <= SNAPSHOT_MOST);
+        let bytes = encode_snapshot(n as u64, self.boots[n], self.now, self.now, &p.facts);
+        assert!(bytes.len() <= MAX_SNAPSHOT_BYTES);
         let fault = self.points.pass(|| format!("r{n} writes its snapshot"));
         match fault {
             Some(Fault::KilledBefore) => return self.die(n),
@@ -296,9 +296,9 @@
             Event::Wake(n, life) if is(self, n, life) => {
                 let p = self.all[n].as_mut().expect("there");
                 let told = p.peers.wake(now, &live, &mut out);
-                told.iter().for_each(|f| p.facts.note(now, *f));
+                told.iter().for_each(|f| p.facts.insert(now, *f));
                 p.told.extend(told);
-                let next = p.peers.next();
+                let next = p.peers.next_wakeup();
                 if next != u64::MAX {
                     self.push(next.max(now + 1), Event::Wake(n, life));
                 }
@@ -309,17 +309,17 @@
                 let p = self.all[n].as_mut().expect("there");
                 p.seen = true;
                 for mut fact in (0..WORKERS).flat_map(truth) {
-                    if lies && fact.about.what == What::Room {
+                    if lies && fact.key.kind == FactKind::ConcurrencyLimit {
                         fact.value = 0.01;
                     }
-                    p.facts.note(now, fact);
+                    p.facts.insert(now, fact);
                 }
                 self.push(now + 2 * S, Event::See(n, life));
                 n
             }
             Event::Snap(n, life) if is(self, n, life) => {
                 self.snap(n);
-                self.push(now + EVERY, Event::Snap(n, life));
+                self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, life));
                 return;
             }
             Event::Message(from, n, mut message) => {
@@ -338,13 +338,13 @@
                 }
                 for _ in 0..times {
                     let p = self.all[n].as_mut().expect("there");
-                    let _ = message::read(&message, &mut At(now, p, &mut out));
+                    let _ = message::decode(&message, &mut At(now, p, &mut out));
                 }
                 if fault == Some(Fault::KilledAfter) {
                     return self.die(n);
                 }
                 let p = self.all[n].as_ref().expect("there");
-                let (next, life) = (p.peers.next(), p.life);
+                let (next, life) = (p.peers.next_wakeup(), p.life);
                 if next != u64::MAX {
                     self.push(next.max(now + 1), Event::Wake(n, life));
                 }
@@ -380,15 +380,15 @@
         self.all[n].as_ref().expect("there")
     }
 
-    pub fn holds(&self, n: usize, what: What, key: u64) -> Option<f32> {
+    pub fn holds(&self, n: usize, what: FactKind, key: u64) -> Option<f32> {
         self.at(n).facts.get(self.now, &about(what, key)).map(|f| f.value)
     }
 
     /// Whatever a router holds for true is, or was by what it could know.
     pub fn sound(&self) -> Result<(), String> {
         for (n, p) in self.all.iter().enumerate() {
-            for fact in p.iter().flat_map(|p| p.facts.all(self.now)) {
-                let want = truth(fact.about.key).into_iter().find(|t| t.about == fact.about);
+            for fact in p.iter().flat_map(|p| p.facts.iter(self.now)) {
+                let want = truth(fact.key.subject).into_iter().find(|t| t.key == fact.key);
                 if want.is_none_or(|w| w.value != fact.value) && self.liar.is_none() {
                     return Err(format!("r{n} holds {fact:?}"));
                 }
--- a/crates/scenarios/src/chains.rs
+++ b/crates/scenarios/src/chains.rs
@@ -9,7 +9,7 @@
 use applepond_fakes::ledger::{Event, Ledger, Saw};
 use applepond_fakes::store::Store;
 use applepond_reactor::{Micros, Reactor};
-use applepond_storage::{Disk, Record};
+use applepond_storage::{DiskStore, WorkflowStore};
 use oorandom::Rand64;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -252,7 +252,7 @@
     }
     let mut records = Vec::new();
     for me in (0..plan.routers).filter(|_| order.kills > 0) {
-        records.push(Disk::open(&folder.join(format!("record-{me}")))?);
+        records.push(DiskStore::open(&folder.join(format!("record-{me}")))?);
     }
     let mut lasting = BTreeSet::new();
     ledger.read(|seen| {
@@ -272,7 +272,7 @@
         }
         report.unanswered.0 += 1;
         let on_record =
-            records.iter_mut().any(|r| matches!(r.read((&request.source, &request.id)), Ok(Some(_))));
+            records.iter_mut().any(|r| matches!(r.load((&request.source, &request.id)), Ok(Some(_))));
         report.unanswered.1 += usize::from(on_record);
     }
     Ok(report)
--- a/crates/scenarios/src/fault.rs
+++ b/crates/scenarios/src/fault.rs
@@ -45,8 +45,8 @@
     }
 }
 
-impl From<applepond_storage::StoreFault> for Unplayed {
-    fn from(fault: applepond_storage::StoreFault) -> Self {
+impl From<applepond_storage::StorageError> for Unplayed {
+    fn from(fault: applepond_storage::StorageError) -> Self {
         Unplayed::machine("the record", fault)
     }
 }
--- a/crates/storage/benches/record.rs
+++ b/crates/storage/benches/record.rs
@@ -1,36 +1,43 @@
 //! What it costs to write chains down, durably: one a transaction, and ten: `cargo bench -p
 //! applepond-storage`.
-use applepond_storage::{Disk, Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record};
+use applepond_storage::{
+    DiskStore, MemoryStore, StepOutcome, StepRecord, StoredResponse, WorkflowRecord, WorkflowStore,
+};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 
 /// A chain of three steps as the drill's: some 600 bytes.
-fn kept() -> Kept {
-    let answer = KeptAnswer { lines: vec![b'x'; 100], body: vec![b'y'; 100] };
+fn kept() -> WorkflowRecord {
+    let answer = StoredResponse { header_lines: vec![b'x'; 100], body: vec![b'y'; 100] };
     let fields = BTreeMap::from([("hut".to_owned(), "hold-hut-7".to_owned())]);
-    let end = KeptEnd { how: 0, fields, answer: Some(answer) };
-    let step = |n| (n, KeptStep { sent: 1, end: Some(end.clone()) });
-    Kept { chain: "book".into(), until: u64::MAX, steps: (0..3).map(step).collect(), ..Kept::default() }
+    let end = StepOutcome { code: 0, fields, response: Some(answer) };
+    let step = |n| (n, StepRecord { sent_at: 1, outcome: Some(end.clone()) });
+    WorkflowRecord {
+        workflow: "book".into(),
+        expires_at: u64::MAX,
+        steps: (0..3).map(step).collect(),
+        ..WorkflowRecord::default()
+    }
 }
 
 fn benches(c: &mut Criterion) {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut disk = Disk::open(&folder.path().join("record")).expect("a new file");
+    let mut disk = DiskStore::open(&folder.path().join("record")).expect("a new file");
     let (kept, mut n) = (kept(), 0u64);
-    let mut keep = |record: &mut dyn Record, chains: u64| {
+    let mut keep = |record: &mut dyn WorkflowStore, chains: u64| {
         let names: Vec<String> = (0..chains).map(|i| ((n + i) % 10_000).to_string()).collect();
         n += chains;
         let rows: Vec<_> = names.iter().map(|id| (("/desk", id.as_str()), &kept)).collect();
-        record.keep(&rows).expect("kept");
+        record.save(&rows).expect("kept");
     };
     let mut group = c.benchmark_group("keep");
     group.sample_size(30);
     group.bench_function("disk/1", |b| b.iter(|| keep(&mut disk, 1)));
     group.bench_function("disk/10", |b| b.iter(|| keep(&mut disk, 10)));
-    let mut memory = Memory::default();
+    let mut memory = MemoryStore::default();
     group.bench_function("memory/1", |b| b.iter(|| keep(&mut memory, 1)));
     group.finish();
-    c.bench_function("read/none", |b| b.iter(|| disk.read(("/desk", "none")).expect("read")));
+    c.bench_function("read/none", |b| b.iter(|| disk.load(("/desk", "none")).expect("read")));
 }
 
 criterion_group!(all, benches);
--- a/crates/storage/src/fails.rs
+++ b/crates/storage/src/fails.rs
@@ -7,12 +7,12 @@
 
 /// Fails from its Nth write on, and keeps what was written before.
 #[derive(Debug)]
-pub struct Fails {
+pub struct FailingBackend {
     pub inner: Arc<InMemoryBackend>,
     pub left: Arc<AtomicU64>,
 }
 
-impl StorageBackend for Fails {
+impl StorageBackend for FailingBackend {
     fn len(&self) -> Result<u64, io::Error> {
         self.inner.len()
     }
--- a/crates/storage/src/fault.rs
+++ b/crates/storage/src/fault.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum StoreFault {
+pub enum StorageError {
     #[error("{}: {why}", file.display())]
     #[diagnostic(
         code(record::unopened),
@@ -13,19 +13,19 @@
               snapshot that is spoilt is put beside as .spoilt and begun anew, a record of chains is not"
         )
     )]
-    Unopened { file: PathBuf, why: String },
+    OpenFailed { file: PathBuf, why: String },
     #[error("{}: it cannot be read: {why}", file.display())]
     #[diagnostic(
         code(record::unread),
         help("the disk or the file is damaged: replace the disk, or put the file aside and start again")
     )]
-    Unread { file: PathBuf, why: String },
+    ReadFailed { file: PathBuf, why: String },
     #[error("{}: it cannot be written: {why}", file.display())]
     #[diagnostic(
         code(record::not_written),
         help("make room on the disk, or mend it; what was written before is still there")
     )]
-    NotWritten { file: PathBuf, why: String },
+    WriteFailed { file: PathBuf, why: String },
     #[error("{}: {most} chains are on record, as many as may be", file.display())]
     #[diagnostic(
         code(record::full),
@@ -37,15 +37,15 @@
     Full { file: PathBuf, most: u64 },
 }
 
-impl StoreFault {
+impl StorageError {
     /// One of each, for the table of codes.
-    pub fn each() -> Vec<StoreFault> {
+    pub fn each() -> Vec<StorageError> {
         let (file, why) = (PathBuf::new(), String::new());
         vec![
-            StoreFault::Unopened { file: file.clone(), why: why.clone() },
-            StoreFault::Unread { file: file.clone(), why: why.clone() },
-            StoreFault::NotWritten { file: file.clone(), why },
-            StoreFault::Full { file, most: 0 },
+            StorageError::OpenFailed { file: file.clone(), why: why.clone() },
+            StorageError::ReadFailed { file: file.clone(), why: why.clone() },
+            StorageError::WriteFailed { file: file.clone(), why },
+            StorageError::Full { file, most: 0 },
         ]
     }
 }
