--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,69 +8,69 @@
 #[cfg(test)]
 mod fails;
 mod fault;
-pub mod kept;
+pub mod record;
 mod snapshot;
 pub mod votes;
 
-pub use disk::Disk;
-pub use fault::StoreFault;
+pub use disk::DiskStore;
+pub use fault::StorageError;
 pub use snapshot::SnapshotFile;
-pub use votes::VoteFile;
+pub use votes::AcceptorFile;
 
-pub use kept::{Kept, KeptAnswer, KeptEnd, KeptStep, resumed};
+pub use record::{StepOutcome, StepRecord, StoredResponse, WorkflowRecord, recorded_steps};
 
 /// Chains on record at most: beyond it no chain with an effect is begun. At 2 kB each it is 400 MB.
-pub const CHAINS_MOST: u64 = 200_000;
+pub const MAX_WORKFLOWS: u64 = 200_000;
 
 /// Whole microseconds.
 pub type Micros = u64;
 
 /// A chain's name: `source` and `id` of its event.
-pub type Name<'a> = (&'a str, &'a str);
+pub type WorkflowKey<'a> = (&'a str, &'a str);
 
 /// Where records lie. An error names the file; nothing that it was asked to keep is kept
 /// then, and nothing that stood there before is lost.
-pub trait Record {
+pub trait WorkflowStore {
     /// Keeps these chains as they stand now, durably, all or none of them.
-    fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), StoreFault>;
+    fn save(&mut self, chains: &[(WorkflowKey<'_>, &WorkflowRecord)]) -> Result<(), StorageError>;
     /// What is on record of a chain.
-    fn read(&mut self, name: Name<'_>) -> Result<Option<Kept>, StoreFault>;
+    fn load(&mut self, name: WorkflowKey<'_>) -> Result<Option<WorkflowRecord>, StorageError>;
     /// Names of the chains that had not come to their end when they were last kept.
-    fn open(&mut self) -> Result<Vec<(String, String)>, StoreFault>;
+    fn unfinished(&mut self) -> Result<Vec<(String, String)>, StorageError>;
     /// Drops what need not be known any more; how many chains.
-    fn clear(&mut self, now: Micros) -> Result<usize, StoreFault>;
+    fn remove_expired(&mut self, now: Micros) -> Result<usize, StorageError>;
     /// Chains on record.
-    fn chains(&mut self) -> Result<u64, StoreFault>;
+    fn count(&mut self) -> Result<u64, StorageError>;
 }
 
 /// Records of an instance that was told no file: kept as long as it lives.
 #[derive(Default)]
-pub struct Memory(std::collections::BTreeMap<(String, String), Kept>);
+pub struct MemoryStore(std::collections::BTreeMap<(String, String), WorkflowRecord>);
 
-impl Record for Memory {
-    fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), StoreFault> {
+impl WorkflowStore for MemoryStore {
+    fn save(&mut self, chains: &[(WorkflowKey<'_>, &WorkflowRecord)]) -> Result<(), StorageError> {
         for ((source, id), kept) in chains {
             let name = ((*source).to_owned(), (*id).to_owned());
-            if self.0.len() as u64 >= CHAINS_MOST && !self.0.contains_key(&name) {
+            if self.0.len() as u64 >= MAX_WORKFLOWS && !self.0.contains_key(&name) {
                 let file = std::path::PathBuf::from("(memory)");
-                return Err(StoreFault::Full { file, most: CHAINS_MOST });
+                return Err(StorageError::Full { file, most: MAX_WORKFLOWS });
             }
             self.0.insert(name, (*kept).clone());
         }
         Ok(())
     }
-    fn read(&mut self, (source, id): Name<'_>) -> Result<Option<Kept>, StoreFault> {
+    fn load(&mut self, (source, id): WorkflowKey<'_>) -> Result<Option<WorkflowRecord>, StorageError> {
         Ok(self.0.get(&(source.to_owned(), id.to_owned())).cloned())
     }
-    fn open(&mut self) -> Result<Vec<(String, String)>, StoreFault> {
+    fn unfinished(&mut self) -> Result<Vec<(String, String)>, StorageError> {
         Ok(self.0.iter().filter(|(_, kept)| !kept.closed).map(|(name, _)| name.clone()).collect())
     }
-    fn clear(&mut self, now: Micros) -> Result<usize, StoreFault> {
+    fn remove_expired(&mut self, now: Micros) -> Result<usize, StorageError> {
         let before = self.0.len();
-        self.0.retain(|_, kept| kept.until > now);
+        self.0.retain(|_, kept| kept.expires_at > now);
         Ok(before - self.0.len())
     }
-    fn chains(&mut self) -> Result<u64, StoreFault> {
+    fn count(&mut self) -> Result<u64, StorageError> {
         Ok(self.0.len() as u64)
     }
 }
--- a/crates/storage/src/kept.rs
+++ b/crates/storage/src/record.rs
@@ -8,63 +8,63 @@
 
 /// Bytes of one step's answer, and of an event's data, at most that are kept; the answer of a chain whose
 /// last step said more cannot be told again after a kill.
-pub const ANSWER_MOST: usize = 64 * 1024;
+pub const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct WorkflowRecord {
     /// Which chain, and a digest of its plan: after a change of the plan nothing goes on by it.
-    pub chain: String,
-    pub plan: u64,
+    pub workflow: String,
+    pub plan_digest: u64,
     /// The function that the event named, its customer, and what its steps take over from it.
-    pub named: Option<String>,
+    pub function: Option<String>,
     pub customer: Option<String>,
-    pub lines: Vec<u8>,
-    pub media: Option<String>,
+    pub header_lines: Vec<u8>,
+    pub content_type: Option<String>,
     pub data: Vec<u8>,
     pub deadline: Micros,
     /// When the record may be dropped.
-    pub until: Micros,
+    pub expires_at: Micros,
     /// It failed, with steps before that are taken back: it is not to go on, whoever asks.
     pub failed: bool,
     /// It has come to its end, undos and all.
     pub closed: bool,
     /// By the step's place in the plan.
-    pub steps: BTreeMap<u32, KeptStep>,
+    pub steps: BTreeMap<u32, StepRecord>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KeptStep {
+pub struct StepRecord {
     /// When it was sent, or was about to be.
-    pub sent: Micros,
-    pub end: Option<KeptEnd>,
+    pub sent_at: Micros,
+    pub outcome: Option<StepOutcome>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptEnd {
-    pub how: u8,
+pub struct StepOutcome {
+    pub code: u8,
     /// Fields of its result that the plan asks for.
     pub fields: BTreeMap<String, String>,
-    pub answer: Option<KeptAnswer>,
+    pub response: Option<StoredResponse>,
 }
 
 /// Header lines and body of a step's answer, as the client would get them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptAnswer {
-    pub lines: Vec<u8>,
+pub struct StoredResponse {
+    pub header_lines: Vec<u8>,
     pub body: Vec<u8>,
 }
 
 /// As a number on disk: these never change their meaning.
-pub fn number(how: How) -> u8 {
-    match how {
+pub fn outcome_code(outcome: How) -> u8 {
+    match outcome {
         How::Finished => 0,
         How::NeverRan => 1,
         How::MayHaveRun => 2,
     }
 }
 
-fn how(number: u8) -> How {
-    match number {
+fn outcome_from_code(code: u8) -> How {
+    match code {
         0 => How::Finished,
         1 => How::NeverRan,
         // Also what a later version wrote: the careful reading.
@@ -84,15 +84,15 @@
 }
 
 /// What a chain that goes on is to know of its steps: those that ended, and those that may have run.
-pub fn resumed(kept: &Kept, plan: &Plan, now: Micros) -> Recorded {
+pub fn recorded_steps(kept: &WorkflowRecord, plan: &Plan, now: Micros) -> Recorded {
     let mut recorded = Recorded::new();
     for (n, step) in &kept.steps {
         let Some(row) = plan.steps.get(*n as usize) else { continue };
-        let known = match &step.end {
+        let known = match &step.outcome {
             // Another try is welcome to run it, unless what was before it has been taken back.
-            Some(end) if how(end.how) == How::NeverRan && !kept.failed => continue,
-            Some(end) => (how(end.how), end.fields.clone()),
-            None if again(row.effect, step.sent, now) => continue,
+            Some(end) if outcome_from_code(end.code) == How::NeverRan && !kept.failed => continue,
+            Some(end) => (outcome_from_code(end.code), end.fields.clone()),
+            None if again(row.effect, step.sent_at, now) => continue,
             None => (How::MayHaveRun, BTreeMap::new()),
         };
         recorded.insert(StepId(*n as usize), known);
@@ -128,17 +128,17 @@
             or_else: Vec::new(),
         };
         let plan = Plan { name: "p".into(), limit: S, steps: vec![step] };
-        let sent = KeptStep { sent: 100 * S, end: None };
-        let kept = Kept { steps: BTreeMap::from([(0, sent)]), ..Kept::default() };
-        let got = resumed(&kept, &plan, (100 + later_s) * S);
+        let sent = StepRecord { sent_at: 100 * S, outcome: None };
+        let kept = WorkflowRecord { steps: BTreeMap::from([(0, sent)]), ..WorkflowRecord::default() };
+        let got = recorded_steps(&kept, &plan, (100 + later_s) * S);
         assert_eq!(got.get(&StepId(0)).map(|(how, _)| *how), want);
     }
 
     #[test]
     fn ends_are_read_as_they_were_written() {
         for want in [How::Finished, How::NeverRan, How::MayHaveRun] {
-            assert_eq!(how(number(want)), want);
+            assert_eq!(outcome_from_code(outcome_code(want)), want);
         }
-        assert_eq!(how(77), How::MayHaveRun);
+        assert_eq!(outcome_from_code(77), How::MayHaveRun);
     }
 }
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! A router's snapshot on disk, in a `redb` file of its own: the last one that was written as a whole.
 //! What it says is checked by whoever reads it; a file that cannot be used is put beside and begun anew.
-use crate::fault::StoreFault;
+use crate::fault::StorageError;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use std::path::{Path, PathBuf};
 
@@ -16,8 +16,8 @@
 impl SnapshotFile {
     /// Opens the file, or makes it. One that is no store any more is renamed to end in `.spoilt`, in place of
     /// the one that was so before, and a new one is begun: the second value says why.
-    pub fn open(file: &Path) -> Result<(Self, Option<StoreFault>), StoreFault> {
-        let told = |e: redb::Error| StoreFault::Unopened { file: file.to_owned(), why: e.to_string() };
+    pub fn open(file: &Path) -> Result<(Self, Option<StorageError>), StorageError> {
+        let told = |e: redb::Error| StorageError::OpenFailed { file: file.to_owned(), why: e.to_string() };
         let first = match Self::with(file, Database::create(file).map_err(|e| told(e.into()))) {
             Ok(opened) => return Ok((opened, None)),
             Err(first) => first,
@@ -31,9 +31,9 @@
         Ok((anew, Some(first)))
     }
 
-    fn with(file: &Path, database: Result<Database, StoreFault>) -> Result<Self, StoreFault> {
+    fn with(file: &Path, database: Result<Database, StorageError>) -> Result<Self, StorageError> {
         let database = database?;
-        let told = |e: redb::Error| StoreFault::Unopened { file: file.to_owned(), why: e.to_string() };
+        let told = |e: redb::Error| StorageError::OpenFailed { file: file.to_owned(), why: e.to_string() };
         let begun = database.begin_write().map_err(|e| told(e.into()))?;
         begun.open_table(SNAPSHOT).map_err(|e| told(e.into()))?;
         begun.commit().map_err(|e| told(e.into()))?;
@@ -41,22 +41,22 @@
     }
 
     /// What was written last.
-    pub fn read(&self) -> Result<Option<Vec<u8>>, StoreFault> {
+    pub fn read(&self) -> Result<Option<Vec<u8>>, StorageError> {
         let read = || -> Result<Option<Vec<u8>>, redb::Error> {
             let table = self.database.begin_read()?.open_table(SNAPSHOT)?;
             Ok(table.get(FORM)?.map(|bytes| bytes.value().to_vec()))
         };
-        read().map_err(|e| StoreFault::Unread { file: self.file.clone(), why: e.to_string() })
+        read().map_err(|e| StorageError::ReadFailed { file: self.file.clone(), why: e.to_string() })
     }
 
     /// Writes it in place of the one before; returns once it would outlast a power cut, by the disk's word.
-    pub fn write(&mut self, bytes: &[u8]) -> Result<(), StoreFault> {
+    pub fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         let write = || -> Result<(), redb::Error> {
             let write = self.database.begin_write()?;
             write.open_table(SNAPSHOT)?.insert(FORM, bytes)?;
             Ok(write.commit()?)
         };
-        write().map_err(|e| StoreFault::NotWritten { file: self.file.clone(), why: e.to_string() })
+        write().map_err(|e| StorageError::WriteFailed { file: self.file.clone(), why: e.to_string() })
     }
 }
 
@@ -98,7 +98,7 @@
         assert!(anew > 3, "{anew}");
         std::fs::write(&bent, "no store at all ".repeat(2_000)).expect("written");
         let (mut opened, fault) = SnapshotFile::open(&bent).expect("begun anew");
-        assert!(matches!(fault, Some(StoreFault::Unopened { .. })));
+        assert!(matches!(fault, Some(StorageError::OpenFailed { .. })));
         opened.write(b"new").expect("room");
         assert!(folder.path().join("bent.spoilt").exists());
         let nowhere = folder.path().join("no/such/folder");
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,31 +1,31 @@
 //! Names of tables and bytes of what is stored: a version that writes or reads others cannot go on from the
 //! disk of the one before.
 use applepond::interface::Micros;
-use applepond_consensus::{Agreed, Ballot, Seat, Vote, Votes};
+use applepond_consensus::{AcceptorState, AcceptorStorage, Ballot, RegisterState, ReplicaId};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_storage::*;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
 
-fn kept() -> Kept {
-    let answer = KeptAnswer { lines: b"Content-Type: a/b\r\n".to_vec(), body: b"body".to_vec() };
+fn kept() -> WorkflowRecord {
+    let answer = StoredResponse { header_lines: b"Content-Type: a/b\r\n".to_vec(), body: b"body".to_vec() };
     let fields = BTreeMap::from([("free".to_owned(), "yes".to_owned())]);
-    let end = |how, answer| Some(KeptEnd { how, fields: fields.clone(), answer });
+    let end = |code, response| Some(StepOutcome { code, fields: fields.clone(), response });
     let steps = BTreeMap::from([
-        (0, KeptStep { sent: 1_000_000, end: end(0, Some(answer)) }),
-        (1, KeptStep { sent: 2_000_000, end: end(2, None) }),
-        (300, KeptStep { sent: 3_000_000, end: None }),
+        (0, StepRecord { sent_at: 1_000_000, outcome: end(0, Some(answer)) }),
+        (1, StepRecord { sent_at: 2_000_000, outcome: end(2, None) }),
+        (300, StepRecord { sent_at: 3_000_000, outcome: None }),
     ]);
-    Kept {
-        chain: "book".into(),
-        plan: 0x0123_4567_89ab_cdef,
-        named: Some("hut".into()),
+    WorkflowRecord {
+        workflow: "book".into(),
+        plan_digest: 0x0123_4567_89ab_cdef,
+        function: Some("hut".into()),
         customer: Some("huts".into()),
-        lines: b"ce-id: 1\r\n".to_vec(),
-        media: Some("application/json".into()),
+        header_lines: b"ce-id: 1\r\n".to_vec(),
+        content_type: Some("application/json".into()),
         data: b"{}".to_vec(),
         deadline: 4_000_000,
-        until: 64_000_000,
+        expires_at: 64_000_000,
         failed: true,
         closed: false,
         steps,
@@ -48,9 +48,9 @@
 fn records_of_chains_keep_their_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("record");
-    let mut disk = Disk::open(&file).expect("a new file");
-    let empty = Kept::default();
-    disk.keep(&[(("/desk/7", "1"), &kept()), (("/desk/7", "2"), &empty)]).expect("room");
+    let mut disk = DiskStore::open(&file).expect("a new file");
+    let empty = WorkflowRecord::default();
+    disk.save(&[(("/desk/7", "1"), &kept()), (("/desk/7", "2"), &empty)]).expect("room");
     drop(disk);
     let database = Database::create(&file).expect("opened again");
     let read = database.begin_read().expect("a transaction");
@@ -70,32 +70,34 @@
     }
     insta::assert_snapshot!("chains", lines.join("\n"));
     drop((chains, until, read, database));
-    let mut disk = Disk::open(&file).expect("opened again");
-    assert_eq!(disk.read(("/desk/7", "1")).expect("read"), Some(kept()));
-    assert_eq!(disk.read(("/desk/7", "2")).expect("read"), Some(empty));
+    let mut disk = DiskStore::open(&file).expect("opened again");
+    assert_eq!(disk.load(("/desk/7", "1")).expect("read"), Some(kept()));
+    assert_eq!(disk.load(("/desk/7", "2")).expect("read"), Some(empty));
 }
 
 #[test]
 fn votes_keep_their_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("votes");
-    let seat = |n: u64| Seat { name: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) };
-    let agreed = Agreed {
-        line: InstanceId(987_654_321),
-        number: 300,
-        keepers: vec![seat(1), seat(2), seat(3)],
-        before: vec![seat(4)],
+    let seat = |n: u64| ReplicaId { router: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) };
+    let agreed = RegisterState {
+        register_id: InstanceId(987_654_321),
+        version: 300,
+        replicas: vec![seat(1), seat(2), seat(3)],
+        previous_replicas: vec![seat(4)],
         value: b"agreed value".to_vec(),
     };
     let ballot = |round| Ballot { round, by: 0xfeed_f00d };
-    let vote = Vote { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
-    let (mut disk, _, _) = VoteFile::open::<Agreed<Vec<u8>>>(&file, InstanceId(555)).expect("a new file");
-    disk.keep(&vote).expect("room");
+    let vote = AcceptorState { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
+    let (mut disk, _, _) =
+        AcceptorFile::open::<RegisterState<Vec<u8>>>(&file, InstanceId(555)).expect("a new file");
+    disk.persist(&vote).expect("room");
     drop(disk);
     let database = Database::create(&file).expect("opened again");
     insta::assert_snapshot!("votes", rows(&database, "vote").join("\n"));
     drop(database);
-    let (_, number, found) = VoteFile::open::<Agreed<Vec<u8>>>(&file, InstanceId(1)).expect("opened again");
+    let (_, number, found) =
+        AcceptorFile::open::<RegisterState<Vec<u8>>>(&file, InstanceId(1)).expect("opened again");
     assert_eq!((number, found), (InstanceId(555), Some(vote)));
 }
 
