--- a/crates/reactor/tests/wheel.rs
+++ b/crates/reactor/tests/wheel.rs
@@ -9,7 +9,7 @@
     // Whatever is inserted, taken back and waited for: nothing early, nothing over a tick late, order by
     // time.
     #[test]
-    fn as_a_sorted_map(
+    fn wheel_behaves_as_a_sorted_map(
         start in 0u64..u64::from(u32::MAX) * 1000,
         steps in prop::collection::vec((0u8..4, 0u64..400_000_000, any::<bool>()), 1..200),
     ) {
