--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -62,7 +62,7 @@
     fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
         self.datagrams.push((conn, self.asked[&conn], bytes.to_vec()));
     }
-    fn post(&mut self, at: SocketAddr) -> std::io::Result<(Conn, SocketAddr)> {
+    fn bind_datagrams(&mut self, at: SocketAddr) -> std::io::Result<(Conn, SocketAddr)> {
         match self.no_posts.checked_sub(1) {
             Some(left) => {
                 self.no_posts = left;
@@ -101,10 +101,10 @@
     fn listen(&mut self, at: SocketAddr, _: usize) -> std::io::Result<(Listener, SocketAddr)> {
         Ok((Listener(0), at))
     }
-    fn deafen(&mut self, listener: Listener, _: bool) {
+    fn stop_accepting(&mut self, listener: Listener, _: bool) {
         self.deaf.insert(listener);
     }
-    fn hear(&mut self, listener: Listener) {
+    fn resume_accepting(&mut self, listener: Listener) {
         self.deaf.remove(&listener);
     }
     fn wake_at(&mut self, at: Micros, wake: Wake) {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -208,7 +208,7 @@
 
     fn die(&mut self, transport: &mut dyn Transport) {
         if let Some(up) = self.up.take() {
-            transport.deafen(up, true);
+            transport.stop_accepting(up, true);
         }
         self.talks.keys().chain(self.fetches.keys()).for_each(|c| transport.cut(*c));
         self.life += 1;
@@ -297,8 +297,8 @@
     fn turn_to(&mut self, transport: &mut dyn Transport, mood: Mood) {
         if let Some(up) = self.up {
             match mood {
-                Mood::NoHandshakes => transport.deafen(up, false),
-                _ => transport.hear(up),
+                Mood::NoHandshakes => transport.stop_accepting(up, false),
+                _ => transport.resume_accepting(up),
             }
         }
         self.mood = mood;
--- a/crates/fleet/src/shell.rs
+++ b/crates/fleet/src/shell.rs
@@ -94,7 +94,7 @@
     }
 
     fn open(&mut self, now: Micros, transport: &mut dyn Transport) {
-        match transport.post(self.listen) {
+        match transport.bind_datagrams(self.listen) {
             Ok((post, at)) => {
                 tracing::info!(%at, "fleet: the port is open");
                 self.post = Some(post);
@@ -220,7 +220,7 @@
     fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
 
-    fn told(&mut self, now: Micros, transport: &mut dyn Transport, _: Conn, bytes: &[u8]) {
+    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, _: Conn, bytes: &[u8]) {
         self.with(now, transport, |view, said| {
             let View { members, envelopes, unread, shared, .. } = view;
             let Ok((instance_id, message)) = envelopes.open(bytes) else { return };
@@ -315,7 +315,7 @@
                     others: &mut SimulatedTransport,
                     at: Micros| {
             for (conn, _, bytes) in std::mem::take(&mut others.datagrams) {
-                one.told(at, transport, conn, &bytes);
+                one.datagram_received(at, transport, conn, &bytes);
             }
         };
         pass(&mut other, &mut others, BEGIN + 1_000_000);
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/machine.rs
@@ -1223,8 +1223,13 @@
 
     fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
         if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.damping) {
-            transport.deafen(listener, false);
-            self.after(now, transport, pause, Box::new(move |_, _, transport| transport.hear(listener)));
+            transport.stop_accepting(listener, false);
+            self.after(
+                now,
+                transport,
+                pause,
+                Box::new(move |_, _, transport| transport.resume_accepting(listener)),
+            );
         }
         self.callers.insert(conn, Caller::new(now, self.deployment.body_most, self.picks.clone()));
         self.look_at_caller(now, transport, conn);
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -612,7 +612,7 @@
     fn wind_up(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some((listener, _)) = self.listener.take() {
             // Whoever connected last is told of only after this call, and may be owed something.
-            return transport.deafen(listener, true);
+            return transport.stop_accepting(listener, true);
         }
         for conn in self.patience.idle() {
             let caller = self.callers.get_mut(&conn).expect("idle ones are kept");
@@ -746,7 +746,7 @@
         self.settle(now, transport);
     }
 
-    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some(told) = self.watch.told(now, transport, conn, bytes, &self.start.words) {
             if told.left_out > 0 {
                 tracing::warn!(left_out = told.left_out, "servers of the list lack records");
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -125,7 +125,7 @@
         self.pass(300 * MS);
         let (conn, _, question) = self.paper.datagrams.last().expect("it asks").clone();
         let answer = answer(u16::from_be_bytes([question[0], question[1]]), 2, start);
-        self.node.told(self.now, &mut self.paper, conn, &answer);
+        self.node.datagram_received(self.now, &mut self.paper, conn, &answer);
     }
 
     pub fn breaks(&mut self, conn: Conn, why: Closed) {
@@ -236,8 +236,8 @@
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         self.0.borrow_mut().closed(now, transport, conn, why, sent);
     }
-    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        self.0.borrow_mut().told(now, transport, conn, bytes);
+    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        self.0.borrow_mut().datagram_received(now, transport, conn, bytes);
     }
     fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.0.borrow_mut().flushed(now, transport, conn);
--- /dev/null
+++ b/crates/reactor/src/transport.rs
@@ -0,0 +1,173 @@
+//! The commands of one machine, carried out on real sockets.
+use crate::sockets::{Notification, Sockets, Timer, accept, datagram_socket, stream_socket};
+use crate::{Closed, Conn, Listener, Micros, Transport, Wake};
+use rustix::io::Errno;
+use rustix::net;
+use std::io;
+use std::net::SocketAddr;
+
+/// What a machine sees of the reactor during one call.
+pub(crate) struct MachineTransport<'a> {
+    pub(crate) sockets: &'a mut Sockets,
+    /// Index of the machine, which owns what it opens.
+    pub(crate) machine: usize,
+}
+
+impl Transport for MachineTransport<'_> {
+    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> Conn {
+        let connecting = stream_socket(&to).ok().and_then(|fd| match net::connect(&fd, &to) {
+            Ok(()) | Err(Errno::INPROGRESS) => self.sockets.add_connecting(self.machine, fd),
+            Err(_) => None,
+        });
+        match connecting {
+            Some(conn) => {
+                let at = self.sockets.now() + timeout;
+                self.sockets.timers.insert(at, Timer::ConnectTimeout(conn));
+                conn
+            }
+            None => {
+                let conn = Conn(self.sockets.next_number());
+                let (machine, why, sent) = (self.machine, Closed::Never, 0);
+                self.sockets.notifications.push_back(Notification::Closed { machine, conn, why, sent });
+                conn
+            }
+        }
+    }
+
+    fn write(&mut self, conn: Conn, bytes: &[u8]) {
+        let connection = self.sockets.connections.get_mut(&conn.0);
+        if let Some(connection) = connection.filter(|connection| !connection.finishing) {
+            connection.unsent.extend(bytes);
+            self.sockets.mark_dirty(conn);
+        }
+    }
+
+    fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+        let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return 0 };
+        if !connection.established || connection.finishing || !connection.unsent.is_empty() {
+            return 0;
+        }
+        let mut taken = 0;
+        while taken < bytes.len() {
+            match net::send(&connection.fd, &bytes[taken..], net::SendFlags::NOSIGNAL) {
+                Ok(count) => taken += count,
+                Err(Errno::INTR) => {}
+                Err(Errno::AGAIN) => {
+                    connection.notify_writable = true;
+                    break;
+                }
+                // The peer is gone, which the kernel reports by itself, after what the peer had sent before.
+                Err(_) => break,
+            }
+        }
+        connection.sent += taken as u64;
+        if connection.notify_writable {
+            self.sockets.mark_dirty(conn);
+        }
+        taken
+    }
+
+    fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+        let fd = datagram_socket(&to).ok()?;
+        net::connect(&fd, &to).ok()?;
+        self.sockets.add_datagram_socket(self.machine, fd).ok()
+    }
+
+    fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
+        if let Some(socket) = self.sockets.datagram_sockets.get(&conn.0) {
+            let _ = net::send(&socket.fd, bytes, net::SendFlags::NOSIGNAL);
+        }
+    }
+
+    fn bind_datagrams(&mut self, at: SocketAddr) -> io::Result<(Conn, SocketAddr)> {
+        let fd = datagram_socket(&at)?;
+        net::bind(&fd, &at)?;
+        let bound = SocketAddr::try_from(net::getsockname(&fd)?)?;
+        let conn = self.sockets.add_datagram_socket(self.machine, fd)?;
+        Ok((conn, bound))
+    }
+
+    fn datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
+        let socket = self.sockets.datagram_sockets.get(&conn.0);
+        socket.is_some_and(|socket| net::sendto(&socket.fd, bytes, net::SendFlags::NOSIGNAL, &to).is_ok())
+    }
+
+    fn unsent(&self, conn: Conn) -> usize {
+        self.sockets.connections.get(&conn.0).map_or(0, |connection| connection.unsent.len())
+    }
+
+    fn sent(&self, conn: Conn) -> u64 {
+        self.sockets.connections.get(&conn.0).map_or(0, |connection| connection.sent)
+    }
+
+    fn reading(&mut self, conn: Conn, on: bool) {
+        if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
+            connection.reading = on;
+            self.sockets.mark_dirty(conn);
+        }
+    }
+
+    fn arrived(&self, conn: Conn, now: Micros) -> Micros {
+        let connection = self.sockets.connections.get(&conn.0);
+        let accepted = connection.and_then(|connection| connection.accepted);
+        // What the first poll after its acceptance finds may have come with the connection.
+        let with_connection = accepted
+            .filter(|accepted| self.sockets.poll_round <= accepted.round + 1)
+            .map(|accepted| accepted.earliest);
+        now.min(self.sockets.earliest_arrival).min(with_connection.unwrap_or(Micros::MAX))
+    }
+
+    fn hangup_first(&mut self, conn: Conn) {
+        if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
+            connection.hangup_first = true;
+            self.sockets.mark_dirty(conn);
+        }
+    }
+
+    fn finish(&mut self, conn: Conn) {
+        let connection = self.sockets.connections.get_mut(&conn.0);
+        if let Some(connection) = connection.filter(|connection| !connection.finishing) {
+            connection.finishing = true;
+            self.sockets.mark_dirty(conn);
+        }
+    }
+
+    fn cut(&mut self, conn: Conn) {
+        self.sockets.datagram_sockets.remove(&conn.0);
+        self.sockets.drop_connection(conn, None);
+    }
+
+    fn listen(&mut self, at: SocketAddr, max_open: usize) -> io::Result<(Listener, SocketAddr)> {
+        self.sockets.listen(self.machine, at, max_open)
+    }
+
+    fn stop_accepting(&mut self, listener: Listener, close: bool) {
+        if close {
+            // Guards whoever has connected but was not accepted yet: the kernel would reset them.
+            while let Some(socket) = self.sockets.listeners.get(&listener.0)
+                && let Ok(fd) = accept(&socket.fd)
+            {
+                if let Some(conn) = self.sockets.add_accepted(self.machine, fd, None) {
+                    let machine = self.machine;
+                    let accepted = Notification::Accepted { machine, conn, listener };
+                    self.sockets.notifications.push_back(accepted);
+                }
+            }
+            self.sockets.listeners.remove(&listener.0);
+        } else if let Some(socket) = self.sockets.listeners.get_mut(&listener.0) {
+            socket.stopped = true;
+            self.sockets.update_listener_interest(listener);
+        }
+    }
+
+    fn resume_accepting(&mut self, listener: Listener) {
+        if let Some(socket) = self.sockets.listeners.get_mut(&listener.0) {
+            socket.stopped = false;
+            self.sockets.update_listener_interest(listener);
+        }
+    }
+
+    fn wake_at(&mut self, at: Micros, wake: Wake) {
+        self.sockets.timers.insert(at, Timer::Machine { machine: self.machine, wake });
+    }
+}
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The shell on real loopback sockets. Each test turns until what it waits for has come, bounded by `TURNS`.
+//! The reactor on real loopback sockets. Each test turns until what it waits for has come, bounded by `TURNS`.
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn echo_and_half_close() {
+fn echoes_and_answers_a_half_close() {
     let (mut reactor, seen) =
         probe(8, |_, _| (), Box::new(|transport, conn, bytes| transport.write(conn, bytes)));
     let mut stream = client(&seen);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn paused_reading_pushes_back() {
+fn paused_reading_exerts_backpressure() {
     let (mut reactor, seen) =
         probe(2, |_, _| (), Box::new(|transport, conn, _| transport.reading(conn, false)));
     let mut stream = client(&seen);
@@ -188,9 +188,9 @@
 #[test_case(58, 70; "just due")]
 fn what_waits_is_read_before_timers(due: Micros, stands_still: u64) {
     let other: Rc<RefCell<Option<TcpStream>>> = Rc::default();
-    let held = other.clone();
+    let second = other.clone();
     let act = Box::new(move |transport: &mut dyn Transport, _: Conn, _: &[u8]| {
-        if let Some(mut other) = held.take() {
+        if let Some(mut other) = second.take() {
             transport.wake_at(after(due * 1_000), Wake(1));
             other.write_all(b"meanwhile").expect("it reads");
             std::thread::sleep(Duration::from_millis(stands_still));
--- a/crates/scenarios/src/saboteur.rs
+++ b/crates/scenarios/src/saboteur.rs
@@ -161,11 +161,11 @@
     fn listen(&mut self, at: SocketAddr, most: usize) -> std::io::Result<(Listener, SocketAddr)> {
         self.transport.listen(at, most)
     }
-    fn deafen(&mut self, listener: Listener, close: bool) {
-        self.transport.deafen(listener, close);
+    fn stop_accepting(&mut self, listener: Listener, close: bool) {
+        self.transport.stop_accepting(listener, close);
     }
-    fn hear(&mut self, listener: Listener) {
-        self.transport.hear(listener);
+    fn resume_accepting(&mut self, listener: Listener) {
+        self.transport.resume_accepting(listener);
     }
     fn wake_at(&mut self, at: Micros, wake: Wake) {
         self.transport.wake_at(at, wake);
@@ -212,8 +212,8 @@
         }
         self.with(now, transport, |m, w| m.bytes(now, w, conn, &bytes));
     }
-    fn told(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        self.with(now, transport, |m, w| m.told(now, w, conn, bytes));
+    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        self.with(now, transport, |m, w| m.datagram_received(now, w, conn, bytes));
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         match self.state.own.remove(&conn) {
