--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The reactor on real loopback sockets. Each test turns until what it waits for has come, bounded by `TURNS`.
+//! The reactor on real loopback sockets. Each test turns until what it waits for has come, bounded by
+//! `TURNS`.
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use std::cell::RefCell;
 use std::io::{Read, Write};
