--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 use std::io::Write;
 
-/// Bytes set aside for a head: most fit without growing.
-const HEAD_USUAL: usize = 768;
+/// Bytes reserved for a head: most fit without growing.
+const USUAL_HEAD_BYTES: usize = 768;
 
 /// A message under construction: a head, then `body` or `empty` ends it.
 pub struct Message(Lines);
@@ -19,36 +19,42 @@
         self.0.reserve(name.len() + value.len() + 4);
         self.0.extend_from_slice(name.as_bytes());
         self.0.extend_from_slice(b": ");
-        self.0.extend(value.bytes().map(|b| if b < b' ' || b == 0x7f { b' ' } else { b }));
+        self.0.extend(value.bytes().map(|byte| if byte < b' ' || byte == 0x7f { b' ' } else { byte }));
         self.0.extend_from_slice(b"\r\n");
     }
 
-    /// The same lines but those of the fields named, which are given as they were written.
+    /// The same lines without those of the fields named; names match as they were written.
     pub fn without(&self, names: &[&str]) -> Lines {
-        let lines = self.0.split_inclusive(|b| *b == b'\n');
+        let lines = self.0.split_inclusive(|byte| *byte == b'\n');
         let named = |line: &&[u8]| {
-            !names.iter().any(|n| line.strip_prefix(n.as_bytes()).is_some_and(|rest| rest.starts_with(b": ")))
+            !names
+                .iter()
+                .any(|name| line.strip_prefix(name.as_bytes()).is_some_and(|value| value.starts_with(b": ")))
         };
         Lines(lines.filter(named).flatten().copied().collect())
     }
 
-    /// The lines as they are written, and back.
+    /// The lines as they are written.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
+    /// Lines from what `bytes` returned.
     pub fn of(bytes: Vec<u8>) -> Lines {
         Lines(bytes)
     }
 
+    /// Adds lines that were written before.
     pub fn append(&mut self, more: &Lines) {
         self.0.extend_from_slice(&more.0);
     }
 
+    /// Bytes of the lines.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Whether there is no line.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -81,22 +87,25 @@
     }
 }
 
-/// What tells a client to go on with its body (RFC 9110, section 10.1.1).
+/// The interim response that tells a client to go on with its body (RFC 9110, section 10.1.1).
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
+/// Begins a request.
 pub fn request(method: &str, target: &str, host: &str) -> Message {
-    let mut head = Vec::with_capacity(HEAD_USUAL);
+    let mut head = Vec::with_capacity(USUAL_HEAD_BYTES);
     let _ = write!(head, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     Message(Lines(head))
 }
 
+/// Begins a response.
 pub fn response(status: u16) -> Message {
-    let mut head = Vec::with_capacity(HEAD_USUAL);
+    let mut head = Vec::with_capacity(USUAL_HEAD_BYTES);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\n", phrase(status));
     Message(Lines(head))
 }
 
 impl Message {
+    /// A field; bytes that would end the line are written as spaces.
     pub fn field(mut self, name: &str, value: &str) -> Self {
         self.0.field(name, value);
         self
@@ -108,11 +117,13 @@
         self
     }
 
+    /// Header lines that were written before.
     pub fn lines(mut self, lines: &Lines) -> Self {
         self.0.0.extend_from_slice(&lines.0);
         self
     }
 
+    /// The whole message with this body and its length.
     pub fn body(mut self, bytes: &[u8]) -> Vec<u8> {
         self = self.number("Content-Length", bytes.len() as u64);
         self.0.0.extend_from_slice(b"\r\n");
@@ -143,9 +154,8 @@
 }
 
 /// The body of an error (RFC 9457): `type`, `status`, `title` and `detail` of the RFC, with `reason` (the
-/// code that the log carries), the request's id where known, and `retry-after-ms` where the client may come
-/// back.
-pub fn problem(fault: &Fault, id: Option<&str>, come_back_ms: Option<u64>) -> Vec<u8> {
+/// code that the log carries), the request's id where known, and `retry-after-ms` where the client may retry.
+pub fn problem(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>) -> Vec<u8> {
     let mut body = json!({
         "type": format!("urn:applepond:problem:{}", fault.reason),
         "title": phrase(fault.status),
@@ -156,21 +166,21 @@
     if let Some(id) = id {
         body["id"] = json!(id);
     }
-    if let Some(ms) = come_back_ms {
+    if let Some(ms) = retry_after_ms {
         body["retry-after-ms"] = json!(ms);
     }
     body.to_string().into_bytes()
 }
 
-/// A whole answer with a problem body. `Retry-After` is in whole seconds, rounded up (RFC 9110, section
+/// A whole response with a problem body. `Retry-After` is in whole seconds, rounded up (RFC 9110, section
 /// 10.2.3).
-pub fn problem_answer(fault: &Fault, id: Option<&str>, come_back_ms: Option<u64>, keep: bool) -> Vec<u8> {
+pub fn problem_answer(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>, keep: bool) -> Vec<u8> {
     let mut head = response(fault.status).field("Content-Type", "application/problem+json");
-    if let Some(ms) = come_back_ms {
+    if let Some(ms) = retry_after_ms {
         head = head.field("Retry-After", &ms.div_ceil(1000).max(1).to_string());
     }
     if !keep {
         head = head.field("Connection", "close");
     }
-    head.body(&problem(fault, id, come_back_ms))
+    head.body(&problem(fault, id, retry_after_ms))
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -6,28 +6,28 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-const HEAD_MOST: usize = 16 * 1024;
-const BODY_MOST: u64 = 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: u64 = 1024;
 
 /// Writes down what a decoder tells; reads events as the gateway does.
 #[derive(Default)]
 struct Record {
-    told: Told,
+    visits: Visits,
     reader: Option<Reader>,
     body: Vec<u8>,
     events: bool,
 }
 
 #[derive(Default)]
-struct Told(Vec<String>);
+struct Visits(Vec<String>);
 
-impl Told {
+impl Visits {
     fn push(&mut self, line: String) {
         self.0.push(line);
     }
 }
 
-impl EventSink for Told {
+impl EventSink for Visits {
     fn attribute(&mut self, name: &str, value: &str) {
         self.push(format!("{name}={value}"));
     }
@@ -38,14 +38,14 @@
 
 impl Visitor for Record {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
-        self.told.push(format!("{method} {target}"));
+        self.visits.push(format!("{method} {target}"));
         if self.events {
-            self.reader = Some(Reader::head(fields, &mut self.told)?);
+            self.reader = Some(Reader::head(fields, &mut self.visits)?);
         }
         Ok(())
     }
     fn response(&mut self, status: u16, _: &Fields<'_>) -> Result<(), Fault> {
-        self.told.push(format!("status {status}"));
+        self.visits.push(format!("status {status}"));
         Ok(())
     }
     fn body(&mut self, bytes: &[u8]) -> Result<(), Fault> {
@@ -55,16 +55,16 @@
     fn end(&mut self, keep: bool) -> Result<(), Fault> {
         let body = std::mem::take(&mut self.body);
         match self.reader.take() {
-            Some(reader) => reader.body(body, &mut self.told)?,
-            None => self.told.push(String::from_utf8_lossy(&body).into_owned()),
+            Some(reader) => reader.body(body, &mut self.visits)?,
+            None => self.visits.push(String::from_utf8_lossy(&body).into_owned()),
         }
-        self.told.push(format!("end {keep}"));
+        self.visits.push(format!("end {keep}"));
         Ok(())
     }
 }
 
 fn decode(side: Side, events: bool, pieces: &[&[u8]]) -> (Vec<String>, Option<Fault>) {
-    let mut decoder = Decoder::new(side, HEAD_MOST, BODY_MOST);
+    let mut decoder = Decoder::new(side, MAX_HEAD_BYTES, MAX_BODY_BYTES);
     let mut record = Record { events, ..Record::default() };
     for piece in pieces {
         decoder.feed(piece);
@@ -72,12 +72,12 @@
             match decoder.step(&mut record) {
                 Ok(Step::Done) => {}
                 Ok(Step::More) => break,
-                Err(fault) => return (record.told.0, Some(fault)),
+                Err(fault) => return (record.visits.0, Some(fault)),
             }
         }
     }
     let fault = decoder.finish(&mut record).err();
-    (record.told.0, fault)
+    (record.visits.0, fault)
 }
 
 const BINARY: &str = "POST /events HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\n\
@@ -106,11 +106,11 @@
     let whole = decode(side, events, &[bytes]);
     for n in 0..bytes.len() {
         assert_eq!(decode(side, events, &[&bytes[..n], &bytes[n..]]), whole, "cut at {n}");
-        // What ends early is told as such, or is one of the messages before it; never a wrong one.
-        let (told, fault) = decode(side, events, &[&bytes[..n]]);
-        let same = told.iter().zip(&whole.0).filter(|(a, b)| a == b).count();
-        let body_cut = side == Side::Client && told.len() > 6;
-        assert!(same == told.len() || body_cut || fault.is_some(), "cut at {n}: {told:?}");
+        // What ends early is reported as such, or is one of the messages before it; never a wrong one.
+        let (visits, fault) = decode(side, events, &[&bytes[..n]]);
+        let same = visits.iter().zip(&whole.0).filter(|(a, b)| a == b).count();
+        let body_cut = side == Side::Client && visits.len() > 6;
+        assert!(same == visits.len() || body_cut || fault.is_some(), "cut at {n}: {visits:?}");
     }
     let single: Vec<&[u8]> = bytes.chunks(1).collect();
     assert_eq!(decode(side, events, &single), whole, "a byte at a time");
@@ -170,7 +170,7 @@
 #[test_case(post("Content-Type: application/cloudevents-batch+json\r\n", ""), 415, "batch-mode"; "batch")]
 #[test_case(post("Content-Type: application/cloudevents+avro\r\n", ""), 415, "bad-format"; "other format")]
 #[test_case(post("ce-id: %ff\r\n", ""), 400, "bad-attribute"; "not UTF-8")]
-fn faults(sample: String, status: u16, reason: &str) {
+fn what_is_no_message_is_a_fault(sample: String, status: u16, reason: &str) {
     let whole = decode(Side::Server, true, &[sample.as_bytes()]).1.expect("a fault");
     assert_eq!((whole.status, whole.reason), (status, reason));
     let single: Vec<&[u8]> = sample.as_bytes().chunks(1).collect();
@@ -186,7 +186,11 @@
 proptest! {
     // Whatever the bytes are and however they are cut: no panic, no more kept than fed, the same story.
     #[test]
-    fn random_bytes(bytes in prop::collection::vec(any::<u8>(), 0..400), cut in 0usize..400, server: bool) {
+    fn random_bytes_are_read_alike_however_cut(
+        bytes in prop::collection::vec(any::<u8>(), 0..400),
+        cut in 0usize..400,
+        server: bool,
+    ) {
         let side = if server { Side::Server } else { Side::Client };
         let cut = cut.min(bytes.len());
         let cut = decode(side, true, &[&bytes[..cut], &bytes[cut..]]);
@@ -195,7 +199,9 @@
 
     // A sound message with one byte changed.
     #[test]
-    fn one_byte_changed(at in 0usize..200, byte: u8, which in 0usize..4) {
+    fn a_message_with_one_byte_changed_is_read_alike_however_cut(
+        at in 0usize..200, byte: u8, which in 0usize..4,
+    ) {
         let mut bytes = [BINARY, STRUCTURED, PIPELINED, ANSWERS][which].as_bytes().to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
