--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -1,31 +1,33 @@
-//! One chain while it runs: told how its steps ended, it says what comes next.
+//! One chain while it runs: given how its steps ended, it says what comes next.
 //!
-//! A chain that was cut off in the middle runs again from its beginning with what is on record: a step
-//! whose end is known is not begun again, it ends at once as it ended then.
+//! A chain that was interrupted runs again from its beginning with what is on record: a step whose end is
+//! known is not begun again, it ends at once as it ended then.
 use crate::plan::{Branch, Function, Go, Plan, Step, StepId};
 use applepond::interface::{Micros, RetrySafety};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// µs that the chain's answer takes on its way back to the client; a step that ends later is in vain.
-const WAY_BACK: Micros = 5_000;
-/// How much more a chain is worth when all of its time is spent than when it begins: three steps paid for are
-/// lost with the fourth, and a fresh chain can still be pushed back at no cost.
-const PAID: f64 = 3.0;
-/// µs after which a step that was pushed back is begun again at the least, and where no time was told.
-const AGAIN_LEAST: Micros = 30_000;
-const AGAIN: Micros = 100_000;
-/// Part of the time to spare that is waited at most: what was told is for clients, who have not paid for
-/// steps before.
-const AGAIN_PART: u64 = 4;
+const RESPONSE_TIME: Micros = 5_000;
+/// How much priority a chain gains until all of its time is spent: three finished steps are lost with the
+/// fourth, and a new chain can still be rejected at no cost.
+const PRIORITY_GAIN: f64 = 3.0;
+/// µs after which a rejected step is retried at the earliest.
+const MIN_RETRY_DELAY: Micros = 30_000;
+/// µs after which a rejected step is retried where no time was named.
+const DEFAULT_RETRY_DELAY: Micros = 100_000;
+/// At most one part in so many of the spare time is waited: a time that was named is meant for clients, which
+/// have no finished steps to lose.
+const RETRY_DELAY_DIVISOR: u64 = 4;
 
 /// How a step ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum How {
+    /// It has a result.
     Finished,
-    /// Pushed back: it has had no effect.
+    /// Rejected: it has had no effect.
     NeverRan,
-    /// Killed: it may have had one.
+    /// Failed: it may have had an effect.
     MayHaveRun,
 }
 
@@ -38,17 +40,18 @@
     NoFunction,
     /// A step failed, and the plan has no other way.
     StepFailed,
-    /// A step could not be written down, and so was not sent.
+    /// A step could not be written to the record, and so was not sent.
     NotWritten,
 }
 
+/// How a chain ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// This step's result is the answer.
     Finished(StepId),
-    /// Nothing of it can have had an effect that lasts: another try does no harm.
+    /// Rejected: nothing of it can have had an effect that lasts, so that a retry does no harm.
     PushedBack(StepId, Why),
-    /// Something may have; what has an undo is taken back.
+    /// Something may have had one; what has an undo is undone.
     Failed(StepId, Why),
 }
 
@@ -57,401 +60,456 @@
 pub enum Do {
     /// Begin the step; its request's time is up at `until`.
     Begin {
+        /// The step.
         step: StepId,
+        /// Name of its function.
         function: String,
+        /// Deadline of its request.
         until: Micros,
     },
-    /// The step was pushed back and there is time: `again` is to be told at this time.
+    /// The step was rejected and there is time for a retry: `again` is to be called at this time.
     Wait {
+        /// The step.
         step: StepId,
+        /// When to call `again`.
         until: Micros,
     },
+    /// Cancel the step's request.
     Cancel(StepId),
+    /// Answer the client.
     End(Ended),
     /// After the end: run this undo until it has finished.
     Undo {
+        /// The step that undoes another one.
         step: StepId,
+        /// Name of its function.
         function: String,
     },
 }
 
+/// State of one step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Unbegun,
-    Out,
-    /// Pushed back, and to be begun again.
-    Waiting,
+    NotBegun,
+    /// Its request is in flight.
+    InFlight,
+    /// Rejected, and to be retried.
+    AwaitingRetry,
     Ended(How),
-    /// Left out, as time ran short.
+    /// Optional and left out, as time ran short, or not needed any more.
     Skipped,
 }
 
+/// A fork that has been entered and not joined yet.
 struct Fork {
     arms: Vec<StepId>,
     join: Option<StepId>,
+    /// The first arm that finishes is enough.
     first: bool,
 }
 
-/// µs that a step needs: which one, its function, and µs for which a load could begin before it does.
+/// What the calls of one event share.
+#[derive(Clone, Copy)]
+struct Context<'a> {
+    now: Micros,
+    needs: Needs<'a>,
+}
+
+/// µs that a step needs, given the step, its function's name, and µs by which a load could begin before it
+/// does.
 pub type Needs<'a> = &'a dyn Fn(&Step, &str, Micros) -> Micros;
 
+/// The end of a step.
+struct Close<'a> {
+    how: How,
+    /// Reads a field of its result.
+    field: &'a dyn Fn(&str) -> Option<String>,
+    /// Why the chain fails, if it does because of this end.
+    why: Why,
+}
+
+impl Close<'_> {
+    /// The end of a step that was not begun.
+    fn never_ran(why: Why) -> Self {
+        Close { how: How::NeverRan, field: &|_| None, why }
+    }
+}
+
 /// What is on record of a step: how it ended, and the fields of its result that the plan asks for.
 pub type Recorded = BTreeMap<StepId, (How, BTreeMap<String, String>)>;
 
+/// One chain under way.
 pub struct Run {
     plan: Arc<Plan>,
     /// The function that the event names.
-    named: Option<String>,
+    event_function: Option<String>,
     begun: Micros,
     deadline: Micros,
+    /// State of each step, by its id.
     states: Vec<State>,
     /// Steps in the order in which they began.
     order: Vec<StepId>,
+    /// Fields of results that the plan asks for, by step and name.
     results: BTreeMap<(StepId, String), String>,
     forks: Vec<Fork>,
     /// The step that finished last.
-    last: Option<StepId>,
+    last_finished: Option<StepId>,
+    /// What is on record of steps that have not begun in this run.
     recorded: Recorded,
     ended: Option<Ended>,
 }
 
 impl Run {
-    /// A chain that has until `deadline`; `named` is the function that its event names.
+    /// A chain with this deadline; `event_function` is the function that its event names, `recorded` what an
+    /// interrupted run of it left.
     pub fn new(
         now: Micros,
         plan: Arc<Plan>,
-        named: Option<String>,
+        event_function: Option<String>,
         deadline: Micros,
         recorded: Recorded,
     ) -> Self {
         Run {
-            states: vec![State::Unbegun; plan.steps.len()],
+            states: vec![State::NotBegun; plan.steps.len()],
             plan,
-            named,
+            event_function,
             begun: now,
             deadline,
             order: Vec::new(),
             results: BTreeMap::new(),
             forks: Vec::new(),
-            last: None,
+            last_finished: None,
             recorded,
             ended: None,
         }
     }
 
+    /// The plan that it runs by.
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
+    /// The moment at which its time is up.
     pub fn deadline(&self) -> Micros {
         self.deadline
     }
 
+    /// How it ended, once it has.
     pub fn has_ended(&self) -> Option<Ended> {
         self.ended
     }
 
     /// Fields of a step's result that the plan asks for, by tests, functions and undos.
     pub fn asked(&self, step: StepId) -> Vec<&str> {
-        let of = &self.plan.steps[step.0];
-        let tests = of.next.iter().chain(&of.or_else).filter_map(|b| b.test.as_ref());
-        let functions = self.plan.steps.iter().filter_map(|s| match &s.function {
+        let tests = self.plan.step(step).branches().filter_map(|branch| branch.test.as_ref());
+        let functions = self.plan.steps.iter().filter_map(|step_of_plan| match &step_of_plan.function {
             Function::From(id, field) if *id == step => Some(field.as_str()),
             _ => None,
         });
-        tests.map(|t| t.field.as_str()).chain(functions).collect()
+        tests.map(|test| test.field.as_str()).chain(functions).collect()
     }
 
+    /// The name of a step's function, once it is known.
     fn function(&self, step: StepId) -> Option<String> {
         match &self.plan.step(step).function {
             Function::Named(name) => Some(name.clone()),
-            Function::OfEvent => self.named.clone(),
+            Function::OfEvent => self.event_function.clone(),
             Function::From(id, field) => self.results.get(&(*id, field.clone())).cloned(),
         }
     }
 
     /// µs that a step needs; what its plan says where its function is not known yet.
-    fn need(&self, id: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
+    fn needed_time(&self, id: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
         let step = self.plan.step(id);
         self.function(id).map_or(step.at_least, |function| needs(step, &function, ahead))
     }
 
-    /// µs that the shortest way from this step's end to the chain's takes, loads begun `ahead` of it.
-    fn rest(&self, step: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
-        let time = |id: StepId| self.need(id, needs, ahead);
+    /// µs of the shortest way from this step's end to the chain's, with loads begun `ahead` of it.
+    fn remaining_time(&self, step: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
+        let time = |id: StepId| self.needed_time(id, needs, ahead);
         self.plan.shortest_after(step, &time)
     }
 
-    /// How much more the chain is worth than a fresh one, by what of its time is spent: 1 at its beginning.
+    /// Factor of the chain's priority beside that of a new one, by the part of its time that is spent: 1 at
+    /// its beginning.
     pub fn paid(&self, now: Micros, needs: Needs<'_>) -> f64 {
-        let Some(at) = self.order.last() else { return 1.0 };
-        let own = self.need(*at, needs, 0);
+        let Some(step) = self.order.last() else { return 1.0 };
+        let own = self.needed_time(*step, needs, 0);
         let spent = now.saturating_sub(self.begun) as f64;
-        1.0 + PAID * spent / (spent + (own + self.rest(*at, needs, own)) as f64).max(1.0)
+        1.0 + PRIORITY_GAIN * spent / (spent + (own + self.remaining_time(*step, needs, own)) as f64).max(1.0)
     }
 
     /// Begins the chain.
     pub fn begin(&mut self, now: Micros, needs: Needs<'_>) -> Vec<Do> {
-        let mut todo = Vec::new();
-        self.enter(now, StepId(0), needs, &mut todo);
-        todo
+        let mut actions = Vec::new();
+        self.enter(Context { now, needs }, StepId(0), &mut actions);
+        actions
     }
 
-    /// A step has ended; `field` reads its result, `told` is the time that a pushback named.
+    /// A step has ended; `field` reads its result, `retry_after` is the time in µs that a rejection named.
     pub fn ended(
         &mut self,
         now: Micros,
         step: StepId,
         how: How,
-        told: Option<Micros>,
+        retry_after: Option<Micros>,
         field: &dyn Fn(&str) -> Option<String>,
         needs: Needs<'_>,
     ) -> Vec<Do> {
-        let mut todo = Vec::new();
-        if self.states[step.0] != State::Out {
-            return todo;
+        let mut actions = Vec::new();
+        if self.states[step.0] != State::InFlight {
+            return actions;
         }
+        let context = Context { now, needs };
         if how == How::NeverRan
-            && let Some(until) = self.again_at(now, step, told, needs)
+            && let Some(until) = self.retry_at(context, step, retry_after)
         {
-            self.states[step.0] = State::Waiting;
+            self.states[step.0] = State::AwaitingRetry;
             return vec![Do::Wait { step, until }];
         }
-        self.close(now, step, how, field, Why::StepFailed, needs, &mut todo);
-        todo
+        self.close(context, step, Close { how, field, why: Why::StepFailed }, &mut actions);
+        actions
     }
 
-    /// A step that was to begin could not be written down: it is not tried again, a full disk stays full.
+    /// A step that was to begin could not be written to the record: it is not retried, as a full disk stays
+    /// full.
     pub fn not_written(&mut self, now: Micros, step: StepId, needs: Needs<'_>) -> Vec<Do> {
-        let mut todo = Vec::new();
-        if self.states[step.0] == State::Out {
-            self.close(now, step, How::NeverRan, &|_| None, Why::NotWritten, needs, &mut todo);
+        let mut actions = Vec::new();
+        if self.states[step.0] == State::InFlight {
+            self.close(Context { now, needs }, step, Close::never_ran(Why::NotWritten), &mut actions);
         }
-        todo
+        actions
     }
 
-    /// When a step that was pushed back is worth another try: where the plan has no other way, and time to
-    /// spare.
-    fn again_at(&self, now: Micros, step: StepId, told: Option<Micros>, needs: Needs<'_>) -> Option<Micros> {
-        let row = self.plan.step(step);
-        // A chain that has done nothing yet is pushed back as a whole: its client knows when to come.
-        let paid = self.order.iter().any(|s| self.states[s.0] == State::Ended(How::Finished));
-        if row.optional || !row.or_else.is_empty() || !paid {
+    /// When a rejected step is worth a retry: where the plan has no other way, and time to spare.
+    fn retry_at(&self, context: Context<'_>, step: StepId, retry_after: Option<Micros>) -> Option<Micros> {
+        let Context { now, needs } = context;
+        let planned = self.plan.step(step);
+        // A chain that has done nothing yet is rejected as a whole: its client knows when to retry.
+        let any_finished = self.order.iter().any(|step| self.has_finished(*step));
+        if planned.optional || !planned.or_else.is_empty() || !any_finished {
             return None;
         }
-        let own = self.need(step, needs, 0);
-        let until = self.deadline.saturating_sub(WAY_BACK + self.rest(step, needs, own));
+        let own = self.needed_time(step, needs, 0);
+        let until = self.deadline.saturating_sub(RESPONSE_TIME + self.remaining_time(step, needs, own));
         let spare = until.checked_sub(now + own)?;
-        let most = (spare / AGAIN_PART).max(AGAIN_LEAST);
-        let wait = told.unwrap_or(AGAIN).clamp(AGAIN_LEAST, most);
+        let longest = (spare / RETRY_DELAY_DIVISOR).max(MIN_RETRY_DELAY);
+        let wait = retry_after.unwrap_or(DEFAULT_RETRY_DELAY).clamp(MIN_RETRY_DELAY, longest);
         (wait <= spare).then_some(now + wait)
     }
 
-    /// A step that was pushed back has waited.
+    /// The time of `Do::Wait` has come.
     pub fn again(&mut self, now: Micros, step: StepId, needs: Needs<'_>) -> Vec<Do> {
-        let mut todo = Vec::new();
-        if self.states[step.0] == State::Waiting {
-            self.states[step.0] = State::Unbegun;
-            self.enter(now, step, needs, &mut todo);
+        let mut actions = Vec::new();
+        if self.states[step.0] == State::AwaitingRetry {
+            self.states[step.0] = State::NotBegun;
+            self.enter(Context { now, needs }, step, &mut actions);
         }
-        todo
+        actions
     }
 
-    /// The chain's time is up, whatever is out.
+    /// The chain's time is up, whatever is in flight.
     pub fn time_up(&mut self) -> Vec<Do> {
-        let mut todo = Vec::new();
-        let at = self.order.last().copied().unwrap_or(StepId(0));
-        self.fail(at, Why::NoTime, &mut todo);
-        todo
+        let mut actions = Vec::new();
+        let step = self.order.last().copied().unwrap_or(StepId(0));
+        self.fail(step, Why::NoTime, &mut actions);
+        actions
     }
 
-    fn enter(&mut self, now: Micros, step: StepId, needs: Needs<'_>, todo: &mut Vec<Do>) {
-        if self.ended.is_some() || self.states[step.0] != State::Unbegun {
+    /// Begins a step, unless its end is on record, its function is not known, or time is too short.
+    fn enter(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Do>) {
+        if self.ended.is_some() || self.states[step.0] != State::NotBegun {
             return;
         }
         if let Some((how, fields)) = self.recorded.remove(&step) {
             self.order.push(step);
-            return self.close(now, step, how, &|n| fields.get(n).cloned(), Why::StepFailed, needs, todo);
+            let field = |name: &str| fields.get(name).cloned();
+            return self.close(context, step, Close { how, field: &field, why: Why::StepFailed }, actions);
         }
-        let optional = self.plan.step(step).optional;
         let Some(function) = self.function(step) else {
-            return self.close(now, step, How::NeverRan, &|_| None, Why::NoFunction, needs, todo);
+            return self.close(context, step, Close::never_ran(Why::NoFunction), actions);
         };
-        let own = self.need(step, needs, 0);
-        let rest = self.rest(step, needs, own);
-        let until = self.deadline.saturating_sub(WAY_BACK + rest);
-        if now + own > until {
-            if optional {
+        let own = self.needed_time(step, context.needs, 0);
+        let remaining = self.remaining_time(step, context.needs, own);
+        let until = self.deadline.saturating_sub(RESPONSE_TIME + remaining);
+        if context.now + own > until {
+            if self.plan.step(step).optional {
                 self.states[step.0] = State::Skipped;
-                return self.follow(now, step, needs, todo);
+                return self.follow(context, step, actions);
             }
-            return self.close(now, step, How::NeverRan, &|_| None, Why::NoTime, needs, todo);
+            return self.close(context, step, Close::never_ran(Why::NoTime), actions);
         }
-        self.states[step.0] = State::Out;
+        self.states[step.0] = State::InFlight;
         if !self.order.contains(&step) {
             self.order.push(step);
         }
-        todo.push(Do::Begin { step, function, until });
+        actions.push(Do::Begin { step, function, until });
     }
 
-    #[allow(clippy::too_many_arguments)] // a step's end is told once, here
-    fn close(
-        &mut self,
-        now: Micros,
-        step: StepId,
-        how: How,
-        field: &dyn Fn(&str) -> Option<String>,
-        why: Why,
-        needs: Needs<'_>,
-        todo: &mut Vec<Do>,
-    ) {
-        self.states[step.0] = State::Ended(how);
-        if how == How::Finished {
-            self.last = Some(step);
+    /// Takes a step's end down and goes on from it.
+    fn close(&mut self, context: Context<'_>, step: StepId, close: Close<'_>, actions: &mut Vec<Do>) {
+        self.states[step.0] = State::Ended(close.how);
+        if close.how == How::Finished {
+            self.last_finished = Some(step);
             let asked: Vec<String> = self.asked(step).into_iter().map(str::to_owned).collect();
             for name in asked {
-                if let Some(value) = field(&name) {
+                if let Some(value) = (close.field)(&name) {
                     self.results.insert((step, name), value);
                 }
             }
         }
-        if how == How::Finished || self.plan.step(step).optional {
-            return self.follow(now, step, needs, todo);
+        if close.how == How::Finished || self.plan.step(step).optional {
+            return self.follow(context, step, actions);
         }
-        if self.forks.iter().any(|f| f.arms.contains(&step)) {
-            return self.arm_failed(step, why, todo);
+        if let Some(fork) = self.fork_of(step) {
+            return self.arm_failed(fork, step, close.why, actions);
         }
         let plan = self.plan.clone();
-        match self.branch(step, &plan.step(step).or_else) {
-            Some(go) => self.go(now, step, go, needs, todo),
-            None => self.fail(step, why, todo),
+        match self.branch_taken(step, &plan.step(step).or_else) {
+            Some(go) => self.go(context, step, go, actions),
+            None => self.fail(step, close.why, actions),
         }
     }
 
-    /// The first branch whose test holds.
-    fn branch<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Go> {
-        let holds = |b: &&Branch| {
-            b.test.as_ref().is_none_or(|t| self.results.get(&(step, t.field.clone())) == Some(&t.is))
+    /// Where the first branch whose test holds leads.
+    fn branch_taken<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Go> {
+        let holds = |branch: &&Branch| {
+            let test = branch.test.as_ref();
+            test.is_none_or(|test| self.results.get(&(step, test.field.clone())) == Some(&test.is))
         };
-        branches.iter().find(holds).map(|b| &b.go)
+        branches.iter().find(holds).map(|branch| &branch.go)
     }
 
-    fn follow(&mut self, now: Micros, step: StepId, needs: Needs<'_>, todo: &mut Vec<Do>) {
+    /// Goes on after a step that has finished, or need not.
+    fn follow(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Do>) {
         if self.ended.is_some() {
             return;
         }
-        if let Some(n) = self.forks.iter().position(|f| f.arms.contains(&step)) {
-            return self.arm_ended(now, step, n, needs, todo);
+        if let Some(fork) = self.fork_of(step) {
+            return self.arm_ended(context, fork, step, actions);
         }
         let plan = self.plan.clone();
-        match self.branch(step, &plan.step(step).next) {
-            Some(go) => self.go(now, step, go, needs, todo),
-            None => self.finish(step, todo),
+        match self.branch_taken(step, &plan.step(step).next) {
+            Some(go) => self.go(context, step, go, actions),
+            None => self.finish(step, actions),
         }
     }
 
-    fn go(&mut self, now: Micros, from: StepId, go: &Go, needs: Needs<'_>, todo: &mut Vec<Do>) {
+    fn go(&mut self, context: Context<'_>, from: StepId, go: &Go, actions: &mut Vec<Do>) {
         match go {
-            Go::End => self.finish(from, todo),
-            Go::One(to) => self.enter(now, *to, needs, todo),
+            Go::End => self.finish(from, actions),
+            Go::One(to) => self.enter(context, *to, actions),
             Go::All(arms, join) | Go::First(arms, join) => {
                 let first = matches!(go, Go::First(..));
                 self.forks.push(Fork { arms: arms.clone(), join: *join, first });
                 for arm in arms {
-                    self.enter(now, *arm, needs, todo);
+                    self.enter(context, *arm, actions);
                 }
             }
         }
     }
 
+    /// Index of the fork that a step is an arm of.
+    fn fork_of(&self, step: StepId) -> Option<usize> {
+        self.forks.iter().position(|fork| fork.arms.contains(&step))
+    }
+
+    fn has_finished(&self, step: StepId) -> bool {
+        self.states[step.0] == State::Ended(How::Finished)
+    }
+
+    /// Whether a step's end is still to come.
+    fn is_open(&self, step: StepId) -> bool {
+        matches!(self.states[step.0], State::InFlight | State::NotBegun | State::AwaitingRetry)
+    }
+
     /// An arm has finished or was left out.
-    fn arm_ended(&mut self, now: Micros, step: StepId, n: usize, needs: Needs<'_>, todo: &mut Vec<Do>) {
-        let fork = &self.forks[n];
-        let open = |s: &&StepId| matches!(self.states[s.0], State::Out | State::Unbegun | State::Waiting);
-        let left: Vec<StepId> = fork.arms.iter().filter(open).copied().collect();
+    fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, actions: &mut Vec<Do>) {
+        let fork = &self.forks[index];
+        let open: Vec<StepId> = fork.arms.iter().filter(|arm| self.is_open(**arm)).copied().collect();
         // One that was left out, or failed and may, is not the first that finishes, unless it is the last.
-        let won = self.states[step.0] == State::Ended(How::Finished);
-        if !(left.is_empty() || fork.first && won) {
+        if !(open.is_empty() || fork.first && self.has_finished(step)) {
             return;
         }
-        let finished = |s: &StepId| self.states[s.0] == State::Ended(How::Finished);
-        if fork.first && !fork.arms.iter().any(finished) {
-            return self.fail(step, Why::StepFailed, todo);
+        if fork.first && !fork.arms.iter().any(|arm| self.has_finished(*arm)) {
+            return self.fail(step, Why::StepFailed, actions);
         }
         let join = fork.join;
-        self.forks.remove(n);
-        for arm in left {
-            let out = self.states[arm.0] == State::Out;
-            if out {
-                todo.push(Do::Cancel(arm));
+        self.forks.remove(index);
+        for arm in open {
+            let in_flight = self.states[arm.0] == State::InFlight;
+            if in_flight {
+                actions.push(Do::Cancel(arm));
             }
-            self.states[arm.0] = if out { State::Ended(How::MayHaveRun) } else { State::Skipped };
+            self.states[arm.0] = if in_flight { State::Ended(How::MayHaveRun) } else { State::Skipped };
         }
         match join {
-            Some(join) => self.enter(now, join, needs, todo),
-            None => self.finish(step, todo),
+            Some(join) => self.enter(context, join, actions),
+            None => self.finish(step, actions),
         }
     }
 
     /// An arm that is needed has failed: all of several need it, the first of several has others.
-    fn arm_failed(&mut self, step: StepId, why: Why, todo: &mut Vec<Do>) {
-        let n = self.forks.iter().position(|f| f.arms.contains(&step)).expect("looked at by the caller");
-        let open = |s: &StepId| matches!(self.states[s.0], State::Out | State::Unbegun | State::Waiting);
-        if self.forks[n].first && self.forks[n].arms.iter().any(open) {
+    fn arm_failed(&mut self, index: usize, step: StepId, why: Why, actions: &mut Vec<Do>) {
+        let fork = &self.forks[index];
+        if fork.first && fork.arms.iter().any(|arm| self.is_open(*arm)) {
             return;
         }
-        self.fail(step, why, todo);
+        self.fail(step, why, actions);
     }
 
     /// The chain is finished by the step that finished last: the one that led here may have been left out, or
-    /// have failed and been free to.
-    fn finish(&mut self, step: StepId, todo: &mut Vec<Do>) {
-        let Some(step) = self.last else { return self.fail(step, Why::StepFailed, todo) };
+    /// have failed where it need not succeed.
+    fn finish(&mut self, step: StepId, actions: &mut Vec<Do>) {
+        let Some(step) = self.last_finished else { return self.fail(step, Why::StepFailed, actions) };
         if self.ended.is_none() {
-            self.cancel_rest(todo);
+            self.cancel_open_steps(actions);
             self.ended = Some(Ended::Finished(step));
-            todo.push(Do::End(Ended::Finished(step)));
+            actions.push(Do::End(Ended::Finished(step)));
         }
     }
 
-    fn cancel_rest(&mut self, todo: &mut Vec<Do>) {
-        for (n, state) in self.states.iter_mut().enumerate() {
+    fn cancel_open_steps(&mut self, actions: &mut Vec<Do>) {
+        for (index, state) in self.states.iter_mut().enumerate() {
             match state {
-                State::Out => {
-                    todo.push(Do::Cancel(StepId(n)));
+                State::InFlight => {
+                    actions.push(Do::Cancel(StepId(index)));
                     *state = State::Ended(How::MayHaveRun);
                 }
-                State::Waiting => *state = State::Ended(How::NeverRan),
+                State::AwaitingRetry => *state = State::Ended(How::NeverRan),
                 _ => {}
             }
         }
     }
 
-    fn fail(&mut self, step: StepId, why: Why, todo: &mut Vec<Do>) {
+    fn fail(&mut self, step: StepId, why: Why, actions: &mut Vec<Do>) {
         if self.ended.is_some() {
             return;
         }
-        self.cancel_rest(todo);
-        let lasts = |s: &&StepId| {
-            matches!(self.states[s.0], State::Ended(How::Finished | How::MayHaveRun))
-                && self.plan.step(**s).effect != RetrySafety::Idempotent
+        self.cancel_open_steps(actions);
+        let has_lasting_effect = |step: &StepId| {
+            self.may_have_run(*step) && self.plan.step(*step).effect != RetrySafety::Idempotent
         };
-        let ended = match self.order.iter().any(|s| lasts(&s)) {
-            true => Ended::Failed(step, why),
-            false => Ended::PushedBack(step, why),
+        let ended = if self.order.iter().any(has_lasting_effect) {
+            Ended::Failed(step, why)
+        } else {
+            Ended::PushedBack(step, why)
         };
         self.ended = Some(ended);
-        todo.push(Do::End(ended));
-        todo.extend(self.undos());
+        actions.push(Do::End(ended));
+        actions.extend(self.undos());
+    }
+
+    fn may_have_run(&self, step: StepId) -> bool {
+        matches!(self.states[step.0], State::Ended(How::Finished | How::MayHaveRun))
     }
 
-    /// What is to be taken back, the last step first. An undo whose function is not known cannot be.
+    /// What is to be undone, the last step first. An undo whose function is not known cannot be run.
     fn undos(&self) -> Vec<Do> {
-        let began = |s: &&StepId| matches!(self.states[s.0], State::Ended(How::Finished | How::MayHaveRun));
-        let undo = |s: &StepId| {
-            let step = self.plan.step(*s).undo?;
+        let undo = |step: &StepId| {
+            let step = self.plan.step(*step).undo?;
             self.function(step).map(|function| Do::Undo { step, function })
         };
-        self.order.iter().rev().filter(began).filter_map(undo).collect()
+        self.order.iter().rev().filter(|step| self.may_have_run(**step)).filter_map(undo).collect()
     }
 }
--- a/crates/workflow/src/times.rs
+++ b/crates/workflow/src/times.rs
@@ -1,168 +1,141 @@
-//! How long functions take, learned from what ended: a quantile of a histogram of bounded size each, in two
-//! generations, for a bounded number of functions.
+//! How long functions take, learned from steps that finished: a quantile of a histogram of bounded size for
+//! each function, in two generations, for a bounded number of functions.
 use applepond::interface::{FunctionId, Micros};
 use hdrhistogram::Histogram;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Functions kept at most (2 kB each); the one not used for longest goes first.
-const FUNCTIONS_MOST: usize = 4_096;
+/// Limit of functions (2 kB each); the one not used for longest is evicted first.
+const MAX_FUNCTIONS: usize = 4_096;
 /// µs of the longest time told apart.
-const LONGEST: u64 = 120_000_000;
+const LONGEST_TIME: u64 = 120_000_000;
 /// Samples after which the younger generation takes over: an hour of a rare function, a minute of a hot one.
-const GENERATION: u64 = 500;
+const SAMPLES_PER_GENERATION: u64 = 500;
 /// Samples from which on they are believed rather than what the plan says.
-const BELIEVED: u64 = 8;
-/// Part of the steps that are to be done within the time counted on. A median would begin half of what cannot
-/// finish; the slowest of a hundred would refuse what usually can.
+const MIN_SAMPLES: u64 = 8;
+/// Part of the steps that are to finish within the estimate. A median would begin half of what cannot
+/// finish; the slowest of a hundred would reject what usually can.
 const QUANTILE: f64 = 0.8;
-/// Samples between two looks for the quantile, which walks the histogram.
-const LOOK: u64 = 16;
-/// Weight of a new load time.
-const LOAD_FRESH: f64 = 0.2;
-/// Weight of a new answer in the share that met no loaded copy, and the share from which on one is counted
-/// on.
-const COLD_FRESH: f64 = 0.1;
-const COLD: f64 = 0.5;
-
+/// Samples between two computations of the quantile, which walks the histogram.
+const SAMPLES_PER_QUANTILE: u64 = 16;
+/// Weight of a new sample in the average load time.
+const LOAD_TIME_WEIGHT: f64 = 0.2;
+/// Weight of a new sample in the average share of cold starts.
+const COLD_SHARE_WEIGHT: f64 = 0.1;
+/// Share of cold starts from which on one is expected.
+const COLD_SHARE_LIMIT: f64 = 0.5;
+
+/// What is known of one function.
 struct Known {
+    /// Times of the last samples.
     young: Histogram<u32>,
+    /// Times of the generation before.
     old: Histogram<u32>,
-    /// Quantile as of the last look.
+    /// Quantile as of its last computation.
     usual: Option<Micros>,
-    seen: u64,
-    load: Option<f64>,
-    cold: f64,
+    /// Samples on a loaded copy.
+    samples: u64,
+    /// Average µs of a load.
+    load_time: Option<f64>,
+    /// Average share of samples that met no loaded copy.
+    cold_share: f64,
     /// When it last finished anywhere: copies stay loaded for a while.
-    last: Micros,
+    last_finished: Micros,
+}
+
+impl Known {
+    fn new() -> Self {
+        Known {
+            young: histogram(),
+            old: histogram(),
+            usual: None,
+            samples: 0,
+            load_time: None,
+            cold_share: 0.0,
+            last_finished: 0,
+        }
+    }
+
+    /// Takes in the time of a step on a loaded copy.
+    fn add_warm(&mut self, took: Micros) {
+        self.young.saturating_record(took);
+        self.samples += 1;
+        if self.young.len() >= SAMPLES_PER_GENERATION {
+            self.old = std::mem::replace(&mut self.young, histogram());
+        }
+        if self.samples <= MIN_SAMPLES || self.samples.is_multiple_of(SAMPLES_PER_QUANTILE) {
+            let mut both = self.old.clone();
+            let added = both.add(&self.young);
+            self.usual = added.ok().map(|()| both.value_at_quantile(QUANTILE));
+        }
+    }
+
+    /// Takes in the time of a step that had to wait for a load.
+    fn add_cold(&mut self, took: Micros) {
+        let load_time = took.saturating_sub(self.usual.unwrap_or(0)) as f64;
+        let before = self.load_time.unwrap_or(load_time);
+        self.load_time = Some(before + LOAD_TIME_WEIGHT * (load_time - before));
+    }
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(100, LONGEST, 1).expect("sound bounds")
+    Histogram::new_with_bounds(100, LONGEST_TIME, 1).expect("constant bounds are valid")
 }
 
+/// Estimates of how long functions take.
 pub struct Times {
-    by: BTreeMap<FunctionId, Known>,
-    by_age: BTreeMap<(Micros, FunctionId), ()>,
+    functions: BTreeMap<FunctionId, Known>,
+    /// Functions by when they last finished.
+    by_age: BTreeSet<(Micros, FunctionId)>,
     /// µs for which an idle copy stays loaded.
-    keep: Micros,
+    cache_lifetime: Micros,
 }
 
 impl Times {
-    pub fn new(keep: Micros) -> Self {
-        Times { by: BTreeMap::new(), by_age: BTreeMap::new(), keep }
+    /// Nothing known yet; an idle copy stays loaded for `cache_lifetime` µs.
+    pub fn new(cache_lifetime: Micros) -> Self {
+        Times { functions: BTreeMap::new(), by_age: BTreeSet::new(), cache_lifetime }
     }
 
-    /// A step of the function finished after `took` µs, on a copy that stood loaded or not.
-    pub fn finished(&mut self, now: Micros, function: FunctionId, took: Micros, stood: bool) {
-        let known = self.by.entry(function).or_insert_with(|| Known {
-            young: histogram(),
-            old: histogram(),
-            usual: None,
-            seen: 0,
-            load: None,
-            cold: 0.0,
-            last: 0,
-        });
-        self.by_age.remove(&(known.last, function));
-        known.last = now;
-        self.by_age.insert((now, function), ());
-        known.cold += COLD_FRESH * (f64::from(u8::from(!stood)) - known.cold);
-        if stood {
-            known.young.saturating_record(took);
-            known.seen += 1;
-            if known.young.len() >= GENERATION {
-                known.old = std::mem::replace(&mut known.young, histogram());
-            }
-            if known.seen <= BELIEVED || known.seen.is_multiple_of(LOOK) {
-                let mut both = known.old.clone();
-                let added = both.add(&known.young);
-                known.usual = added.ok().map(|()| both.value_at_quantile(QUANTILE));
-            }
+    /// A step of the function finished after `took` µs, on a copy that was loaded or not.
+    pub fn finished(&mut self, now: Micros, function: FunctionId, took: Micros, was_loaded: bool) {
+        let known = self.functions.entry(function).or_insert_with(Known::new);
+        self.by_age.remove(&(known.last_finished, function));
+        known.last_finished = now;
+        self.by_age.insert((now, function));
+        known.cold_share += COLD_SHARE_WEIGHT * (f64::from(u8::from(!was_loaded)) - known.cold_share);
+        if was_loaded {
+            known.add_warm(took);
         } else {
-            let load = took.saturating_sub(known.usual.unwrap_or(0)) as f64;
-            let before = known.load.unwrap_or(load);
-            known.load = Some(before + LOAD_FRESH * (load - before));
+            known.add_cold(took);
         }
-        while self.by.len() > FUNCTIONS_MOST {
-            let Some(((_, oldest), ())) = self.by_age.pop_first() else { return };
-            self.by.remove(&oldest);
+        while self.functions.len() > MAX_FUNCTIONS {
+            let Some((_, oldest)) = self.by_age.pop_first() else { return };
+            self.functions.remove(&oldest);
         }
     }
 
-    /// µs that a step needs, a load aside: learned, else what is told.
-    pub fn usual(&self, function: FunctionId, told: Micros) -> Micros {
-        let known = self.by.get(&function).filter(|k| k.seen >= BELIEVED);
-        known.and_then(|k| k.usual).unwrap_or(told)
+    /// µs that a step needs without a load: learned, otherwise what the plan says.
+    pub fn usual(&self, function: FunctionId, planned: Micros) -> Micros {
+        let known = self.functions.get(&function).filter(|known| known.samples >= MIN_SAMPLES);
+        known.and_then(|known| known.usual).unwrap_or(planned)
     }
 
-    /// µs that a load would add, where the function is likely not to be loaded: learned, else what is told.
-    pub fn load(&self, now: Micros, function: FunctionId, told: Option<Micros>) -> Micros {
-        let known = self.by.get(&function);
-        let loaded = known.is_some_and(|k| now < k.last + self.keep && k.cold < COLD);
-        let learned = known.and_then(|k| k.load).map(|l| l as Micros);
-        if loaded { 0 } else { learned.or(told).unwrap_or(0) }
+    /// µs that a load would add, where the function is likely not to be loaded: learned, otherwise what was
+    /// declared.
+    pub fn load(&self, now: Micros, function: FunctionId, declared: Option<Micros>) -> Micros {
+        let known = self.functions.get(&function);
+        let is_loaded = known.is_some_and(|known| {
+            now < known.last_finished + self.cache_lifetime && known.cold_share < COLD_SHARE_LIMIT
+        });
+        let learned = known.and_then(|known| known.load_time).map(|time| time as Micros);
+        if is_loaded { 0 } else { learned.or(declared).unwrap_or(0) }
     }
 
-    /// Functions known.
+    /// Functions of which something is known.
     pub fn known(&self) -> usize {
-        self.by.len()
+        self.functions.len()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    const MS: Micros = 1_000;
-    const S: Micros = 1_000_000;
-
-    fn function(n: u64) -> FunctionId {
-        FunctionId(n)
-    }
-
-    #[test_case(3, 40 * MS; "too few are not believed")]
-    #[test_case(100, 85 * MS; "four of five within it")]
-    #[test_case(5_000, 85 * MS; "over generations")]
-    fn usual(samples: u64, want: Micros) {
-        let mut times = Times::new(10 * S);
-        (0..samples).for_each(|n| times.finished(n, function(1), (n * 7 % 100 + 1) * MS, true));
-        let got = times.usual(function(1), 40 * MS);
-        assert!(got.abs_diff(want) <= want / 8, "{got}");
-    }
-
-    #[test]
-    fn what_became_slow_is_known_after_a_generation_or_two() {
-        let mut times = Times::new(10 * S);
-        (0..2_000).for_each(|n| times.finished(n, function(1), 10 * MS, true));
-        (0..1_100).for_each(|n| times.finished(n, function(1), 200 * MS, true));
-        assert!(times.usual(function(1), 0) > 150 * MS);
-    }
-
-    #[test_case(0, 0, 2 * S; "never seen: what is told")]
-    #[test_case(5, 0, 0; "just served")]
-    #[test_case(5, 11 * S, 2 * S; "idle for longer than copies are kept")]
-    fn load(served: u64, later: Micros, want: Micros) {
-        let mut times = Times::new(10 * S);
-        (0..served).for_each(|n| times.finished(S + n, function(1), 10 * MS, true));
-        assert_eq!(times.load(S + 5 + later, function(1), Some(2 * S)), want);
-    }
-
-    #[test]
-    fn a_function_evicted_all_the_time_counts_as_not_loaded_and_its_load_is_learned() {
-        let mut times = Times::new(10 * S);
-        (0..20).for_each(|n| times.finished(n, function(1), 10 * MS, true));
-        (0..20).for_each(|n| times.finished(100 + n, function(1), 910 * MS, false));
-        let load = times.load(200, function(1), Some(2 * S));
-        assert!(load.abs_diff(900 * MS) < 20 * MS, "{load}");
-    }
-
-    #[test]
-    fn bounded() {
-        let mut times = Times::new(10 * S);
-        (0..3 * FUNCTIONS_MOST as u64).for_each(|n| times.finished(n, function(n), MS, true));
-        assert_eq!((times.known(), times.by_age.len()), (FUNCTIONS_MOST, FUNCTIONS_MOST));
-        (0..100).for_each(|_| times.finished(99 * S, function(9 << 20), MS, true));
-        assert_eq!(times.usual(function(9 << 20), 0) / MS, 1, "the latest stays");
-    }
-}
+mod tests;
--- a/crates/workflow/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -1,7 +1,8 @@
 //! Plans in a few words, and a run with its clock.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::{IdempotencyScope, Micros, RetrySafety};
-use applepond_workflow::*;
+use applepond_workflow::run::Recorded;
+use applepond_workflow::{Branch, Do, Ended, Function, Go, How, Plan, Run, Step, StepId, Test};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -89,8 +90,8 @@
     pub run: Run,
     pub now: Micros,
     pub needs: BTreeMap<&'static str, Micros>,
-    /// The time that pushbacks name.
-    pub told: Option<Micros>,
+    /// The time that rejections name.
+    pub retry_after: Option<Micros>,
 }
 
 impl Bench {
@@ -98,11 +99,11 @@
         Self::resumed(steps, BTreeMap::new())
     }
 
-    pub fn resumed(steps: Vec<Step>, recorded: run::Recorded) -> Self {
+    pub fn resumed(steps: Vec<Step>, recorded: Recorded) -> Self {
         let (plan, now) = (plan(steps), 100 * S);
         assert_eq!(plan.check(), Vec::new(), "a sound plan");
         let run = Run::new(now, Arc::new(plan), Some("of-event".into()), now + 4 * S, recorded);
-        Bench { run, now, needs: BTreeMap::new(), told: None }
+        Bench { run, now, needs: BTreeMap::new(), retry_after: None }
     }
 
     pub fn begin(&mut self) -> Vec<String> {
@@ -117,7 +118,7 @@
         let needs = self.needs.clone();
         let field = |name: &str| fields.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
         let needs = |step: &Step, f: &str, _: Micros| needs.get(f).copied().unwrap_or(step.at_least);
-        let todo = self.run.ended(self.now, id(n), how, self.told, &field, &needs);
+        let todo = self.run.ended(self.now, id(n), how, self.retry_after, &field, &needs);
         self.words(&todo)
     }
 
--- a/crates/workflow/tests/plans.rs
+++ b/crates/workflow/tests/plans.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond::interface::RetrySafety::AtMostOnce;
-use applepond_workflow::*;
+use applepond_workflow::{Function, Step, StepId};
 use common::*;
 use test_case::test_case;
 
@@ -47,7 +47,7 @@
 #[test_case((0..30).map(|n| Step { at_least: 500 * MS,
     ..free(&n.to_string()) }.next(&if n < 29 { vec![to(n + 1)] } else { vec![] })).collect(),
     "15000 ms at the least, 4000 ms in all"; "longer than its limit")]
-fn faults(steps: Vec<Step>, want: &str) {
+fn a_plan_with_a_fault_is_not_valid(steps: Vec<Step>, want: &str) {
     let faults = plan(steps).check();
     assert!(faults.iter().any(|f| f.found.contains(want)), "{faults:?}");
 }
@@ -63,7 +63,7 @@
     free("u").function_from(0, "place")]; "another hut, and an undo")]
 #[test_case(vec![free("a").next(&[to(1)]), Step { at_least: 9 * S, ..free("b").optional() }];
     "long but optional")]
-fn sound(steps: Vec<Step>) {
+fn a_plan_without_faults_is_valid(steps: Vec<Step>) {
     assert_eq!(plan(steps).check(), Vec::new());
 }
 
@@ -75,7 +75,7 @@
     free("c"), free("d")], 900; "of all")]
 #[test_case(vec![free("a").next(&[first(&[1, 2], Some(3))]), Step { at_least: 700 * MS, ..free("b") },
     free("c"), free("d")], 300; "of the first")]
-fn shortest(steps: Vec<Step>, ms: u64) {
+fn the_shortest_way(steps: Vec<Step>, ms: u64) {
     let plan = plan(steps);
     assert_eq!(plan.shortest(StepId(0), &|id| plan.step(id).at_least) / MS, ms);
 }
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond::interface::RetrySafety::AtMostOnce;
-use applepond_workflow::*;
+use applepond_workflow::{Do, How, Step};
 use common::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -50,7 +50,7 @@
     "pushed back")]
 #[test_case(How::MayHaveRun, &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
     "killed")]
-fn undo(how: How, want: &[&str]) {
+fn what_may_have_been_done_is_undone_last_first(how: How, want: &[&str]) {
     let mut b = Bench::new(booking());
     b.begin();
     b.ends(50, 0, How::Finished, &[("hut", "luční")]);
@@ -63,7 +63,7 @@
 // As long as nothing can have had an effect that lasts, the client may ask again.
 #[test_case(0, How::MayHaveRun, "pushed back at price: StepFailed"; "an idempotent step may have run")]
 #[test_case(0, How::NeverRan, "pushed back at price: StepFailed"; "it never ran")]
-fn pushed_back(n: usize, how: How, want: &str) {
+fn a_chain_without_effect_is_rejected(n: usize, how: How, want: &str) {
     let mut b = Bench::new(booking());
     b.begin();
     assert_eq!(b.ends(50, n, how, &[]), [want]);
@@ -196,17 +196,17 @@
 
 // A step that was pushed back is begun again while there is time: what was before it is paid for. A chain
 // that has done nothing yet is pushed back as a whole.
-#[test_case(50, Some(200), "wait 200 ms for beds-2"; "as told")]
-#[test_case(50, None, "wait 100 ms for beds-2"; "nothing told")]
-#[test_case(50, Some(1), "wait 30 ms for beds-2"; "told hardly anything")]
-#[test_case(3_000, Some(900), "wait 186 ms for beds-2"; "told more than there is time for")]
+#[test_case(50, Some(200), "wait 200 ms for beds-2"; "as named")]
+#[test_case(50, None, "wait 100 ms for beds-2"; "nothing named")]
+#[test_case(50, Some(1), "wait 30 ms for beds-2"; "hardly anything named")]
+#[test_case(3_000, Some(900), "wait 186 ms for beds-2"; "more named than there is time for")]
 #[test_case(3_830, Some(200), "pushed back at beds-2: StepFailed"; "no time left")]
-fn pushed_back_in_the_middle(ms: u64, told_ms: Option<u64>, want: &str) {
+fn a_step_rejected_in_the_middle_is_retried(ms: u64, retry_after_ms: Option<u64>, want: &str) {
     let mut b =
         Bench::new(vec![free("price").next(&[to(1)]), free("beds-2").next(&[to(2)]), free("confirm")]);
     b.begin();
     b.finishes(50, 0);
-    b.told = told_ms.map(|ms| ms * MS);
+    b.retry_after = retry_after_ms.map(|ms| ms * MS);
     assert_eq!(b.ends(ms, 1, How::NeverRan, &[]), [want]);
     if want.starts_with("wait") {
         assert_eq!(b.again(200, 1), ["begin beds-2"]);
