--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -12,7 +12,7 @@
 use applepond_capacity::fit::{Fit, Form};
 use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
 use applepond_capacity::traffic::{Popularity, SIGMA};
-use applepond_gateway::host_list::HostList;
+use applepond_gateway::endpoint_list::EndpointList;
 use plotters::prelude::*;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
@@ -215,7 +215,7 @@
     let rows = sizes.map(|workers| {
         let full = list_line("full", 0..workers);
         let before = allocated().live;
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         let begun = Instant::now();
         drop(hosts.line(&full, &zones).expect("a good line"));
         let first = begun.elapsed();
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,9 +3,9 @@
 use applepond_fleet::desk::{DiskFault, Threads};
 use applepond_fleet::envelope::Key;
 use applepond_fleet::{Fleet, OpeningGuards, Place, Shared, View, ask, page};
-use applepond_gateway::deployment::{FleetRow, OpeningsRow};
-use applepond_gateway::fault::NotTaken;
-use applepond_gateway::switch::merge;
+use applepond_gateway::deployment::{FleetConfig, PrefixCacheConfig};
+use applepond_gateway::errors::ReloadError;
+use applepond_gateway::reload::merge;
 use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
 use applepond_membership::{Count, Guards};
 use applepond_membership::{InstanceId, RouterId};
@@ -65,9 +65,9 @@
     ExitCode::SUCCESS
 }
 
-fn keys(row: &FleetRow) -> Result<Vec<Key>, NotTaken> {
+fn keys(row: &FleetConfig) -> Result<Vec<Key>, ReloadError> {
     let key = |file: &std::path::PathBuf| {
-        let at = |why| NotTaken::KeyFile { file: file.display().to_string(), why };
+        let at = |why| ReloadError::KeyFile { file: file.display().to_string(), reason: why };
         let secret = std::fs::read(file).map_err(|e| at(e.to_string()))?;
         let short = || at("a key of 16 bytes at least is wanted".to_owned());
         Key::from_secret(&secret).ok_or_else(short)
@@ -131,22 +131,22 @@
 }
 
 /// One number for a fleet's founding: votes of another one are foreign.
-fn founding(row: &FleetRow) -> u64 {
-    row.founding.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xacc0_4d00
+fn founding(row: &FleetConfig) -> u64 {
+    row.bootstrap_epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xacc0_4d00
 }
 
 fn named(keepers: &[String]) -> Vec<RouterId> {
     keepers.iter().map(|k| RouterId::named(k)).collect()
 }
 
-fn terms(row: OpeningsRow) -> Terms {
+fn terms(row: PrefixCacheConfig) -> Terms {
     Terms {
-        prepare: row.prepare as f64,
+        prepare: row.prepare_time as f64,
         bytes: 1.0,
         workers: 1.0,
         price: row.price,
-        memory: row.memory as f64,
-        keeps: row.keeps as f64,
+        memory: row.pinned_units as f64,
+        keeps: row.retention as f64,
     }
 }
 
@@ -206,26 +206,27 @@
 /// names the file at fault.
 #[allow(clippy::type_complexity)] // three things that are made together
 pub fn of(
-    row: &FleetRow,
+    row: &FleetConfig,
     now: Micros,
     rig: &Rig,
-) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<Memory>>), NotTaken> {
-    let random = || getrandom::u64().map_err(|e| NotTaken::NoRandom(e.to_string()));
+) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<Memory>>), ReloadError> {
+    let random = || getrandom::u64().map_err(|e| ReloadError::NoRandomNumbers(e.to_string()));
     let (seed, fresh) = (random()?, InstanceId(random()?));
     let who = (row.name.clone(), row.zone.clone(), row.listen);
     let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
     let memory = Rc::new(RefCell::new(Memory::default()));
     let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.me().instance_id);
-    let desk = Threads::new(me, (founding(row), fresh), row.votes.clone(), row.snapshot.clone(), rig.disk);
+    let desk =
+        Threads::new(me, (founding(row), fresh), row.votes_file.clone(), row.snapshot_file.clone(), rig.disk);
     let place = Place {
         me,
         instance_id,
         incarnation: view.borrow().members.me().incarnation,
-        keepers: named(&row.keepers),
+        keepers: named(&row.voters),
         founding: founding(row),
-        keeps: row.votes.is_some(),
-        snapshots: row.snapshot.is_some(),
-        openings: row.openings.map(terms),
+        keeps: row.votes_file.is_some(),
+        snapshots: row.snapshot_file.is_some(),
+        openings: row.prefix_cache.map(terms),
     };
     let shared = Shared::new(now, place, memory.clone(), Box::new(desk), seed.rotate_left(31));
     let shared = shared.with_guards(rig.comeback.guards, rig.comeback.alone);
@@ -243,7 +244,7 @@
 /// and keys; where a key cannot be read, or another part needs a restart, nothing of the file is taken.
 pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: News) -> News {
     let begun = Instant::now();
-    let mut most = held.rows.router_count;
+    let mut most = held.startup.router_count;
     let mut count = Count::new(most as usize);
     Box::new(move || {
         let mut told = false;
@@ -259,21 +260,21 @@
                             Ok(keys) => {
                                 let mut view = view.borrow_mut();
                                 view.renew(row.seeds.clone(), keys);
-                                view.shared.iter_mut().for_each(|s| s.rename(&named(&row.keepers)));
+                                view.shared.iter_mut().for_each(|s| s.rename(&named(&row.voters)));
                             }
                             Err(why) => return Some(Err(why)),
                         }
                     }
-                    most = merged.rows.router_count;
+                    most = merged.startup.router_count;
                     held = merged;
                     told = true;
                 }
             },
         }
-        let was = held.rows.router_count;
+        let was = held.startup.router_count;
         let live = view.borrow().members.live();
         let now = begun.elapsed().as_micros() as Micros;
-        held.rows.router_count = count.parts(now, live, most as usize) as u64;
-        (told || was != held.rows.router_count).then(|| Ok(held.clone()))
+        held.startup.router_count = count.parts(now, live, most as usize) as u64;
+        (told || was != held.startup.router_count).then(|| Ok(held.clone()))
     })
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! `serve` and `check`.
 use crate::fleet;
 use applepond::interface::RetrySafety;
-use applepond_gateway::fault::NotTaken;
+use applepond_gateway::errors::ReloadError;
 use applepond_gateway::{Deployment, Gateway, News};
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
@@ -55,8 +55,9 @@
     match read(file) {
         Ok(d) => {
             let (workloads, workers) = (d.workloads.len(), d.workers.len());
-            let chains = d.chains.len();
-            let hosts = d.hosts.map_or("no host list".to_owned(), |at| format!("the host list at {at}"));
+            let chains = d.workflows.len();
+            let hosts =
+                d.endpoint_list.map_or("no host list".to_owned(), |at| format!("the host list at {at}"));
             let file = file.display();
             println!(
                 "{file}: good; {workloads} workload(s), {chains} chain(s), {workers} worker(s), {hosts}"
@@ -76,7 +77,7 @@
         if !asked.swap(false, Ordering::Relaxed) {
             return None;
         }
-        let new = read(&file).map_err(|_| NotTaken::Faults);
+        let new = read(&file).map_err(|_| ReloadError::InvalidFile);
         Some(new.map(|new| Deployment { listen: listen.unwrap_or(new.listen), ..new }))
     }))
 }
@@ -115,9 +116,9 @@
         let _ = std::io::stdout().flush();
     });
     let lasts = |d: &Deployment| {
-        d.chains.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
+        d.workflows.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
     };
-    let record = match &deployment.record {
+    let record = match &deployment.workflow_store {
         Some(file) => match Disk::open(file) {
             Ok(disk) => Some(Box::new(disk)),
             Err(why) => {
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -19,8 +19,8 @@
     put(&mut all, "recovery", vec![applepond_recovery::Unread]);
     put(&mut all, "scenarios", applepond_scenarios::fault::Unplayed::each());
     put(&mut all, "fleet", applepond_fleet::NoView::each());
-    put(&mut all, "gateway", applepond_gateway::fault::Unlisted::each());
-    put(&mut all, "gateway", applepond_gateway::fault::NotTaken::each());
+    put(&mut all, "gateway", applepond_gateway::errors::EndpointListError::each());
+    put(&mut all, "gateway", applepond_gateway::errors::ReloadError::each());
     put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
     put(&mut all, "platform", applepond_platform::fault::Unfit::each());
     put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -287,9 +287,9 @@
     deployment.listen = "127.0.0.1:0".parse().expect("an address");
     deployment.workers.iter_mut().zip(workers).for_each(|(w, at)| w.address = *at);
     deployment.customers.clear();
-    deployment.rows.customers.clear();
-    deployment.callers_most = 100_000;
-    deployment.workloads.iter_mut().for_each(|w| w.function.lanes = 64);
+    deployment.startup.customers.clear();
+    deployment.max_clients = 100_000;
+    deployment.workloads.iter_mut().for_each(|w| w.default_function.concurrency = 64);
     let told = Box::new(move |at| tell.send(at).expect("the main thread waits"));
     reactor.add(Box::new(Gateway::new(reactor.now(), deployment, told)));
 }
--- a/crates/gateway/benches/pushback.rs
+++ b/crates/gateway/benches/pushback.rs
@@ -75,9 +75,9 @@
     let mut deployment = common::deployment(1);
     deployment.listen = "127.0.0.1:0".parse().expect("an address");
     deployment.workers[0].address = hangs.local_addr().expect("bound");
-    deployment.callers_most = 100_000;
+    deployment.max_clients = 100_000;
     deployment.customers.clear();
-    deployment.rows.customers.clear();
+    deployment.startup.customers.clear();
     let stop = Arc::new(AtomicBool::new(false));
     let (tell, told) = mpsc::channel::<SocketAddr>();
     let run = {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,6 +1,6 @@
 //! The clients' side: reads exchanges, one at a time a connection, and writes what each is answered.
-use crate::claims::Ending;
-use crate::limit::Asked;
+use crate::deadline::RequestedDeadline;
+use crate::idempotency::Ending;
 use applepond::interface::{Micros, RequestId};
 use applepond_http::cloudevent::{self, EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
@@ -27,7 +27,7 @@
     pub id: String,
     pub source: String,
     pub kind: String,
-    pub asked: Asked,
+    pub asked: RequestedDeadline,
     pub retry: bool,
     /// All attributes as the header lines that go on to the worker: one buffer, not a pair of texts for each.
     pub lines: Lines,
@@ -59,7 +59,7 @@
             "retry" => self.retry = value == "true",
             _ => {}
         }
-        if let Err(why) = self.asked.attribute(name, value) {
+        if let Err(why) = self.asked.read_attribute(name, value) {
             self.bad = Some(why);
         }
         if let Some(n) = self.names.iter().position(|n| n == name) {
--- a/crates/gateway/src/host_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 //! `changes`;
 //! `standing` is `ready`, `draining` or `gone`; `started` is ms since the Unix epoch, 0 or absent where
 //! unknown.
-use crate::fault::Unlisted;
+use crate::errors::EndpointListError;
 use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
 use applepond_reactor::Conn;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 
 /// Workers that one list may name: beyond this it is taken for broken rather than for a fleet. Twice the
 /// 30,000 of the fleet that decides the design (docs/CAPACITY.md).
-pub const WORKERS_MOST: usize = 60_000;
+pub const MAX_WORKERS: usize = 60_000;
 
 /// The one record of a worker.
 pub struct Worker {
@@ -31,7 +31,7 @@
 }
 
 #[derive(Default)]
-pub struct HostList {
+pub struct EndpointList {
     workers: BTreeMap<WorkerId, Worker>,
     /// Those that are gone and still have attempts out, or had when that was looked at last.
     gone: BTreeSet<WorkerId>,
@@ -69,7 +69,7 @@
     }
 }
 
-impl HostList {
+impl EndpointList {
     pub fn get(&self, server: WorkerId) -> Option<&Worker> {
         self.workers.get(&server)
     }
@@ -87,23 +87,29 @@
     }
 
     /// Takes one line of the list. A line that cannot be read changes nothing: the list known so far holds.
-    pub fn line(&mut self, line: &[u8], zones: &[String]) -> Result<Taken, Unlisted> {
-        let message: Value = serde_json::from_slice(line).map_err(|e| Unlisted::NoJson(e.to_string()))?;
+    pub fn line(&mut self, line: &[u8], zones: &[String]) -> Result<Taken, EndpointListError> {
+        let message: Value =
+            serde_json::from_slice(line).map_err(|e| EndpointListError::NotJson(e.to_string()))?;
         let kind = match message["kind"].as_str() {
             Some("full") => EndpointListKind::Full,
             Some("changes") => EndpointListKind::Changes,
             other => {
-                return Err(Unlisted::field("kind", format!("{other:?}; \"full\" or \"changes\" is wanted")));
+                return Err(EndpointListError::field(
+                    "kind",
+                    format!("{other:?}; \"full\" or \"changes\" is wanted"),
+                ));
             }
         };
-        let workers = message["workers"].as_array().ok_or_else(|| Unlisted::field("workers", "no array"))?;
-        if workers.len() > WORKERS_MOST {
-            return Err(Unlisted::TooMany { found: workers.len(), most: WORKERS_MOST });
+        let workers =
+            message["workers"].as_array().ok_or_else(|| EndpointListError::field("workers", "no array"))?;
+        if workers.len() > MAX_WORKERS {
+            return Err(EndpointListError::TooMany { found: workers.len(), max: MAX_WORKERS });
         }
         let read = |(n, worker)| {
-            entry(worker, zones).map_err(|why| Unlisted::field(format!("workers[{n}]"), why.to_string()))
+            entry(worker, zones)
+                .map_err(|why| EndpointListError::field(format!("workers[{n}]"), why.to_string()))
         };
-        let read: Result<Vec<_>, Unlisted> = workers.iter().enumerate().map(read).collect();
+        let read: Result<Vec<_>, EndpointListError> = workers.iter().enumerate().map(read).collect();
         Ok(self.take(kind, read?))
     }
 
@@ -163,19 +169,19 @@
     }
 }
 
-fn entry(worker: &Value, zones: &[String]) -> Result<(String, SocketAddr, Entry), Unlisted> {
+fn entry(worker: &Value, zones: &[String]) -> Result<(String, SocketAddr, Entry), EndpointListError> {
     let name = worker["name"]
         .as_str()
         .filter(|n| !n.is_empty())
-        .ok_or_else(|| Unlisted::field("name", "no text"))?;
+        .ok_or_else(|| EndpointListError::field("name", "no text"))?;
     let address = worker["address"].as_str().and_then(|a| a.parse().ok());
-    let address =
-        address.ok_or_else(|| Unlisted::field("address", format!("{name} has no address with a port")))?;
+    let address = address
+        .ok_or_else(|| EndpointListError::field("address", format!("{name} has no address with a port")))?;
     let standing = match worker["standing"].as_str() {
         Some("ready") => WorkerStatus::Ready,
         Some("draining") => WorkerStatus::Draining,
         Some("gone") => WorkerStatus::Gone,
-        other => return Err(Unlisted::field("standing", format!("{name} is {other:?}"))),
+        other => return Err(EndpointListError::field("standing", format!("{name} is {other:?}"))),
     };
     let zone = worker["zone"].as_str().and_then(|z| zones.iter().position(|known| known == z)).map(ZoneId);
     let server = WorkerId::named(name);
--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,12 +1,12 @@
 //! The instance itself: connects the clients' side, the module, the workers' side and the host list.
-use crate::claims::{Claim, Claims, Ending, Name};
-use crate::deployment::{Deployment, FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
-use crate::fault::NotTaken;
-use crate::front::{self, Ask, Caller, Draft, Patience, Told};
-use crate::host_list::{Entry, HostList, Taken};
-use crate::life::{Act, Acts, Lives, ended};
-use crate::links::{Answering, Link};
-use crate::{fate, limit, switch};
+use crate::client::{self, Ask, Caller, Draft, Patience, Told};
+use crate::deployment::{Deployment, FunctionConfig, FunctionSource, StaticWorker, WorkloadEvents};
+use crate::endpoint_list::{EndpointList, Entry, Taken};
+use crate::errors::ReloadError;
+use crate::idempotency::{Claim, Claims, Ending, Name};
+use crate::request_table::{Act, Acts, Lives, ended};
+use crate::worker_connection::{Answering, Link};
+use crate::{attempt_outcome as fate, deadline, reload};
 use applepond::control::Control;
 use applepond::interface::*;
 use applepond_admission::watch::Called;
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-mod chained;
+mod workflow;
 
 /// Idle connections kept a worker: more than one router has requests there at a time.
 const IDLE_MOST: usize = 64;
@@ -66,14 +66,14 @@
     lines: Lines,
     media: Option<String>,
     data: Rc<Vec<u8>>,
-    row: FunctionRow,
+    row: FunctionConfig,
     opening: Option<Opening>,
     /// By the terms that it was taken under.
     effect: RetrySafety,
     /// Its answer came from a copy that stood loaded.
     stood: bool,
     /// What to do with its end, where it is a step of a chain: no client waits for it.
-    then: Option<chained::Then>,
+    then: Option<workflow::Then>,
 }
 
 /// A request as it is begun, for a client or for a chain.
@@ -92,7 +92,7 @@
     data: Rc<Vec<u8>>,
     opening: Option<Opening>,
     callers: Vec<Conn>,
-    then: Option<chained::Then>,
+    then: Option<workflow::Then>,
 }
 
 /// What a request begins with, and how large that is; a worker that has prepared it is quicker.
@@ -163,7 +163,7 @@
 }
 
 /// Asked once a `SWEEP` for new settings; an error where there are some that cannot be read.
-pub type News = Box<dyn FnMut() -> Option<Result<Deployment, NotTaken>>>;
+pub type News = Box<dyn FnMut() -> Option<Result<Deployment, ReloadError>>>;
 
 /// What outlasts this process, or comes from others of its kind: care to be taken, and never a permission.
 pub trait Memory {
@@ -209,12 +209,12 @@
     acts: Acts,
     callers: FxHashMap<Conn, Caller>,
     links: FxHashMap<Conn, Link>,
-    listed: HostList,
+    listed: EndpointList,
     tasks: Lives<Task>,
     claims: Claims<Told>,
     /// Tells storms of retries, and stands before the module while one lasts.
     gate: Gate,
-    chains: chained::Chains,
+    chains: workflow::Chains,
     /// What the log was last told that the traffic is called.
     said: Called,
     steps: BTreeMap<u64, Step>,
@@ -244,20 +244,23 @@
         on_listening: Box<dyn FnMut(std::net::SocketAddr)>,
     ) -> Self {
         let mut acts = Acts::default();
-        let control = Control::new(now, deployment.rows.clone(), &mut acts);
-        let claims =
-            Claims::new(deployment.remember_for, deployment.remember_most, deployment.remember_bytes);
-        let gate = Gate::new(now, deployment.rows.seed);
+        let control = Control::new(now, deployment.startup.clone(), &mut acts);
+        let claims = Claims::new(
+            deployment.answer_retention.time,
+            deployment.answer_retention.max_answers,
+            deployment.answer_retention.max_bytes,
+        );
+        let gate = Gate::new(now, deployment.startup.seed);
         Gateway {
             gate,
-            chains: chained::Chains::new(deployment.rows.cache_lifetime),
+            chains: workflow::Chains::new(deployment.startup.cache_lifetime),
             said: Called::Calm,
             picks: picks(&deployment),
             control,
             acts,
             callers: FxHashMap::default(),
             links: FxHashMap::default(),
-            listed: HostList::default(),
+            listed: EndpointList::default(),
             tasks: Lives::default(),
             claims,
             steps: BTreeMap::new(),
@@ -302,9 +305,9 @@
     }
 
     /// Takes new settings, or keeps the old ones whole. What was taken in goes on under its old terms.
-    fn switch(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, NotTaken>) {
-        let only = |keys: switch::Refused| NotTaken::Restart(keys.join(", "));
-        let merged = match new.and_then(|new| switch::merge(&self.deployment, new).map_err(only)) {
+    fn switch(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, ReloadError>) {
+        let only = |keys: reload::RestartOnlyKeys| ReloadError::RestartRequired(keys.join(", "));
+        let merged = match new.and_then(|new| reload::merge(&self.deployment, new).map_err(only)) {
             Ok(merged) => merged,
             Err(why) => {
                 self.counts.kept += 1;
@@ -318,14 +321,14 @@
         self.picks = picks(&self.deployment);
         self.callers.values_mut().for_each(|caller| caller.rename(&self.picks));
         self.control.advance_to(now);
-        self.control.reconfigure(&mut self.acts, self.deployment.rows.clone());
-        if self.deployment.hosts.is_none() {
+        self.control.reconfigure(&mut self.acts, self.deployment.startup.clone());
+        if self.deployment.endpoint_list.is_none() {
             self.named_workers(now, transport);
         }
     }
 
     fn named_workers(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let entry = |w: &NamedWorker| Entry {
+        let entry = |w: &StaticWorker| Entry {
             server: WorkerId::named(&w.name),
             standing: WorkerStatus::Ready,
             up_since: 0,
@@ -406,7 +409,7 @@
                     let fault =
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
                     let id = self.tasks.get(request).map(|t| t.of.name.1.clone());
-                    let told = front::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
+                    let told = client::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
                     self.end(now, transport, request, told);
                 }
                 Act::Kill(request) => {
@@ -418,7 +421,7 @@
                         Fault::new(502, "killed", "the worker failed; the job may have run")
                     };
                     let id = task.of.name.1.clone();
-                    let told = front::problem(Ending::Killed, &fault, Some(&id), None);
+                    let told = client::problem(Ending::Killed, &fault, Some(&id), None);
                     self.end(now, transport, request, told);
                 }
                 // The module's timers are many and carry their own number: they travel as they are, ours are
@@ -440,7 +443,7 @@
         server: WorkerId,
         times: (Micros, Micros),
     ) {
-        let most = self.deployment.rows.attempt_policy.max_attempts;
+        let most = self.deployment.startup.attempt_policy.max_attempts;
         match self.tasks.execute(now, request, server, times, most) {
             Some(Ok(n)) => {
                 self.counts.attempts += 1;
@@ -492,7 +495,7 @@
                 conn
             }
             None => {
-                let conn = transport.connect(worker.address, self.deployment.connect_limit);
+                let conn = transport.connect(worker.address, self.deployment.connect_timeout);
                 self.links.insert(conn, Link::new(server, (request, n)));
                 conn
             }
@@ -528,9 +531,9 @@
         head = head
             .field("applepond-function", &task.of.function)
             .field("applepond-workload", &self.deployment.workloads[task.of.workload].name)
-            .number("applepond-lanes", u64::from(row.lanes))
+            .number("applepond-lanes", u64::from(row.concurrency))
             .number("applepond-memory-mb", u64::from(row.memory_mb))
-            .number("applepond-router", self.deployment.rows.router_index)
+            .number("applepond-router", self.deployment.startup.router_index)
             .number("applepond-execution", n as u64)
             .number("applepond-time-left-ms", task.deadline.saturating_sub(now) / 1000);
         if let Some(opening) = &task.of.opening {
@@ -583,7 +586,7 @@
     fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Told>) {
         let Some(task) = self.tasks.end(request) else { return };
         if let Some(then) = task.of.then.take() {
-            let end = chained::StepEnd { told, took: now - task.came, stood: task.of.stood };
+            let end = workflow::StepEnd { told, took: now - task.came, stood: task.of.stood };
             self.tasks.forget(request);
             self.chains.ends.push_back((then, end));
             return;
@@ -657,9 +660,9 @@
         let refuse = |status, reason, detail: String| {
             let fault = Fault::new(status, reason, detail);
             tracing::info!(id, reason, status, "event refused");
-            Err(front::problem(Ending::PushedBack, &fault, Some(&id), None))
+            Err(client::problem(Ending::PushedBack, &fault, Some(&id), None))
         };
-        if let Some(row) = self.deployment.chains.iter().position(|c| c.types.contains(&draft.kind)) {
+        if let Some(row) = self.deployment.workflows.iter().position(|c| c.types.contains(&draft.kind)) {
             return self.take_chain(now, conn, row, draft);
         }
         let Some(workload) = self.deployment.workloads.iter().position(|w| w.types.contains(&draft.kind))
@@ -669,21 +672,24 @@
         };
         let deadline = self.deployment.workloads[workload].deadline;
         let names = &self.deployment.workloads[workload];
-        let function = match &names.function_by {
-            FunctionBy::Named(name) => Some(name.as_str()),
-            FunctionBy::Attribute(by) => draft.picked(by).filter(|f| !f.is_empty()),
+        let function = match &names.function_source {
+            FunctionSource::Named(name) => Some(name.as_str()),
+            FunctionSource::Attribute(by) => draft.picked(by).filter(|f| !f.is_empty()),
         };
         let Some(function) = function.map(str::to_owned) else {
             return refuse(
                 422,
                 "no-function",
-                format!("the event does not name its function: {:?}", names.function_by),
+                format!("the event does not name its function: {:?}", names.function_source),
             );
         };
-        let opening = names.opening_by.as_ref().and_then(|(by, size_by)| {
-            let name = draft.picked(by).filter(|name| (1..=OPENING_MOST).contains(&name.len()))?.to_owned();
+        let opening = names.prefix_attributes.as_ref().and_then(|prefix| {
+            let name = draft
+                .picked(&prefix.name)
+                .filter(|name| (1..=OPENING_MOST).contains(&name.len()))?
+                .to_owned();
             // One of unknown size is prepared as any, and never pinned.
-            let size = draft.picked(size_by).and_then(|size| size.parse().ok()).unwrap_or(0);
+            let size = draft.picked(&prefix.size).and_then(|size| size.parse().ok()).unwrap_or(0);
             Some(Opening { name, size })
         });
         let Ok(customer) = self.customer(&draft) else {
@@ -693,7 +699,7 @@
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
-        let Some(left) = limit::left(now, deadline, draft.asked) else {
+        let Some(left) = deadline::time_left(now, deadline, draft.asked) else {
             return refuse(504, "expired", "the event's time was up when it came".to_owned());
         };
         let (client, digest, retry) = self.admit(now, &draft, workload, left)?;
@@ -738,7 +744,7 @@
     ) -> Result<(u64, u64, bool), Rc<Told>> {
         if self.tasks.len() + self.chains.open.len() >= JOBS_MOST {
             let fault = Fault::new(503, "too-many-jobs", "this router holds as many jobs as it may");
-            return Err(front::problem(Ending::PushedBack, &fault, Some(&draft.id), Some(JOBS_MOST_WAIT)));
+            return Err(client::problem(Ending::PushedBack, &fault, Some(&draft.id), Some(JOBS_MOST_WAIT)));
         }
         let client = FunctionId::named(&draft.source).0;
         let digest = FunctionId::named(&draft.id).0 ^ client.rotate_left(1);
@@ -748,14 +754,14 @@
                 client,
                 name: digest,
                 retry: draft.retry,
-                importance: self.deployment.rows.workloads[workload].priority_weight,
+                importance: self.deployment.startup.workloads[workload].priority_weight,
                 left,
             },
         );
         self.say_called(now);
         match passage {
             Passage::In { retry } => Ok((client, digest, retry)),
-            Passage::Back { .. } if !self.deployment.damping => Ok((client, digest, draft.retry)),
+            Passage::Back { .. } if !self.deployment.storm_shedding => Ok((client, digest, draft.retry)),
             Passage::Back { wait, why } => {
                 self.counts.damped += 1;
                 if let (Some(memory), Some(wait)) = (&mut self.memory, wait) {
@@ -765,17 +771,17 @@
                 let status = if why == "retry-budget" { 429 } else { 503 };
                 let fault =
                     Fault::new(status, why, "many ask again at once; a retry does no harm at the time told");
-                Err(front::problem(Ending::PushedBack, &fault, Some(&draft.id), wait))
+                Err(client::problem(Ending::PushedBack, &fault, Some(&draft.id), wait))
             }
         }
     }
 
     /// The customer that an event names; an error is one that is not known.
     fn customer(&self, draft: &Draft) -> Result<Option<CustomerId>, ()> {
-        match draft.picked(&self.deployment.customer_by) {
+        match draft.picked(&self.deployment.customer_attribute) {
             None => Ok(None),
             Some(named) => {
-                let rows = &self.deployment.rows.customers;
+                let rows = &self.deployment.startup.customers;
                 let found = self.deployment.customers.iter().position(|c| c == named);
                 // Settings that were switched away from may have left the name behind, without a share.
                 let found = found.filter(|n| rows[*n].requests_per_second > 0.0);
@@ -810,16 +816,16 @@
     /// Hands a request to the module.
     fn begin(&mut self, now: Micros, wanted: Wanted) -> RequestId {
         let names = &self.deployment.workloads[wanted.workload];
-        let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.function).clone();
+        let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.default_function).clone();
         self.next_job += 1;
-        let request = request_id(self.deployment.rows.seed, self.next_job);
+        let request = request_id(self.deployment.startup.seed, self.next_job);
         let arrival = RequestArrival {
             request,
             function: FunctionId::named(&wanted.function),
             workload: WorkloadId(wanted.workload),
             customer: wanted.customer,
             time_left: wanted.left,
-            concurrency: row.lanes,
+            concurrency: row.concurrency,
             retry: wanted.retry,
             load_time: row.load_time.or_else(|| {
                 let memory = self.memory.as_ref()?;
@@ -839,7 +845,7 @@
             data: wanted.data,
             row,
             opening: wanted.opening,
-            effect: self.deployment.rows.workloads[wanted.workload].retry_safety,
+            effect: self.deployment.startup.workloads[wanted.workload].retry_safety,
             stood: false,
             then: wanted.then,
         };
@@ -871,7 +877,7 @@
 
     /// Whether a storm or a client's loop is under way, and damped.
     fn damps(&self) -> bool {
-        self.deployment.damping && matches!(self.gate.watch().called(), Called::Storm | Called::Loop)
+        self.deployment.storm_shedding && matches!(self.gate.watch().called(), Called::Storm | Called::Loop)
     }
 
     /// The log's line when what the traffic is called changes.
@@ -909,7 +915,7 @@
         let c = &self.counts;
         let body = serde_json::json!({
             "now_us": now,
-            "router": self.deployment.rows.router_index,
+            "router": self.deployment.startup.router_index,
             "settings": {"switched": c.switched, "kept": c.kept},
             "jobs": {"open": open, "taken": c.requests,
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
@@ -1145,8 +1151,8 @@
     }
 
     fn watch(&mut self, transport: &mut dyn Transport) {
-        let Some(at) = self.deployment.hosts else { return };
-        let conn = transport.connect(at, self.deployment.connect_limit);
+        let Some(at) = self.deployment.endpoint_list else { return };
+        let conn = transport.connect(at, self.deployment.connect_timeout);
         self.watch.conn = Some(conn);
         self.watch.decoder = Some(Decoder::new(Side::Client, LINE_MOST, u64::MAX));
         self.watch.lines = ListLines::default();
@@ -1184,14 +1190,14 @@
 
 /// Attributes by which functions and customers are named.
 fn picks(deployment: &Deployment) -> Rc<[String]> {
-    let by = |w: &WorkloadNames| match &w.function_by {
-        FunctionBy::Attribute(name) => Some(name.clone()),
-        FunctionBy::Named(_) => None,
+    let by = |w: &WorkloadEvents| match &w.function_source {
+        FunctionSource::Attribute(name) => Some(name.clone()),
+        FunctionSource::Named(_) => None,
     };
-    let openings = deployment.workloads.iter().filter_map(|w| w.opening_by.clone());
-    let openings = openings.flat_map(|(name, size)| [name, size]);
+    let openings = deployment.workloads.iter().filter_map(|w| w.prefix_attributes.clone());
+    let openings = openings.flat_map(|prefix| [prefix.name, prefix.size]);
     let functions = deployment.workloads.iter().filter_map(by);
-    functions.chain(openings).chain([deployment.customer_by.clone()]).collect()
+    functions.chain(openings).chain([deployment.customer_attribute.clone()]).collect()
 }
 
 /// A number of this instance's as the module's kind of id.
@@ -1204,7 +1210,7 @@
 
 impl Machine for Gateway {
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let most = self.deployment.callers_most;
+        let most = self.deployment.max_clients;
         match transport.listen(self.deployment.listen, most) {
             Ok((_, at)) => (self.on_listening)(at),
             Err(error) => tracing::error!(listen = %self.deployment.listen, %error, "cannot listen"),
@@ -1222,21 +1228,25 @@
     }
 
     fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
-        if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.damping) {
+        if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.storm_shedding) {
             transport.deafen(listener, false);
             self.after(now, transport, pause, Box::new(move |_, _, transport| transport.hear(listener)));
         }
-        self.callers.insert(conn, Caller::new(now, self.deployment.body_most, self.picks.clone()));
+        self.callers.insert(conn, Caller::new(now, self.deployment.max_event_bytes, self.picks.clone()));
         self.look_at_caller(now, transport, conn);
     }
 
     fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.watch.conn == Some(conn) {
-            let at = self.deployment.hosts.map(|a| a.to_string()).unwrap_or_default();
+            let at = self.deployment.endpoint_list.map(|a| a.to_string()).unwrap_or_default();
             transport.write(
                 conn,
-                &encode::request("GET", &format!("/watch?router={}", self.deployment.rows.router_index), &at)
-                    .empty(),
+                &encode::request(
+                    "GET",
+                    &format!("/watch?router={}", self.deployment.startup.router_index),
+                    &at,
+                )
+                .empty(),
             );
         } else if let Some(link) = self.links.get_mut(&conn) {
             link.open = true;
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,10 +1,10 @@
 //! Chains on their way: each step is a request of its own that no client waits for; what it leaves to do is a
 //! closure, which is handed its end.
 use super::{Gateway, Wanted};
-use crate::claims::{Claim, Ending, Name};
-use crate::deployment::WorkloadNames;
-use crate::front::{self, Draft, Told};
-use crate::limit;
+use crate::client::{self, Draft, Told};
+use crate::deadline;
+use crate::deployment::WorkloadEvents;
+use crate::idempotency::{Claim, Ending, Name};
 use applepond::interface::*;
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
@@ -176,7 +176,7 @@
 /// Tells a changed plan from the one that a record was written by.
 /// By the names of its workloads: a switch of the settings may have moved their rows, a restart puts them
 /// back.
-fn digest(plan: &Plan, workloads: &[WorkloadNames]) -> u64 {
+fn digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
     let mut plan = plan.clone();
     let place = |step: &mut Step| workloads[std::mem::take(&mut step.workload)].name.clone();
     let names: Vec<String> = plan.steps.iter_mut().map(place).collect();
@@ -203,7 +203,7 @@
         let id = draft.id.clone();
         let refuse = |status, reason, detail: &str| {
             tracing::info!(id, reason, status, "event refused");
-            Err(front::problem(Ending::PushedBack, &Fault::new(status, reason, detail), Some(&id), None))
+            Err(client::problem(Ending::PushedBack, &Fault::new(status, reason, detail), Some(&id), None))
         };
         let Ok(customer) = self.customer(&draft) else {
             return refuse(422, "unknown-customer", "no such customer has a share here");
@@ -212,12 +212,12 @@
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
-        let chain_row = &self.deployment.chains[row];
+        let chain_row = &self.deployment.workflows[row];
         let plan = chain_row.plan.clone();
-        let Some(left) = limit::left(now, plan.limit, draft.asked) else {
+        let Some(left) = deadline::time_left(now, plan.limit, draft.asked) else {
             return refuse(504, "expired", "the event's time was up when it came");
         };
-        let named = draft.picked(&chain_row.function_by).filter(|f| !f.is_empty()).map(str::to_owned);
+        let named = draft.picked(&chain_row.function_attribute).filter(|f| !f.is_empty()).map(str::to_owned);
         let digest_of_plan = digest(&plan, &self.deployment.workloads);
         let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
         if lasts && draft.data.len() > ANSWER_MOST {
@@ -239,15 +239,15 @@
         if fresh && !self.chains.pace.admit(now) {
             self.chains.counts.held_back += 1;
             let wait = self.gate.come_back(now, client, digest, left);
-            let wait = wait.filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
+            let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
             let detail = "as many chains run as come to their end; a retry does no harm";
             let fault = Fault::new(503, "chains-full", detail);
-            return Err(front::problem(Ending::PushedBack, &fault, Some(&id), wait));
+            return Err(client::problem(Ending::PushedBack, &fault, Some(&id), wait));
         }
         self.counts.requests += 1;
         self.chains.counts.taken += 1;
         self.next_job += 1;
-        let request = super::request_id(self.deployment.rows.seed, self.next_job);
+        let request = super::request_id(self.deployment.startup.seed, self.next_job);
         let customer_name = customer.map(|c| self.deployment.customers[c.0].clone());
         let on_record = before.is_some();
         let kept = before.unwrap_or_else(|| Kept {
@@ -260,7 +260,7 @@
             data: draft.data,
             ..Kept::default()
         });
-        let until = now + left + self.deployment.remember_for;
+        let until = now + left + self.deployment.answer_retention.time;
         let kept = Kept { deadline: now + left, until, closed: false, ..kept };
         let chain =
             Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
@@ -345,15 +345,15 @@
             return;
         }
         let Ok(Some(kept)) = self.chains.record.read((&name.0, &name.1)) else { return };
-        let mut rows = self.deployment.chains.iter().map(|row| row.plan.clone());
+        let mut rows = self.deployment.workflows.iter().map(|row| row.plan.clone());
         let plan = rows
             .find(|plan| (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.chain, kept.plan));
         let Some(plan) = plan.filter(|_| !kept.closed) else { return };
         let customer = kept.customer.as_ref();
         let customer = customer.and_then(|c| self.deployment.customers.iter().position(|known| known == c));
         self.next_job += 1;
-        let request = super::request_id(self.deployment.rows.seed, self.next_job);
-        let until = now + self.deployment.remember_for;
+        let request = super::request_id(self.deployment.startup.seed, self.next_job);
+        let until = now + self.deployment.answer_retention.time;
         let chain = self.chain(now, name.clone(), plan, Kept { until, ..kept }, customer.map(CustomerId));
         self.claims.begin(name, request);
         self.open_chain(now, request, chain);
@@ -477,7 +477,7 @@
         let (times, functions, workloads) =
             (&self.chains.times, &self.deployment.functions, &self.deployment.workloads);
         let needs = |step: &Step, function: &str, _ahead: Micros| {
-            let row = functions.get(function).unwrap_or(&workloads[step.workload].function);
+            let row = functions.get(function).unwrap_or(&workloads[step.workload].default_function);
             let id = FunctionId::named(function);
             times.usual(id, step.at_least) + times.load(now, id, row.load_time)
         };
@@ -699,7 +699,7 @@
                     None => {
                         let detail = "it finished; its answer was too long to be kept over a kill";
                         let fault = Fault::new(502, "answer-lost", detail);
-                        front::problem(Ending::Killed, &fault, Some(&id), None)
+                        client::problem(Ending::Killed, &fault, Some(&id), None)
                     }
                 }
             }
@@ -712,19 +712,19 @@
                 let wait = chain
                     .come_back
                     .or(Some(COME_BACK))
-                    .filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
+                    .filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
                 let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
-                front::problem(Ending::PushedBack, &fault, Some(&id), wait)
+                client::problem(Ending::PushedBack, &fault, Some(&id), wait)
             }
             Ended::Failed(step, why) => {
                 chain.kept.failed = true;
                 // On record for as long as it may be taken back.
-                chain.kept.until = now + UNDO_FOR + self.deployment.remember_for;
+                chain.kept.until = now + UNDO_FOR + self.deployment.answer_retention.time;
                 counts.failed += 1;
                 let (reason, detail) = failed(step, why);
                 let status = if why == Why::NoTime { 504 } else { 502 };
                 let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
-                front::problem(Ending::Killed, &fault, Some(&id), None)
+                client::problem(Ending::Killed, &fault, Some(&id), None)
             }
         };
         let paid = chain.finished.is_some() || chain.on_record;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,17 +3,17 @@
 //! its one final answer. Decisions of its own: whether an attempt may have run (`fate`), which exchanges
 //! share a request and what is told again after its end (`claims`), how long a request has (`limit`), which
 //! list to believe (`host_list`), what new settings may change in a running instance (`switch`).
-pub mod claims;
+pub mod attempt_outcome;
+mod client;
+pub mod deadline;
 pub mod deployment;
-pub mod fate;
-pub mod fault;
-pub mod front;
-pub mod host_list;
-pub mod life;
-pub mod limit;
-pub mod links;
-pub mod machine;
-pub mod switch;
+pub mod endpoint_list;
+pub mod errors;
+mod gateway;
+mod idempotency;
+pub mod reload;
+pub mod request_table;
+mod worker_connection;
 
 pub use deployment::Deployment;
-pub use machine::{Gateway, Memory, News, Openings, Page};
+pub use gateway::{Gateway, Memory, News, Openings, Page};
--- /dev/null
+++ b/crates/gateway/src/reload.rs
@@ -0,0 +1,132 @@
+//! Merges a new configuration into the running one: which settings may change without a restart, and how the
+//! indices of the old and the new configuration fit together.
+//!
+//! Requests in flight hold indices of workloads, customers and zones, so an entry never moves. One that the
+//! new configuration leaves out stays, without event types or without a share, and gets its place back when a
+//! later configuration names it again.
+use crate::deployment::{Deployment, FleetConfig, WorkloadEvents};
+use applepond::interface::{CustomerConfig, WorkloadConfig};
+
+/// Names that workloads, customers or zones may come to over all reloads. Reloading to and fro adds none; far
+/// more than any deployment has, so beyond it the settings are a mistake.
+const MAX_NAMES: usize = 10_000;
+
+/// Keys of the settings file that differ and that only a restart can change.
+pub type RestartOnlyKeys = Vec<&'static str>;
+
+/// Old names with the new ones appended, and the index of each new name among them.
+struct MergedNames {
+    all: Vec<String>,
+    /// By the index in the new configuration.
+    indices: Vec<usize>,
+}
+
+impl MergedNames {
+    fn new<'a>(old: impl Iterator<Item = &'a String>, new: impl Iterator<Item = &'a String>) -> Self {
+        let mut all: Vec<String> = old.cloned().collect();
+        let mut index_of = |name: &String| {
+            all.iter().position(|known| known == name).unwrap_or_else(|| {
+                all.push(name.clone());
+                all.len() - 1
+            })
+        };
+        let indices = new.map(&mut index_of).collect();
+        MergedNames { all, indices }
+    }
+}
+
+/// Merges `new` into `old`.
+///
+/// # Errors
+///
+/// The keys of the settings file that only a restart can change; nothing of `new` is to be applied then.
+pub fn merge(old: &Deployment, new: Deployment) -> Result<Deployment, RestartOnlyKeys> {
+    let mut refused = changed_restart_only_keys(old, &new);
+    let name = |workload: &WorkloadEvents| workload.name.clone();
+    let old_names: Vec<String> = old.workloads.iter().map(name).collect();
+    let new_names: Vec<String> = new.workloads.iter().map(name).collect();
+    let workload_names = MergedNames::new(old_names.iter(), new_names.iter());
+    let customers = MergedNames::new(old.customers.iter(), new.customers.iter());
+    let zones = MergedNames::new(old.zones.iter(), new.zones.iter());
+    for (key, names) in [("workload", &workload_names), ("customer", &customers), ("zones", &zones)] {
+        refused.extend((names.all.len() > MAX_NAMES).then_some(key));
+    }
+    if !refused.is_empty() {
+        return Err(refused);
+    }
+    let mut startup = new.startup;
+    let new_configs = std::mem::take(&mut startup.workloads);
+    let (workloads, configs) = merge_workloads(old, &workload_names.indices, new.workloads, new_configs);
+    startup.workloads = configs;
+    startup.customers = merge_customers(&customers, std::mem::take(&mut startup.customers));
+    let mut workflows = new.workflows;
+    for workflow in &mut workflows {
+        let mut plan = (*workflow.plan).clone();
+        plan.steps.iter_mut().for_each(|step| step.workload = workload_names.indices[step.workload]);
+        workflow.plan = plan.into();
+    }
+    let mut workers = new.workers;
+    workers.iter_mut().for_each(|worker| worker.zone = worker.zone.map(|zone| zones.indices[zone]));
+    Ok(Deployment {
+        startup,
+        workloads,
+        customers: customers.all,
+        zones: zones.all,
+        workflows,
+        workers,
+        ..new
+    })
+}
+
+/// The settings that are compared as a whole: they hold from the start of a process to its end.
+fn changed_restart_only_keys(old: &Deployment, new: &Deployment) -> RestartOnlyKeys {
+    let (old_answers, new_answers) = (&old.answer_retention, &new.answer_retention);
+    let same_fleet =
+        old.fleet.as_ref().map(FleetConfig::identity) == new.fleet.as_ref().map(FleetConfig::identity);
+    let compared = [
+        ("listen", old.listen == new.listen),
+        ("hosts", old.endpoint_list == new.endpoint_list),
+        ("record", old.workflow_store == new.workflow_store),
+        ("fleet", same_fleet),
+        ("seed", old.startup.seed == new.startup.seed),
+        ("router", old.startup.router_index == new.startup.router_index),
+        ("bounds.clients", old.max_clients == new.max_clients),
+        ("bounds.event_bytes", old.max_event_bytes == new.max_event_bytes),
+        ("bounds.remember_for", old_answers.time == new_answers.time),
+        ("bounds.remember", old_answers.max_answers == new_answers.max_answers),
+        ("bounds.remember_bytes", old_answers.max_bytes == new_answers.max_bytes),
+    ];
+    compared.iter().filter(|(_, same)| !same).map(|(key, _)| *key).collect()
+}
+
+/// Puts each new workload in its merged place; workloads that the new configuration leaves out keep their
+/// entry and lose their event types.
+fn merge_workloads(
+    old: &Deployment,
+    indices: &[usize],
+    new_events: Vec<WorkloadEvents>,
+    new_configs: Vec<WorkloadConfig>,
+) -> (Vec<WorkloadEvents>, Vec<WorkloadConfig>) {
+    let mut configs = old.startup.workloads.clone();
+    let mut workloads = old.workloads.clone();
+    workloads.iter_mut().for_each(|workload| workload.types.clear());
+    for (index, (config, events)) in indices.iter().zip(new_configs.into_iter().zip(new_events)) {
+        if *index == workloads.len() {
+            configs.push(config);
+            workloads.push(events);
+        } else {
+            (configs[*index], workloads[*index]) = (config, events);
+        }
+    }
+    (workloads, configs)
+}
+
+/// Customers that the new configuration leaves out keep their index and get a share of zero: requests that
+/// name them are refused.
+fn merge_customers(names: &MergedNames, new_configs: Vec<CustomerConfig>) -> Vec<CustomerConfig> {
+    let mut customers = vec![CustomerConfig { requests_per_second: 0.0 }; names.all.len()];
+    for (index, config) in names.indices.iter().zip(new_configs) {
+        customers[*index] = config;
+    }
+    customers
+}
--- a/crates/gateway/tests/chains.rs
+++ b/crates/gateway/tests/chains.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond_gateway::Deployment;
-use applepond_gateway::deployment::ChainRow;
+use applepond_gateway::deployment::WorkflowConfig;
 use applepond_reactor::Conn;
 use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 use common::{Bench, MS, S, Shared, deployment, event, result};
@@ -13,7 +13,7 @@
     Step {
         name: name.into(),
         workload,
-        effect: deployment(0).rows.workloads[workload].retry_safety,
+        effect: deployment(0).startup.workloads[workload].retry_safety,
         function: Function::Named(format!("{name}-fn")),
         at_least: 20 * MS,
         optional: false,
@@ -49,8 +49,12 @@
 fn bench() -> Bench {
     let plan = booking();
     assert_eq!(plan.check(), Vec::new());
-    let row = ChainRow { types: vec!["book".into()], function_by: "subject".into(), plan: Arc::new(plan) };
-    Bench::new(Deployment { chains: vec![row], ..deployment(2) })
+    let row = WorkflowConfig {
+        types: vec!["book".into()],
+        function_attribute: "subject".into(),
+        plan: Arc::new(plan),
+    };
+    Bench::new(Deployment { workflows: vec![row], ..deployment(2) })
 }
 
 /// The latest request that a worker was sent, with its connection.
@@ -153,9 +157,9 @@
 #[test]
 fn a_chain_without_room_is_pushed_back() {
     let mut b = Bench::new(Deployment {
-        chains: vec![ChainRow {
+        workflows: vec![WorkflowConfig {
             types: vec!["book".into()],
-            function_by: "subject".into(),
+            function_attribute: "subject".into(),
             plan: Arc::new(booking()),
         }],
         ..deployment(0)
@@ -238,9 +242,12 @@
 }
 
 fn with_chain() -> Deployment {
-    let row =
-        ChainRow { types: vec!["book".into()], function_by: "subject".into(), plan: Arc::new(booking()) };
-    Deployment { chains: vec![row], ..deployment(2) }
+    let row = WorkflowConfig {
+        types: vec!["book".into()],
+        function_attribute: "subject".into(),
+        plan: Arc::new(booking()),
+    };
+    Deployment { workflows: vec![row], ..deployment(2) }
 }
 
 // Killed after so many steps were answered, with the next one out; the client asks again at the next
@@ -288,7 +295,7 @@
     let mut lives = Lives::new(None);
     let mut old = deployment(2);
     old.workloads.reverse();
-    old.rows.workloads.reverse();
+    old.startup.workloads.reverse();
     lives.bench = Bench::with(old, 1_000 * S, Box::new(lives.shared.clone()));
     lives.bench.switches(with_chain());
     lives.ask(2);
@@ -327,8 +334,12 @@
     ];
     let plan = Plan { name: "book".into(), limit: 4 * S, steps };
     assert_eq!(plan.check(), Vec::new());
-    let row = ChainRow { types: vec!["book".into()], function_by: "subject".into(), plan: Arc::new(plan) };
-    let mut b = Bench::new(Deployment { chains: vec![row], ..deployment(2) });
+    let row = WorkflowConfig {
+        types: vec!["book".into()],
+        function_attribute: "subject".into(),
+        plan: Arc::new(plan),
+    };
+    let mut b = Bench::new(Deployment { workflows: vec![row], ..deployment(2) });
     let client = b.asks("book", "7");
     let (conn, _) = latest(&mut b);
     b.says(conn, result("{}").as_bytes());
@@ -377,9 +388,12 @@
 // Chains count among what a router holds.
 #[test]
 fn as_many_chains_as_jobs() {
-    let row =
-        ChainRow { types: vec!["book".into()], function_by: "subject".into(), plan: Arc::new(booking()) };
-    let mut b = Bench::new(Deployment { chains: vec![row], callers_most: 100_000, ..deployment(0) });
+    let row = WorkflowConfig {
+        types: vec!["book".into()],
+        function_attribute: "subject".into(),
+        plan: Arc::new(booking()),
+    };
+    let mut b = Bench::new(Deployment { workflows: vec![row], max_clients: 100_000, ..deployment(0) });
     let told: Vec<Conn> = (0..20_001).map(|n| b.asks("book", &n.to_string())).collect();
     assert!(b.told(told[20_000]).contains("too-many-jobs"), "{}", b.told(told[20_000]));
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -2,7 +2,9 @@
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::*;
 use applepond_fakes::simulated_transport::SimulatedTransport;
-use applepond_gateway::deployment::{FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
+use applepond_gateway::deployment::{
+    AnswerRetention, FunctionConfig, FunctionSource, PrefixAttributes, StaticWorker, WorkloadEvents,
+};
 use applepond_gateway::{Deployment, Gateway};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport};
 use applepond_storage::{Kept, Memory, Name, Record};
@@ -33,7 +35,7 @@
     ];
     let address = |n: u16| SocketAddr::from(([127, 0, 0, 1], 9000 + n));
     Deployment {
-        rows: StartupConfig {
+        startup: StartupConfig {
             seed: 7,
             router_index: 0,
             router_count: 1,
@@ -70,23 +72,26 @@
         listen: address(0),
         workloads: effects
             .iter()
-            .map(|(name, _)| WorkloadNames {
+            .map(|(name, _)| WorkloadEvents {
                 name: name.to_string(),
                 types: vec![name.to_string()],
-                function_by: FunctionBy::Attribute("subject".into()),
-                opening_by: Some(("opening".into(), "openingsize".into())),
+                function_source: FunctionSource::Attribute("subject".into()),
+                prefix_attributes: Some(PrefixAttributes {
+                    name: "opening".into(),
+                    size: "openingsize".into(),
+                }),
                 deadline: 4 * S,
-                function: FunctionRow { lanes: 2, memory_mb: 1, load_time: Some(100 * MS) },
+                default_function: FunctionConfig { concurrency: 2, memory_mb: 1, load_time: Some(100 * MS) },
             })
             .collect(),
-        chains: Vec::new(),
-        record: None,
+        workflows: Vec::new(),
+        workflow_store: None,
         customers: vec!["huts".into()],
-        customer_by: "customer".into(),
+        customer_attribute: "customer".into(),
         zones: vec!["hall-a".into()],
         functions: BTreeMap::new(),
         workers: (1..=workers)
-            .map(|n| NamedWorker {
+            .map(|n| StaticWorker {
                 name: format!("w{n}"),
                 address: address(n),
                 zone: Some(0),
@@ -94,15 +99,13 @@
                 weight: 1.0,
             })
             .collect(),
-        hosts: None,
-        connect_limit: 250 * MS,
+        endpoint_list: None,
+        connect_timeout: 250 * MS,
         fleet: None,
-        damping: true,
-        callers_most: 100,
-        body_most: 64 * 1024,
-        remember_for: 60 * S,
-        remember_most: 100,
-        remember_bytes: 1 << 20,
+        storm_shedding: true,
+        max_clients: 100,
+        max_event_bytes: 64 * 1024,
+        answer_retention: AnswerRetention { time: 60 * S, max_answers: 100, max_bytes: 1 << 20 },
     }
 }
 
--- a/crates/gateway/tests/machine.rs
+++ b/crates/gateway/tests/machine.rs
@@ -193,7 +193,7 @@
 #[test]
 fn a_drain_told_while_the_connection_is_made() {
     let mut deployment = deployment(0);
-    deployment.hosts = Some("127.0.0.1:8999".parse().expect("an address"));
+    deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
     let mut b = Bench::new(deployment);
     let list = b.links()[0];
     let line = |standing: &str| {
@@ -224,7 +224,7 @@
     let all = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n", line.len());
     for n in 0..all.len() {
         let mut deployment = deployment(0);
-        deployment.hosts = Some("127.0.0.1:8999".parse().expect("an address"));
+        deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
         let mut b = Bench::new(deployment);
         let list = b.links()[0];
         b.says(list, &all.as_bytes()[..n]);
@@ -241,7 +241,7 @@
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{...\n"; "no JSON, then its end")]
 fn a_broken_list(says: &str) {
     let mut deployment = deployment(1);
-    deployment.hosts = Some("127.0.0.1:8999".parse().expect("an address"));
+    deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
     let mut b = Bench::new(deployment);
     let list = b.links()[0];
     b.says(list, says.as_bytes());
@@ -389,7 +389,7 @@
 #[test_case(true; "damped")]
 #[test_case(false; "not damped")]
 fn a_storm(damping: bool) {
-    let mut b = Bench::new(Deployment { damping, ..deployment(0) });
+    let mut b = Bench::new(Deployment { storm_shedding: damping, ..deployment(0) });
     let mut clients = Vec::new();
     for n in 0..2_000 {
         let client = b.caller();
@@ -420,7 +420,7 @@
 #[test_case(true; "damped")]
 #[test_case(false; "not damped")]
 fn a_crowd_at_the_door(damping: bool) {
-    let mut b = Bench::new(Deployment { damping, ..deployment(1) });
+    let mut b = Bench::new(Deployment { storm_shedding: damping, ..deployment(1) });
     let (begun, mut closings) = (b.now, 0);
     for _ in 0..4_000 {
         b.caller();
@@ -474,7 +474,7 @@
     #[test]
     fn random_bytes(noise in prop::collection::vec(any::<u8>(), 0..300), cut in 0usize..300) {
         let mut deployment = deployment(1);
-        deployment.hosts = Some("127.0.0.1:8999".parse().expect("an address"));
+        deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
         let mut b = Bench::new(deployment);
         let cut = cut.min(noise.len());
         let list = b.links()[0];
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -2,7 +2,7 @@
 
 mod fate {
     use applepond::interface::Outcome;
-    use applepond_gateway::fate::*;
+    use applepond_gateway::attempt_outcome::*;
     use applepond_reactor::Closed;
     use test_case::test_case;
 
@@ -36,7 +36,7 @@
 }
 
 mod host_list {
-    use applepond_gateway::host_list::*;
+    use applepond_gateway::endpoint_list::*;
 
     use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
     use applepond_reactor::Conn;
@@ -55,7 +55,8 @@
     fn workers_without_racks() {
         let line = r#"{"kind":"full","workers":[{"name":"w","address":"127.0.0.1:9","standing":"ready"},
             {"name":"v","address":"127.0.0.1:8","standing":"ready"}]}"#;
-        let taken = HostList::default().line(line.replace('\n', "").as_bytes(), &[]).expect("a good line");
+        let taken =
+            EndpointList::default().line(line.replace('\n', "").as_bytes(), &[]).expect("a good line");
         assert_ne!(taken.entries[0].rack, taken.entries[1].rack);
     }
 
@@ -67,7 +68,7 @@
     #[test_case("{\"kind\":\"full\",\"workers\":[{\"name\":\"w\",\"address\":\"here\"}]}", "'address': w";
     "address")]
     fn a_line_that_cannot_be_read_changes_nothing(line: &str, why: &str) {
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         hosts.line(full("ready", 7).as_bytes(), &[]).expect("a good line");
         let fault = hosts.line(line.as_bytes(), &[]).expect_err("a fault");
         assert!(fault.to_string().contains(why), "{fault}");
@@ -80,7 +81,7 @@
     #[test_case("{\"kind\":\"full\",\"workers\":[]}", true, None; "left out of a full list")]
     #[test_case("{\"kind\":\"changes\",\"workers\":[]}", false, Some(WorkerStatus::Ready); "no change")]
     fn idle_connections_go_with_what_they_led_to(line: &str, cut: bool, standing: Option<WorkerStatus>) {
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         let zones = ["a".to_owned(), "b".to_owned()];
         let taken = hosts.line(full("ready", 7).as_bytes(), &zones).expect("a good line");
         let first = &taken.entries[0];
@@ -101,7 +102,7 @@
     // The size of the fleet ahead is no fault, also when a whole list replaces another.
     #[test]
     fn thirty_thousand_workers() {
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         hosts.line(&many("full", "ready", 0..30_000), &[]).expect("a good line");
         hosts.line(&many("full", "ready", 10_000..40_000), &[]).expect("a good line");
         assert_eq!(hosts.iter().count(), 30_000);
@@ -113,7 +114,7 @@
     // One that is gone stays while something is out there, and goes with the next message once nothing is.
     #[test]
     fn gone_with_something_out() {
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         hosts.line(&many("full", "ready", 0..3), &[]).expect("a good line");
         let id = WorkerId::named("w1");
         hosts.get_mut(id).expect("known").out = 1;
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -51,9 +51,9 @@
     let ledger = Ledger::default();
     let mut deployment = common::deployment(workers);
     deployment.listen = "127.0.0.1:0".parse().expect("an address");
-    deployment.callers_most = 5_000;
-    deployment.rows.customers[0].requests_per_second = 100_000.0;
-    deployment.workloads.iter_mut().for_each(|w| w.function.lanes = 64);
+    deployment.max_clients = 5_000;
+    deployment.startup.customers[0].requests_per_second = 100_000.0;
+    deployment.workloads.iter_mut().for_each(|w| w.default_function.concurrency = 64);
     let begin = reactor.now();
     for (n, worker) in deployment.workers.iter_mut().enumerate() {
         let probe = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -2,8 +2,8 @@
 mod common;
 use applepond::interface::*;
 use applepond_gateway::Deployment;
-use applepond_gateway::deployment::NamedWorker;
-use applepond_gateway::switch::merge;
+use applepond_gateway::deployment::StaticWorker;
+use applepond_gateway::reload::merge;
 use applepond_reactor::{Closed, Conn};
 use common::*;
 use test_case::test_case;
@@ -12,12 +12,12 @@
 /// other terms for it.
 fn other() -> Deployment {
     let mut d = deployment(3);
-    d.rows.attempt_policy.hedging_allowed = false;
-    d.rows.timeouts_shared = true;
-    d.rows.workloads =
-        vec![WorkloadConfig { retry_safety: RetrySafety::Idempotent, ..d.rows.workloads[2].clone() }];
+    d.startup.attempt_policy.hedging_allowed = false;
+    d.startup.timeouts_shared = true;
+    d.startup.workloads =
+        vec![WorkloadConfig { retry_safety: RetrySafety::Idempotent, ..d.startup.workloads[2].clone() }];
     d.workloads = vec![d.workloads[2].clone()];
-    (d.customers, d.rows.customers) =
+    (d.customers, d.startup.customers) =
         (vec!["towers".into()], vec![CustomerConfig { requests_per_second: 500.0 }]);
     d
 }
@@ -29,15 +29,15 @@
 }
 
 #[test_case(|d| d.listen.set_port(1), "listen")]
-#[test_case(|d| d.hosts = Some(d.listen), "hosts")]
-#[test_case(|d| d.record = Some("r".into()), "record")]
-#[test_case(|d| d.rows.router_index = 1, "router")]
-#[test_case(|d| d.rows.seed = 8, "seed")]
-#[test_case(|d| d.callers_most = 1, "bounds.clients")]
-#[test_case(|d| d.body_most = 1, "bounds.event_bytes")]
-#[test_case(|d| d.remember_for = 1, "bounds.remember_for")]
-#[test_case(|d| d.remember_most = 1, "bounds.remember")]
-#[test_case(|d| d.remember_bytes = 1, "bounds.remember_bytes")]
+#[test_case(|d| d.endpoint_list = Some(d.listen), "hosts")]
+#[test_case(|d| d.workflow_store = Some("r".into()), "record")]
+#[test_case(|d| d.startup.router_index = 1, "router")]
+#[test_case(|d| d.startup.seed = 8, "seed")]
+#[test_case(|d| d.max_clients = 1, "bounds.clients")]
+#[test_case(|d| d.max_event_bytes = 1, "bounds.event_bytes")]
+#[test_case(|d| d.answer_retention.time = 1, "bounds.remember_for")]
+#[test_case(|d| d.answer_retention.max_answers = 1, "bounds.remember")]
+#[test_case(|d| d.answer_retention.max_bytes = 1, "bounds.remember_bytes")]
 #[test_case(|d| d.zones = (0..10_000).map(|n| format!("z{n}")).collect(), "zones")]
 fn only_a_restart_changes(change: fn(&mut Deployment), key: &str) {
     let mut new = other();
@@ -49,15 +49,24 @@
 fn rows_keep_their_places_there_and_back_and_there() {
     let (first, second) = (deployment(3), other());
     let there = merge(&first, second.clone()).expect("it fits");
-    let effects: Vec<RetrySafety> = there.rows.workloads.iter().map(|w| w.retry_safety).collect();
+    let effects: Vec<RetrySafety> = there.startup.workloads.iter().map(|w| w.retry_safety).collect();
     assert_eq!(effects[2], RetrySafety::Idempotent);
-    assert_eq!(effects[..2], [first.rows.workloads[0].retry_safety, first.rows.workloads[1].retry_safety]);
+    assert_eq!(
+        effects[..2],
+        [first.startup.workloads[0].retry_safety, first.startup.workloads[1].retry_safety]
+    );
     let types: Vec<usize> = there.workloads.iter().map(|w| w.types.len()).collect();
     assert_eq!((types, there.customers.len()), (vec![0, 0, 1], 2));
-    assert_eq!(there.rows.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(), [0.0, 500.0]);
+    assert_eq!(
+        there.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
+        [0.0, 500.0]
+    );
     let back = merge(&there, first.clone()).expect("it fits");
-    assert_eq!(back.rows.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(), [1000.0, 0.0]);
-    assert_eq!(format!("{:?}", back.rows.workloads), format!("{:?}", first.rows.workloads));
+    assert_eq!(
+        back.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
+        [1000.0, 0.0]
+    );
+    assert_eq!(format!("{:?}", back.startup.workloads), format!("{:?}", first.startup.workloads));
     let again = merge(&back, second).expect("it fits");
     assert_eq!((again.workloads.len(), again.customers.len()), (3, 2), "a switch to and fro adds nothing");
 }
@@ -97,7 +106,7 @@
     let links = b.links();
     assert_eq!(b.requests(), 2, "the hedge delay has passed");
     let mut new = deployment(3);
-    new.rows.attempt_policy.hedging_allowed = false;
+    new.startup.attempt_policy.hedging_allowed = false;
     b.switches(new);
     assert_eq!(links.iter().filter(|l| b.paper.cut.contains(l)).count(), 1);
     let second = b.asks("quote", "2");
@@ -151,7 +160,7 @@
     assert_eq!((b.statuses(client), b.requests()), (vec![200], 1));
     let mut moved = deployment(1);
     let address = ([127, 0, 0, 1], 9100).into();
-    moved.workers = vec![NamedWorker { name: "v1".into(), address, ..moved.workers[0].clone() }];
+    moved.workers = vec![StaticWorker { name: "v1".into(), address, ..moved.workers[0].clone() }];
     b.switches(moved);
     b.asks("confirm", "2");
     assert_eq!(b.paper.connects.last().map(|(_, to)| *to), Some(address));
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -5,8 +5,8 @@
 use crate::workers::{Worker, Workers};
 use applepond::control::Control;
 use applepond::interface::*;
-use applepond_gateway::fate::{self, Reached};
-use applepond_gateway::life::{Act, Acts, Lives, ended};
+use applepond_gateway::attempt_outcome::{self, Reached};
+use applepond_gateway::request_table::{Act, Acts, Lives, ended};
 use applepond_platform::call::{Ask, id_text};
 use applepond_platform::config::{Member, Start};
 use applepond_platform::fault::Unfit;
@@ -349,7 +349,7 @@
             && let Some(link) = self.links.get_mut(&conn)
         {
             if link.take_back(request, n) {
-                outcome = fate::of_unsent(outcome);
+                outcome = attempt_outcome::of_unsent(outcome);
             } else if link.out.remove(&request).is_some() {
                 let mut bytes = Vec::new();
                 line::undo(&mut bytes, id_text(&request));
@@ -533,7 +533,7 @@
             worker.links.retain(|c| *c != conn);
         }
         for (request, n) in link.out {
-            self.close(now, request, n, ended(fate::of_end(Reached::Written)));
+            self.close(now, request, n, ended(attempt_outcome::of_end(Reached::Written)));
         }
         for (request, n) in link.given_up {
             self.close(now, request, n, ended(Outcome::Cancelled));
@@ -544,7 +544,7 @@
                 // Nothing of it had left when the connection broke: it goes out on another one.
                 self.place(now, transport, request, n);
             } else {
-                self.close(now, request, n, ended(fate::of_end(Reached::NotOpen)));
+                self.close(now, request, n, ended(attempt_outcome::of_end(Reached::NotOpen)));
             }
         }
     }
--- a/crates/settings/src/chains.rs
+++ b/crates/settings/src/chains.rs
@@ -1,7 +1,7 @@
 //! `chain` blocks as plans, each fault at its line and column.
 use crate::sheet::{Part, Place};
 use applepond::interface::{Micros, WorkloadConfig};
-use applepond_gateway::deployment::{ChainRow, WorkloadNames};
+use applepond_gateway::deployment::{WorkflowConfig, WorkloadEvents};
 use applepond_workflow as chain;
 use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 use std::sync::Arc;
@@ -36,8 +36,8 @@
     name: &str,
     part: &Part<'_>,
     rows: &[WorkloadConfig],
-    workloads: &[WorkloadNames],
-) -> Option<ChainRow> {
+    workloads: &[WorkloadEvents],
+) -> Option<WorkflowConfig> {
     let types = part.texts("types", None);
     if types.as_ref().is_some_and(Vec::is_empty) {
         part.fault(&part.place_of("types"), "no type", "at least one");
@@ -70,14 +70,14 @@
         raw.next.into_iter().chain(raw.or_else).for_each(Part::done);
         raw.part.done();
     }
-    Some(ChainRow { types: types?, function_by: function_by?, plan: Arc::new(plan?) })
+    Some(WorkflowConfig { types: types?, function_attribute: function_by?, plan: Arc::new(plan?) })
 }
 
 fn step(
     raw: &Raw<'_>,
     names: &[String],
     rows: &[WorkloadConfig],
-    workloads: &[WorkloadNames],
+    workloads: &[WorkloadEvents],
 ) -> Option<Step> {
     let part = &raw.part;
     let workload = part.text("workload", None).and_then(|wanted| {
--- a/crates/settings/src/instance.rs
+++ b/crates/settings/src/instance.rs
@@ -3,7 +3,8 @@
 use applepond::interface::*;
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::{
-    FleetRow, FunctionBy, FunctionRow, NamedWorker, OpeningsRow, WorkloadNames,
+    AnswerRetention, FleetConfig, FunctionConfig, FunctionSource, PrefixAttributes, PrefixCacheConfig,
+    StaticWorker, WorkloadEvents,
 };
 use applepond_membership::NAME_MOST;
 use std::collections::BTreeMap;
@@ -31,6 +32,13 @@
     }
 }
 
+/// Limits of one instance.
+struct Bounds {
+    clients: usize,
+    event_bytes: u64,
+    answer_retention: AnswerRetention,
+}
+
 fn read(file: &Part<'_>) -> Option<Deployment> {
     let listen: Option<SocketAddr> = file.parsed("listen", ADDRESS, None);
     // Where there is no such key nothing is wanted of it.
@@ -76,7 +84,15 @@
         let remember_for = p.time("remember_for", Some(60 * S));
         let remember = p.whole_number("remember", 0..10_000_000, Some(20_000));
         let remember_bytes = p.whole_number("remember_bytes", 0..1 << 40, Some(64 << 20));
-        Some((clients? as usize, event_bytes?, remember_for?, remember? as usize, remember_bytes? as usize))
+        Some(Bounds {
+            clients: clients? as usize,
+            event_bytes: event_bytes?,
+            answer_retention: AnswerRetention {
+                time: remember_for?,
+                max_answers: remember? as usize,
+                max_bytes: remember_bytes? as usize,
+            },
+        })
     });
     let mut workloads = Vec::new();
     let mut types = BTreeMap::new();
@@ -153,8 +169,8 @@
     let connect_limit = file.time("connect_limit", Some(S / 4));
     let customer_by = file.text("customer_by", Some("customer"));
     let (customers, customer_rows) = customers.into_iter().collect::<Option<Vec<_>>>()?.into_iter().unzip();
-    let (callers_most, body_most, remember_for, remember_most, remember_bytes) = bounds?;
-    let rows = StartupConfig {
+    let bounds = bounds?;
+    let startup = StartupConfig {
         seed: seed?,
         router_index: me?,
         router_count: routers?,
@@ -170,28 +186,26 @@
         watches_endpoints: false,
     };
     let deployment = Deployment {
-        rows,
+        startup,
         listen: listen?,
         workloads,
-        chains: chains.into_iter().collect::<Option<_>>()?,
-        record,
+        workflows: chains.into_iter().collect::<Option<_>>()?,
+        workflow_store: record,
         customers,
-        customer_by: customer_by?,
+        customer_attribute: customer_by?,
         zones: zones?,
         functions: functions.into_iter().collect::<Option<_>>()?,
         workers: workers.into_iter().collect::<Option<_>>()?,
-        hosts,
+        endpoint_list: hosts,
         fleet: match fleet {
             Some(row) => Some(row?),
             None => None,
         },
-        connect_limit: connect_limit?,
-        damping: damping?,
-        callers_most,
-        body_most,
-        remember_for,
-        remember_most,
-        remember_bytes,
+        connect_timeout: connect_limit?,
+        storm_shedding: damping?,
+        max_clients: bounds.clients,
+        max_event_bytes: bounds.event_bytes,
+        answer_retention: bounds.answer_retention,
     };
     Some(deployment)
 }
@@ -218,7 +232,7 @@
     }
 }
 
-fn workload(name: &str, part: &Part<'_>) -> Option<(WorkloadConfig, WorkloadNames)> {
+fn workload(name: &str, part: &Part<'_>) -> Option<(WorkloadConfig, WorkloadEvents)> {
     let kind = part.one_of("effect", &["restartable", "fingerprinted", "run-once"], None);
     let keyed = kind.as_deref() == Some("fingerprinted");
     let (within, window) = if keyed {
@@ -251,8 +265,8 @@
             part.fault(&part.place_of("function_by"), "function and function_by", "one of them");
             None
         }
-        (true, false) => part.text("function", None).map(FunctionBy::Named),
-        _ => part.text("function_by", Some("subject")).map(FunctionBy::Attribute),
+        (true, false) => part.text("function", None).map(FunctionSource::Named),
+        _ => part.text("function_by", Some("subject")).map(FunctionSource::Attribute),
     };
     // Both keys are known, whichever was given.
     let _ = (part.text("function", Some("")), part.text("function_by", Some("")));
@@ -281,13 +295,13 @@
         priority_weight: importance?,
         late_priority_factor: late_part?,
     };
-    let names = WorkloadNames {
+    let names = WorkloadEvents {
         name: name.to_owned(),
         types: types?,
-        function_by: function_by?,
-        opening_by: opening_by.zip(size_by),
+        function_source: function_by?,
+        prefix_attributes: opening_by.zip(size_by).map(|(name, size)| PrefixAttributes { name, size }),
         deadline: time_limit?,
-        function: row?,
+        default_function: row?,
     };
     Some((rows, names))
 }
@@ -306,7 +320,7 @@
     good.then_some(text)
 }
 
-fn fleet(part: &Part<'_>) -> Option<FleetRow> {
+fn fleet(part: &Part<'_>) -> Option<FleetConfig> {
     let name = nameable(part, "name");
     let zone = nameable(part, "zone");
     let listen: Option<SocketAddr> = part.parsed("listen", ADDRESS, None);
@@ -359,38 +373,43 @@
         let price = p.number("price", 0.0..1e9, Some(0.0));
         let keeps = p.time("keeps", Some(10 * S));
         p.done();
-        Some(OpeningsRow { prepare: prepare?, memory: memory?, price: price?, keeps: keeps? })
+        Some(PrefixCacheConfig {
+            prepare_time: prepare?,
+            pinned_units: memory?,
+            price: price?,
+            retention: keeps?,
+        })
     });
     if openings.is_some() && keepers.iter().flatten().next().is_none() {
         part.fault(&part.place, "openings without keepers", "keepers = [...]: the list is agreed on");
     }
     let founding = part.whole_number("founding", 1..1 << 32, Some(1));
     let key_files = key_files?.into_iter().map(PathBuf::from).collect();
-    Some(FleetRow {
+    Some(FleetConfig {
         name: name?,
         zone: zone?,
         listen: listen?,
         seeds: seeds?,
         key_files,
-        keepers: keepers?,
-        votes,
-        founding: founding?,
-        snapshot,
-        openings: match openings {
+        voters: keepers?,
+        votes_file: votes,
+        bootstrap_epoch: founding?,
+        snapshot_file: snapshot,
+        prefix_cache: match openings {
             Some(row) => Some(row?),
             None => None,
         },
     })
 }
 
-fn function(part: &Part<'_>) -> Option<FunctionRow> {
+fn function(part: &Part<'_>) -> Option<FunctionConfig> {
     let lanes = part.whole_number("lanes", 1..10_000, Some(1));
     let memory_mb = part.whole_number("memory_mb", 1..10_000_000, Some(256));
     let load_time = part.time("load_time", Some(0)).map(|t| (t > 0).then_some(t));
-    Some(FunctionRow { lanes: lanes? as u32, memory_mb: memory_mb? as u32, load_time: load_time? })
+    Some(FunctionConfig { concurrency: lanes? as u32, memory_mb: memory_mb? as u32, load_time: load_time? })
 }
 
-fn worker(name: String, part: &Part<'_>, zones: &[String]) -> Option<NamedWorker> {
+fn worker(name: String, part: &Part<'_>, zones: &[String]) -> Option<StaticWorker> {
     let address = part.parsed("address", ADDRESS, None);
     let zone = part.text("zone", Some(""));
     let place = zone.as_ref().and_then(|z| zones.iter().position(|known| known == z));
@@ -400,5 +419,5 @@
     let rack = part.whole_number("rack", 0..1 << 40, Some(0));
     let weight = part.number("weight", 0.001..1e6, Some(1.0));
     let rack = if part.has("rack") { RackId(rack? as i64) } else { RackId::unshared(WorkerId::named(&name)) };
-    Some(NamedWorker { name, address: address?, zone: place, rack, weight: weight? })
+    Some(StaticWorker { name, address: address?, zone: place, rack, weight: weight? })
 }
--- a/crates/settings/tests/chains.rs
+++ b/crates/settings/tests/chains.rs
@@ -59,8 +59,11 @@
 #[test]
 fn a_sound_chain() {
     let d = deployment(GOOD).expect("no fault");
-    let (chain, plan) = (&d.chains[0], &d.chains[0].plan);
-    assert_eq!((chain.types.as_slice(), chain.function_by.as_str()), (&["book".to_owned()][..], "subject"));
+    let (chain, plan) = (&d.workflows[0], &d.workflows[0].plan);
+    assert_eq!(
+        (chain.types.as_slice(), chain.function_attribute.as_str()),
+        (&["book".to_owned()][..], "subject")
+    );
     assert_eq!((plan.limit, plan.steps.len(), plan.steps[0].at_least), (4_000_000, 5, 20_000));
     assert_eq!(plan.steps[0].function, Function::OfEvent);
     assert_eq!(plan.steps[1].function, Function::From(StepId(0), "hut".into()));
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,5 @@
 //! Whole files, and each fault by its place.
+use applepond_gateway::deployment::PrefixAttributes;
 use applepond_settings::deployment;
 use test_case::test_case;
 
@@ -26,13 +27,13 @@
 fn a_good_file_with_its_defaults() {
     let d = deployment(GOOD).expect("no fault");
     assert_eq!(
-        (d.rows.router_count, d.rows.attempt_policy.max_attempts, d.workloads[0].deadline),
+        (d.startup.router_count, d.startup.attempt_policy.max_attempts, d.workloads[0].deadline),
         (1, 4, 5_000_000)
     );
-    assert!(!d.rows.timeouts_shared, "clients may name limits of their own");
+    assert!(!d.startup.timeouts_shared, "clients may name limits of their own");
     let shared = deployment(&GOOD.replace("zones", "limits_shared = true\nzones")).expect("no fault");
-    assert!(shared.rows.timeouts_shared);
-    assert_eq!((d.workers[0].zone, d.rows.slow_start.overload_factor), (Some(0), 2.5));
+    assert!(shared.startup.timeouts_shared);
+    assert_eq!((d.workers[0].zone, d.startup.slow_start.overload_factor), (Some(0), 2.5));
 }
 
 // Whose rack is not named, shares with nobody what it has seen.
@@ -112,8 +113,8 @@
     let more = "]\n  keepers = [\"r1\"]\n  votes = \"v\"\n  snapshot = \"s\"\n  founding = 3\n}";
     let d = deployment(&format!("{}{GOOD}", FLEET.replacen("]\n}", more, 1))).expect("no fault");
     let fleet = d.fleet.expect("a block");
-    assert_eq!((fleet.keepers, fleet.founding), (vec!["r1".to_owned()], 3));
-    assert!(fleet.votes.is_some() && fleet.snapshot.is_some());
+    assert_eq!((fleet.voters, fleet.bootstrap_epoch), (vec!["r1".to_owned()], 3));
+    assert!(fleet.votes_file.is_some() && fleet.snapshot_file.is_some());
 }
 
 #[test_case("\"r1\"", "\"r 1\"", "2:10: found name = \"r 1\""; "blank in a name")]
@@ -148,6 +149,7 @@
         "{faults:?}"
     );
     let both = one.replacen("  opening_by", "  opening_size_by = \"size\"\n  opening_by", 1);
-    let by = deployment(&both).expect("no fault").workloads[0].opening_by.clone();
-    assert_eq!(by, Some(("opening".to_owned(), "size".to_owned())));
+    let attributes = deployment(&both).expect("no fault").workloads[0].prefix_attributes.clone();
+    let want = PrefixAttributes { name: "opening".to_owned(), size: "size".to_owned() };
+    assert_eq!(attributes, Some(want));
 }
