--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,12 +1,13 @@
 //! The instance itself: connects the clients' side, the module, the workers' side and the host list.
 use crate::client::{self, Ask, Caller, Draft, Patience, Told};
+use crate::deferred::{DeferredCall, DeferredCalls, FiredTimer};
 use crate::deployment::{Deployment, FunctionConfig, FunctionSource, StaticWorker, WorkloadEvents};
 use crate::endpoint_list::{EndpointList, Entry, Taken};
 use crate::errors::ReloadError;
 use crate::idempotency::{Claim, Claims, Ending, Name};
-use crate::request_table::{Act, Acts, Lives, ended};
+use crate::request_table::{Action, ActionQueue, AttemptId, Dispatch, RequestTable, Started, attempt_result};
 use crate::worker_connection::{Answering, Link};
-use crate::{attempt_outcome as fate, deadline, reload};
+use crate::{attempt_outcome, deadline, reload};
 use applepond::control::Control;
 use applepond::interface::*;
 use applepond_admission::watch::Called;
@@ -50,7 +51,7 @@
 const LINE_MOST: usize = 8 * 1024 * 1024;
 
 /// What a timer leaves to do.
-type Step = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport)>;
+type Step = DeferredCall<Gateway>;
 
 /// What this gateway keeps of a request beside its life.
 struct Task {
@@ -206,19 +207,18 @@
     /// Attributes by which functions and customers are named.
     picks: Rc<[String]>,
     control: Control,
-    acts: Acts,
+    actions: ActionQueue,
     callers: FxHashMap<Conn, Caller>,
     links: FxHashMap<Conn, Link>,
     listed: EndpointList,
-    tasks: Lives<Task>,
+    tasks: RequestTable<Task>,
     claims: Claims<Told>,
     /// Tells storms of retries, and stands before the module while one lasts.
     gate: Gate,
     chains: workflow::Chains,
     /// What the log was last told that the traffic is called.
     said: Called,
-    steps: BTreeMap<u64, Step>,
-    next_step: u64,
+    deferred: DeferredCalls<Gateway>,
     next_job: u64,
     watch: Watch,
     /// Clients whose answer has gone out and whose next request may be here.
@@ -243,8 +243,8 @@
         deployment: Deployment,
         on_listening: Box<dyn FnMut(std::net::SocketAddr)>,
     ) -> Self {
-        let mut acts = Acts::default();
-        let control = Control::new(now, deployment.startup.clone(), &mut acts);
+        let mut actions = ActionQueue::default();
+        let control = Control::new(now, deployment.startup.clone(), &mut actions);
         let claims = Claims::new(
             deployment.answer_retention.time,
             deployment.answer_retention.max_answers,
@@ -257,14 +257,13 @@
             said: Called::Calm,
             picks: picks(&deployment),
             control,
-            acts,
+            actions,
             callers: FxHashMap::default(),
             links: FxHashMap::default(),
             listed: EndpointList::default(),
-            tasks: Lives::default(),
+            tasks: RequestTable::default(),
             claims,
-            steps: BTreeMap::new(),
-            next_step: 1,
+            deferred: DeferredCalls::default(),
             next_job: 0,
             watch: Watch { pause: WATCH_AGAIN, ..Watch::default() },
             ready: VecDeque::new(),
@@ -321,7 +320,7 @@
         self.picks = picks(&self.deployment);
         self.callers.values_mut().for_each(|caller| caller.rename(&self.picks));
         self.control.advance_to(now);
-        self.control.reconfigure(&mut self.acts, self.deployment.startup.clone());
+        self.control.reconfigure(&mut self.actions, self.deployment.startup.clone());
         if self.deployment.endpoint_list.is_none() {
             self.named_workers(now, transport);
         }
@@ -348,9 +347,7 @@
     }
 
     fn after(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros, step: Step) {
-        self.next_step += 2;
-        self.steps.insert(self.next_step, step);
-        transport.wake_at(now + delay, Wake(self.next_step));
+        self.deferred.schedule(now, transport, delay, step);
     }
 
     // ---- The module's orders -----------------------------------------------------------------
@@ -372,47 +369,44 @@
             match self.ready.pop_front() {
                 Some(conn) => self.read_on(now, transport, conn),
                 None if self.write_down(now, transport) => {}
-                None if self.acts.0.is_empty() && self.chains.ends.is_empty() => return,
+                None if self.actions.is_empty() && self.chains.ends.is_empty() => return,
                 None => {}
             }
         }
     }
 
     fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some(act) = self.acts.0.pop_front() {
-            match act {
-                Act::Send(request, server, patience, begin) => {
-                    self.execute(now, transport, request, server, (patience, begin));
-                }
-                Act::Cancel(request, n) => {
-                    self.drop_attempt(now, transport, request, n, Outcome::Cancelled);
-                }
-                Act::PushBack(request, come_back) => {
+        while let Some(action) = self.actions.pop() {
+            match action {
+                Action::Send(dispatch) => self.start_attempt(now, transport, &dispatch),
+                Action::Cancel(attempt) => self.end_attempt(now, transport, attempt, Outcome::Cancelled),
+                Action::Reject(request, come_back) => {
                     // In a storm the module's word stands, but all its pushbacks together would be a second
                     // wave.
                     let advised = self.damps().then(|| self.tasks.get(request)).flatten();
-                    let advised = advised.map(|t| (t.of.client, t.of.digest, t.deadline.saturating_sub(now)));
+                    let advised =
+                        advised.map(|t| (t.data.client, t.data.digest, t.deadline.saturating_sub(now)));
                     let come_back = match (advised, come_back) {
                         (Some((client, name, left)), Some(_)) => self.gate.come_back(now, client, name, left),
                         (None, Some(wait)) => {
                             if let Some(task) = self.tasks.get(request) {
-                                self.gate.told(task.of.digest, now + wait);
+                                self.gate.told(task.data.digest, now + wait);
                             }
                             come_back
                         }
                         (_, None) => None,
                     };
-                    let digest = self.tasks.get(request).map(|t| t.of.digest);
+                    let digest = self.tasks.get(request).map(|t| t.data.digest);
                     if let (Some(memory), Some(digest), Some(wait)) = (&mut self.memory, digest, come_back) {
                         memory.promised(now, digest, wait);
                     }
                     let fault =
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
-                    let id = self.tasks.get(request).map(|t| t.of.name.1.clone());
+                    let id = self.tasks.get(request).map(|t| t.data.name.1.clone());
                     let told = client::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
                     self.end(now, transport, request, told);
                 }
-                Act::Kill(request) => {
+                Action::Fail(request) => {
                     let Some(task) = self.tasks.get(request) else { continue };
                     let late = task.timed_out || now >= task.deadline;
                     let fault = if late {
@@ -420,46 +414,41 @@
                     } else {
                         Fault::new(502, "killed", "the worker failed; the job may have run")
                     };
-                    let id = task.of.name.1.clone();
+                    let id = task.data.name.1.clone();
                     let told = client::problem(Ending::Killed, &fault, Some(&id), None);
                     self.end(now, transport, request, told);
                 }
-                // The module's timers are many and carry their own number: they travel as they are, ours are
-                // odd.
-                Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
-                Act::Note(text) => tracing::info!(target: "module", "{text}"),
+                Action::SetTimer(delay, token) => {
+                    DeferredCalls::<Gateway>::schedule_control(now, transport, delay, token);
+                }
+                Action::Log(text) => tracing::info!(target: "module", "{text}"),
                 // The list is pushed to whoever is connected to it, so there is nothing to ask for.
-                Act::Watch => {}
+                Action::WatchEndpoints => {}
             }
         }
     }
 
     /// Begins one attempt: on a connection that stands, else on a new one.
-    fn execute(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        server: WorkerId,
-        times: (Micros, Micros),
-    ) {
+    fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let most = self.deployment.startup.attempt_policy.max_attempts;
-        match self.tasks.execute(now, request, server, times, most) {
-            Some(Ok(n)) => {
+        match self.tasks.start_attempt(now, dispatch, most) {
+            Some(Started::InFlight(attempt)) => {
                 self.counts.attempts += 1;
-                if let Some(worker) = self.listed.get_mut(server) {
+                if let Some(worker) = self.listed.get_mut(dispatch.worker) {
                     worker.out += 1;
                 }
                 self.arm(now, transport);
-                self.connect(now, transport, request, n);
+                self.connect(now, transport, attempt);
+            }
+            Some(Started::Refused(attempt)) => {
+                self.close_attempt(now, attempt, attempt_result(Outcome::Superseded))
             }
-            Some(Err(n)) => self.close(now, request, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
 
     fn arm(&mut self, now: Micros, transport: &mut dyn Transport) {
-        if let Some(until) = self.tasks.arm() {
+        if let Some(until) = self.tasks.next_timer() {
             self.after(
                 now,
                 transport,
@@ -470,18 +459,18 @@
     }
 
     fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some((request, n)) = self.tasks.due(now) {
-            self.drop_attempt(now, transport, request, n, Outcome::TimedOut);
+        while let Some(attempt) = self.tasks.pop_timed_out(now) {
+            self.end_attempt(now, transport, attempt, Outcome::TimedOut);
         }
         self.arm(now, transport);
     }
 
-    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, n: usize) {
-        let Some(task) = self.tasks.get_mut(request) else { return };
-        let server = task.attempts[n].server;
-        let at_most_once = task.of.effect == RetrySafety::AtMostOnce;
+    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
+        let Some(task) = self.tasks.get_mut(attempt.request) else { return };
+        let server = task.attempts[attempt.index].worker;
+        let at_most_once = task.data.effect == RetrySafety::AtMostOnce;
         let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
-            self.close(now, request, n, ended(Outcome::ConnectFailed));
+            self.close_attempt(now, attempt, attempt_result(Outcome::ConnectFailed));
             return;
         };
         let rested = if at_most_once { IDLE_AT_MOST_ONCE } else { IDLE_LIMIT };
@@ -490,17 +479,17 @@
         let conn = match if fresh { worker.idle.pop() } else { None } {
             Some((conn, _)) => {
                 let link = self.links.get_mut(&conn).expect("idle connections are known");
-                link.carries = Some((request, n));
+                link.carries = Some(attempt);
                 link.sent_before = transport.sent(conn);
                 conn
             }
             None => {
                 let conn = transport.connect(worker.address, self.deployment.connect_timeout);
-                self.links.insert(conn, Link::new(server, (request, n)));
+                self.links.insert(conn, Link::new(server, attempt));
                 conn
             }
         };
-        task.attempts[n].link = Some(conn);
+        task.attempts[attempt.index].connection = Some(conn);
         if fresh {
             self.write(now, transport, conn);
         }
@@ -509,34 +498,35 @@
     /// Writes the request of the attempt that a connection carries.
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get(&conn) else { return };
-        let Some((request, n)) = link.carries else { return };
+        let Some(attempt) = link.carries else { return };
+        let request = attempt.request;
         let Some(worker) = self.listed.get(link.server) else { return };
         // Its client has gone while the connection was made, or it is a repeat that would not be known now.
-        if !self.tasks.get(request).is_some_and(|task| task.may_begin(now, n)) {
-            self.drop_attempt(now, transport, request, n, Outcome::Superseded);
+        if !self.tasks.get(request).is_some_and(|task| task.may_start(now, attempt.index)) {
+            self.end_attempt(now, transport, attempt, Outcome::Superseded);
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
         if worker.standing != WorkerStatus::Ready {
-            self.drop_attempt(now, transport, request, n, Outcome::ConnectFailed);
+            self.end_attempt(now, transport, attempt, Outcome::ConnectFailed);
             return;
         }
         let Some(task) = self.tasks.get(request) else { return };
         let mut head = encode::request("POST", "/run", &worker.address.to_string());
-        head = head.lines(&task.of.lines);
-        if let Some(media) = &task.of.media {
+        head = head.lines(&task.data.lines);
+        if let Some(media) = &task.data.media {
             head = head.field("Content-Type", media);
         }
-        let row = &task.of.row;
+        let row = &task.data.row;
         head = head
-            .field("applepond-function", &task.of.function)
-            .field("applepond-workload", &self.deployment.workloads[task.of.workload].name)
+            .field("applepond-function", &task.data.function)
+            .field("applepond-workload", &self.deployment.workloads[task.data.workload].name)
             .number("applepond-lanes", u64::from(row.concurrency))
             .number("applepond-memory-mb", u64::from(row.memory_mb))
             .number("applepond-router", self.deployment.startup.router_index)
-            .number("applepond-execution", n as u64)
+            .number("applepond-execution", attempt.index as u64)
             .number("applepond-time-left-ms", task.deadline.saturating_sub(now) / 1000);
-        if let Some(opening) = &task.of.opening {
+        if let Some(opening) = &task.data.opening {
             head = head
                 .field("applepond-opening", &opening.name)
                 .number("applepond-opening-size", u64::from(opening.size));
@@ -545,39 +535,38 @@
                 head = head.number("applepond-opening-lease-ms", lease / 1000);
             }
         }
-        transport.write(conn, &head.body(&task.of.data));
+        transport.write(conn, &head.body(&task.data.data));
     }
 
     /// Ends an attempt from this side, by a cancel or because its time is up: the worker is told by the end
     /// of its connection, and whatever it answers after that is never read.
-    fn drop_attempt(
+    fn end_attempt(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        request: RequestId,
-        n: usize,
+        attempt: AttemptId,
         outcome: Outcome,
     ) {
-        let Some(task) = self.tasks.get_mut(request) else { return };
-        let Some(attempt) = task.attempts.get_mut(n).filter(|e| !e.closed) else { return };
-        if let Some(conn) = attempt.link.take() {
+        let Some(task) = self.tasks.get_mut(attempt.request) else { return };
+        let Some(state) = task.attempts.get_mut(attempt.index).filter(|state| !state.closed) else { return };
+        if let Some(conn) = state.connection.take() {
             transport.cut(conn);
             self.links.remove(&conn);
         }
         task.timed_out |= outcome == Outcome::TimedOut;
-        self.close(now, request, n, ended(outcome));
+        self.close_attempt(now, attempt, attempt_result(outcome));
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, request: RequestId, n: usize, answer: AttemptResult) {
-        let server = self.tasks.get(request).map(|task| task.attempts[n].server);
-        let Some(answer) = self.tasks.close(now, request, n, answer) else { return };
+    fn close_attempt(&mut self, now: Micros, attempt: AttemptId, answer: AttemptResult) {
+        let server = self.tasks.get(attempt.request).map(|task| task.attempts[attempt.index].worker);
+        let Some(answer) = self.tasks.close_attempt(now, attempt, answer) else { return };
         if let Some(worker) = server.and_then(|server| self.listed.get_mut(server)) {
             worker.out = worker.out.saturating_sub(1);
         }
-        tracing::debug!(n, ?answer.outcome, answer.elapsed, "attempt closed");
+        tracing::debug!(attempt = attempt.index, ?answer.outcome, answer.elapsed, "attempt closed");
         self.control.advance_to(now);
-        self.control.attempt_finished(&mut self.acts, request, n, &answer);
+        self.control.attempt_finished(&mut self.actions, attempt.request, attempt.index, &answer);
     }
 
     // ---- The end of a request --------------------------------------------------------------------
@@ -585,9 +574,9 @@
     /// The one place where a request ends: each exchange that waits gets the answer, the log its line.
     fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Told>) {
         let Some(task) = self.tasks.end(request) else { return };
-        if let Some(then) = task.of.then.take() {
-            let end = workflow::StepEnd { told, took: now - task.came, stood: task.of.stood };
-            self.tasks.forget(request);
+        if let Some(then) = task.data.then.take() {
+            let end = workflow::StepEnd { told, took: now - task.arrived_at, stood: task.data.stood };
+            self.tasks.remove_if_done(request);
             self.chains.ends.push_back((then, end));
             return;
         }
@@ -598,22 +587,22 @@
         };
         *count += 1;
         self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
-        self.claims.end(now, &task.of.name, told.ending, task.of.effect, told.clone(), told.bytes());
+        self.claims.end(now, &task.data.name, told.ending, task.data.effect, told.clone(), told.bytes());
         tracing::info!(
-            id = %task.of.name.1,
-            source = %task.of.name.0,
-            function = %task.of.function,
-            workload = %self.deployment.workloads[task.of.workload].name,
+            id = %task.data.name.1,
+            source = %task.data.name.0,
+            function = %task.data.function,
+            workload = %self.deployment.workloads[task.data.workload].name,
             reason = told.reason,
             status = told.status,
             executions = task.attempts.len(),
-            exchanges = task.of.callers.len(),
-            took_us = now - task.came,
+            exchanges = task.data.callers.len(),
+            took_us = now - task.arrived_at,
             left_us = task.deadline.saturating_sub(now),
             "job ended"
         );
-        let callers = std::mem::take(&mut task.of.callers);
-        self.tasks.forget(request);
+        let callers = std::mem::take(&mut task.data.callers);
+        self.tasks.remove_if_done(request);
         for conn in callers {
             if let Some(caller) = self.callers.get_mut(&conn) {
                 caller.answer(now, transport, conn, &told);
@@ -796,7 +785,7 @@
             Claim::Join(request) => {
                 self.counts.joined += 1;
                 match (self.tasks.get_mut(request), self.chains.open.get_mut(&request)) {
-                    (Some(task), _) => task.of.callers.push(conn),
+                    (Some(task), _) => task.data.callers.push(conn),
                     (_, Some(chain)) => chain.callers.push(conn),
                     _ => unreachable!("what runs is known"),
                 }
@@ -849,9 +838,9 @@
             stood: false,
             then: wanted.then,
         };
-        self.tasks.begin(request, now, now + arrival.time_left, task);
+        self.tasks.insert(request, now, now + arrival.time_left, task);
         self.control.advance_to(now);
-        self.control.request_arrived(&mut self.acts, &arrival);
+        self.control.request_arrived(&mut self.actions, &arrival);
         request
     }
 
@@ -864,14 +853,14 @@
             chain.callers.retain(|c| *c != conn);
         }
         let Some(task) = self.tasks.get_mut(request) else { return };
-        task.of.callers.retain(|c| *c != conn);
-        if task.of.callers.is_empty() && task.attempts.is_empty() && !task.ended {
-            let Task { name: (source, id), .. } = &task.of;
+        task.data.callers.retain(|c| *c != conn);
+        if task.data.callers.is_empty() && task.attempts.is_empty() && !task.ended {
+            let Task { name: (source, id), .. } = &task.data;
             tracing::info!(%id, %source, reason = "client-left", "job ended");
-            self.claims.drop(&task.of.name);
-            self.tasks.drop(request);
+            self.claims.drop(&task.data.name);
+            self.tasks.remove(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, request);
+            self.control.client_disconnected(&mut self.actions, request);
         }
     }
 
@@ -911,16 +900,16 @@
 
     fn state_page(&self, now: Micros) -> Rc<Told> {
         let standing = |wanted| self.listed.iter().filter(|(_, w)| w.standing == wanted).count();
-        let (open, out) = self.tasks.open();
+        let open = self.tasks.open_counts();
         let c = &self.counts;
         let body = serde_json::json!({
             "now_us": now,
             "router": self.deployment.startup.router_index,
             "settings": {"switched": c.switched, "kept": c.kept},
-            "jobs": {"open": open, "taken": c.requests,
+            "jobs": {"open": open.requests, "taken": c.requests,
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
                 "pushed-back": c.pushed_back, "killed": c.killed, "requests-refused": c.refused},
-            "executions": {"out": out, "begun": c.attempts},
+            "executions": {"out": open.attempts, "begun": c.attempts},
             "remembered": self.claims.remembered(),
             "chains": self.chains.state(),
             "storm": self.storm_state(now),
@@ -943,7 +932,7 @@
 
     fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let Some((request, n)) = link.carries else {
+        let Some(attempt) = link.carries else {
             // Nobody asked: a second answer, or garbage. What it belongs to can't be told.
             self.drop_link(transport, conn);
             return;
@@ -954,7 +943,7 @@
             Ok(Decoded::Done) => self.link_answered(now, transport, conn),
             Err(fault) => {
                 tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
-                self.drop_attempt(now, transport, request, n, Outcome::ConnectionLost);
+                self.end_attempt(now, transport, attempt, Outcome::ConnectionLost);
             }
         }
     }
@@ -963,7 +952,8 @@
     fn link_answered(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
         let mut answering = std::mem::take(&mut link.answering);
-        let Some((request, n)) = link.carries.take() else { return };
+        let Some(attempt) = link.carries.take() else { return };
+        let request = attempt.request;
         link.kept = true;
         let server = link.server;
         // Bytes after the answer are a second one to the same request: that connection is not trusted
@@ -980,11 +970,12 @@
                 self.links.remove(&conn);
             }
         }
-        let outcome = fate::of_answer(answering.status, answering.mark.as_deref(), answering.event);
+        let outcome =
+            attempt_outcome::from_response(answering.status, answering.mark.as_deref(), answering.event);
         if let Some(task) = self.tasks.get_mut(request) {
-            task.attempts[n].link = None;
+            task.attempts[attempt.index].connection = None;
             if outcome == Outcome::Finished && !task.ended {
-                task.of.stood =
+                task.data.stood =
                     answering.copy != LoadState::LoadStarted && answering.copy != LoadState::LoadPending;
                 let mut lines = std::mem::take(&mut answering.lines);
                 lines.field("applepond-executions", &task.attempts.len().to_string());
@@ -994,16 +985,15 @@
             }
         }
         let Answering { copy, company, held, loads, .. } = answering;
-        self.close(
+        self.close_attempt(
             now,
-            request,
-            n,
+            attempt,
             AttemptResult {
                 load_state: copy,
                 same_function_in_flight: company,
                 reported_in_flight: held,
                 reported_loads: loads,
-                ..ended(outcome)
+                ..attempt_result(outcome)
             },
         );
     }
@@ -1011,7 +1001,7 @@
     /// A connection to a worker is gone, or its worker has ended its side.
     fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         let Some(mut link) = self.links.remove(&conn) else { return };
-        let Some((request, n)) = link.carries else {
+        let Some(attempt) = link.carries else {
             if let Some(worker) = self.listed.get_mut(link.server) {
                 worker.idle.retain(|(c, _)| *c != conn);
             }
@@ -1023,15 +1013,15 @@
             self.link_answered(now, transport, conn);
             return;
         }
-        let reached = fate::reached(link.open, link.sent_before, sent);
-        if let Some(task) = self.tasks.get_mut(request) {
-            task.attempts[n].link = None;
-            if fate::again(reached, link.kept, why) && !task.ended {
-                self.connect(now, transport, request, n);
+        let reached = attempt_outcome::send_progress(link.open, link.sent_before, sent);
+        if let Some(task) = self.tasks.get_mut(attempt.request) {
+            task.attempts[attempt.index].connection = None;
+            if attempt_outcome::may_resend(reached, link.kept, why) && !task.ended {
+                self.connect(now, transport, attempt);
                 return;
             }
         }
-        self.close(now, request, n, ended(fate::of_end(reached)));
+        self.close_attempt(now, attempt, attempt_result(attempt_outcome::on_disconnect(reached)));
     }
 
     fn drop_link(&mut self, transport: &mut dyn Transport, conn: Conn) {
@@ -1112,7 +1102,7 @@
         }
         if !entries.is_empty() {
             let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
-            self.control.endpoints_updated(&mut self.acts, EndpointListKind::Changes, &entries);
+            self.control.endpoints_updated(&mut self.actions, EndpointListKind::Changes, &entries);
             self.settle(now, transport);
         }
     }
@@ -1147,7 +1137,7 @@
         }
         let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
         self.control.advance_to(now);
-        self.control.endpoints_updated(&mut self.acts, taken.kind, &entries);
+        self.control.endpoints_updated(&mut self.actions, taken.kind, &entries);
     }
 
     fn watch(&mut self, transport: &mut dyn Transport) {
@@ -1299,11 +1289,13 @@
     }
 
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake.0 & 1 == 0 {
-            self.control.advance_to(now);
-            self.control.timer_fired(&mut self.acts, TimerToken(wake.0 >> 1));
-        } else if let Some(step) = self.steps.remove(&wake.0) {
-            step(self, now, transport);
+        match self.deferred.fired(wake) {
+            Some(FiredTimer::Control(token)) => {
+                self.control.advance_to(now);
+                self.control.timer_fired(&mut self.actions, token);
+            }
+            Some(FiredTimer::Call(call)) => call(self, now, transport),
+            None => {}
         }
         self.settle(now, transport);
     }
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -5,6 +5,7 @@
 use crate::deadline;
 use crate::deployment::WorkloadEvents;
 use crate::idempotency::{Claim, Ending, Name};
+use crate::request_table::AttemptId;
 use applepond::interface::*;
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
@@ -627,15 +628,17 @@
     fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         let Some(task) = self.tasks.get_mut(request) else { return };
         task.ended = true;
-        task.of.then = None;
+        task.data.then = None;
         let attempts = task.attempts.len();
-        if task.out() == 0 {
-            self.tasks.forget(request);
+        if task.in_flight() == 0 {
+            self.tasks.remove_if_done(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, request);
+            self.control.client_disconnected(&mut self.actions, request);
             return;
         }
-        (0..attempts).for_each(|n| self.drop_attempt(now, transport, request, n, Outcome::Cancelled));
+        for index in 0..attempts {
+            self.end_attempt(now, transport, AttemptId { request, index }, Outcome::Cancelled);
+        }
     }
 
     /// Begins an undo, and again until it has finished.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod attempt_outcome;
 mod client;
 pub mod deadline;
+pub mod deferred;
 pub mod deployment;
 pub mod endpoint_list;
 pub mod errors;
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -3,7 +3,8 @@
 //! A connection carries one attempt at a time. Ending it is the cancel: HTTP/1.1 has no other word for it
 //! that the worker sees on the same connection, and it reaches a worker that still reads the request as well
 //! as one that runs it.
-use applepond::interface::{LoadState, RequestId, WorkerId};
+use crate::request_table::AttemptId;
+use applepond::interface::{LoadState, WorkerId};
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Visitor};
@@ -116,7 +117,7 @@
     pub open: bool,
     /// It carried an answer before.
     pub kept: bool,
-    pub carries: Option<(RequestId, usize)>,
+    pub carries: Option<AttemptId>,
     /// Bytes that the kernel had taken before this attempt's request.
     pub sent_before: u64,
     pub decoder: Decoder,
@@ -124,7 +125,7 @@
 }
 
 impl Link {
-    pub fn new(server: WorkerId, carries: (RequestId, usize)) -> Self {
+    pub fn new(server: WorkerId, carries: AttemptId) -> Self {
         Link {
             server,
             open: false,
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -1,8 +1,10 @@
 //! Cases of single modules of this package.
 
-mod fate {
+mod attempt_outcome {
     use applepond::interface::Outcome;
-    use applepond_gateway::attempt_outcome::*;
+    use applepond_gateway::attempt_outcome::{
+        SendProgress, from_response, may_resend, on_disconnect, send_progress,
+    };
     use applepond_reactor::Closed;
     use test_case::test_case;
 
@@ -12,15 +14,15 @@
     #[test_case(true, 700, 701, Outcome::ConnectionLost; "kept, one byte written")]
     #[test_case(true, 0, 9000, Outcome::ConnectionLost; "all written")]
     fn ends(open: bool, before: u64, sent: u64, want: Outcome) {
-        assert_eq!(of_end(reached(open, before, sent)), want);
+        assert_eq!(on_disconnect(send_progress(open, before, sent)), want);
     }
 
-    #[test_case(Reached::NothingWritten, true, Closed::Reset, true; "kept and closed meanwhile")]
-    #[test_case(Reached::NothingWritten, false, Closed::Reset, false; "a new one: the worker is in trouble")]
-    #[test_case(Reached::Written, true, Closed::Reset, false; "a byte has left: it may have run")]
-    #[test_case(Reached::NotOpen, false, Closed::Never, false; "refused")]
-    fn once_more(reached: Reached, kept: bool, why: Closed, want: bool) {
-        assert_eq!(again(reached, kept, why), want);
+    #[test_case(SendProgress::NothingSent, true, Closed::Reset, true; "kept and closed meanwhile")]
+    #[test_case(SendProgress::NothingSent, false, Closed::Reset, false; "a new one: the worker is in trouble")]
+    #[test_case(SendProgress::Sent, true, Closed::Reset, false; "a byte has left: it may have run")]
+    #[test_case(SendProgress::NotConnected, false, Closed::Never, false; "refused")]
+    fn once_more(progress: SendProgress, kept: bool, why: Closed, want: bool) {
+        assert_eq!(may_resend(progress, kept, why), want);
     }
 
     #[test_case(200, None, true, Outcome::Finished; "finished")]
@@ -31,11 +33,11 @@
     #[test_case(404, None, false, Outcome::Error; "404 without the mark")]
     #[test_case(500, Some("full"), false, Outcome::Error; "a mark that does not fit its status")]
     fn answers(status: u16, mark: Option<&str>, event: bool, want: Outcome) {
-        assert_eq!(of_answer(status, mark, event), want);
+        assert_eq!(from_response(status, mark, event), want);
     }
 }
 
-mod host_list {
+mod endpoint_list {
     use applepond_gateway::endpoint_list::*;
 
     use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,6 +1,7 @@
 //! Connections to model servers: many attempts on each, their lines as long as the kernel has not taken
 //! them, and answers as they come in.
 use applepond::interface::*;
+use applepond_gateway::request_table::AttemptId;
 use applepond_http::Fault;
 use applepond_platform::{call, line};
 use std::collections::{BTreeMap, VecDeque};
@@ -11,7 +12,7 @@
 /// What waits to be written.
 pub enum Item {
     /// The line that runs this attempt, not begun yet: it can be taken back.
-    Run(RequestId, usize),
+    Run(AttemptId),
     /// Bytes that must follow what is written already.
     Rest(Vec<u8>),
 }
@@ -27,7 +28,7 @@
     pub out: BTreeMap<RequestId, usize>,
     pub queue: VecDeque<Item>,
     /// Attempts that close as soon as all of the queue has left: the words that give them up wait in it.
-    pub given_up: Vec<(RequestId, usize)>,
+    pub given_up: Vec<AttemptId>,
     /// When it last had something to do.
     pub busy: Micros,
     /// When bytes last came.
@@ -91,8 +92,8 @@
     }
 
     /// Takes an attempt back of which nothing has left.
-    pub fn take_back(&mut self, request: RequestId, n: usize) -> bool {
-        let waits = |i: &Item| matches!(i, Item::Run(j, m) if *j == request && *m == n);
+    pub fn take_back(&mut self, attempt: AttemptId) -> bool {
+        let waits = |i: &Item| matches!(i, Item::Run(queued) if *queued == attempt);
         let found = self.queue.iter().position(waits);
         found.is_some_and(|at| self.queue.remove(at).is_some())
     }
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -5,15 +5,18 @@
 use crate::workers::{Worker, Workers};
 use applepond::control::Control;
 use applepond::interface::*;
-use applepond_gateway::attempt_outcome::{self, Reached};
-use applepond_gateway::request_table::{Act, Acts, Lives, ended};
+use applepond_gateway::attempt_outcome::{self, SendProgress};
+use applepond_gateway::deferred::{DeferredCall, DeferredCalls, FiredTimer};
+use applepond_gateway::request_table::{
+    Action, ActionQueue, AttemptId, Dispatch, RequestTable, Started, attempt_result,
+};
 use applepond_platform::call::{Ask, id_text};
 use applepond_platform::config::{Member, Start};
 use applepond_platform::fault::Unfit;
 use applepond_platform::line;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use rustc_hash::FxHashMap;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
@@ -48,7 +51,7 @@
 const ECHO_TAG: &str = "works";
 
 /// What a timer leaves to do.
-type Step = Box<dyn FnOnce(&mut Node, Micros, &mut dyn Transport)>;
+type Step = DeferredCall<Node>;
 
 /// What the process is told from outside.
 pub enum News {
@@ -77,8 +80,8 @@
 pub struct Node {
     start: Start,
     control: Control,
-    acts: Acts,
-    lives: Lives<Task>,
+    actions: ActionQueue,
+    lives: RequestTable<Task>,
     callers: FxHashMap<Conn, Caller>,
     callers_most: usize,
     patience: Patience,
@@ -93,8 +96,7 @@
     /// Clients with a request that waits for the list, as this process has stood still.
     later: BTreeSet<Conn>,
     dirty: Vec<Conn>,
-    steps: BTreeMap<u64, Step>,
-    next_step: u64,
+    deferred: DeferredCalls<Node>,
     news: Box<dyn FnMut() -> Option<News>>,
     /// Since when this router is on its way out.
     leaving: Option<Micros>,
@@ -111,12 +113,12 @@
         news: Box<dyn FnMut() -> Option<News>>,
         on_end: Box<dyn FnMut(End)>,
     ) -> Self {
-        let mut acts = Acts::default();
-        let control = Control::new(now, start.rows.clone(), &mut acts);
+        let mut actions = ActionQueue::default();
+        let control = Control::new(now, start.rows.clone(), &mut actions);
         Node {
             control,
-            acts,
-            lives: Lives::default(),
+            actions,
+            lives: RequestTable::default(),
             callers: FxHashMap::default(),
             callers_most: start.descriptors * CLIENT_PARTS / 8,
             patience: Patience::default(),
@@ -128,8 +130,7 @@
             ready: VecDeque::new(),
             later: BTreeSet::new(),
             dirty: Vec::new(),
-            steps: BTreeMap::new(),
-            next_step: 1,
+            deferred: DeferredCalls::default(),
             news,
             leaving: None,
             listener: None,
@@ -148,11 +149,8 @@
         [self.lives.len(), self.callers.len(), self.links.len(), self.workers.len()]
     }
 
-    /// The module's timers are many and carry their own number: they travel as they are, even; ours are odd.
     fn after(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros, step: Step) {
-        self.next_step += 2;
-        self.steps.insert(self.next_step, step);
-        transport.wake_at(now + delay, Wake(self.next_step));
+        self.deferred.schedule(now, transport, delay, step);
     }
 
     // ---- The module's orders -----------------------------------------------------------------
@@ -163,8 +161,8 @@
             self.ready.extend(std::mem::take(&mut self.later));
         }
         loop {
-            while let Some(act) = self.acts.0.pop_front() {
-                self.carry_out(now, transport, act);
+            while let Some(action) = self.actions.pop() {
+                self.carry_out(now, transport, action);
             }
             if let Some(conn) = self.ready.pop_front() {
                 self.read_on(now, transport, conn);
@@ -176,68 +174,63 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport, act: Act) {
-        match act {
-            Act::Send(request, server, patience, begin) => {
-                self.execute(now, transport, request, server, (patience, begin));
-            }
-            Act::Cancel(request, n) => self.drop_attempt(now, request, n, Outcome::Cancelled),
-            Act::PushBack(request, come_back) => {
+    fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport, action: Action) {
+        match action {
+            Action::Send(dispatch) => self.start_attempt(now, transport, &dispatch),
+            Action::Cancel(attempt) => self.end_attempt(now, attempt, Outcome::Cancelled),
+            Action::Reject(request, come_back) => {
                 self.end(now, transport, request, Reply { come_back, ..Reply::bare(503) });
             }
-            Act::Kill(request) => {
+            Action::Fail(request) => {
                 let late = self.lives.get(request).is_some_and(|l| l.timed_out || now >= l.deadline);
                 self.end(now, transport, request, Reply::bare(if late { 504 } else { 502 }));
             }
-            Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
-            Act::Note(text) => tracing::info!(target: "module", "{text}"),
+            Action::SetTimer(delay, token) => {
+                DeferredCalls::<Node>::schedule_control(now, transport, delay, token);
+            }
+            Action::Log(text) => tracing::info!(target: "module", "{text}"),
             // The list is asked for at each tick anyway.
-            Act::Watch => {}
+            Action::WatchEndpoints => {}
         }
     }
 
-    fn execute(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        server: WorkerId,
-        times: (Micros, Micros),
-    ) {
+    fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let most = self.start.rows.attempt_policy.max_attempts;
-        match self.lives.execute(now, request, server, times, most) {
-            Some(Ok(n)) => {
+        match self.lives.start_attempt(now, dispatch, most) {
+            Some(Started::InFlight(attempt)) => {
                 self.arm(now, transport);
-                self.place(now, transport, request, n);
+                self.place(now, transport, attempt);
+            }
+            Some(Started::Refused(attempt)) => {
+                self.close_attempt(now, attempt, attempt_result(Outcome::Superseded))
             }
-            Some(Err(n)) => self.close(now, request, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
 
     /// Sets the timer for the attempt whose time is up first, unless one fires earlier anyway.
     fn arm(&mut self, now: Micros, transport: &mut dyn Transport) {
-        if let Some(until) = self.lives.arm() {
+        if let Some(until) = self.lives.next_timer() {
             let step: Step = Box::new(|node, now, transport| node.times_up(now, transport));
             self.after(now, transport, until.saturating_sub(now), step);
         }
     }
 
     fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some((request, n)) = self.lives.due(now) {
-            self.drop_attempt(now, request, n, Outcome::TimedOut);
+        while let Some(attempt) = self.lives.pop_timed_out(now) {
+            self.end_attempt(now, attempt, Outcome::TimedOut);
         }
         self.arm(now, transport);
     }
 
     /// Puts an attempt on a connection that has room for it, a new one if need be.
-    fn place(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, n: usize) {
-        let Some(life) = self.lives.get_mut(request) else { return };
-        let server = life.attempts[n].server;
-        let wanted = life.may_begin(now, n);
+    fn place(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
+        let Some(life) = self.lives.get_mut(attempt.request) else { return };
+        let server = life.attempts[attempt.index].worker;
+        let wanted = life.may_start(now, attempt.index);
         let ready = |w: &&mut Worker| wanted && w.standing == WorkerStatus::Ready;
         let Some(worker) = self.workers.get_mut(server).filter(ready) else {
-            return self.close(now, request, n, ended(Outcome::Superseded));
+            return self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
         };
         let idle_limit = (self.start.terms.idle_limit as f64 * IDLE_PART) as Micros;
         let usable = worker.links.iter().copied().filter(|conn| {
@@ -245,7 +238,7 @@
             let fresh = link.load() > 0 || now < link.busy + idle_limit;
             // Another answer to an earlier attempt of the request may still come here under the same id, also
             // where it has had one.
-            let used = life.attempts[..n].iter().any(|e| e.link == Some(*conn));
+            let used = life.attempts[..attempt.index].iter().any(|e| e.connection == Some(*conn));
             fresh && !used && link.load() < self.start.terms.streams
         });
         // The fullest that is not full: connections that are seldom idle are few. All on one are lost with
@@ -260,13 +253,13 @@
             // That there is no descriptor is not this server's fault.
             None if self.links.len() >= self.links_most => {
                 if self.make_room(now, transport) {
-                    return self.place(now, transport, request, n);
+                    return self.place(now, transport, attempt);
                 }
                 tracing::warn!(
                     links = self.links.len(),
                     "no descriptor is left for a connection to a server"
                 );
-                return self.close(now, request, n, ended(Outcome::Superseded));
+                return self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
             }
             _ => {
                 let conn = transport.connect(worker.address, self.start.terms.connect_limit);
@@ -275,8 +268,8 @@
                 conn
             }
         };
-        life.attempts[n].link = Some(conn);
-        self.links.get_mut(&conn).expect("just found").queue.push_back(Item::Run(request, n));
+        life.attempts[attempt.index].connection = Some(conn);
+        self.links.get_mut(&conn).expect("just found").queue.push_back(Item::Run(attempt));
         self.dirty.push(conn);
     }
 
@@ -297,32 +290,32 @@
             link.busy = now;
             let (run, bytes) = match item {
                 Item::Rest(bytes) => (None, bytes),
-                Item::Run(request, n) => {
-                    let Some(life) = self.lives.get(request) else { continue };
+                Item::Run(attempt) => {
+                    let Some(life) = self.lives.get(attempt.request) else { continue };
                     // Guards against an attempt that begins though nobody waits for its request any more,
                     // also where those that have begun may not be cancelled, against a repeat that a model
                     // server would not know any more when its connection comes up late or takes nothing, and
                     // against a server that drained, or went, while this process stood still and asked for
                     // no list.
-                    if !life.may_begin(now, n) || self.watch.stale(now) {
-                        self.close(now, request, n, ended(Outcome::Superseded));
+                    if !life.may_start(now, attempt.index) || self.watch.stale(now) {
+                        self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
                         continue;
                     }
-                    let mut bytes = life.of.head.clone();
-                    line::rest(&mut bytes, life.deadline.saturating_sub(now).div_ceil(1000), &life.of.body);
-                    (Some((request, n)), bytes)
+                    let mut bytes = life.data.head.clone();
+                    line::rest(&mut bytes, life.deadline.saturating_sub(now).div_ceil(1000), &life.data.body);
+                    (Some(attempt), bytes)
                 }
             };
             let taken = transport.offer(conn, &bytes);
-            if let Some((request, n)) = run {
+            if let Some(attempt) = run {
                 if taken == 0 {
-                    link.queue.push_front(Item::Run(request, n));
+                    link.queue.push_front(Item::Run(attempt));
                     return;
                 }
                 if link.out.is_empty() {
                     link.heard = now;
                 }
-                link.out.insert(request, n);
+                link.out.insert(attempt.request, attempt.index);
             }
             if taken < bytes.len() {
                 link.queue.push_front(Item::Rest(bytes[taken..].to_vec()));
@@ -330,52 +323,58 @@
             }
         }
         let given_up = self.links.get_mut(&conn).filter(|l| l.open).map(|l| std::mem::take(&mut l.given_up));
-        for (request, n) in given_up.into_iter().flatten() {
-            self.close(now, request, n, ended(Outcome::Cancelled));
+        for attempt in given_up.into_iter().flatten() {
+            self.close_attempt(now, attempt, attempt_result(Outcome::Cancelled));
         }
     }
 
     /// Ends an attempt from this side, by a cancel or because its time is up. What has not left is taken
     /// back and has never run; what has is given up by a line.
-    fn drop_attempt(&mut self, now: Micros, request: RequestId, n: usize, outcome: Outcome) {
-        let Some(life) = self.lives.get_mut(request) else { return };
-        let Some(attempt) = life.attempts.get(n).filter(|e| !e.closed) else { return };
+    fn end_attempt(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+        let Some(life) = self.lives.get_mut(attempt.request) else { return };
+        let Some(state) = life.attempts.get(attempt.index).filter(|state| !state.closed) else { return };
         life.timed_out |= outcome == Outcome::TimedOut;
         // Whether the request may have another attempt for this one, but not beside it.
         let alone =
             outcome == Outcome::Cancelled && !life.ended && !self.start.rows.attempt_policy.hedging_allowed;
         let mut outcome = outcome;
-        if let Some(conn) = attempt.link
+        if let Some(conn) = state.connection
             && let Some(link) = self.links.get_mut(&conn)
         {
-            if link.take_back(request, n) {
-                outcome = attempt_outcome::of_unsent(outcome);
-            } else if link.out.remove(&request).is_some() {
+            if link.take_back(attempt) {
+                outcome = attempt_outcome::on_local_end_unsent(outcome);
+            } else if link.out.remove(&attempt.request).is_some() {
                 let mut bytes = Vec::new();
-                line::undo(&mut bytes, id_text(&request));
+                line::undo(&mut bytes, id_text(&attempt.request));
                 link.queue.push_back(Item::Rest(bytes));
                 if alone {
                     // Guards against two that are out together where that is forbidden: this one closes when
                     // the word that gives it up has left.
-                    link.given_up.push((request, n));
+                    link.given_up.push(attempt);
                     self.dirty.push(conn);
                     return;
                 }
                 self.dirty.push(conn);
             } else {
-                link.given_up.retain(|given_up| *given_up != (request, n));
+                link.given_up.retain(|given_up| *given_up != attempt);
             }
         }
-        self.close(now, request, n, ended(outcome));
+        self.close_attempt(now, attempt, attempt_result(outcome));
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, request: RequestId, n: usize, answer: AttemptResult) {
-        let server = self.lives.get(request).map(|l| l.attempts[n].server.0);
-        if let Some(answer) = self.lives.close(now, request, n, answer) {
-            tracing::debug!(request = id_text(&request), n, server, ?answer, "attempt closed");
+    fn close_attempt(&mut self, now: Micros, attempt: AttemptId, answer: AttemptResult) {
+        let server = self.lives.get(attempt.request).map(|l| l.attempts[attempt.index].worker.0);
+        if let Some(answer) = self.lives.close_attempt(now, attempt, answer) {
+            tracing::debug!(
+                request = id_text(&attempt.request),
+                attempt = attempt.index,
+                server,
+                ?answer,
+                "attempt closed"
+            );
             self.control.advance_to(now);
-            self.control.attempt_finished(&mut self.acts, request, n, &answer);
+            self.control.attempt_finished(&mut self.actions, attempt.request, attempt.index, &answer);
         }
     }
 
@@ -385,11 +384,11 @@
         tracing::debug!(
             request = id_text(&request),
             status = reply.status,
-            took = now - life.came,
+            took = now - life.arrived_at,
             "job ended"
         );
-        let caller = life.of.caller.take();
-        self.lives.forget(request);
+        let caller = life.data.caller.take();
+        self.lives.remove_if_done(request);
         if let Some(conn) = caller {
             self.answer(now, transport, conn, &reply);
         }
@@ -458,10 +457,10 @@
             ?load_time,
             "a job"
         );
-        self.lives.begin(request, now, now + arrival.time_left, task);
+        self.lives.insert(request, now, now + arrival.time_left, task);
         self.callers.get_mut(&conn).expect("it has just asked").request = Some(request);
         self.control.advance_to(now);
-        self.control.request_arrived(&mut self.acts, &arrival);
+        self.control.request_arrived(&mut self.actions, &arrival);
     }
 
     /// A client has gone: nothing is owed to it, and its request ends.
@@ -471,9 +470,9 @@
         if let Some(request) = caller.request
             && self.lives.end(request).is_some()
         {
-            self.lives.forget(request);
+            self.lives.remove_if_done(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, request);
+            self.control.client_disconnected(&mut self.actions, request);
         }
     }
 
@@ -502,13 +501,14 @@
         }
         for (request, answer, body) in came.answers {
             // Given up, told twice, or never asked for: nobody waits for it.
-            let Some(n) = self.links.get_mut(&conn).and_then(|link| link.out.remove(&request)) else {
+            let Some(index) = self.links.get_mut(&conn).and_then(|link| link.out.remove(&request)) else {
                 continue;
             };
+            let attempt = AttemptId { request, index };
             if answer.outcome == Outcome::Finished {
                 self.end(now, transport, request, Reply { body, ..Reply::bare(200) });
             }
-            self.close(now, request, n, answer);
+            self.close_attempt(now, attempt, answer);
         }
         if let Err(fault) = read {
             tracing::debug!(reason = fault.reason, detail = fault.detail, "a connection to a server is cut");
@@ -532,19 +532,28 @@
         if let Some(worker) = self.workers.get_mut(link.server) {
             worker.links.retain(|c| *c != conn);
         }
-        for (request, n) in link.out {
-            self.close(now, request, n, ended(attempt_outcome::of_end(Reached::Written)));
+        for (request, index) in link.out {
+            let attempt = AttemptId { request, index };
+            self.close_attempt(
+                now,
+                attempt,
+                attempt_result(attempt_outcome::on_disconnect(SendProgress::Sent)),
+            );
         }
-        for (request, n) in link.given_up {
-            self.close(now, request, n, ended(Outcome::Cancelled));
+        for attempt in link.given_up {
+            self.close_attempt(now, attempt, attempt_result(Outcome::Cancelled));
         }
         for item in link.queue {
-            let Item::Run(request, n) = item else { continue };
+            let Item::Run(attempt) = item else { continue };
             if link.open {
                 // Nothing of it had left when the connection broke: it goes out on another one.
-                self.place(now, transport, request, n);
+                self.place(now, transport, attempt);
             } else {
-                self.close(now, request, n, ended(attempt_outcome::of_end(Reached::NotOpen)));
+                self.close_attempt(
+                    now,
+                    attempt,
+                    attempt_result(attempt_outcome::on_disconnect(SendProgress::NotConnected)),
+                );
             }
         }
     }
@@ -558,8 +567,8 @@
         let (runs, rests): (Vec<_>, Vec<_>) = queue.into_iter().partition(|i| matches!(i, Item::Run(..)));
         link.queue = rests.into();
         for item in runs {
-            if let Item::Run(request, n) = item {
-                self.close(now, request, n, ended(Outcome::Superseded));
+            if let Item::Run(attempt) = item {
+                self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
             }
         }
         self.sweep_link(now, transport, conn);
@@ -601,7 +610,7 @@
         self.fleet = self.workers.ready().max(1);
         let entries: Vec<Endpoint> = list.iter().map(|m| m.listed.clone()).collect();
         self.control.advance_to(now);
-        self.control.endpoints_updated(&mut self.acts, kind, &entries);
+        self.control.endpoints_updated(&mut self.actions, kind, &entries);
     }
 
     // ---- The way out -------------------------------------------------------------------------
@@ -667,7 +676,7 @@
         }
         if self.leaving.is_some_and(|since| now >= since + ANSWER_ALL) {
             self.control.advance_to(now);
-            self.control.finish_all(&mut self.acts);
+            self.control.finish_all(&mut self.actions);
         }
         if self.leaving.is_some_and(|since| now >= since + LEAVING) {
             self.wind_up(now, transport);
@@ -764,14 +773,18 @@
     }
 
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake.0 & 1 == 0 && self.watch.stale(now) {
+        if DeferredCalls::<Node>::is_control(wake) && self.watch.stale(now) {
             // What the module would send now would not be let go.
             transport.wake_at(now + TICK, wake);
-        } else if wake.0 & 1 == 0 {
-            self.control.advance_to(now);
-            self.control.timer_fired(&mut self.acts, TimerToken(wake.0 >> 1));
-        } else if let Some(step) = self.steps.remove(&wake.0) {
-            step(self, now, transport);
+        } else {
+            match self.deferred.fired(wake) {
+                Some(FiredTimer::Control(token)) => {
+                    self.control.advance_to(now);
+                    self.control.timer_fired(&mut self.actions, token);
+                }
+                Some(FiredTimer::Call(call)) => call(self, now, transport),
+                None => {}
+            }
         }
         self.settle(now, transport);
     }
