--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -217,15 +217,15 @@
         let before = allocated().live;
         let mut hosts = EndpointList::default();
         let begun = Instant::now();
-        drop(hosts.line(&full, &zones).expect("a good line"));
+        drop(hosts.read_line(&full, &zones).expect("a good line"));
         let first = begun.elapsed();
         let state = allocated().live - before;
         let begun = Instant::now();
-        drop(hosts.line(&full, &zones).expect("a good line"));
+        drop(hosts.read_line(&full, &zones).expect("a good line"));
         let again = begun.elapsed();
         let changes: Vec<Vec<u8>> = (0..1_000).map(|n| list_line("changes", n..n + 1)).collect();
         let begun = Instant::now();
-        changes.iter().for_each(|line| drop(hosts.line(line, &zones).expect("a good line")));
+        changes.iter().for_each(|line| drop(hosts.read_line(line, &zones).expect("a good line")));
         let change = begun.elapsed().as_secs_f64() * 1e6 / changes.len() as f64;
         let ms = |took: Duration| took.as_secs_f64() * 1e3;
         [full.len() as f64 / 1e3, ms(first), ms(again), state as f64 / 1e6, changes[0].len() as f64, change]
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,10 +1,12 @@
-//! The host list: one record a worker, and what each message of the list does to it.
+//! The endpoint list: one record a worker, and what each message of the list does to it.
 //!
 //! A message is one line of JSON: `{"kind":"full","workers":[{"name":"w1","address":"127.0.0.1:9000",
 //! "standing":"ready","started":1764600000000,"zone":"hall-a","rack":0,"weight":4}]}`. `kind` is `full` or
-//! `changes`;
-//! `standing` is `ready`, `draining` or `gone`; `started` is ms since the Unix epoch, 0 or absent where
-//! unknown.
+//! `changes`; `standing` is `ready`, `draining` or `gone`; `started` is ms since the Unix epoch, 0 or absent
+//! where unknown.
+//!
+//! Owned here: the workers' records with their idle connections. Messages of the list enter through
+//! [`EndpointList::read_line`], workers of the settings through [`EndpointList::apply`].
 use crate::errors::EndpointListError;
 use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
 use applepond_reactor::Conn;
@@ -16,182 +18,249 @@
 /// 30,000 of the fleet that decides the design (docs/CAPACITY.md).
 pub const MAX_WORKERS: usize = 60_000;
 
+/// A connection that is established and carries nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct IdleConnection {
+    /// The connection.
+    pub conn: Conn,
+    /// When it became idle.
+    pub since: Micros,
+}
+
 /// The one record of a worker.
-pub struct Worker {
+pub struct WorkerRecord {
+    /// Its name.
     pub name: String,
+    /// Where it accepts requests.
     pub address: SocketAddr,
-    pub standing: WorkerStatus,
+    /// Whether it takes new requests.
+    pub status: WorkerStatus,
+    /// When its process started, as the list says; 0 where unknown. Another value is another process.
     pub up_since: Micros,
-    /// Connections that stand and carry nothing, each with when it fell idle; the latest last.
-    pub idle: Vec<(Conn, Micros)>,
-    /// Attempts out there.
-    pub out: usize,
-    /// This process of it has answered here.
-    pub answered: bool,
+    /// Its idle connections; the one that became idle last is last.
+    pub idle: Vec<IdleConnection>,
+    /// Attempts in flight.
+    pub in_flight: usize,
+    /// This process of it has answered this router.
+    pub has_answered: bool,
+}
+
+impl WorkerRecord {
+    fn new(named: &NamedEndpoint) -> Self {
+        WorkerRecord {
+            name: named.name.clone(),
+            address: named.address,
+            status: named.entry.status,
+            up_since: named.entry.up_since,
+            idle: Vec::new(),
+            in_flight: 0,
+            has_answered: false,
+        }
+    }
+
+    /// Takes a new entry. Gives the idle connections that are of no more use: those to a process that was
+    /// replaced, moved, or is to stop.
+    fn update(&mut self, address: SocketAddr, entry: &EndpointEntry) -> Vec<IdleConnection> {
+        let is_other_process = self.address != address || self.up_since != entry.up_since;
+        let useless = if is_other_process || entry.status != WorkerStatus::Ready {
+            std::mem::take(&mut self.idle)
+        } else {
+            Vec::new()
+        };
+        self.address = address;
+        self.status = entry.status;
+        if entry.status == WorkerStatus::Ready {
+            self.has_answered &= self.up_since == entry.up_since;
+            self.up_since = entry.up_since;
+        }
+        useless
+    }
 }
 
+/// All workers that the list or the settings name.
 #[derive(Default)]
 pub struct EndpointList {
-    workers: BTreeMap<WorkerId, Worker>,
-    /// Those that are gone and still have attempts out, or had when that was looked at last.
+    workers: BTreeMap<WorkerId, WorkerRecord>,
+    /// Workers that are gone and had attempts in flight when that was last looked at.
     gone: BTreeSet<WorkerId>,
 }
 
-/// What a message leaves to do: the entries for the module, and connections that are of no more use.
+/// What a message leaves to do.
 #[derive(Debug, PartialEq)]
-pub struct Taken {
+pub struct EndpointUpdate {
+    /// Whether the message names all workers.
     pub kind: EndpointListKind,
-    pub entries: Vec<Entry>,
-    pub cut: Vec<Conn>,
+    /// The entries for `Control`.
+    pub entries: Vec<EndpointEntry>,
+    /// Connections to cut.
+    pub disconnect: Vec<Conn>,
 }
 
-/// An entry for the module; `Endpoint` has no comparison of its own.
+/// An entry for `Control`. [`Endpoint`], which it is turned into, has no comparison of its own.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
-    pub server: WorkerId,
-    pub standing: WorkerStatus,
+pub struct EndpointEntry {
+    /// The worker: the digest of its name.
+    pub worker: WorkerId,
+    /// Whether it takes new requests.
+    pub status: WorkerStatus,
+    /// When its process started; 0 where unknown.
     pub up_since: Micros,
+    /// Its zone, where the settings know it.
     pub zone: Option<ZoneId>,
+    /// Its rack; one of its own where the list names none.
     pub rack: RackId,
+    /// Relative capacity.
     pub weight: f64,
 }
 
-impl From<&Entry> for Endpoint {
-    fn from(e: &Entry) -> Self {
+impl From<&EndpointEntry> for Endpoint {
+    fn from(entry: &EndpointEntry) -> Self {
         Endpoint {
-            worker: e.server,
-            status: e.standing,
-            up_since: e.up_since,
-            zone: e.zone,
-            rack: e.rack,
-            weight: e.weight,
+            worker: entry.worker,
+            status: entry.status,
+            up_since: entry.up_since,
+            zone: entry.zone,
+            rack: entry.rack,
+            weight: entry.weight,
         }
     }
 }
 
+/// A worker as a message names it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct NamedEndpoint {
+    /// Its name.
+    pub name: String,
+    /// Where it accepts requests.
+    pub address: SocketAddr,
+    /// What `Control` is told of it.
+    pub entry: EndpointEntry,
+}
+
 impl EndpointList {
-    pub fn get(&self, server: WorkerId) -> Option<&Worker> {
-        self.workers.get(&server)
+    /// The record of a worker.
+    pub fn get(&self, worker: WorkerId) -> Option<&WorkerRecord> {
+        self.workers.get(&worker)
     }
 
-    pub fn get_mut(&mut self, server: WorkerId) -> Option<&mut Worker> {
-        self.workers.get_mut(&server)
+    /// The record of a worker.
+    pub fn get_mut(&mut self, worker: WorkerId) -> Option<&mut WorkerRecord> {
+        self.workers.get_mut(&worker)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+    /// All records.
+    pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &WorkerRecord)> {
         self.workers.iter()
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&WorkerId, &mut Worker)> {
+    /// All records.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&WorkerId, &mut WorkerRecord)> {
         self.workers.iter_mut()
     }
 
-    /// Takes one line of the list. A line that cannot be read changes nothing: the list known so far holds.
-    pub fn line(&mut self, line: &[u8], zones: &[String]) -> Result<Taken, EndpointListError> {
+    /// How many workers have this status.
+    pub(crate) fn count(&self, status: WorkerStatus) -> usize {
+        self.workers.values().filter(|worker| worker.status == status).count()
+    }
+
+    /// Takes one line of the list.
+    ///
+    /// # Errors
+    ///
+    /// The line cannot be read; it changes nothing, and the list known so far holds.
+    pub fn read_line(&mut self, line: &[u8], zones: &[String]) -> Result<EndpointUpdate, EndpointListError> {
         let message: Value =
-            serde_json::from_slice(line).map_err(|e| EndpointListError::NotJson(e.to_string()))?;
+            serde_json::from_slice(line).map_err(|error| EndpointListError::NotJson(error.to_string()))?;
         let kind = match message["kind"].as_str() {
             Some("full") => EndpointListKind::Full,
             Some("changes") => EndpointListKind::Changes,
             other => {
-                return Err(EndpointListError::field(
-                    "kind",
-                    format!("{other:?}; \"full\" or \"changes\" is wanted"),
-                ));
+                let expected = format!("{other:?}; \"full\" or \"changes\" is wanted");
+                return Err(EndpointListError::field("kind", expected));
             }
         };
-        let workers =
-            message["workers"].as_array().ok_or_else(|| EndpointListError::field("workers", "no array"))?;
+        let no_array = || EndpointListError::field("workers", "no array");
+        let workers = message["workers"].as_array().ok_or_else(no_array)?;
         if workers.len() > MAX_WORKERS {
             return Err(EndpointListError::TooMany { found: workers.len(), max: MAX_WORKERS });
         }
-        let read = |(n, worker)| {
-            entry(worker, zones)
-                .map_err(|why| EndpointListError::field(format!("workers[{n}]"), why.to_string()))
+        let read = |(index, worker)| {
+            read_worker(worker, zones)
+                .map_err(|error| EndpointListError::field(format!("workers[{index}]"), error.to_string()))
         };
-        let read: Result<Vec<_>, EndpointListError> = workers.iter().enumerate().map(read).collect();
-        Ok(self.take(kind, read?))
+        let named: Result<Vec<_>, EndpointListError> = workers.iter().enumerate().map(read).collect();
+        Ok(self.apply(kind, named?))
     }
 
-    pub fn take(&mut self, kind: EndpointListKind, read: Vec<(String, SocketAddr, Entry)>) -> Taken {
-        let mut cut = Vec::new();
+    /// Takes a list that has been read.
+    pub fn apply(&mut self, kind: EndpointListKind, named: Vec<NamedEndpoint>) -> EndpointUpdate {
+        let mut useless = Vec::new();
         if kind == EndpointListKind::Full {
-            let named: BTreeSet<WorkerId> = read.iter().map(|(_, _, entry)| entry.server).collect();
-            for (id, worker) in self.workers.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                worker.standing = WorkerStatus::Gone;
-                cut.extend(worker.idle.drain(..).map(|(conn, _)| conn));
-                self.gone.insert(*id);
-            }
+            useless = self.remove_unnamed(&named);
         }
         let mut entries = Vec::new();
-        for (name, address, entry) in read {
-            let worker = self.workers.entry(entry.server).or_insert_with(|| Worker {
-                name,
-                address,
-                standing: entry.standing,
-                up_since: entry.up_since,
-                idle: Vec::new(),
-                out: 0,
-                answered: false,
-            });
-            // A process that was replaced, moved or is to stop: its idle connections lead nowhere.
-            if worker.address != address
-                || worker.up_since != entry.up_since
-                || entry.standing != WorkerStatus::Ready
-            {
-                cut.extend(worker.idle.drain(..).map(|(conn, _)| conn));
-            }
-            worker.address = address;
-            worker.standing = entry.standing;
-            if entry.standing == WorkerStatus::Ready {
-                worker.answered &= worker.up_since == entry.up_since;
-                worker.up_since = entry.up_since;
-            }
-            if entry.standing == WorkerStatus::Gone {
-                self.gone.insert(entry.server);
+        for endpoint in named {
+            let id = endpoint.entry.worker;
+            let worker = self.workers.entry(id).or_insert_with(|| WorkerRecord::new(&endpoint));
+            useless.extend(worker.update(endpoint.address, &endpoint.entry));
+            if endpoint.entry.status == WorkerStatus::Gone {
+                self.gone.insert(id);
             }
-            entries.push(entry);
+            entries.push(endpoint.entry);
         }
         self.forget_gone();
-        Taken { kind, entries, cut }
+        let disconnect = useless.into_iter().map(|idle| idle.conn).collect();
+        EndpointUpdate { kind, entries, disconnect }
+    }
+
+    /// Marks the workers that a full list does not name as gone; gives their idle connections.
+    fn remove_unnamed(&mut self, named: &[NamedEndpoint]) -> Vec<IdleConnection> {
+        let mut useless = Vec::new();
+        let named: BTreeSet<WorkerId> = named.iter().map(|endpoint| endpoint.entry.worker).collect();
+        for (id, worker) in self.workers.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            worker.status = WorkerStatus::Gone;
+            useless.append(&mut worker.idle);
+            self.gone.insert(*id);
+        }
+        useless
     }
 
-    /// Forgets those that are gone and have nothing out. Only those are looked at, not the whole list.
+    /// Forgets the workers that are gone and have nothing in flight. Only those that are gone are looked at,
+    /// not the whole list.
     fn forget_gone(&mut self) {
         self.gone.retain(|id| {
             let Some(worker) = self.workers.get(id) else { return false };
-            if worker.standing == WorkerStatus::Gone && worker.out == 0 {
+            if worker.status == WorkerStatus::Gone && worker.in_flight == 0 {
                 self.workers.remove(id);
                 return false;
             }
-            worker.standing == WorkerStatus::Gone
+            worker.status == WorkerStatus::Gone
         });
     }
 }
 
-fn entry(worker: &Value, zones: &[String]) -> Result<(String, SocketAddr, Entry), EndpointListError> {
-    let name = worker["name"]
-        .as_str()
-        .filter(|n| !n.is_empty())
-        .ok_or_else(|| EndpointListError::field("name", "no text"))?;
-    let address = worker["address"].as_str().and_then(|a| a.parse().ok());
-    let address = address
-        .ok_or_else(|| EndpointListError::field("address", format!("{name} has no address with a port")))?;
-    let standing = match worker["standing"].as_str() {
+/// Reads one element of `workers`.
+fn read_worker(worker: &Value, zones: &[String]) -> Result<NamedEndpoint, EndpointListError> {
+    let name = worker["name"].as_str().filter(|name| !name.is_empty());
+    let name = name.ok_or_else(|| EndpointListError::field("name", "no text"))?;
+    let address = worker["address"].as_str().and_then(|address| address.parse().ok());
+    let no_address = || EndpointListError::field("address", format!("{name} has no address with a port"));
+    let address = address.ok_or_else(no_address)?;
+    let status = match worker["standing"].as_str() {
         Some("ready") => WorkerStatus::Ready,
         Some("draining") => WorkerStatus::Draining,
         Some("gone") => WorkerStatus::Gone,
         other => return Err(EndpointListError::field("standing", format!("{name} is {other:?}"))),
     };
-    let zone = worker["zone"].as_str().and_then(|z| zones.iter().position(|known| known == z)).map(ZoneId);
-    let server = WorkerId::named(name);
-    let entry = Entry {
-        server,
-        standing,
+    let zone = worker["zone"].as_str().and_then(|zone| zones.iter().position(|known| known == zone));
+    let id = WorkerId::named(name);
+    let entry = EndpointEntry {
+        worker: id,
+        status,
         up_since: worker["started"].as_u64().unwrap_or(0).saturating_mul(1000),
-        zone,
-        rack: worker["rack"].as_i64().map_or_else(|| RackId::unshared(server), RackId),
+        zone: zone.map(ZoneId),
+        rack: worker["rack"].as_i64().map_or_else(|| RackId::unshared(id), RackId),
         weight: worker["weight"].as_f64().unwrap_or(1.0),
     };
-    Ok((name.to_owned(), address, entry))
+    Ok(NamedEndpoint { name: name.to_owned(), address, entry })
 }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,12 +1,12 @@
 //! The instance itself: connects the clients' side, the module, the workers' side and the host list.
-use crate::client::{self, Ask, Caller, Draft, Patience, Told};
+use crate::client::{Answer, ClientConnection, ClientRequest, EventDraft, TimeoutCheck};
 use crate::deferred::{DeferredCall, DeferredCalls, FiredTimer};
 use crate::deployment::{Deployment, FunctionConfig, FunctionSource, StaticWorker, WorkloadEvents};
-use crate::endpoint_list::{EndpointList, Entry, Taken};
+use crate::endpoint_list::{EndpointEntry, EndpointList, EndpointUpdate, IdleConnection, NamedEndpoint};
 use crate::errors::ReloadError;
-use crate::idempotency::{Claim, Claims, Ending, Name};
+use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey, IdempotencyTable, Lookup};
 use crate::request_table::{Action, ActionQueue, AttemptId, Dispatch, RequestTable, Started, attempt_result};
-use crate::worker_connection::{Answering, Link};
+use crate::worker_connection::{WorkerConnection, WorkerResponse};
 use crate::{attempt_outcome, deadline, reload};
 use applepond::control::Control;
 use applepond::interface::*;
@@ -55,7 +55,7 @@
 
 /// What this gateway keeps of a request beside its life.
 struct Task {
-    name: Name,
+    name: IdempotencyKey,
     /// Digests of who asked first, and of the request's name.
     client: u64,
     digest: u64,
@@ -79,7 +79,7 @@
 
 /// A request as it is begun, for a client or for a chain.
 struct Wanted {
-    name: Name,
+    name: IdempotencyKey,
     client: u64,
     digest: u64,
     workload: usize,
@@ -208,11 +208,11 @@
     picks: Rc<[String]>,
     control: Control,
     actions: ActionQueue,
-    callers: FxHashMap<Conn, Caller>,
-    links: FxHashMap<Conn, Link>,
+    callers: FxHashMap<Conn, ClientConnection>,
+    links: FxHashMap<Conn, WorkerConnection>,
     listed: EndpointList,
     tasks: RequestTable<Task>,
-    claims: Claims<Told>,
+    idempotency: IdempotencyTable<Answer>,
     /// Tells storms of retries, and stands before the module while one lasts.
     gate: Gate,
     chains: workflow::Chains,
@@ -224,13 +224,13 @@
     /// Clients whose answer has gone out and whose next request may be here.
     ready: VecDeque<Conn>,
     counts: Counts,
-    /// Told where it listens, once it does.
+    /// Answer where it listens, once it does.
     on_listening: Box<dyn FnMut(std::net::SocketAddr)>,
     news: News,
     memory: Option<Box<dyn Memory>>,
     openings: Option<Box<dyn Openings>>,
     /// The list's word on each worker, where memory may make something else of it.
-    said_ready: BTreeMap<WorkerId, Entry>,
+    said_ready: BTreeMap<WorkerId, EndpointEntry>,
     born: Micros,
     /// What others of the process have for the state page.
     pages: Vec<(&'static str, Page)>,
@@ -245,11 +245,7 @@
     ) -> Self {
         let mut actions = ActionQueue::default();
         let control = Control::new(now, deployment.startup.clone(), &mut actions);
-        let claims = Claims::new(
-            deployment.answer_retention.time,
-            deployment.answer_retention.max_answers,
-            deployment.answer_retention.max_bytes,
-        );
+        let idempotency = IdempotencyTable::new(deployment.answer_retention);
         let gate = Gate::new(now, deployment.startup.seed);
         Gateway {
             gate,
@@ -262,7 +258,7 @@
             links: FxHashMap::default(),
             listed: EndpointList::default(),
             tasks: RequestTable::default(),
-            claims,
+            idempotency,
             deferred: DeferredCalls::default(),
             next_job: 0,
             watch: Watch { pause: WATCH_AGAIN, ..Watch::default() },
@@ -318,7 +314,7 @@
         tracing::info!(reason = "settings-switched", switches = self.counts.switched, "new settings hold");
         self.deployment = merged;
         self.picks = picks(&self.deployment);
-        self.callers.values_mut().for_each(|caller| caller.rename(&self.picks));
+        self.callers.values_mut().for_each(|caller| caller.set_attribute_names(&self.picks));
         self.control.advance_to(now);
         self.control.reconfigure(&mut self.actions, self.deployment.startup.clone());
         if self.deployment.endpoint_list.is_none() {
@@ -327,16 +323,20 @@
     }
 
     fn named_workers(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let entry = |w: &StaticWorker| Entry {
-            server: WorkerId::named(&w.name),
-            standing: WorkerStatus::Ready,
+        let entry = |w: &StaticWorker| EndpointEntry {
+            worker: WorkerId::named(&w.name),
+            status: WorkerStatus::Ready,
             up_since: 0,
             zone: w.zone.map(ZoneId),
             rack: w.rack,
             weight: w.weight,
         };
-        let named = self.deployment.workers.iter().map(|w| (w.name.clone(), w.address, entry(w)));
-        let taken = self.listed.take(EndpointListKind::Full, named.collect());
+        let named = self.deployment.workers.iter().map(|w| NamedEndpoint {
+            name: w.name.clone(),
+            address: w.address,
+            entry: entry(w),
+        });
+        let taken = self.listed.apply(EndpointListKind::Full, named.collect());
         self.listed(now, transport, &taken);
     }
 
@@ -402,8 +402,8 @@
                     }
                     let fault =
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
-                    let id = self.tasks.get(request).map(|t| t.data.name.1.clone());
-                    let told = client::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
+                    let id = self.tasks.get(request).map(|t| t.data.name.id.clone());
+                    let told = Answer::problem(FinalOutcome::Rejected, &fault, id.as_deref(), come_back);
                     self.end(now, transport, request, told);
                 }
                 Action::Fail(request) => {
@@ -414,8 +414,8 @@
                     } else {
                         Fault::new(502, "killed", "the worker failed; the job may have run")
                     };
-                    let id = task.data.name.1.clone();
-                    let told = client::problem(Ending::Killed, &fault, Some(&id), None);
+                    let id = task.data.name.id.clone();
+                    let told = Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None);
                     self.end(now, transport, request, told);
                 }
                 Action::SetTimer(delay, token) => {
@@ -435,7 +435,7 @@
             Some(Started::InFlight(attempt)) => {
                 self.counts.attempts += 1;
                 if let Some(worker) = self.listed.get_mut(dispatch.worker) {
-                    worker.out += 1;
+                    worker.in_flight += 1;
                 }
                 self.arm(now, transport);
                 self.connect(now, transport, attempt);
@@ -469,23 +469,23 @@
         let Some(task) = self.tasks.get_mut(attempt.request) else { return };
         let server = task.attempts[attempt.index].worker;
         let at_most_once = task.data.effect == RetrySafety::AtMostOnce;
-        let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
+        let Some(worker) = self.listed.get_mut(server).filter(|w| w.status == WorkerStatus::Ready) else {
             self.close_attempt(now, attempt, attempt_result(Outcome::ConnectFailed));
             return;
         };
         let rested = if at_most_once { IDLE_AT_MOST_ONCE } else { IDLE_LIMIT };
         // The latest of them is the freshest; where that is too old, all are, and the sweep takes them.
-        let fresh = worker.idle.last().is_some_and(|(_, since)| now < since + rested);
+        let fresh = worker.idle.last().is_some_and(|idle| now < idle.since + rested);
         let conn = match if fresh { worker.idle.pop() } else { None } {
-            Some((conn, _)) => {
+            Some(IdleConnection { conn, .. }) => {
                 let link = self.links.get_mut(&conn).expect("idle connections are known");
-                link.carries = Some(attempt);
+                link.attempt = Some(attempt);
                 link.sent_before = transport.sent(conn);
                 conn
             }
             None => {
                 let conn = transport.connect(worker.address, self.deployment.connect_timeout);
-                self.links.insert(conn, Link::new(server, attempt));
+                self.links.insert(conn, WorkerConnection::new(server, attempt));
                 conn
             }
         };
@@ -498,16 +498,16 @@
     /// Writes the request of the attempt that a connection carries.
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get(&conn) else { return };
-        let Some(attempt) = link.carries else { return };
+        let Some(attempt) = link.attempt else { return };
         let request = attempt.request;
-        let Some(worker) = self.listed.get(link.server) else { return };
+        let Some(worker) = self.listed.get(link.worker) else { return };
         // Its client has gone while the connection was made, or it is a repeat that would not be known now.
         if !self.tasks.get(request).is_some_and(|task| task.may_start(now, attempt.index)) {
             self.end_attempt(now, transport, attempt, Outcome::Superseded);
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
-        if worker.standing != WorkerStatus::Ready {
+        if worker.status != WorkerStatus::Ready {
             self.end_attempt(now, transport, attempt, Outcome::ConnectFailed);
             return;
         }
@@ -562,7 +562,7 @@
         let server = self.tasks.get(attempt.request).map(|task| task.attempts[attempt.index].worker);
         let Some(answer) = self.tasks.close_attempt(now, attempt, answer) else { return };
         if let Some(worker) = server.and_then(|server| self.listed.get_mut(server)) {
-            worker.out = worker.out.saturating_sub(1);
+            worker.in_flight = worker.in_flight.saturating_sub(1);
         }
         tracing::debug!(attempt = attempt.index, ?answer.outcome, answer.elapsed, "attempt closed");
         self.control.advance_to(now);
@@ -572,7 +572,7 @@
     // ---- The end of a request --------------------------------------------------------------------
 
     /// The one place where a request ends: each exchange that waits gets the answer, the log its line.
-    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Told>) {
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Answer>) {
         let Some(task) = self.tasks.end(request) else { return };
         if let Some(then) = task.data.then.take() {
             let end = workflow::StepEnd { told, took: now - task.arrived_at, stood: task.data.stood };
@@ -580,17 +580,23 @@
             self.chains.ends.push_back((then, end));
             return;
         }
-        let count = match told.ending {
-            Ending::Finished => &mut self.counts.finished,
-            Ending::PushedBack => &mut self.counts.pushed_back,
-            Ending::Killed => &mut self.counts.killed,
+        let count = match told.outcome {
+            FinalOutcome::Finished => &mut self.counts.finished,
+            FinalOutcome::Rejected => &mut self.counts.pushed_back,
+            FinalOutcome::Failed => &mut self.counts.killed,
         };
         *count += 1;
-        self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
-        self.claims.end(now, &task.data.name, told.ending, task.data.effect, told.clone(), told.bytes());
+        self.gate.ended(now, told.outcome == FinalOutcome::Finished, told.outcome == FinalOutcome::Rejected);
+        let completion = Completion {
+            outcome: told.outcome,
+            retry_safety: task.data.effect,
+            answer: told.clone(),
+            bytes: told.bytes(),
+        };
+        self.idempotency.complete(now, &task.data.name, completion);
         tracing::info!(
-            id = %task.data.name.1,
-            source = %task.data.name.0,
+            id = %task.data.name.id,
+            source = %task.data.name.source,
             function = %task.data.function,
             workload = %self.deployment.workloads[task.data.workload].name,
             reason = told.reason,
@@ -616,14 +622,14 @@
     /// Takes the requests that are whole, as far as answers allow.
     fn read_on(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(caller) = self.callers.get_mut(&conn)
-            && let Some(asked) = caller.next(transport, conn)
+            && let Some(asked) = caller.next_request(transport, conn)
         {
             match asked {
-                Ok(Ask::Event(draft)) => match self.take(now, conn, *draft) {
+                Ok(ClientRequest::Event(draft)) => match self.take(now, conn, *draft) {
                     Ok(()) => {}
                     Err(told) => self.answer(now, transport, conn, &told),
                 },
-                Ok(Ask::StatePage) => {
+                Ok(ClientRequest::StatePage) => {
                     let told = self.state_page(now);
                     self.answer(now, transport, conn, &told);
                 }
@@ -636,7 +642,7 @@
         }
     }
 
-    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Told) {
+    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Answer) {
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.answer(now, transport, conn, told);
         }
@@ -644,26 +650,28 @@
 
     /// Takes one event: it joins its request, is told its answer again, or becomes a request. An error is
     /// its answer.
-    fn take(&mut self, now: Micros, conn: Conn, draft: Draft) -> Result<(), Rc<Told>> {
+    fn take(&mut self, now: Micros, conn: Conn, draft: EventDraft) -> Result<(), Rc<Answer>> {
         let id = draft.id.clone();
         let refuse = |status, reason, detail: String| {
             let fault = Fault::new(status, reason, detail);
             tracing::info!(id, reason, status, "event refused");
-            Err(client::problem(Ending::PushedBack, &fault, Some(&id), None))
+            Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), None))
         };
-        if let Some(row) = self.deployment.workflows.iter().position(|c| c.types.contains(&draft.kind)) {
+        if let Some(row) = self.deployment.workflows.iter().position(|c| c.types.contains(&draft.event_type))
+        {
             return self.take_chain(now, conn, row, draft);
         }
-        let Some(workload) = self.deployment.workloads.iter().position(|w| w.types.contains(&draft.kind))
+        let Some(workload) =
+            self.deployment.workloads.iter().position(|w| w.types.contains(&draft.event_type))
         else {
-            let shown: String = draft.kind.escape_default().take(80).collect();
+            let shown: String = draft.event_type.escape_default().take(80).collect();
             return refuse(422, "unknown-workload", format!("no workload takes events of type '{shown}'"));
         };
         let deadline = self.deployment.workloads[workload].deadline;
         let names = &self.deployment.workloads[workload];
         let function = match &names.function_source {
             FunctionSource::Named(name) => Some(name.as_str()),
-            FunctionSource::Attribute(by) => draft.picked(by).filter(|f| !f.is_empty()),
+            FunctionSource::Attribute(by) => draft.attribute(by).filter(|f| !f.is_empty()),
         };
         let Some(function) = function.map(str::to_owned) else {
             return refuse(
@@ -674,21 +682,21 @@
         };
         let opening = names.prefix_attributes.as_ref().and_then(|prefix| {
             let name = draft
-                .picked(&prefix.name)
+                .attribute(&prefix.name)
                 .filter(|name| (1..=OPENING_MOST).contains(&name.len()))?
                 .to_owned();
             // One of unknown size is prepared as any, and never pinned.
-            let size = draft.picked(&prefix.size).and_then(|size| size.parse().ok()).unwrap_or(0);
+            let size = draft.attribute(&prefix.size).and_then(|size| size.parse().ok()).unwrap_or(0);
             Some(Opening { name, size })
         });
         let Ok(customer) = self.customer(&draft) else {
             return refuse(422, "unknown-customer", "no such customer has a share here".to_owned());
         };
-        let name: Name = (Rc::from(draft.source.as_str()), Rc::from(draft.id.as_str()));
+        let name: IdempotencyKey = IdempotencyKey::new(&draft.source, &draft.id);
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
-        let Some(left) = deadline::time_left(now, deadline, draft.asked) else {
+        let Some(left) = deadline::time_left(now, deadline, draft.deadline) else {
             return refuse(504, "expired", "the event's time was up when it came".to_owned());
         };
         let (client, digest, retry) = self.admit(now, &draft, workload, left)?;
@@ -706,15 +714,15 @@
             left,
             retry,
             paid: 1.0,
-            lines: draft.lines,
-            media: draft.media,
+            lines: draft.fields,
+            media: draft.media_type,
             data: Rc::new(draft.data),
             opening,
             callers: vec![conn],
             then: None,
         };
         let request = self.begin(now, wanted);
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.request = Some(request);
         }
@@ -727,13 +735,18 @@
     fn admit(
         &mut self,
         now: Micros,
-        draft: &Draft,
+        draft: &EventDraft,
         workload: usize,
         left: Micros,
-    ) -> Result<(u64, u64, bool), Rc<Told>> {
+    ) -> Result<(u64, u64, bool), Rc<Answer>> {
         if self.tasks.len() + self.chains.open.len() >= JOBS_MOST {
             let fault = Fault::new(503, "too-many-jobs", "this router holds as many jobs as it may");
-            return Err(client::problem(Ending::PushedBack, &fault, Some(&draft.id), Some(JOBS_MOST_WAIT)));
+            return Err(Answer::problem(
+                FinalOutcome::Rejected,
+                &fault,
+                Some(&draft.id),
+                Some(JOBS_MOST_WAIT),
+            ));
         }
         let client = FunctionId::named(&draft.source).0;
         let digest = FunctionId::named(&draft.id).0 ^ client.rotate_left(1);
@@ -742,7 +755,7 @@
             &applepond_admission::Arrival {
                 client,
                 name: digest,
-                retry: draft.retry,
+                retry: draft.is_retry,
                 importance: self.deployment.startup.workloads[workload].priority_weight,
                 left,
             },
@@ -750,7 +763,7 @@
         self.say_called(now);
         match passage {
             Passage::In { retry } => Ok((client, digest, retry)),
-            Passage::Back { .. } if !self.deployment.storm_shedding => Ok((client, digest, draft.retry)),
+            Passage::Back { .. } if !self.deployment.storm_shedding => Ok((client, digest, draft.is_retry)),
             Passage::Back { wait, why } => {
                 self.counts.damped += 1;
                 if let (Some(memory), Some(wait)) = (&mut self.memory, wait) {
@@ -760,14 +773,14 @@
                 let status = if why == "retry-budget" { 429 } else { 503 };
                 let fault =
                     Fault::new(status, why, "many ask again at once; a retry does no harm at the time told");
-                Err(client::problem(Ending::PushedBack, &fault, Some(&draft.id), wait))
+                Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&draft.id), wait))
             }
         }
     }
 
     /// The customer that an event names; an error is one that is not known.
-    fn customer(&self, draft: &Draft) -> Result<Option<CustomerId>, ()> {
-        match draft.picked(&self.deployment.customer_attribute) {
+    fn customer(&self, draft: &EventDraft) -> Result<Option<CustomerId>, ()> {
+        match draft.attribute(&self.deployment.customer_attribute) {
             None => Ok(None),
             Some(named) => {
                 let rows = &self.deployment.startup.customers;
@@ -780,9 +793,9 @@
     }
 
     /// Has an exchange join what runs under its name, or be told what came of it. None: the name is new.
-    fn taken(&mut self, now: Micros, conn: Conn, name: &Name) -> Option<Result<(), Rc<Told>>> {
-        match self.claims.claim(now, name) {
-            Claim::Join(request) => {
+    fn taken(&mut self, now: Micros, conn: Conn, name: &IdempotencyKey) -> Option<Result<(), Rc<Answer>>> {
+        match self.idempotency.look_up(now, name) {
+            Lookup::InProgress(request) => {
                 self.counts.joined += 1;
                 match (self.tasks.get_mut(request), self.chains.open.get_mut(&request)) {
                     (Some(task), _) => task.data.callers.push(conn),
@@ -794,11 +807,11 @@
                 }
                 Some(Ok(()))
             }
-            Claim::Again(told) => {
+            Lookup::Completed(told) => {
                 self.counts.again += 1;
                 Some(Err(told))
             }
-            Claim::New => None,
+            Lookup::New => None,
         }
     }
 
@@ -855,9 +868,9 @@
         let Some(task) = self.tasks.get_mut(request) else { return };
         task.data.callers.retain(|c| *c != conn);
         if task.data.callers.is_empty() && task.attempts.is_empty() && !task.ended {
-            let Task { name: (source, id), .. } = &task.data;
+            let IdempotencyKey { source, id } = &task.data.name;
             tracing::info!(%id, %source, reason = "client-left", "job ended");
-            self.claims.drop(&task.data.name);
+            self.idempotency.abandon(&task.data.name);
             self.tasks.remove(request);
             self.control.advance_to(now);
             self.control.client_disconnected(&mut self.actions, request);
@@ -898,8 +911,8 @@
         })
     }
 
-    fn state_page(&self, now: Micros) -> Rc<Told> {
-        let standing = |wanted| self.listed.iter().filter(|(_, w)| w.standing == wanted).count();
+    fn state_page(&self, now: Micros) -> Rc<Answer> {
+        let standing = |status| self.listed.count(status);
         let open = self.tasks.open_counts();
         let c = &self.counts;
         let body = serde_json::json!({
@@ -910,7 +923,7 @@
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
                 "pushed-back": c.pushed_back, "killed": c.killed, "requests-refused": c.refused},
             "executions": {"out": open.attempts, "begun": c.attempts},
-            "remembered": self.claims.remembered(),
+            "remembered": self.idempotency.kept_answers(),
             "chains": self.chains.state(),
             "storm": self.storm_state(now),
             "connections": {"clients": self.callers.len(), "workers": self.links.len(),
@@ -922,23 +935,20 @@
         for (name, page) in &self.pages {
             body[*name] = page(now);
         }
-        let mut lines = Lines::default();
-        lines.field("Content-Type", "application/json");
-        let body = format!("{body}\n").into_bytes();
-        Rc::new(Told { ending: Ending::Finished, status: 200, reason: "state", lines, body, come_back: None })
+        Answer::state_page(&body)
     }
 
     // ---- The workers' side -------------------------------------------------------------------
 
     fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let Some(attempt) = link.carries else {
+        let Some(attempt) = link.attempt else {
             // Nobody asked: a second answer, or garbage. What it belongs to can't be told.
             self.drop_link(transport, conn);
             return;
         };
         link.decoder.feed(bytes);
-        match link.decoder.step(&mut link.answering) {
+        match link.decoder.step(&mut link.response) {
             Ok(Decoded::More) => {}
             Ok(Decoded::Done) => self.link_answered(now, transport, conn),
             Err(fault) => {
@@ -951,48 +961,52 @@
     /// An answer is whole: the connection is free for the next, and the attempt closes.
     fn link_answered(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let mut answering = std::mem::take(&mut link.answering);
-        let Some(attempt) = link.carries.take() else { return };
+        let mut answering = std::mem::take(&mut link.response);
+        let Some(attempt) = link.attempt.take() else { return };
         let request = attempt.request;
-        link.kept = true;
-        let server = link.server;
+        link.reused = true;
+        let server = link.worker;
         // Bytes after the answer are a second one to the same request: that connection is not trusted
         // further.
-        let clean = answering.whole == Some(true) && link.decoder.idle();
+        let clean = answering.keep_alive == Some(true) && link.decoder.idle();
         if let Some(worker) = self.listed.get_mut(server) {
-            worker.answered = true;
+            worker.has_answered = true;
         }
-        let worker = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready);
+        let worker = self.listed.get_mut(server).filter(|w| w.status == WorkerStatus::Ready);
         match worker.filter(|w| clean && w.idle.len() < IDLE_MOST) {
-            Some(worker) => worker.idle.push((conn, now)),
+            Some(worker) => worker.idle.push(IdleConnection { conn, since: now }),
             None => {
                 transport.cut(conn);
                 self.links.remove(&conn);
             }
         }
-        let outcome =
-            attempt_outcome::from_response(answering.status, answering.mark.as_deref(), answering.event);
+        let outcome = attempt_outcome::from_response(
+            answering.status,
+            answering.verdict.as_deref(),
+            answering.is_event,
+        );
         if let Some(task) = self.tasks.get_mut(request) {
             task.attempts[attempt.index].connection = None;
             if outcome == Outcome::Finished && !task.ended {
-                task.data.stood =
-                    answering.copy != LoadState::LoadStarted && answering.copy != LoadState::LoadPending;
-                let mut lines = std::mem::take(&mut answering.lines);
+                task.data.stood = answering.was_loaded();
+                let mut lines = std::mem::take(&mut answering.fields);
                 lines.field("applepond-executions", &task.attempts.len().to_string());
                 let body = std::mem::take(&mut answering.body);
-                let told = Told::finished(lines, body);
+                let told = Answer::finished(lines, body);
                 self.end(now, transport, request, Rc::new(told));
             }
         }
-        let Answering { copy, company, held, loads, .. } = answering;
+        let WorkerResponse {
+            load_state, same_function_in_flight, reported_in_flight, reported_loads, ..
+        } = answering;
         self.close_attempt(
             now,
             attempt,
             AttemptResult {
-                load_state: copy,
-                same_function_in_flight: company,
-                reported_in_flight: held,
-                reported_loads: loads,
+                load_state,
+                same_function_in_flight,
+                reported_in_flight,
+                reported_loads,
                 ..attempt_result(outcome)
             },
         );
@@ -1001,22 +1015,22 @@
     /// A connection to a worker is gone, or its worker has ended its side.
     fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         let Some(mut link) = self.links.remove(&conn) else { return };
-        let Some(attempt) = link.carries else {
-            if let Some(worker) = self.listed.get_mut(link.server) {
-                worker.idle.retain(|(c, _)| *c != conn);
+        let Some(attempt) = link.attempt else {
+            if let Some(worker) = self.listed.get_mut(link.worker) {
+                worker.idle.retain(|idle| idle.conn != conn);
             }
             return;
         };
         // An answer without a length ends with its connection.
-        if link.decoder.in_body() && link.decoder.finish(&mut link.answering).is_ok() {
+        if link.decoder.in_body() && link.decoder.finish(&mut link.response).is_ok() {
             self.links.insert(conn, link);
             self.link_answered(now, transport, conn);
             return;
         }
-        let reached = attempt_outcome::send_progress(link.open, link.sent_before, sent);
+        let reached = attempt_outcome::send_progress(link.connected, link.sent_before, sent);
         if let Some(task) = self.tasks.get_mut(attempt.request) {
             task.attempts[attempt.index].connection = None;
-            if attempt_outcome::may_resend(reached, link.kept, why) && !task.ended {
+            if attempt_outcome::may_resend(reached, link.reused, why) && !task.ended {
                 self.connect(now, transport, attempt);
                 return;
             }
@@ -1027,16 +1041,16 @@
     fn drop_link(&mut self, transport: &mut dyn Transport, conn: Conn) {
         transport.cut(conn);
         if let Some(link) = self.links.remove(&conn)
-            && let Some(worker) = self.listed.get_mut(link.server)
+            && let Some(worker) = self.listed.get_mut(link.worker)
         {
-            worker.idle.retain(|(c, _)| *c != conn);
+            worker.idle.retain(|idle| idle.conn != conn);
         }
     }
 
     fn sweep(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, worker) in self.listed.iter_mut() {
-            let old = worker.idle.iter().take_while(|(_, since)| now >= since + IDLE_LIMIT).count();
-            for (conn, _) in worker.idle.drain(..old) {
+            let old = worker.idle.iter().take_while(|idle| now >= idle.since + IDLE_LIMIT).count();
+            for IdleConnection { conn, .. } in worker.idle.drain(..old) {
                 transport.cut(conn);
                 self.links.remove(&conn);
             }
@@ -1045,7 +1059,7 @@
             self.switch(now, transport, new);
         }
         if let Some(openings) = &mut self.openings {
-            openings.workers(self.listed.iter().filter(|(_, w)| w.standing == WorkerStatus::Ready).count());
+            openings.workers(self.listed.count(WorkerStatus::Ready));
         }
         self.after(now, transport, SWEEP, Box::new(|g, now, transport| g.sweep(now, transport)));
     }
@@ -1077,7 +1091,7 @@
             }
         }
         for (server, up_since, seen) in self.control.worker_histories() {
-            if self.listed.get(server).is_some_and(|w| w.answered && w.up_since == up_since) {
+            if self.listed.get(server).is_some_and(|w| w.has_answered && w.up_since == up_since) {
                 memory.saw(now, server, up_since, &seen);
             }
         }
@@ -1090,15 +1104,15 @@
         // A drain may be told after the list was, and may be over: each is looked at anew.
         let ready = WorkerStatus::Ready;
         let looks =
-            self.said_ready.values().map(|e| (e.clone(), memory.listed(now, e.server, e.up_since, ready)));
-        let looks: Vec<(Entry, WorkerStatus)> = looks.collect();
+            self.said_ready.values().map(|e| (e.clone(), memory.listed(now, e.worker, e.up_since, ready)));
+        let looks: Vec<(EndpointEntry, WorkerStatus)> = looks.collect();
         let mut entries = Vec::new();
         for (entry, is) in looks {
-            let Some(worker) = self.listed.get_mut(entry.server).filter(|w| w.standing != is) else {
+            let Some(worker) = self.listed.get_mut(entry.worker).filter(|w| w.status != is) else {
                 continue;
             };
-            worker.standing = is;
-            entries.push(Entry { standing: is, ..entry });
+            worker.status = is;
+            entries.push(EndpointEntry { status: is, ..entry });
         }
         if !entries.is_empty() {
             let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
@@ -1109,8 +1123,8 @@
 
     // ---- The host list -----------------------------------------------------------------------
 
-    fn listed(&mut self, now: Micros, transport: &mut dyn Transport, taken: &Taken) {
-        for conn in &taken.cut {
+    fn listed(&mut self, now: Micros, transport: &mut dyn Transport, taken: &EndpointUpdate) {
+        for conn in &taken.disconnect {
             transport.cut(*conn);
             self.links.remove(conn);
         }
@@ -1118,20 +1132,20 @@
         if taken.kind != EndpointListKind::Changes {
             // Who is not in it is gone: what was said of it before says nothing.
             self.said_ready.clear();
-            let named: Vec<_> = taken.entries.iter().map(|e| (e.server, e.up_since)).collect();
+            let named: Vec<_> = taken.entries.iter().map(|e| (e.worker, e.up_since)).collect();
             self.memory.iter_mut().for_each(|memory| memory.whole(&named));
         }
         if let Some(memory) = &mut self.memory {
             for entry in &mut entries {
-                let is = memory.listed(now, entry.server, entry.up_since, entry.standing);
-                self.said_ready.remove(&entry.server);
-                if entry.standing == WorkerStatus::Ready {
-                    self.said_ready.insert(entry.server, entry.clone());
+                let is = memory.listed(now, entry.worker, entry.up_since, entry.status);
+                self.said_ready.remove(&entry.worker);
+                if entry.status == WorkerStatus::Ready {
+                    self.said_ready.insert(entry.worker, entry.clone());
                 }
                 // Guards against a drain that was told before a restart and that a late list takes back.
-                if is != entry.standing {
-                    entry.standing = is;
-                    self.listed.get_mut(entry.server).into_iter().for_each(|w| w.standing = is);
+                if is != entry.status {
+                    entry.status = is;
+                    self.listed.get_mut(entry.worker).into_iter().for_each(|w| w.status = is);
                 }
             }
         }
@@ -1161,7 +1175,7 @@
         decoder.feed(bytes);
         let done = decoder.step(&mut self.watch.lines);
         while let Some(line) = self.watch.lines.whole.pop_front() {
-            match self.listed.line(&line, &self.deployment.zones) {
+            match self.listed.read_line(&line, &self.deployment.zones) {
                 Ok(taken) => {
                     self.watch.pause = WATCH_AGAIN;
                     self.listed(now, transport, &taken);
@@ -1222,7 +1236,8 @@
             transport.deafen(listener, false);
             self.after(now, transport, pause, Box::new(move |_, _, transport| transport.hear(listener)));
         }
-        self.callers.insert(conn, Caller::new(now, self.deployment.max_event_bytes, self.picks.clone()));
+        self.callers
+            .insert(conn, ClientConnection::new(now, self.deployment.max_event_bytes, self.picks.clone()));
         self.look_at_caller(now, transport, conn);
     }
 
@@ -1239,7 +1254,7 @@
                 .empty(),
             );
         } else if let Some(link) = self.links.get_mut(&conn) {
-            link.open = true;
+            link.connected = true;
             self.write(now, transport, conn);
         }
         self.settle(now, transport);
@@ -1305,12 +1320,12 @@
     /// Looks whether a client has used up its patience, and again when it next could have.
     fn look_at_caller(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
-        match caller.patience(now, transport, conn) {
-            Patience::Until(at) => {
+        match caller.check_timeout(now, transport, conn) {
+            TimeoutCheck::CheckAt(at) => {
                 let step: Step = Box::new(move |g, now, transport| g.look_at_caller(now, transport, conn));
                 self.after(now, transport, at.saturating_sub(now).min(LOOK), step);
             }
-            Patience::Over => self.caller_gone(now, conn),
+            TimeoutCheck::Closed => self.caller_gone(now, conn),
         }
     }
 }
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,10 +1,10 @@
 //! Chains on their way: each step is a request of its own that no client waits for; what it leaves to do is a
 //! closure, which is handed its end.
 use super::{Gateway, Wanted};
-use crate::client::{self, Draft, Told};
+use crate::client::{Answer, EventDraft};
 use crate::deadline;
 use crate::deployment::WorkloadEvents;
-use crate::idempotency::{Claim, Ending, Name};
+use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey, Lookup};
 use crate::request_table::AttemptId;
 use applepond::interface::*;
 use applepond_http::Fault;
@@ -35,7 +35,7 @@
 
 /// How a step's request ended.
 pub struct StepEnd {
-    pub told: Rc<Told>,
+    pub told: Rc<Answer>,
     /// µs from its beginning to its end.
     pub took: Micros,
     /// Its answer came from a copy that stood loaded.
@@ -47,7 +47,7 @@
 
 /// One chain, until its last step has ended.
 pub struct Chain {
-    name: Name,
+    name: IdempotencyKey,
     client: u64,
     digest: u64,
     customer: Option<CustomerId>,
@@ -59,7 +59,7 @@
     out: BTreeMap<StepId, RequestId>,
     /// The answer of the step that finished last, and the time that the last pushback named. What other steps
     /// said is kept for the record.
-    finished: Option<(StepId, Rc<Told>)>,
+    finished: Option<(StepId, Rc<Answer>)>,
     come_back: Option<Micros>,
     /// Attributes, media type and data that each step's event takes over.
     lines: Lines,
@@ -78,7 +78,7 @@
     /// What a step that finished said: as it was told, or as it is on record.
     fn answer(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
         if let Some((_, told)) = self.finished.as_ref().filter(|(of, _)| *of == step) {
-            return Some((told.lines.clone(), told.body.clone()));
+            return Some((told.fields.clone(), told.body.clone()));
         }
         let end = self.kept.steps.get(&(step.0 as u32))?.end.as_ref()?;
         end.answer.as_ref().map(|a| (Lines::of(a.lines.clone()), a.body.clone()))
@@ -184,11 +184,11 @@
     FunctionId::named(&format!("{plan:?}{names:?}")).0
 }
 
-fn how(ending: Ending) -> How {
+fn how(ending: FinalOutcome) -> How {
     match ending {
-        Ending::Finished => How::Finished,
-        Ending::PushedBack => How::NeverRan,
-        Ending::Killed => How::MayHaveRun,
+        FinalOutcome::Finished => How::Finished,
+        FinalOutcome::Rejected => How::NeverRan,
+        FinalOutcome::Failed => How::MayHaveRun,
     }
 }
 
@@ -199,32 +199,33 @@
         now: Micros,
         conn: Conn,
         row: usize,
-        draft: Draft,
-    ) -> Result<(), Rc<Told>> {
+        draft: EventDraft,
+    ) -> Result<(), Rc<Answer>> {
         let id = draft.id.clone();
         let refuse = |status, reason, detail: &str| {
             tracing::info!(id, reason, status, "event refused");
-            Err(client::problem(Ending::PushedBack, &Fault::new(status, reason, detail), Some(&id), None))
+            Err(Answer::problem(FinalOutcome::Rejected, &Fault::new(status, reason, detail), Some(&id), None))
         };
         let Ok(customer) = self.customer(&draft) else {
             return refuse(422, "unknown-customer", "no such customer has a share here");
         };
-        let name: Name = (Rc::from(draft.source.as_str()), Rc::from(draft.id.as_str()));
+        let name: IdempotencyKey = IdempotencyKey::new(&draft.source, &draft.id);
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
         let chain_row = &self.deployment.workflows[row];
         let plan = chain_row.plan.clone();
-        let Some(left) = deadline::time_left(now, plan.limit, draft.asked) else {
+        let Some(left) = deadline::time_left(now, plan.limit, draft.deadline) else {
             return refuse(504, "expired", "the event's time was up when it came");
         };
-        let named = draft.picked(&chain_row.function_attribute).filter(|f| !f.is_empty()).map(str::to_owned);
+        let named =
+            draft.attribute(&chain_row.function_attribute).filter(|f| !f.is_empty()).map(str::to_owned);
         let digest_of_plan = digest(&plan, &self.deployment.workloads);
         let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
         if lasts && draft.data.len() > ANSWER_MOST {
             return refuse(413, "large-chain", "the data of a chain with effects must fit its record");
         }
-        let before = match self.chains.record.read((&name.0, &name.1)) {
+        let before = match self.chains.record.read((&name.source, &name.id)) {
             Ok(before) => before.filter(|kept| kept.until > now),
             Err(why) if lasts => {
                 tracing::error!(%why, reason = "no-record", "the record cannot be read");
@@ -243,7 +244,7 @@
             let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
             let detail = "as many chains run as come to their end; a retry does no harm";
             let fault = Fault::new(503, "chains-full", detail);
-            return Err(client::problem(Ending::PushedBack, &fault, Some(&id), wait));
+            return Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait));
         }
         self.counts.requests += 1;
         self.chains.counts.taken += 1;
@@ -256,8 +257,8 @@
             plan: digest_of_plan,
             named,
             customer: customer_name,
-            lines: draft.lines.without(&OWN).bytes().to_vec(),
-            media: draft.media,
+            lines: draft.fields.without(&OWN).bytes().to_vec(),
+            media: draft.media_type,
             data: draft.data,
             ..Kept::default()
         });
@@ -266,7 +267,7 @@
         let chain =
             Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
         let chain = Chain { client, digest, on_record, ..chain };
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.request = Some(request);
         }
@@ -278,7 +279,7 @@
     fn chain(
         &mut self,
         now: Micros,
-        name: Name,
+        name: IdempotencyKey,
         plan: Arc<Plan>,
         kept: Kept,
         customer: Option<CustomerId>,
@@ -323,11 +324,11 @@
             Err(why) => return tracing::error!(%why, reason = "no-record", "the record cannot be read"),
         };
         for (source, id) in open {
-            let name: Name = (Rc::from(source), Rc::from(id));
-            let kept = self.chains.record.read((&name.0, &name.1));
+            let name: IdempotencyKey = IdempotencyKey::new(&source, &id);
+            let kept = self.chains.record.read((&name.source, &name.id));
             let Ok(Some(kept)) = kept else { continue };
             let wait = kept.deadline.saturating_sub(now);
-            let (source, id) = &name;
+            let IdempotencyKey { source, id } = &name;
             tracing::info!(%id, %source, reason = "open-chain", wait, "a chain was cut off");
             self.after(now, transport, wait, Box::new(move |g, now, _| g.resume_alone(now, name)));
         }
@@ -341,11 +342,11 @@
         self.after(now, transport, CLEARS, Box::new(|g, now, transport| g.clear_record(now, transport)));
     }
 
-    fn resume_alone(&mut self, now: Micros, name: Name) {
-        if !matches!(self.claims.claim(now, &name), Claim::New) {
+    fn resume_alone(&mut self, now: Micros, name: IdempotencyKey) {
+        if !matches!(self.idempotency.look_up(now, &name), Lookup::New) {
             return;
         }
-        let Ok(Some(kept)) = self.chains.record.read((&name.0, &name.1)) else { return };
+        let Ok(Some(kept)) = self.chains.record.read((&name.source, &name.id)) else { return };
         let mut rows = self.deployment.workflows.iter().map(|row| row.plan.clone());
         let plan = rows
             .find(|plan| (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.chain, kept.plan));
@@ -356,7 +357,7 @@
         let request = super::request_id(self.deployment.startup.seed, self.next_job);
         let until = now + self.deployment.answer_retention.time;
         let chain = self.chain(now, name.clone(), plan, Kept { until, ..kept }, customer.map(CustomerId));
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         self.open_chain(now, request, chain);
     }
 
@@ -410,7 +411,7 @@
     ) -> bool {
         requests.append(&mut self.chains.behind);
         let chains = requests.iter().filter_map(|request| self.chains.open.get(request));
-        let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
+        let rows: Vec<_> = chains.map(|c| ((&*c.name.source, &*c.name.id), &c.kept)).collect();
         self.chains.counts.writes += 1;
         let written = self.chains.record.keep(&rows);
         if let Err(why) = &written {
@@ -432,14 +433,14 @@
         request: RequestId,
         step: StepId,
         how: How,
-        told: &Told,
+        told: &Answer,
     ) {
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
         let fields = chain.run.asked(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), field(&told.body, name)?)));
         let small = how == How::Finished && told.body.len() <= ANSWER_MOST;
         let answer =
-            small.then(|| KeptAnswer { lines: told.lines.bytes().to_vec(), body: told.body.clone() });
+            small.then(|| KeptAnswer { lines: told.fields.bytes().to_vec(), body: told.body.clone() });
         let end = KeptEnd { how: number(how), fields: fields.collect(), answer };
         chain.kept.steps.entry(step.0 as u32).or_default().end = Some(end);
         self.behind(now, transport, request);
@@ -557,9 +558,12 @@
     fn wanted(&self, chain: &Chain, step: StepId, function: String, left: Micros, then: Then) -> Wanted {
         let row = chain.run.plan().step(step);
         let names = &self.deployment.workloads[row.workload];
-        let name: Name = (chain.name.0.clone(), Rc::from(format!("{}/{}", chain.name.1, row.name)));
+        let name: IdempotencyKey = IdempotencyKey {
+            source: chain.name.source.clone(),
+            id: Rc::from(format!("{}/{}", chain.name.id, row.name)),
+        };
         let mut lines = Lines::default();
-        lines.field("ce-id", &name.1);
+        lines.field("ce-id", &name.id);
         lines.field("ce-type", names.types.first().map_or("", String::as_str));
         lines.append(&chain.lines);
         Wanted {
@@ -605,20 +609,20 @@
         function: FunctionId,
         end: &StepEnd,
     ) {
-        if end.told.ending == Ending::Finished {
+        if end.told.outcome == FinalOutcome::Finished {
             self.chains.times.finished(now, function, end.took, end.stood);
         }
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
         chain.out.remove(&step);
-        chain.come_back = end.told.come_back;
-        if end.told.ending == Ending::Finished {
+        chain.come_back = end.told.retry_after;
+        if end.told.outcome == FinalOutcome::Finished {
             chain.finished = Some((step, end.told.clone()));
         }
         let told = end.told.clone();
         let read = move |name: &str| field(&told.body, name);
-        let ending = how(end.told.ending);
+        let ending = how(end.told.outcome);
         self.keep_end(now, transport, request, step, ending, &end.told);
-        let come_back = end.told.come_back;
+        let come_back = end.told.retry_after;
         let todo =
             self.with_run(now, request, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
         self.chain_goes_on(now, transport, request, todo);
@@ -647,8 +651,8 @@
         let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
         let again = function.clone();
         let then: Then = Box::new(move |g, now, transport, end| {
-            if end.told.ending != Ending::Finished && now < last {
-                let wait = end.told.come_back.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
+            if end.told.outcome != FinalOutcome::Finished && now < last {
+                let wait = end.told.retry_after.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
                 g.after(
                     now,
                     transport,
@@ -657,16 +661,16 @@
                 );
                 return;
             }
-            if end.told.ending != Ending::Finished
+            if end.told.outcome != FinalOutcome::Finished
                 && let Some(chain) = g.chains.open.get(&request)
             {
-                let (id, step) = (&chain.name.1, &chain.run.plan().step(step).name);
+                let (id, step) = (&chain.name.id, &chain.run.plan().step(step).name);
                 tracing::error!(%id, %step, reason = "undo-given-up", "a step was not taken back");
             }
             if let Some(chain) = g.chains.open.get_mut(&request) {
                 chain.undos -= 1;
             }
-            g.keep_end(now, transport, request, step, how(end.told.ending), &end.told);
+            g.keep_end(now, transport, request, step, how(end.told.outcome), &end.told);
             g.chain_goes_on(now, transport, request, Vec::new());
         });
         self.chains.counts.undos += 1;
@@ -677,7 +681,7 @@
     /// The one place where a chain is answered.
     fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, ended: Ended) {
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
-        let id = chain.name.1.clone();
+        let id = chain.name.id.clone();
         let failed = |step: StepId, why: Why| {
             let name = &chain.run.plan().step(step).name;
             match why {
@@ -697,12 +701,12 @@
                 match chain.answer(step) {
                     Some((mut lines, body)) => {
                         lines.field("applepond-steps", &chain.steps.to_string());
-                        Rc::new(Told::finished(lines, body))
+                        Rc::new(Answer::finished(lines, body))
                     }
                     None => {
                         let detail = "it finished; its answer was too long to be kept over a kill";
                         let fault = Fault::new(502, "answer-lost", detail);
-                        client::problem(Ending::Killed, &fault, Some(&id), None)
+                        Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
                     }
                 }
             }
@@ -717,7 +721,7 @@
                     .or(Some(COME_BACK))
                     .filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
                 let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
-                client::problem(Ending::PushedBack, &fault, Some(&id), wait)
+                Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait)
             }
             Ended::Failed(step, why) => {
                 chain.kept.failed = true;
@@ -727,23 +731,29 @@
                 let (reason, detail) = failed(step, why);
                 let status = if why == Why::NoTime { 504 } else { 502 };
                 let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
-                client::problem(Ending::Killed, &fault, Some(&id), None)
+                Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
             }
         };
         let paid = chain.finished.is_some() || chain.on_record;
         let finished = matches!(ended, Ended::Finished(_));
         self.chains.pace.ended(now, finished, paid && !finished);
-        match told.ending {
-            Ending::Finished => self.counts.finished += 1,
-            Ending::PushedBack => self.counts.pushed_back += 1,
-            Ending::Killed => self.counts.killed += 1,
+        match told.outcome {
+            FinalOutcome::Finished => self.counts.finished += 1,
+            FinalOutcome::Rejected => self.counts.pushed_back += 1,
+            FinalOutcome::Failed => self.counts.killed += 1,
         }
-        self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
+        self.gate.ended(now, told.outcome == FinalOutcome::Finished, told.outcome == FinalOutcome::Rejected);
         // What may have run must not run again here, whatever the effect of the step that failed.
-        self.claims.end(now, &chain.name, told.ending, RetrySafety::AtMostOnce, told.clone(), told.bytes());
+        let completion = Completion {
+            outcome: told.outcome,
+            retry_safety: RetrySafety::AtMostOnce,
+            answer: told.clone(),
+            bytes: told.bytes(),
+        };
+        self.idempotency.complete(now, &chain.name, completion);
         tracing::info!(
             id = %id,
-            source = %chain.name.0,
+            source = %chain.name.source,
             chain = %chain.run.plan().name,
             reason = told.reason,
             status = told.status,
--- a/crates/gateway/src/idempotency.rs
+++ b/crates/gateway/src/idempotency.rs
@@ -1,187 +1,169 @@
-//! Which exchanges share a request, and what is told again after its end.
+//! The idempotency table: which exchanges share a request, and which get a kept answer after its end.
 //!
-//! A request's name is (`source`, `id`): CloudEvents makes two events with the same pair the same event. An
-//! exchange that names a running request joins it. After the end the answer is told again where another
-//! attempt could do harm, or could only repeat work; it is remembered for a time, and up to a number and a
-//! sum of bytes.
+//! CloudEvents makes two events with the same `source` and `id` the same event, so this pair is the key. An
+//! exchange whose key belongs to a request in progress joins it. After the end, the answer is replayed where
+//! running the request again could do harm, or would only repeat work. Answers are kept for a time, up to a
+//! number and a sum of bytes.
+//!
+//! Owned here: the keys in progress and the kept answers. Written by the gateway when a request or a workflow
+//! starts, ends, or is dropped because its last client left before anything was sent.
+use crate::deployment::AnswerRetention;
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// `source` and `id` of an event.
-pub type Name = (Rc<str>, Rc<str>);
+/// `source` and `id` of an event: two events with the same key are the same request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(crate) struct IdempotencyKey {
+    pub(crate) source: Rc<str>,
+    pub(crate) id: Rc<str>,
+}
+
+impl IdempotencyKey {
+    pub(crate) fn new(source: &str, id: &str) -> Self {
+        IdempotencyKey { source: Rc::from(source), id: Rc::from(id) }
+    }
+
+    /// Bytes that the key itself takes.
+    fn len(&self) -> usize {
+        self.source.len() + self.id.len()
+    }
+}
 
-/// How a request ended.
+/// How a request ended for its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub(crate) enum FinalOutcome {
+    /// A worker ran it and answered.
     Finished,
-    PushedBack,
-    Killed,
+    /// It never ran; a retry does no harm.
+    Rejected,
+    /// It did not finish; it may have run.
+    Failed,
 }
 
-/// What to do with an exchange that names a request.
+/// What to do with an exchange that carries a key.
 #[derive(Debug, PartialEq)]
-pub enum Claim<A> {
-    /// A request of its own.
+pub(crate) enum Lookup<A> {
+    /// The key is unknown: the exchange starts a request of its own.
     New,
-    /// It waits for this one's answer.
-    Join(RequestId),
-    /// It gets the answer again.
-    Again(Rc<A>),
+    /// A request with this key is in progress; the exchange waits for its answer.
+    InProgress(RequestId),
+    /// A request with this key has ended; the exchange gets its answer.
+    Completed(Rc<A>),
+}
+
+/// The end of a request, as the table needs to know it.
+pub(crate) struct Completion<A> {
+    pub(crate) outcome: FinalOutcome,
+    /// Whether the request may run again, by the configuration under which it was accepted.
+    pub(crate) retry_safety: RetrySafety,
+    pub(crate) answer: Rc<A>,
+    /// Size of the answer.
+    pub(crate) bytes: usize,
 }
 
-struct Kept<A> {
-    until: Micros,
-    order: u64,
+/// An answer that is replayed until it expires.
+struct KeptAnswer<A> {
+    expires_at: Micros,
+    /// Number of the completion: tells apart answers that expire at the same time.
+    sequence: u64,
+    /// Size of answer and key.
     bytes: usize,
     answer: Rc<A>,
 }
 
-pub struct Claims<A> {
-    running: HashMap<Name, RequestId>,
-    kept: HashMap<Name, Kept<A>>,
-    by_age: BTreeSet<(Micros, u64, Name)>,
-    order: u64,
-    bytes: usize,
-    hold: Micros,
-    most: usize,
-    bytes_most: usize,
+/// Keys in progress and kept answers; `A` is the answer.
+pub(crate) struct IdempotencyTable<A> {
+    in_progress: HashMap<IdempotencyKey, RequestId>,
+    kept: HashMap<IdempotencyKey, KeptAnswer<A>>,
+    /// Expiry, sequence number and key of each kept answer; the first expires first.
+    by_expiry: BTreeSet<(Micros, u64, IdempotencyKey)>,
+    last_sequence: u64,
+    /// Sum of the kept answers' bytes.
+    kept_bytes: usize,
+    retention: AnswerRetention,
 }
 
-/// Whether an ended request's answer is told again. A pushback invites another try, so that must be a new
-/// request. A kill promises nothing, and what may have run must not run again unless it is idempotent.
-fn told_again(ending: Ending, effect: RetrySafety) -> bool {
-    match ending {
-        Ending::Finished => true,
-        Ending::PushedBack => false,
-        Ending::Killed => effect != RetrySafety::Idempotent,
+/// Whether a request's answer is replayed after its end. A rejection invites a retry, so that must be a new
+/// request. A failure says nothing of whether it ran, and what may have run must not run again unless it is
+/// idempotent.
+fn is_replayed(outcome: FinalOutcome, retry_safety: RetrySafety) -> bool {
+    match outcome {
+        FinalOutcome::Finished => true,
+        FinalOutcome::Rejected => false,
+        FinalOutcome::Failed => retry_safety != RetrySafety::Idempotent,
     }
 }
 
-impl<A> Claims<A> {
-    /// Answers are kept for `hold`, `most` of them, `bytes_most` bytes in all.
-    pub fn new(hold: Micros, most: usize, bytes_most: usize) -> Self {
-        Claims {
-            running: HashMap::new(),
+impl<A> IdempotencyTable<A> {
+    /// An empty table.
+    pub(crate) fn new(retention: AnswerRetention) -> Self {
+        IdempotencyTable {
+            in_progress: HashMap::new(),
             kept: HashMap::new(),
-            by_age: BTreeSet::new(),
-            order: 0,
-            bytes: 0,
-            hold,
-            most,
-            bytes_most,
+            by_expiry: BTreeSet::new(),
+            last_sequence: 0,
+            kept_bytes: 0,
+            retention,
         }
     }
 
-    pub fn running(&self) -> usize {
-        self.running.len()
-    }
-
-    pub fn remembered(&self) -> usize {
+    /// Answers kept now.
+    pub(crate) fn kept_answers(&self) -> usize {
         self.kept.len()
     }
 
-    pub fn claim(&mut self, now: Micros, name: &Name) -> Claim<A> {
-        self.forget_old(now);
-        if let Some(request) = self.running.get(name) {
-            return Claim::Join(*request);
+    /// Says what an exchange with this key is.
+    pub(crate) fn look_up(&mut self, now: Micros, key: &IdempotencyKey) -> Lookup<A> {
+        self.drop_expired(now);
+        if let Some(request) = self.in_progress.get(key) {
+            return Lookup::InProgress(*request);
         }
-        self.kept.get(name).map_or(Claim::New, |k| Claim::Again(k.answer.clone()))
+        self.kept.get(key).map_or(Lookup::New, |kept| Lookup::Completed(kept.answer.clone()))
     }
 
-    pub fn begin(&mut self, name: Name, request: RequestId) {
-        self.running.insert(name, request);
+    /// A request or workflow with this key has started.
+    pub(crate) fn start(&mut self, key: IdempotencyKey, request: RequestId) {
+        self.in_progress.insert(key, request);
     }
 
-    /// A request that no exchange waits for any more and that has never been sent.
-    pub fn drop(&mut self, name: &Name) {
-        self.running.remove(name);
+    /// A request that was never sent is dropped, as no exchange waits for it any more.
+    pub(crate) fn abandon(&mut self, key: &IdempotencyKey) {
+        self.in_progress.remove(key);
     }
 
-    pub fn end(
-        &mut self,
-        now: Micros,
-        name: &Name,
-        ending: Ending,
-        effect: RetrySafety,
-        answer: Rc<A>,
-        bytes: usize,
-    ) {
-        self.running.remove(name);
-        if !told_again(ending, effect) || bytes > self.bytes_most {
+    /// A request has ended; its answer is kept where it is to be replayed.
+    pub(crate) fn complete(&mut self, now: Micros, key: &IdempotencyKey, completion: Completion<A>) {
+        self.in_progress.remove(key);
+        let replayed = is_replayed(completion.outcome, completion.retry_safety);
+        if !replayed || completion.bytes > self.retention.max_bytes {
             return;
         }
-        self.order += 1;
-        let until = now + self.hold;
-        let bytes = bytes + name.0.len() + name.1.len();
-        let kept = Kept { until, order: self.order, bytes, answer };
-        if let Some(old) = self.kept.insert(name.clone(), kept) {
-            self.by_age.remove(&(old.until, old.order, name.clone()));
-            self.bytes -= old.bytes;
+        self.last_sequence += 1;
+        let expires_at = now + self.retention.time;
+        let bytes = completion.bytes + key.len();
+        let kept = KeptAnswer { expires_at, sequence: self.last_sequence, bytes, answer: completion.answer };
+        if let Some(old) = self.kept.insert(key.clone(), kept) {
+            self.by_expiry.remove(&(old.expires_at, old.sequence, key.clone()));
+            self.kept_bytes -= old.bytes;
         }
-        self.by_age.insert((until, self.order, name.clone()));
-        self.bytes += bytes;
-        self.forget_old(now);
+        self.by_expiry.insert((expires_at, self.last_sequence, key.clone()));
+        self.kept_bytes += bytes;
+        self.drop_expired(now);
     }
 
-    fn forget_old(&mut self, now: Micros) {
-        while let Some((until, _, _)) = self.by_age.first()
-            && (*until <= now || self.kept.len() > self.most || self.bytes > self.bytes_most)
+    /// Drops what has expired, and the oldest answers until the bounds are met.
+    fn drop_expired(&mut self, now: Micros) {
+        while let Some((expires_at, _, _)) = self.by_expiry.first()
+            && (*expires_at <= now
+                || self.kept.len() > self.retention.max_answers
+                || self.kept_bytes > self.retention.max_bytes)
         {
-            let (_, _, name) = self.by_age.pop_first().expect("there is a first");
-            self.bytes -= self.kept.remove(&name).map_or(0, |k| k.bytes);
+            let Some((_, _, key)) = self.by_expiry.pop_first() else { return };
+            self.kept_bytes -= self.kept.remove(&key).map_or(0, |kept| kept.bytes);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use applepond::interface::IdempotencyScope;
-    use test_case::test_case;
-
-    const MARKED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 1 };
-
-    fn name(n: u32) -> Name {
-        (Rc::from("/desk"), Rc::from(n.to_string()))
-    }
-
-    fn request(n: u8) -> RequestId {
-        RequestId([n; 36])
-    }
-
-    #[test_case(Ending::Finished, RetrySafety::Idempotent, true; "finished: the work is done")]
-    #[test_case(Ending::Finished, RetrySafety::AtMostOnce, true; "finished at-most-once")]
-    #[test_case(Ending::PushedBack, RetrySafety::AtMostOnce, false; "pushed back: a new try is invited")]
-    #[test_case(Ending::Killed, RetrySafety::Idempotent, false; "killed idempotent may run again")]
-    #[test_case(Ending::Killed, MARKED, true; "killed keyed may have run")]
-    #[test_case(Ending::Killed, RetrySafety::AtMostOnce, true; "killed at-most-once may have run")]
-    fn after_the_end(ending: Ending, effect: RetrySafety, again: bool) {
-        let mut claims = Claims::new(1000, 10, 1000);
-        assert_eq!(claims.claim(0, &name(1)), Claim::New);
-        claims.begin(name(1), request(1));
-        assert_eq!(claims.claim(5, &name(1)), Claim::Join(request(1)), "while it runs");
-        claims.end(10, &name(1), ending, effect, Rc::new("answer"), 6);
-        let want = if again { Claim::Again(Rc::new("answer")) } else { Claim::New };
-        assert_eq!(claims.claim(1009, &name(1)), want);
-        assert_eq!(claims.claim(1010, &name(1)), Claim::New, "after its time");
-    }
-
-    #[test_case(4, 100_000; "by number")]
-    #[test_case(1000, 4 * 16; "by bytes")]
-    fn bounded(most: usize, bytes: usize) {
-        let mut claims = Claims::new(1000, most, bytes);
-        for n in 0..100 {
-            claims.begin(name(n), request(n as u8));
-            claims.end(u64::from(n), &name(n), Ending::Finished, RetrySafety::AtMostOnce, Rc::new(()), 9);
-            assert!(claims.remembered() <= 4);
-        }
-        assert_eq!(
-            (claims.claim(100, &name(99)), claims.claim(100, &name(0))),
-            (Claim::Again(Rc::new(())), Claim::New)
-        );
-        assert!(claims.remembered() >= 3 && claims.running() == 0);
-        claims.claim(5000, &name(1));
-        assert_eq!((claims.remembered(), claims.bytes, claims.by_age.len()), (0, 0, 0));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/idempotency/tests.rs
@@ -0,0 +1,65 @@
+//! What an exchange gets whose key is known, and the table's bounds.
+use super::{Completion, FinalOutcome, IdempotencyKey, IdempotencyTable, Lookup};
+use crate::deployment::AnswerRetention;
+use applepond::interface::{IdempotencyScope, Micros, RequestId, RetrySafety};
+use std::rc::Rc;
+use test_case::test_case;
+
+const KEYED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 1 };
+
+fn key(number: u32) -> IdempotencyKey {
+    IdempotencyKey::new("/desk", &number.to_string())
+}
+
+fn request(number: u8) -> RequestId {
+    RequestId([number; 36])
+}
+
+fn table<A>(time: Micros, max_answers: usize, max_bytes: usize) -> IdempotencyTable<A> {
+    IdempotencyTable::new(AnswerRetention { time, max_answers, max_bytes })
+}
+
+#[test_case(FinalOutcome::Finished, RetrySafety::Idempotent, true; "finished: the work is done")]
+#[test_case(FinalOutcome::Finished, RetrySafety::AtMostOnce, true; "finished at-most-once")]
+#[test_case(FinalOutcome::Rejected, RetrySafety::AtMostOnce, false; "rejected: a retry is invited")]
+#[test_case(FinalOutcome::Failed, RetrySafety::Idempotent, false; "failed idempotent may run again")]
+#[test_case(FinalOutcome::Failed, KEYED, true; "failed keyed may have run")]
+#[test_case(FinalOutcome::Failed, RetrySafety::AtMostOnce, true; "failed at-most-once may have run")]
+fn answers_are_replayed_where_a_repeat_could_do_harm(
+    outcome: FinalOutcome,
+    retry_safety: RetrySafety,
+    replayed: bool,
+) {
+    let mut table = table(1000, 10, 1000);
+    assert_eq!(table.look_up(0, &key(1)), Lookup::New);
+    table.start(key(1), request(1));
+    assert_eq!(table.look_up(5, &key(1)), Lookup::InProgress(request(1)), "while it runs");
+    table.complete(10, &key(1), Completion { outcome, retry_safety, answer: Rc::new("answer"), bytes: 6 });
+    let want = if replayed { Lookup::Completed(Rc::new("answer")) } else { Lookup::New };
+    assert_eq!(table.look_up(1009, &key(1)), want);
+    assert_eq!(table.look_up(1010, &key(1)), Lookup::New, "after its time");
+}
+
+#[test_case(4, 100_000; "by number")]
+#[test_case(1000, 4 * 16; "by bytes")]
+fn kept_answers_are_bounded(max_answers: usize, max_bytes: usize) {
+    let mut table = table(1000, max_answers, max_bytes);
+    for number in 0..100 {
+        table.start(key(number), request(number as u8));
+        let completion = Completion {
+            outcome: FinalOutcome::Finished,
+            retry_safety: RetrySafety::AtMostOnce,
+            answer: Rc::new(()),
+            bytes: 9,
+        };
+        table.complete(u64::from(number), &key(number), completion);
+        assert!(table.kept_answers() <= 4);
+    }
+    assert_eq!(
+        (table.look_up(100, &key(99)), table.look_up(100, &key(0))),
+        (Lookup::Completed(Rc::new(())), Lookup::New)
+    );
+    assert!(table.kept_answers() >= 3 && table.in_progress.is_empty());
+    table.look_up(5000, &key(1));
+    assert_eq!((table.kept_answers(), table.kept_bytes, table.by_expiry.len()), (0, 0, 0));
+}
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -1,8 +1,10 @@
-//! The workers' side: what one connection to a worker carries, and how its answer is read.
+//! The worker side: one connection to a worker, and how a response on it is read.
 //!
-//! A connection carries one attempt at a time. Ending it is the cancel: HTTP/1.1 has no other word for it
-//! that the worker sees on the same connection, and it reaches a worker that still reads the request as well
-//! as one that runs it.
+//! A connection carries one attempt at a time. Closing it is the cancel: HTTP/1.1 has no other one that the
+//! worker sees on the same connection, and it reaches a worker that still reads the request as well as one
+//! that runs it.
+//!
+//! Owned here: which attempt a connection carries and the part of its response that has arrived.
 use crate::request_table::AttemptId;
 use applepond::interface::{LoadState, WorkerId};
 use applepond_http::Fault;
@@ -10,52 +12,62 @@
 use applepond_http::decode::{Decoder, Fields, Side, Visitor};
 use applepond_http::encode::Lines;
 
-/// Bytes of an answer's head and body at most: an answer beyond it counts as broken.
-const HEAD_MOST: usize = 16 * 1024;
-const BODY_MOST: u64 = 8 * 1024 * 1024;
+/// Bytes of a response's head and body at most: a response beyond it counts as broken.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: u64 = 8 * 1024 * 1024;
+
+/// Header fields with this prefix are the worker's own, about the request or about itself.
+const WORKER_FIELD_PREFIX: &str = "applepond-";
+/// Header fields with this prefix are attributes of the result event.
+const EVENT_FIELD_PREFIX: &str = "ce-";
 
-/// An answer while it comes in.
-pub struct Answering {
-    pub status: u16,
-    /// What the worker says of the request by itself: `full`, `missing`.
-    pub mark: Option<String>,
-    pub copy: LoadState,
-    pub company: u32,
-    pub held: Option<f64>,
-    pub loads: Option<f64>,
-    /// Fields that go on to the client: the result event's attributes and its media type.
-    pub lines: Lines,
-    pub body: Vec<u8>,
-    pub event: bool,
-    /// Set once the answer is whole: whether the connection stands for another one.
-    pub whole: Option<bool>,
+/// A response while it comes in.
+pub(crate) struct WorkerResponse {
+    pub(crate) status: u16,
+    /// The worker's own verdict on the request: `full` or `missing`, which prove that it has not run.
+    pub(crate) verdict: Option<String>,
+    /// The state of the function's copy when the request came.
+    pub(crate) load_state: LoadState,
+    /// Requests of the same function that the worker had when this one arrived; 0 where not reported.
+    pub(crate) same_function_in_flight: u32,
+    /// Requests of all functions that the worker has in flight, where it reports them.
+    pub(crate) reported_in_flight: Option<f64>,
+    /// Loads in progress or queued at the worker, where it reports them.
+    pub(crate) reported_loads: Option<f64>,
+    /// Fields for the client: the result event's attributes and its media type.
+    pub(crate) fields: Lines,
+    pub(crate) body: Vec<u8>,
+    /// The response is a CloudEvent.
+    pub(crate) is_event: bool,
+    /// Set once the response is complete: whether the connection may carry another request.
+    pub(crate) keep_alive: Option<bool>,
 }
 
-impl Default for Answering {
+impl Default for WorkerResponse {
     fn default() -> Self {
-        Answering {
+        WorkerResponse {
             status: 0,
-            mark: None,
-            copy: LoadState::Unreported,
-            company: 0,
-            held: None,
-            loads: None,
-            lines: Lines::default(),
+            verdict: None,
+            load_state: LoadState::Unreported,
+            same_function_in_flight: 0,
+            reported_in_flight: None,
+            reported_loads: None,
+            fields: Lines::default(),
             body: Vec::new(),
-            event: false,
-            whole: None,
+            is_event: false,
+            keep_alive: None,
         }
     }
 }
 
-impl Answering {
-    /// One of the worker's own words about a request: a field `applepond-NAME`.
-    fn word(&mut self, name: &str, value: &str) {
-        let number = || value.parse::<f64>().ok().filter(|v| v.is_finite());
+impl WorkerResponse {
+    /// Reads one of the worker's own header fields, by its name without the prefix.
+    fn read_worker_field(&mut self, name: &str, value: &str) {
+        let number = || value.parse::<f64>().ok().filter(|number| number.is_finite());
         match name.to_ascii_lowercase().as_str() {
-            "outcome" => self.mark = Some(value.to_owned()),
+            "outcome" => self.verdict = Some(value.to_owned()),
             "copy" => {
-                self.copy = match value {
+                self.load_state = match value {
                     "stood" => LoadState::Loaded,
                     "begun" => LoadState::LoadStarted,
                     "awaited" => LoadState::LoadPending,
@@ -63,40 +75,47 @@
                     _ => LoadState::Unreported,
                 }
             }
-            "company" => self.company = value.parse().unwrap_or(0),
-            "held" => self.held = number(),
-            "loads" => self.loads = number(),
+            "company" => self.same_function_in_flight = value.parse().unwrap_or(0),
+            "held" => self.reported_in_flight = number(),
+            "loads" => self.reported_loads = number(),
             _ => {}
         }
     }
+
+    /// The copy that answered was loaded when the request came.
+    pub(crate) fn was_loaded(&self) -> bool {
+        self.load_state != LoadState::LoadStarted && self.load_state != LoadState::LoadPending
+    }
 }
 
-impl EventSink for Answering {
+impl EventSink for WorkerResponse {
     fn attribute(&mut self, _: &str, _: &str) {}
     fn data(&mut self, _: Option<&str>, _: Vec<u8>) {}
 }
 
-impl Visitor for Answering {
+/// Whether a header field's name starts with a prefix, in any case.
+fn has_prefix(name: &str, prefix: &str) -> bool {
+    name.get(..prefix.len()).is_some_and(|start| start.eq_ignore_ascii_case(prefix))
+}
+
+impl Visitor for WorkerResponse {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
         Err(Fault::new(400, "bad-head", "an answer is wanted"))
     }
 
     fn response(&mut self, status: u16, fields: &Fields<'_>) -> Result<(), Fault> {
         self.status = status;
-        // One walk over the fields: an answer has a dozen, and looking each name up would be a dozen walks.
+        // One pass over the fields: a response has a dozen, and looking each name up would be a dozen passes.
         for (name, value) in fields.iter() {
             let Ok(value) = std::str::from_utf8(value) else { continue };
-            let own = name.get(..10).is_some_and(|p| p.eq_ignore_ascii_case("applepond-"));
-            if own {
-                self.word(&name[10..], value);
-            } else if name.get(..3).is_some_and(|p| p.eq_ignore_ascii_case("ce-"))
-                || name.eq_ignore_ascii_case("content-type")
-            {
-                self.lines.field(name, value);
+            if has_prefix(name, WORKER_FIELD_PREFIX) {
+                self.read_worker_field(&name[WORKER_FIELD_PREFIX.len()..], value);
+            } else if has_prefix(name, EVENT_FIELD_PREFIX) || name.eq_ignore_ascii_case("content-type") {
+                self.fields.field(name, value);
             }
         }
-        let mut seen = Answering::default();
-        self.event = Reader::head(fields, &mut seen).is_ok();
+        let mut discarded = WorkerResponse::default();
+        self.is_event = Reader::head(fields, &mut discarded).is_ok();
         Ok(())
     }
 
@@ -105,35 +124,38 @@
         Ok(())
     }
 
-    fn end(&mut self, keep: bool) -> Result<(), Fault> {
-        self.whole = Some(keep);
+    fn end(&mut self, keep_alive: bool) -> Result<(), Fault> {
+        self.keep_alive = Some(keep_alive);
         Ok(())
     }
 }
 
 /// One connection to a worker.
-pub struct Link {
-    pub server: WorkerId,
-    pub open: bool,
-    /// It carried an answer before.
-    pub kept: bool,
-    pub carries: Option<AttemptId>,
+pub(crate) struct WorkerConnection {
+    pub(crate) worker: WorkerId,
+    /// It is established.
+    pub(crate) connected: bool,
+    /// It has carried a complete response before.
+    pub(crate) reused: bool,
+    /// The attempt that it carries; none while it is idle.
+    pub(crate) attempt: Option<AttemptId>,
     /// Bytes that the kernel had taken before this attempt's request.
-    pub sent_before: u64,
-    pub decoder: Decoder,
-    pub answering: Answering,
+    pub(crate) sent_before: u64,
+    pub(crate) decoder: Decoder,
+    pub(crate) response: WorkerResponse,
 }
 
-impl Link {
-    pub fn new(server: WorkerId, carries: AttemptId) -> Self {
-        Link {
-            server,
-            open: false,
-            kept: false,
-            carries: Some(carries),
+impl WorkerConnection {
+    /// A connection that is being established for an attempt.
+    pub(crate) fn new(worker: WorkerId, attempt: AttemptId) -> Self {
+        WorkerConnection {
+            worker,
+            connected: false,
+            reused: false,
+            attempt: Some(attempt),
             sent_before: 0,
-            decoder: Decoder::new(Side::Client, HEAD_MOST, BODY_MOST),
-            answering: Answering::default(),
+            decoder: Decoder::new(Side::Client, MAX_HEAD_BYTES, MAX_BODY_BYTES),
+            response: WorkerResponse::default(),
         }
     }
 }
--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -38,7 +38,7 @@
 }
 
 mod endpoint_list {
-    use applepond_gateway::endpoint_list::*;
+    use applepond_gateway::endpoint_list::{EndpointList, IdleConnection};
 
     use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
     use applepond_reactor::Conn;
@@ -58,7 +58,7 @@
         let line = r#"{"kind":"full","workers":[{"name":"w","address":"127.0.0.1:9","standing":"ready"},
             {"name":"v","address":"127.0.0.1:8","standing":"ready"}]}"#;
         let taken =
-            EndpointList::default().line(line.replace('\n', "").as_bytes(), &[]).expect("a good line");
+            EndpointList::default().read_line(line.replace('\n', "").as_bytes(), &[]).expect("a good line");
         assert_ne!(taken.entries[0].rack, taken.entries[1].rack);
     }
 
@@ -71,10 +71,10 @@
     "address")]
     fn a_line_that_cannot_be_read_changes_nothing(line: &str, why: &str) {
         let mut hosts = EndpointList::default();
-        hosts.line(full("ready", 7).as_bytes(), &[]).expect("a good line");
-        let fault = hosts.line(line.as_bytes(), &[]).expect_err("a fault");
+        hosts.read_line(full("ready", 7).as_bytes(), &[]).expect("a good line");
+        let fault = hosts.read_line(line.as_bytes(), &[]).expect_err("a fault");
         assert!(fault.to_string().contains(why), "{fault}");
-        assert_eq!(hosts.iter().next().map(|(_, w)| w.standing), Some(WorkerStatus::Ready));
+        assert_eq!(hosts.iter().next().map(|(_, w)| w.status), Some(WorkerStatus::Ready));
     }
 
     #[test_case(&full("ready", 7), false, Some(WorkerStatus::Ready); "the same again")]
@@ -85,14 +85,14 @@
     fn idle_connections_go_with_what_they_led_to(line: &str, cut: bool, standing: Option<WorkerStatus>) {
         let mut hosts = EndpointList::default();
         let zones = ["a".to_owned(), "b".to_owned()];
-        let taken = hosts.line(full("ready", 7).as_bytes(), &zones).expect("a good line");
+        let taken = hosts.read_line(full("ready", 7).as_bytes(), &zones).expect("a good line");
         let first = &taken.entries[0];
         assert_eq!((first.up_since, first.zone, first.rack.0, first.weight), (7000, Some(ZoneId(1)), 3, 2.5));
         let id = WorkerId::named("w");
-        hosts.get_mut(id).expect("known").idle.push((Conn(5), 0));
-        let taken = hosts.line(line.as_bytes(), &zones).expect("a good line");
-        assert_eq!(taken.cut, if cut { vec![Conn(5)] } else { vec![] });
-        assert_eq!(hosts.get(id).map(|w| w.standing), standing);
+        hosts.get_mut(id).expect("known").idle.push(IdleConnection { conn: Conn(5), since: 0 });
+        let taken = hosts.read_line(line.as_bytes(), &zones).expect("a good line");
+        assert_eq!(taken.disconnect, if cut { vec![Conn(5)] } else { vec![] });
+        assert_eq!(hosts.get(id).map(|w| w.status), standing);
     }
 
     fn many(kind: &str, standing: &str, names: std::ops::Range<u32>) -> Vec<u8> {
@@ -105,11 +105,11 @@
     #[test]
     fn thirty_thousand_workers() {
         let mut hosts = EndpointList::default();
-        hosts.line(&many("full", "ready", 0..30_000), &[]).expect("a good line");
-        hosts.line(&many("full", "ready", 10_000..40_000), &[]).expect("a good line");
+        hosts.read_line(&many("full", "ready", 0..30_000), &[]).expect("a good line");
+        hosts.read_line(&many("full", "ready", 10_000..40_000), &[]).expect("a good line");
         assert_eq!(hosts.iter().count(), 30_000);
         assert!(hosts.get(WorkerId::named("w9999")).is_none());
-        let fault = hosts.line(&many("full", "ready", 0..60_001), &[]).expect_err("more than a fleet");
+        let fault = hosts.read_line(&many("full", "ready", 0..60_001), &[]).expect_err("more than a fleet");
         assert!(fault.to_string().contains("60001 workers; 60000"), "{fault}");
     }
 
@@ -117,17 +117,17 @@
     #[test]
     fn gone_with_something_out() {
         let mut hosts = EndpointList::default();
-        hosts.line(&many("full", "ready", 0..3), &[]).expect("a good line");
+        hosts.read_line(&many("full", "ready", 0..3), &[]).expect("a good line");
         let id = WorkerId::named("w1");
-        hosts.get_mut(id).expect("known").out = 1;
-        hosts.line(&many("changes", "gone", 0..2), &[]).expect("a good line");
+        hosts.get_mut(id).expect("known").in_flight = 1;
+        hosts.read_line(&many("changes", "gone", 0..2), &[]).expect("a good line");
         assert!(hosts.get(WorkerId::named("w0")).is_none());
-        assert_eq!(hosts.get(id).map(|w| w.standing), Some(WorkerStatus::Gone));
-        hosts.line(&many("changes", "ready", 1..2), &[]).expect("a good line");
-        hosts.get_mut(id).expect("it came back").out = 0;
-        hosts.line(&many("changes", "ready", 5..6), &[]).expect("a good line");
-        assert_eq!(hosts.get(id).map(|w| w.standing), Some(WorkerStatus::Ready));
-        hosts.line(&many("changes", "gone", 1..2), &[]).expect("a good line");
+        assert_eq!(hosts.get(id).map(|w| w.status), Some(WorkerStatus::Gone));
+        hosts.read_line(&many("changes", "ready", 1..2), &[]).expect("a good line");
+        hosts.get_mut(id).expect("it came back").in_flight = 0;
+        hosts.read_line(&many("changes", "ready", 5..6), &[]).expect("a good line");
+        assert_eq!(hosts.get(id).map(|w| w.status), Some(WorkerStatus::Ready));
+        hosts.read_line(&many("changes", "gone", 1..2), &[]).expect("a good line");
         assert!(hosts.get(id).is_none());
     }
 }
