--- a/crates/gateway/src/machine.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,12 +1,13 @@
 //! The instance itself: connects the clients' side, the module, the workers' side and the host list.
-use crate::claims::{Claim, Claims, Ending, Name};
-use crate::deployment::{Deployment, FunctionBy, FunctionRow, NamedWorker, WorkloadNames};
-use crate::fault::NotTaken;
-use crate::front::{self, Ask, Caller, Draft, Patience, Told};
-use crate::host_list::{Entry, HostList, Taken};
-use crate::life::{Act, Acts, Lives, ended};
-use crate::links::{Answering, Link};
-use crate::{fate, limit, switch};
+use crate::client::{Answer, ClientConnection, ClientRequest, EventDraft, TimeoutCheck};
+use crate::deferred::{DeferredCall, DeferredCalls, FiredTimer};
+use crate::deployment::{Deployment, FunctionConfig, FunctionSource, StaticWorker, WorkloadEvents};
+use crate::endpoint_list::{EndpointEntry, EndpointList, EndpointUpdate, IdleConnection, NamedEndpoint};
+use crate::errors::ReloadError;
+use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey, IdempotencyTable, Lookup};
+use crate::request_table::{Action, ActionQueue, AttemptId, Dispatch, RequestTable, Started, attempt_result};
+use crate::worker_connection::{WorkerConnection, WorkerResponse};
+use crate::{attempt_outcome, deadline, reload};
 use applepond::control::Control;
 use applepond::interface::*;
 use applepond_admission::watch::Called;
@@ -20,7 +21,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-mod chained;
+mod workflow;
 
 /// Idle connections kept a worker: more than one router has requests there at a time.
 const IDLE_MOST: usize = 64;
@@ -50,11 +51,11 @@
 const LINE_MOST: usize = 8 * 1024 * 1024;
 
 /// What a timer leaves to do.
-type Step = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport)>;
+type Step = DeferredCall<Gateway>;
 
 /// What this gateway keeps of a request beside its life.
 struct Task {
-    name: Name,
+    name: IdempotencyKey,
     /// Digests of who asked first, and of the request's name.
     client: u64,
     digest: u64,
@@ -66,19 +67,19 @@
     lines: Lines,
     media: Option<String>,
     data: Rc<Vec<u8>>,
-    row: FunctionRow,
+    row: FunctionConfig,
     opening: Option<Opening>,
     /// By the terms that it was taken under.
     effect: RetrySafety,
     /// Its answer came from a copy that stood loaded.
     stood: bool,
     /// What to do with its end, where it is a step of a chain: no client waits for it.
-    then: Option<chained::Then>,
+    then: Option<workflow::Then>,
 }
 
 /// A request as it is begun, for a client or for a chain.
 struct Wanted {
-    name: Name,
+    name: IdempotencyKey,
     client: u64,
     digest: u64,
     workload: usize,
@@ -92,7 +93,7 @@
     data: Rc<Vec<u8>>,
     opening: Option<Opening>,
     callers: Vec<Conn>,
-    then: Option<chained::Then>,
+    then: Option<workflow::Then>,
 }
 
 /// What a request begins with, and how large that is; a worker that has prepared it is quicker.
@@ -163,7 +164,7 @@
 }
 
 /// Asked once a `SWEEP` for new settings; an error where there are some that cannot be read.
-pub type News = Box<dyn FnMut() -> Option<Result<Deployment, NotTaken>>>;
+pub type News = Box<dyn FnMut() -> Option<Result<Deployment, ReloadError>>>;
 
 /// What outlasts this process, or comes from others of its kind: care to be taken, and never a permission.
 pub trait Memory {
@@ -206,31 +207,30 @@
     /// Attributes by which functions and customers are named.
     picks: Rc<[String]>,
     control: Control,
-    acts: Acts,
-    callers: FxHashMap<Conn, Caller>,
-    links: FxHashMap<Conn, Link>,
-    listed: HostList,
-    tasks: Lives<Task>,
-    claims: Claims<Told>,
+    actions: ActionQueue,
+    callers: FxHashMap<Conn, ClientConnection>,
+    links: FxHashMap<Conn, WorkerConnection>,
+    listed: EndpointList,
+    tasks: RequestTable<Task>,
+    idempotency: IdempotencyTable<Answer>,
     /// Tells storms of retries, and stands before the module while one lasts.
     gate: Gate,
-    chains: chained::Chains,
+    chains: workflow::Chains,
     /// What the log was last told that the traffic is called.
     said: Called,
-    steps: BTreeMap<u64, Step>,
-    next_step: u64,
+    deferred: DeferredCalls<Gateway>,
     next_job: u64,
     watch: Watch,
     /// Clients whose answer has gone out and whose next request may be here.
     ready: VecDeque<Conn>,
     counts: Counts,
-    /// Told where it listens, once it does.
+    /// Answer where it listens, once it does.
     on_listening: Box<dyn FnMut(std::net::SocketAddr)>,
     news: News,
     memory: Option<Box<dyn Memory>>,
     openings: Option<Box<dyn Openings>>,
     /// The list's word on each worker, where memory may make something else of it.
-    said_ready: BTreeMap<WorkerId, Entry>,
+    said_ready: BTreeMap<WorkerId, EndpointEntry>,
     born: Micros,
     /// What others of the process have for the state page.
     pages: Vec<(&'static str, Page)>,
@@ -243,25 +243,23 @@
         deployment: Deployment,
         on_listening: Box<dyn FnMut(std::net::SocketAddr)>,
     ) -> Self {
-        let mut acts = Acts::default();
-        let control = Control::new(now, deployment.rows.clone(), &mut acts);
-        let claims =
-            Claims::new(deployment.remember_for, deployment.remember_most, deployment.remember_bytes);
-        let gate = Gate::new(now, deployment.rows.seed);
+        let mut actions = ActionQueue::default();
+        let control = Control::new(now, deployment.startup.clone(), &mut actions);
+        let idempotency = IdempotencyTable::new(deployment.answer_retention);
+        let gate = Gate::new(now, deployment.startup.seed);
         Gateway {
             gate,
-            chains: chained::Chains::new(deployment.rows.cache_lifetime),
+            chains: workflow::Chains::new(deployment.startup.cache_lifetime),
             said: Called::Calm,
             picks: picks(&deployment),
             control,
-            acts,
+            actions,
             callers: FxHashMap::default(),
             links: FxHashMap::default(),
-            listed: HostList::default(),
-            tasks: Lives::default(),
-            claims,
-            steps: BTreeMap::new(),
-            next_step: 1,
+            listed: EndpointList::default(),
+            tasks: RequestTable::default(),
+            idempotency,
+            deferred: DeferredCalls::default(),
             next_job: 0,
             watch: Watch { pause: WATCH_AGAIN, ..Watch::default() },
             ready: VecDeque::new(),
@@ -302,9 +300,9 @@
     }
 
     /// Takes new settings, or keeps the old ones whole. What was taken in goes on under its old terms.
-    fn switch(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, NotTaken>) {
-        let only = |keys: switch::Refused| NotTaken::Restart(keys.join(", "));
-        let merged = match new.and_then(|new| switch::merge(&self.deployment, new).map_err(only)) {
+    fn switch(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, ReloadError>) {
+        let only = |keys: reload::RestartOnlyKeys| ReloadError::RestartRequired(keys.join(", "));
+        let merged = match new.and_then(|new| reload::merge(&self.deployment, new).map_err(only)) {
             Ok(merged) => merged,
             Err(why) => {
                 self.counts.kept += 1;
@@ -316,25 +314,29 @@
         tracing::info!(reason = "settings-switched", switches = self.counts.switched, "new settings hold");
         self.deployment = merged;
         self.picks = picks(&self.deployment);
-        self.callers.values_mut().for_each(|caller| caller.rename(&self.picks));
+        self.callers.values_mut().for_each(|caller| caller.set_attribute_names(&self.picks));
         self.control.advance_to(now);
-        self.control.reconfigure(&mut self.acts, self.deployment.rows.clone());
-        if self.deployment.hosts.is_none() {
+        self.control.reconfigure(&mut self.actions, self.deployment.startup.clone());
+        if self.deployment.endpoint_list.is_none() {
             self.named_workers(now, transport);
         }
     }
 
     fn named_workers(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let entry = |w: &NamedWorker| Entry {
-            server: WorkerId::named(&w.name),
-            standing: WorkerStatus::Ready,
+        let entry = |w: &StaticWorker| EndpointEntry {
+            worker: WorkerId::named(&w.name),
+            status: WorkerStatus::Ready,
             up_since: 0,
             zone: w.zone.map(ZoneId),
             rack: w.rack,
             weight: w.weight,
         };
-        let named = self.deployment.workers.iter().map(|w| (w.name.clone(), w.address, entry(w)));
-        let taken = self.listed.take(EndpointListKind::Full, named.collect());
+        let named = self.deployment.workers.iter().map(|w| NamedEndpoint {
+            name: w.name.clone(),
+            address: w.address,
+            entry: entry(w),
+        });
+        let taken = self.listed.apply(EndpointListKind::Full, named.collect());
         self.listed(now, transport, &taken);
     }
 
@@ -345,9 +347,7 @@
     }
 
     fn after(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros, step: Step) {
-        self.next_step += 2;
-        self.steps.insert(self.next_step, step);
-        transport.wake_at(now + delay, Wake(self.next_step));
+        self.deferred.schedule(now, transport, delay, step);
     }
 
     // ---- The module's orders -----------------------------------------------------------------
@@ -369,47 +369,44 @@
             match self.ready.pop_front() {
                 Some(conn) => self.read_on(now, transport, conn),
                 None if self.write_down(now, transport) => {}
-                None if self.acts.0.is_empty() && self.chains.ends.is_empty() => return,
+                None if self.actions.is_empty() && self.chains.ends.is_empty() => return,
                 None => {}
             }
         }
     }
 
     fn carry_out(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some(act) = self.acts.0.pop_front() {
-            match act {
-                Act::Send(request, server, patience, begin) => {
-                    self.execute(now, transport, request, server, (patience, begin));
-                }
-                Act::Cancel(request, n) => {
-                    self.drop_attempt(now, transport, request, n, Outcome::Cancelled);
-                }
-                Act::PushBack(request, come_back) => {
+        while let Some(action) = self.actions.pop() {
+            match action {
+                Action::Send(dispatch) => self.start_attempt(now, transport, &dispatch),
+                Action::Cancel(attempt) => self.end_attempt(now, transport, attempt, Outcome::Cancelled),
+                Action::Reject(request, come_back) => {
                     // In a storm the module's word stands, but all its pushbacks together would be a second
                     // wave.
                     let advised = self.damps().then(|| self.tasks.get(request)).flatten();
-                    let advised = advised.map(|t| (t.of.client, t.of.digest, t.deadline.saturating_sub(now)));
+                    let advised =
+                        advised.map(|t| (t.data.client, t.data.digest, t.deadline.saturating_sub(now)));
                     let come_back = match (advised, come_back) {
                         (Some((client, name, left)), Some(_)) => self.gate.come_back(now, client, name, left),
                         (None, Some(wait)) => {
                             if let Some(task) = self.tasks.get(request) {
-                                self.gate.told(task.of.digest, now + wait);
+                                self.gate.told(task.data.digest, now + wait);
                             }
                             come_back
                         }
                         (_, None) => None,
                     };
-                    let digest = self.tasks.get(request).map(|t| t.of.digest);
+                    let digest = self.tasks.get(request).map(|t| t.data.digest);
                     if let (Some(memory), Some(digest), Some(wait)) = (&mut self.memory, digest, come_back) {
                         memory.promised(now, digest, wait);
                     }
                     let fault =
                         Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
-                    let id = self.tasks.get(request).map(|t| t.of.name.1.clone());
-                    let told = front::problem(Ending::PushedBack, &fault, id.as_deref(), come_back);
+                    let id = self.tasks.get(request).map(|t| t.data.name.id.clone());
+                    let told = Answer::problem(FinalOutcome::Rejected, &fault, id.as_deref(), come_back);
                     self.end(now, transport, request, told);
                 }
-                Act::Kill(request) => {
+                Action::Fail(request) => {
                     let Some(task) = self.tasks.get(request) else { continue };
                     let late = task.timed_out || now >= task.deadline;
                     let fault = if late {
@@ -417,46 +414,41 @@
                     } else {
                         Fault::new(502, "killed", "the worker failed; the job may have run")
                     };
-                    let id = task.of.name.1.clone();
-                    let told = front::problem(Ending::Killed, &fault, Some(&id), None);
+                    let id = task.data.name.id.clone();
+                    let told = Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None);
                     self.end(now, transport, request, told);
                 }
-                // The module's timers are many and carry their own number: they travel as they are, ours are
-                // odd.
-                Act::Wake(delay, token) => transport.wake_at(now + delay, Wake(token.0 << 1)),
-                Act::Note(text) => tracing::info!(target: "module", "{text}"),
+                Action::SetTimer(delay, token) => {
+                    DeferredCalls::<Gateway>::schedule_control(now, transport, delay, token);
+                }
+                Action::Log(text) => tracing::info!(target: "module", "{text}"),
                 // The list is pushed to whoever is connected to it, so there is nothing to ask for.
-                Act::Watch => {}
+                Action::WatchEndpoints => {}
             }
         }
     }
 
     /// Begins one attempt: on a connection that stands, else on a new one.
-    fn execute(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        server: WorkerId,
-        times: (Micros, Micros),
-    ) {
-        let most = self.deployment.rows.attempt_policy.max_attempts;
-        match self.tasks.execute(now, request, server, times, most) {
-            Some(Ok(n)) => {
+    fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
+        let most = self.deployment.startup.attempt_policy.max_attempts;
+        match self.tasks.start_attempt(now, dispatch, most) {
+            Some(Started::InFlight(attempt)) => {
                 self.counts.attempts += 1;
-                if let Some(worker) = self.listed.get_mut(server) {
-                    worker.out += 1;
+                if let Some(worker) = self.listed.get_mut(dispatch.worker) {
+                    worker.in_flight += 1;
                 }
                 self.arm(now, transport);
-                self.connect(now, transport, request, n);
+                self.connect(now, transport, attempt);
+            }
+            Some(Started::Refused(attempt)) => {
+                self.close_attempt(now, attempt, attempt_result(Outcome::Superseded))
             }
-            Some(Err(n)) => self.close(now, request, n, ended(Outcome::Superseded)),
             None => {}
         }
     }
 
     fn arm(&mut self, now: Micros, transport: &mut dyn Transport) {
-        if let Some(until) = self.tasks.arm() {
+        if let Some(until) = self.tasks.next_timer() {
             self.after(
                 now,
                 transport,
@@ -467,37 +459,37 @@
     }
 
     fn times_up(&mut self, now: Micros, transport: &mut dyn Transport) {
-        while let Some((request, n)) = self.tasks.due(now) {
-            self.drop_attempt(now, transport, request, n, Outcome::TimedOut);
+        while let Some(attempt) = self.tasks.pop_timed_out(now) {
+            self.end_attempt(now, transport, attempt, Outcome::TimedOut);
         }
         self.arm(now, transport);
     }
 
-    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, n: usize) {
-        let Some(task) = self.tasks.get_mut(request) else { return };
-        let server = task.attempts[n].server;
-        let at_most_once = task.of.effect == RetrySafety::AtMostOnce;
-        let Some(worker) = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready) else {
-            self.close(now, request, n, ended(Outcome::ConnectFailed));
+    fn connect(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
+        let Some(task) = self.tasks.get_mut(attempt.request) else { return };
+        let server = task.attempts[attempt.index].worker;
+        let at_most_once = task.data.effect == RetrySafety::AtMostOnce;
+        let Some(worker) = self.listed.get_mut(server).filter(|w| w.status == WorkerStatus::Ready) else {
+            self.close_attempt(now, attempt, attempt_result(Outcome::ConnectFailed));
             return;
         };
         let rested = if at_most_once { IDLE_AT_MOST_ONCE } else { IDLE_LIMIT };
         // The latest of them is the freshest; where that is too old, all are, and the sweep takes them.
-        let fresh = worker.idle.last().is_some_and(|(_, since)| now < since + rested);
+        let fresh = worker.idle.last().is_some_and(|idle| now < idle.since + rested);
         let conn = match if fresh { worker.idle.pop() } else { None } {
-            Some((conn, _)) => {
+            Some(IdleConnection { conn, .. }) => {
                 let link = self.links.get_mut(&conn).expect("idle connections are known");
-                link.carries = Some((request, n));
+                link.attempt = Some(attempt);
                 link.sent_before = transport.sent(conn);
                 conn
             }
             None => {
-                let conn = transport.connect(worker.address, self.deployment.connect_limit);
-                self.links.insert(conn, Link::new(server, (request, n)));
+                let conn = transport.connect(worker.address, self.deployment.connect_timeout);
+                self.links.insert(conn, WorkerConnection::new(server, attempt));
                 conn
             }
         };
-        task.attempts[n].link = Some(conn);
+        task.attempts[attempt.index].connection = Some(conn);
         if fresh {
             self.write(now, transport, conn);
         }
@@ -506,34 +498,35 @@
     /// Writes the request of the attempt that a connection carries.
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get(&conn) else { return };
-        let Some((request, n)) = link.carries else { return };
-        let Some(worker) = self.listed.get(link.server) else { return };
+        let Some(attempt) = link.attempt else { return };
+        let request = attempt.request;
+        let Some(worker) = self.listed.get(link.worker) else { return };
         // Its client has gone while the connection was made, or it is a repeat that would not be known now.
-        if !self.tasks.get(request).is_some_and(|task| task.may_begin(now, n)) {
-            self.drop_attempt(now, transport, request, n, Outcome::Superseded);
+        if !self.tasks.get(request).is_some_and(|task| task.may_start(now, attempt.index)) {
+            self.end_attempt(now, transport, attempt, Outcome::Superseded);
             return;
         }
         // A drain was told meanwhile: nothing new goes there.
-        if worker.standing != WorkerStatus::Ready {
-            self.drop_attempt(now, transport, request, n, Outcome::ConnectFailed);
+        if worker.status != WorkerStatus::Ready {
+            self.end_attempt(now, transport, attempt, Outcome::ConnectFailed);
             return;
         }
         let Some(task) = self.tasks.get(request) else { return };
         let mut head = encode::request("POST", "/run", &worker.address.to_string());
-        head = head.lines(&task.of.lines);
-        if let Some(media) = &task.of.media {
+        head = head.lines(&task.data.lines);
+        if let Some(media) = &task.data.media {
             head = head.field("Content-Type", media);
         }
-        let row = &task.of.row;
+        let row = &task.data.row;
         head = head
-            .field("applepond-function", &task.of.function)
-            .field("applepond-workload", &self.deployment.workloads[task.of.workload].name)
-            .number("applepond-lanes", u64::from(row.lanes))
+            .field("applepond-function", &task.data.function)
+            .field("applepond-workload", &self.deployment.workloads[task.data.workload].name)
+            .number("applepond-lanes", u64::from(row.concurrency))
             .number("applepond-memory-mb", u64::from(row.memory_mb))
-            .number("applepond-router", self.deployment.rows.router_index)
-            .number("applepond-execution", n as u64)
+            .number("applepond-router", self.deployment.startup.router_index)
+            .number("applepond-execution", attempt.index as u64)
             .number("applepond-time-left-ms", task.deadline.saturating_sub(now) / 1000);
-        if let Some(opening) = &task.of.opening {
+        if let Some(opening) = &task.data.opening {
             head = head
                 .field("applepond-opening", &opening.name)
                 .number("applepond-opening-size", u64::from(opening.size));
@@ -542,75 +535,80 @@
                 head = head.number("applepond-opening-lease-ms", lease / 1000);
             }
         }
-        transport.write(conn, &head.body(&task.of.data));
+        transport.write(conn, &head.body(&task.data.data));
     }
 
     /// Ends an attempt from this side, by a cancel or because its time is up: the worker is told by the end
     /// of its connection, and whatever it answers after that is never read.
-    fn drop_attempt(
+    fn end_attempt(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        request: RequestId,
-        n: usize,
+        attempt: AttemptId,
         outcome: Outcome,
     ) {
-        let Some(task) = self.tasks.get_mut(request) else { return };
-        let Some(attempt) = task.attempts.get_mut(n).filter(|e| !e.closed) else { return };
-        if let Some(conn) = attempt.link.take() {
+        let Some(task) = self.tasks.get_mut(attempt.request) else { return };
+        let Some(state) = task.attempts.get_mut(attempt.index).filter(|state| !state.closed) else { return };
+        if let Some(conn) = state.connection.take() {
             transport.cut(conn);
             self.links.remove(&conn);
         }
         task.timed_out |= outcome == Outcome::TimedOut;
-        self.close(now, request, n, ended(outcome));
+        self.close_attempt(now, attempt, attempt_result(outcome));
     }
 
     /// Tells the module how an attempt closed, once.
-    fn close(&mut self, now: Micros, request: RequestId, n: usize, answer: AttemptResult) {
-        let server = self.tasks.get(request).map(|task| task.attempts[n].server);
-        let Some(answer) = self.tasks.close(now, request, n, answer) else { return };
+    fn close_attempt(&mut self, now: Micros, attempt: AttemptId, answer: AttemptResult) {
+        let server = self.tasks.get(attempt.request).map(|task| task.attempts[attempt.index].worker);
+        let Some(answer) = self.tasks.close_attempt(now, attempt, answer) else { return };
         if let Some(worker) = server.and_then(|server| self.listed.get_mut(server)) {
-            worker.out = worker.out.saturating_sub(1);
+            worker.in_flight = worker.in_flight.saturating_sub(1);
         }
-        tracing::debug!(n, ?answer.outcome, answer.elapsed, "attempt closed");
+        tracing::debug!(attempt = attempt.index, ?answer.outcome, answer.elapsed, "attempt closed");
         self.control.advance_to(now);
-        self.control.attempt_finished(&mut self.acts, request, n, &answer);
+        self.control.attempt_finished(&mut self.actions, attempt.request, attempt.index, &answer);
     }
 
     // ---- The end of a request --------------------------------------------------------------------
 
     /// The one place where a request ends: each exchange that waits gets the answer, the log its line.
-    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Told>) {
+    fn end(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, told: Rc<Answer>) {
         let Some(task) = self.tasks.end(request) else { return };
-        if let Some(then) = task.of.then.take() {
-            let end = chained::StepEnd { told, took: now - task.came, stood: task.of.stood };
-            self.tasks.forget(request);
+        if let Some(then) = task.data.then.take() {
+            let end = workflow::StepEnd { told, took: now - task.arrived_at, stood: task.data.stood };
+            self.tasks.remove_if_done(request);
             self.chains.ends.push_back((then, end));
             return;
         }
-        let count = match told.ending {
-            Ending::Finished => &mut self.counts.finished,
-            Ending::PushedBack => &mut self.counts.pushed_back,
-            Ending::Killed => &mut self.counts.killed,
+        let count = match told.outcome {
+            FinalOutcome::Finished => &mut self.counts.finished,
+            FinalOutcome::Rejected => &mut self.counts.pushed_back,
+            FinalOutcome::Failed => &mut self.counts.killed,
         };
         *count += 1;
-        self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
-        self.claims.end(now, &task.of.name, told.ending, task.of.effect, told.clone(), told.bytes());
+        self.gate.ended(now, told.outcome == FinalOutcome::Finished, told.outcome == FinalOutcome::Rejected);
+        let completion = Completion {
+            outcome: told.outcome,
+            retry_safety: task.data.effect,
+            answer: told.clone(),
+            bytes: told.bytes(),
+        };
+        self.idempotency.complete(now, &task.data.name, completion);
         tracing::info!(
-            id = %task.of.name.1,
-            source = %task.of.name.0,
-            function = %task.of.function,
-            workload = %self.deployment.workloads[task.of.workload].name,
+            id = %task.data.name.id,
+            source = %task.data.name.source,
+            function = %task.data.function,
+            workload = %self.deployment.workloads[task.data.workload].name,
             reason = told.reason,
             status = told.status,
             executions = task.attempts.len(),
-            exchanges = task.of.callers.len(),
-            took_us = now - task.came,
+            exchanges = task.data.callers.len(),
+            took_us = now - task.arrived_at,
             left_us = task.deadline.saturating_sub(now),
             "job ended"
         );
-        let callers = std::mem::take(&mut task.of.callers);
-        self.tasks.forget(request);
+        let callers = std::mem::take(&mut task.data.callers);
+        self.tasks.remove_if_done(request);
         for conn in callers {
             if let Some(caller) = self.callers.get_mut(&conn) {
                 caller.answer(now, transport, conn, &told);
@@ -624,14 +622,14 @@
     /// Takes the requests that are whole, as far as answers allow.
     fn read_on(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(caller) = self.callers.get_mut(&conn)
-            && let Some(asked) = caller.next(transport, conn)
+            && let Some(asked) = caller.next_request(transport, conn)
         {
             match asked {
-                Ok(Ask::Event(draft)) => match self.take(now, conn, *draft) {
+                Ok(ClientRequest::Event(draft)) => match self.take(now, conn, *draft) {
                     Ok(()) => {}
                     Err(told) => self.answer(now, transport, conn, &told),
                 },
-                Ok(Ask::StatePage) => {
+                Ok(ClientRequest::StatePage) => {
                     let told = self.state_page(now);
                     self.answer(now, transport, conn, &told);
                 }
@@ -644,7 +642,7 @@
         }
     }
 
-    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Told) {
+    fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, told: &Answer) {
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.answer(now, transport, conn, told);
         }
@@ -652,48 +650,53 @@
 
     /// Takes one event: it joins its request, is told its answer again, or becomes a request. An error is
     /// its answer.
-    fn take(&mut self, now: Micros, conn: Conn, draft: Draft) -> Result<(), Rc<Told>> {
+    fn take(&mut self, now: Micros, conn: Conn, draft: EventDraft) -> Result<(), Rc<Answer>> {
         let id = draft.id.clone();
         let refuse = |status, reason, detail: String| {
             let fault = Fault::new(status, reason, detail);
             tracing::info!(id, reason, status, "event refused");
-            Err(front::problem(Ending::PushedBack, &fault, Some(&id), None))
+            Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), None))
         };
-        if let Some(row) = self.deployment.chains.iter().position(|c| c.types.contains(&draft.kind)) {
+        if let Some(row) = self.deployment.workflows.iter().position(|c| c.types.contains(&draft.event_type))
+        {
             return self.take_chain(now, conn, row, draft);
         }
-        let Some(workload) = self.deployment.workloads.iter().position(|w| w.types.contains(&draft.kind))
+        let Some(workload) =
+            self.deployment.workloads.iter().position(|w| w.types.contains(&draft.event_type))
         else {
-            let shown: String = draft.kind.escape_default().take(80).collect();
+            let shown: String = draft.event_type.escape_default().take(80).collect();
             return refuse(422, "unknown-workload", format!("no workload takes events of type '{shown}'"));
         };
         let deadline = self.deployment.workloads[workload].deadline;
         let names = &self.deployment.workloads[workload];
-        let function = match &names.function_by {
-            FunctionBy::Named(name) => Some(name.as_str()),
-            FunctionBy::Attribute(by) => draft.picked(by).filter(|f| !f.is_empty()),
+        let function = match &names.function_source {
+            FunctionSource::Named(name) => Some(name.as_str()),
+            FunctionSource::Attribute(by) => draft.attribute(by).filter(|f| !f.is_empty()),
         };
         let Some(function) = function.map(str::to_owned) else {
             return refuse(
                 422,
                 "no-function",
-                format!("the event does not name its function: {:?}", names.function_by),
+                format!("the event does not name its function: {:?}", names.function_source),
             );
         };
-        let opening = names.opening_by.as_ref().and_then(|(by, size_by)| {
-            let name = draft.picked(by).filter(|name| (1..=OPENING_MOST).contains(&name.len()))?.to_owned();
+        let opening = names.prefix_attributes.as_ref().and_then(|prefix| {
+            let name = draft
+                .attribute(&prefix.name)
+                .filter(|name| (1..=OPENING_MOST).contains(&name.len()))?
+                .to_owned();
             // One of unknown size is prepared as any, and never pinned.
-            let size = draft.picked(size_by).and_then(|size| size.parse().ok()).unwrap_or(0);
+            let size = draft.attribute(&prefix.size).and_then(|size| size.parse().ok()).unwrap_or(0);
             Some(Opening { name, size })
         });
         let Ok(customer) = self.customer(&draft) else {
             return refuse(422, "unknown-customer", "no such customer has a share here".to_owned());
         };
-        let name: Name = (Rc::from(draft.source.as_str()), Rc::from(draft.id.as_str()));
+        let name: IdempotencyKey = IdempotencyKey::new(&draft.source, &draft.id);
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
-        let Some(left) = limit::left(now, deadline, draft.asked) else {
+        let Some(left) = deadline::time_left(now, deadline, draft.deadline) else {
             return refuse(504, "expired", "the event's time was up when it came".to_owned());
         };
         let (client, digest, retry) = self.admit(now, &draft, workload, left)?;
@@ -711,15 +714,15 @@
             left,
             retry,
             paid: 1.0,
-            lines: draft.lines,
-            media: draft.media,
+            lines: draft.fields,
+            media: draft.media_type,
             data: Rc::new(draft.data),
             opening,
             callers: vec![conn],
             then: None,
         };
         let request = self.begin(now, wanted);
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.request = Some(request);
         }
@@ -732,13 +735,18 @@
     fn admit(
         &mut self,
         now: Micros,
-        draft: &Draft,
+        draft: &EventDraft,
         workload: usize,
         left: Micros,
-    ) -> Result<(u64, u64, bool), Rc<Told>> {
+    ) -> Result<(u64, u64, bool), Rc<Answer>> {
         if self.tasks.len() + self.chains.open.len() >= JOBS_MOST {
             let fault = Fault::new(503, "too-many-jobs", "this router holds as many jobs as it may");
-            return Err(front::problem(Ending::PushedBack, &fault, Some(&draft.id), Some(JOBS_MOST_WAIT)));
+            return Err(Answer::problem(
+                FinalOutcome::Rejected,
+                &fault,
+                Some(&draft.id),
+                Some(JOBS_MOST_WAIT),
+            ));
         }
         let client = FunctionId::named(&draft.source).0;
         let digest = FunctionId::named(&draft.id).0 ^ client.rotate_left(1);
@@ -747,15 +755,15 @@
             &applepond_admission::Arrival {
                 client,
                 name: digest,
-                retry: draft.retry,
-                importance: self.deployment.rows.workloads[workload].priority_weight,
+                retry: draft.is_retry,
+                importance: self.deployment.startup.workloads[workload].priority_weight,
                 left,
             },
         );
         self.say_called(now);
         match passage {
             Passage::In { retry } => Ok((client, digest, retry)),
-            Passage::Back { .. } if !self.deployment.damping => Ok((client, digest, draft.retry)),
+            Passage::Back { .. } if !self.deployment.storm_shedding => Ok((client, digest, draft.is_retry)),
             Passage::Back { wait, why } => {
                 self.counts.damped += 1;
                 if let (Some(memory), Some(wait)) = (&mut self.memory, wait) {
@@ -765,17 +773,17 @@
                 let status = if why == "retry-budget" { 429 } else { 503 };
                 let fault =
                     Fault::new(status, why, "many ask again at once; a retry does no harm at the time told");
-                Err(front::problem(Ending::PushedBack, &fault, Some(&draft.id), wait))
+                Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&draft.id), wait))
             }
         }
     }
 
     /// The customer that an event names; an error is one that is not known.
-    fn customer(&self, draft: &Draft) -> Result<Option<CustomerId>, ()> {
-        match draft.picked(&self.deployment.customer_by) {
+    fn customer(&self, draft: &EventDraft) -> Result<Option<CustomerId>, ()> {
+        match draft.attribute(&self.deployment.customer_attribute) {
             None => Ok(None),
             Some(named) => {
-                let rows = &self.deployment.rows.customers;
+                let rows = &self.deployment.startup.customers;
                 let found = self.deployment.customers.iter().position(|c| c == named);
                 // Settings that were switched away from may have left the name behind, without a share.
                 let found = found.filter(|n| rows[*n].requests_per_second > 0.0);
@@ -785,12 +793,12 @@
     }
 
     /// Has an exchange join what runs under its name, or be told what came of it. None: the name is new.
-    fn taken(&mut self, now: Micros, conn: Conn, name: &Name) -> Option<Result<(), Rc<Told>>> {
-        match self.claims.claim(now, name) {
-            Claim::Join(request) => {
+    fn taken(&mut self, now: Micros, conn: Conn, name: &IdempotencyKey) -> Option<Result<(), Rc<Answer>>> {
+        match self.idempotency.look_up(now, name) {
+            Lookup::InProgress(request) => {
                 self.counts.joined += 1;
                 match (self.tasks.get_mut(request), self.chains.open.get_mut(&request)) {
-                    (Some(task), _) => task.of.callers.push(conn),
+                    (Some(task), _) => task.data.callers.push(conn),
                     (_, Some(chain)) => chain.callers.push(conn),
                     _ => unreachable!("what runs is known"),
                 }
@@ -799,27 +807,27 @@
                 }
                 Some(Ok(()))
             }
-            Claim::Again(told) => {
+            Lookup::Completed(told) => {
                 self.counts.again += 1;
                 Some(Err(told))
             }
-            Claim::New => None,
+            Lookup::New => None,
         }
     }
 
     /// Hands a request to the module.
     fn begin(&mut self, now: Micros, wanted: Wanted) -> RequestId {
         let names = &self.deployment.workloads[wanted.workload];
-        let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.function).clone();
+        let row = self.deployment.functions.get(&wanted.function).unwrap_or(&names.default_function).clone();
         self.next_job += 1;
-        let request = request_id(self.deployment.rows.seed, self.next_job);
+        let request = request_id(self.deployment.startup.seed, self.next_job);
         let arrival = RequestArrival {
             request,
             function: FunctionId::named(&wanted.function),
             workload: WorkloadId(wanted.workload),
             customer: wanted.customer,
             time_left: wanted.left,
-            concurrency: row.lanes,
+            concurrency: row.concurrency,
             retry: wanted.retry,
             load_time: row.load_time.or_else(|| {
                 let memory = self.memory.as_ref()?;
@@ -839,13 +847,13 @@
             data: wanted.data,
             row,
             opening: wanted.opening,
-            effect: self.deployment.rows.workloads[wanted.workload].retry_safety,
+            effect: self.deployment.startup.workloads[wanted.workload].retry_safety,
             stood: false,
             then: wanted.then,
         };
-        self.tasks.begin(request, now, now + arrival.time_left, task);
+        self.tasks.insert(request, now, now + arrival.time_left, task);
         self.control.advance_to(now);
-        self.control.request_arrived(&mut self.acts, &arrival);
+        self.control.request_arrived(&mut self.actions, &arrival);
         request
     }
 
@@ -858,20 +866,20 @@
             chain.callers.retain(|c| *c != conn);
         }
         let Some(task) = self.tasks.get_mut(request) else { return };
-        task.of.callers.retain(|c| *c != conn);
-        if task.of.callers.is_empty() && task.attempts.is_empty() && !task.ended {
-            let Task { name: (source, id), .. } = &task.of;
+        task.data.callers.retain(|c| *c != conn);
+        if task.data.callers.is_empty() && task.attempts.is_empty() && !task.ended {
+            let IdempotencyKey { source, id } = &task.data.name;
             tracing::info!(%id, %source, reason = "client-left", "job ended");
-            self.claims.drop(&task.of.name);
-            self.tasks.drop(request);
+            self.idempotency.abandon(&task.data.name);
+            self.tasks.remove(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, request);
+            self.control.client_disconnected(&mut self.actions, request);
         }
     }
 
     /// Whether a storm or a client's loop is under way, and damped.
     fn damps(&self) -> bool {
-        self.deployment.damping && matches!(self.gate.watch().called(), Called::Storm | Called::Loop)
+        self.deployment.storm_shedding && matches!(self.gate.watch().called(), Called::Storm | Called::Loop)
     }
 
     /// The log's line when what the traffic is called changes.
@@ -903,19 +911,19 @@
         })
     }
 
-    fn state_page(&self, now: Micros) -> Rc<Told> {
-        let standing = |wanted| self.listed.iter().filter(|(_, w)| w.standing == wanted).count();
-        let (open, out) = self.tasks.open();
+    fn state_page(&self, now: Micros) -> Rc<Answer> {
+        let standing = |status| self.listed.count(status);
+        let open = self.tasks.open_counts();
         let c = &self.counts;
         let body = serde_json::json!({
             "now_us": now,
-            "router": self.deployment.rows.router_index,
+            "router": self.deployment.startup.router_index,
             "settings": {"switched": c.switched, "kept": c.kept},
-            "jobs": {"open": open, "taken": c.requests,
+            "jobs": {"open": open.requests, "taken": c.requests,
                 "joined": c.joined, "told-again": c.again, "finished": c.finished,
                 "pushed-back": c.pushed_back, "killed": c.killed, "requests-refused": c.refused},
-            "executions": {"out": out, "begun": c.attempts},
-            "remembered": self.claims.remembered(),
+            "executions": {"out": open.attempts, "begun": c.attempts},
+            "remembered": self.idempotency.kept_answers(),
             "chains": self.chains.state(),
             "storm": self.storm_state(now),
             "connections": {"clients": self.callers.len(), "workers": self.links.len(),
@@ -927,28 +935,25 @@
         for (name, page) in &self.pages {
             body[*name] = page(now);
         }
-        let mut lines = Lines::default();
-        lines.field("Content-Type", "application/json");
-        let body = format!("{body}\n").into_bytes();
-        Rc::new(Told { ending: Ending::Finished, status: 200, reason: "state", lines, body, come_back: None })
+        Answer::state_page(&body)
     }
 
     // ---- The workers' side -------------------------------------------------------------------
 
     fn link_bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let Some((request, n)) = link.carries else {
+        let Some(attempt) = link.attempt else {
             // Nobody asked: a second answer, or garbage. What it belongs to can't be told.
             self.drop_link(transport, conn);
             return;
         };
         link.decoder.feed(bytes);
-        match link.decoder.step(&mut link.answering) {
+        match link.decoder.step(&mut link.response) {
             Ok(Decoded::More) => {}
             Ok(Decoded::Done) => self.link_answered(now, transport, conn),
             Err(fault) => {
                 tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
-                self.drop_attempt(now, transport, request, n, Outcome::ConnectionLost);
+                self.end_attempt(now, transport, attempt, Outcome::ConnectionLost);
             }
         }
     }
@@ -956,48 +961,53 @@
     /// An answer is whole: the connection is free for the next, and the attempt closes.
     fn link_answered(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(link) = self.links.get_mut(&conn) else { return };
-        let mut answering = std::mem::take(&mut link.answering);
-        let Some((request, n)) = link.carries.take() else { return };
-        link.kept = true;
-        let server = link.server;
+        let mut answering = std::mem::take(&mut link.response);
+        let Some(attempt) = link.attempt.take() else { return };
+        let request = attempt.request;
+        link.reused = true;
+        let server = link.worker;
         // Bytes after the answer are a second one to the same request: that connection is not trusted
         // further.
-        let clean = answering.whole == Some(true) && link.decoder.idle();
+        let clean = answering.keep_alive == Some(true) && link.decoder.idle();
         if let Some(worker) = self.listed.get_mut(server) {
-            worker.answered = true;
+            worker.has_answered = true;
         }
-        let worker = self.listed.get_mut(server).filter(|w| w.standing == WorkerStatus::Ready);
+        let worker = self.listed.get_mut(server).filter(|w| w.status == WorkerStatus::Ready);
         match worker.filter(|w| clean && w.idle.len() < IDLE_MOST) {
-            Some(worker) => worker.idle.push((conn, now)),
+            Some(worker) => worker.idle.push(IdleConnection { conn, since: now }),
             None => {
                 transport.cut(conn);
                 self.links.remove(&conn);
             }
         }
-        let outcome = fate::of_answer(answering.status, answering.mark.as_deref(), answering.event);
+        let outcome = attempt_outcome::from_response(
+            answering.status,
+            answering.verdict.as_deref(),
+            answering.is_event,
+        );
         if let Some(task) = self.tasks.get_mut(request) {
-            task.attempts[n].link = None;
+            task.attempts[attempt.index].connection = None;
             if outcome == Outcome::Finished && !task.ended {
-                task.of.stood =
-                    answering.copy != LoadState::LoadStarted && answering.copy != LoadState::LoadPending;
-                let mut lines = std::mem::take(&mut answering.lines);
+                task.data.stood = answering.was_loaded();
+                let mut lines = std::mem::take(&mut answering.fields);
                 lines.field("applepond-executions", &task.attempts.len().to_string());
                 let body = std::mem::take(&mut answering.body);
-                let told = Told::finished(lines, body);
+                let told = Answer::finished(lines, body);
                 self.end(now, transport, request, Rc::new(told));
             }
         }
-        let Answering { copy, company, held, loads, .. } = answering;
-        self.close(
+        let WorkerResponse {
+            load_state, same_function_in_flight, reported_in_flight, reported_loads, ..
+        } = answering;
+        self.close_attempt(
             now,
-            request,
-            n,
+            attempt,
             AttemptResult {
-                load_state: copy,
-                same_function_in_flight: company,
-                reported_in_flight: held,
-                reported_loads: loads,
-                ..ended(outcome)
+                load_state,
+                same_function_in_flight,
+                reported_in_flight,
+                reported_loads,
+                ..attempt_result(outcome)
             },
         );
     }
@@ -1005,42 +1015,42 @@
     /// A connection to a worker is gone, or its worker has ended its side.
     fn link_gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         let Some(mut link) = self.links.remove(&conn) else { return };
-        let Some((request, n)) = link.carries else {
-            if let Some(worker) = self.listed.get_mut(link.server) {
-                worker.idle.retain(|(c, _)| *c != conn);
+        let Some(attempt) = link.attempt else {
+            if let Some(worker) = self.listed.get_mut(link.worker) {
+                worker.idle.retain(|idle| idle.conn != conn);
             }
             return;
         };
         // An answer without a length ends with its connection.
-        if link.decoder.in_body() && link.decoder.finish(&mut link.answering).is_ok() {
+        if link.decoder.in_body() && link.decoder.finish(&mut link.response).is_ok() {
             self.links.insert(conn, link);
             self.link_answered(now, transport, conn);
             return;
         }
-        let reached = fate::reached(link.open, link.sent_before, sent);
-        if let Some(task) = self.tasks.get_mut(request) {
-            task.attempts[n].link = None;
-            if fate::again(reached, link.kept, why) && !task.ended {
-                self.connect(now, transport, request, n);
+        let reached = attempt_outcome::send_progress(link.connected, link.sent_before, sent);
+        if let Some(task) = self.tasks.get_mut(attempt.request) {
+            task.attempts[attempt.index].connection = None;
+            if attempt_outcome::may_resend(reached, link.reused, why) && !task.ended {
+                self.connect(now, transport, attempt);
                 return;
             }
         }
-        self.close(now, request, n, ended(fate::of_end(reached)));
+        self.close_attempt(now, attempt, attempt_result(attempt_outcome::on_disconnect(reached)));
     }
 
     fn drop_link(&mut self, transport: &mut dyn Transport, conn: Conn) {
         transport.cut(conn);
         if let Some(link) = self.links.remove(&conn)
-            && let Some(worker) = self.listed.get_mut(link.server)
+            && let Some(worker) = self.listed.get_mut(link.worker)
         {
-            worker.idle.retain(|(c, _)| *c != conn);
+            worker.idle.retain(|idle| idle.conn != conn);
         }
     }
 
     fn sweep(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, worker) in self.listed.iter_mut() {
-            let old = worker.idle.iter().take_while(|(_, since)| now >= since + IDLE_LIMIT).count();
-            for (conn, _) in worker.idle.drain(..old) {
+            let old = worker.idle.iter().take_while(|idle| now >= idle.since + IDLE_LIMIT).count();
+            for IdleConnection { conn, .. } in worker.idle.drain(..old) {
                 transport.cut(conn);
                 self.links.remove(&conn);
             }
@@ -1049,7 +1059,7 @@
             self.switch(now, transport, new);
         }
         if let Some(openings) = &mut self.openings {
-            openings.workers(self.listed.iter().filter(|(_, w)| w.standing == WorkerStatus::Ready).count());
+            openings.workers(self.listed.count(WorkerStatus::Ready));
         }
         self.after(now, transport, SWEEP, Box::new(|g, now, transport| g.sweep(now, transport)));
     }
@@ -1081,7 +1091,7 @@
             }
         }
         for (server, up_since, seen) in self.control.worker_histories() {
-            if self.listed.get(server).is_some_and(|w| w.answered && w.up_since == up_since) {
+            if self.listed.get(server).is_some_and(|w| w.has_answered && w.up_since == up_since) {
                 memory.saw(now, server, up_since, &seen);
             }
         }
@@ -1094,27 +1104,27 @@
         // A drain may be told after the list was, and may be over: each is looked at anew.
         let ready = WorkerStatus::Ready;
         let looks =
-            self.said_ready.values().map(|e| (e.clone(), memory.listed(now, e.server, e.up_since, ready)));
-        let looks: Vec<(Entry, WorkerStatus)> = looks.collect();
+            self.said_ready.values().map(|e| (e.clone(), memory.listed(now, e.worker, e.up_since, ready)));
+        let looks: Vec<(EndpointEntry, WorkerStatus)> = looks.collect();
         let mut entries = Vec::new();
         for (entry, is) in looks {
-            let Some(worker) = self.listed.get_mut(entry.server).filter(|w| w.standing != is) else {
+            let Some(worker) = self.listed.get_mut(entry.worker).filter(|w| w.status != is) else {
                 continue;
             };
-            worker.standing = is;
-            entries.push(Entry { standing: is, ..entry });
+            worker.status = is;
+            entries.push(EndpointEntry { status: is, ..entry });
         }
         if !entries.is_empty() {
             let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
-            self.control.endpoints_updated(&mut self.acts, EndpointListKind::Changes, &entries);
+            self.control.endpoints_updated(&mut self.actions, EndpointListKind::Changes, &entries);
             self.settle(now, transport);
         }
     }
 
     // ---- The host list -----------------------------------------------------------------------
 
-    fn listed(&mut self, now: Micros, transport: &mut dyn Transport, taken: &Taken) {
-        for conn in &taken.cut {
+    fn listed(&mut self, now: Micros, transport: &mut dyn Transport, taken: &EndpointUpdate) {
+        for conn in &taken.disconnect {
             transport.cut(*conn);
             self.links.remove(conn);
         }
@@ -1122,31 +1132,31 @@
         if taken.kind != EndpointListKind::Changes {
             // Who is not in it is gone: what was said of it before says nothing.
             self.said_ready.clear();
-            let named: Vec<_> = taken.entries.iter().map(|e| (e.server, e.up_since)).collect();
+            let named: Vec<_> = taken.entries.iter().map(|e| (e.worker, e.up_since)).collect();
             self.memory.iter_mut().for_each(|memory| memory.whole(&named));
         }
         if let Some(memory) = &mut self.memory {
             for entry in &mut entries {
-                let is = memory.listed(now, entry.server, entry.up_since, entry.standing);
-                self.said_ready.remove(&entry.server);
-                if entry.standing == WorkerStatus::Ready {
-                    self.said_ready.insert(entry.server, entry.clone());
+                let is = memory.listed(now, entry.worker, entry.up_since, entry.status);
+                self.said_ready.remove(&entry.worker);
+                if entry.status == WorkerStatus::Ready {
+                    self.said_ready.insert(entry.worker, entry.clone());
                 }
                 // Guards against a drain that was told before a restart and that a late list takes back.
-                if is != entry.standing {
-                    entry.standing = is;
-                    self.listed.get_mut(entry.server).into_iter().for_each(|w| w.standing = is);
+                if is != entry.status {
+                    entry.status = is;
+                    self.listed.get_mut(entry.worker).into_iter().for_each(|w| w.status = is);
                 }
             }
         }
         let entries: Vec<Endpoint> = entries.iter().map(Endpoint::from).collect();
         self.control.advance_to(now);
-        self.control.endpoints_updated(&mut self.acts, taken.kind, &entries);
+        self.control.endpoints_updated(&mut self.actions, taken.kind, &entries);
     }
 
     fn watch(&mut self, transport: &mut dyn Transport) {
-        let Some(at) = self.deployment.hosts else { return };
-        let conn = transport.connect(at, self.deployment.connect_limit);
+        let Some(at) = self.deployment.endpoint_list else { return };
+        let conn = transport.connect(at, self.deployment.connect_timeout);
         self.watch.conn = Some(conn);
         self.watch.decoder = Some(Decoder::new(Side::Client, LINE_MOST, u64::MAX));
         self.watch.lines = ListLines::default();
@@ -1165,7 +1175,7 @@
         decoder.feed(bytes);
         let done = decoder.step(&mut self.watch.lines);
         while let Some(line) = self.watch.lines.whole.pop_front() {
-            match self.listed.line(&line, &self.deployment.zones) {
+            match self.listed.read_line(&line, &self.deployment.zones) {
                 Ok(taken) => {
                     self.watch.pause = WATCH_AGAIN;
                     self.listed(now, transport, &taken);
@@ -1184,14 +1194,14 @@
 
 /// Attributes by which functions and customers are named.
 fn picks(deployment: &Deployment) -> Rc<[String]> {
-    let by = |w: &WorkloadNames| match &w.function_by {
-        FunctionBy::Attribute(name) => Some(name.clone()),
-        FunctionBy::Named(_) => None,
+    let by = |w: &WorkloadEvents| match &w.function_source {
+        FunctionSource::Attribute(name) => Some(name.clone()),
+        FunctionSource::Named(_) => None,
     };
-    let openings = deployment.workloads.iter().filter_map(|w| w.opening_by.clone());
-    let openings = openings.flat_map(|(name, size)| [name, size]);
+    let openings = deployment.workloads.iter().filter_map(|w| w.prefix_attributes.clone());
+    let openings = openings.flat_map(|prefix| [prefix.name, prefix.size]);
     let functions = deployment.workloads.iter().filter_map(by);
-    functions.chain(openings).chain([deployment.customer_by.clone()]).collect()
+    functions.chain(openings).chain([deployment.customer_attribute.clone()]).collect()
 }
 
 /// A number of this instance's as the module's kind of id.
@@ -1204,7 +1214,7 @@
 
 impl Machine for Gateway {
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let most = self.deployment.callers_most;
+        let most = self.deployment.max_clients;
         match transport.listen(self.deployment.listen, most) {
             Ok((_, at)) => (self.on_listening)(at),
             Err(error) => tracing::error!(listen = %self.deployment.listen, %error, "cannot listen"),
@@ -1222,7 +1232,7 @@
     }
 
     fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
-        if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.damping) {
+        if let Some(pause) = self.gate.connection(now).filter(|_| self.deployment.storm_shedding) {
             transport.stop_accepting(listener, false);
             self.after(
                 now,
@@ -1231,20 +1241,25 @@
                 Box::new(move |_, _, transport| transport.resume_accepting(listener)),
             );
         }
-        self.callers.insert(conn, Caller::new(now, self.deployment.body_most, self.picks.clone()));
+        self.callers
+            .insert(conn, ClientConnection::new(now, self.deployment.max_event_bytes, self.picks.clone()));
         self.look_at_caller(now, transport, conn);
     }
 
     fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.watch.conn == Some(conn) {
-            let at = self.deployment.hosts.map(|a| a.to_string()).unwrap_or_default();
+            let at = self.deployment.endpoint_list.map(|a| a.to_string()).unwrap_or_default();
             transport.write(
                 conn,
-                &encode::request("GET", &format!("/watch?router={}", self.deployment.rows.router_index), &at)
-                    .empty(),
+                &encode::request(
+                    "GET",
+                    &format!("/watch?router={}", self.deployment.startup.router_index),
+                    &at,
+                )
+                .empty(),
             );
         } else if let Some(link) = self.links.get_mut(&conn) {
-            link.open = true;
+            link.connected = true;
             self.write(now, transport, conn);
         }
         self.settle(now, transport);
@@ -1294,11 +1309,13 @@
     }
 
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake.0 & 1 == 0 {
-            self.control.advance_to(now);
-            self.control.timer_fired(&mut self.acts, TimerToken(wake.0 >> 1));
-        } else if let Some(step) = self.steps.remove(&wake.0) {
-            step(self, now, transport);
+        match self.deferred.fired(wake) {
+            Some(FiredTimer::Control(token)) => {
+                self.control.advance_to(now);
+                self.control.timer_fired(&mut self.actions, token);
+            }
+            Some(FiredTimer::Call(call)) => call(self, now, transport),
+            None => {}
         }
         self.settle(now, transport);
     }
@@ -1308,12 +1325,12 @@
     /// Looks whether a client has used up its patience, and again when it next could have.
     fn look_at_caller(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(caller) = self.callers.get_mut(&conn) else { return };
-        match caller.patience(now, transport, conn) {
-            Patience::Until(at) => {
+        match caller.check_timeout(now, transport, conn) {
+            TimeoutCheck::CheckAt(at) => {
                 let step: Step = Box::new(move |g, now, transport| g.look_at_caller(now, transport, conn));
                 self.after(now, transport, at.saturating_sub(now).min(LOOK), step);
             }
-            Patience::Over => self.caller_gone(now, conn),
+            TimeoutCheck::Closed => self.caller_gone(now, conn),
         }
     }
 }
--- a/crates/gateway/src/machine/chained.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,10 +1,11 @@
 //! Chains on their way: each step is a request of its own that no client waits for; what it leaves to do is a
 //! closure, which is handed its end.
 use super::{Gateway, Wanted};
-use crate::claims::{Claim, Ending, Name};
-use crate::deployment::WorkloadNames;
-use crate::front::{self, Draft, Told};
-use crate::limit;
+use crate::client::{Answer, EventDraft};
+use crate::deadline;
+use crate::deployment::WorkloadEvents;
+use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey, Lookup};
+use crate::request_table::AttemptId;
 use applepond::interface::*;
 use applepond_http::Fault;
 use applepond_http::encode::Lines;
@@ -36,7 +37,7 @@
 
 /// How a step's request ended.
 pub struct StepEnd {
-    pub told: Rc<Told>,
+    pub told: Rc<Answer>,
     /// µs from its beginning to its end.
     pub took: Micros,
     /// Its answer came from a copy that stood loaded.
@@ -48,7 +49,7 @@
 
 /// One chain, until its last step has ended.
 pub struct Chain {
-    name: Name,
+    name: IdempotencyKey,
     client: u64,
     digest: u64,
     customer: Option<CustomerId>,
@@ -60,7 +61,7 @@
     out: BTreeMap<StepId, RequestId>,
     /// The answer of the step that finished last, and the time that the last pushback named. What other steps
     /// said is kept for the record.
-    finished: Option<(StepId, Rc<Told>)>,
+    finished: Option<(StepId, Rc<Answer>)>,
     come_back: Option<Micros>,
     /// Attributes, media type and data that each step's event takes over.
     lines: Lines,
@@ -79,7 +80,7 @@
     /// What a step that finished said: as it was told, or as it is on record.
     fn answer(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
         if let Some((_, told)) = self.finished.as_ref().filter(|(of, _)| *of == step) {
-            return Some((told.lines.clone(), told.body.clone()));
+            return Some((told.fields.clone(), told.body.clone()));
         }
         let end = self.kept.steps.get(&(step.0 as u32))?.outcome.as_ref()?;
         end.response.as_ref().map(|a| (Lines::of(a.header_lines.clone()), a.body.clone()))
@@ -178,18 +179,18 @@
 /// Tells a changed plan from the one that a record was written by.
 /// By the names of its workloads: a switch of the settings may have moved their rows, a restart puts them
 /// back.
-fn digest(plan: &Plan, workloads: &[WorkloadNames]) -> u64 {
+fn digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
     let mut plan = plan.clone();
     let place = |step: &mut Step| workloads[std::mem::take(&mut step.workload)].name.clone();
     let names: Vec<String> = plan.steps.iter_mut().map(place).collect();
     FunctionId::named(&format!("{plan:?}{names:?}")).0
 }
 
-fn how(ending: Ending) -> How {
+fn how(ending: FinalOutcome) -> How {
     match ending {
-        Ending::Finished => How::Finished,
-        Ending::PushedBack => How::NeverRan,
-        Ending::Killed => How::MayHaveRun,
+        FinalOutcome::Finished => How::Finished,
+        FinalOutcome::Rejected => How::NeverRan,
+        FinalOutcome::Failed => How::MayHaveRun,
     }
 }
 
@@ -200,32 +201,33 @@
         now: Micros,
         conn: Conn,
         row: usize,
-        draft: Draft,
-    ) -> Result<(), Rc<Told>> {
+        draft: EventDraft,
+    ) -> Result<(), Rc<Answer>> {
         let id = draft.id.clone();
         let refuse = |status, reason, detail: &str| {
             tracing::info!(id, reason, status, "event refused");
-            Err(front::problem(Ending::PushedBack, &Fault::new(status, reason, detail), Some(&id), None))
+            Err(Answer::problem(FinalOutcome::Rejected, &Fault::new(status, reason, detail), Some(&id), None))
         };
         let Ok(customer) = self.customer(&draft) else {
             return refuse(422, "unknown-customer", "no such customer has a share here");
         };
-        let name: Name = (Rc::from(draft.source.as_str()), Rc::from(draft.id.as_str()));
+        let name: IdempotencyKey = IdempotencyKey::new(&draft.source, &draft.id);
         if let Some(taken) = self.taken(now, conn, &name) {
             return taken;
         }
-        let chain_row = &self.deployment.chains[row];
+        let chain_row = &self.deployment.workflows[row];
         let plan = chain_row.plan.clone();
-        let Some(left) = limit::left(now, plan.limit, draft.asked) else {
+        let Some(left) = deadline::time_left(now, plan.limit, draft.deadline) else {
             return refuse(504, "expired", "the event's time was up when it came");
         };
-        let named = draft.picked(&chain_row.function_by).filter(|f| !f.is_empty()).map(str::to_owned);
+        let named =
+            draft.attribute(&chain_row.function_attribute).filter(|f| !f.is_empty()).map(str::to_owned);
         let digest_of_plan = digest(&plan, &self.deployment.workloads);
         let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
         if lasts && draft.data.len() > MAX_STORED_RESPONSE_BYTES {
             return refuse(413, "large-chain", "the data of a chain with effects must fit its record");
         }
-        let before = match self.chains.record.load((&name.0, &name.1)) {
+        let before = match self.chains.record.load((&name.source, &name.id)) {
             Ok(before) => before.filter(|kept| kept.expires_at > now),
             Err(why) if lasts => {
                 tracing::error!(%why, reason = "no-record", "the record cannot be read");
@@ -241,15 +243,15 @@
         if fresh && !self.chains.pace.admit(now) {
             self.chains.counts.held_back += 1;
             let wait = self.gate.come_back(now, client, digest, left);
-            let wait = wait.filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
+            let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
             let detail = "as many chains run as come to their end; a retry does no harm";
             let fault = Fault::new(503, "chains-full", detail);
-            return Err(front::problem(Ending::PushedBack, &fault, Some(&id), wait));
+            return Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait));
         }
         self.counts.requests += 1;
         self.chains.counts.taken += 1;
         self.next_job += 1;
-        let request = super::request_id(self.deployment.rows.seed, self.next_job);
+        let request = super::request_id(self.deployment.startup.seed, self.next_job);
         let customer_name = customer.map(|c| self.deployment.customers[c.0].clone());
         let on_record = before.is_some();
         let kept = before.unwrap_or_else(|| WorkflowRecord {
@@ -257,17 +259,17 @@
             plan_digest: digest_of_plan,
             function: named,
             customer: customer_name,
-            header_lines: draft.lines.without(&OWN).bytes().to_vec(),
-            content_type: draft.media,
+            header_lines: draft.fields.without(&OWN).bytes().to_vec(),
+            content_type: draft.media_type,
             data: draft.data,
             ..WorkflowRecord::default()
         });
-        let until = now + left + self.deployment.remember_for;
+        let until = now + left + self.deployment.answer_retention.time;
         let kept = WorkflowRecord { deadline: now + left, expires_at: until, closed: false, ..kept };
         let chain =
             Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
         let chain = Chain { client, digest, on_record, ..chain };
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         if let Some(caller) = self.callers.get_mut(&conn) {
             caller.request = Some(request);
         }
@@ -279,7 +281,7 @@
     fn chain(
         &mut self,
         now: Micros,
-        name: Name,
+        name: IdempotencyKey,
         plan: Arc<Plan>,
         kept: WorkflowRecord,
         customer: Option<CustomerId>,
@@ -324,11 +326,11 @@
             Err(why) => return tracing::error!(%why, reason = "no-record", "the record cannot be read"),
         };
         for (source, id) in open {
-            let name: Name = (Rc::from(source), Rc::from(id));
-            let kept = self.chains.record.load((&name.0, &name.1));
+            let name: IdempotencyKey = IdempotencyKey::new(&source, &id);
+            let kept = self.chains.record.load((&name.source, &name.id));
             let Ok(Some(kept)) = kept else { continue };
             let wait = kept.deadline.saturating_sub(now);
-            let (source, id) = &name;
+            let IdempotencyKey { source, id } = &name;
             tracing::info!(%id, %source, reason = "open-chain", wait, "a chain was cut off");
             self.after(now, transport, wait, Box::new(move |g, now, _| g.resume_alone(now, name)));
         }
@@ -342,12 +344,12 @@
         self.after(now, transport, CLEARS, Box::new(|g, now, transport| g.clear_record(now, transport)));
     }
 
-    fn resume_alone(&mut self, now: Micros, name: Name) {
-        if !matches!(self.claims.claim(now, &name), Claim::New) {
+    fn resume_alone(&mut self, now: Micros, name: IdempotencyKey) {
+        if !matches!(self.idempotency.look_up(now, &name), Lookup::New) {
             return;
         }
-        let Ok(Some(kept)) = self.chains.record.load((&name.0, &name.1)) else { return };
-        let mut rows = self.deployment.chains.iter().map(|row| row.plan.clone());
+        let Ok(Some(kept)) = self.chains.record.load((&name.source, &name.id)) else { return };
+        let mut rows = self.deployment.workflows.iter().map(|row| row.plan.clone());
         let plan = rows.find(|plan| {
             (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.workflow, kept.plan_digest)
         });
@@ -355,8 +357,8 @@
         let customer = kept.customer.as_ref();
         let customer = customer.and_then(|c| self.deployment.customers.iter().position(|known| known == c));
         self.next_job += 1;
-        let request = super::request_id(self.deployment.rows.seed, self.next_job);
-        let until = now + self.deployment.remember_for;
+        let request = super::request_id(self.deployment.startup.seed, self.next_job);
+        let until = now + self.deployment.answer_retention.time;
         let chain = self.chain(
             now,
             name.clone(),
@@ -364,7 +366,7 @@
             WorkflowRecord { expires_at: until, ..kept },
             customer.map(CustomerId),
         );
-        self.claims.begin(name, request);
+        self.idempotency.start(name, request);
         self.open_chain(now, request, chain);
     }
 
@@ -418,7 +420,7 @@
     ) -> bool {
         requests.append(&mut self.chains.behind);
         let chains = requests.iter().filter_map(|request| self.chains.open.get(request));
-        let rows: Vec<_> = chains.map(|c| ((&*c.name.0, &*c.name.1), &c.kept)).collect();
+        let rows: Vec<_> = chains.map(|c| ((&*c.name.source, &*c.name.id), &c.kept)).collect();
         self.chains.counts.writes += 1;
         let written = self.chains.record.save(&rows);
         if let Err(why) = &written {
@@ -440,14 +442,14 @@
         request: RequestId,
         step: StepId,
         how: How,
-        told: &Told,
+        told: &Answer,
     ) {
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
         let fields = chain.run.asked(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), field(&told.body, name)?)));
         let small = how == How::Finished && told.body.len() <= MAX_STORED_RESPONSE_BYTES;
         let answer = small
-            .then(|| StoredResponse { header_lines: told.lines.bytes().to_vec(), body: told.body.clone() });
+            .then(|| StoredResponse { header_lines: told.fields.bytes().to_vec(), body: told.body.clone() });
         let end = StepOutcome { code: outcome_code(how), fields: fields.collect(), response: answer };
         chain.kept.steps.entry(step.0 as u32).or_default().outcome = Some(end);
         self.behind(now, transport, request);
@@ -486,7 +488,7 @@
         let (times, functions, workloads) =
             (&self.chains.times, &self.deployment.functions, &self.deployment.workloads);
         let needs = |step: &Step, function: &str, _ahead: Micros| {
-            let row = functions.get(function).unwrap_or(&workloads[step.workload].function);
+            let row = functions.get(function).unwrap_or(&workloads[step.workload].default_function);
             let id = FunctionId::named(function);
             times.usual(id, step.at_least) + times.load(now, id, row.load_time)
         };
@@ -565,9 +567,12 @@
     fn wanted(&self, chain: &Chain, step: StepId, function: String, left: Micros, then: Then) -> Wanted {
         let row = chain.run.plan().step(step);
         let names = &self.deployment.workloads[row.workload];
-        let name: Name = (chain.name.0.clone(), Rc::from(format!("{}/{}", chain.name.1, row.name)));
+        let name: IdempotencyKey = IdempotencyKey {
+            source: chain.name.source.clone(),
+            id: Rc::from(format!("{}/{}", chain.name.id, row.name)),
+        };
         let mut lines = Lines::default();
-        lines.field("ce-id", &name.1);
+        lines.field("ce-id", &name.id);
         lines.field("ce-type", names.types.first().map_or("", String::as_str));
         lines.append(&chain.lines);
         Wanted {
@@ -613,20 +618,20 @@
         function: FunctionId,
         end: &StepEnd,
     ) {
-        if end.told.ending == Ending::Finished {
+        if end.told.outcome == FinalOutcome::Finished {
             self.chains.times.finished(now, function, end.took, end.stood);
         }
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
         chain.out.remove(&step);
-        chain.come_back = end.told.come_back;
-        if end.told.ending == Ending::Finished {
+        chain.come_back = end.told.retry_after;
+        if end.told.outcome == FinalOutcome::Finished {
             chain.finished = Some((step, end.told.clone()));
         }
         let told = end.told.clone();
         let read = move |name: &str| field(&told.body, name);
-        let ending = how(end.told.ending);
+        let ending = how(end.told.outcome);
         self.keep_end(now, transport, request, step, ending, &end.told);
-        let come_back = end.told.come_back;
+        let come_back = end.told.retry_after;
         let todo =
             self.with_run(now, request, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
         self.chain_goes_on(now, transport, request, todo);
@@ -636,15 +641,17 @@
     fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         let Some(task) = self.tasks.get_mut(request) else { return };
         task.ended = true;
-        task.of.then = None;
+        task.data.then = None;
         let attempts = task.attempts.len();
-        if task.out() == 0 {
-            self.tasks.forget(request);
+        if task.in_flight() == 0 {
+            self.tasks.remove_if_done(request);
             self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.acts, request);
+            self.control.client_disconnected(&mut self.actions, request);
             return;
         }
-        (0..attempts).for_each(|n| self.drop_attempt(now, transport, request, n, Outcome::Cancelled));
+        for index in 0..attempts {
+            self.end_attempt(now, transport, AttemptId { request, index }, Outcome::Cancelled);
+        }
     }
 
     /// Begins an undo, and again until it has finished.
@@ -653,8 +660,8 @@
         let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
         let again = function.clone();
         let then: Then = Box::new(move |g, now, transport, end| {
-            if end.told.ending != Ending::Finished && now < last {
-                let wait = end.told.come_back.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
+            if end.told.outcome != FinalOutcome::Finished && now < last {
+                let wait = end.told.retry_after.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
                 g.after(
                     now,
                     transport,
@@ -663,16 +670,16 @@
                 );
                 return;
             }
-            if end.told.ending != Ending::Finished
+            if end.told.outcome != FinalOutcome::Finished
                 && let Some(chain) = g.chains.open.get(&request)
             {
-                let (id, step) = (&chain.name.1, &chain.run.plan().step(step).name);
+                let (id, step) = (&chain.name.id, &chain.run.plan().step(step).name);
                 tracing::error!(%id, %step, reason = "undo-given-up", "a step was not taken back");
             }
             if let Some(chain) = g.chains.open.get_mut(&request) {
                 chain.undos -= 1;
             }
-            g.keep_end(now, transport, request, step, how(end.told.ending), &end.told);
+            g.keep_end(now, transport, request, step, how(end.told.outcome), &end.told);
             g.chain_goes_on(now, transport, request, Vec::new());
         });
         self.chains.counts.undos += 1;
@@ -683,7 +690,7 @@
     /// The one place where a chain is answered.
     fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, ended: Ended) {
         let Some(chain) = self.chains.open.get_mut(&request) else { return };
-        let id = chain.name.1.clone();
+        let id = chain.name.id.clone();
         let failed = |step: StepId, why: Why| {
             let name = &chain.run.plan().step(step).name;
             match why {
@@ -703,12 +710,12 @@
                 match chain.answer(step) {
                     Some((mut lines, body)) => {
                         lines.field("applepond-steps", &chain.steps.to_string());
-                        Rc::new(Told::finished(lines, body))
+                        Rc::new(Answer::finished(lines, body))
                     }
                     None => {
                         let detail = "it finished; its answer was too long to be kept over a kill";
                         let fault = Fault::new(502, "answer-lost", detail);
-                        front::problem(Ending::Killed, &fault, Some(&id), None)
+                        Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
                     }
                 }
             }
@@ -721,35 +728,41 @@
                 let wait = chain
                     .come_back
                     .or(Some(COME_BACK))
-                    .filter(|_| self.deployment.rows.attempt_policy.retry_after_allowed);
+                    .filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
                 let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
-                front::problem(Ending::PushedBack, &fault, Some(&id), wait)
+                Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait)
             }
             Ended::Failed(step, why) => {
                 chain.kept.failed = true;
                 // On record for as long as it may be taken back.
-                chain.kept.expires_at = now + UNDO_FOR + self.deployment.remember_for;
+                chain.kept.expires_at = now + UNDO_FOR + self.deployment.answer_retention.time;
                 counts.failed += 1;
                 let (reason, detail) = failed(step, why);
                 let status = if why == Why::NoTime { 504 } else { 502 };
                 let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
-                front::problem(Ending::Killed, &fault, Some(&id), None)
+                Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
             }
         };
         let paid = chain.finished.is_some() || chain.on_record;
         let finished = matches!(ended, Ended::Finished(_));
         self.chains.pace.ended(now, finished, paid && !finished);
-        match told.ending {
-            Ending::Finished => self.counts.finished += 1,
-            Ending::PushedBack => self.counts.pushed_back += 1,
-            Ending::Killed => self.counts.killed += 1,
+        match told.outcome {
+            FinalOutcome::Finished => self.counts.finished += 1,
+            FinalOutcome::Rejected => self.counts.pushed_back += 1,
+            FinalOutcome::Failed => self.counts.killed += 1,
         }
-        self.gate.ended(now, told.ending == Ending::Finished, told.ending == Ending::PushedBack);
+        self.gate.ended(now, told.outcome == FinalOutcome::Finished, told.outcome == FinalOutcome::Rejected);
         // What may have run must not run again here, whatever the effect of the step that failed.
-        self.claims.end(now, &chain.name, told.ending, RetrySafety::AtMostOnce, told.clone(), told.bytes());
+        let completion = Completion {
+            outcome: told.outcome,
+            retry_safety: RetrySafety::AtMostOnce,
+            answer: told.clone(),
+            bytes: told.bytes(),
+        };
+        self.idempotency.complete(now, &chain.name, completion);
         tracing::info!(
             id = %id,
-            source = %chain.name.0,
+            source = %chain.name.source,
             chain = %chain.run.plan().name,
             reason = told.reason,
             status = told.status,
