--- a/crates/gateway/tests/parts.rs
+++ b/crates/gateway/tests/parts.rs
@@ -18,7 +18,8 @@
     }
 
     #[test_case(SendProgress::NothingSent, true, Closed::Reset, true; "kept and closed meanwhile")]
-    #[test_case(SendProgress::NothingSent, false, Closed::Reset, false; "a new one: the worker is in trouble")]
+    #[test_case(SendProgress::NothingSent, false, Closed::Reset, false;
+        "a new one: the worker is in trouble")]
     #[test_case(SendProgress::Sent, true, Closed::Reset, false; "a byte has left: it may have run")]
     #[test_case(SendProgress::NotConnected, false, Closed::Never, false; "refused")]
     fn once_more(progress: SendProgress, kept: bool, why: Closed, want: bool) {
