--- /dev/null
+++ b/crates/membership/src/membership/dissemination.rs
@@ -0,0 +1,212 @@
+//! Dissemination: updates piggybacked on heartbeats, comparison of views, and contact to routers that may be
+//! back.
+use super::Membership;
+use super::peer::Peer;
+use super::table::digest_bucket;
+use crate::config::{
+    CONTACT_INTERVAL, FLUSH_INTERVAL, HEARTBEAT_INTERVAL, MAX_MESSAGES_PER_SYNC, MAX_QUEUED_UPDATES,
+    RETRANSMIT_ROUNDS, RING_COUNT,
+};
+use crate::message::{Message, Suspicion};
+use crate::observation::Actions;
+use crate::record::{MemberStatus, RouterId};
+use applepond::interface::Micros;
+use std::net::SocketAddr;
+
+/// Time in µs since its last heartbeat for which a router that is no neighbour here is answered.
+const TRANSIENT_NEIGHBOUR_DURATION: Micros = 4 * HEARTBEAT_INTERVAL;
+
+/// Routers that are no neighbours here and are answered nevertheless, at most.
+const MAX_TRANSIENT_NEIGHBOURS: usize = 4 * RING_COUNT;
+
+/// What is on its way around the fleet. Among updates that were transmitted equally often the order of the
+/// variants decides.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Update {
+    /// The local record.
+    Local,
+    /// The record of a peer.
+    Record(RouterId),
+    /// The vote of a router on another one.
+    Vote { subject: RouterId, voter: RouterId },
+}
+
+impl Membership {
+    /// Queues an update for dissemination to all.
+    pub(super) fn queue_update(&mut self, update: Update) {
+        if self.updates.len() >= MAX_QUEUED_UPDATES && !self.updates.contains_key(&update) {
+            // The most transmitted one is dropped; comparing views repairs what that costs.
+            let least_left = self.updates.iter().min_by_key(|(_, left)| **left).map(|(other, _)| *other);
+            least_left.map(|other| self.updates.remove(&other));
+        }
+        self.updates.insert(update, RETRANSMIT_ROUNDS);
+        self.next_flush.get_or_insert(self.now + FLUSH_INTERVAL);
+    }
+
+    /// Queues the record of a peer for one transmission, unless it is queued already or the queue is full.
+    pub(super) fn queue_record_once(&mut self, id: RouterId) {
+        if self.updates.len() < MAX_QUEUED_UPDATES {
+            self.updates.entry(Update::Record(id)).or_insert(1);
+            self.next_flush.get_or_insert(self.now + FLUSH_INTERVAL);
+        }
+    }
+
+    /// Appends an update to a message; false if it does not fit.
+    fn write_update(&self, message: &mut Message, update: Update) -> bool {
+        match update {
+            Update::Local => message.record(&self.local),
+            Update::Record(id) => self.peers.get(&id).is_none_or(|peer| message.record(&peer.record)),
+            Update::Vote { subject, voter } => {
+                self.suspicion(subject, voter).is_none_or(|suspicion| message.suspicion(&suspicion))
+            }
+        }
+    }
+
+    /// The stored vote of a router on another one, as it is sent.
+    pub(super) fn suspicion(&self, subject: RouterId, voter: RouterId) -> Option<Suspicion> {
+        let peer = self.peers.get(&subject)?;
+        let vote = peer.vote_of(voter)?;
+        Some(Suspicion {
+            subject,
+            instance_id: peer.record.instance_id,
+            incarnation: peer.record.incarnation,
+            voter,
+            sequence: vote.sequence,
+            opinion: vote.opinion,
+        })
+    }
+
+    /// Encodes as many updates as fit beside a heartbeat, the least transmitted first, and counts them as
+    /// transmitted once more.
+    fn take_updates(&mut self) -> Vec<u8> {
+        let mut queue: Vec<(u8, Update)> =
+            self.updates.iter().map(|(update, left)| (*left, *update)).collect();
+        queue.sort_unstable_by(|one, other| other.0.cmp(&one.0).then(one.1.cmp(&other.1)));
+        // A heartbeat of the largest size, so that its own content always fits beside the updates.
+        let mut message = Message::heartbeat(&self.header(), Some(Micros::MAX), u64::MAX);
+        let begin = message.bytes().len();
+        for (left, update) in queue {
+            if !self.write_update(&mut message, update) {
+                break;
+            }
+            if left > 1 {
+                self.updates.insert(update, left - 1);
+            } else {
+                self.updates.remove(&update);
+            }
+        }
+        message.bytes()[begin..].to_vec()
+    }
+
+    /// Sends updates to all neighbours without waiting for the next heartbeat.
+    pub(super) fn flush_updates(&mut self, actions: &mut dyn Actions) {
+        let updates = self.take_updates();
+        for to in self.neighbour_addresses() {
+            let mut message = Message::updates(&self.header());
+            message.append(&updates);
+            actions.send(to, message.bytes());
+        }
+    }
+
+    /// Sends a heartbeat with updates to all neighbours, transient ones included.
+    pub(super) fn send_heartbeats(&mut self, actions: &mut dyn Actions) {
+        let updates = self.take_updates();
+        let (header, view) = (self.header(), self.view_digest());
+        let recipients = self.neighbours.iter().copied().chain(self.transient_neighbours());
+        for id in recipients {
+            let Some(peer) = self.peers.get(&id) else { continue };
+            let last_heard = peer.last_heard.map(|at| self.now - at);
+            let mut message = Message::heartbeat(&header, last_heard, view);
+            message.append(&updates);
+            // A suspected router hears of the suspicion first.
+            let vote = peer.standing_votes().next();
+            if let Some(suspicion) = vote.and_then(|vote| self.suspicion(id, vote.voter)) {
+                message.suspicion(&suspicion);
+            }
+            actions.send(peer.record.address, message.bytes());
+        }
+    }
+
+    /// Routers that take this one for their neighbour by a different view: they have to hear it too.
+    fn transient_neighbours(&self) -> impl Iterator<Item = RouterId> + '_ {
+        let is_recent =
+            |peer: &Peer| peer.last_heartbeat.is_some_and(|at| self.now < at + TRANSIENT_NEIGHBOUR_DURATION);
+        let transient =
+            self.peers.iter().filter(move |(id, peer)| is_recent(peer) && !self.neighbours.contains(id));
+        transient.map(|(id, _)| *id).take(MAX_TRANSIENT_NEIGHBOURS)
+    }
+
+    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a router
+    /// that is there.
+    pub(super) fn contact_missing(&mut self, actions: &mut dyn Actions) {
+        if self.now < self.next_contact {
+            return;
+        }
+        self.next_contact = self.now + CONTACT_INTERVAL;
+        let active = || self.peers.values().filter(|peer| peer.is_active()).map(|peer| peer.record.address);
+        let is_known = |seed: &SocketAddr| active().any(|address| address == *seed);
+        let seeds: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !is_known(seed)).collect();
+        let is_dead = |peer: &&Peer| peer.record.status == MemberStatus::Dead;
+        let dead: Vec<SocketAddr> =
+            self.peers.values().filter(is_dead).map(|peer| peer.record.address).collect();
+        // A router that has not been admitted yet goes on asking: those that knew more at first may have lost
+        // it since.
+        let is_joining = self.local.status == MemberStatus::Joining;
+        let helpers: Vec<SocketAddr> = if is_joining { active().collect() } else { Vec::new() };
+        for candidates in [seeds, dead, helpers] {
+            if !candidates.is_empty() {
+                let index = self.rng.rand_range(0..candidates.len() as u64) as usize;
+                self.request_sync(actions, candidates[index]);
+            }
+        }
+    }
+
+    /// Asks a router for the records of the parts of the view that differ.
+    pub(super) fn request_sync(&self, actions: &mut dyn Actions, to: SocketAddr) {
+        let mut message = Message::sync_request(&self.header(), &self.digests);
+        message.record(&self.local);
+        actions.send(to, message.bytes());
+    }
+
+    /// Sends the records of the parts of the view that differ, the local record first, within the bounds on
+    /// replies.
+    pub(super) fn send_records(
+        &mut self,
+        actions: &mut dyn Actions,
+        to: SocketAddr,
+        differs: impl Fn(usize) -> bool,
+    ) {
+        let mut message = Message::updates(&self.header());
+        message.record(&self.local);
+        let mut sent = 0;
+        let mut remaining = self.peers.iter().filter(|(id, _)| differs(digest_bucket(**id))).peekable();
+        while self.reply_budget > 0 && sent < MAX_MESSAGES_PER_SYNC {
+            while remaining.next_if(|(id, peer)| self.write_for_sync(&mut message, **id, peer)).is_some() {}
+            self.reply_budget -= 1;
+            sent += 1;
+            actions.send(to, message.bytes());
+            if remaining.peek().is_none() {
+                break;
+            }
+            message = Message::updates(&self.header());
+        }
+    }
+
+    /// Appends what is known of a peer; false if it does not fit.
+    fn write_for_sync(&self, message: &mut Message, id: RouterId, peer: &Peer) -> bool {
+        if peer.record.status != MemberStatus::Dead {
+            return message.record(&peer.record);
+        }
+        // That a router is dead is one vote: whoever reads it needs those of others as well.
+        self.suspicion(id, self.local_id).is_none_or(|suspicion| message.suspicion(&suspicion))
+    }
+
+    /// Takes one reply from the budget of this heartbeat interval; false if none is left.
+    pub(super) fn take_reply(&mut self) -> bool {
+        if self.reply_budget == 0 {
+            return false;
+        }
+        self.reply_budget -= 1;
+        true
+    }
+}
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,74 +1,110 @@
-//! Messages between routers: a head, what the kind needs, then news until the end. Integers and texts as
-//! postcard writes them. A message is read whole before any of it counts.
-use crate::{InstanceId, Record, RouterId};
+//! Messages between routers and their encoding.
+//!
+//! A message consists of the kind (one byte), the sender's [`Header`], the body of the kind, and then tagged
+//! updates until its end. All parts are encoded with postcard, so the order of fields and variants is part of
+//! the wire format. A message is decoded completely before any part of it takes effect.
+use crate::config::MAX_NAME_BYTES;
+use crate::record::{InstanceId, Record, RouterId};
 use applepond::interface::Micros;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
 
-/// Bytes of a message at most: with its envelope it stays under 1,200, which every path carries whole.
+/// Size of a message at most, in bytes: with its envelope it stays below 1,200 bytes, which every network path
+/// carries unfragmented.
 pub const MAX_MESSAGE_BYTES: usize = 1_140;
-/// Parts of the view that are compared by themselves.
+
+/// Number of parts into which the members are divided when two views are compared; each part has a digest of
+/// its own.
 pub const DIGEST_BUCKETS: usize = 32;
 
-/// Who writes; a copy of what it says of itself.
+/// The sender of a message: a copy of the essential parts of its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
+    /// Id of the sender.
     pub from: RouterId,
+    /// The sender's process.
     pub instance_id: InstanceId,
+    /// The sender's incarnation.
     pub incarnation: u64,
+    /// Address at which the sender receives messages.
     pub address: SocketAddr,
 }
 
-/// What a voter says of a router.
+/// A voter's opinion on a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Opinion {
-    /// The voter hears it again.
+    /// The voter hears the router again and takes its vote back.
     Withdrawn,
-    /// Neither the voter nor those it asked hear it.
+    /// Neither the voter nor those it asked hear the router.
     Suspected,
-    /// The voter has concluded from several votes that it is gone.
+    /// The voter has concluded from several votes that the router is dead.
     Dead,
 }
 
-/// One router's word on another's incarnation.
+/// One router's vote on one incarnation of another router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
+    /// The router that the vote is about.
     pub subject: RouterId,
+    /// The subject's process.
     pub instance_id: InstanceId,
+    /// The subject's incarnation.
     pub incarnation: u64,
+    /// The router that casts the vote.
     pub voter: RouterId,
-    /// Later words of a voter carry higher ones.
+    /// Later votes of a voter carry higher numbers.
     pub sequence: u64,
-    pub says: Opinion,
+    /// What the voter thinks of the subject.
+    pub opinion: Opinion,
 }
 
-/// Why a message is not taken.
+/// Why a message is rejected. A rejected message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// It ends early, goes on after its end, or holds what no message holds.
+    /// It is truncated, continues after its end, or contains what no message contains. The sender runs another
+    /// version, or the network path is broken: compare the routers' versions.
     Malformed,
-    /// A name or a zone is empty, too long or of other characters than are printed.
-    Name,
+    /// The name of a router or a zone in it is empty, too long or not printable ASCII.
+    InvalidName,
+}
+
+impl fmt::Display for MessageError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            MessageError::Malformed => "the message is malformed: compare the versions of the routers",
+            MessageError::InvalidName => "the message contains an invalid name of a router or a zone",
+        })
+    }
 }
 
-/// What a message says, call by call, after it was found to be whole.
+impl std::error::Error for MessageError {}
+
+/// Receives the contents of a message, part by part, after all of it has been decoded: first its updates, then
+/// its body.
 pub trait MessageHandler {
-    /// `heard`: µs since the writer last heard the reader, where it has; `view`: its view as one number.
-    fn heartbeat(&mut self, head: &Header, heard: Option<Micros>, view: u64);
-    /// Does the reader hear this one?
-    fn ping_request(&mut self, head: &Header, whom: RouterId);
-    fn ping(&mut self, head: &Header, asker: RouterId);
-    fn ack(&mut self, head: &Header, asker: RouterId);
-    fn indirect_ack(&mut self, head: &Header, whom: RouterId, instance_id: InstanceId);
-    /// The writer's view by parts: those that differ are wanted.
-    fn sync_request(&mut self, head: &Header, view: &[u32; DIGEST_BUCKETS]);
-    /// The reader's name is another's.
-    fn name_conflict(&mut self, head: &Header, instance_id: InstanceId, holder: SocketAddr);
-    /// Somebody else wanted the reader's name.
-    fn name_contested(&mut self, head: &Header, by: SocketAddr);
-    fn record(&mut self, head: &Header, record: Record);
-    fn suspicion(&mut self, head: &Header, word: Suspicion);
+    /// A heartbeat. `last_heard`: µs since the sender last heard the receiver, if it ever did; `view`: digest
+    /// of the sender's view.
+    fn heartbeat(&mut self, header: &Header, last_heard: Option<Micros>, view: u64);
+    /// The sender wants the receiver to probe `target` on its behalf.
+    fn ping_request(&mut self, header: &Header, target: RouterId);
+    /// The sender wants an acknowledgement, on behalf of `requester`.
+    fn ping(&mut self, header: &Header, requester: RouterId);
+    /// The sender answers a ping that was sent on behalf of `requester`.
+    fn ack(&mut self, header: &Header, requester: RouterId);
+    /// The sender has received an acknowledgement from this process of `target`.
+    fn indirect_ack(&mut self, header: &Header, target: RouterId, instance_id: InstanceId);
+    /// The sender's view by digests of its parts: it wants the records of those that differ.
+    fn sync_request(&mut self, header: &Header, view: &[u32; DIGEST_BUCKETS]);
+    /// The name of the process `instance_id`, which is the receiver, is held by the process at `holder`.
+    fn name_conflict(&mut self, header: &Header, instance_id: InstanceId, holder: SocketAddr);
+    /// The process at `claimant` asked for the receiver's name.
+    fn name_contested(&mut self, header: &Header, claimant: SocketAddr);
+    /// The record of a router.
+    fn record(&mut self, header: &Header, record: Record);
+    /// The vote of a router on another one.
+    fn suspicion(&mut self, header: &Header, suspicion: Suspicion);
 }
 
 const KIND_HEARTBEAT: u8 = 0;
@@ -80,50 +116,68 @@
 const KIND_UPDATES: u8 = 6;
 const KIND_NAME_CONFLICT: u8 = 7;
 const KIND_NAME_CONTESTED: u8 = 8;
-/// Tags of what follows the kind's own part.
+/// Tags of the updates that follow the body.
 const TAG_RECORD: u8 = 20;
 const TAG_SUSPICION: u8 = 21;
 
-/// A message as it grows.
+/// A message under construction.
 pub struct Message(Vec<u8>);
 
 impl Message {
-    fn begin(kind: u8, head: &Header, of: &impl Serialize) -> Self {
+    fn begin(kind: u8, header: &Header, body: &impl Serialize) -> Self {
         let mut message = Message(Vec::with_capacity(256));
-        let fits = message.put(kind, &(head, of));
-        debug_assert!(fits, "no kind's own part fills a message");
+        let fits = message.push(kind, &(header, body));
+        debug_assert!(fits, "no body fills a message");
         message
     }
-    pub fn heartbeat(head: &Header, heard: Option<Micros>, view: u64) -> Self {
-        Self::begin(KIND_HEARTBEAT, head, &(heard, view))
+
+    /// A heartbeat, see [`MessageHandler::heartbeat`].
+    pub fn heartbeat(header: &Header, last_heard: Option<Micros>, view: u64) -> Self {
+        Self::begin(KIND_HEARTBEAT, header, &(last_heard, view))
     }
-    pub fn ping_request(head: &Header, whom: RouterId) -> Self {
-        Self::begin(KIND_PING_REQUEST, head, &whom)
+
+    /// A request to probe `target`.
+    pub fn ping_request(header: &Header, target: RouterId) -> Self {
+        Self::begin(KIND_PING_REQUEST, header, &target)
     }
-    pub fn ping(head: &Header, asker: RouterId) -> Self {
-        Self::begin(KIND_PING, head, &asker)
+
+    /// A ping on behalf of `requester`.
+    pub fn ping(header: &Header, requester: RouterId) -> Self {
+        Self::begin(KIND_PING, header, &requester)
     }
-    pub fn ack(head: &Header, asker: RouterId) -> Self {
-        Self::begin(KIND_ACK, head, &asker)
+
+    /// The answer to a ping.
+    pub fn ack(header: &Header, requester: RouterId) -> Self {
+        Self::begin(KIND_ACK, header, &requester)
     }
-    pub fn indirect_ack(head: &Header, whom: RouterId, instance_id: InstanceId) -> Self {
-        Self::begin(KIND_INDIRECT_ACK, head, &(whom, instance_id))
+
+    /// Confirms to a requester that a process of `target` has answered.
+    pub fn indirect_ack(header: &Header, target: RouterId, instance_id: InstanceId) -> Self {
+        Self::begin(KIND_INDIRECT_ACK, header, &(target, instance_id))
     }
-    pub fn sync_request(head: &Header, view: &[u32; DIGEST_BUCKETS]) -> Self {
-        Self::begin(KIND_SYNC_REQUEST, head, view)
+
+    /// Asks for the records of the parts of the view that differ.
+    pub fn sync_request(header: &Header, view: &[u32; DIGEST_BUCKETS]) -> Self {
+        Self::begin(KIND_SYNC_REQUEST, header, view)
     }
-    pub fn updates(head: &Header) -> Self {
-        Self::begin(KIND_UPDATES, head, &())
+
+    /// A message that carries nothing but updates.
+    pub fn updates(header: &Header) -> Self {
+        Self::begin(KIND_UPDATES, header, &())
     }
-    pub fn name_conflict(head: &Header, instance_id: InstanceId, holder: SocketAddr) -> Self {
-        Self::begin(KIND_NAME_CONFLICT, head, &(instance_id, holder))
+
+    /// Tells a process that its name is held by the process at `holder`.
+    pub fn name_conflict(header: &Header, instance_id: InstanceId, holder: SocketAddr) -> Self {
+        Self::begin(KIND_NAME_CONFLICT, header, &(instance_id, holder))
     }
-    pub fn name_contested(head: &Header, by: SocketAddr) -> Self {
-        Self::begin(KIND_NAME_CONTESTED, head, &by)
+
+    /// Tells the holder of a name that the process at `claimant` asked for it.
+    pub fn name_contested(header: &Header, claimant: SocketAddr) -> Self {
+        Self::begin(KIND_NAME_CONTESTED, header, &claimant)
     }
 
-    /// Adds a tagged part; false, and nothing added, where there is no room left.
-    fn put(&mut self, tag: u8, part: &impl Serialize) -> bool {
+    /// Appends a tagged part. Returns false, and appends nothing, if it does not fit.
+    fn push(&mut self, tag: u8, part: &impl Serialize) -> bool {
         let Ok(bytes) = postcard::to_allocvec(part) else { return false };
         let fits = self.0.len() + 1 + bytes.len() <= MAX_MESSAGE_BYTES;
         if fits {
@@ -132,108 +186,128 @@
         }
         fits
     }
+
+    /// Appends a record. Returns false, and appends nothing, if it does not fit.
     pub fn record(&mut self, record: &Record) -> bool {
-        self.put(TAG_RECORD, record)
+        self.push(TAG_RECORD, record)
     }
-    pub fn suspicion(&mut self, word: &Suspicion) -> bool {
-        self.put(TAG_SUSPICION, word)
+
+    /// Appends a vote. Returns false, and appends nothing, if it does not fit.
+    pub fn suspicion(&mut self, suspicion: &Suspicion) -> bool {
+        self.push(TAG_SUSPICION, suspicion)
     }
-    /// Adds what another message holds after its own part.
-    pub fn append(&mut self, tail: &[u8]) -> bool {
-        let fits = self.0.len() + tail.len() <= MAX_MESSAGE_BYTES;
+
+    /// Appends encoded updates of another message. Returns false, and appends nothing, if they do not fit.
+    pub fn append(&mut self, updates: &[u8]) -> bool {
+        let fits = self.0.len() + updates.len() <= MAX_MESSAGE_BYTES;
         if fits {
-            self.0.extend_from_slice(tail);
+            self.0.extend_from_slice(updates);
         }
         fits
     }
+
+    /// The encoded message.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 }
 
-/// Takes one part off the front.
-fn take<T: DeserializeOwned>(bytes: &mut &[u8]) -> Result<T, MessageError> {
-    let (part, rest) = postcard::take_from_bytes(bytes).map_err(|_| MessageError::Malformed)?;
-    *bytes = rest;
-    Ok(part)
+/// Whether a text is a valid name of a router or a zone: 1 to [`MAX_NAME_BYTES`] printable ASCII characters
+/// without blanks.
+pub fn is_valid_name(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// What a name or a zone looks like.
-pub fn is_valid_name(text: &str) -> bool {
-    !text.is_empty() && text.len() <= crate::MAX_NAME_BYTES && text.bytes().all(|b| b.is_ascii_graphic())
+/// The decoded body of a message.
+enum Body {
+    Heartbeat { last_heard: Option<Micros>, view: u64 },
+    PingRequest(RouterId),
+    Ping(RouterId),
+    Ack(RouterId),
+    IndirectAck { target: RouterId, instance_id: InstanceId },
+    SyncRequest([u32; DIGEST_BUCKETS]),
+    Updates,
+    NameConflict { instance_id: InstanceId, holder: SocketAddr },
+    NameContested { claimant: SocketAddr },
 }
 
-/// Reads a message to its end; nothing is said unless all of it can be read.
-pub fn read(bytes: &[u8], words: &mut dyn MessageHandler) -> Result<(), MessageError> {
+/// A decoded update after the body.
+enum Update {
+    Record(Record),
+    Suspicion(Suspicion),
+}
+
+/// Decodes a message and passes its contents to the handler.
+///
+/// # Errors
+///
+/// If any part of the message is malformed or holds an invalid name; the handler is not called then.
+pub fn read(bytes: &[u8], handler: &mut dyn MessageHandler) -> Result<(), MessageError> {
     let mut rest = bytes;
     let kind: u8 = take(&mut rest)?;
-    let head: Header = take(&mut rest)?;
-    let own = rest;
-    pass(kind, &head, own, None)?;
-    pass(kind, &head, own, Some(words))
+    let header: Header = take(&mut rest)?;
+    let body = decode_body(kind, &mut rest)?;
+    let mut updates = Vec::new();
+    while !rest.is_empty() {
+        updates.push(decode_update(&mut rest)?);
+    }
+    // Updates first: what the body leads to rests on them.
+    for update in updates {
+        match update {
+            Update::Record(record) => handler.record(&header, record),
+            Update::Suspicion(suspicion) => handler.suspicion(&header, suspicion),
+        }
+    }
+    deliver(&header, &body, handler);
+    Ok(())
 }
 
-fn pass(
-    kind: u8,
-    head: &Header,
-    own: &[u8],
-    mut words: Option<&mut dyn MessageHandler>,
-) -> Result<(), MessageError> {
-    let mut rest = own;
-    macro_rules! say {
-        ($word:ident, $($part:expr),+) => {
-            if let Some(words) = words.as_mut() {
-                words.$word(head, $($part),+);
-            }
-        };
-    }
-    // News first: what the kind's own part leads to rests on them.
-    let mut after = own;
-    match kind {
-        KIND_HEARTBEAT => _ = take::<(Option<Micros>, u64)>(&mut after)?,
-        KIND_PING_REQUEST | KIND_PING | KIND_ACK => _ = take::<RouterId>(&mut after)?,
-        KIND_INDIRECT_ACK => _ = take::<(RouterId, InstanceId)>(&mut after)?,
-        KIND_SYNC_REQUEST => _ = take::<[u32; DIGEST_BUCKETS]>(&mut after)?,
-        KIND_UPDATES => {}
-        KIND_NAME_CONFLICT => _ = take::<(InstanceId, SocketAddr)>(&mut after)?,
-        KIND_NAME_CONTESTED => _ = take::<SocketAddr>(&mut after)?,
+/// Takes one part off the front.
+fn take<T: DeserializeOwned>(bytes: &mut &[u8]) -> Result<T, MessageError> {
+    let (part, rest) = postcard::take_from_bytes(bytes).map_err(|_| MessageError::Malformed)?;
+    *bytes = rest;
+    Ok(part)
+}
+
+fn decode_body(kind: u8, rest: &mut &[u8]) -> Result<Body, MessageError> {
+    Ok(match kind {
+        KIND_HEARTBEAT => Body::Heartbeat { last_heard: take(rest)?, view: take(rest)? },
+        KIND_PING_REQUEST => Body::PingRequest(take(rest)?),
+        KIND_PING => Body::Ping(take(rest)?),
+        KIND_ACK => Body::Ack(take(rest)?),
+        KIND_INDIRECT_ACK => Body::IndirectAck { target: take(rest)?, instance_id: take(rest)? },
+        KIND_SYNC_REQUEST => Body::SyncRequest(take(rest)?),
+        KIND_UPDATES => Body::Updates,
+        KIND_NAME_CONFLICT => Body::NameConflict { instance_id: take(rest)?, holder: take(rest)? },
+        KIND_NAME_CONTESTED => Body::NameContested { claimant: take(rest)? },
         _ => return Err(MessageError::Malformed),
-    }
-    while !after.is_empty() {
-        match take::<u8>(&mut after)? {
-            TAG_RECORD => {
-                let record: Record = take(&mut after)?;
-                if !is_valid_name(&record.name) || !is_valid_name(&record.zone) {
-                    return Err(MessageError::Name);
-                }
-                say!(record, record);
-            }
-            TAG_SUSPICION => {
-                let word: Suspicion = take(&mut after)?;
-                say!(suspicion, word);
+    })
+}
+
+fn decode_update(rest: &mut &[u8]) -> Result<Update, MessageError> {
+    match take::<u8>(rest)? {
+        TAG_RECORD => {
+            let record: Record = take(rest)?;
+            if !is_valid_name(&record.name) || !is_valid_name(&record.zone) {
+                return Err(MessageError::InvalidName);
             }
-            _ => return Err(MessageError::Malformed),
+            Ok(Update::Record(record))
         }
+        TAG_SUSPICION => Ok(Update::Suspicion(take(rest)?)),
+        _ => Err(MessageError::Malformed),
     }
-    match kind {
-        KIND_HEARTBEAT => {
-            let (heard, view) = take(&mut rest)?;
-            say!(heartbeat, heard, view);
-        }
-        KIND_PING_REQUEST => say!(ping_request, take(&mut rest)?),
-        KIND_PING => say!(ping, take(&mut rest)?),
-        KIND_ACK => say!(ack, take(&mut rest)?),
-        KIND_INDIRECT_ACK => {
-            let (whom, instance_id) = take(&mut rest)?;
-            say!(indirect_ack, whom, instance_id);
-        }
-        KIND_SYNC_REQUEST => say!(sync_request, &take(&mut rest)?),
-        KIND_NAME_CONFLICT => {
-            let (instance_id, holder) = take(&mut rest)?;
-            say!(name_conflict, instance_id, holder);
-        }
-        KIND_NAME_CONTESTED => say!(name_contested, take(&mut rest)?),
-        _ => {}
+}
+
+fn deliver(header: &Header, body: &Body, handler: &mut dyn MessageHandler) {
+    match body {
+        Body::Heartbeat { last_heard, view } => handler.heartbeat(header, *last_heard, *view),
+        Body::PingRequest(target) => handler.ping_request(header, *target),
+        Body::Ping(requester) => handler.ping(header, *requester),
+        Body::Ack(requester) => handler.ack(header, *requester),
+        Body::IndirectAck { target, instance_id } => handler.indirect_ack(header, *target, *instance_id),
+        Body::SyncRequest(view) => handler.sync_request(header, view),
+        Body::Updates => {}
+        Body::NameConflict { instance_id, holder } => handler.name_conflict(header, *instance_id, *holder),
+        Body::NameContested { claimant } => handler.name_contested(header, *claimant),
     }
-    Ok(())
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -292,7 +292,14 @@
     let Record { instance_id, incarnation, .. } = *of;
     let (subject, voter) = (RouterId::named(&of.name), RouterId::named(&from.name));
     let mut message = Message::updates(&head(from));
-    message.suspicion(&Suspicion { subject, instance_id, incarnation, voter, sequence, says: Opinion::Dead });
+    message.suspicion(&Suspicion {
+        subject,
+        instance_id,
+        incarnation,
+        voter,
+        sequence,
+        opinion: Opinion::Dead,
+    });
     message.bytes().to_vec()
 }
 
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -26,14 +26,14 @@
     }
 }
 
-fn word(says: Opinion) -> Suspicion {
+fn word(opinion: Opinion) -> Suspicion {
     Suspicion {
         subject: RouterId(77),
         instance_id: InstanceId(88),
         incarnation: 9,
         voter: RouterId(0xffee_ddcc_bbaa_9988),
         sequence: 1_000_000,
-        says,
+        opinion,
     }
 }
 
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -103,7 +103,11 @@
     for bad in ["", "a b", "tab\t", &"x".repeat(MAX_NAME_BYTES + 1)] {
         let message = news(&record(1), &Record { name: bad.to_owned(), ..record(2) });
         let mut said = Count::default();
-        assert_eq!((message::read(&message, &mut said), said.0), (Err(MessageError::Name), 0), "{bad:?}");
+        assert_eq!(
+            (message::read(&message, &mut said), said.0),
+            (Err(MessageError::InvalidName), 0),
+            "{bad:?}"
+        );
     }
 }
 
