--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,24 +1,34 @@
-//! Messages of registers: a mark, a kind, then what it says, as postcard writes it. A message is read whole
-//! before any of it counts.
-use crate::*;
-use applepond_membership::RouterId;
+//! Messages of the register: a tag, a kind, then the sender and the contents in postcard's format.
+//!
+//! A message is decoded as a whole before any of it counts. The order of the parts of each message is its
+//! format between versions of the router.
+use crate::{
+    AcceptorError, AcceptorStorage, Ballot, KnownPromise, MAX_REPLICAS, Promise, Register, RegisterActions,
+    RegisterState, Replica, ReplicaId, ReplicaRequests,
+};
+use applepond::interface::Micros;
+use applepond_membership::{InstanceId, RouterId};
 use miette::Diagnostic;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// First byte of each message here; those of `members` begin with a small number.
+/// The first byte of each message here. Those of membership begin with a small number.
 pub const PROTOCOL_TAG: u8 = 0xb2;
 
-const PROMISE: u8 = 1;
+const PREPARE: u8 = 1;
 const ACCEPT: u8 = 2;
 const PROMISED: u8 = 3;
 const ACCEPTED: u8 = 4;
-const REFUSED: u8 = 5;
-const DOUBTS: u8 = 6;
-const ASK: u8 = 7;
-const COPY: u8 = 8;
+const REJECTED: u8 = 5;
+const ABSTAINED: u8 = 6;
+const STATE_REQUEST: u8 = 7;
+const STATE_RESPONSE: u8 = 8;
 
+/// No version is higher: nobody gives it out.
+const MAX_VERSION: u64 = 1 << 62;
+
+/// A message that is not used. It changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("a message that ends early, goes on after its end or holds what no message holds")]
 #[diagnostic(
@@ -27,155 +37,162 @@
 )]
 pub struct MalformedMessage;
 
-/// RegisterActions as messages of this router, each with whom it is for.
+/// Actions as messages of this router.
 pub struct MessageWriter {
-    pub sender: RouterId,
+    sender: RouterId,
+    /// The messages so far, each with its receiver.
     pub messages: Vec<(RouterId, Vec<u8>)>,
 }
 
 impl MessageWriter {
+    /// A writer without messages.
     pub fn new(sender: RouterId) -> Self {
         MessageWriter { sender, messages: Vec::new() }
     }
 
-    fn put(&mut self, to: RouterId, kind: u8, parts: &impl Serialize) {
-        // Numbers and ids always can be written; what is longer than a message is the caller's to bound.
-        if let Ok(bytes) = postcard::to_extend(&(self.sender, parts), vec![PROTOCOL_TAG, kind]) {
+    fn write(&mut self, to: RouterId, kind: u8, contents: &impl Serialize) {
+        // Numbers and ids can always be written; the caller bounds the length of a message.
+        if let Ok(bytes) = postcard::to_extend(&(self.sender, contents), vec![PROTOCOL_TAG, kind]) {
             self.messages.push((to, bytes));
         }
     }
 }
 
 impl<V: Serialize> ReplicaRequests<V> for MessageWriter {
-    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
-        self.put(to, PROMISE, &(ballot, word));
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, known: Option<KnownPromise>) {
+        self.write(to, PREPARE, &(ballot, known));
     }
     fn accept(
         &mut self,
         to: RouterId,
         ballot: Ballot,
-        agreed: &RegisterState<V>,
-        word: Option<(InstanceId, Ballot)>,
+        state: &RegisterState<V>,
+        known: Option<KnownPromise>,
     ) {
-        self.put(to, ACCEPT, &(ballot, agreed, word));
+        self.write(to, ACCEPT, &(ballot, state, known));
     }
 }
 
 impl<V: Serialize> RegisterActions<V> for MessageWriter {
-    fn promised(
-        &mut self,
-        to: RouterId,
-        ballots: (Ballot, Ballot),
-        disk: InstanceId,
-        accepted: Option<&(Ballot, RegisterState<V>)>,
-    ) {
-        self.put(to, PROMISED, &(ballots, disk, accepted));
+    fn promised(&mut self, to: RouterId, disk: InstanceId, promise: &Promise<RegisterState<V>>) {
+        let Promise { ballot, previous, accepted } = promise;
+        self.write(to, PROMISED, &((ballot, previous), disk, accepted));
     }
     fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: InstanceId) {
-        self.put(to, ACCEPTED, &(ballot, disk));
+        self.write(to, ACCEPTED, &(ballot, disk));
     }
     fn rejected(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
-        self.put(to, REFUSED, &(ballot, promised));
+        self.write(to, REJECTED, &(ballot, promised));
     }
-    fn abstained(&mut self, to: RouterId, ballot: Ballot, trouble: AcceptorError) {
-        self.put(to, DOUBTS, &(ballot, trouble as u8));
+    fn abstained(&mut self, to: RouterId, ballot: Ballot, error: AcceptorError) {
+        self.write(to, ABSTAINED, &(ballot, error as u8));
     }
     fn request_state(&mut self, to: RouterId, number: u64) {
-        self.put(to, ASK, &number);
+        self.write(to, STATE_REQUEST, &number);
     }
-    fn send_state(&mut self, to: RouterId, number: u64, agreed: &RegisterState<V>, left: Micros) {
-        self.put(to, COPY, &(number, agreed, left));
+    fn send_state(&mut self, to: RouterId, number: u64, state: &RegisterState<V>, remaining: Micros) {
+        self.write(to, STATE_RESPONSE, &(number, state, remaining));
     }
 }
 
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<(RouterId, T), MalformedMessage> {
+/// Decodes the sender and the contents, with nothing after them.
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<(RouterId, T), MalformedMessage> {
     match postcard::take_from_bytes(bytes) {
-        Ok((read, [])) => Ok(read),
+        Ok((message, [])) => Ok(message),
         _ => Err(MalformedMessage),
     }
 }
 
-/// Whether a message is for the keeper of its receiver, and not for its register.
+/// Whether a message is for the acceptor of its receiver, and not for its register.
 pub fn is_acceptor_request(message: &[u8]) -> bool {
-    matches!(message, [PROTOCOL_TAG, PROMISE | ACCEPT, ..])
+    matches!(message, [PROTOCOL_TAG, PREPARE | ACCEPT, ..])
 }
 
-/// Hands a question to a keeper; one that cannot be read changes nothing.
+/// Hands a request to a replica, which answers by `actions`.
+///
+/// # Errors
+/// The message cannot be decoded; nothing has changed.
 pub fn handle_acceptor_request<V: Clone + Serialize + DeserializeOwned>(
     message: &[u8],
-    voter: &mut Replica<V>,
-    votes: &mut dyn AcceptorStorage<RegisterState<V>>,
-    orders: &mut MessageWriter,
+    replica: &mut Replica<V>,
+    storage: &mut dyn AcceptorStorage<RegisterState<V>>,
+    actions: &mut MessageWriter,
 ) -> Result<(), MalformedMessage> {
-    let [PROTOCOL_TAG, kind, rest @ ..] = message else { return Err(MalformedMessage) };
+    let [PROTOCOL_TAG, kind, contents @ ..] = message else { return Err(MalformedMessage) };
     match *kind {
-        PROMISE => {
-            let (from, (ballot, word)) = whole(rest)?;
-            voter.prepare(from, ballot, word, votes, orders);
+        PREPARE => {
+            let (from, (ballot, known)) = decode(contents)?;
+            replica.prepare(from, ballot, known, storage, actions);
         }
         ACCEPT => {
-            let (from, (ballot, agreed, word)): (_, (_, RegisterState<V>, _)) = whole(rest)?;
-            sound(&agreed)?;
-            voter.accept(from, (ballot, agreed), word, votes, orders);
+            let (from, (ballot, state, known)): (_, (_, RegisterState<V>, _)) = decode(contents)?;
+            validate(&state)?;
+            replica.accept(from, (ballot, state), known, storage, actions);
         }
         _ => return Err(MalformedMessage),
     }
     Ok(())
 }
 
-/// Hands a message to a register; one that cannot be read changes nothing. `remembered` as in
-/// `Register::promised`.
+/// Hands a message to a register, which answers by `actions`. `remembered` is as in
+/// [`Register::on_promised`].
+///
+/// # Errors
+/// The message cannot be decoded; nothing has changed.
 pub fn handle_register_message<V: Clone + Default + Serialize + DeserializeOwned>(
     message: &[u8],
     register: &mut Register<V>,
     now: Micros,
     remembered: &[(InstanceId, u64)],
-    orders: &mut MessageWriter,
+    actions: &mut MessageWriter,
 ) -> Result<(), MalformedMessage> {
-    let [PROTOCOL_TAG, kind, rest @ ..] = message else { return Err(MalformedMessage) };
+    let [PROTOCOL_TAG, kind, contents @ ..] = message else { return Err(MalformedMessage) };
     match *kind {
         PROMISED => {
-            type Parts<V> = ((Ballot, Ballot), InstanceId, Option<(Ballot, RegisterState<V>)>);
-            let (name, (ballots, disk, accepted)): (_, Parts<V>) = whole(rest)?;
-            accepted.iter().try_for_each(|(_, agreed)| sound(agreed))?;
-            register.on_promised(
-                now,
-                ReplicaId { router: name, disk },
-                ballots,
-                accepted,
-                remembered,
-                orders,
-            );
+            let (replica, promise) = decode_promise(contents)?;
+            register.on_promised(now, replica, promise, remembered, actions);
         }
         ACCEPTED => {
-            let (name, (ballot, disk)) = whole(rest)?;
-            register.on_accepted(now, ReplicaId { router: name, disk }, ballot);
+            let (router, (ballot, disk)) = decode(contents)?;
+            register.on_accepted(now, ReplicaId { router, disk }, ballot);
         }
-        REFUSED => {
-            let (_, (ballot, promised)) = whole(rest)?;
+        REJECTED => {
+            let (_, (ballot, promised)) = decode(contents)?;
             register.on_rejected(now, ballot, promised);
         }
-        DOUBTS => {
-            let (from, (ballot, _)): (_, (_, u8)) = whole(rest)?;
+        ABSTAINED => {
+            let (from, (ballot, _)): (_, (_, u8)) = decode(contents)?;
             register.on_abstained(from, ballot);
         }
-        ASK => {
-            let (from, number) = whole(rest)?;
-            register.on_state_request(now, from, number, orders);
+        STATE_REQUEST => {
+            let (from, number) = decode(contents)?;
+            register.on_state_request(now, from, number, actions);
         }
-        COPY => {
-            let (from, (number, agreed, left)) = whole(rest)?;
-            sound(&agreed)?;
-            register.on_state_response(now, from, number, agreed, left);
+        STATE_RESPONSE => {
+            let (from, (number, state, remaining)) = decode(contents)?;
+            validate(&state)?;
+            register.on_state_response(now, from, number, state, remaining);
         }
         _ => return Err(MalformedMessage),
     }
     Ok(())
 }
 
-/// More keepers than there may be, or a number that nobody gives out, is nothing that was agreed on.
-fn sound<V>(agreed: &RegisterState<V>) -> Result<(), MalformedMessage> {
-    let few = |seats: &[ReplicaId]| seats.len() <= MAX_REPLICAS;
-    let good = few(&agreed.replicas) && few(&agreed.previous_replicas) && !agreed.replicas.is_empty();
-    (good && agreed.version < 1 << 62).then_some(()).ok_or(MalformedMessage)
+fn decode_promise<V: DeserializeOwned>(
+    contents: &[u8],
+) -> Result<(ReplicaId, Promise<RegisterState<V>>), MalformedMessage> {
+    type Contents<V> = ((Ballot, Ballot), InstanceId, Option<(Ballot, RegisterState<V>)>);
+    let (router, ((ballot, previous), disk, accepted)): (_, Contents<V>) = decode(contents)?;
+    if let Some((_, state)) = &accepted {
+        validate(state)?;
+    }
+    Ok((ReplicaId { router, disk }, Promise { ballot, previous, accepted }))
+}
+
+/// More replicas than there may be, or a version that nobody gives out, was never agreed on.
+fn validate<V>(state: &RegisterState<V>) -> Result<(), MalformedMessage> {
+    let is_bounded = |replicas: &[ReplicaId]| replicas.len() <= MAX_REPLICAS;
+    let are_replicas_valid =
+        is_bounded(&state.replicas) && is_bounded(&state.previous_replicas) && !state.replicas.is_empty();
+    if are_replicas_valid && state.version < MAX_VERSION { Ok(()) } else { Err(MalformedMessage) }
 }
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -1,215 +1,237 @@
-//! A proposer: reads what is agreed on and has the next value written, one try at a time.
-use crate::*;
+//! A proposer over a fixed set of acceptors: it reads what is agreed on and has the next value written, one
+//! round at a time.
+use crate::{
+    Ballot, MAX_REPLICAS, Promise, RESPONSE_TIMEOUT, RETRY_BACKOFF, RETRY_BACKOFF_MAX_DOUBLINGS, ReplicaIndex,
+};
+use applepond::interface::Micros;
+use applepond_membership::InstanceId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a proposer asks of keepers; each question may be lost, late or repeated, and so may its answer.
+/// Requests to acceptors. Each may be lost, delayed or repeated, and so may its answer.
 pub trait ProposerActions<V> {
-    fn prepare(&mut self, of: ReplicaIndex, ballot: Ballot);
-    fn accept(&mut self, by: ReplicaIndex, ballot: Ballot, value: &V);
+    /// Asks an acceptor to promise a ballot (phase 1).
+    fn prepare(&mut self, to: ReplicaIndex, ballot: Ballot);
+    /// Asks an acceptor to accept a value (phase 2).
+    fn accept(&mut self, to: ReplicaIndex, ballot: Ballot, value: &V);
 }
 
-/// What has come of a try.
+/// What has come of a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome<V> {
-    /// Most keepers have promised; this is the value, and `write` may follow it with the next.
+    /// A majority has promised. This is the latest value, and `propose` may follow it with the next.
     Read(Option<V>),
-    /// Most keepers have accepted it: it is in every later value's past.
+    /// A majority has accepted the value: it is in the history of every later one.
     Committed(V),
-    /// Its disk holds less than it has said before, as from a copy of old. It does not count any more here.
+    /// The disk of this acceptor holds less than it has promised before, as a copy that was put back. It does
+    /// not count any more here.
     StaleReplica(ReplicaIndex),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase<V> {
     Idle,
-    /// Overtaken, or nobody answered: again at `until`.
+    /// Overtaken or not answered: the next round begins at `deadline`.
     Backoff,
+    /// Phase 1: who has promised, and the latest value that any of them has accepted.
     Preparing {
-        heard: BTreeSet<ReplicaIndex>,
+        promised: BTreeSet<ReplicaIndex>,
         latest: Option<(Ballot, V)>,
     },
     /// Read; the caller has not said what is next.
     Prepared,
+    /// Phase 2: the value, and who has accepted it.
     Accepting {
         value: V,
-        heard: BTreeSet<ReplicaIndex>,
+        accepted: BTreeSet<ReplicaIndex>,
     },
 }
 
+/// A proposer. It never acts by itself: [`wake`](Proposer::wake) has to be called in time.
 #[derive(Clone, Debug)]
 pub struct Proposer<V> {
-    keepers: BTreeSet<ReplicaIndex>,
+    replicas: BTreeSet<ReplicaIndex>,
     ballot: Ballot,
-    doing: Phase<V>,
-    until: Micros,
-    tries: u32,
-    /// The highest ballot that each keeper has said it promised.
-    words: BTreeMap<ReplicaIndex, Ballot>,
-    older: BTreeSet<ReplicaIndex>,
+    phase: Phase<V>,
+    /// When the phase ends: it was not answered, or the backoff is over.
+    deadline: Micros,
+    /// Rounds since the last success, for the backoff.
+    failed_rounds: u32,
+    /// The highest ballot that each acceptor is known to have promised.
+    known_promises: BTreeMap<ReplicaIndex, Ballot>,
+    /// Acceptors whose disks were found to hold less than they had promised.
+    stale: BTreeSet<ReplicaIndex>,
     rng: Rand64,
 }
 
 impl<V: Clone> Proposer<V> {
-    /// `birth` is this process' own, drawn at its start.
+    /// A proposer of the process with this instance id, which is drawn at its start. `seed` is of the random
+    /// backoff.
     ///
     /// # Panics
-    /// Where keepers are none, more than `KEEPERS_MOST` or an even number.
-    pub fn new(instance_id: InstanceId, keepers: &[ReplicaIndex], seed: u64) -> Self {
-        let keepers: BTreeSet<ReplicaIndex> = keepers.iter().copied().collect();
-        assert!(keepers.len() % 2 == 1 && keepers.len() <= MAX_REPLICAS, "one, three or five keepers");
+    /// Where there is no replica, an even number, or more than [`MAX_REPLICAS`].
+    pub fn new(instance_id: InstanceId, replicas: &[ReplicaIndex], seed: u64) -> Self {
+        let replicas: BTreeSet<ReplicaIndex> = replicas.iter().copied().collect();
+        assert!(replicas.len() % 2 == 1 && replicas.len() <= MAX_REPLICAS, "one, three or five replicas");
         Proposer {
-            keepers,
+            replicas,
             ballot: Ballot::first(instance_id),
-            doing: Phase::Idle,
-            until: Micros::MAX,
-            tries: 0,
-            words: BTreeMap::new(),
-            older: BTreeSet::new(),
+            phase: Phase::Idle,
+            deadline: Micros::MAX,
+            failed_rounds: 0,
+            known_promises: BTreeMap::new(),
+            stale: BTreeSet::new(),
             rng: Rand64::new(u128::from(seed)),
         }
     }
 
-    /// Nothing is under way.
+    /// No round is under way.
     pub fn is_idle(&self) -> bool {
-        matches!(self.doing, Phase::Idle)
+        matches!(self.phase, Phase::Idle)
     }
 
+    /// The ballot of the latest round.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// When `wake` is to be called at the latest.
+    /// When `wake` has to be called at the latest.
     pub fn next_wakeup(&self) -> Micros {
-        self.until
+        self.deadline
     }
 
-    /// All but time, chance and what is kept of each keeper, for comparing states.
+    /// All but time, chance and what is known of each acceptor, for comparing states in tests.
     pub fn state(&self) -> impl std::hash::Hash + '_
     where
         V: std::hash::Hash,
     {
-        let (latest, value) = match &self.doing {
+        let (latest, value) = match &self.phase {
             Phase::Preparing { latest, .. } => (latest.as_ref(), None),
             Phase::Accepting { value, .. } => (None, Some(value)),
-            _ => (None, None),
+            Phase::Idle | Phase::Backoff | Phase::Prepared => (None, None),
         };
-        (self.ballot, std::mem::discriminant(&self.doing), latest, value)
+        (self.ballot, std::mem::discriminant(&self.phase), latest, value)
     }
 
-    /// What is kept of one keeper: whether it has answered, its highest word, whether it is older than that.
-    pub fn state_of(&self, keeper: ReplicaIndex) -> impl std::hash::Hash + use<V> {
-        let heard = match &self.doing {
-            Phase::Preparing { heard, .. } | Phase::Accepting { heard, .. } => heard.contains(&keeper),
-            _ => false,
+    /// What is known of one acceptor: whether it has answered, its highest promise, whether it is stale. For
+    /// comparing states in tests.
+    pub fn state_of(&self, replica: ReplicaIndex) -> impl std::hash::Hash + use<V> {
+        let has_answered = match &self.phase {
+            Phase::Preparing { promised, .. } => promised.contains(&replica),
+            Phase::Accepting { accepted, .. } => accepted.contains(&replica),
+            Phase::Idle | Phase::Backoff | Phase::Prepared => false,
         };
-        (heard, self.words.get(&keeper).copied(), self.older.contains(&keeper))
+        (has_answered, self.known_promises.get(&replica).copied(), self.stale.contains(&replica))
     }
 
-    /// Whether an answer under this ballot, to a question of this kind, can still change anything.
-    pub fn awaits(&self, ballot: Ballot, accept: bool) -> bool {
-        let kind = match self.doing {
-            Phase::Preparing { .. } => !accept,
-            Phase::Accepting { .. } => accept,
-            _ => false,
+    /// Whether an answer under this ballot, to a request of phase 1 or (`is_accept`) of phase 2, can still
+    /// change anything.
+    pub fn awaits(&self, ballot: Ballot, is_accept: bool) -> bool {
+        let is_of_phase = match self.phase {
+            Phase::Preparing { .. } => !is_accept,
+            Phase::Accepting { .. } => is_accept,
+            Phase::Idle | Phase::Backoff | Phase::Prepared => false,
         };
-        ballot == self.ballot && kind
+        ballot == self.ballot && is_of_phase
     }
 
-    fn most(&self) -> usize {
-        self.keepers.len() / 2 + 1
+    fn majority(&self) -> usize {
+        self.replicas.len() / 2 + 1
     }
 
-    /// Reads the value under a new ballot; what was under way is given up, and may yet be written.
-    pub fn prepare(&mut self, now: Micros, orders: &mut dyn ProposerActions<V>) {
+    /// Whether an answer of this acceptor counts.
+    fn counts(&self, replica: ReplicaIndex) -> bool {
+        self.replicas.contains(&replica) && !self.stale.contains(&replica)
+    }
+
+    /// Starts a round under a new ballot, which reads the value. A round under way is given up, and may yet
+    /// be committed.
+    pub fn prepare(&mut self, now: Micros, actions: &mut dyn ProposerActions<V>) {
         self.ballot.round += 1;
-        self.doing = Phase::Preparing { heard: BTreeSet::new(), latest: None };
-        self.until = now + RESPONSE_TIMEOUT;
-        for keeper in &self.keepers {
-            orders.prepare(*keeper, self.ballot);
+        self.phase = Phase::Preparing { promised: BTreeSet::new(), latest: None };
+        self.deadline = now + RESPONSE_TIMEOUT;
+        for replica in &self.replicas {
+            actions.prepare(*replica, self.ballot);
         }
     }
 
     /// Has this value written in place of the one just read. Without a read before it nothing happens.
-    pub fn propose(&mut self, now: Micros, value: V, orders: &mut dyn ProposerActions<V>) {
-        if !matches!(self.doing, Phase::Prepared) {
+    pub fn propose(&mut self, now: Micros, value: V, actions: &mut dyn ProposerActions<V>) {
+        if !matches!(self.phase, Phase::Prepared) {
             return;
         }
-        self.until = now + RESPONSE_TIMEOUT;
-        for keeper in &self.keepers {
-            orders.accept(*keeper, self.ballot, &value);
+        self.deadline = now + RESPONSE_TIMEOUT;
+        for replica in &self.replicas {
+            actions.accept(*replica, self.ballot, &value);
         }
-        self.doing = Phase::Accepting { value, heard: BTreeSet::new() };
+        self.phase = Phase::Accepting { value, accepted: BTreeSet::new() };
     }
 
-    /// What was read stays as it is.
+    /// Ends the round and leaves what was read as it is.
     pub fn abandon(&mut self) {
-        (self.doing, self.until, self.tries) = (Phase::Idle, Micros::MAX, 0);
+        self.phase = Phase::Idle;
+        self.deadline = Micros::MAX;
+        self.failed_rounds = 0;
     }
 
-    /// Time for the next try, if it is.
-    pub fn wake(&mut self, now: Micros, orders: &mut dyn ProposerActions<V>) {
-        if now < self.until || self.is_idle() {
+    /// Starts the next round where the backoff is over, and a backoff where nobody has answered in time.
+    pub fn wake(&mut self, now: Micros, actions: &mut dyn ProposerActions<V>) {
+        if now < self.deadline || self.is_idle() {
             return;
         }
-        match self.doing {
-            Phase::Backoff => self.prepare(now, orders),
-            _ => self.again(now),
+        match self.phase {
+            Phase::Backoff => self.prepare(now, actions),
+            _ => self.back_off(now),
         }
     }
 
-    fn again(&mut self, now: Micros) {
-        let range = RETRY_BACKOFF << self.tries.min(RETRY_BACKOFF_MAX_DOUBLINGS);
-        self.tries += 1;
-        self.doing = Phase::Backoff;
-        self.until = now + RETRY_BACKOFF + self.rng.rand_range(0..range);
+    fn back_off(&mut self, now: Micros) {
+        let range = RETRY_BACKOFF << self.failed_rounds.min(RETRY_BACKOFF_MAX_DOUBLINGS);
+        self.failed_rounds += 1;
+        self.phase = Phase::Backoff;
+        self.deadline = now + RETRY_BACKOFF + self.rng.rand_range(0..range);
     }
 
-    /// A keeper has promised `ballot`; `before`: what it had promised until then.
-    pub fn on_promised(
-        &mut self,
-        keeper: ReplicaIndex,
-        ballot: Ballot,
-        before: Ballot,
-        accepted: Option<(Ballot, V)>,
-    ) -> Option<ProposalOutcome<V>> {
-        if !self.awaits(ballot, false) || self.older.contains(&keeper) || !self.keepers.contains(&keeper) {
+    /// Takes a promise. Returns what has come of the round, if it decides that.
+    pub fn on_promised(&mut self, replica: ReplicaIndex, promise: Promise<V>) -> Option<ProposalOutcome<V>> {
+        if !self.awaits(promise.ballot, false) || !self.counts(replica) {
             return None;
         }
         // Guards against a disk that was put back: it would count for a majority that it has left.
-        match self.words.get(&keeper) {
-            Some(word) if *word == ballot => return None,
-            Some(word) if before < *word => {
-                self.older.insert(keeper);
-                return Some(ProposalOutcome::StaleReplica(keeper));
+        match self.known_promises.get(&replica) {
+            Some(known) if *known == promise.ballot => return None,
+            Some(known) if promise.previous < *known => {
+                self.stale.insert(replica);
+                return Some(ProposalOutcome::StaleReplica(replica));
             }
             _ => {}
         }
-        self.words.insert(keeper, ballot);
-        let most = self.most();
-        let Phase::Preparing { heard, latest } = &mut self.doing else { return None };
-        if accepted.as_ref().map(|(at, _)| at) > latest.as_ref().map(|(at, _)| at) {
-            *latest = accepted;
+        self.known_promises.insert(replica, promise.ballot);
+        let majority = self.majority();
+        let Phase::Preparing { promised, latest } = &mut self.phase else { return None };
+        if promise.accepted.as_ref().map(|(at, _)| at) > latest.as_ref().map(|(at, _)| at) {
+            *latest = promise.accepted;
         }
-        heard.insert(keeper);
-        if heard.len() < most {
+        promised.insert(replica);
+        if promised.len() < majority {
             return None;
         }
         let value = latest.take().map(|(_, value)| value);
-        self.doing = Phase::Prepared;
+        self.phase = Phase::Prepared;
         Some(ProposalOutcome::Read(value))
     }
 
-    /// A keeper has accepted what was asked under this ballot.
-    pub fn on_accepted(&mut self, keeper: ReplicaIndex, ballot: Ballot) -> Option<ProposalOutcome<V>> {
-        let most = self.most();
-        if !self.awaits(ballot, true) || self.older.contains(&keeper) || !self.keepers.contains(&keeper) {
+    /// Takes the word of an acceptor that it has accepted the proposed value. Returns what has come of the
+    /// round, if that decides it.
+    pub fn on_accepted(&mut self, replica: ReplicaIndex, ballot: Ballot) -> Option<ProposalOutcome<V>> {
+        let majority = self.majority();
+        if !self.awaits(ballot, true) || !self.counts(replica) {
             return None;
         }
-        let Phase::Accepting { value, heard } = &mut self.doing else { return None };
-        self.words.insert(keeper, ballot);
-        heard.insert(keeper);
-        if heard.len() < most {
+        let Phase::Accepting { value, accepted } = &mut self.phase else { return None };
+        self.known_promises.insert(replica, ballot);
+        accepted.insert(replica);
+        if accepted.len() < majority {
             return None;
         }
         let value = value.clone();
@@ -217,11 +239,11 @@
         Some(ProposalOutcome::Committed(value))
     }
 
-    /// A keeper has promised a higher ballot: this try is over, the next goes above it.
+    /// An acceptor has promised a higher ballot: the round is over, and the next one goes above it.
     pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.ballot && promised > ballot && !self.is_idle() {
             self.ballot.round = self.ballot.round.max(promised.round);
-            self.again(now);
+            self.back_off(now);
         }
     }
 }
--- /dev/null
+++ b/crates/consensus/src/register/leader.rs
@@ -0,0 +1,228 @@
+//! The rounds that a router starts: bootstrap, lease renewal, changes of the value and of the replicas.
+use super::{Register, RegisterActions, RegisterLease, Requests};
+use crate::{
+    BOOTSTRAP_DELAY, BOOTSTRAP_LEASE_WAIT, Ballot, CLOCK_DRIFT_DIVISOR, LEADER_TIMEOUT, LEASE_DURATION,
+    LEASE_RENEWAL_INTERVAL, MAX_REPLICAS, Promise, RETRY_BACKOFF, RegisterState, ReplicaId, RoundOutcome,
+    Unavailable,
+};
+use applepond::interface::Micros;
+use applepond_membership::{InstanceId, RouterId};
+
+/// What was heard in the round under way, for its lease and for naming why it failed.
+pub(super) struct RoundProgress {
+    /// The lease that the round confirms counts from here.
+    started_at: Micros,
+    /// Replicas whose acceptors take no part.
+    abstained: Vec<RouterId>,
+    /// Replicas that have never accepted anything.
+    empty: Vec<RouterId>,
+}
+
+impl RoundProgress {
+    pub(super) fn new(now: Micros) -> Self {
+        RoundProgress { started_at: now, abstained: Vec::new(), empty: Vec::new() }
+    }
+}
+
+impl<V: Clone + Default> Register<V> {
+    /// Why a round was not answered by a majority in time.
+    pub(super) fn reason_of_timeout(&self) -> Unavailable {
+        let responding = self.proposer.responders().len();
+        let total = self.configured.len();
+        if responding == 0 && self.round.abstained.is_empty() {
+            return Unavailable::NoQuorum { responding: 0, total };
+        }
+        let empty = self.round.empty.len();
+        // On a first start some have not come up yet; who knows of a past knows that it was lost.
+        let has_past = self.is_remembered || self.highest_seen.is_some();
+        match self.proposer.lost_replicas() {
+            Some((lost, total)) if 2 * lost >= total => Unavailable::MajorityLost { lost, total },
+            _ if 2 * empty > total && has_past => Unavailable::MajorityLost { lost: empty, total },
+            _ => Unavailable::NoQuorum { responding, total },
+        }
+    }
+
+    /// A replica has promised. `remembered` are registers and versions that others say they have seen; they
+    /// only ever forbid.
+    pub fn on_promised(
+        &mut self,
+        now: Micros,
+        replica: ReplicaId,
+        promise: Promise<RegisterState<V>>,
+        remembered: &[(InstanceId, u64)],
+        actions: &mut dyn RegisterActions<V>,
+    ) {
+        self.is_remembered = !remembered.is_empty();
+        let is_of_round = promise.ballot == self.proposer.ballot();
+        let is_empty = promise.accepted.is_none();
+        if is_of_round && is_empty && !self.round.empty.contains(&replica.router) {
+            self.round.empty.push(replica.router);
+        }
+        match self.proposer.on_promised(replica, promise, &mut Requests(actions)) {
+            Some(RoundOutcome::Read(state, responders)) => {
+                self.on_read(now, state, &responders, remembered, actions);
+            }
+            Some(RoundOutcome::Uninitialized(replicas)) => self.on_uninitialized(now, replicas, actions),
+            Some(RoundOutcome::Committed(_) | RoundOutcome::StaleReplica(_)) | None => {}
+        }
+    }
+
+    /// Ends the round; the next one begins after this wait and a random part of a renewal interval.
+    fn abandon_round(&mut self, now: Micros, wait: Micros) {
+        self.proposer.abandon();
+        self.next_round_at = now + wait + self.rng.rand_range(0..LEASE_RENEWAL_INTERVAL);
+    }
+
+    /// All configured replicas are empty: bootstraps the register, unless somebody remembers one.
+    fn on_uninitialized(
+        &mut self,
+        now: Micros,
+        replicas: Vec<ReplicaId>,
+        actions: &mut dyn RegisterActions<V>,
+    ) {
+        if self.is_remembered || self.highest_seen.is_some() {
+            // Guards against an empty past that is none: all have lost what they had agreed on.
+            self.unavailable = Some(Unavailable::StateForgotten);
+        } else if now >= self.started_at + BOOTSTRAP_DELAY {
+            let round = self.proposer.ballot().round;
+            let first = RegisterState {
+                register_id: InstanceId(self.instance_id.0 ^ round.rotate_left(32)),
+                version: 1,
+                replicas,
+                previous_replicas: Vec::new(),
+                value: V::default(),
+            };
+            self.proposer.propose(now, first, &mut Requests(actions));
+            return;
+        }
+        self.abandon_round(now, LEASE_RENEWAL_INTERVAL);
+    }
+
+    /// The latest state was read: writes the next one, which may be the same again to renew the lease.
+    fn on_read(
+        &mut self,
+        now: Micros,
+        state: RegisterState<V>,
+        responders: &[ReplicaId],
+        remembered: &[(InstanceId, u64)],
+        actions: &mut dyn RegisterActions<V>,
+    ) {
+        // Guards against disks that were all put back: what they agree on is older than what was known, or of
+        // another register.
+        let is_newer = |(register_id, version): &(InstanceId, u64)| {
+            *register_id != state.register_id || *version > state.version
+        };
+        if remembered.iter().chain(&self.highest_seen).any(is_newer) {
+            self.unavailable = Some(Unavailable::StateRolledBack);
+            self.abandon_round(now, LEASE_RENEWAL_INTERVAL);
+            return;
+        }
+        if state.version == 1 && self.awaits_earlier_leases(now, state.register_id) {
+            return;
+        }
+        let next = self.next_state(state, responders);
+        self.proposer.propose(now, next, &mut Requests(actions));
+    }
+
+    /// Guards against leases of an earlier register of the fleet: routers that are cut off still use them.
+    /// Returns whether the round was ended for that.
+    fn awaits_earlier_leases(&mut self, now: Micros, register_id: InstanceId) -> bool {
+        let since = match self.bootstrapped {
+            Some((known, since)) if known == register_id => since,
+            _ => now,
+        };
+        self.bootstrapped = Some((register_id, since));
+        let usable_at = since + BOOTSTRAP_LEASE_WAIT;
+        if now >= usable_at {
+            return false;
+        }
+        self.unavailable = Some(Unavailable::BootstrapPending);
+        self.abandon_round(now, usable_at - now);
+        true
+    }
+
+    /// One change to the state that was read, the most urgent first; without one it is written again.
+    fn next_state(&mut self, state: RegisterState<V>, responders: &[ReplicaId]) -> RegisterState<V> {
+        let mut next = state.clone();
+        let proposal = self.proposal.take().filter(|(version, _)| *version == state.version);
+        if state.version == 1 {
+            next.version = 2;
+        } else if !state.previous_replicas.is_empty() {
+            next.version = state.version + 1;
+            next.previous_replicas = Vec::new();
+        } else if let Some(replicas) = changed_replicas(&state.replicas, &self.configured, responders) {
+            next.version = state.version + 1;
+            next.previous_replicas = state.replicas;
+            next.replicas = replicas;
+        } else if let Some((_, value)) = proposal {
+            next.version = state.version + 1;
+            next.value = value;
+        }
+        next
+    }
+
+    /// A replica has accepted the proposed state. Once enough have, this router leads.
+    pub fn on_accepted(&mut self, now: Micros, replica: ReplicaId, ballot: Ballot) {
+        let Some(RoundOutcome::Committed(state)) = self.proposer.on_accepted(replica, ballot) else { return };
+        self.highest_seen = Some((state.register_id, state.version));
+        if state.version == 1 {
+            self.bootstrapped = Some((state.register_id, now));
+            self.unavailable = Some(Unavailable::BootstrapPending);
+            self.next_round_at = now + BOOTSTRAP_LEASE_WAIT;
+            return;
+        }
+        // A change of replicas that is under way goes on at once.
+        let pause = if state.previous_replicas.is_empty() { LEASE_RENEWAL_INTERVAL } else { 0 };
+        self.is_latest_leader = true;
+        self.next_round_at = now + pause;
+        self.requests.source = Some(self.router);
+        self.unavailable = None;
+        let expires_at = self.round.started_at + LEASE_DURATION - LEASE_DURATION / CLOCK_DRIFT_DIVISOR;
+        self.lease = Some(RegisterLease { state, expires_at });
+    }
+
+    /// A replica has promised a higher ballot.
+    pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
+        if ballot == self.proposer.ballot() && promised > ballot && !self.proposer.is_idle() {
+            // Another router leads. It is left to do so for a while, or both would go on overtaking.
+            self.is_latest_leader = false;
+            self.proposer.on_rejected(now, ballot, promised);
+            let wait = if self.lease(now).is_some() { LEADER_TIMEOUT } else { RETRY_BACKOFF };
+            self.abandon_round(now, wait);
+        }
+    }
+
+    /// A replica takes no part.
+    pub fn on_abstained(&mut self, from: RouterId, ballot: Ballot) {
+        if ballot == self.proposer.ballot() && !self.round.abstained.contains(&from) {
+            self.round.abstained.push(from);
+        }
+    }
+}
+
+/// One step from the current replicas to the configured ones, if there is one: a lost disk is replaced first,
+/// then a router that is not configured makes room for one that is and answers.
+fn changed_replicas(
+    current: &[ReplicaId],
+    configured: &[RouterId],
+    responders: &[ReplicaId],
+) -> Option<Vec<ReplicaId>> {
+    let mut next = current.to_vec();
+    for replica in responders {
+        let has_new_disk = |r: &&mut ReplicaId| r.router == replica.router && r.disk != replica.disk;
+        if let Some(place) = next.iter_mut().find(has_new_disk) {
+            *place = *replica;
+            return Some(next);
+        }
+    }
+    let is_current = |router: RouterId| current.iter().any(|replica| replica.router == router);
+    let added = responders.iter().find(|r| configured.contains(&r.router) && !is_current(r.router));
+    let removed = next.iter().position(|replica| !configured.contains(&replica.router));
+    match (added, removed) {
+        (Some(replica), Some(place)) => next[place] = *replica,
+        (Some(replica), None) if next.len() < MAX_REPLICAS => next.push(*replica),
+        (None, Some(place)) if next.len() > configured.len() => drop(next.remove(place)),
+        _ => return None,
+    }
+    Some(next)
+}
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Keepers and proposers whose network, disks and deaths are steps to choose from.
+//! Replicas and proposers whose network, disks and deaths are steps to choose from.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
 use applepond_membership::InstanceId;
@@ -64,7 +64,7 @@
     Explored { states: seen.len(), depth, broken: None }
 }
 
-pub fn told<S: std::fmt::Debug>(name: &str, found: &Explored<S>, begun: Instant) {
+pub fn report<S: std::fmt::Debug>(name: &str, found: &Explored<S>, begun: Instant) {
     println!("{name}: {} states, depth {}, {:?}", found.states, found.depth, begun.elapsed());
     if let Some((history, why)) = &found.broken {
         println!("  {why}");
@@ -77,41 +77,41 @@
 
 /// What is built in wrongly, to prove the explorer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum SeededBug {
     Sound,
-    /// A keeper that restarts knows nothing.
-    ForgetsVote,
-    /// A keeper tells before its disk has the vote.
-    TellsFirst,
+    /// An acceptor that restarts knows nothing.
+    ForgetsState,
+    /// An acceptor answers before its disk has the state.
+    AnswersBeforeWrite,
     /// An acknowledgement that comes twice counts as two.
     CountsTwice,
     /// A proposer that restarts goes by the ballots of its life before.
-    BallotAgain,
+    ReusesBallot,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    AskPromise(usize, usize, Ballot),
-    AskAccept(usize, usize, Ballot, Marks),
-    Promised(usize, usize, Ballot, Ballot, Option<(Ballot, Marks)>),
+    Prepare(usize, usize, Ballot),
+    Accept(usize, usize, Ballot, Marks),
+    Promised(usize, usize, Promise<Marks>),
     Accepted(usize, usize, Ballot),
-    Refused(usize, usize, Ballot, Ballot),
+    Rejected(usize, usize, Ballot, Ballot),
 }
 
 impl Message {
     fn keeper(&self) -> usize {
         match self {
-            Message::AskPromise(_, k, _) | Message::AskAccept(_, k, ..) => *k,
-            Message::Promised(k, ..) | Message::Accepted(k, ..) | Message::Refused(k, ..) => *k,
+            Message::Prepare(_, k, _) | Message::Accept(_, k, ..) => *k,
+            Message::Promised(k, ..) | Message::Accepted(k, ..) | Message::Rejected(k, ..) => *k,
         }
     }
 
-    /// The same of any keeper.
+    /// The same of any replica.
     fn without(&self) -> Message {
         let mut message = self.clone();
         match &mut message {
-            Message::AskPromise(_, k, _) | Message::AskAccept(_, k, ..) => *k = 0,
-            Message::Promised(k, ..) | Message::Accepted(k, ..) | Message::Refused(k, ..) => *k = 0,
+            Message::Prepare(_, k, _) | Message::Accept(_, k, ..) => *k = 0,
+            Message::Promised(k, ..) | Message::Accepted(k, ..) | Message::Rejected(k, ..) => *k = 0,
         }
         message
     }
@@ -124,22 +124,22 @@
     /// It stays on its way, to come again.
     TakeAndKeep(Message),
     Lose(Message),
-    CrashKeeper(usize),
+    CrashAcceptor(usize),
     CrashProposer(usize),
 }
 
 #[derive(Clone)]
 pub struct World {
-    plant: Plant,
-    pub keepers: Vec<Acceptor<Marks>>,
+    plant: SeededBug,
+    pub acceptors: Vec<Acceptor<Marks>>,
     disks: Vec<Option<AcceptorState<Marks>>>,
     pub proposers: Vec<Proposer<Marks>>,
     instance_ids: Vec<u64>,
     /// What each adds to the value: another one in each of its lives.
     marks: Vec<u8>,
-    next_birth: u64,
+    next_instance_id: u64,
     pub net: BTreeMap<Message, u8>,
-    /// How often each of these may still happen: tries, repeats, crashes.
+    /// How often each of these may still happen: rounds, repeats, crashes.
     pub left: [u8; 3],
     /// Who accepted which value under each ballot: what nobody in the fleet sees whole.
     accepted: BTreeMap<Ballot, (Marks, BTreeSet<usize>)>,
@@ -162,31 +162,31 @@
 
 impl ProposerActions<Marks> for Out {
     fn prepare(&mut self, of: ReplicaIndex, ballot: Ballot) {
-        self.1.push(Message::AskPromise(self.0, of.0 as usize, ballot));
+        self.1.push(Message::Prepare(self.0, of.0 as usize, ballot));
     }
     fn accept(&mut self, by: ReplicaIndex, ballot: Ballot, value: &Marks) {
-        self.1.push(Message::AskAccept(self.0, by.0 as usize, ballot, value.clone()));
+        self.1.push(Message::Accept(self.0, by.0 as usize, ballot, value.clone()));
     }
 }
 
 pub const FLEET: u64 = 7;
 
-fn ids(keepers: usize) -> Vec<ReplicaIndex> {
-    (0..keepers as u8).map(ReplicaIndex).collect()
+fn ids(acceptors: usize) -> Vec<ReplicaIndex> {
+    (0..acceptors as u8).map(ReplicaIndex).collect()
 }
 
 impl World {
-    pub fn new(plant: Plant, keepers: usize, proposers: usize, left: [u8; 3]) -> Self {
+    pub fn new(plant: SeededBug, acceptors: usize, proposers: usize, left: [u8; 3]) -> Self {
         let instance_ids: Vec<u64> = (1..=proposers as u64).collect();
         World {
             plant,
-            keepers: (0..keepers).map(|_| Acceptor::new(FLEET, Ok(None))).collect(),
-            disks: vec![None; keepers],
+            acceptors: (0..acceptors).map(|_| Acceptor::new(FLEET, Ok(None))).collect(),
+            disks: vec![None; acceptors],
             proposers: instance_ids
                 .iter()
-                .map(|b| Proposer::new(InstanceId(*b), &ids(keepers), *b))
+                .map(|b| Proposer::new(InstanceId(*b), &ids(acceptors), *b))
                 .collect(),
-            next_birth: instance_ids.len() as u64 + 1,
+            next_instance_id: instance_ids.len() as u64 + 1,
             marks: instance_ids.iter().map(|b| *b as u8).collect(),
             instance_ids,
             net: BTreeMap::new(),
@@ -196,13 +196,13 @@
         }
     }
 
-    /// The state, the same for two that differ in the keepers' places alone: each keeper by all that has to
+    /// The state, the same for two that differ in the replicas' places alone: each replica by all that has to
     /// do with it, in order, and the rest.
     fn hash_all<H: Hasher + Default>(&self) -> u64 {
-        let mut each: Vec<u64> = (0..self.keepers.len())
+        let mut each: Vec<u64> = (0..self.acceptors.len())
             .map(|k| {
                 let mut hasher = H::default();
-                (&self.keepers[k], &self.disks[k]).hash(&mut hasher);
+                (&self.acceptors[k], &self.disks[k]).hash(&mut hasher);
                 for (message, count) in self.net.iter().filter(|(message, _)| message.keeper() == k) {
                     (message.without(), count).hash(&mut hasher);
                 }
@@ -221,14 +221,14 @@
 
     /// Answers that can change nothing any more are as good as lost.
     fn prune(&mut self) {
-        if self.plant == Plant::BallotAgain {
+        if self.plant == SeededBug::ReusesBallot {
             return;
         }
         let proposers = &self.proposers;
         self.net.retain(|message, _| match message {
-            Message::Promised(_, p, ballot, ..) => proposers[*p].awaits(*ballot, false),
+            Message::Promised(_, p, promise) => proposers[*p].awaits(promise.ballot, false),
             Message::Accepted(_, p, ballot) => proposers[*p].awaits(*ballot, true),
-            Message::Refused(_, p, ballot, _) => {
+            Message::Rejected(_, p, ballot, _) => {
                 proposers[*p].awaits(*ballot, false) || proposers[*p].awaits(*ballot, true)
             }
             _ => true,
@@ -243,9 +243,9 @@
         steps.extend(self.net.keys().cloned().map(Step::Take));
         steps.extend(self.net.keys().filter(|_| repeats > 0).cloned().map(Step::TakeAndKeep));
         if crashes > 0 {
-            // A sound keeper that restarts is the same again.
-            let lossy = matches!(self.plant, Plant::ForgetsVote | Plant::TellsFirst);
-            steps.extend((0..self.keepers.len()).filter(|_| lossy).map(Step::CrashKeeper));
+            // A sound replica that restarts is the same again.
+            let lossy = matches!(self.plant, SeededBug::ForgetsState | SeededBug::AnswersBeforeWrite);
+            steps.extend((0..self.acceptors.len()).filter(|_| lossy).map(Step::CrashAcceptor));
             steps.extend((0..self.proposers.len()).map(Step::CrashProposer));
         }
         steps
@@ -274,21 +274,21 @@
                 self.left[1] -= 1;
                 self.take(message, true)?;
             }
-            Step::CrashKeeper(k) => {
+            Step::CrashAcceptor(k) => {
                 self.left[2] -= 1;
-                let found = if self.plant == Plant::ForgetsVote { None } else { self.disks[*k].clone() };
-                self.keepers[*k] = Acceptor::new(FLEET, Ok(found));
+                let found = if self.plant == SeededBug::ForgetsState { None } else { self.disks[*k].clone() };
+                self.acceptors[*k] = Acceptor::new(FLEET, Ok(found));
             }
             Step::CrashProposer(p) => {
                 self.left[2] -= 1;
-                if self.plant != Plant::BallotAgain {
-                    self.instance_ids[*p] = self.next_birth;
+                if self.plant != SeededBug::ReusesBallot {
+                    self.instance_ids[*p] = self.next_instance_id;
                 }
-                self.marks[*p] = self.next_birth as u8;
-                self.next_birth += 1;
+                self.marks[*p] = self.next_instance_id as u8;
+                self.next_instance_id += 1;
                 let instance_id = self.instance_ids[*p];
                 self.proposers[*p] =
-                    Proposer::new(InstanceId(instance_id), &ids(self.keepers.len()), instance_id);
+                    Proposer::new(InstanceId(instance_id), &ids(self.acceptors.len()), instance_id);
             }
         }
         Ok(())
@@ -304,48 +304,53 @@
     }
 
     fn take(&mut self, message: &Message, again: bool) -> Result<(), String> {
-        let sound = self.plant != Plant::TellsFirst;
+        let sound = self.plant != SeededBug::AnswersBeforeWrite;
         let mut out = Out(0, Vec::new());
-        let told = match message.clone() {
-            Message::AskPromise(p, k, ballot) => {
+        let report = match message.clone() {
+            Message::Prepare(p, k, ballot) => {
                 let mut disk = Disk(&mut self.disks[k], sound);
-                out.1.extend(self.keepers[k].prepare(ballot, &mut disk).map(|answer| match answer {
-                    Ok((before, accepted)) => Message::Promised(k, p, ballot, before, accepted),
-                    Err(promised) => Message::Refused(k, p, ballot, promised),
-                }));
+                match self.acceptors[k].prepare(ballot, &mut disk) {
+                    Ok(promise) => out.1.push(Message::Promised(k, p, promise)),
+                    Err(Rejection::Superseded { promised }) => {
+                        out.1.push(Message::Rejected(k, p, ballot, promised));
+                    }
+                    Err(Rejection::Abstained(_)) => {}
+                }
                 None
             }
-            Message::AskAccept(p, k, ballot, value) => {
+            Message::Accept(p, k, ballot, value) => {
                 let mut disk = Disk(&mut self.disks[k], sound);
-                match self.keepers[k].accept(ballot, value.clone(), &mut disk) {
-                    Some(Ok(())) => {
+                match self.acceptors[k].accept(ballot, value.clone(), &mut disk) {
+                    Ok(()) => {
                         self.note(k, ballot, value)?;
                         out.1.push(Message::Accepted(k, p, ballot));
                     }
-                    Some(Err(promised)) => out.1.push(Message::Refused(k, p, ballot, promised)),
-                    None => {}
+                    Err(Rejection::Superseded { promised }) => {
+                        out.1.push(Message::Rejected(k, p, ballot, promised));
+                    }
+                    Err(Rejection::Abstained(_)) => {}
                 }
                 None
             }
-            Message::Promised(k, p, ballot, before, accepted) => {
-                let told = self.proposers[p].on_promised(ReplicaIndex(k as u8), ballot, before, accepted);
-                told.map(|told| (p, told))
+            Message::Promised(k, p, promise) => {
+                let report = self.proposers[p].on_promised(ReplicaIndex(k as u8), promise);
+                report.map(|report| (p, report))
             }
             Message::Accepted(k, p, ballot) => {
-                let mut told = self.proposers[p].on_accepted(ReplicaIndex(k as u8), ballot);
-                if again && self.plant == Plant::CountsTwice {
-                    let other = ReplicaIndex(((k + 1) % self.keepers.len()) as u8);
-                    told = told.or(self.proposers[p].on_accepted(other, ballot));
+                let mut report = self.proposers[p].on_accepted(ReplicaIndex(k as u8), ballot);
+                if again && self.plant == SeededBug::CountsTwice {
+                    let other = ReplicaIndex(((k + 1) % self.acceptors.len()) as u8);
+                    report = report.or(self.proposers[p].on_accepted(other, ballot));
                 }
-                told.map(|told| (p, told))
+                report.map(|report| (p, report))
             }
-            Message::Refused(_, p, ballot, promised) => {
+            Message::Rejected(_, p, ballot, promised) => {
                 self.proposers[p].on_rejected(0, ballot, promised);
                 None
             }
         };
         self.send(out.1);
-        match told {
+        match report {
             Some((p, ProposalOutcome::Read(value))) => {
                 let (mut value, mark) = (value.unwrap_or_default(), self.marks[p]);
                 // A try before may have been written without this one knowing.
@@ -359,13 +364,13 @@
             Some((p, ProposalOutcome::Committed(value))) => {
                 self.written += 1;
                 let ballot = self.proposers[p].ballot();
-                let most = self.keepers.len() / 2 + 1;
+                let most = self.acceptors.len() / 2 + 1;
                 if self.accepted.get(&ballot).is_none_or(|(v, by)| *v != value || by.len() < most) {
                     return Err(format!("{value:?} told as written under {ballot:?}, and too few have it"));
                 }
             }
-            Some((_, ProposalOutcome::StaleReplica(k))) if matches!(self.plant, Plant::Sound) => {
-                return Err(format!("{k:?} is sound and taken for older than its word"));
+            Some((_, ProposalOutcome::StaleReplica(k))) if matches!(self.plant, SeededBug::Sound) => {
+                return Err(format!("{k:?} is sound and taken for stale"));
             }
             _ => {}
         }
@@ -379,7 +384,7 @@
             return Err(format!("{:?} and {value:?} under one ballot {ballot:?}", row.0));
         }
         row.1.insert(k);
-        let most = self.keepers.len() / 2 + 1;
+        let most = self.acceptors.len() / 2 + 1;
         let chosen: Vec<_> = self.accepted.iter().filter(|(_, (_, by))| by.len() >= most).collect();
         for pair in chosen.windows(2) {
             let ((a, (earlier, _)), (b, (later, _))) = (pair[0], pair[1]);
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -1,40 +1,40 @@
-//! All orders of a small fleet's steps, breadth first, and long runs by chance of a larger one.
+//! All orders of a small fleet's steps, breadth first, and long runs at random of a larger one.
 mod common;
 use common::*;
 use oorandom::Rand64;
 use std::time::Instant;
 use test_case::test_case;
 
-// Three keepers, two proposers; tries, repeats and crashes that may happen.
+// Three replicas, two proposers; rounds, repeats and crashes that may happen.
 #[test_case([2, 0, 0], 99; "two tries, all there is")]
 #[test_case([2, 1, 0], 13; "two tries, a repeat")]
 #[test_case([2, 0, 1], 14; "two tries, a crash of a proposer")]
 #[test_case([3, 1, 1], 9; "three tries, a repeat, a crash")]
-fn no_order_breaks_it(left: [u8; 3], depth: usize) {
+fn no_order_of_steps_breaks_safety(left: [u8; 3], depth: usize) {
     let begun = Instant::now();
-    let found = explore(World::new(Plant::Sound, 3, 2, left), depth);
-    told("sound", &found, begun);
+    let found = explore(World::new(SeededBug::Sound, 3, 2, left), depth);
+    report("sound", &found, begun);
     assert!(found.broken.is_none());
     assert!(found.depth == depth || depth == 99, "to the stated depth");
 }
 
-#[test_case(Plant::ForgetsVote, [2, 0, 1], 16)]
-#[test_case(Plant::TellsFirst, [2, 0, 1], 16)]
-#[test_case(Plant::CountsTwice, [1, 1, 0], 10)]
-#[test_case(Plant::BallotAgain, [2, 0, 1], 14)]
-fn what_is_planted_is_found(plant: Plant, left: [u8; 3], depth: usize) {
+#[test_case(SeededBug::ForgetsState, [2, 0, 1], 16)]
+#[test_case(SeededBug::AnswersBeforeWrite, [2, 0, 1], 16)]
+#[test_case(SeededBug::CountsTwice, [1, 1, 0], 10)]
+#[test_case(SeededBug::ReusesBallot, [2, 0, 1], 14)]
+fn each_seeded_bug_is_found(plant: SeededBug, left: [u8; 3], depth: usize) {
     let begun = Instant::now();
     let found = explore(World::new(plant, 3, 2, left), depth);
-    told(&format!("{plant:?}"), &found, begun);
+    report(&format!("{plant:?}"), &found, begun);
     assert!(found.broken.is_some());
 }
 
-// Five keepers, three proposers that try again and again, losses, repeats and crashes of all.
+// Five replicas, three proposers that try again and again, losses, repeats and crashes of all.
 #[test_case(3, 2)]
 #[test_case(5, 3)]
-fn long_runs(keepers: usize, proposers: usize) {
+fn long_random_runs_stay_safe(acceptors: usize, proposers: usize) {
     for seed in 0..50 {
-        let mut world = World::new(Plant::Sound, keepers, proposers, [u8::MAX; 3]);
+        let mut world = World::new(SeededBug::Sound, acceptors, proposers, [u8::MAX; 3]);
         let mut rng = Rand64::new(seed);
         for _ in 0..4_000 {
             world.left = [u8::MAX; 3];
@@ -49,7 +49,7 @@
                 let message = world.net.keys().nth(at).expect("one of them").clone();
                 match chance {
                     c if c > 0.999 => Step::CrashProposer(any(&mut rng, proposers)),
-                    c if c > 0.995 => Step::CrashKeeper(any(&mut rng, keepers)),
+                    c if c > 0.995 => Step::CrashAcceptor(any(&mut rng, acceptors)),
                     c if c > 0.9 => Step::Lose(message),
                     c if c > 0.85 => Step::TakeAndKeep(message),
                     _ => Step::Take(message),
--- a/crates/consensus/tests/points/paper.rs
+++ b/crates/consensus/tests/fault_points/simulation.rs
@@ -1,5 +1,5 @@
-//! Registers on a paper network whose disks and sockets are numbered points: simulated time, clocks that
-//! drift, faults by a function or at a point, one seed one run.
+//! Registers on a simulated network whose disks and sockets are numbered fault points: simulated time, clocks
+//! that drift, faults by a function or at a point. One seed gives one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::*;
 use applepond_membership::{InstanceId, RouterId};
@@ -16,8 +16,8 @@
 
 /// What a disk does with a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
-    Keeps,
+pub enum DiskBehavior {
+    Works,
     Fails,
     /// Says that it is kept, and nothing is.
     Lies,
@@ -25,19 +25,19 @@
 
 /// A disk outlasts its process.
 #[derive(Clone, Debug)]
-pub struct PaperDisk {
+pub struct SimulatedDisk {
     pub id: InstanceId,
     pub vote: Option<AcceptorState<RegisterState<Text>>>,
     pub torn: bool,
-    pub does: Does,
+    pub does: DiskBehavior,
 }
 
-impl AcceptorStorage<RegisterState<Text>> for PaperDisk {
+impl AcceptorStorage<RegisterState<Text>> for SimulatedDisk {
     fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
         match self.does {
-            Does::Keeps => self.vote = Some(vote.clone()),
-            Does::Fails => return Err(AcceptorError::WriteFailed),
-            Does::Lies => {}
+            DiskBehavior::Works => self.vote = Some(vote.clone()),
+            DiskBehavior::Fails => return Err(AcceptorError::WriteFailed),
+            DiskBehavior::Lies => {}
         }
         Ok(())
     }
@@ -68,13 +68,13 @@
 
 /// All that an instance does with the outside, counted through a run.
 #[derive(Default)]
-pub struct Points {
+pub struct FaultPoints {
     pub count: u64,
     pub at: Option<(u64, Fault)>,
     pub hit: Option<String>,
 }
 
-impl Points {
+impl FaultPoints {
     fn pass(&mut self, what: impl FnOnce() -> String) -> Option<Fault> {
         self.count += 1;
         let (at, fault) = self.at?;
@@ -88,7 +88,7 @@
 
 pub struct Machine {
     pub register: Register<Text>,
-    voter: Option<Replica<Text>>,
+    replica: Option<Replica<Text>>,
     /// It stands still until then.
     pub stopped: u64,
 }
@@ -106,14 +106,14 @@
     Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
 }
 
-/// Routers whose first three (or as named) keep the register; one seed, one run.
+/// Routers whose first three (or as configured) are its replicas; one seed, one run.
 pub struct SimulatedNetwork {
     pub now: u64,
     pub all: Vec<Option<Machine>>,
-    pub disks: Vec<PaperDisk>,
-    pub named: Vec<RouterId>,
+    pub disks: Vec<SimulatedDisk>,
+    pub configured: Vec<RouterId>,
     pub link: Link,
-    pub points: Points,
+    pub points: FaultPoints,
     pub fleet: u64,
     pub rng: Rand64,
     events: BTreeMap<(u64, u64), Event>,
@@ -123,7 +123,7 @@
     clocks: Vec<(u64, i64)>,
     /// When each value was first known to be written: nothing before it may count a lease later.
     written: BTreeMap<(u64, u64), u64>,
-    pub lines: BTreeSet<InstanceId>,
+    pub register_ids: BTreeSet<InstanceId>,
     pub broken: Option<String>,
 }
 
@@ -132,14 +132,14 @@
 }
 
 impl SimulatedNetwork {
-    pub fn new(seed: u64, routers: usize, keepers: usize) -> Self {
-        let mut paper = SimulatedNetwork {
+    pub fn new(seed: u64, routers: usize, acceptors: usize) -> Self {
+        let mut network = SimulatedNetwork {
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             disks: Vec::new(),
-            named: (0..keepers).map(router).collect(),
+            configured: (0..acceptors).map(router).collect(),
             link: lossy(0.0),
-            points: Points::default(),
+            points: FaultPoints::default(),
             fleet: FLEET,
             rng: Rand64::new(u128::from(seed)),
             events: BTreeMap::new(),
@@ -147,15 +147,15 @@
             instance_ids: 0,
             clocks: vec![(0, 0); routers],
             written: BTreeMap::new(),
-            lines: BTreeSet::new(),
+            register_ids: BTreeSet::new(),
             broken: None,
         };
         for n in 0..routers {
             let id = InstanceId(500_000 + n as u64);
-            paper.disks.push(PaperDisk { id, vote: None, torn: false, does: Does::Keeps });
-            paper.start(n);
+            network.disks.push(SimulatedDisk { id, vote: None, torn: false, does: DiskBehavior::Works });
+            network.start(n);
         }
-        paper
+        network
     }
 
     /// A clock of its own, at most 0.45 thousandths off the true one.
@@ -177,15 +177,15 @@
         let instance_id = InstanceId(self.instance_ids * 7919 + self.rng.rand_u64() % 1000);
         self.clocks[n] = (self.rng.rand_range(0..1 << 40), self.rng.rand_range(0..900) as i64 - 450);
         let disk = &self.disks[n];
-        let keeps = self.named.contains(&router(n)) || disk.vote.is_some();
+        let has_replica = self.configured.contains(&router(n)) || disk.vote.is_some();
         let found = if disk.torn { Err(AcceptorError::Corrupt) } else { Ok(disk.vote.clone()) };
-        let voter = keeps.then(|| Replica::new(self.fleet, disk.id, found));
+        let replica = has_replica.then(|| Replica::new(self.fleet, disk.id, found));
         let now = self.clock(n, self.now);
         let mut register =
-            Register::new(now, (router(n), instance_id), &self.named, keeps, self.rng.rand_u64());
-        register.set_acceptor_error(voter.as_ref().and_then(Replica::error));
+            Register::new(now, (router(n), instance_id), &self.configured, has_replica, self.rng.rand_u64());
+        register.set_acceptor_error(replica.as_ref().and_then(Replica::error));
         let next = self.truly(n, register.next_wakeup());
-        self.all[n] = Some(Machine { register, voter, stopped: 0 });
+        self.all[n] = Some(Machine { register, replica, stopped: 0 });
         self.push(next, Event::Wake(n, instance_id));
     }
 
@@ -197,7 +197,7 @@
     pub fn lose(&mut self, n: usize) {
         self.instance_ids += 1;
         let id = InstanceId(600_000 + self.instance_ids);
-        self.disks[n] = PaperDisk { id, vote: None, torn: false, does: Does::Keeps };
+        self.disks[n] = SimulatedDisk { id, vote: None, torn: false, does: DiskBehavior::Works };
     }
 
     fn push(&mut self, at: u64, event: Event) {
@@ -205,24 +205,24 @@
         self.events.insert((at.max(self.now), self.next), event);
     }
 
-    pub fn convener(&self) -> Option<usize> {
+    pub fn leader(&self) -> Option<usize> {
         (0..self.all.len())
             .find(|n| self.all[*n].as_ref().is_some_and(|m| m.register.is_leader(self.clock(*n, self.now))))
     }
 
-    pub fn held(&self, n: usize) -> Option<RegisterState<Text>> {
+    pub fn state_of(&self, n: usize) -> Option<RegisterState<Text>> {
         let now = self.clock(n, self.now);
         self.all[n].as_ref()?.register.lease(now).map(|h| h.state.clone())
     }
 
-    pub fn standstill(&self, n: usize) -> Option<Unavailable> {
+    pub fn unavailable_reason(&self, n: usize) -> Option<Unavailable> {
         let now = self.clock(n, self.now);
         self.all[n].as_ref()?.register.unavailable_reason(now)
     }
 
-    /// Whoever convenes wishes for this in place of what there is.
-    pub fn wish(&mut self, text: &str) -> bool {
-        let Some(n) = self.convener() else { return false };
+    /// The leader proposes this in place of the current value.
+    pub fn propose(&mut self, text: &str) -> bool {
+        let Some(n) = self.leader() else { return false };
         let now = self.clock(n, self.now);
         let Some(m) = self.all[n].as_mut() else { return false };
         let Some(number) = m.register.lease(now).map(|h| h.state.version) else { return false };
@@ -236,7 +236,7 @@
     /// All that are there hold this.
     pub fn all_hold(&self, text: &str) -> bool {
         let there = (0..self.all.len()).filter(|n| self.all[*n].is_some());
-        there.into_iter().all(|n| self.held(n).is_some_and(|a| a.value == text))
+        there.into_iter().all(|n| self.state_of(n).is_some_and(|a| a.value == text))
     }
 
     fn die(&mut self, n: usize) {
@@ -313,11 +313,11 @@
         message: Option<&[u8]>,
         there: &[bool],
     ) -> Option<Vec<(RouterId, Vec<u8>)>> {
-        struct At<'a>(&'a mut PaperDisk, &'a mut Points, usize, Option<Fault>);
+        struct At<'a>(&'a mut SimulatedDisk, &'a mut FaultPoints, usize, Option<Fault>);
         impl AcceptorStorage<RegisterState<Text>> for At<'_> {
             fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
                 let n = self.2;
-                match self.1.pass(|| format!("r{n} writes its vote")) {
+                match self.1.pass(|| format!("r{n} writes its state")) {
                     Some(f @ (Fault::KilledBefore | Fault::Half)) => {
                         self.0.torn |= f == Fault::Half;
                         self.3 = Some(f);
@@ -338,9 +338,9 @@
         let mut disk = At(&mut self.disks[n], &mut self.points, n, None);
         match message {
             Some(message) if message::is_acceptor_request(message) => {
-                if let Some(voter) = &mut machine.voter {
-                    let _ = message::handle_acceptor_request(message, voter, &mut disk, &mut out);
-                    machine.register.set_acceptor_error(voter.error());
+                if let Some(replica) = &mut machine.replica {
+                    let _ = message::handle_acceptor_request(message, replica, &mut disk, &mut out);
+                    machine.register.set_acceptor_error(replica.error());
                 }
             }
             Some(message) => {
@@ -368,13 +368,13 @@
         Some(out.messages)
     }
 
-    /// Nothing counts anywhere a lease after something else was written, and all is of one line.
+    /// Nothing counts anywhere a lease after something else was written, and all is of one register.
     fn judge(&mut self) {
         for n in 0..self.all.len() {
-            let Some(agreed) = self.held(n) else { continue };
-            self.lines.insert(agreed.register_id);
-            if self.lines.len() > 1 && self.fleet == FLEET && self.broken.is_none() {
-                self.broken = Some(format!("two lines at {} ms", self.now / MS));
+            let Some(agreed) = self.state_of(n) else { continue };
+            self.register_ids.insert(agreed.register_id);
+            if self.register_ids.len() > 1 && self.fleet == FLEET && self.broken.is_none() {
+                self.broken = Some(format!("two registers at {} ms", self.now / MS));
             }
             let key = (agreed.register_id.0, agreed.version);
             self.written.entry(key).or_insert(self.now);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -24,26 +24,22 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 0xfeed_f00d }
+    Ballot { round, proposer: 0xfeed_f00d }
 }
 
 /// All questions and answers there are, in the order of their kinds.
 fn messages() -> Vec<Vec<u8>> {
     let mut written = MessageWriter::new(ME);
     let to = RouterId(5);
-    let word = Some((InstanceId(9), ballot(3)));
+    let word = Some(KnownPromise { disk: InstanceId(9), ballot: ballot(3) });
     ReplicaRequests::<Value>::prepare(&mut written, to, ballot(7), word);
     ReplicaRequests::<Value>::prepare(&mut written, to, ballot(7), None);
     ReplicaRequests::accept(&mut written, to, ballot(8), &agreed(), word);
-    let accepted = (ballot(2), agreed());
-    RegisterActions::<Value>::promised(
-        &mut written,
-        to,
-        (ballot(7), ballot(2)),
-        InstanceId(66),
-        Some(&accepted),
-    );
-    RegisterActions::<Value>::promised(&mut written, to, (ballot(7), ballot(2)), InstanceId(66), None);
+    let accepted = Some((ballot(2), agreed()));
+    let full = Promise { ballot: ballot(7), previous: ballot(2), accepted };
+    let empty = Promise { accepted: None, ..full.clone() };
+    RegisterActions::promised(&mut written, to, InstanceId(66), &full);
+    RegisterActions::promised(&mut written, to, InstanceId(66), &empty);
     RegisterActions::<Value>::accepted(&mut written, to, ballot(8), InstanceId(66));
     RegisterActions::<Value>::rejected(&mut written, to, ballot(8), ballot(9));
     for trouble in [AcceptorError::WriteFailed, AcceptorError::Corrupt, AcceptorError::WrongFleet] {
@@ -70,12 +66,12 @@
 
 #[test]
 fn messages_are_read() {
-    let mut voter = Replica::<Value>::new(FLEET, InstanceId(66), Ok(None));
+    let mut replica = Replica::<Value>::new(FLEET, InstanceId(66), Ok(None));
     let mut register = Register::<Value>::new(0, (ME, InstanceId(1)), &[ME], true, 1);
     for bytes in messages() {
         let mut answers = MessageWriter::new(ME);
         let read = if message::is_acceptor_request(&bytes) {
-            message::handle_acceptor_request(&bytes, &mut voter, &mut Memory, &mut answers)
+            message::handle_acceptor_request(&bytes, &mut replica, &mut Memory, &mut answers)
         } else {
             message::handle_register_message(&bytes, &mut register, 0, &[], &mut answers)
         };
--- a/crates/consensus/tests/convene.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -1,8 +1,8 @@
-//! Keepers that change and lose their disks, in all orders of steps: breadth first, and long runs by chance.
+//! Replicas that change and lose their disks, in all orders of steps: breadth first, and long runs at random.
 mod common;
 use applepond_consensus::*;
 use applepond_membership::{InstanceId, RouterId};
-use common::{Explorable, Marks, explore, told};
+use common::{Explorable, Marks, explore, report};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -13,11 +13,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    Promise(usize, usize, Ballot, Option<(InstanceId, Ballot)>),
-    Accept(usize, usize, Ballot, Ordered, Option<(InstanceId, Ballot)>),
-    Promised(usize, ReplicaId, Ballot, Ballot, Option<(Ballot, Ordered)>),
+    Promise(usize, usize, Ballot, Option<KnownPromise>),
+    Accept(usize, usize, Ballot, Ordered, Option<KnownPromise>),
+    Promised(usize, ReplicaId, Promise<Ordered>),
     Accepted(usize, ReplicaId, Ballot),
-    Refused(usize, Ballot, Ballot),
+    Rejected(usize, Ballot, Ballot),
 }
 
 /// A value in an order, for keeping messages apart.
@@ -39,34 +39,34 @@
     Keep(Message),
     Lose(Message),
     Crash(usize),
-    /// A keeper's disk is lost: it starts with a new one, empty.
+    /// A replica's disk is lost: it starts with a new one, empty.
     Wipe(usize),
 }
 
 #[derive(Clone)]
 struct World {
-    keepers: Vec<(InstanceId, Acceptor<Value>)>,
+    acceptors: Vec<(InstanceId, Acceptor<Value>)>,
     disks: Vec<Option<AcceptorState<Value>>>,
-    conveners: Vec<ReconfigurableProposer<Marks>>,
+    proposers: Vec<ReconfigurableProposer<Marks>>,
     guards: Guards,
     marks: Vec<u8>,
     instance_ids: u64,
     net: BTreeMap<Message, u8>,
-    /// Tries, repeats, crashes, wipes that may still happen.
+    /// Rounds, repeats, crashes, wipes that may still happen.
     left: [u8; 4],
     written: BTreeMap<Ballot, Value>,
     changes: usize,
-    /// Keepers stay who they are, lost or not.
+    /// Replicas stay who they are, lost or not.
     fixed: bool,
 }
 
 struct Out(usize, Vec<Message>);
 
 impl ReplicaRequests<Marks> for Out {
-    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<(InstanceId, Ballot)>) {
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<KnownPromise>) {
         self.1.push(Message::Promise(self.0, to.0 as usize, ballot, word));
     }
-    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<(InstanceId, Ballot)>) {
+    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<KnownPromise>) {
         self.1.push(Message::Accept(self.0, to.0 as usize, ballot, ordered(v), word));
     }
 }
@@ -80,22 +80,22 @@
     }
 }
 
-fn named(keepers: usize) -> Vec<RouterId> {
-    (0..keepers as u64).map(RouterId).collect()
+fn configured(acceptors: usize) -> Vec<RouterId> {
+    (0..acceptors as u64).map(RouterId).collect()
 }
 
 impl World {
-    fn new(guards: Guards, keepers: usize, conveners: usize, left: [u8; 4]) -> Self {
-        let names = named(keepers.min(3));
+    fn new(guards: Guards, acceptors: usize, proposers: usize, left: [u8; 4]) -> Self {
+        let names = configured(acceptors.min(3));
         let of = |b: u64| ReconfigurableProposer::new(InstanceId(b), &names, b).with_guards(guards);
         let keeper = |k: usize| (InstanceId(900 + k as u64), Acceptor::new(7, Ok(None)));
         World {
-            keepers: (0..keepers).map(keeper).collect(),
-            disks: vec![None; keepers],
-            conveners: (1..=conveners as u64).map(of).collect(),
+            acceptors: (0..acceptors).map(keeper).collect(),
+            disks: vec![None; acceptors],
+            proposers: (1..=proposers as u64).map(of).collect(),
             guards,
-            marks: (1..=conveners as u8).collect(),
-            instance_ids: conveners as u64 + 1,
+            marks: (1..=proposers as u8).collect(),
+            instance_ids: proposers as u64 + 1,
             net: BTreeMap::new(),
             left,
             written: BTreeMap::new(),
@@ -104,9 +104,9 @@
         }
     }
 
-    /// The same with a value founded and written by the first of them.
-    fn founded(guards: Guards, keepers: usize, conveners: usize, left: [u8; 4]) -> Self {
-        let mut world = World::new(guards, keepers, conveners, [9; 4]);
+    /// The same with a value bootstrapped and written by the first of them.
+    fn bootstrapped(guards: Guards, acceptors: usize, proposers: usize, left: [u8; 4]) -> Self {
+        let mut world = World::new(guards, acceptors, proposers, [9; 4]);
         world.step(&Step::Begin(0)).expect("sound");
         while let Some(message) = world.net.keys().next().cloned() {
             world.step(&Step::Take(message)).expect("sound");
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The next value after one that was read: the mark of who writes, and one change of keepers.
+    /// The next value after one that was read: the mark of who writes, and one change of replicas.
     fn next(&mut self, c: usize, read: Value) -> Value {
         let mut next = RegisterState { version: read.version + 1, ..read.clone() };
         if !next.value.contains(&self.marks[c]) {
@@ -142,17 +142,17 @@
             next.previous_replicas = Vec::new();
             return next;
         }
-        let lost = read.replicas.iter().position(|s| self.keepers[s.router.0 as usize].0 != s.disk);
+        let lost = read.replicas.iter().position(|s| self.acceptors[s.router.0 as usize].0 != s.disk);
         if let Some(n) = lost {
             next.previous_replicas = read.replicas.clone();
-            next.replicas[n].disk = self.keepers[read.replicas[n].router.0 as usize].0;
+            next.replicas[n].disk = self.acceptors[read.replicas[n].router.0 as usize].0;
             self.changes += 1;
-        } else if self.keepers.len() > 3 && read.version.is_multiple_of(3) {
+        } else if self.acceptors.len() > 3 && read.version.is_multiple_of(3) {
             // One of them makes room for the router that keeps nothing.
             let spare = (0..4).find(|k| read.replicas.iter().all(|s| s.router.0 != *k)).expect("one of four");
             next.previous_replicas = read.replicas.clone();
             let place = &mut next.replicas[(read.version / 3) as usize % 3];
-            *place = ReplicaId { router: RouterId(spare), disk: self.keepers[spare as usize].0 };
+            *place = ReplicaId { router: RouterId(spare), disk: self.acceptors[spare as usize].0 };
             self.changes += 1;
         }
         next
@@ -162,39 +162,45 @@
         let mut out = Out(0, Vec::new());
         let heard = match message.clone() {
             Message::Promise(c, k, ballot, word) => {
-                let (disk, keeper) = &mut self.keepers[k];
+                let (disk, keeper) = &mut self.acceptors[k];
                 let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
-                keeper.observe_promise(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
-                out.1.extend(keeper.prepare(ballot, &mut Disk(&mut self.disks[k])).map(|a| match a {
-                    Ok((before, accepted)) => {
+                keeper.observe_promise(word.filter(|known| known.disk == *disk).map(|known| known.ballot));
+                match keeper.prepare(ballot, &mut Disk(&mut self.disks[k])) {
+                    Ok(Promise { ballot, previous, accepted }) => {
                         let accepted = accepted.map(|(b, v)| (b, ordered(&v)));
-                        Message::Promised(c, seat, ballot, before, accepted)
+                        let promise = Promise { ballot, previous, accepted };
+                        out.1.push(Message::Promised(c, seat, promise));
                     }
-                    Err(promised) => Message::Refused(c, ballot, promised),
-                }));
+                    Err(Rejection::Superseded { promised }) => {
+                        out.1.push(Message::Rejected(c, ballot, promised));
+                    }
+                    Err(Rejection::Abstained(_)) => {}
+                }
                 None
             }
             Message::Accept(c, k, ballot, v, word) => {
-                let (disk, keeper) = &mut self.keepers[k];
+                let (disk, keeper) = &mut self.acceptors[k];
                 let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
-                keeper.observe_promise(word.filter(|(d, _)| d == disk).map(|(_, b)| b));
-                out.1.extend(keeper.accept(ballot, value(v), &mut Disk(&mut self.disks[k])).map(
-                    |a| match a {
-                        Ok(()) => Message::Accepted(c, seat, ballot),
-                        Err(promised) => Message::Refused(c, ballot, promised),
-                    },
-                ));
+                keeper.observe_promise(word.filter(|known| known.disk == *disk).map(|known| known.ballot));
+                match keeper.accept(ballot, value(v), &mut Disk(&mut self.disks[k])) {
+                    Ok(()) => out.1.push(Message::Accepted(c, seat, ballot)),
+                    Err(Rejection::Superseded { promised }) => {
+                        out.1.push(Message::Rejected(c, ballot, promised));
+                    }
+                    Err(Rejection::Abstained(_)) => {}
+                }
                 None
             }
-            Message::Promised(c, seat, ballot, before, accepted) => {
+            Message::Promised(c, seat, Promise { ballot, previous, accepted }) => {
                 out.0 = c;
                 let accepted = accepted.map(|(b, v)| (b, value(v)));
-                let heard = self.conveners[c].on_promised(seat, (ballot, before), accepted, &mut out);
+                let promise = Promise { ballot, previous, accepted };
+                let heard = self.proposers[c].on_promised(seat, promise, &mut out);
                 heard.map(|h| (c, h))
             }
-            Message::Accepted(c, seat, ballot) => self.conveners[c].on_accepted(seat, ballot).map(|h| (c, h)),
-            Message::Refused(c, ballot, promised) => {
-                self.conveners[c].on_rejected(0, ballot, promised);
+            Message::Accepted(c, seat, ballot) => self.proposers[c].on_accepted(seat, ballot).map(|h| (c, h)),
+            Message::Rejected(c, ballot, promised) => {
+                self.proposers[c].on_rejected(0, ballot, promised);
                 None
             }
         };
@@ -203,21 +209,21 @@
         let mut out = Out(c, Vec::new());
         let next = match heard {
             RoundOutcome::Read(read, _) => Some(self.next(c, read)),
-            RoundOutcome::Uninitialized(keepers) => {
+            RoundOutcome::Uninitialized(acceptors) => {
                 let (line, value) = (InstanceId(u64::from(self.marks[c])), vec![self.marks[c]]);
                 Some(RegisterState {
                     register_id: line,
                     version: 1,
-                    replicas: keepers,
+                    replicas: acceptors,
                     previous_replicas: Vec::new(),
                     value,
                 })
             }
-            RoundOutcome::Committed(v) => return self.note(self.conveners[c].ballot(), v),
+            RoundOutcome::Committed(v) => return self.note(self.proposers[c].ballot(), v),
             RoundOutcome::StaleReplica(seat) => return Err(format!("{seat:?} is sound and taken for older")),
         };
         if let Some(next) = next {
-            self.conveners[c].propose(0, next, &mut out);
+            self.proposers[c].propose(0, next, &mut out);
             self.send(out.1);
         }
         Ok(())
@@ -243,11 +249,11 @@
     fn steps(&self) -> Vec<Step> {
         let [tries, repeats, crashes, wipes] = self.left;
         let mut steps: Vec<Step> = Vec::new();
-        steps.extend((0..self.conveners.len()).filter(|_| tries > 0).map(Step::Begin));
+        steps.extend((0..self.proposers.len()).filter(|_| tries > 0).map(Step::Begin));
         steps.extend(self.net.keys().cloned().map(Step::Take));
         steps.extend(self.net.keys().filter(|_| repeats > 0).cloned().map(Step::Keep));
-        steps.extend((0..self.conveners.len()).filter(|_| crashes > 0).map(Step::Crash));
-        steps.extend((0..self.keepers.len()).filter(|_| wipes > 0).map(Step::Wipe));
+        steps.extend((0..self.proposers.len()).filter(|_| crashes > 0).map(Step::Crash));
+        steps.extend((0..self.acceptors.len()).filter(|_| wipes > 0).map(Step::Wipe));
         steps
     }
 
@@ -256,7 +262,7 @@
             Step::Begin(c) => {
                 self.left[0] -= 1;
                 let mut out = Out(*c, Vec::new());
-                self.conveners[*c].prepare(0, &mut out);
+                self.proposers[*c].prepare(0, &mut out);
                 self.send(out.1);
             }
             Step::Take(message) => {
@@ -273,23 +279,23 @@
                 let instance_id = self.instance_ids;
                 self.instance_ids += 1;
                 self.marks[*c] = instance_id as u8;
-                self.conveners[*c] =
-                    ReconfigurableProposer::new(InstanceId(instance_id), &named(3), instance_id)
+                self.proposers[*c] =
+                    ReconfigurableProposer::new(InstanceId(instance_id), &configured(3), instance_id)
                         .with_guards(self.guards);
             }
             Step::Wipe(k) => {
                 self.left[3] -= 1;
                 self.instance_ids += 1;
                 self.disks[*k] = None;
-                self.keepers[*k] = (InstanceId(900 + self.instance_ids), Acceptor::new(7, Ok(None)));
+                self.acceptors[*k] = (InstanceId(900 + self.instance_ids), Acceptor::new(7, Ok(None)));
             }
         }
-        let conveners = &self.conveners;
+        let proposers = &self.proposers;
         self.net.retain(|message, _| match message {
-            Message::Promised(c, _, ballot, ..) | Message::Accepted(c, _, ballot) => {
-                conveners[*c].awaits(*ballot)
+            Message::Promised(c, _, promise) => proposers[*c].awaits(promise.ballot),
+            Message::Accepted(c, _, ballot) | Message::Rejected(c, ballot, _) => {
+                proposers[*c].awaits(*ballot)
             }
-            Message::Refused(c, ballot, _) => conveners[*c].awaits(*ballot),
             _ => true,
         });
         Ok(())
@@ -297,26 +303,26 @@
 
     fn hash_with<H: Hasher + Default>(&self) -> u64 {
         let mut hasher = H::default();
-        (&self.keepers, &self.net, self.left, &self.marks, &self.written).hash(&mut hasher);
-        self.conveners.iter().for_each(|c| c.state().hash(&mut hasher));
+        (&self.acceptors, &self.net, self.left, &self.marks, &self.written).hash(&mut hasher);
+        self.proposers.iter().for_each(|c| c.state().hash(&mut hasher));
         hasher.finish()
     }
 }
 
-// Three keepers, two who write; tries, repeats, crashes and disks lost that may happen.
-#[test_case(false, [2, 0, 0, 0], 11; "founded by two at once")]
-#[test_case(false, [2, 0, 0, 1], 9; "founded while a disk is lost")]
-#[test_case(true, [2, 0, 0, 1], 10; "a disk is lost and comes back as another keeper")]
+// Three replicas, two who write; rounds, repeats, crashes and disks lost that may happen.
+#[test_case(false, [2, 0, 0, 0], 11; "bootstrapped by two at once")]
+#[test_case(false, [2, 0, 0, 1], 9; "bootstrapped while a disk is lost")]
+#[test_case(true, [2, 0, 0, 1], 10; "a disk is lost and comes back as another replica")]
 #[test_case(true, [2, 0, 1, 1], 8; "the same, and one who writes dies")]
-fn no_order_breaks_it(founded: bool, left: [u8; 4], depth: usize) {
+fn no_order_of_steps_breaks_safety(bootstrapped: bool, left: [u8; 4], depth: usize) {
     let begun = Instant::now();
-    let begin = if founded { World::founded } else { World::new };
+    let begin = if bootstrapped { World::bootstrapped } else { World::new };
     let found = explore(begin(Guards::ALL, 3, 2, left), depth);
-    told("sound", &found, begun);
+    report("sound", &found, begun);
     assert!(found.broken.is_none() && found.depth == depth);
 }
 
-/// Long runs by chance; the first promise that was broken, and what was written and changed.
+/// Long runs at random; the first promise that was broken, and what was written and changed.
 fn long(
     guards: Guards,
     routers: usize,
@@ -330,7 +336,7 @@
         world.fixed = most;
         for _ in 0..3_000 {
             world.left = [u8::MAX; 4];
-            let idle = world.conveners.iter().filter(|c| c.is_idle()).count();
+            let idle = world.proposers.iter().filter(|c| c.is_idle()).count();
             let messages = world.net.len() as u64;
             let chance = rng.rand_float();
             let any = |rng: &mut Rand64, of: usize| rng.rand_range(0..of as u64) as usize;
@@ -339,7 +345,7 @@
             } else if chance > 1.0 - wipes && !world.written.is_empty() {
                 // Never most of those who keep it, unless that is looked at: one is left then.
                 let last = world.written.values().next_back().expect("some");
-                let whole = |s: &&ReplicaId| world.keepers[s.router.0 as usize].0 == s.disk;
+                let whole = |s: &&ReplicaId| world.acceptors[s.router.0 as usize].0 == s.disk;
                 let left = last.replicas.iter().filter(whole).count();
                 if most && left < 2 || !most && (!last.previous_replicas.is_empty() || left < 3) {
                     continue;
@@ -368,30 +374,30 @@
 }
 
 #[test_case(3, 0.002, 100; "disks are lost")]
-#[test_case(4, 0.0, 100; "keepers are moved")]
+#[test_case(4, 0.0, 100; "replicas are moved")]
 #[test_case(4, 0.002, 100; "both")]
-fn long_runs(routers: usize, wipes: f64, least: usize) {
+fn long_random_runs_stay_safe(routers: usize, wipes: f64, least: usize) {
     let (broken, written, changes) = long(Guards::ALL, routers, 100, (wipes, false));
-    println!("{written} written, {changes} changes of a keeper begun");
+    println!("{written} written, {changes} changes of replicas begun");
     assert_eq!(broken, None);
     assert!(written > 1_000 && changes > least, "{written} written, {changes} changes");
 }
 
 // Each guard taken out is found, with the seed that shows it.
-#[test_case(Guards { bootstrap_reads_all: false, ..Guards::ALL }, 3; "founded without all")]
-#[test_case(Guards { bootstrap_writes_all: false, ..Guards::ALL }, 3; "founded, and not taken by all")]
+#[test_case(Guards { bootstrap_reads_all: false, ..Guards::ALL }, 3; "bootstrapped without all")]
+#[test_case(Guards { bootstrap_writes_all: false, ..Guards::ALL }, 3; "bootstrapped, not accepted by all")]
 #[test_case(Guards { joint_quorums: false, ..Guards::ALL }, 4; "one set of two")]
 #[test_case(Guards { disk_identity: false, ..Guards::ALL }, 3; "a new disk votes for the lost one")]
-fn what_is_taken_out_is_found(guards: Guards, routers: usize) {
+fn each_missing_guard_is_found(guards: Guards, routers: usize) {
     let most = !guards.bootstrap_reads_all || !guards.bootstrap_writes_all;
     let (broken, ..) = long(guards, routers, 3_000, (if most { 0.2 } else { 0.01 }, most));
     println!("{broken:?}");
     assert!(broken.is_some());
 }
 
-// Most disks are lost and one is left that knows: nothing is founded anew.
+// Most disks are lost and one is left that knows: nothing is bootstrapped again.
 #[test]
-fn an_empty_past_is_not_believed() {
+fn a_lost_majority_is_not_bootstrapped_again() {
     let (broken, written, _) = long(Guards::ALL, 3, 3_000, (0.2, true));
     assert_eq!(broken, None);
     assert!(written > 300, "{written}");
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -1,286 +1,292 @@
-//! Registers of several routers on a paper network: clocks that drift, disks that lie, keepers that are lost.
-#[path = "points/paper.rs"]
-mod paper;
+//! Registers of several routers on a simulated network: clocks that drift, disks that lie, replicas that are
+//! lost.
+#[path = "fault_points/simulation.rs"]
+mod simulation;
 use applepond_consensus::*;
 use applepond_membership::InstanceId;
-use paper::*;
+use simulation::*;
 use test_case::test_case;
 
 /// A fleet that has agreed on a text; three of its routers keep it.
 fn agreed(seed: u64, routers: usize) -> SimulatedNetwork {
-    let mut paper = SimulatedNetwork::new(seed, routers, 3);
-    assert!(paper.until(12 * S, |p| p.all_hold("")), "founded: {:?}", paper.standstill(0));
-    assert!(settle(&mut paper, "a"), "written and copied");
-    paper
+    let mut network = SimulatedNetwork::new(seed, routers, 3);
+    assert!(network.until(12 * S, |p| p.all_hold("")), "bootstrapped: {:?}", network.unavailable_reason(0));
+    assert!(agree_on(&mut network, "a"), "written and copied");
+    network
 }
 
-/// Wishes for it until all hold it: who convenes may change, and a wish is lost with it.
-fn settle(paper: &mut SimulatedNetwork, text: &str) -> bool {
+/// Proposes it until all hold it: the leader may change, and a proposal is lost with it.
+fn agree_on(network: &mut SimulatedNetwork, text: &str) -> bool {
     (0..8).any(|_| {
-        paper.wish(text);
-        paper.until(3 * S, |p| p.all_hold(text))
+        network.propose(text);
+        network.until(3 * S, |p| p.all_hold(text))
     })
 }
 
-fn sound(paper: &SimulatedNetwork) {
-    assert_eq!(paper.broken, None);
+fn sound(network: &SimulatedNetwork) {
+    assert_eq!(network.broken, None);
 }
 
 #[test_case(5)]
 #[test_case(20)]
-fn founded_and_copied(routers: usize) {
+fn bootstrap_reaches_all_routers(routers: usize) {
     for seed in 1..=10 {
-        let mut paper = agreed(seed, routers);
-        paper.pass(10 * S);
-        assert!(paper.all_hold("a"));
-        sound(&paper);
+        let mut network = agreed(seed, routers);
+        network.pass(10 * S);
+        assert!(network.all_hold("a"));
+        sound(&network);
     }
 }
 
 #[test_case(lossy(0.2); "a fifth is lost")]
 #[test_case(Box::new(|_, _, _, rng| Some(200 + rng.rand_range(0..120 * MS))); "slow links")]
 #[test_case(Box::new(|at, a, _, _| (a != 0 || at / S % 7 > 2).then_some(300)); "one unheard at times")]
-fn goes_on(link: Link) {
-    let mut paper = agreed(4, 8);
-    paper.link = link;
+fn survives_lossy_and_slow_links(link: Link) {
+    let mut network = agreed(4, 8);
+    network.link = link;
     for n in 0..20 {
-        paper.wish(&format!("{n}"));
-        paper.pass(3 * S);
+        network.propose(&format!("{n}"));
+        network.pass(3 * S);
     }
-    paper.link = lossy(0.0);
-    assert!(settle(&mut paper, "last"));
-    sound(&paper);
+    network.link = lossy(0.0);
+    assert!(agree_on(&mut network, "last"));
+    sound(&network);
 }
 
-// Who convenes dies: another does, and nothing that was written is lost.
+// The leader dies: another does, and nothing that was written is lost.
 #[test]
-fn another_convenes() {
+fn another_replica_takes_over_from_a_dead_leader() {
     for seed in 1..=20 {
-        let mut paper = agreed(seed, 8);
-        let first = paper.convener().expect("one of them");
-        paper.kill(first);
-        let begun = paper.now;
-        assert!(paper.until(12 * S, |p| p.convener().is_some() && p.all_hold("a")), "seed {seed}");
-        assert!(paper.now - begun < 5 * S, "seed {seed}: after {} ms", (paper.now - begun) / MS);
-        sound(&paper);
+        let mut network = agreed(seed, 8);
+        let first = network.leader().expect("one of them");
+        network.kill(first);
+        let begun = network.now;
+        assert!(network.until(12 * S, |p| p.leader().is_some() && p.all_hold("a")), "seed {seed}");
+        assert!(network.now - begun < 5 * S, "seed {seed}: after {} ms", (network.now - begun) / MS);
+        sound(&network);
     }
 }
 
-// A holder that stood still acts on nothing that is over, and one that is stopped convening is no convener.
+// A process that was paused uses no expired lease, and a leader that was paused does not lead any more.
 #[test]
-fn stood_still() {
+fn a_paused_process_uses_no_expired_lease() {
     for seed in 1..=10 {
-        let mut paper = agreed(seed, 8);
-        let first = paper.convener().expect("one of them");
-        paper.stop(first, 20 * S);
-        paper.stop(7, 20 * S);
-        paper.pass(6 * S);
-        assert!(paper.wish("b"));
-        paper.pass(4 * S);
-        assert!(paper.held(7).is_none(), "it stands still, and its copy is over");
-        assert!(paper.until(20 * S, |p| p.all_hold("b")));
-        sound(&paper);
+        let mut network = agreed(seed, 8);
+        let first = network.leader().expect("one of them");
+        network.stop(first, 20 * S);
+        network.stop(7, 20 * S);
+        network.pass(6 * S);
+        assert!(network.propose("b"));
+        network.pass(4 * S);
+        assert!(network.state_of(7).is_none(), "it stands still, and its copy is over");
+        assert!(network.until(20 * S, |p| p.all_hold("b")));
+        sound(&network);
     }
 }
 
-// A keeper whose disk is lost is taken in as another one, and its old word counts for nothing.
+// A router whose disk is lost is taken in as another replica, and its old promise counts for nothing.
 #[test]
-fn a_lost_disk_is_another_keeper() {
-    let mut paper = agreed(2, 5);
-    let other = (0..3).find(|n| Some(*n) != paper.convener()).expect("one of three");
-    paper.kill(other);
-    paper.lose(other);
-    paper.pass(S);
-    paper.start(other);
-    let new = paper.disks[other].id;
+fn a_new_disk_is_another_replica() {
+    let mut network = agreed(2, 5);
+    let other = (0..3).find(|n| Some(*n) != network.leader()).expect("one of three");
+    network.kill(other);
+    network.lose(other);
+    network.pass(S);
+    network.start(other);
+    let new = network.disks[other].id;
     let taken_in = |p: &SimulatedNetwork| {
-        p.held(4).is_some_and(|a| a.previous_replicas.is_empty() && a.replicas.iter().any(|s| s.disk == new))
+        p.state_of(4)
+            .is_some_and(|a| a.previous_replicas.is_empty() && a.replicas.iter().any(|s| s.disk == new))
     };
-    assert!(paper.until(8 * S, taken_in));
-    assert!(paper.all_hold("a"));
-    sound(&paper);
+    assert!(network.until(8 * S, taken_in));
+    assert!(network.all_hold("a"));
+    sound(&network);
 }
 
-// Most keepers lose their disks: nothing is agreed on, an old or empty past least of all, and it is named.
+// Most replicas lose their disks: nothing is agreed on, an old or empty past least of all, and it is named.
 #[test_case(false; "one of them has its own")]
 #[test_case(true; "all of them are lost")]
-fn most_have_lost_their_disks(all: bool) {
-    let mut paper = agreed(3, 6);
+fn a_lost_majority_of_disks_is_named(all: bool) {
+    let mut network = agreed(3, 6);
     let lost = if all { 3 } else { 2 };
-    (0..3).for_each(|n| paper.kill(n));
-    (0..lost).for_each(|n| paper.lose(n));
-    paper.pass(S);
-    (0..3).for_each(|n| paper.start(n));
-    paper.pass(20 * S);
-    assert!((0..6).all(|n| paper.held(n).is_none()), "at their floors");
-    let named: Vec<Unavailable> = (0..3).filter_map(|n| paper.standstill(n)).collect();
+    (0..3).for_each(|n| network.kill(n));
+    (0..lost).for_each(|n| network.lose(n));
+    network.pass(S);
+    (0..3).for_each(|n| network.start(n));
+    network.pass(20 * S);
+    assert!((0..6).all(|n| network.state_of(n).is_none()), "at their floors");
+    let reasons: Vec<Unavailable> = (0..3).filter_map(|n| network.unavailable_reason(n)).collect();
     let wanted =
-        if all { Unavailable::StateForgotten } else { Unavailable::MajorityLost { empty: 2, of: 3 } };
-    assert!(named.contains(&wanted), "{named:?}");
-    sound(&paper);
-    // What the help says: all keepers stopped, their files removed, the founding raised.
-    (0..6).for_each(|n| paper.kill(n));
-    (0..3).for_each(|n| paper.lose(n));
-    paper.fleet += 1;
-    (0..6).for_each(|n| paper.start(n));
-    assert!(paper.until(12 * S, |p| p.all_hold("")));
+        if all { Unavailable::StateForgotten } else { Unavailable::MajorityLost { lost: 2, total: 3 } };
+    assert!(reasons.contains(&wanted), "{reasons:?}");
+    sound(&network);
+    // What the help says: all replicas stopped, their files removed, `founding` raised.
+    (0..6).for_each(|n| network.kill(n));
+    (0..3).for_each(|n| network.lose(n));
+    network.fleet += 1;
+    (0..6).for_each(|n| network.start(n));
+    assert!(network.until(12 * S, |p| p.all_hold("")));
 }
 
-// Nothing counts before leases of a life before have ended, however it was founded.
+// No lease is given before those of an earlier register have ended, however it was bootstrapped.
 #[test]
-fn a_founding_ripens() {
-    let mut paper = SimulatedNetwork::new(5, 5, 3);
-    assert!(paper.until(9 * S, |p| p.standstill(0) == Some(Unavailable::BootstrapPending)
-        || p.standstill(1) == Some(Unavailable::BootstrapPending)
-        || p.standstill(2) == Some(Unavailable::BootstrapPending)));
-    let ripens = paper.now;
-    assert!(paper.until(9 * S, |p| (0..5).any(|n| p.held(n).is_some())));
-    assert!(paper.now - ripens >= LEASE_DURATION, "{} ms", (paper.now - ripens) / MS);
+fn a_bootstrap_waits_for_earlier_leases() {
+    let mut network = SimulatedNetwork::new(5, 5, 3);
+    assert!(network.until(9 * S, |p| p.unavailable_reason(0) == Some(Unavailable::BootstrapPending)
+        || p.unavailable_reason(1) == Some(Unavailable::BootstrapPending)
+        || p.unavailable_reason(2) == Some(Unavailable::BootstrapPending)));
+    let ripens = network.now;
+    assert!(network.until(9 * S, |p| (0..5).any(|n| p.state_of(n).is_some())));
+    assert!(network.now - ripens >= LEASE_DURATION, "{} ms", (network.now - ripens) / MS);
 }
 
-// An older file is put back in place: whoever heard the keeper's word tells it, and it stops voting.
+// An older file is put back: whoever heard a later promise of the replica says so, and it abstains.
 #[test]
-fn an_older_file() {
-    let mut paper = agreed(6, 5);
-    let other = (0..3).find(|n| Some(*n) != paper.convener()).expect("one of three");
-    let old = paper.disks[other].clone();
-    assert!(settle(&mut paper, "b"));
-    paper.kill(other);
-    paper.disks[other] = old;
-    paper.start(other);
+fn a_rolled_back_file_is_noticed() {
+    let mut network = agreed(6, 5);
+    let other = (0..3).find(|n| Some(*n) != network.leader()).expect("one of three");
+    let old = network.disks[other].clone();
+    assert!(agree_on(&mut network, "b"));
+    network.kill(other);
+    network.disks[other] = old;
+    network.start(other);
     let doubt = Unavailable::AcceptorFailed("older");
-    assert!(paper.until(4 * S, |p| p.standstill(other) == Some(doubt.clone())));
-    assert!(paper.until(4 * S, |p| p.all_hold("b")));
-    sound(&paper);
+    assert!(network.until(4 * S, |p| p.unavailable_reason(other) == Some(doubt.clone())));
+    assert!(network.until(4 * S, |p| p.all_hold("b")));
+    sound(&network);
 }
 
-// All disks are of a life before the last founding, and agree with each other: nobody who knows goes by them.
+// All disks are from before the last bootstrap, and agree with each other: nobody who knows goes by them.
 #[test]
-fn disks_of_an_earlier_line() {
-    let mut paper = agreed(7, 6);
-    let old: Vec<PaperDisk> = paper.disks.clone();
-    (0..6).for_each(|n| paper.kill(n));
-    (0..3).for_each(|n| paper.lose(n));
-    paper.pass(S);
-    // Nobody who remembers is left: it is founded anew, under another line.
-    paper.lines.clear();
-    (0..6).for_each(|n| paper.start(n));
-    assert!(paper.until(12 * S, |p| p.all_hold("")));
-    let line = paper.held(5).expect("agreed").register_id;
-    let convener = paper.convener().expect("one of them");
-    for n in (0..3).filter(|n| *n != convener) {
-        paper.kill(n);
-        paper.disks[n] = old[n].clone();
-        paper.start(n);
+fn disks_of_an_earlier_register_are_refused() {
+    let mut network = agreed(7, 6);
+    let old: Vec<SimulatedDisk> = network.disks.clone();
+    (0..6).for_each(|n| network.kill(n));
+    (0..3).for_each(|n| network.lose(n));
+    network.pass(S);
+    // Nobody who remembers is left: it is bootstrapped again, under another register id.
+    network.register_ids.clear();
+    (0..6).for_each(|n| network.start(n));
+    assert!(network.until(12 * S, |p| p.all_hold("")));
+    let line = network.state_of(5).expect("agreed").register_id;
+    let leader = network.leader().expect("one of them");
+    for n in (0..3).filter(|n| *n != leader) {
+        network.kill(n);
+        network.disks[n] = old[n].clone();
+        network.start(n);
     }
-    paper.pass(20 * S);
-    assert!((0..6).all(|n| paper.held(n).is_none_or(|a| a.register_id == line)));
-    assert!((0..3).any(|n| paper.standstill(n) == Some(Unavailable::StateRolledBack)));
-    sound(&paper);
+    network.pass(20 * S);
+    assert!((0..6).all(|n| network.state_of(n).is_none_or(|a| a.register_id == line)));
+    assert!((0..3).any(|n| network.unavailable_reason(n) == Some(Unavailable::StateRolledBack)));
+    sound(&network);
 }
 
-// Disks that fail or lie, one at a time and at any keeper.
-#[test_case(Does::Fails)]
-#[test_case(Does::Lies)]
-fn a_bad_disk(does: Does) {
+// Disks that fail or lie, one at a time and at any replica.
+#[test_case(DiskBehavior::Fails)]
+#[test_case(DiskBehavior::Lies)]
+fn a_failing_or_lying_disk_loses_nothing(does: DiskBehavior) {
     for seed in 1..=10 {
-        let mut paper = agreed(seed, 5);
+        let mut network = agreed(seed, 5);
         let bad = seed as usize % 3;
-        paper.disks[bad].does = does;
+        network.disks[bad].does = does;
         for n in 0..6 {
-            paper.wish(&format!("{n}"));
-            paper.pass(3 * S);
+            network.propose(&format!("{n}"));
+            network.pass(3 * S);
         }
-        if does == Does::Fails {
+        if does == DiskBehavior::Fails {
             assert_eq!(
-                paper.standstill(bad),
+                network.unavailable_reason(bad),
                 Some(Unavailable::AcceptorFailed("not-written")),
                 "seed {seed}"
             );
         }
         // The process dies: what the disk only said it had is gone.
-        paper.kill(bad);
-        paper.start(bad);
-        paper.pass(8 * S);
-        assert!(settle(&mut paper, "last"), "seed {seed}");
-        sound(&paper);
+        network.kill(bad);
+        network.start(bad);
+        network.pass(8 * S);
+        assert!(agree_on(&mut network, "last"), "seed {seed}");
+        sound(&network);
     }
 }
 
-// Keepers move to other routers by the settings of all, one after the other, while it is used.
+// Replicas move to other routers by the settings of all, one after the other, while it is used.
 #[test]
-fn keepers_move() {
-    let mut paper = agreed(8, 8);
+fn replicas_move_one_by_one() {
+    let mut network = agreed(8, 8);
     for step in 1..=3 {
-        paper.named = (step..step + 3).map(router).collect();
+        network.configured = (step..step + 3).map(router).collect();
         for n in 0..8 {
             // A rolling change of the settings: each router restarts with them.
-            paper.kill(n);
-            paper.start(n);
-            paper.pass(1500 * MS);
+            network.kill(n);
+            network.start(n);
+            network.pass(1500 * MS);
         }
-        paper.pass(10 * S);
-        let named = paper.named.clone();
+        network.pass(10 * S);
+        let configured = network.configured.clone();
         let moved = |p: &SimulatedNetwork| {
-            p.held(7).is_some_and(|a| {
+            p.state_of(7).is_some_and(|a| {
                 a.previous_replicas.is_empty()
                     && a.replicas.len() == 3
-                    && a.replicas.iter().all(|s| named.contains(&s.router))
+                    && a.replicas.iter().all(|s| configured.contains(&s.router))
             })
         };
-        assert!(paper.until(20 * S, moved), "step {step}: {:?}", paper.held(7));
-        assert!(paper.all_hold("a"));
-        sound(&paper);
+        assert!(network.until(20 * S, moved), "step {step}: {:?}", network.state_of(7));
+        assert!(network.all_hold("a"));
+        sound(&network);
     }
 }
 
 #[test_case(20)]
-fn long_troubles(seeds: u64) {
+fn long_runs_with_random_faults(seeds: u64) {
     for seed in 0..seeds {
-        let mut paper = agreed(seed, 7);
-        paper.link = lossy(0.05);
+        let mut network = agreed(seed, 7);
+        network.link = lossy(0.05);
         for _ in 0..40 {
-            let (what, n) = (paper.rng.rand_range(0..6), paper.rng.rand_range(0..7) as usize);
+            let (what, n) = (network.rng.rand_range(0..6), network.rng.rand_range(0..7) as usize);
             match what {
-                0 => paper.kill(n),
-                1 => paper.stop(n, 5 * S),
-                2 if paper.all[n].is_none() => paper.start(n),
+                0 => network.kill(n),
+                1 => network.stop(n, 5 * S),
+                2 if network.all[n].is_none() => network.start(n),
                 3 => {
-                    paper.link = Box::new(move |_, a, b, rng| {
+                    network.link = Box::new(move |_, a, b, rng| {
                         let cut = (a == n) != (b == n) && rng.rand_float() < 0.8;
                         (!cut).then(|| 200 + rng.rand_range(0..300 * MS))
                     });
                 }
-                4 => paper.link = lossy(0.05),
+                4 => network.link = lossy(0.05),
                 _ => {
-                    let text = format!("{}", paper.rng.rand_range(0..1000));
-                    paper.wish(&text);
+                    let text = format!("{}", network.rng.rand_range(0..1000));
+                    network.propose(&text);
                 }
             }
-            paper.pass(2 * S);
+            network.pass(2 * S);
         }
-        sound(&paper);
-        paper.link = lossy(0.0);
+        sound(&network);
+        network.link = lossy(0.0);
         (0..7).for_each(|n| {
-            if paper.all[n].is_none() {
-                paper.start(n);
+            if network.all[n].is_none() {
+                network.start(n);
             }
         });
-        assert!(paper.until(20 * S, |p| p.convener().is_some()), "seed {seed}: {:?}", paper.standstill(1));
-        assert!(settle(&mut paper, "last"), "seed {seed}");
-        sound(&paper);
+        assert!(
+            network.until(20 * S, |p| p.leader().is_some()),
+            "seed {seed}: {:?}",
+            network.unavailable_reason(1)
+        );
+        assert!(agree_on(&mut network, "last"), "seed {seed}");
+        sound(&network);
     }
 }
 
 // A copy counts from its ask, for no longer than a lease, and never in place of what is newer.
 #[test_case(1, 0, 7, 2 * S, false; "an answer to an ask before")]
 #[test_case(0, 0, 7, LEASE_DURATION + 1, false; "more than a lease")]
-#[test_case(0, 1, 7, 2 * S, false; "another line")]
+#[test_case(0, 1, 7, 2 * S, false; "another register")]
 #[test_case(0, 0, 4, 2 * S, false; "less than was seen")]
 #[test_case(0, 0, 6, 2 * S, true; "newer")]
-fn copies(ask_back: u64, line: u64, number: u64, left: u64, taken: bool) {
-    let named: Vec<_> = (0..3).map(router).collect();
-    let mut one: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &named, false, 1);
+fn a_lease_counts_from_its_request(ask_back: u64, line: u64, number: u64, left: u64, taken: bool) {
+    let configured: Vec<_> = (0..3).map(router).collect();
+    let mut one: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &configured, false, 1);
     let mut asked = 0;
     let mut ask = |one: &mut Register<Text>, now: u64| {
         let mut out = message::MessageWriter::new(router(9));
@@ -300,43 +306,44 @@
     assert_eq!(one.lease(2 * S).map(|h| h.expires_at), Some(4 * S - 2 * S / CLOCK_DRIFT_DIVISOR));
     let second = ask(&mut one, 3 * S);
     one.on_state_response(3 * S, router(0), second - ask_back, agreed(3 + line, number), left);
-    let held = one.lease(3 * S).map(|h| h.state.version);
-    assert_eq!(held == Some(number), taken, "{held:?}");
+    let version = one.lease(3 * S).map(|h| h.state.version);
+    assert_eq!(version == Some(number), taken, "{version:?}");
     assert!(one.lease(6 * S).is_none(), "and ends");
 }
 
 #[test]
-fn messages_that_are_cut_or_made_up() {
-    let mut paper = agreed(9, 4);
-    let agreed = paper.held(3).expect("agreed");
+fn malformed_messages_are_refused() {
+    let mut network = agreed(9, 4);
+    let agreed = network.state_of(3).expect("agreed");
     let mut out = message::MessageWriter::new(router(1));
-    let ballot = Ballot { round: 1 << 40, by: 5 };
+    let ballot = Ballot { round: 1 << 40, proposer: 5 };
     ReplicaRequests::<Text>::prepare(&mut out, router(0), ballot, None);
     out.accept(router(0), ballot, &agreed, None);
-    out.promised(router(0), (ballot, ballot), agreed.register_id, Some(&(ballot, agreed.clone())));
+    let promise = Promise { ballot, previous: ballot, accepted: Some((ballot, agreed.clone())) };
+    out.promised(router(0), agreed.register_id, &promise);
     out.send_state(router(0), 3, &agreed, 500);
     let many = RegisterState { replicas: vec![agreed.replicas[0]; MAX_REPLICAS + 1], ..agreed.clone() };
     out.send_state(router(0), 3, &many, 500);
     let far = RegisterState { version: u64::MAX, ..agreed };
     out.send_state(router(0), 3, &far, 500);
-    let m = paper.all[3].as_mut().expect("there");
-    let mut disk = PaperDisk { id: InstanceId(1), vote: None, torn: false, does: Does::Keeps };
-    let mut voter: Replica<Text> = Replica::new(FLEET, InstanceId(1), Ok(None));
+    let m = network.all[3].as_mut().expect("there");
+    let mut disk = SimulatedDisk { id: InstanceId(1), vote: None, torn: false, does: DiskBehavior::Works };
+    let mut replica: Replica<Text> = Replica::new(FLEET, InstanceId(1), Ok(None));
     let mut sent = message::MessageWriter::new(router(3));
     let mut refused = 0;
     for (_, bytes) in &out.messages {
         let mut read = |bytes: &[u8]| match message::is_acceptor_request(bytes) {
-            true => message::handle_acceptor_request(bytes, &mut voter, &mut disk, &mut sent),
+            true => message::handle_acceptor_request(bytes, &mut replica, &mut disk, &mut sent),
             false => message::handle_register_message(bytes, &mut m.register, 0, &[], &mut sent),
         };
         (0..bytes.len()).for_each(|at| assert!(read(&bytes[..at]).is_err(), "cut at {at}"));
         refused += u64::from(read(bytes).is_err());
     }
-    assert_eq!(refused, 2, "too many keepers, and a number that nobody gives out");
+    assert_eq!(refused, 2, "too many replicas, and a version that nobody gives out");
 }
 
 #[test]
-fn errors_say_what_to_do() {
+fn each_error_says_what_to_do() {
     use miette::Diagnostic;
     let each = Unavailable::each();
     assert!(each.iter().all(|e| e.code().is_some() && e.help().is_some()));
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,8 @@
 //! the register and by leases.
 use crate::*;
 use applepond_consensus::{
-    Acceptor, AcceptorState, AcceptorStorage, Ballot, ProposalOutcome, Proposer, ReplicaIndex,
+    Acceptor, AcceptorState, AcceptorStorage, Ballot, Promise, ProposalOutcome, Proposer, Rejection,
+    ReplicaIndex,
 };
 use applepond_membership::{InstanceId, RouterId};
 use oorandom::Rand64;
@@ -204,10 +205,10 @@
         disk: &mut dyn AcceptorStorage<Term>,
         orders: &mut dyn Actions,
     ) {
-        match self.keeper.as_mut().and_then(|k| k.prepare(ballot, disk)) {
-            Some(Ok((before, accepted))) => orders.promised(from, ballot, before, accepted),
-            Some(Err(promised)) => orders.refused(from, ballot, promised),
-            None => {}
+        match self.keeper.as_mut().map(|k| k.prepare(ballot, disk)) {
+            Some(Ok(promise)) => orders.promised(from, ballot, promise.previous, promise.accepted),
+            Some(Err(Rejection::Superseded { promised })) => orders.refused(from, ballot, promised),
+            Some(Err(Rejection::Abstained(_))) | None => {}
         }
     }
 
@@ -225,10 +226,10 @@
             self.differs = Some((from, now));
             return;
         }
-        match self.keeper.as_mut().and_then(|k| k.accept(ballot, term, disk)) {
+        match self.keeper.as_mut().map(|k| k.accept(ballot, term, disk)) {
             Some(Ok(())) => orders.accepted(from, ballot),
-            Some(Err(promised)) => orders.refused(from, ballot, promised),
-            None => {}
+            Some(Err(Rejection::Superseded { promised })) => orders.refused(from, ballot, promised),
+            Some(Err(Rejection::Abstained(_))) | None => {}
         }
     }
 
@@ -262,7 +263,8 @@
     ) {
         let Some(keeper) = self.keeper_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
-        let Some(ProposalOutcome::Read(term)) = proposer.on_promised(keeper, ballot, before, accepted) else {
+        let promise = Promise { ballot, previous: before, accepted };
+        let Some(ProposalOutcome::Read(term)) = proposer.on_promised(keeper, promise) else {
             return;
         };
         let mine = term.as_ref().is_some_and(|t| t.by == self.place.instance_id);
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -11,7 +11,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 0xfeed_f00d }
+    Ballot { round, proposer: 0xfeed_f00d }
 }
 
 fn messages() -> Vec<Vec<u8>> {
--- a/crates/quota/tests/office.rs
+++ b/crates/quota/tests/office.rs
@@ -134,7 +134,7 @@
     out.ask(name(0), InstanceId(2), 3, (1, 0), &[7]);
     out.accept(
         name(0),
-        applepond_consensus::Ballot { round: 1, by: 2 },
+        applepond_consensus::Ballot { round: 1, proposer: 2 },
         &Term { number: 1, name: name(1), by: InstanceId(2), settings: 3 },
     );
     let (mut office, mut disk) = (office(0, (0, ROUTERS), 1, None), Disk::default());
@@ -163,7 +163,7 @@
 #[test]
 fn a_keeper_with_other_settings() {
     let (mut keeper, mut disk) = (office(0, (0, ROUTERS), 1, None), Disk::default());
-    let (mut out, ballot) = (Written::by(name(0)), applepond_consensus::Ballot { round: 1, by: 2 });
+    let (mut out, ballot) = (Written::by(name(0)), applepond_consensus::Ballot { round: 1, proposer: 2 });
     let term = Term { number: 1, name: name(1), by: InstanceId(2), settings: 3 };
     keeper.accept(name(1), ballot, term, 5, &mut disk, &mut out);
     assert!(out.messages.is_empty() && disk.0.is_none());
--- a/crates/storage/src/votes.rs
+++ b/crates/storage/src/votes.rs
@@ -76,7 +76,7 @@
 mod tests {
     use super::*;
     use crate::fails::FailingBackend;
-    use applepond_consensus::{Acceptor, Ballot};
+    use applepond_consensus::{Acceptor, Ballot, Rejection};
     use redb::backends::InMemoryBackend;
     use std::sync::Arc;
     use std::sync::atomic::{AtomicU64, Ordering};
@@ -84,7 +84,7 @@
     const FLEET: u64 = 3;
 
     fn ballot(round: u64) -> Ballot {
-        Ballot { round, by: 1 }
+        Ballot { round, proposer: 1 }
     }
 
     #[test]
@@ -95,13 +95,17 @@
             AcceptorFile::open::<String>(&file, InstanceId(5)).expect("a new file");
         assert_eq!(number, InstanceId(5));
         let mut keeper = Acceptor::new(FLEET, Ok(found));
-        assert_eq!(keeper.accept(ballot(4), "term".to_owned(), &mut disk), Some(Ok(())));
+        assert_eq!(keeper.accept(ballot(4), "term".to_owned(), &mut disk), Ok(()));
         drop(disk);
         let (mut disk, number, found) =
             AcceptorFile::open::<String>(&file, InstanceId(9)).expect("opened again");
         assert_eq!(number, InstanceId(5), "the same file");
         let mut keeper = Acceptor::new(FLEET, Ok(found.clone()));
-        assert_eq!(keeper.prepare(ballot(3), &mut disk), Some(Err(ballot(4))), "it knows its word");
+        assert_eq!(
+            keeper.prepare(ballot(3), &mut disk),
+            Err(Rejection::Superseded { promised: ballot(4) }),
+            "it knows its promise"
+        );
         assert_eq!(Acceptor::new(FLEET + 1, Ok(found)).error(), Some(AcceptorError::WrongFleet));
     }
 
@@ -113,7 +117,7 @@
         let (mut disk, _, _) = AcceptorFile::open::<String>(&file, InstanceId(5)).expect("a new file");
         let mut keeper = Acceptor::new(FLEET, Ok(None));
         for round in 1..=40 {
-            assert!(keeper.accept(ballot(round), "x".repeat(200), &mut disk).is_some());
+            assert!(keeper.accept(ballot(round), "x".repeat(200), &mut disk).is_ok());
         }
         drop(disk);
         let whole = std::fs::read(&file).expect("read");
@@ -146,7 +150,7 @@
             let mut keeper = Acceptor::new(FLEET, Ok(None));
             left.store(n, Ordering::Relaxed);
             let told = (1..=5)
-                .take_while(|round| keeper.accept(ballot(*round), round.to_string(), &mut disk).is_some());
+                .take_while(|round| keeper.accept(ballot(*round), round.to_string(), &mut disk).is_ok());
             let told = told.count() as u64;
             let trouble = (told < 5).then_some(AcceptorError::WriteFailed);
             assert_eq!(keeper.error(), trouble, "write {n}");
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -87,7 +87,7 @@
         previous_replicas: vec![seat(4)],
         value: b"agreed value".to_vec(),
     };
-    let ballot = |round| Ballot { round, by: 0xfeed_f00d };
+    let ballot = |round| Ballot { round, proposer: 0xfeed_f00d };
     let vote = AcceptorState { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
     let (mut disk, _, _) =
         AcceptorFile::open::<RegisterState<Vec<u8>>>(&file, InstanceId(555)).expect("a new file");
