--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,63 +1,76 @@
 //! Calls of clients: one HTTP/1.1 request each, read strictly. What a client did not send in this form is
-//! never passed on.
+//! never forwarded.
 use crate::line;
 use crate::rows::Words;
-use applepond::interface::*;
+use applepond::interface::{
+    CustomerId, FunctionId, Micros, RequestArrival, RequestId, RetrySafety, StartupConfig, WorkloadId,
+};
 use applepond_http::Fault;
 use applepond_http::decode::{Fields, Visitor};
 
-/// Bytes of a call's body at most.
+/// Limit of bytes in a call's body.
 pub const BODY_MOST: u64 = 16 * 1024;
-/// Digits of a number in a head at most: the largest figures in use have seven.
-const DIGITS_MOST: usize = 12;
-/// Jobs that one copy may run at a time at most, µs a load may take, MB a copy may have: past them a figure
-/// is taken for nonsense.
-const LANES_MOST: f64 = 4096.0;
-const LOAD_MOST_MS: f64 = 600_000.0;
-const MEMORY_MOST_MB: f64 = 1e9;
+/// Limit of characters in a number of a head: the largest figures in use have seven digits.
+const MAX_NUMBER_CHARS: usize = 12;
+/// Limit of requests that one copy may run at a time: past it the figure is taken for nonsense.
+const MAX_CONCURRENCY: f64 = 4096.0;
+/// Limit of ms that a load may take.
+const MAX_LOAD_MS: f64 = 600_000.0;
+/// Limit of MB that a copy may have.
+const MAX_MEMORY_MB: f64 = 1e9;
 
 /// What a request asks for.
 pub enum Ask {
-    /// Whether this router serves.
+    /// A health check: whether this router serves.
     Check,
-    /// A request: what the module is told, and the head of the line that runs it.
+    /// A call: its arrival for the decisions, and the first part of the line that runs it.
     Job(RequestArrival, Vec<u8>),
 }
 
 /// One request while it comes in.
 pub struct Incoming<'a> {
+    /// The names that the configuration's indices stand for.
     pub words: &'a Words,
+    /// The configuration.
     pub rows: &'a StartupConfig,
-    /// The longest time that clients of each workload wait.
+    /// µs that clients of each workload wait at most.
     pub deadlines: &'a [Micros],
+    /// What has come of it so far.
     pub part: &'a mut Part,
 }
 
 /// What has come of a request so far.
 #[derive(Default)]
 pub struct Part {
+    /// What it asks for, once its head has come.
     pub ask: Option<Ask>,
+    /// The body so far.
     pub body: Vec<u8>,
+    /// The client lets the connection persist; known at the end.
     pub keep: bool,
-    /// The client waits for a word before it sends its body.
+    /// The client waits for `100 Continue` before it sends its body.
     pub go_on: bool,
 }
 
-fn bad(what: &str) -> Fault {
-    Fault::new(400, "bad-call", what)
+fn bad(detail: &str) -> Fault {
+    Fault::new(400, "bad-call", detail)
 }
 
-fn hex(text: &str, digits: usize) -> bool {
-    text.len() == digits && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b))
+/// Whether a text has so many lower-case hex digits.
+fn is_hex(text: &str, digits: usize) -> bool {
+    text.len() == digits && text.bytes().all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte))
 }
 
 /// A number as a head may carry it: digits, with a fraction or without.
 fn number(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    (plain && !text.is_empty() && text.len() <= DIGITS_MOST).then(|| text.parse().ok()).flatten()
+    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    (plain && !text.is_empty() && text.len() <= MAX_NUMBER_CHARS).then(|| text.parse().ok()).flatten()
 }
 
-/// A request's id in the module's form.
+/// A request's id for the decisions, padded with zeros.
+///
+/// # Panics
+/// If the text has more than 36 bytes.
 pub fn request_id(text: &str) -> RequestId {
     let mut id = [b'0'; 36];
     id[..text.len()].copy_from_slice(text.as_bytes());
@@ -65,89 +78,141 @@
 }
 
 /// The id as it came.
+///
+/// # Panics
+/// If the id was not made by `request_id` from a text of 16 characters.
 pub fn id_text(request: &RequestId) -> &str {
     std::str::from_utf8(&request.0[..16]).expect("ids came in as text")
 }
 
-impl Incoming<'_> {
-    fn call(&self, target: &str, fields: &Fields<'_>) -> Result<Ask, Fault> {
-        let function = target.strip_prefix("/do/").and_then(|rest| rest.strip_suffix("/fire"));
-        let function = function.ok_or_else(|| Fault::new(404, "no-such-path", "calls go to /do/"))?;
-        if !hex(function, 16) {
-            return Err(bad("a function is named by 16 hex digits"));
-        }
-        let (mut id, mut class, mut budget, mut account) = (None, None, None, None);
-        let (mut retry, mut mark, mut extras) = (None, None, None);
+/// The fields of a call as they came, each at most once.
+#[derive(Default)]
+struct CallFields<'a> {
+    request_id: Option<&'a str>,
+    workload: Option<&'a str>,
+    time_left_ms: Option<&'a str>,
+    customer: Option<&'a str>,
+    retry: Option<&'a str>,
+    idempotency_key: Option<&'a str>,
+    extras: Option<&'a str>,
+}
+
+impl<'a> CallFields<'a> {
+    fn read(fields: &Fields<'a>) -> Result<Self, Fault> {
+        let mut call = CallFields::default();
         for (name, value) in fields.iter() {
-            let slot = match () {
-                () if name.eq_ignore_ascii_case("request-id") => &mut id,
-                () if name.eq_ignore_ascii_case("x-class") => &mut class,
-                () if name.eq_ignore_ascii_case("budget-ms") => &mut budget,
-                () if name.eq_ignore_ascii_case("account") => &mut account,
-                () if name.eq_ignore_ascii_case("attempt-again") => &mut retry,
-                () if name.eq_ignore_ascii_case("once-key") => &mut mark,
-                () if name.eq_ignore_ascii_case("x-extras") => &mut extras,
-                () => continue,
-            };
+            let Some(slot) = call.slot(name) else { continue };
             let value = std::str::from_utf8(value).map_err(|_| bad("a field is no text"))?;
             if slot.replace(value.trim()).is_some() {
                 return Err(bad("a field stands twice"));
             }
         }
-        let id = id.filter(|id| hex(id, 16)).ok_or_else(|| bad("Request-Id: 16 hex digits are wanted"))?;
-        let place = |names: &[String], named: Option<&str>| names.iter().position(|n| Some(&**n) == named);
-        let workload = place(&self.words.workloads, class).ok_or_else(|| bad("X-Class is not known"))?;
-        let customer = match place(&self.words.customers, account) {
-            Some(n) => Some(CustomerId(n)),
-            // Where the settings name no tenants, whatever a client calls itself is nobody's share.
-            None if self.words.customers.is_empty() => None,
-            None => return Err(bad("Account is not known")),
-        };
-        let most = self.deadlines[workload] as f64 / 1000.0;
-        let left = budget.and_then(number).filter(|ms| *ms >= 1.0 && *ms <= most.max(1.0));
-        let left = left.ok_or_else(|| bad("Budget-Ms: a number in range is wanted"))?;
-        if !matches!(retry, None | Some("1")) {
+        Ok(call)
+    }
+
+    /// Where the value of a field of this name belongs; none where it is not part of a call.
+    fn slot(&mut self, name: &str) -> Option<&mut Option<&'a str>> {
+        let slots = [
+            ("request-id", &mut self.request_id),
+            ("x-class", &mut self.workload),
+            ("budget-ms", &mut self.time_left_ms),
+            ("account", &mut self.customer),
+            ("attempt-again", &mut self.retry),
+            ("once-key", &mut self.idempotency_key),
+            ("x-extras", &mut self.extras),
+        ];
+        slots.into_iter().find(|(known, _)| name.eq_ignore_ascii_case(known)).map(|(_, slot)| slot)
+    }
+}
+
+/// Index of a name.
+fn index_of(names: &[String], name: Option<&str>) -> Option<usize> {
+    names.iter().position(|known| Some(&**known) == name)
+}
+
+impl Incoming<'_> {
+    fn call(&self, target: &str, fields: &Fields<'_>) -> Result<Ask, Fault> {
+        let function = target.strip_prefix("/do/").and_then(|path| path.strip_suffix("/fire"));
+        let function = function.ok_or_else(|| Fault::new(404, "no-such-path", "calls go to /do/"))?;
+        if !is_hex(function, 16) {
+            return Err(bad("a function is named by 16 hex digits"));
+        }
+        let call = CallFields::read(fields)?;
+        let id = call.request_id.filter(|id| is_hex(id, 16));
+        let id = id.ok_or_else(|| bad("Request-Id: 16 hex digits are wanted"))?;
+        let workload = index_of(&self.words.workloads, call.workload);
+        let workload = workload.ok_or_else(|| bad("X-Class is not known"))?;
+        let customer = self.customer(call.customer)?;
+        let time_left = self.time_left(call.time_left_ms, workload)?;
+        if !matches!(call.retry, None | Some("1")) {
             return Err(bad("Attempt-Again: 1 is wanted, or nothing"));
         }
-        let marked = matches!(self.rows.workloads[workload].retry_safety, RetrySafety::Keyed { .. });
-        let mark = match mark {
-            Some(mark) if !hex(mark, 32) => return Err(bad("Once-Key: 32 hex digits are wanted")),
-            None if marked => return Err(bad("Once-Key is wanted")),
-            mark => mark,
-        };
+        let key = self.idempotency_key(call.idempotency_key, workload)?;
         let mut arrival = RequestArrival {
             request: request_id(id),
             function: FunctionId::named(function),
             workload: WorkloadId(workload),
             customer,
-            time_left: (left * 1000.0) as Micros,
+            time_left,
             concurrency: 1,
-            retry: retry.is_some(),
+            retry: call.retry.is_some(),
             load_time: None,
             priority_factor: 1.0,
         };
-        for pair in extras.unwrap_or("").split(';').filter(|pair| !pair.is_empty()) {
-            let (name, value) = pair.split_once(':').ok_or_else(|| bad("X-Extras: pairs are wanted"))?;
-            let value = number(value).ok_or_else(|| bad("X-Extras: numbers are wanted"))?;
-            let in_range = match name {
-                "lanes" => {
-                    arrival.concurrency = value as u32;
-                    (1.0..=LANES_MOST).contains(&value)
-                }
-                "load_ms" => {
-                    arrival.load_time = Some((value * 1000.0) as Micros);
-                    value <= LOAD_MOST_MS
-                }
-                "memory_mb" => value <= MEMORY_MOST_MB,
-                _ => true,
-            };
-            if !in_range {
-                return Err(bad("X-Extras: a figure is out of range"));
+        read_extras(call.extras.unwrap_or(""), &mut arrival)?;
+        let head = line::head(id, &self.words.workloads[workload], function, key);
+        Ok(Ask::Job(arrival, head))
+    }
+
+    fn customer(&self, name: Option<&str>) -> Result<Option<CustomerId>, Fault> {
+        match index_of(&self.words.customers, name) {
+            Some(index) => Ok(Some(CustomerId(index))),
+            // Where the settings name no customers, whatever a client calls itself has no quota.
+            None if self.words.customers.is_empty() => Ok(None),
+            None => Err(bad("Account is not known")),
+        }
+    }
+
+    /// The time that the client has, in µs: at least 1 ms, and what its workload has at most.
+    fn time_left(&self, ms: Option<&str>, workload: usize) -> Result<Micros, Fault> {
+        let longest_ms = self.deadlines[workload] as f64 / 1000.0;
+        let ms = ms.and_then(number).filter(|ms| *ms >= 1.0 && *ms <= longest_ms.max(1.0));
+        let ms = ms.ok_or_else(|| bad("Budget-Ms: a number in range is wanted"))?;
+        Ok((ms * 1000.0) as Micros)
+    }
+
+    fn idempotency_key<'a>(&self, key: Option<&'a str>, workload: usize) -> Result<Option<&'a str>, Fault> {
+        let needs_key = matches!(self.rows.workloads[workload].retry_safety, RetrySafety::Keyed { .. });
+        match key {
+            Some(key) if !is_hex(key, 32) => Err(bad("Once-Key: 32 hex digits are wanted")),
+            None if needs_key => Err(bad("Once-Key is wanted")),
+            key => Ok(key),
+        }
+    }
+}
+
+/// Reads the figures of a call's copy, which have the form `name:value;name:value`.
+fn read_extras(extras: &str, arrival: &mut RequestArrival) -> Result<(), Fault> {
+    for pair in extras.split(';').filter(|pair| !pair.is_empty()) {
+        let (name, value) = pair.split_once(':').ok_or_else(|| bad("X-Extras: pairs are wanted"))?;
+        let value = number(value).ok_or_else(|| bad("X-Extras: numbers are wanted"))?;
+        let in_range = match name {
+            "lanes" => {
+                arrival.concurrency = value as u32;
+                (1.0..=MAX_CONCURRENCY).contains(&value)
+            }
+            "load_ms" => {
+                arrival.load_time = Some((value * 1000.0) as Micros);
+                value <= MAX_LOAD_MS
             }
+            "memory_mb" => value <= MAX_MEMORY_MB,
+            _ => true,
+        };
+        if !in_range {
+            return Err(bad("X-Extras: a figure is out of range"));
         }
-        let head = line::head(id, &self.words.workloads[workload], function, mark);
-        Ok(Ask::Job(arrival, head))
     }
+    Ok(())
 }
 
 impl Visitor for Incoming<'_> {
@@ -160,7 +225,7 @@
         });
         match fields.get("expect") {
             None => {}
-            Some(what) if what.eq_ignore_ascii_case("100-continue") => self.part.go_on = true,
+            Some(expected) if expected.eq_ignore_ascii_case("100-continue") => self.part.go_on = true,
             Some(_) => return Err(Fault::new(417, "bad-expectation", "100-continue is the one known")),
         }
         Ok(())
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,57 +1,73 @@
-//! What a router is told at its start, and again when the file is replaced.
+//! A router's configuration file, read at its start and again when the file is replaced.
 use crate::fault::Unfit;
-use crate::fields::*;
+use crate::fields::{
+    Read, array, fault, mark, maybe, number, number_or, object, text, time, time_or_none, whole,
+};
 use crate::rows::{self, Words};
-use applepond::interface::*;
+use applepond::interface::{
+    Endpoint, EndpointListKind, Micros, RackId, StartupConfig, WorkerId, WorkerStatus, ZoneId,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Model servers in one list at most: beyond it the file is taken for broken rather than for a fleet.
-const MEMBERS_MOST: usize = 20_000;
+/// Limit of model servers in one list: beyond it the file is taken for broken rather than for a fleet.
+const MAX_MEMBERS: usize = 20_000;
 
-/// A model server as a list names it, with where it listens.
+/// A model server of an endpoint list.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// Its name.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// What the list says of it.
     pub listed: Endpoint,
 }
 
 /// How connections to model servers are to be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Attempts that one connection carries at a time.
+    /// Attempts that one connection carries at a time; 1 at the least.
     pub streams: usize,
-    /// A connection that does not stand within this time was none.
+    /// µs within which a connection has to be established.
     pub connect_limit: Micros,
-    /// Model servers close a connection that lies idle this long.
+    /// µs after which model servers close an idle connection.
     pub idle_limit: Micros,
 }
 
 /// All that one router starts with.
 #[derive(Clone, Debug)]
 pub struct Start {
+    /// Name of the router.
     pub name: String,
+    /// Where it listens for clients.
     pub listen: SocketAddr,
-    /// The name service.
+    /// Address of the name service.
     pub names: SocketAddr,
-    /// Descriptors and bytes that the process may hold.
+    /// Descriptors that the process may hold.
     pub descriptors: usize,
+    /// Bytes of memory that the process may hold.
     pub memory: usize,
+    /// Start-up configuration of the decisions.
     pub rows: StartupConfig,
+    /// The names that its indices stand for.
     pub words: Words,
+    /// How connections to model servers are to be used.
     pub terms: Terms,
-    /// The longest time that clients of each workload wait.
+    /// µs that clients of each workload wait at most.
     pub deadlines: Vec<Micros>,
-    /// Number of the last event of the list.
+    /// Number of the last event of the endpoint list.
     pub index: u64,
-    /// The list's events up to now.
+    /// The events of the endpoint list up to now, the oldest first.
     pub known: Vec<(EndpointListKind, Vec<Member>)>,
 }
 
-/// Reads a configuration; a fault names the field.
+/// Reads a configuration.
+///
+/// # Errors
+/// The text is not JSON, or a field is absent or not valid.
 pub fn start(text: &[u8]) -> Read<Start> {
-    let file: Value = serde_json::from_slice(text).map_err(|e| Unfit::NoJson(e.to_string()))?;
+    let file: Value = serde_json::from_slice(text).map_err(|error| Unfit::NoJson(error.to_string()))?;
     let settings = object(&file, "settings")?;
     let allowed = object(settings, "allowed")?;
     let limits = object(&file, "limits")?;
@@ -93,25 +109,26 @@
     text(from, name)?.parse().or_else(|_| fault(name, "an address with a port is wanted"))
 }
 
-/// One event of the list.
+/// One event of the endpoint list.
 fn update(event: &Value, words: &Words) -> Read<(EndpointListKind, Vec<Member>)> {
     let list = object(event, "endpoints")?;
     let kind = if mark(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
     let members = array(list, "members")?;
-    if members.len() > MEMBERS_MOST {
+    if members.len() > MAX_MEMBERS {
         return fault("members", "fewer are wanted");
     }
-    Ok((kind, members.iter().map(|m| member(m, words)).collect::<Read<_>>()?))
+    Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<Read<_>>()?))
 }
 
 fn member(entry: &Value, words: &Words) -> Read<Member> {
     let name = text_in(entry, "id")?;
-    // As in answers of the name service: a zone that the settings do not name is none, and no failed start.
+    // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
+    // start.
     let zone = maybe(entry, "locality").and_then(Value::as_str);
     let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
-    let server = WorkerId::named(&name);
+    let worker = WorkerId::named(&name);
     let listed = Endpoint {
-        worker: server,
+        worker,
         status: match text(entry, "phase")? {
             "in_service" => WorkerStatus::Ready,
             "terminating" => WorkerStatus::Draining,
@@ -122,12 +139,12 @@
         zone: zone.map(ZoneId),
         rack: match maybe(entry, "cell") {
             Some(_) => RackId(number(entry, "cell")? as i64),
-            None => RackId::unshared(server),
+            None => RackId::unshared(worker),
         },
         weight: number_or(entry, "size", 1.0)?,
     };
     let address = match maybe(entry, "host_port") {
-        // Of one that has gone, nobody needs to know where it was.
+        // Nothing connects to one that has gone.
         None if listed.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -1,64 +1,112 @@
-//! Reads single fields of a decoded JSON object; a fault names the field.
+//! Readers of single fields of a decoded JSON object; a fault names the field.
 use crate::fault::Unfit;
 use applepond::interface::Micros;
 use serde_json::Value;
 
+/// A value, or why the file is not valid.
 pub type Read<T> = Result<T, Unfit>;
 
-pub fn fault<T>(name: &str, want: &str) -> Read<T> {
-    Err(Unfit::field(name, want))
+/// The fault that the field of this name is not what is wanted.
+///
+/// # Errors
+/// Always.
+pub fn fault<T>(name: &str, wanted: &str) -> Read<T> {
+    Err(Unfit::field(name, wanted))
 }
 
 /// The field, or none where it is absent or null.
 pub fn maybe<'a>(object: &'a Value, name: &str) -> Option<&'a Value> {
-    object.get(name).filter(|v| !v.is_null())
+    object.get(name).filter(|value| !value.is_null())
 }
 
+/// The field as an object.
+///
+/// # Errors
+/// It is absent or something else.
 pub fn object<'a>(from: &'a Value, name: &str) -> Read<&'a Value> {
-    maybe(from, name).filter(|v| v.is_object()).map_or_else(|| fault(name, "an object is wanted"), Ok)
+    maybe(from, name).filter(|value| value.is_object()).map_or_else(|| fault(name, "an object is wanted"), Ok)
 }
 
+/// The field as an array.
+///
+/// # Errors
+/// It is absent or something else.
 pub fn array<'a>(from: &'a Value, name: &str) -> Read<&'a Vec<Value>> {
     maybe(from, name).and_then(Value::as_array).map_or_else(|| fault(name, "an array is wanted"), Ok)
 }
 
+/// The field as a text.
+///
+/// # Errors
+/// It is absent or something else.
 pub fn text<'a>(from: &'a Value, name: &str) -> Read<&'a str> {
     maybe(from, name).and_then(Value::as_str).map_or_else(|| fault(name, "a text is wanted"), Ok)
 }
 
+/// The field as a number.
+///
+/// # Errors
+/// It is absent or something else.
 pub fn number(from: &Value, name: &str) -> Read<f64> {
     maybe(from, name).and_then(Value::as_f64).map_or_else(|| fault(name, "a number is wanted"), Ok)
 }
 
+/// The field as a number, or `absent` where there is no such field.
+///
+/// # Errors
+/// It is something else.
 pub fn number_or(from: &Value, name: &str, absent: f64) -> Read<f64> {
     maybe(from, name).map_or(Ok(absent), |_| number(from, name))
 }
 
+/// The field as a whole number that is not negative.
+///
+/// # Errors
+/// It is absent or something else.
 pub fn whole(from: &Value, name: &str) -> Read<u64> {
     maybe(from, name).and_then(Value::as_u64).map_or_else(|| fault(name, "a whole number is wanted"), Ok)
 }
 
+/// The field as a truth value; false where there is no such field.
+///
+/// # Errors
+/// It is something else.
 pub fn mark(from: &Value, name: &str) -> Read<bool> {
     match maybe(from, name) {
         None => Ok(false),
-        Some(v) => v.as_bool().map_or_else(|| fault(name, "true or false is wanted"), Ok),
+        Some(value) => value.as_bool().map_or_else(|| fault(name, "true or false is wanted"), Ok),
     }
 }
 
+/// A time in ms as it stands in files, in whole µs; none is negative.
 fn micros_of(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
+/// The field, in ms, as a time in µs.
+///
+/// # Errors
+/// It is absent or no number.
 pub fn time(from: &Value, name: &str) -> Read<Micros> {
     number(from, name).map(micros_of)
 }
 
+/// The field, in ms, as a time in µs; 0 where there is no such field.
+///
+/// # Errors
+/// It is no number.
 pub fn time_or_none(from: &Value, name: &str) -> Read<Micros> {
     number_or(from, name, 0.0).map(micros_of)
 }
 
-/// Position of a named row among the names of the settings.
+/// Index of the row that the field names, among the names of the settings.
+///
+/// # Errors
+/// It is absent, no text, or not among them.
 pub fn position(names: &[String], from: &Value, name: &str) -> Read<usize> {
     let wanted = text(from, name)?;
-    names.iter().position(|n| n == wanted).map_or_else(|| fault(name, "a name of the settings is wanted"), Ok)
+    names
+        .iter()
+        .position(|known| known == wanted)
+        .map_or_else(|| fault(name, "a name of the settings is wanted"), Ok)
 }
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -6,16 +6,17 @@
 use serde_json::Value;
 use std::io::Write;
 
-/// What a line of a model server tells.
+/// Receives what a line of a model server says.
 pub trait Words {
-    /// The end of an attempt. Only a finished one brings a body; `elapsed` and `closed` are the owner's.
+    /// The end of an attempt. Only a finished one has a body; `elapsed` and `request_ended` are for the
+    /// owner of the attempt to fill in.
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>);
-    /// The connection works.
+    /// The answer to `echo`, with its tag: the connection works.
     fn works(&mut self, tag: &str);
 }
 
-/// The part of a line that runs a request that is the same for each of its attempts, up to the time it has.
-pub fn head(id: &str, workload: &str, function: &str, mark: Option<&str>) -> Vec<u8> {
+/// The first part of a line that runs a request, which is the same for each of its attempts.
+pub fn head(id: &str, workload: &str, function: &str, idempotency_key: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(192);
     let _ = write!(
         out,
@@ -24,28 +25,31 @@
         Value::from(workload),
         Value::from(function)
     );
-    if let Some(mark) = mark {
-        let _ = write!(out, r#""uniq":{},"#, Value::from(mark));
+    if let Some(key) = idempotency_key {
+        let _ = write!(out, r#""uniq":{},"#, Value::from(key));
     }
     out
 }
 
-/// The rest of such a line.
+/// The rest of such a line: the time that the attempt has, and the body.
+///
+/// # Panics
+/// Never: the buffer is made to fit the encoded body.
 pub fn rest(out: &mut Vec<u8>, budget_ms: u64, body: &[u8]) {
     let _ = write!(out, r#""budget":{budget_ms}}},"content":""#);
     let from = out.len();
     out.resize(from + body.len().div_ceil(3) * 4, 0);
-    let n = STANDARD.encode_slice(body, &mut out[from..]).expect("the buffer was made to fit");
-    out.truncate(from + n);
+    let written = STANDARD.encode_slice(body, &mut out[from..]).expect("the buffer was made to fit");
+    out.truncate(from + written);
     out.extend_from_slice(b"\"}\n");
 }
 
-/// Gives an attempt up.
+/// A line that cancels an attempt.
 pub fn undo(out: &mut Vec<u8>, id: &str) {
     let _ = writeln!(out, r#"{{"verb":"UNDO","rid":{}}}"#, Value::from(id));
 }
 
-/// Asks whether the connection works.
+/// A line that asks whether the connection works.
 pub fn echo(out: &mut Vec<u8>, tag: &str) {
     let _ = writeln!(out, r#"{{"verb":"ECHO","rid":{}}}"#, Value::from(tag));
 }
@@ -55,6 +59,9 @@
 }
 
 /// Reads one line.
+///
+/// # Errors
+/// The line is not JSON, names no request or no known verb, or its body is not base64.
 pub fn read(line: &[u8], words: &mut dyn Words) -> Result<(), Fault> {
     let line: Value = serde_json::from_slice(line).map_err(|_| spoilt("no JSON"))?;
     let text = |name: &str| line.get(name).and_then(Value::as_str);
@@ -71,39 +78,49 @@
         }
         _ => return Err(spoilt("no known word")),
     };
-    let attrs = line.get("attrs").unwrap_or(&Value::Null);
-    let number = |name: &str| match attrs.get(name) {
-        Some(Value::String(text)) => text.parse::<f64>().ok(),
-        Some(value) => value.as_f64(),
-        None => None,
-    };
-    let report = attrs.get("use").and_then(Value::as_str).unwrap_or("");
-    let reported = |name: &str| {
-        let pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
-        pairs.into_iter().find(|(n, _)| n.trim() == name).and_then(|(_, v)| v.trim().parse::<f64>().ok())
-    };
-    let copy = match attrs.get("detail").and_then(Value::as_str) {
-        Some("hit") => LoadState::Loaded,
-        Some("spawn") => LoadState::LoadStarted,
-        Some("pending") => LoadState::LoadPending,
-        Some("spawn_failed") => LoadState::LoadFailed,
-        _ => LoadState::Unreported,
-    };
     let body = match (outcome, text("content")) {
         (Outcome::Finished, Some(content)) => {
             STANDARD.decode(content).map_err(|_| spoilt("the body is no base64"))?
         }
         _ => Vec::new(),
     };
-    let answer = AttemptResult {
+    let attributes = line.get("attrs").unwrap_or(&Value::Null);
+    words.answer(id, attempt_result(outcome, attributes), body);
+    Ok(())
+}
+
+/// What the attributes of an answer say; what is absent or not valid counts as not reported.
+fn attempt_result(outcome: Outcome, attributes: &Value) -> AttemptResult {
+    let same_function = match attributes.get("same") {
+        Some(Value::String(text)) => text.parse::<f64>().ok(),
+        Some(value) => value.as_f64(),
+        None => None,
+    };
+    let report = attributes.get("use").and_then(Value::as_str).unwrap_or("");
+    AttemptResult {
         outcome,
         request_ended: false,
         elapsed: 0,
-        load_state: copy,
-        same_function_in_flight: number("same").filter(|n| *n >= 0.0).map_or(0, |n| n as u32),
-        reported_in_flight: reported("concurrent").filter(|n| n.is_finite()),
-        reported_loads: reported("x1").filter(|n| n.is_finite()),
-    };
-    words.answer(id, answer, body);
-    Ok(())
+        load_state: load_state(attributes),
+        same_function_in_flight: same_function.filter(|count| *count >= 0.0).map_or(0, |count| count as u32),
+        reported_in_flight: reported(report, "concurrent"),
+        reported_loads: reported(report, "x1"),
+    }
+}
+
+fn load_state(attributes: &Value) -> LoadState {
+    match attributes.get("detail").and_then(Value::as_str) {
+        Some("hit") => LoadState::Loaded,
+        Some("spawn") => LoadState::LoadStarted,
+        Some("pending") => LoadState::LoadPending,
+        Some("spawn_failed") => LoadState::LoadFailed,
+        _ => LoadState::Unreported,
+    }
+}
+
+/// A figure of a load report, which has the form `name:value;name:value`.
+fn reported(report: &str, name: &str) -> Option<f64> {
+    let mut pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
+    let (_, value) = pairs.find(|(found, _)| found.trim() == name)?;
+    value.trim().parse::<f64>().ok().filter(|value| value.is_finite())
 }
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -1,75 +1,96 @@
-//! Start-up rows from the operators' settings: the same reading for the simulator's first message and for a
-//! real router's configuration.
+//! The start-up configuration from the operators' settings, read alike for the simulator's first message and
+//! for a real router's configuration.
 use crate::fault::Unfit;
-use crate::fields::*;
-use applepond::interface::*;
+use crate::fields::{Read, array, mark, maybe, number_or, object, text, time, time_or_none};
+use applepond::interface::{
+    AttemptPolicy, CustomerConfig, IdempotencyScope, LoadState, RetrySafety, SlowStartRules, StartupConfig,
+    WorkloadConfig,
+};
 use serde_json::Value;
 
-/// The names behind the positions in the rows.
+/// The names that the indices of the configuration stand for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Words {
+    /// Names of the workloads, by `WorkloadId`.
     pub workloads: Vec<String>,
+    /// Names of the customers, by `CustomerId`.
     pub customers: Vec<String>,
+    /// Names of the zones, by `ZoneId`.
     pub zones: Vec<String>,
 }
 
 impl Words {
+    /// Reads them from the settings; a list that is absent is empty.
+    ///
+    /// # Errors
+    /// A row without a name, or a name that is no text.
     pub fn read(setup: &Value) -> Read<Self> {
-        let plain = |name| -> Read<Vec<String>> {
-            let list = maybe(setup, name).and_then(Value::as_array).into_iter().flatten();
-            list.map(|v| v.as_str().map(str::to_owned).ok_or_else(|| Unfit::field(name, "texts are wanted")))
-                .collect()
+        let texts = |list| -> Read<Vec<String>> {
+            let wanted = || Unfit::field(list, "texts are wanted");
+            rows(setup, list).map(|row| row.as_str().map(str::to_owned).ok_or_else(wanted)).collect()
         };
-        let rows = |name| -> Read<Vec<String>> {
-            let list = maybe(setup, name).and_then(Value::as_array).into_iter().flatten();
-            list.map(|row| text(row, "name").map(str::to_owned)).collect()
+        let names = |list| -> Read<Vec<String>> {
+            rows(setup, list).map(|row| text(row, "name").map(str::to_owned)).collect()
         };
-        Ok(Words { workloads: rows("lanes")?, customers: rows("projects")?, zones: plain("zones")? })
+        Ok(Words { workloads: names("lanes")?, customers: names("projects")?, zones: texts("zones")? })
     }
 }
 
+/// The rows of a list in the settings; none where it is absent.
+fn rows<'a>(setup: &'a Value, list: &str) -> impl Iterator<Item = &'a Value> {
+    maybe(setup, list).and_then(Value::as_array).into_iter().flatten()
+}
+
+/// Reads the start-up configuration of one router; `seed` is that of its random generator.
+///
+/// # Errors
+/// A field that is absent or not valid.
 pub fn startup(setup: &Value, seed: u64) -> Read<StartupConfig> {
     let allowed = object(setup, "allowed")?;
     let rules = object(setup, "rules")?;
-    let own = maybe(setup, "specifics").unwrap_or(&Value::Null);
+    let specifics = maybe(setup, "specifics").unwrap_or(&Value::Null);
     Ok(StartupConfig {
         seed,
         router_index: number_or(setup, "self-index", 0.0)? as u64,
         router_count: (number_or(setup, "group-size", 1.0)? as u64).max(1),
         workloads: array(setup, "lanes")?.iter().map(workload).collect::<Read<_>>()?,
-        customers: maybe(setup, "projects")
-            .and_then(Value::as_array)
-            .into_iter()
-            .flatten()
-            .map(|row| {
-                number_or(row, "quota-per-s", 0.0)
-                    .map(|jobs_per_s| CustomerConfig { requests_per_second: jobs_per_s })
-            })
-            .collect::<Read<_>>()?,
-        attempt_policy: AttemptPolicy {
-            max_attempts: number_or(allowed, "attempts-cap", 1.0)? as usize,
-            cancel_allowed: mark(allowed, "cancel")?,
-            hedging_allowed: mark(allowed, "second-copies")?,
-            retry_after_allowed: mark(allowed, "retry-after")?,
-            max_retry_after: time_or_none(allowed, "max-retry-after")?,
-        },
-        slow_start: SlowStartRules {
-            initial_capacity: number_or(rules, "cold-from", 1.0)?,
-            warmup_time: time_or_none(rules, "warm-within")?,
-            overload_factor: number_or(rules, "fall-multiple", 1.0)?,
-            overload_window: time_or_none(rules, "fall")?,
-        },
+        customers: rows(setup, "projects").map(customer).collect::<Read<_>>()?,
+        attempt_policy: attempt_policy(allowed)?,
+        slow_start: slow_start(rules)?,
         over_quota_factor: number_or(setup, "over-share-worth", 1.0)?,
-        cache_lifetime: time_or_none(own, "keep")?,
-        reports_same_function: mark(own, "says-company")?,
+        cache_lifetime: time_or_none(specifics, "keep")?,
+        reports_same_function: mark(specifics, "says-company")?,
         timeouts_shared: true,
         watches_endpoints: maybe(setup, "discovery").and_then(Value::as_str) == Some("ask"),
         weights_shared: maybe(setup, "weights").and_then(Value::as_str) != Some("live"),
     })
 }
 
+fn attempt_policy(allowed: &Value) -> Read<AttemptPolicy> {
+    Ok(AttemptPolicy {
+        max_attempts: number_or(allowed, "attempts-cap", 1.0)? as usize,
+        cancel_allowed: mark(allowed, "cancel")?,
+        hedging_allowed: mark(allowed, "second-copies")?,
+        retry_after_allowed: mark(allowed, "retry-after")?,
+        max_retry_after: time_or_none(allowed, "max-retry-after")?,
+    })
+}
+
+fn slow_start(rules: &Value) -> Read<SlowStartRules> {
+    Ok(SlowStartRules {
+        initial_capacity: number_or(rules, "cold-from", 1.0)?,
+        warmup_time: time_or_none(rules, "warm-within")?,
+        overload_factor: number_or(rules, "fall-multiple", 1.0)?,
+        overload_window: time_or_none(rules, "fall")?,
+    })
+}
+
+fn customer(row: &Value) -> Read<CustomerConfig> {
+    Ok(CustomerConfig { requests_per_second: number_or(row, "quota-per-s", 0.0)? })
+}
+
 fn workload(row: &Value) -> Read<WorkloadConfig> {
-    let effect = match text(row, "idempotency")? {
+    let retry_safety = match text(row, "idempotency")? {
         "idempotent" => RetrySafety::Idempotent,
         "at_most_once" => RetrySafety::AtMostOnce,
         "deduplicated" => RetrySafety::Keyed {
@@ -84,14 +105,14 @@
         other => return Err(Unfit::field("idempotency", format!("'{other}' is not known"))),
     };
     Ok(WorkloadConfig {
-        retry_safety: effect,
+        retry_safety,
         latency_objective: time(row, "on-time")?,
         priority_weight: number_or(row, "worth", 1.0)?,
         late_priority_factor: number_or(row, "late-worth", 0.0)?,
     })
 }
 
-/// What a note of the simulator says of the function's copy.
+/// What a note in the simulator's protocol says of the function's copy on a worker.
 pub fn copy_note(note: u32) -> LoadState {
     match note {
         1 => LoadState::Loaded,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,6 +1,9 @@
 //! Lines of model servers, calls of clients, the configuration and answers of the name service: what is read,
 //! and what is not taken.
-use applepond::interface::*;
+use applepond::interface::{
+    AttemptResult, CustomerId, LoadState, Micros, Outcome, RackId, RequestArrival, StartupConfig,
+    WorkerStatus, ZoneId,
+};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part, id_text};
 use applepond_platform::rows::Words;
@@ -12,9 +15,9 @@
 // ---- Lines -----------------------------------------------------------------------------------
 
 #[derive(Default)]
-struct Heard(Vec<(String, AttemptResult, Vec<u8>)>, usize);
+struct Answers(Vec<(String, AttemptResult, Vec<u8>)>, usize);
 
-impl line::Words for Heard {
+impl line::Words for Answers {
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         self.0.push((id.into(), answer, body));
     }
@@ -23,12 +26,12 @@
     }
 }
 
-type Said = (Outcome, LoadState, u32, Option<f64>, Option<f64>, Vec<u8>);
+type Answer = (Outcome, LoadState, u32, Option<f64>, Option<f64>, Vec<u8>);
 
-fn heard(line: &str) -> Option<Said> {
-    let mut heard = Heard::default();
-    line::read(line.as_bytes(), &mut heard).ok()?;
-    let (_, a, body) = heard.0.pop()?;
+fn read_answer(line: &str) -> Option<Answer> {
+    let mut answers = Answers::default();
+    line::read(line.as_bytes(), &mut answers).ok()?;
+    let (_, a, body) = answers.0.pop()?;
     Some((a.outcome, a.load_state, a.same_function_in_flight, a.reported_in_flight, a.reported_loads, body))
 }
 
@@ -47,8 +50,8 @@
     (Outcome::Error, LoadState::LoadPending, 0, None, None, vec![]); "a report that is none")]
 #[test_case(r#"{"verb":"VOID","rid":"a"}"#,
     (Outcome::Superseded, LoadState::Unreported, 0, None, None, vec![]); "void")]
-fn words(line: &str, want: Said) {
-    assert_eq!(heard(line), Some(want));
+fn an_answer_line(line: &str, want: Answer) {
+    assert_eq!(read_answer(line), Some(want));
 }
 
 #[test_case(""; "empty")]
@@ -57,12 +60,12 @@
 #[test_case(r#"{"verb":"OK","content":""}"#; "no id")]
 #[test_case(r#"{"verb":"FINE","rid":"a"}"#; "unknown word")]
 #[test_case(r#"{"verb":"OK","rid":"a","content":"b2s"}"#; "no base64")]
-fn spoilt(line: &str) {
-    assert!(line::read(line.as_bytes(), &mut Heard::default()).is_err());
+fn a_line_that_is_no_answer(line: &str) {
+    assert!(line::read(line.as_bytes(), &mut Answers::default()).is_err());
 }
 
 #[test]
-fn a_line_that_runs_a_job() {
+fn a_line_that_runs_a_request() {
     let mut out = line::head("9b1f", "call", "7f3a", Some("5c"));
     line::rest(&mut out, 1500, b"\x00\xff!");
     let line: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
@@ -138,7 +141,7 @@
 #[test_case("Content-Length: 2", "Content-Length: -2", 400; "negative length")]
 #[test_case("Content-Length: 2", "Content-Length: 60000000", 413; "a huge body, on its head")]
 #[test_case("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked", 400; "two lengths")]
-fn no_call(old: &str, new: &str, status: u16) {
+fn a_request_that_is_no_call(old: &str, new: &str, status: u16) {
     assert!(GOOD.contains(old));
     assert_eq!(asked(&GOOD.replace(old, new)).err(), Some(status));
 }
@@ -183,24 +186,24 @@
 #[test]
 fn a_list() {
     let bytes = reply(Some(41), &[ONE, Entry("s-2.room-1.hosts", 1, "started=0", true)], |_| ());
-    let told = names::answer(&bytes, 7, &rows().0).expect("a good answer");
-    assert_eq!((told.index, told.members.len(), told.left_out), (41, 2, 0));
-    let first = &told.members[0];
+    let list = names::answer(&bytes, 7, &rows().0).expect("a good answer");
+    assert_eq!((list.index, list.members.len(), list.left_out), (41, 2, 0));
+    let first = &list.members[0];
     assert_eq!((first.name.as_str(), first.address.to_string()), ("s-00c41f7a", "10.1.0.9:8443".into()));
     let listed = &first.listed;
     assert_eq!((listed.zone, listed.rack, listed.weight), (Some(ZoneId(1)), RackId(2), 130.5));
     assert_eq!((listed.up_since, listed.status), (5_000, WorkerStatus::Ready));
-    assert_eq!(told.members[1].listed.status, WorkerStatus::Draining);
+    assert_eq!(list.members[1].listed.status, WorkerStatus::Draining);
 }
 
 #[test]
 fn an_entry_without_its_records_is_left_out() {
     let bytes = reply(Some(41), &[Entry("s-3.room-1.hosts", 0, "started=0", false), ONE], |_| ());
-    let told = names::answer(&bytes, 7, &rows().0).expect("the rest is good");
-    assert_eq!((told.members.len(), told.left_out), (1, 1));
+    let list = names::answer(&bytes, 7, &rows().0).expect("the rest is good");
+    assert_eq!((list.members.len(), list.left_out), (1, 1));
 }
 
-// Whose cell is not told, shares with nobody what it has seen: not with another such, nor with cell 0.
+// One whose cell is not given shares with nobody what it has seen: not with another such, nor with cell 0.
 #[test]
 fn an_entry_without_its_cell() {
     let two = [ONE, Entry("s-2.room-1.hosts", 0, "started=0", true)];
@@ -211,8 +214,8 @@
             }
         }
     });
-    let told = names::answer(&bytes, 7, &rows().0).expect("a good answer");
-    let racks: Vec<RackId> = told.members.iter().map(|m| m.listed.rack).collect();
+    let list = names::answer(&bytes, 7, &rows().0).expect("a good answer");
+    let racks: Vec<RackId> = list.members.iter().map(|m| m.listed.rack).collect();
     assert!(racks.len() == 2 && racks[0] != racks[1] && !racks.contains(&RackId(0)), "{racks:?}");
 }
 
@@ -221,7 +224,7 @@
 #[test_case(|p| p.set_flags(PacketFlag::TRUNCATION); "marked as cut short")]
 #[test_case(|p| *p.rcode_mut() = RCODE::ServerFailure; "a failure")]
 #[test_case(|p| p.name_servers.clear(); "without a serial")]
-fn no_list(change: fn(&mut Packet)) {
+fn an_answer_that_is_no_list(change: fn(&mut Packet)) {
     assert!(names::answer(&reply(Some(41), &[ONE], change), 7, &rows().0).is_err());
 }
 
@@ -256,7 +259,7 @@
 #[test_case("", "not JSON"; "empty")]
 #[test_case("{}", "field 'settings'"; "no settings")]
 #[test_case(r#"{"settings":{"allowed":{}},"limits":{}}"#, "field 'seed'"; "no seed")]
-fn no_configuration(text: &str, why: &str) {
+fn a_text_that_is_no_configuration(text: &str, why: &str) {
     let fault = config::start(text.as_bytes()).expect_err("a fault");
     assert!(fault.to_string().contains(why), "{fault}");
 }
