--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,7 +6,10 @@
 use applepond_gateway::deployment::{FleetConfig, PrefixCacheConfig};
 use applepond_gateway::errors::ReloadError;
 use applepond_gateway::reload::merge;
-use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
+use applepond_gateway::{
+    ConfigSource, Deployment, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker,
+    StatusSection, TrafficBaseline,
+};
 use applepond_membership::{Count, Guards};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_prefix_cache::Terms;
@@ -153,14 +156,14 @@
 /// The fleet's counts of openings as the gateway uses them.
 pub struct Counter(pub Rc<RefCell<View>>);
 
-impl Counts for Counter {
-    fn uses(&mut self, name: &str, size: u32) {
+impl PrefixTracker for Counter {
+    fn record_use(&mut self, name: &str, size: u32) {
         self.0.borrow_mut().shared.iter_mut().for_each(|s| s.uses(name, size));
     }
-    fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
+    fn pin_lease(&self, now: Micros, name: &str) -> Option<Micros> {
         self.0.borrow().shared.as_ref().and_then(|s| s.rides(now, name))
     }
-    fn workers(&mut self, ready: usize) {
+    fn set_ready_workers(&mut self, ready: usize) {
         self.0.borrow_mut().shared.iter_mut().for_each(|s| s.workers(ready));
     }
 }
@@ -168,33 +171,46 @@
 /// The memory of a router as its gateway uses it.
 pub struct Shelf(pub Rc<RefCell<Memory>>, pub Return);
 
-impl Remembers for Shelf {
-    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
-        self.0.borrow_mut().saw(now, server, up_since, seen);
+impl HistoryStore for Shelf {
+    fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory) {
+        self.0.borrow_mut().saw(now, worker, up_since, history);
     }
-    fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
-        self.0.borrow_mut().saw_load_time(now, function, took);
+    fn record_load_time(&mut self, now: Micros, function: FunctionId, load_time: Micros) {
+        self.0.borrow_mut().saw_load_time(now, function, load_time);
     }
-    fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
-        self.0.borrow_mut().saw_usual(now, usual);
+    fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
+        let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
+        self.0.borrow_mut().saw_usual(now, [first_attempts_per_second, connections_per_second, pace]);
     }
-    fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, request, wait);
+    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry) {
+        self.0.borrow_mut().promised(now, retry.request, retry.wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
-        self.0.borrow_mut().own(now)
+    fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
+        let (usual, promises) = self.0.borrow_mut().own(now)?;
+        let baseline = usual.map(|[first_attempts_per_second, connections_per_second, pace]| {
+            TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
+        });
+        let promised = promises.into_iter().map(|(request, wait)| PromisedRetry { request, wait });
+        Some(RestoredTraffic { baseline, promised_retries: promised.collect() })
     }
-    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
-        self.0.borrow_mut().recalls(now)
+    fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
+        let recalled = self.0.borrow_mut().recalls(now).into_iter();
+        recalled.map(|(worker, up_since, history)| RestoredWorker { worker, up_since, history }).collect()
     }
-    fn recalled(&mut self, server: WorkerId, up_since: Micros) {
-        self.0.borrow_mut().recalled(server, up_since);
+    fn worker_restored(&mut self, worker: WorkerId, up_since: Micros) {
+        self.0.borrow_mut().recalled(worker, up_since);
     }
-    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
-        let made = self.0.borrow_mut().listed(now, server, up_since, is);
-        if self.1.keeps_drains { made } else { is }
+    fn effective_status(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        up_since: Micros,
+        listed: WorkerStatus,
+    ) -> WorkerStatus {
+        let status = self.0.borrow_mut().listed(now, worker, up_since, listed);
+        if self.1.keeps_drains { status } else { listed }
     }
-    fn whole(&mut self, named: &[(WorkerId, Micros)]) {
+    fn full_list_received(&mut self, named: &[(WorkerId, Micros)]) {
         self.0.borrow_mut().whole(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
@@ -236,13 +252,13 @@
 }
 
 /// The view as a part of the state page.
-pub fn shown(view: Rc<RefCell<View>>) -> Page {
+pub fn shown(view: Rc<RefCell<View>>) -> StatusSection {
     Box::new(move |now| page(&view.borrow(), now))
 }
 
 /// The live count as new settings, by the same way as those of the file. With those of a file come its seeds
 /// and keys; where a key cannot be read, or another part needs a restart, nothing of the file is taken.
-pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: News) -> News {
+pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: ConfigSource) -> ConfigSource {
     let begun = Instant::now();
     let mut most = held.startup.router_count;
     let mut count = Count::new(most as usize);
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,7 +2,7 @@
 use crate::fleet;
 use applepond::interface::RetrySafety;
 use applepond_gateway::errors::ReloadError;
-use applepond_gateway::{Deployment, Gateway, News};
+use applepond_gateway::{ConfigSource, Deployment, Gateway};
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
 use applepond_scenarios::saboteur::{PLANTS, Saboteur};
@@ -69,7 +69,7 @@
 }
 
 /// Reads the settings file again after a SIGHUP; a file with faults is told and changes nothing.
-fn asked_for_news(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<News> {
+fn asked_for_news(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<ConfigSource> {
     let asked = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGHUP, asked.clone())?;
     let file = file.to_owned();
@@ -151,16 +151,16 @@
         Some((_, view, _)) => fleet::counted(view.clone(), deployment.clone(), news),
         None => news,
     };
-    let gateway = Gateway::new(reactor.now(), deployment, told).with_news(news);
+    let gateway = Gateway::new(reactor.now(), deployment, told).with_config_source(news);
     let gateway = match &fleet {
         Some((_, view, memory)) => gateway
-            .with_page("fleet", fleet::shown(view.clone()))
-            .with_memory(Box::new(fleet::Shelf(memory.clone(), rig.comeback)))
-            .with_openings(Box::new(fleet::Counter(view.clone()))),
+            .with_status_section("fleet", fleet::shown(view.clone()))
+            .with_history(Box::new(fleet::Shelf(memory.clone(), rig.comeback)))
+            .with_prefix_tracker(Box::new(fleet::Counter(view.clone()))),
         None => gateway,
     };
     let gateway = match record {
-        Some(record) => Box::new(gateway.with_record(record)),
+        Some(record) => Box::new(gateway.with_workflow_store(record)),
         None => Box::new(gateway),
     };
     let machine: Box<dyn Machine> = match plant {
--- /dev/null
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -0,0 +1,163 @@
+//! Attempts: they are sent on worker connections, ended by a cancel or a timeout, and closed exactly once
+//! towards `Control`.
+//!
+//! Enters here: `Control`'s orders to send and to cancel, the timer of attempts' timeouts, and each worker
+//! connection that is established.
+use super::Gateway;
+use crate::request_table::{AttemptId, Dispatch, Started, attempt_result};
+use applepond::interface::{AttemptResult, Micros, Outcome, WorkerStatus};
+use applepond_http::encode;
+use applepond_reactor::{Conn, Transport};
+use std::net::SocketAddr;
+
+impl Gateway {
+    /// Starts an attempt that `Control` ordered.
+    pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
+        let max_attempts = self.deployment.startup.attempt_policy.max_attempts;
+        match self.requests.start_attempt(now, dispatch, max_attempts) {
+            Some(Started::InFlight(attempt)) => {
+                self.counters.attempts += 1;
+                if let Some(worker) = self.workers.endpoints.get_mut(dispatch.worker) {
+                    worker.in_flight += 1;
+                }
+                self.set_timeout_timer(now, transport);
+                self.connect_attempt(now, transport, attempt);
+            }
+            Some(Started::Refused(attempt)) => {
+                self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
+            }
+            None => {}
+        }
+    }
+
+    /// Sets the timer for the attempt that times out first, unless one fires early enough anyway.
+    fn set_timeout_timer(&mut self, now: Micros, transport: &mut dyn Transport) {
+        if let Some(at) = self.requests.next_timer() {
+            let delay = at.saturating_sub(now);
+            let call = |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
+                gateway.end_timed_out_attempts(now, transport);
+            };
+            self.schedule(now, transport, delay, Box::new(call));
+        }
+    }
+
+    fn end_timed_out_attempts(&mut self, now: Micros, transport: &mut dyn Transport) {
+        while let Some(attempt) = self.requests.pop_timed_out(now) {
+            self.end_attempt(now, transport, attempt, Outcome::TimedOut);
+        }
+        self.set_timeout_timer(now, transport);
+    }
+
+    /// Puts an attempt on a connection: an idle one, on which it is sent at once, else a new one, on which it is
+    /// sent as soon as that is established.
+    pub(super) fn connect_attempt(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        let retry_safety = request.data.retry_safety;
+        let state = &mut request.attempts[attempt.index];
+        let worker = state.worker;
+        if self.workers.ready(worker).is_none() {
+            self.close_attempt(now, attempt, attempt_result(Outcome::ConnectFailed));
+            return;
+        }
+        let idle = self.workers.assign_idle(now, transport, worker, attempt, retry_safety);
+        if let Some(conn) = idle {
+            state.connection = Some(conn);
+            self.send_request(now, transport, conn);
+        } else {
+            let timeout = self.deployment.connect_timeout;
+            state.connection = self.workers.connect(transport, worker, attempt, timeout);
+        }
+    }
+
+    /// Writes the request of the attempt that a connection carries.
+    pub(super) fn send_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let Some(connection) = self.workers.connections.get(&conn) else { return };
+        let Some(attempt) = connection.attempt else { return };
+        let Some(worker) = self.workers.endpoints.get(connection.worker) else { return };
+        // Its clients have left while the connection was made, or it is a repeat that the worker would not
+        // recognise any more.
+        if !self.requests.get(attempt.request).is_some_and(|request| request.may_start(now, attempt.index)) {
+            self.end_attempt(now, transport, attempt, Outcome::Superseded);
+            return;
+        }
+        // The worker has started to drain meanwhile: nothing new goes there.
+        if worker.status != WorkerStatus::Ready {
+            self.end_attempt(now, transport, attempt, Outcome::ConnectFailed);
+            return;
+        }
+        if let Some(bytes) = self.encode_request(now, attempt, worker.address) {
+            transport.write(conn, &bytes);
+        }
+    }
+
+    /// An attempt's request as a worker gets it.
+    fn encode_request(&self, now: Micros, attempt: AttemptId, address: SocketAddr) -> Option<Vec<u8>> {
+        let request = self.requests.get(attempt.request)?;
+        let content = &request.data.content;
+        let function = &request.data.function_config;
+        let workload = &self.deployment.workloads[content.workload].name;
+        let time_left = request.deadline.saturating_sub(now);
+        let mut head = encode::request("POST", "/run", &address.to_string());
+        head = head.lines(&content.fields);
+        if let Some(media_type) = &content.media_type {
+            head = head.field("Content-Type", media_type);
+        }
+        head = head
+            .field("applepond-function", &content.function)
+            .field("applepond-workload", workload)
+            .number("applepond-lanes", u64::from(function.concurrency))
+            .number("applepond-memory-mb", u64::from(function.memory_mb))
+            .number("applepond-router", self.deployment.startup.router_index)
+            .number("applepond-execution", attempt.index as u64)
+            .number("applepond-time-left-ms", time_left / 1000);
+        if let Some(prefix) = &content.prefix {
+            head = head
+                .field("applepond-opening", &prefix.name)
+                .number("applepond-opening-size", u64::from(prefix.size));
+            // Looked up as the request is written: a list of pins that has expired pins nothing.
+            let lease = self.prefix_tracker.as_ref().and_then(|tracker| tracker.pin_lease(now, &prefix.name));
+            if let Some(lease) = lease {
+                head = head.number("applepond-opening-lease-ms", lease / 1000);
+            }
+        }
+        Some(head.body(&content.data))
+    }
+
+    /// Ends an attempt from this side, by a cancel or because it has timed out: the worker learns it from the
+    /// end of its connection, and whatever it answers after that is never read.
+    pub(super) fn end_attempt(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        attempt: AttemptId,
+        outcome: Outcome,
+    ) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        let Some(state) = request.attempts.get_mut(attempt.index).filter(|state| !state.closed) else {
+            return;
+        };
+        if let Some(conn) = state.connection.take() {
+            self.workers.cut(transport, conn);
+        }
+        request.timed_out |= outcome == Outcome::TimedOut;
+        self.close_attempt(now, attempt, attempt_result(outcome));
+    }
+
+    /// Reports the end of an attempt to `Control`, the first time only.
+    pub(super) fn close_attempt(&mut self, now: Micros, attempt: AttemptId, result: AttemptResult) {
+        let request = self.requests.get(attempt.request);
+        let worker = request.map(|request| request.attempts[attempt.index].worker);
+        let Some(result) = self.requests.close_attempt(now, attempt, result) else { return };
+        if let Some(record) = worker.and_then(|worker| self.workers.endpoints.get_mut(worker)) {
+            record.in_flight = record.in_flight.saturating_sub(1);
+        }
+        tracing::debug!(
+            attempt = attempt.index,
+            outcome = ?result.outcome,
+            duration_us = result.elapsed,
+            "attempt closed"
+        );
+        self.control.advance_to(now);
+        self.control.attempt_finished(&mut self.actions, attempt.request, attempt.index, &result);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/clients.rs
@@ -0,0 +1,99 @@
+//! Client connections: accepted, read, answered at once where that is possible, timed out and closed.
+//!
+//! Enters here: the reactor's events of client connections. What a complete event asks for is decided in
+//! `intake`.
+use super::Gateway;
+use crate::client::{Answer, ClientConnection, ClientRequest, TimeoutCheck};
+use applepond::interface::Micros;
+use applepond_reactor::{Conn, Listener, Transport};
+
+/// Longest time between two timeout checks of a client: a new request may have started meanwhile.
+const MAX_TIMEOUT_CHECK_INTERVAL: Micros = 5_000_000;
+
+impl Gateway {
+    /// A client has connected. While too many connect at once, the listener pauses.
+    pub(super) fn client_accepted(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        listener: Listener,
+    ) {
+        let pause = self.admission.connection(now);
+        if let Some(pause) = pause.filter(|_| self.deployment.storm_shedding) {
+            transport.deafen(listener, false);
+            let resume = move |_: &mut Gateway, _, transport: &mut dyn Transport| transport.hear(listener);
+            self.schedule(now, transport, pause, Box::new(resume));
+        }
+        let max_event_bytes = self.deployment.max_event_bytes;
+        let client = ClientConnection::new(now, max_event_bytes, self.attribute_names.clone());
+        self.clients.insert(conn, client);
+        self.check_client_timeout(now, transport, conn);
+    }
+
+    /// Takes the requests that are complete, as far as answers allow.
+    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        while let Some(client) = self.clients.get_mut(&conn)
+            && let Some(request) = client.next_request(transport, conn)
+        {
+            match request {
+                Ok(ClientRequest::Event(event)) => {
+                    if let Err(answer) = self.accept_event(now, conn, *event) {
+                        self.answer_client(now, transport, conn, &answer);
+                    }
+                }
+                Ok(ClientRequest::StatePage) => {
+                    let page = self.state_page(now);
+                    self.answer_client(now, transport, conn, &page);
+                }
+                Err(fault) => {
+                    self.counters.unreadable += 1;
+                    tracing::info!(reason = fault.reason, status = fault.status, "request refused");
+                    client.refuse(now, transport, conn, &fault);
+                }
+            }
+        }
+    }
+
+    fn answer_client(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.answer(now, transport, conn, answer);
+        }
+    }
+
+    /// A client has gone. A request that was never sent to a worker ends with the last client that waited for
+    /// it; one that was sent goes on, for the client may come back for its answer and must not make it run
+    /// twice. A workflow goes on in any case.
+    pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
+        let Some(request) = self.clients.remove(&conn).and_then(|client| client.request) else { return };
+        if let Some(workflow) = self.workflows.active.get_mut(&request) {
+            workflow.clients.retain(|client| *client != conn);
+        }
+        let Some(state) = self.requests.get_mut(request) else { return };
+        state.data.clients.retain(|client| *client != conn);
+        if !state.data.clients.is_empty() || !state.attempts.is_empty() || state.ended {
+            return;
+        }
+        let key = &state.data.content.key;
+        tracing::info!(id = %key.id, source = %key.source, reason = "client-left", "request ended");
+        self.idempotency.abandon(key);
+        self.requests.remove(request);
+        self.control.advance_to(now);
+        self.control.client_disconnected(&mut self.actions, request);
+    }
+
+    /// Checks a client's timeouts, and again when the next one could be over.
+    fn check_client_timeout(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let Some(client) = self.clients.get_mut(&conn) else { return };
+        match client.check_timeout(now, transport, conn) {
+            TimeoutCheck::CheckAt(at) => {
+                let delay = at.saturating_sub(now).min(MAX_TIMEOUT_CHECK_INTERVAL);
+                let check = move |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
+                    gateway.check_client_timeout(now, transport, conn);
+                };
+                self.schedule(now, transport, delay, Box::new(check));
+            }
+            TimeoutCheck::Closed => self.client_closed(now, conn),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/intake.rs
@@ -0,0 +1,239 @@
+//! Events of clients: each one joins a request in progress, gets a kept answer, is refused, or becomes a request
+//! or a workflow. An `Err` of these methods is the answer that the exchange gets at once.
+use super::Gateway;
+use super::extensions::PromisedRetry;
+use super::request::{NewRequest, PromptPrefix, RequestContent};
+use crate::client::{Answer, EventDraft};
+use crate::deadline;
+use crate::deployment::FunctionSource;
+use crate::idempotency::{FinalOutcome, IdempotencyKey, Lookup};
+use applepond::interface::{CustomerId, FunctionId, Micros};
+use applepond_admission::{Arrival, Passage};
+use applepond_http::Fault;
+use applepond_reactor::Conn;
+use std::rc::Rc;
+
+/// Bytes of a prompt prefix's name at most; a longer one is ignored.
+const MAX_PREFIX_NAME_BYTES: usize = 200;
+/// Requests and workflows that have not ended at most; beyond it the gateway itself rejects, at the cost of one
+/// answer.
+const MAX_OPEN_REQUESTS: usize = 20_000;
+/// The wait that a client is told then.
+const TOO_MANY_RETRY_AFTER: Micros = 1_000_000;
+/// Characters of an unknown event type that its answer repeats.
+const MAX_SHOWN_TYPE_CHARS: usize = 80;
+
+/// What admission says of an event that it lets pass.
+pub(super) struct Admitted {
+    /// Digest of the event's `source`.
+    pub(super) client_digest: u64,
+    /// Digest of the event's key.
+    pub(super) digest: u64,
+    /// The event repeats an earlier one, as its client says or as admission has seen.
+    pub(super) is_retry: bool,
+}
+
+/// The answer to an event that is refused, and its line in the log.
+pub(super) fn refuse(id: &str, fault: &Fault) -> Rc<Answer> {
+    tracing::info!(id, reason = fault.reason, status = fault.status, "event refused");
+    Answer::problem(FinalOutcome::Rejected, fault, Some(id), None)
+}
+
+impl Gateway {
+    /// Takes one event.
+    pub(super) fn accept_event(
+        &mut self,
+        now: Micros,
+        conn: Conn,
+        event: EventDraft,
+    ) -> Result<(), Rc<Answer>> {
+        let workflows = &self.deployment.workflows;
+        if let Some(index) = workflows.iter().position(|row| row.types.contains(&event.event_type)) {
+            return self.accept_workflow(now, conn, index, event);
+        }
+        let workload = self.workload_of(&event)?;
+        let function = self.function_of(workload, &event)?;
+        let prefix = self.prefix_of(workload, &event);
+        let customer = self.customer_of(&event)?;
+        let key = IdempotencyKey::new(&event.source, &event.id);
+        if let Some(known) = self.join_or_replay(now, conn, &key) {
+            return known;
+        }
+        let limit = self.deployment.workloads[workload].deadline;
+        let time_left = self.time_left_of(now, limit, &event)?;
+        let admitted = self.admit(now, &event, workload, time_left)?;
+        self.counters.accepted += 1;
+        if let (Some(tracker), Some(prefix)) = (&mut self.prefix_tracker, &prefix) {
+            tracker.record_use(&prefix.name, prefix.size);
+        }
+        let content = RequestContent {
+            key: key.clone(),
+            client_digest: admitted.client_digest,
+            digest: admitted.digest,
+            workload,
+            function,
+            fields: event.fields,
+            media_type: event.media_type,
+            data: Rc::new(event.data),
+            prefix,
+        };
+        let new = NewRequest {
+            content,
+            customer,
+            time_left,
+            is_retry: admitted.is_retry,
+            priority_factor: 1.0,
+            clients: vec![conn],
+            on_end: None,
+        };
+        let request = self.start_request(now, new);
+        self.idempotency.start(key, request);
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.request = Some(request);
+        }
+        Ok(())
+    }
+
+    /// The index of the workload that takes the event's type.
+    fn workload_of(&self, event: &EventDraft) -> Result<usize, Rc<Answer>> {
+        let mut workloads = self.deployment.workloads.iter();
+        workloads.position(|workload| workload.types.contains(&event.event_type)).ok_or_else(|| {
+            let shown: String = event.event_type.escape_default().take(MAX_SHOWN_TYPE_CHARS).collect();
+            let detail = format!("no workload takes events of type '{shown}'");
+            refuse(&event.id, &Fault::new(422, "unknown-workload", detail))
+        })
+    }
+
+    /// The name of the function that the event calls.
+    fn function_of(&self, workload: usize, event: &EventDraft) -> Result<String, Rc<Answer>> {
+        let source = &self.deployment.workloads[workload].function_source;
+        let function = match source {
+            FunctionSource::Named(name) => Some(name.as_str()),
+            FunctionSource::Attribute(name) => event.attribute(name).filter(|value| !value.is_empty()),
+        };
+        function.map(str::to_owned).ok_or_else(|| {
+            let detail = format!("the event does not name its function: {source:?}");
+            refuse(&event.id, &Fault::new(422, "no-function", detail))
+        })
+    }
+
+    /// The prompt prefix that the event names. One of unknown size is prepared as any, and never pinned.
+    fn prefix_of(&self, workload: usize, event: &EventDraft) -> Option<PromptPrefix> {
+        let attributes = self.deployment.workloads[workload].prefix_attributes.as_ref()?;
+        let name = event.attribute(&attributes.name)?;
+        if !(1..=MAX_PREFIX_NAME_BYTES).contains(&name.len()) {
+            return None;
+        }
+        let size = event.attribute(&attributes.size).and_then(|size| size.parse().ok()).unwrap_or(0);
+        Some(PromptPrefix { name: name.to_owned(), size })
+    }
+
+    /// The customer that the event names, if it names one.
+    pub(super) fn customer_of(&self, event: &EventDraft) -> Result<Option<CustomerId>, Rc<Answer>> {
+        let Some(name) = event.attribute(&self.deployment.customer_attribute) else { return Ok(None) };
+        let configs = &self.deployment.startup.customers;
+        let index = self.deployment.customers.iter().position(|known| known == name);
+        // A reload may have left the name behind, without a share.
+        match index.filter(|index| configs[*index].requests_per_second > 0.0) {
+            Some(index) => Ok(Some(CustomerId(index))),
+            None => {
+                let fault = Fault::new(422, "unknown-customer", "no such customer has a share here");
+                Err(refuse(&event.id, &fault))
+            }
+        }
+    }
+
+    /// Time until the event's answer is due.
+    pub(super) fn time_left_of(
+        &self,
+        now: Micros,
+        limit: Micros,
+        event: &EventDraft,
+    ) -> Result<Micros, Rc<Answer>> {
+        deadline::time_left(now, limit, event.deadline).ok_or_else(|| {
+            refuse(&event.id, &Fault::new(504, "expired", "the event's time was up when it came"))
+        })
+    }
+
+    /// Has an exchange join the request or workflow in progress with its key, or gives it the kept answer. None
+    /// where the key is new.
+    pub(super) fn join_or_replay(
+        &mut self,
+        now: Micros,
+        conn: Conn,
+        key: &IdempotencyKey,
+    ) -> Option<Result<(), Rc<Answer>>> {
+        match self.idempotency.look_up(now, key) {
+            Lookup::InProgress(request) => {
+                self.counters.joined += 1;
+                match (self.requests.get_mut(request), self.workflows.active.get_mut(&request)) {
+                    (Some(state), _) => state.data.clients.push(conn),
+                    (_, Some(workflow)) => workflow.clients.push(conn),
+                    _ => unreachable!("a key in progress belongs to a request or a workflow"),
+                }
+                if let Some(client) = self.clients.get_mut(&conn) {
+                    client.request = Some(request);
+                }
+                Some(Ok(()))
+            }
+            Lookup::Completed(answer) => {
+                self.counters.replayed += 1;
+                Some(Err(answer))
+            }
+            Lookup::New => None,
+        }
+    }
+
+    /// Whether one more may come in: by the number of open requests, and by admission, which sheds load during
+    /// a retry storm.
+    pub(super) fn admit(
+        &mut self,
+        now: Micros,
+        event: &EventDraft,
+        workload: usize,
+        time_left: Micros,
+    ) -> Result<Admitted, Rc<Answer>> {
+        if self.requests.len() + self.workflows.active.len() >= MAX_OPEN_REQUESTS {
+            let fault = Fault::new(503, "too-many-jobs", "this router holds as many jobs as it may");
+            let retry_after = Some(TOO_MANY_RETRY_AFTER);
+            return Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&event.id), retry_after));
+        }
+        let client_digest = FunctionId::named(&event.source).0;
+        let digest = FunctionId::named(&event.id).0 ^ client_digest.rotate_left(1);
+        let arrival = Arrival {
+            client: client_digest,
+            name: digest,
+            retry: event.is_retry,
+            importance: self.deployment.startup.workloads[workload].priority_weight,
+            left: time_left,
+        };
+        let passage = self.admission.arrive(now, &arrival);
+        self.log_traffic_change(now);
+        match passage {
+            Passage::In { retry } => Ok(Admitted { client_digest, digest, is_retry: retry }),
+            Passage::Back { .. } if !self.deployment.storm_shedding => {
+                Ok(Admitted { client_digest, digest, is_retry: event.is_retry })
+            }
+            Passage::Back { wait, why } => Err(self.shed(now, &event.id, digest, wait, why)),
+        }
+    }
+
+    /// Rejects an event before `Control` has seen it, during a retry storm.
+    fn shed(
+        &mut self,
+        now: Micros,
+        id: &str,
+        digest: u64,
+        retry_after: Option<Micros>,
+        reason: &'static str,
+    ) -> Rc<Answer> {
+        self.counters.shed += 1;
+        if let (Some(history), Some(wait)) = (&mut self.history, retry_after) {
+            history.record_promised_retry(now, PromisedRetry { request: digest, wait });
+        }
+        tracing::debug!(id, reason, "load shed");
+        let status = if reason == "retry-budget" { 429 } else { 503 };
+        let detail = "many ask again at once; a retry does no harm at the time told";
+        Answer::problem(FinalOutcome::Rejected, &Fault::new(status, reason, detail), Some(id), retry_after)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/responses.rs
@@ -0,0 +1,120 @@
+//! Responses of workers, and the ends of worker connections: what each means for the attempt on it.
+//!
+//! Enters here: bytes, half-closes and closes of worker connections.
+use super::Gateway;
+use crate::attempt_outcome;
+use crate::client::Answer;
+use crate::request_table::{AttemptId, attempt_result};
+use crate::worker_connection::WorkerResponse;
+use applepond::interface::{AttemptResult, Micros, Outcome};
+use applepond_http::decode::Step;
+use applepond_reactor::{Closed, Conn, Transport};
+use std::rc::Rc;
+
+impl Gateway {
+    /// Bytes of a worker have arrived.
+    pub(super) fn worker_bytes(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        bytes: &[u8],
+    ) {
+        let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
+        let Some(attempt) = connection.attempt else {
+            // Nothing was asked: a second response, or garbage. What it belongs to cannot be told.
+            self.workers.cut_idle(transport, conn);
+            return;
+        };
+        connection.decoder.feed(bytes);
+        match connection.decoder.step(&mut connection.response) {
+            Ok(Step::More) => {}
+            Ok(Step::Done) => self.response_complete(now, transport, conn),
+            Err(fault) => {
+                tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
+                self.end_attempt(now, transport, attempt, Outcome::ConnectionLost);
+            }
+        }
+    }
+
+    /// A response is complete: its connection is free for another attempt, and its attempt closes.
+    fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
+        let mut response = std::mem::take(&mut connection.response);
+        let Some(attempt) = connection.attempt.take() else { return };
+        connection.reused = true;
+        let worker = connection.worker;
+        // Bytes after the response are a second one to the same request: that connection is not trusted
+        // further.
+        let reusable = response.keep_alive == Some(true) && connection.decoder.idle();
+        if let Some(record) = self.workers.endpoints.get_mut(worker) {
+            record.has_answered = true;
+        }
+        self.workers.release(now, transport, conn, worker, reusable);
+        let verdict = response.verdict.as_deref();
+        let outcome = attempt_outcome::from_response(response.status, verdict, response.is_event);
+        self.take_result(now, transport, attempt, outcome, &mut response);
+        let result = AttemptResult {
+            load_state: response.load_state,
+            same_function_in_flight: response.same_function_in_flight,
+            reported_in_flight: response.reported_in_flight,
+            reported_loads: response.reported_loads,
+            ..attempt_result(outcome)
+        };
+        self.close_attempt(now, attempt, result);
+    }
+
+    /// Ends the request with the response of an attempt that finished, unless it has ended already.
+    fn take_result(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        attempt: AttemptId,
+        outcome: Outcome,
+        response: &mut WorkerResponse,
+    ) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        request.attempts[attempt.index].connection = None;
+        if outcome != Outcome::Finished || request.ended {
+            return;
+        }
+        request.data.was_loaded = response.was_loaded();
+        let mut fields = std::mem::take(&mut response.fields);
+        fields.field("applepond-executions", &request.attempts.len().to_string());
+        let body = std::mem::take(&mut response.body);
+        let answer = Rc::new(Answer::finished(fields, body));
+        self.finish_request(now, transport, attempt.request, answer);
+    }
+
+    /// A connection to a worker is gone, or its worker has closed its side. `sent` counts the bytes that the
+    /// kernel took on it.
+    pub(super) fn worker_disconnected(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        why: Closed,
+        sent: u64,
+    ) {
+        let Some(mut connection) = self.workers.connections.remove(&conn) else { return };
+        let Some(attempt) = connection.attempt else {
+            self.workers.forget_idle(connection.worker, conn);
+            return;
+        };
+        // A response without a length ends with its connection.
+        if connection.decoder.in_body() && connection.decoder.finish(&mut connection.response).is_ok() {
+            self.workers.connections.insert(conn, connection);
+            self.response_complete(now, transport, conn);
+            return;
+        }
+        let progress = attempt_outcome::send_progress(connection.connected, connection.sent_before, sent);
+        if let Some(request) = self.requests.get_mut(attempt.request) {
+            request.attempts[attempt.index].connection = None;
+            if attempt_outcome::may_resend(progress, connection.reused, why) && !request.ended {
+                self.connect_attempt(now, transport, attempt);
+                return;
+            }
+        }
+        self.close_attempt(now, attempt, attempt_result(attempt_outcome::on_disconnect(progress)));
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -0,0 +1,128 @@
+//! The end of a workflow: the one place where its answer is given to the clients that wait, to the idempotency
+//! table, and to the log.
+use super::ActiveWorkflow;
+use super::steps::UNDO_PERIOD;
+use crate::client::Answer;
+use crate::gateway::Gateway;
+use crate::idempotency::{Completion, FinalOutcome};
+use applepond::interface::{Micros, RequestId, RetrySafety};
+use applepond_http::Fault;
+use applepond_reactor::Transport;
+use applepond_workflow::{Ended, StepId, Why};
+use std::rc::Rc;
+
+/// The wait that a client is told whose workflow had too little time: a function that was not loaded may be
+/// then.
+const TOO_LITTLE_TIME_RETRY_AFTER: Micros = 1_000_000;
+
+impl ActiveWorkflow {
+    /// The answer of a workflow that finished with this step.
+    fn finished_answer(&self, step: StepId) -> Rc<Answer> {
+        match self.answer_of(step) {
+            Some((mut fields, body)) => {
+                fields.field("applepond-steps", &self.sent_steps.to_string());
+                Rc::new(Answer::finished(fields, body))
+            }
+            None => {
+                let detail = "it finished; its answer was too long to be kept over a kill";
+                let fault = Fault::new(502, "answer-lost", detail);
+                Answer::problem(FinalOutcome::Failed, &fault, Some(&self.key.id), None)
+            }
+        }
+    }
+
+    /// The answer of a workflow of which nothing can have had a lasting effect.
+    fn rejected_answer(&self, step: StepId, why: Why, retry_after_allowed: bool) -> Rc<Answer> {
+        let (reason, detail) = self.failure(step, why);
+        let wait = self.retry_after.or(Some(TOO_LITTLE_TIME_RETRY_AFTER));
+        let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
+        let id = Some(&*self.key.id);
+        Answer::problem(FinalOutcome::Rejected, &fault, id, wait.filter(|_| retry_after_allowed))
+    }
+
+    /// The answer of a workflow of which something may have had a lasting effect.
+    fn failed_answer(&self, step: StepId, why: Why) -> Rc<Answer> {
+        let (reason, detail) = self.failure(step, why);
+        let status = if why == Why::NoTime { 504 } else { 502 };
+        let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
+        Answer::problem(FinalOutcome::Failed, &fault, Some(&self.key.id), None)
+    }
+
+    /// Why the workflow did not finish: the reason code and a text for its answer.
+    fn failure(&self, step: StepId, why: Why) -> (&'static str, String) {
+        let name = &self.run.plan().step(step).name;
+        match why {
+            Why::NoTime => ("no-time", format!("step '{name}' cannot finish in the time left")),
+            Why::NoFunction => ("no-function", format!("no result names the function of step '{name}'")),
+            Why::NotWritten => ("no-record", format!("step '{name}' could not be written down")),
+            Why::StepFailed => ("step-failed", format!("step '{name}' did not finish")),
+        }
+    }
+
+    /// The workflow's line in the log.
+    fn log_end(&self, now: Micros, last_step: StepId, answer: &Answer) {
+        tracing::info!(
+            id = %self.key.id,
+            source = %self.key.source,
+            workflow = %self.run.plan().name,
+            reason = answer.reason,
+            status = answer.status,
+            step = %self.run.plan().step(last_step).name,
+            steps = self.sent_steps,
+            exchanges = self.clients.len(),
+            duration_us = now - self.arrived_at,
+            time_left_us = self.run.deadline().saturating_sub(now),
+            "workflow ended"
+        );
+    }
+}
+
+impl Gateway {
+    /// Answers a workflow. Undos of its steps may still follow.
+    pub(super) fn end_workflow(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: RequestId,
+        ended: Ended,
+    ) {
+        let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
+        let (last_step, answer) = match ended {
+            Ended::Finished(step) => (step, workflow.finished_answer(step)),
+            Ended::PushedBack(step, why) => {
+                // A retry starts from the first step.
+                workflow.stored.steps.clear();
+                let retry_after_allowed = self.deployment.startup.attempt_policy.retry_after_allowed;
+                (step, workflow.rejected_answer(step, why, retry_after_allowed))
+            }
+            Ended::Failed(step, why) => {
+                workflow.stored.failed = true;
+                // In the store for as long as it may be undone.
+                workflow.stored.until = now + UNDO_PERIOD + self.deployment.answer_retention.time;
+                (step, workflow.failed_answer(step, why))
+            }
+        };
+        self.workflows.counters.count_end(ended);
+        let is_finished = matches!(ended, Ended::Finished(_));
+        let did_work = workflow.last_finished.is_some() || workflow.is_stored;
+        self.workflows.pace.ended(now, is_finished, did_work && !is_finished);
+        self.counters.count_end(answer.outcome);
+        self.admission.ended(
+            now,
+            answer.outcome == FinalOutcome::Finished,
+            answer.outcome == FinalOutcome::Rejected,
+        );
+        // What may have run must not run again here, whatever the effect of the step that failed.
+        let completion = Completion {
+            outcome: answer.outcome,
+            retry_safety: RetrySafety::AtMostOnce,
+            answer: answer.clone(),
+            bytes: answer.bytes(),
+        };
+        self.idempotency.complete(now, &workflow.key, completion);
+        workflow.log_end(now, last_step, &answer);
+        workflow.is_answered = true;
+        let clients = std::mem::take(&mut workflow.clients);
+        self.answer_clients(now, transport, clients, &answer);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -0,0 +1,182 @@
+//! Events that start a workflow, or take up one that is in the store.
+use super::{ActiveWorkflow, StartedWorkflow, plan_digest};
+use crate::client::{Answer, EventDraft};
+use crate::gateway::Gateway;
+use crate::gateway::intake::{Admitted, refuse};
+use crate::idempotency::{FinalOutcome, IdempotencyKey};
+use applepond::interface::{CustomerId, Micros, RequestId, RetrySafety};
+use applepond_http::Fault;
+use applepond_http::encode::Lines;
+use applepond_reactor::Conn;
+use applepond_storage::kept::ANSWER_MOST;
+use applepond_storage::{Kept, resumed};
+use applepond_workflow::{Plan, Run};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// Fields of a workflow's event that its steps' events do not take over.
+const OWN_FIELDS: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
+
+impl Gateway {
+    /// Takes an event that starts the workflow of this index. An `Err` is the answer that the exchange gets at
+    /// once.
+    pub(in crate::gateway) fn accept_workflow(
+        &mut self,
+        now: Micros,
+        conn: Conn,
+        index: usize,
+        event: EventDraft,
+    ) -> Result<(), Rc<Answer>> {
+        let customer = self.customer_of(&event)?;
+        let key = IdempotencyKey::new(&event.source, &event.id);
+        if let Some(known) = self.join_or_replay(now, conn, &key) {
+            return known;
+        }
+        let config = &self.deployment.workflows[index];
+        let plan = config.plan.clone();
+        let time_left = self.time_left_of(now, plan.limit, &event)?;
+        let named_function = event.attribute(&config.function_attribute).filter(|name| !name.is_empty());
+        let named_function = named_function.map(str::to_owned);
+        let digest = plan_digest(&plan, &self.deployment.workloads);
+        let before = self.stored_before(now, &key, &plan, digest, &event)?;
+        let admitted = self.admit(now, &event, plan.steps[0].workload, time_left)?;
+        if before.as_ref().is_none_or(|stored| stored.steps.is_empty()) {
+            self.check_pace(now, &event.id, &admitted, time_left)?;
+        }
+        self.counters.accepted += 1;
+        self.workflows.counters.accepted += 1;
+        let request = self.next_request_id();
+        let is_stored = before.is_some();
+        let stored =
+            before.unwrap_or_else(|| self.new_stored(&plan, digest, named_function, customer, event));
+        let deadline = now + time_left;
+        let until = deadline + self.deployment.answer_retention.time;
+        let stored = Kept { deadline, until, closed: false, ..stored };
+        let workflow = ActiveWorkflow {
+            clients: vec![conn],
+            is_retry: admitted.is_retry,
+            client_digest: admitted.client_digest,
+            digest: admitted.digest,
+            is_stored,
+            ..self.workflow_from_stored(now, key.clone(), plan, stored, customer)
+        };
+        self.idempotency.start(key, request);
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.request = Some(request);
+        }
+        self.start_workflow(now, request, workflow);
+        Ok(())
+    }
+
+    /// What the store has of this workflow, if it may be taken up. A workflow whose steps are all idempotent
+    /// needs no store.
+    fn stored_before(
+        &mut self,
+        now: Micros,
+        key: &IdempotencyKey,
+        plan: &Plan,
+        plan_digest: u64,
+        event: &EventDraft,
+    ) -> Result<Option<Kept>, Rc<Answer>> {
+        let refused = |status, reason, detail| Err(refuse(&event.id, &Fault::new(status, reason, detail)));
+        let needs_store = plan.steps.iter().any(|step| step.effect != RetrySafety::Idempotent);
+        if needs_store && event.data.len() > ANSWER_MOST {
+            return refused(413, "large-chain", "the data of a chain with effects must fit its record");
+        }
+        let before = match self.workflows.store.read((&key.source, &key.id)) {
+            Ok(before) => before.filter(|stored| stored.until > now),
+            Err(error) if needs_store => {
+                tracing::error!(%error, reason = "no-record", "the record cannot be read");
+                return refused(503, "no-record", "what ran before cannot be known here");
+            }
+            Err(_) => None,
+        };
+        if before.as_ref().is_some_and(|stored| (&stored.chain, stored.plan) != (&plan.name, plan_digest)) {
+            return refused(502, "plan-changed", "it began by another plan; steps of it may have run");
+        }
+        Ok(before)
+    }
+
+    /// Rejects a new workflow while more of them start than come to their end.
+    fn check_pace(
+        &mut self,
+        now: Micros,
+        id: &str,
+        admitted: &Admitted,
+        time_left: Micros,
+    ) -> Result<(), Rc<Answer>> {
+        if self.workflows.pace.admit(now) {
+            return Ok(());
+        }
+        self.workflows.counters.rejected_for_pace += 1;
+        let wait = self.admission.come_back(now, admitted.client_digest, admitted.digest, time_left);
+        let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
+        let detail = "as many chains run as come to their end; a retry does no harm";
+        let fault = Fault::new(503, "chains-full", detail);
+        Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(id), wait))
+    }
+
+    /// The stored form of a workflow that the store does not know.
+    fn new_stored(
+        &self,
+        plan: &Plan,
+        plan_digest: u64,
+        named_function: Option<String>,
+        customer: Option<CustomerId>,
+        event: EventDraft,
+    ) -> Kept {
+        Kept {
+            chain: plan.name.clone(),
+            plan: plan_digest,
+            named: named_function,
+            customer: customer.map(|customer| self.deployment.customers[customer.0].clone()),
+            lines: event.fields.without(&OWN_FIELDS).bytes().to_vec(),
+            media: event.media_type,
+            data: event.data,
+            ..Kept::default()
+        }
+    }
+
+    /// A workflow with what the store has of it, that nobody waits for yet.
+    pub(super) fn workflow_from_stored(
+        &mut self,
+        now: Micros,
+        key: IdempotencyKey,
+        plan: Arc<Plan>,
+        stored: Kept,
+        customer: Option<CustomerId>,
+    ) -> ActiveWorkflow {
+        let known_steps = resumed(&stored, &plan, now);
+        self.workflows.counters.resumed += u64::from(!stored.steps.is_empty());
+        ActiveWorkflow {
+            key,
+            client_digest: 0,
+            digest: 0,
+            customer,
+            arrived_at: now,
+            is_retry: false,
+            last_finished: None,
+            retry_after: None,
+            run: Run::new(now, plan, stored.named.clone(), stored.deadline, known_steps),
+            clients: Vec::new(),
+            in_flight: BTreeMap::new(),
+            fields: Lines::of(stored.lines.clone()),
+            media_type: stored.media.clone(),
+            data: Rc::new(stored.data.clone()),
+            pending_undos: 0,
+            sent_steps: 0,
+            is_stored: true,
+            is_answered: false,
+            stored,
+        }
+    }
+
+    /// Starts the run. Its first commands are carried out at the end of this turn: a workflow that is refused
+    /// at once is answered like any other.
+    pub(super) fn start_workflow(&mut self, now: Micros, request: RequestId, workflow: ActiveWorkflow) {
+        self.workflows.active.insert(request, workflow);
+        let commands = self.with_run(now, request, |run, needs| run.begin(now, needs));
+        self.workflows.started.push_back(StartedWorkflow { request, commands });
+    }
+}
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,775 +1,277 @@
-//! Chains on their way: each step is a request of its own that no client waits for; what it leaves to do is a
-//! closure, which is handed its end.
-use super::{Gateway, Wanted};
-use crate::client::{Answer, EventDraft};
-use crate::deadline;
+//! Workflows in progress. Each step is a request of its own that no client waits for; its end is handed to the
+//! workflow, whose [`Run`] decides what comes next and gives it as commands ([`Do`]).
+//!
+//! A workflow with steps that are not idempotent is stored before such a step is sent and before it is answered
+//! as finished, so that a restart neither repeats nor forgets what may have run.
+//!
+//! Owned here: the active workflows, what waits to be stored, and the estimates that admit new ones. Where to
+//! look, by event:
+//! - an event starts a workflow: `intake`; the instance starts: `recovery`;
+//! - a step or an undo ends: `steps`;
+//! - a turn ends with something to store, or the store's timer fires: `store`;
+//! - the run says how the workflow ended: `completion`.
+use super::Gateway;
+use crate::client::Answer;
 use crate::deployment::WorkloadEvents;
-use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey, Lookup};
-use crate::request_table::AttemptId;
-use applepond::interface::*;
-use applepond_http::Fault;
+use crate::idempotency::{FinalOutcome, IdempotencyKey};
+use applepond::interface::{CustomerId, FunctionId, Micros, RequestId};
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Transport};
-use applepond_storage::kept::{ANSWER_MOST, number};
-use applepond_storage::{Kept, KeptAnswer, KeptEnd, KeptStep, Memory, Record, resumed};
+use applepond_storage::{Kept, Memory, Record};
 use applepond_workflow::run::Needs;
 use applepond_workflow::{Do, Ended, How, Pace, Plan, Run, Step, StepId, Times, Why};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
-use std::sync::Arc;
 
-/// µs after which an undo that did not finish is begun again, and µs for which that is done: longer than a
-/// rollout takes.
-const UNDO_AGAIN: Micros = 1_000_000;
-const UNDO_FOR: Micros = 300_000_000;
-/// µs named as a time to come back to a chain whose time was too short here: what was not loaded may be then.
-const COME_BACK: Micros = 1_000_000;
-/// µs after which ends of steps are written that no other write took along.
-const WRITTEN_SOON: Micros = 20_000;
-/// µs after which what could not be written is tried again: a disk is not mended within a moment.
-const WRITTEN_AGAIN: Micros = 1_000_000;
-/// µs between two looks for records that may be dropped.
-const CLEARS: Micros = 5_000_000;
-/// Fields of a chain's event that its steps' events do not take over.
-const OWN: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
+mod completion;
+mod intake;
+mod recovery;
+mod steps;
+mod store;
+
+/// How the request of a step ended.
+pub(super) struct StepEnd {
+    pub(super) answer: Rc<Answer>,
+    /// Time from its start to its end.
+    pub(super) duration: Micros,
+    /// The copy that answered was loaded when the request came to it.
+    pub(super) was_loaded: bool,
+}
+
+/// What to do when the request of a step has ended.
+pub(super) type OnStepEnd = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport, StepEnd)>;
 
-/// How a step's request ended.
-pub struct StepEnd {
-    pub told: Rc<Answer>,
-    /// µs from its beginning to its end.
-    pub took: Micros,
-    /// Its answer came from a copy that stood loaded.
-    pub stood: bool,
+/// A step whose request has ended, until its workflow takes it up.
+pub(super) struct EndedStep {
+    pub(super) on_end: OnStepEnd,
+    pub(super) end: StepEnd,
 }
 
-/// What a step leaves to do.
-pub type Then = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport, StepEnd)>;
+/// A workflow that was accepted in this turn, with its first commands.
+pub(super) struct StartedWorkflow {
+    pub(super) request: RequestId,
+    pub(super) commands: Vec<Do>,
+}
 
-/// One chain, until its last step has ended.
-pub struct Chain {
-    name: IdempotencyKey,
-    client: u64,
+/// The step that finished last, with what it answered.
+struct FinishedStep {
+    step: StepId,
+    answer: Rc<Answer>,
+}
+
+/// One workflow, until its last step and its last undo have ended.
+pub(super) struct ActiveWorkflow {
+    key: IdempotencyKey,
+    /// Digest of the client that sent it first; 0 where nobody waits since a restart.
+    client_digest: u64,
+    /// Digest of its key; 0 where nobody waits since a restart.
     digest: u64,
     customer: Option<CustomerId>,
-    came: Micros,
-    retry: bool,
+    arrived_at: Micros,
+    /// The client has tried before.
+    is_retry: bool,
+    /// The state machine of its plan.
     run: Run,
-    pub callers: Vec<Conn>,
-    /// Jobs of the steps that are out.
-    out: BTreeMap<StepId, RequestId>,
-    /// The answer of the step that finished last, and the time that the last pushback named. What other steps
-    /// said is kept for the record.
-    finished: Option<(StepId, Rc<Answer>)>,
-    come_back: Option<Micros>,
-    /// Attributes, media type and data that each step's event takes over.
-    lines: Lines,
-    media: Option<String>,
+    /// Clients that wait for its answer.
+    pub(super) clients: Vec<Conn>,
+    /// Requests of the steps in flight.
+    in_flight: BTreeMap<StepId, RequestId>,
+    /// What other steps answered is in `stored`.
+    last_finished: Option<FinishedStep>,
+    /// The wait that the last rejected step was told.
+    retry_after: Option<Micros>,
+    /// Header fields, media type and data that each step's event takes over.
+    fields: Lines,
+    media_type: Option<String>,
     data: Rc<Vec<u8>>,
-    undos: usize,
-    steps: u64,
-    /// What is on record of it, or will be with the next write.
-    kept: Kept,
-    /// A step with an effect was sent: from then on it is on record.
-    on_record: bool,
-    answered: bool,
+    /// Undos that have not finished.
+    pending_undos: usize,
+    /// Steps sent since the workflow was started here.
+    sent_steps: u64,
+    /// What the store has of it, or will have after the next write.
+    stored: Kept,
+    /// A step with an effect was sent: from then on it is in the store.
+    is_stored: bool,
+    is_answered: bool,
 }
 
-impl Chain {
-    /// What a step that finished said: as it was told, or as it is on record.
-    fn answer(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
-        if let Some((_, told)) = self.finished.as_ref().filter(|(of, _)| *of == step) {
-            return Some((told.fields.clone(), told.body.clone()));
+impl ActiveWorkflow {
+    /// What a step that finished answered: as it came, or as it is stored.
+    fn answer_of(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
+        if let Some(finished) = self.last_finished.as_ref().filter(|finished| finished.step == step) {
+            return Some((finished.answer.fields.clone(), finished.answer.body.clone()));
         }
-        let end = self.kept.steps.get(&(step.0 as u32))?.end.as_ref()?;
-        end.answer.as_ref().map(|a| (Lines::of(a.lines.clone()), a.body.clone()))
+        let end = self.stored.steps.get(&(step.0 as u32))?.end.as_ref()?;
+        end.answer.as_ref().map(|answer| (Lines::of(answer.lines.clone()), answer.body.clone()))
+    }
+
+    /// Its run has ended, nothing of it is in flight, and nothing is left to undo.
+    fn is_done(&self) -> bool {
+        self.run.has_ended().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
     }
 }
 
-/// A step with an effect that waits to be written down before it is sent.
-struct Waiting {
+/// A step with an effect that waits to be stored before it is sent.
+struct UnsentStep {
     request: RequestId,
     step: StepId,
     function: String,
-    until: Micros,
+    /// When its request's answer is due.
+    deadline: Micros,
 }
 
+/// A workflow that has finished and waits to be stored before it is answered.
+struct UnansweredWorkflow {
+    request: RequestId,
+    ended: Ended,
+}
+
+/// Counts since the start.
 #[derive(Default)]
-struct Counts {
-    taken: u64,
+struct Counters {
+    accepted: u64,
     finished: u64,
-    pushed_back: u64,
+    rejected: u64,
     failed: u64,
-    refused_for_time: u64,
-    held_back: u64,
+    /// Rejected as their steps cannot finish in the time left.
+    rejected_for_time: u64,
+    /// Rejected as more were accepted than come to their end.
+    rejected_for_pace: u64,
     steps: u64,
     undos: u64,
+    /// Taken up from the store with steps that may have run.
     resumed: u64,
     writes: u64,
-    not_written: u64,
+    failed_writes: u64,
 }
 
-pub struct Chains {
-    pub open: BTreeMap<RequestId, Chain>,
-    /// Steps that have ended, with what they leave to do: taken one after the other, not from within each
-    /// other.
-    pub ends: VecDeque<(Then, StepEnd)>,
-    /// Chains that were taken in this turn, with what they begin with.
-    pub begun: VecDeque<(RequestId, Vec<Do>)>,
+impl Counters {
+    fn count_end(&mut self, ended: Ended) {
+        match ended {
+            Ended::Finished(_) => self.finished += 1,
+            Ended::PushedBack(_, why) => {
+                self.rejected += 1;
+                self.rejected_for_time += u64::from(why == Why::NoTime);
+            }
+            Ended::Failed(..) => self.failed += 1,
+        }
+    }
+}
+
+/// All workflows of a gateway.
+pub(super) struct Workflows {
+    /// By the id that stands for a workflow where a request's id does.
+    pub(super) active: BTreeMap<RequestId, ActiveWorkflow>,
+    /// Steps that have ended; taken up one after the other, not from within each other.
+    pub(super) ended_steps: VecDeque<EndedStep>,
+    /// Workflows that were accepted in this turn.
+    pub(super) started: VecDeque<StartedWorkflow>,
+    /// How long functions take, for deciding whether a step can finish in time.
     times: Times,
+    /// How many new workflows may start.
     pace: Pace,
-    counts: Counts,
-    pub record: Box<dyn Record>,
-    unwritten: Vec<Waiting>,
-    /// Chains that have finished, to be written down before they are answered.
-    unanswered: Vec<(RequestId, Ended)>,
-    /// Chains whose record is behind; a timer is set for them.
-    behind: BTreeSet<RequestId>,
-    timer: bool,
+    counters: Counters,
+    pub(super) store: Box<dyn Record>,
+    /// Steps that are sent after the next write.
+    unsent: Vec<UnsentStep>,
+    /// Workflows that are answered after the next write.
+    unanswered: Vec<UnansweredWorkflow>,
+    /// Workflows whose stored form is out of date; a timer is set for them.
+    unwritten: BTreeSet<RequestId>,
+    /// That timer is set.
+    write_scheduled: bool,
 }
 
-impl Chains {
-    pub fn new(keep: Micros) -> Self {
-        Chains {
-            open: BTreeMap::new(),
-            ends: VecDeque::new(),
-            begun: VecDeque::new(),
-            times: Times::new(keep),
+impl Workflows {
+    /// No workflows yet. `cache_lifetime` is how long a worker keeps an idle function loaded.
+    pub(super) fn new(cache_lifetime: Micros) -> Self {
+        Workflows {
+            active: BTreeMap::new(),
+            ended_steps: VecDeque::new(),
+            started: VecDeque::new(),
+            times: Times::new(cache_lifetime),
             pace: Pace::default(),
-            counts: Counts::default(),
-            record: Box::new(Memory::default()),
-            unwritten: Vec::new(),
+            counters: Counters::default(),
+            store: Box::new(Memory::default()),
+            unsent: Vec::new(),
             unanswered: Vec::new(),
-            behind: BTreeSet::new(),
-            timer: false,
+            unwritten: BTreeSet::new(),
+            write_scheduled: false,
         }
     }
 
-    /// Chains that have come to their end, and whose record says so.
+    /// Drops those of the workflows that are answered and whose stored form is closed.
     fn drop_closed(&mut self, requests: &BTreeSet<RequestId>) {
         for request in requests {
-            if self.open.get(request).is_some_and(|c| c.kept.closed && c.answered) {
-                self.open.remove(request);
+            let workflow = self.active.get(request);
+            if workflow.is_some_and(|workflow| workflow.stored.closed && workflow.is_answered) {
+                self.active.remove(request);
             }
         }
     }
 
-    pub fn state(&self) -> serde_json::Value {
-        let c = &self.counts;
-        serde_json::json!({"open": self.open.len(), "taken": c.taken, "finished": c.finished,
-            "pushed-back": c.pushed_back, "failed": c.failed, "refused-for-time": c.refused_for_time,
-            "held-back": c.held_back, "allowed-per-s": self.pace.allowed(),
-            "steps": c.steps, "undos": c.undos, "functions-known": self.times.known(),
-            "record": {"resumed": c.resumed, "writes": c.writes, "not-written": c.not_written}})
+    /// The part of the state page about workflows.
+    pub(super) fn state(&self) -> serde_json::Value {
+        let counters = &self.counters;
+        serde_json::json!({"open": self.active.len(), "taken": counters.accepted,
+            "finished": counters.finished, "pushed-back": counters.rejected, "failed": counters.failed,
+            "refused-for-time": counters.rejected_for_time, "held-back": counters.rejected_for_pace,
+            "allowed-per-s": self.pace.allowed(), "steps": counters.steps, "undos": counters.undos,
+            "functions-known": self.times.known(),
+            "record": {"resumed": counters.resumed, "writes": counters.writes,
+                "not-written": counters.failed_writes}})
     }
 }
 
-/// A field of a result as text: a JSON object's, where it is a text, a number or a mark.
-fn field(body: &[u8], name: &str) -> Option<String> {
-    let value: serde_json::Value = serde_json::from_slice(body).ok()?;
-    match value.get(name)? {
-        serde_json::Value::String(text) => Some(text.clone()),
-        serde_json::Value::Number(number) => Some(number.to_string()),
-        serde_json::Value::Bool(mark) => Some(mark.to_string()),
-        _ => None,
-    }
-}
-
-/// Tells a changed plan from the one that a record was written by.
-/// By the names of its workloads: a switch of the settings may have moved their rows, a restart puts them
-/// back.
-fn digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
+/// Tells a changed plan from the one under which a workflow was stored. Workloads count by their names: a
+/// reload may have moved their indices, and a restart puts them back.
+fn plan_digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
     let mut plan = plan.clone();
-    let place = |step: &mut Step| workloads[std::mem::take(&mut step.workload)].name.clone();
-    let names: Vec<String> = plan.steps.iter_mut().map(place).collect();
+    let take_name = |step: &mut Step| workloads[std::mem::take(&mut step.workload)].name.clone();
+    let names: Vec<String> = plan.steps.iter_mut().map(take_name).collect();
     FunctionId::named(&format!("{plan:?}{names:?}")).0
 }
 
-fn how(ending: FinalOutcome) -> How {
-    match ending {
+/// What the end of a step's request means for its workflow.
+fn step_outcome(outcome: FinalOutcome) -> How {
+    match outcome {
         FinalOutcome::Finished => How::Finished,
         FinalOutcome::Rejected => How::NeverRan,
         FinalOutcome::Failed => How::MayHaveRun,
     }
 }
 
-impl Gateway {
-    /// Takes the event of a chain; an error is its answer.
-    pub(super) fn take_chain(
-        &mut self,
-        now: Micros,
-        conn: Conn,
-        row: usize,
-        draft: EventDraft,
-    ) -> Result<(), Rc<Answer>> {
-        let id = draft.id.clone();
-        let refuse = |status, reason, detail: &str| {
-            tracing::info!(id, reason, status, "event refused");
-            Err(Answer::problem(FinalOutcome::Rejected, &Fault::new(status, reason, detail), Some(&id), None))
-        };
-        let Ok(customer) = self.customer(&draft) else {
-            return refuse(422, "unknown-customer", "no such customer has a share here");
-        };
-        let name: IdempotencyKey = IdempotencyKey::new(&draft.source, &draft.id);
-        if let Some(taken) = self.taken(now, conn, &name) {
-            return taken;
-        }
-        let chain_row = &self.deployment.workflows[row];
-        let plan = chain_row.plan.clone();
-        let Some(left) = deadline::time_left(now, plan.limit, draft.deadline) else {
-            return refuse(504, "expired", "the event's time was up when it came");
-        };
-        let named =
-            draft.attribute(&chain_row.function_attribute).filter(|f| !f.is_empty()).map(str::to_owned);
-        let digest_of_plan = digest(&plan, &self.deployment.workloads);
-        let lasts = plan.steps.iter().any(|s| s.effect != RetrySafety::Idempotent);
-        if lasts && draft.data.len() > ANSWER_MOST {
-            return refuse(413, "large-chain", "the data of a chain with effects must fit its record");
-        }
-        let before = match self.chains.record.read((&name.source, &name.id)) {
-            Ok(before) => before.filter(|kept| kept.until > now),
-            Err(why) if lasts => {
-                tracing::error!(%why, reason = "no-record", "the record cannot be read");
-                return refuse(503, "no-record", "what ran before cannot be known here");
-            }
-            Err(_) => None,
-        };
-        if before.as_ref().is_some_and(|k| (&k.chain, k.plan) != (&plan.name, digest_of_plan)) {
-            return refuse(502, "plan-changed", "it began by another plan; steps of it may have run");
-        }
-        let (client, digest, retry) = self.admit(now, &draft, plan.steps[0].workload, left)?;
-        let fresh = before.as_ref().is_none_or(|k| k.steps.is_empty());
-        if fresh && !self.chains.pace.admit(now) {
-            self.chains.counts.held_back += 1;
-            let wait = self.gate.come_back(now, client, digest, left);
-            let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
-            let detail = "as many chains run as come to their end; a retry does no harm";
-            let fault = Fault::new(503, "chains-full", detail);
-            return Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait));
-        }
-        self.counts.requests += 1;
-        self.chains.counts.taken += 1;
-        self.next_job += 1;
-        let request = super::request_id(self.deployment.startup.seed, self.next_job);
-        let customer_name = customer.map(|c| self.deployment.customers[c.0].clone());
-        let on_record = before.is_some();
-        let kept = before.unwrap_or_else(|| Kept {
-            chain: plan.name.clone(),
-            plan: digest_of_plan,
-            named,
-            customer: customer_name,
-            lines: draft.fields.without(&OWN).bytes().to_vec(),
-            media: draft.media_type,
-            data: draft.data,
-            ..Kept::default()
-        });
-        let until = now + left + self.deployment.answer_retention.time;
-        let kept = Kept { deadline: now + left, until, closed: false, ..kept };
-        let chain =
-            Chain { callers: vec![conn], retry, ..self.chain(now, name.clone(), plan, kept, customer) };
-        let chain = Chain { client, digest, on_record, ..chain };
-        self.idempotency.start(name, request);
-        if let Some(caller) = self.callers.get_mut(&conn) {
-            caller.request = Some(request);
-        }
-        self.open_chain(now, request, chain);
-        Ok(())
-    }
-
-    /// A chain with what is on record of it.
-    fn chain(
-        &mut self,
-        now: Micros,
-        name: IdempotencyKey,
-        plan: Arc<Plan>,
-        kept: Kept,
-        customer: Option<CustomerId>,
-    ) -> Chain {
-        let recorded = resumed(&kept, &plan, now);
-        self.chains.counts.resumed += u64::from(!kept.steps.is_empty());
-        Chain {
-            name,
-            client: 0,
-            digest: 0,
-            customer,
-            came: now,
-            retry: false,
-            finished: None,
-            come_back: None,
-            run: Run::new(now, plan, kept.named.clone(), kept.deadline, recorded),
-            callers: Vec::new(),
-            out: BTreeMap::new(),
-            lines: Lines::of(kept.lines.clone()),
-            media: kept.media.clone(),
-            data: Rc::new(kept.data.clone()),
-            undos: 0,
-            steps: 0,
-            on_record: true,
-            answered: false,
-            kept,
-        }
-    }
-
-    fn open_chain(&mut self, now: Micros, request: RequestId, chain: Chain) {
-        self.chains.open.insert(request, chain);
-        let todo = self.with_run(now, request, |run, needs| run.begin(now, needs));
-        // From the end of this turn on: a chain that is refused at once is answered like any other.
-        self.chains.begun.push_back((request, todo));
-    }
-
-    /// Chains on record that had not come to their end: whoever asked for one may ask again until its time is
-    /// up; then it goes on without anybody, which takes back what must be taken back.
-    pub(super) fn resume_chains(&mut self, now: Micros, transport: &mut dyn Transport) {
-        let open = match self.chains.record.open() {
-            Ok(open) => open,
-            Err(why) => return tracing::error!(%why, reason = "no-record", "the record cannot be read"),
-        };
-        for (source, id) in open {
-            let name: IdempotencyKey = IdempotencyKey::new(&source, &id);
-            let kept = self.chains.record.read((&name.source, &name.id));
-            let Ok(Some(kept)) = kept else { continue };
-            let wait = kept.deadline.saturating_sub(now);
-            let IdempotencyKey { source, id } = &name;
-            tracing::info!(%id, %source, reason = "open-chain", wait, "a chain was cut off");
-            self.after(now, transport, wait, Box::new(move |g, now, _| g.resume_alone(now, name)));
-        }
-        self.clear_record(now, transport);
-    }
-
-    fn clear_record(&mut self, now: Micros, transport: &mut dyn Transport) {
-        if let Err(why) = self.chains.record.clear(now) {
-            tracing::error!(%why, reason = "no-record", "the record cannot be cleared");
-        }
-        self.after(now, transport, CLEARS, Box::new(|g, now, transport| g.clear_record(now, transport)));
-    }
-
-    fn resume_alone(&mut self, now: Micros, name: IdempotencyKey) {
-        if !matches!(self.idempotency.look_up(now, &name), Lookup::New) {
-            return;
-        }
-        let Ok(Some(kept)) = self.chains.record.read((&name.source, &name.id)) else { return };
-        let mut rows = self.deployment.workflows.iter().map(|row| row.plan.clone());
-        let plan = rows
-            .find(|plan| (&plan.name, digest(plan, &self.deployment.workloads)) == (&kept.chain, kept.plan));
-        let Some(plan) = plan.filter(|_| !kept.closed) else { return };
-        let customer = kept.customer.as_ref();
-        let customer = customer.and_then(|c| self.deployment.customers.iter().position(|known| known == c));
-        self.next_job += 1;
-        let request = super::request_id(self.deployment.startup.seed, self.next_job);
-        let until = now + self.deployment.answer_retention.time;
-        let chain = self.chain(now, name.clone(), plan, Kept { until, ..kept }, customer.map(CustomerId));
-        self.idempotency.start(name, request);
-        self.open_chain(now, request, chain);
-    }
-
-    // ---- The record ----------------------------------------------------------------------------
-
-    /// Writes down what waits for it, in one transaction for all chains of this turn; then sends and answers
-    /// what was waiting. Where that fails nothing is sent: the steps end as ones that never ran.
-    pub(super) fn write_down(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
-        let waiting = std::mem::take(&mut self.chains.unwritten);
-        let finished = std::mem::take(&mut self.chains.unanswered);
-        if waiting.is_empty() && finished.is_empty() {
-            return false;
-        }
-        for w in &waiting {
-            if let Some(chain) = self.chains.open.get_mut(&w.request) {
-                chain.on_record = true;
-                chain.kept.steps.insert(w.step.0 as u32, KeptStep { sent: now, end: None });
-            }
-        }
-        let requests = waiting.iter().map(|w| w.request).chain(finished.iter().map(|(request, _)| *request));
-        let written = self.write_chains(now, transport, requests.collect());
-        // Their work is done, whether that could be written down or not.
-        for (request, ended) in finished {
-            self.end_chain(now, transport, request, ended);
-            if written {
-                self.chains.drop_closed(&BTreeSet::from([request]));
-            }
-            // Where it was not, it stays until that is made up for.
-            self.chain_goes_on(now, transport, request, Vec::new());
-        }
-        for w in waiting {
-            if written {
-                self.begin_step(now, w.request, w.step, w.function, w.until);
-                continue;
-            }
-            if let Some(chain) = self.chains.open.get_mut(&w.request) {
-                chain.kept.steps.remove(&(w.step.0 as u32));
-            }
-            let todo = self.with_run(now, w.request, |run, needs| run.not_written(now, w.step, needs));
-            self.chain_goes_on(now, transport, w.request, todo);
-        }
-        true
-    }
-
-    /// Writes these chains and all that are behind.
-    fn write_chains(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        mut requests: BTreeSet<RequestId>,
-    ) -> bool {
-        requests.append(&mut self.chains.behind);
-        let chains = requests.iter().filter_map(|request| self.chains.open.get(request));
-        let rows: Vec<_> = chains.map(|c| ((&*c.name.source, &*c.name.id), &c.kept)).collect();
-        self.chains.counts.writes += 1;
-        let written = self.chains.record.keep(&rows);
-        if let Err(why) = &written {
-            self.chains.counts.not_written += 1;
-            tracing::error!(%why, reason = "no-record", "chains were not written down");
-            self.chains.behind.extend(requests);
-            self.write_behind(now, transport, WRITTEN_AGAIN);
-        } else {
-            self.chains.drop_closed(&requests);
-        }
-        written.is_ok()
-    }
-
-    /// The end of a step, for the record; written soon.
-    fn keep_end(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        step: StepId,
-        how: How,
-        told: &Answer,
-    ) {
-        let Some(chain) = self.chains.open.get_mut(&request) else { return };
-        let fields = chain.run.asked(step).into_iter();
-        let fields = fields.filter_map(|name| Some((name.to_owned(), field(&told.body, name)?)));
-        let small = how == How::Finished && told.body.len() <= ANSWER_MOST;
-        let answer =
-            small.then(|| KeptAnswer { lines: told.fields.bytes().to_vec(), body: told.body.clone() });
-        let end = KeptEnd { how: number(how), fields: fields.collect(), answer };
-        chain.kept.steps.entry(step.0 as u32).or_default().end = Some(end);
-        self.behind(now, transport, request);
-    }
-
-    fn behind(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
-        if self.chains.open.get(&request).is_none_or(|c| !c.on_record) {
-            return;
-        }
-        self.chains.behind.insert(request);
-        self.write_behind(now, transport, WRITTEN_SOON);
-    }
-
-    /// Has chains that are behind written after a while, unless that is to be done anyway.
-    fn write_behind(&mut self, now: Micros, transport: &mut dyn Transport, wait: Micros) {
-        if std::mem::replace(&mut self.chains.timer, true) {
-            return;
-        }
-        let step = |g: &mut Gateway, now: Micros, transport: &mut dyn Transport| {
-            g.chains.timer = false;
-            if !g.chains.behind.is_empty() {
-                g.write_chains(now, transport, BTreeSet::new());
-            }
-        };
-        self.after(now, transport, wait, Box::new(step));
+/// A field of a step's result as text, if the result is a JSON object that has it as a string, a number or a
+/// boolean.
+fn result_field(body: &[u8], name: &str) -> Option<String> {
+    let value: serde_json::Value = serde_json::from_slice(body).ok()?;
+    match value.get(name)? {
+        serde_json::Value::String(text) => Some(text.clone()),
+        serde_json::Value::Number(number) => Some(number.to_string()),
+        serde_json::Value::Bool(mark) => Some(mark.to_string()),
+        _ => None,
     }
+}
 
-    /// Lets a chain's run decide, with what its steps need now.
+impl Gateway {
+    /// Lets a workflow's run decide, with the time that its steps need as it is estimated now. Gives the default
+    /// where the workflow is not active any more.
     fn with_run<T: Default>(
         &mut self,
         now: Micros,
         request: RequestId,
         decide: impl FnOnce(&mut Run, Needs<'_>) -> T,
     ) -> T {
-        let Some(chain) = self.chains.open.get_mut(&request) else { return T::default() };
-        let (times, functions, workloads) =
-            (&self.chains.times, &self.deployment.functions, &self.deployment.workloads);
-        let needs = |step: &Step, function: &str, _ahead: Micros| {
-            let row = functions.get(function).unwrap_or(&workloads[step.workload].default_function);
+        let Some(workflow) = self.workflows.active.get_mut(&request) else { return T::default() };
+        let times = &self.workflows.times;
+        let functions = &self.deployment.functions;
+        let workloads = &self.deployment.workloads;
+        let needed_time = |step: &Step, function: &str, _ahead: Micros| {
+            let defaults = &workloads[step.workload].default_function;
+            let config = functions.get(function).unwrap_or(defaults);
             let id = FunctionId::named(function);
-            times.usual(id, step.at_least) + times.load(now, id, row.load_time)
+            times.usual(id, step.at_least) + times.load(now, id, config.load_time)
         };
-        decide(&mut chain.run, &needs)
-    }
-
-    /// Carries out what a chain's run wants, in its order.
-    pub(super) fn chain_goes_on(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        todo: Vec<Do>,
-    ) {
-        for what in todo {
-            match what {
-                Do::Begin { step, function, until } => {
-                    let effect = self.chains.open.get(&request).map(|c| c.run.plan().step(step).effect);
-                    match effect {
-                        Some(RetrySafety::Idempotent) | None => {
-                            self.begin_step(now, request, step, function, until)
-                        }
-                        _ => self.chains.unwritten.push(Waiting { request, step, function, until }),
-                    }
-                }
-                Do::Wait { step, until } => {
-                    let wait = until.saturating_sub(now);
-                    self.after(
-                        now,
-                        transport,
-                        wait,
-                        Box::new(move |g, now, transport| {
-                            let todo = g.with_run(now, request, |run, needs| run.again(now, step, needs));
-                            g.chain_goes_on(now, transport, request, todo);
-                        }),
-                    );
-                }
-                Do::Cancel(step) => {
-                    // It may not have been sent yet.
-                    self.chains.unwritten.retain(|w| (w.request, w.step) != (request, step));
-                    let out = self.chains.open.get_mut(&request).and_then(|c| c.out.remove(&step));
-                    out.into_iter().for_each(|of_step| self.abandon(now, transport, of_step));
-                }
-                Do::End(ended) => match self.chains.open.get_mut(&request) {
-                    // Once it is told as finished nothing may take it back, also not after a kill.
-                    Some(chain) if chain.on_record && matches!(ended, Ended::Finished(_)) => {
-                        chain.kept.closed = true;
-                        self.chains.unanswered.push((request, ended));
-                    }
-                    _ => self.end_chain(now, transport, request, ended),
-                },
-                Do::Undo { step, function } => {
-                    let done = |c: &Chain| {
-                        let kept = c.kept.steps.get(&(step.0 as u32)).and_then(|s| s.end.as_ref());
-                        kept.is_some_and(|end| end.how == number(How::Finished))
-                    };
-                    if let Some(chain) = self.chains.open.get_mut(&request).filter(|c| !done(c)) {
-                        chain.undos += 1;
-                        self.undo(now, request, step, function, now + UNDO_FOR);
-                    }
-                }
-            }
-        }
-        let done = |c: &&mut Chain| c.run.has_ended().is_some() && c.undos == 0 && c.out.is_empty();
-        if let Some(chain) = self.chains.open.get_mut(&request).filter(done) {
-            chain.kept.closed = true;
-            if chain.on_record {
-                // It stays until that is written.
-                return self.behind(now, transport, request);
-            }
-            self.chains.open.remove(&request);
-        }
-    }
-
-    /// The request of a step: a name of its own, the chain's attributes and data.
-    fn wanted(&self, chain: &Chain, step: StepId, function: String, left: Micros, then: Then) -> Wanted {
-        let row = chain.run.plan().step(step);
-        let names = &self.deployment.workloads[row.workload];
-        let name: IdempotencyKey = IdempotencyKey {
-            source: chain.name.source.clone(),
-            id: Rc::from(format!("{}/{}", chain.name.id, row.name)),
-        };
-        let mut lines = Lines::default();
-        lines.field("ce-id", &name.id);
-        lines.field("ce-type", names.types.first().map_or("", String::as_str));
-        lines.append(&chain.lines);
-        Wanted {
-            name,
-            client: chain.client,
-            digest: chain.digest,
-            workload: row.workload,
-            function,
-            customer: chain.customer,
-            left,
-            retry: chain.retry,
-            paid: 1.0,
-            lines,
-            media: chain.media.clone(),
-            data: chain.data.clone(),
-            opening: None,
-            callers: Vec::new(),
-            then: Some(then),
-        }
-    }
-
-    fn begin_step(&mut self, now: Micros, request: RequestId, step: StepId, function: String, until: Micros) {
-        let paid = self.with_run(now, request, |run, needs| run.paid(now, needs));
-        let Some(chain) = self.chains.open.get(&request) else { return };
-        let id = FunctionId::named(&function);
-        let then: Then =
-            Box::new(move |g, now, transport, end| g.step_ended(now, transport, request, step, id, &end));
-        let wanted = self.wanted(chain, step, function, until.saturating_sub(now), then);
-        self.chains.counts.steps += 1;
-        let of_step = self.begin(now, Wanted { paid, ..wanted });
-        if let Some(chain) = self.chains.open.get_mut(&request) {
-            chain.steps += 1;
-            chain.out.insert(step, of_step);
-        }
-    }
-
-    fn step_ended(
-        &mut self,
-        now: Micros,
-        transport: &mut dyn Transport,
-        request: RequestId,
-        step: StepId,
-        function: FunctionId,
-        end: &StepEnd,
-    ) {
-        if end.told.outcome == FinalOutcome::Finished {
-            self.chains.times.finished(now, function, end.took, end.stood);
-        }
-        let Some(chain) = self.chains.open.get_mut(&request) else { return };
-        chain.out.remove(&step);
-        chain.come_back = end.told.retry_after;
-        if end.told.outcome == FinalOutcome::Finished {
-            chain.finished = Some((step, end.told.clone()));
-        }
-        let told = end.told.clone();
-        let read = move |name: &str| field(&told.body, name);
-        let ending = how(end.told.outcome);
-        self.keep_end(now, transport, request, step, ending, &end.told);
-        let come_back = end.told.retry_after;
-        let todo =
-            self.with_run(now, request, |run, needs| run.ended(now, step, ending, come_back, &read, needs));
-        self.chain_goes_on(now, transport, request, todo);
-    }
-
-    /// Ends a step's request from this side: nobody waits for it any more.
-    fn abandon(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
-        let Some(task) = self.tasks.get_mut(request) else { return };
-        task.ended = true;
-        task.data.then = None;
-        let attempts = task.attempts.len();
-        if task.in_flight() == 0 {
-            self.tasks.remove_if_done(request);
-            self.control.advance_to(now);
-            self.control.client_disconnected(&mut self.actions, request);
-            return;
-        }
-        for index in 0..attempts {
-            self.end_attempt(now, transport, AttemptId { request, index }, Outcome::Cancelled);
-        }
-    }
-
-    /// Begins an undo, and again until it has finished.
-    fn undo(&mut self, now: Micros, request: RequestId, step: StepId, function: String, last: Micros) {
-        let Some(chain) = self.chains.open.get(&request) else { return };
-        let left = self.deployment.workloads[chain.run.plan().step(step).workload].deadline;
-        let again = function.clone();
-        let then: Then = Box::new(move |g, now, transport, end| {
-            if end.told.outcome != FinalOutcome::Finished && now < last {
-                let wait = end.told.retry_after.unwrap_or(UNDO_AGAIN).max(UNDO_AGAIN);
-                g.after(
-                    now,
-                    transport,
-                    wait,
-                    Box::new(move |g, now, _| g.undo(now, request, step, again, last)),
-                );
-                return;
-            }
-            if end.told.outcome != FinalOutcome::Finished
-                && let Some(chain) = g.chains.open.get(&request)
-            {
-                let (id, step) = (&chain.name.id, &chain.run.plan().step(step).name);
-                tracing::error!(%id, %step, reason = "undo-given-up", "a step was not taken back");
-            }
-            if let Some(chain) = g.chains.open.get_mut(&request) {
-                chain.undos -= 1;
-            }
-            g.keep_end(now, transport, request, step, how(end.told.outcome), &end.told);
-            g.chain_goes_on(now, transport, request, Vec::new());
-        });
-        self.chains.counts.undos += 1;
-        let wanted = self.wanted(chain, step, function, left, then);
-        self.begin(now, wanted);
-    }
-
-    /// The one place where a chain is answered.
-    fn end_chain(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, ended: Ended) {
-        let Some(chain) = self.chains.open.get_mut(&request) else { return };
-        let id = chain.name.id.clone();
-        let failed = |step: StepId, why: Why| {
-            let name = &chain.run.plan().step(step).name;
-            match why {
-                Why::NoTime => ("no-time", format!("step '{name}' cannot finish in the time left")),
-                Why::NoFunction => ("no-function", format!("no result names the function of step '{name}'")),
-                Why::NotWritten => ("no-record", format!("step '{name}' could not be written down")),
-                Why::StepFailed => ("step-failed", format!("step '{name}' did not finish")),
-            }
-        };
-        let counts = &mut self.chains.counts;
-        let last = match ended {
-            Ended::Finished(step) | Ended::PushedBack(step, _) | Ended::Failed(step, _) => step,
-        };
-        let told = match ended {
-            Ended::Finished(step) => {
-                counts.finished += 1;
-                match chain.answer(step) {
-                    Some((mut lines, body)) => {
-                        lines.field("applepond-steps", &chain.steps.to_string());
-                        Rc::new(Answer::finished(lines, body))
-                    }
-                    None => {
-                        let detail = "it finished; its answer was too long to be kept over a kill";
-                        let fault = Fault::new(502, "answer-lost", detail);
-                        Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
-                    }
-                }
-            }
-            Ended::PushedBack(step, why) => {
-                // The next try begins anew.
-                chain.kept.steps.clear();
-                counts.pushed_back += 1;
-                counts.refused_for_time += u64::from(why == Why::NoTime);
-                let (reason, detail) = failed(step, why);
-                let wait = chain
-                    .come_back
-                    .or(Some(COME_BACK))
-                    .filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
-                let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
-                Answer::problem(FinalOutcome::Rejected, &fault, Some(&id), wait)
-            }
-            Ended::Failed(step, why) => {
-                chain.kept.failed = true;
-                // On record for as long as it may be taken back.
-                chain.kept.until = now + UNDO_FOR + self.deployment.answer_retention.time;
-                counts.failed += 1;
-                let (reason, detail) = failed(step, why);
-                let status = if why == Why::NoTime { 504 } else { 502 };
-                let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
-                Answer::problem(FinalOutcome::Failed, &fault, Some(&id), None)
-            }
-        };
-        let paid = chain.finished.is_some() || chain.on_record;
-        let finished = matches!(ended, Ended::Finished(_));
-        self.chains.pace.ended(now, finished, paid && !finished);
-        match told.outcome {
-            FinalOutcome::Finished => self.counts.finished += 1,
-            FinalOutcome::Rejected => self.counts.pushed_back += 1,
-            FinalOutcome::Failed => self.counts.killed += 1,
-        }
-        self.gate.ended(now, told.outcome == FinalOutcome::Finished, told.outcome == FinalOutcome::Rejected);
-        // What may have run must not run again here, whatever the effect of the step that failed.
-        let completion = Completion {
-            outcome: told.outcome,
-            retry_safety: RetrySafety::AtMostOnce,
-            answer: told.clone(),
-            bytes: told.bytes(),
-        };
-        self.idempotency.complete(now, &chain.name, completion);
-        tracing::info!(
-            id = %id,
-            source = %chain.name.source,
-            chain = %chain.run.plan().name,
-            reason = told.reason,
-            status = told.status,
-            step = %chain.run.plan().step(last).name,
-            steps = chain.steps,
-            exchanges = chain.callers.len(),
-            took_us = now - chain.came,
-            left_us = chain.run.deadline().saturating_sub(now),
-            "chain ended"
-        );
-        chain.answered = true;
-        for conn in std::mem::take(&mut chain.callers) {
-            if let Some(caller) = self.callers.get_mut(&conn) {
-                caller.answer(now, transport, conn, &told);
-                self.ready.push_back(conn);
-            }
-        }
+        decide(&mut workflow.run, &needed_time)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/gateway/workflow/recovery.rs
@@ -0,0 +1,66 @@
+//! Workflows that a restart cut off: each waits in the store for a client that asks for it again until its
+//! deadline, and then goes on by itself, which undoes what must be undone.
+use super::plan_digest;
+use crate::gateway::Gateway;
+use crate::idempotency::{IdempotencyKey, Lookup};
+use applepond::interface::{CustomerId, Micros};
+use applepond_reactor::Transport;
+use applepond_storage::Kept;
+
+/// Time between two rounds in which expired workflows are removed from the store.
+const CLEAR_INTERVAL: Micros = 5_000_000;
+
+impl Gateway {
+    /// Schedules the workflows in the store that have not come to their end.
+    pub(in crate::gateway) fn resume_workflows(&mut self, now: Micros, transport: &mut dyn Transport) {
+        let open = match self.workflows.store.open() {
+            Ok(open) => open,
+            Err(error) => {
+                return tracing::error!(%error, reason = "no-record", "the record cannot be read");
+            }
+        };
+        for (source, id) in open {
+            let key = IdempotencyKey::new(&source, &id);
+            let stored = self.workflows.store.read((&key.source, &key.id));
+            let Ok(Some(stored)) = stored else { continue };
+            let wait = stored.deadline.saturating_sub(now);
+            tracing::info!(%id, %source, reason = "open-chain", wait_us = wait, "a chain was cut off");
+            let resume = move |gateway: &mut Gateway, now, _: &mut dyn Transport| {
+                gateway.resume_without_client(now, key);
+            };
+            self.schedule(now, transport, wait, Box::new(resume));
+        }
+        self.clear_store_periodically(now, transport);
+    }
+
+    fn clear_store_periodically(&mut self, now: Micros, transport: &mut dyn Transport) {
+        if let Err(error) = self.workflows.store.clear(now) {
+            tracing::error!(%error, reason = "no-record", "the record cannot be cleared");
+        }
+        let clear = |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
+            gateway.clear_store_periodically(now, transport);
+        };
+        self.schedule(now, transport, CLEAR_INTERVAL, Box::new(clear));
+    }
+
+    /// Takes up a workflow for which no client has asked again. One whose plan has changed stays in the store.
+    fn resume_without_client(&mut self, now: Micros, key: IdempotencyKey) {
+        if !matches!(self.idempotency.look_up(now, &key), Lookup::New) {
+            return;
+        }
+        let Ok(Some(stored)) = self.workflows.store.read((&key.source, &key.id)) else { return };
+        let workloads = &self.deployment.workloads;
+        let mut plans = self.deployment.workflows.iter().map(|workflow| workflow.plan.clone());
+        let plan =
+            plans.find(|plan| (&plan.name, plan_digest(plan, workloads)) == (&stored.chain, stored.plan));
+        let Some(plan) = plan.filter(|_| !stored.closed) else { return };
+        let customers = &self.deployment.customers;
+        let customer = stored.customer.as_ref();
+        let customer = customer.and_then(|name| customers.iter().position(|known| known == name));
+        let request = self.next_request_id();
+        let stored = Kept { until: now + self.deployment.answer_retention.time, ..stored };
+        let workflow = self.workflow_from_stored(now, key.clone(), plan, stored, customer.map(CustomerId));
+        self.idempotency.start(key, request);
+        self.start_workflow(now, request, workflow);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -0,0 +1,284 @@
+//! The steps of workflows: a run's commands are carried out, each step's request is started and its end handed
+//! back to the run, and steps that must not last are undone.
+use super::{ActiveWorkflow, FinishedStep, OnStepEnd, StepEnd, UnansweredWorkflow, UnsentStep};
+use super::{result_field, step_outcome};
+use crate::gateway::Gateway;
+use crate::gateway::request::{NewRequest, RequestContent};
+use crate::idempotency::{FinalOutcome, IdempotencyKey};
+use crate::request_table::AttemptId;
+use applepond::interface::{FunctionId, Micros, Outcome, RequestId, RetrySafety};
+use applepond_http::encode::Lines;
+use applepond_reactor::Transport;
+use applepond_storage::kept::number;
+use applepond_workflow::{Do, Ended, How, StepId};
+use std::rc::Rc;
+
+/// Time after which an undo that did not finish is tried again, at least.
+const UNDO_RETRY_DELAY: Micros = 1_000_000;
+/// Time for which undos are tried: longer than a rollout takes.
+pub(super) const UNDO_PERIOD: Micros = 300_000_000;
+
+/// The undo of one step.
+#[derive(Clone)]
+struct Undo {
+    request: RequestId,
+    /// The step that does it.
+    step: StepId,
+    function: String,
+    /// When it is not tried any more.
+    give_up_at: Micros,
+}
+
+impl Gateway {
+    /// Carries out what a workflow's run wants, in its order; then drops or closes the workflow, if it is done.
+    pub(in crate::gateway) fn run_commands(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: RequestId,
+        commands: Vec<Do>,
+    ) {
+        for command in commands {
+            match command {
+                Do::Begin { step, function, until } => {
+                    self.begin_or_queue_step(now, request, step, function, until);
+                }
+                Do::Wait { step, until } => self.wait_for_step(now, transport, request, step, until),
+                Do::Cancel(step) => self.cancel_step(now, transport, request, step),
+                Do::End(ended) => self.end_or_queue_workflow(now, transport, request, ended),
+                Do::Undo { step, function } => self.begin_undo(now, request, step, function),
+            }
+        }
+        let workflow = self.workflows.active.get_mut(&request);
+        if let Some(workflow) = workflow.filter(|workflow| workflow.is_done()) {
+            workflow.stored.closed = true;
+            if workflow.is_stored {
+                // It stays active until that is written.
+                return self.mark_unwritten(now, transport, request);
+            }
+            self.workflows.active.remove(&request);
+        }
+    }
+
+    /// Sends a step at once if it is idempotent, else after it has been stored.
+    fn begin_or_queue_step(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        step: StepId,
+        function: String,
+        deadline: Micros,
+    ) {
+        let workflow = self.workflows.active.get(&request);
+        match workflow.map(|workflow| workflow.run.plan().step(step).effect) {
+            Some(RetrySafety::Idempotent) | None => {
+                self.begin_step(now, request, step, function, deadline);
+            }
+            _ => self.workflows.unsent.push(UnsentStep { request, step, function, deadline }),
+        }
+    }
+
+    /// Lets the run decide on a step again at `until`.
+    fn wait_for_step(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: RequestId,
+        step: StepId,
+        until: Micros,
+    ) {
+        let retry = move |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
+            let commands = gateway.with_run(now, request, |run, needs| run.again(now, step, needs));
+            gateway.run_commands(now, transport, request, commands);
+        };
+        self.schedule(now, transport, until.saturating_sub(now), Box::new(retry));
+    }
+
+    fn cancel_step(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, step: StepId) {
+        // It may not have been sent yet.
+        self.workflows.unsent.retain(|waiting| (waiting.request, waiting.step) != (request, step));
+        let workflow = self.workflows.active.get_mut(&request);
+        if let Some(step_request) = workflow.and_then(|workflow| workflow.in_flight.remove(&step)) {
+            self.abandon_step(now, transport, step_request);
+        }
+    }
+
+    /// Answers a workflow. One that is stored and has finished is stored as such first: once its client knows
+    /// that it finished nothing may undo it, also not after a restart.
+    fn end_or_queue_workflow(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: RequestId,
+        ended: Ended,
+    ) {
+        match self.workflows.active.get_mut(&request) {
+            Some(workflow) if workflow.is_stored && matches!(ended, Ended::Finished(_)) => {
+                workflow.stored.closed = true;
+                self.workflows.unanswered.push(UnansweredWorkflow { request, ended });
+            }
+            _ => self.end_workflow(now, transport, request, ended),
+        }
+    }
+
+    /// The request of a step: a key of its own, the workflow's fields and data.
+    fn step_request(
+        &self,
+        workflow: &ActiveWorkflow,
+        step: StepId,
+        function: String,
+        time_left: Micros,
+        on_end: OnStepEnd,
+    ) -> NewRequest {
+        let planned = workflow.run.plan().step(step);
+        let events = &self.deployment.workloads[planned.workload];
+        let key = IdempotencyKey {
+            source: workflow.key.source.clone(),
+            id: Rc::from(format!("{}/{}", workflow.key.id, planned.name)),
+        };
+        let mut fields = Lines::default();
+        fields.field("ce-id", &key.id);
+        fields.field("ce-type", events.types.first().map_or("", String::as_str));
+        fields.append(&workflow.fields);
+        let content = RequestContent {
+            key,
+            client_digest: workflow.client_digest,
+            digest: workflow.digest,
+            workload: planned.workload,
+            function,
+            fields,
+            media_type: workflow.media_type.clone(),
+            data: workflow.data.clone(),
+            prefix: None,
+        };
+        NewRequest {
+            content,
+            customer: workflow.customer,
+            time_left,
+            is_retry: workflow.is_retry,
+            priority_factor: 1.0,
+            clients: Vec::new(),
+            on_end: Some(on_end),
+        }
+    }
+
+    /// Starts the request of a step.
+    pub(super) fn begin_step(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        step: StepId,
+        function: String,
+        deadline: Micros,
+    ) {
+        let priority_factor = self.with_run(now, request, |run, needs| run.paid(now, needs));
+        let Some(workflow) = self.workflows.active.get(&request) else { return };
+        let id = FunctionId::named(&function);
+        let on_end: OnStepEnd = Box::new(move |gateway, now, transport, end| {
+            gateway.step_ended(now, transport, request, step, id, &end);
+        });
+        let time_left = deadline.saturating_sub(now);
+        let new = self.step_request(workflow, step, function, time_left, on_end);
+        self.workflows.counters.steps += 1;
+        let step_request = self.start_request(now, NewRequest { priority_factor, ..new });
+        if let Some(workflow) = self.workflows.active.get_mut(&request) {
+            workflow.sent_steps += 1;
+            workflow.in_flight.insert(step, step_request);
+        }
+    }
+
+    /// The request of a step has ended: the run decides what comes next.
+    fn step_ended(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: RequestId,
+        step: StepId,
+        function: FunctionId,
+        end: &StepEnd,
+    ) {
+        let is_finished = end.answer.outcome == FinalOutcome::Finished;
+        if is_finished {
+            self.workflows.times.finished(now, function, end.duration, end.was_loaded);
+        }
+        let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
+        workflow.in_flight.remove(&step);
+        workflow.retry_after = end.answer.retry_after;
+        if is_finished {
+            workflow.last_finished = Some(FinishedStep { step, answer: end.answer.clone() });
+        }
+        let how = step_outcome(end.answer.outcome);
+        self.record_step_end(now, transport, request, step, how, &end.answer);
+        let retry_after = end.answer.retry_after;
+        let answer = end.answer.clone();
+        let read_field = move |name: &str| result_field(&answer.body, name);
+        let commands = self
+            .with_run(now, request, |run, needs| run.ended(now, step, how, retry_after, &read_field, needs));
+        self.run_commands(now, transport, request, commands);
+    }
+
+    /// Ends a step's request from this side: nobody waits for it any more.
+    fn abandon_step(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
+        let Some(state) = self.requests.get_mut(request) else { return };
+        state.ended = true;
+        state.data.on_end = None;
+        let attempts = state.attempts.len();
+        if state.in_flight() == 0 {
+            self.requests.remove_if_done(request);
+            self.control.advance_to(now);
+            self.control.client_disconnected(&mut self.actions, request);
+            return;
+        }
+        for index in 0..attempts {
+            self.end_attempt(now, transport, AttemptId { request, index }, Outcome::Cancelled);
+        }
+    }
+
+    /// Starts to undo a step, unless the undo has finished before.
+    fn begin_undo(&mut self, now: Micros, request: RequestId, step: StepId, function: String) {
+        let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
+        let stored = workflow.stored.steps.get(&(step.0 as u32));
+        let end = stored.and_then(|stored| stored.end.as_ref());
+        if end.is_some_and(|end| end.how == number(How::Finished)) {
+            return;
+        }
+        workflow.pending_undos += 1;
+        self.try_undo(now, Undo { request, step, function, give_up_at: now + UNDO_PERIOD });
+    }
+
+    /// Starts the request of an undo.
+    fn try_undo(&mut self, now: Micros, undo: Undo) {
+        let Some(workflow) = self.workflows.active.get(&undo.request) else { return };
+        let workload = workflow.run.plan().step(undo.step).workload;
+        let time_left = self.deployment.workloads[workload].deadline;
+        let (step, function) = (undo.step, undo.function.clone());
+        let on_end: OnStepEnd = Box::new(move |gateway, now, transport, end| {
+            gateway.undo_ended(now, transport, undo, &end);
+        });
+        self.workflows.counters.undos += 1;
+        let new = self.step_request(workflow, step, function, time_left, on_end);
+        self.start_request(now, new);
+    }
+
+    /// The request of an undo has ended: one that did not finish is tried again until it is given up.
+    fn undo_ended(&mut self, now: Micros, transport: &mut dyn Transport, undo: Undo, end: &StepEnd) {
+        let Undo { request, step, give_up_at, .. } = undo;
+        let is_finished = end.answer.outcome == FinalOutcome::Finished;
+        if !is_finished && now < give_up_at {
+            let wait = end.answer.retry_after.unwrap_or(UNDO_RETRY_DELAY).max(UNDO_RETRY_DELAY);
+            let retry = move |gateway: &mut Gateway, now, _: &mut dyn Transport| gateway.try_undo(now, undo);
+            self.schedule(now, transport, wait, Box::new(retry));
+            return;
+        }
+        if let Some(workflow) = self.workflows.active.get_mut(&request) {
+            if !is_finished {
+                let (id, name) = (&workflow.key.id, &workflow.run.plan().step(step).name);
+                tracing::error!(%id, step = %name, reason = "undo-given-up", "a step was not taken back");
+            }
+            workflow.pending_undos -= 1;
+        }
+        let how = step_outcome(end.answer.outcome);
+        self.record_step_end(now, transport, request, step, how, &end.answer);
+        self.run_commands(now, transport, request, Vec::new());
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,21 @@
-//! One router instance as a machine without I/O: it is told of bytes, connections and time, asks `Control` of
-//! the root package for every product decision, carries it out on worker connections, and gives each request
-//! its one final answer. Decisions of its own: whether an attempt may have run (`fate`), which exchanges
-//! share a request and what is told again after its end (`claims`), how long a request has (`limit`), which
-//! list to believe (`host_list`), what new settings may change in a running instance (`switch`).
+//! One router instance as a machine without I/O. It reads the exchanges of clients, asks `Control` of the root
+//! package for every routing decision, carries its actions out on connections to workers, and gives each request
+//! exactly one final answer.
+//!
+//! The shell around it (`applepond serve`) provides connections, time and configuration; tests provide simulated
+//! ones. Decisions that are made here and not in `Control`:
+//!
+//! - `attempt_outcome`: whether an attempt may have run, from what happened on its connection;
+//! - `idempotency`: which exchanges share a request, and whose answer is replayed after its end;
+//! - `deadline`: how long a request has;
+//! - `endpoint_list`: what a message of the endpoint list does to the record of a worker;
+//! - `reload`: what a new configuration may change in a running instance.
+//!
+//! Everything else is in [`Gateway`]; its module says which file handles which event. `request_table`,
+//! `attempt_outcome` and `deferred` also serve the platform's router, `applepond-node`.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
+
 pub mod attempt_outcome;
 mod client;
 pub mod deadline;
@@ -17,4 +30,7 @@
 mod worker_connection;
 
 pub use deployment::Deployment;
-pub use gateway::{Gateway, Memory, News, Openings, Page};
+pub use gateway::{
+    ConfigSource, Gateway, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker,
+    StatusSection, TrafficBaseline,
+};
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -118,8 +118,8 @@
     pub fn with(deployment: Deployment, now: Micros, record: Box<dyn Record>) -> Self {
         let news = Rc::new(RefCell::new(None));
         let found = news.clone();
-        let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_record(record);
-        let gateway = gateway.with_news(Box::new(move || found.borrow_mut().take().map(Ok)));
+        let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_workflow_store(record);
+        let gateway = gateway.with_config_source(Box::new(move || found.borrow_mut().take().map(Ok)));
         let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
         bench.gateway.start(now, &mut bench.paper);
         bench
--- a/crates/gateway/tests/machine.rs
+++ b/crates/gateway/tests/machine.rs
@@ -493,14 +493,14 @@
 /// Leases by name, until a time.
 struct Leases(&'static str, Micros, std::rc::Rc<std::cell::RefCell<Vec<(String, u32)>>>);
 
-impl applepond_gateway::Openings for Leases {
-    fn uses(&mut self, name: &str, size: u32) {
+impl applepond_gateway::PrefixTracker for Leases {
+    fn record_use(&mut self, name: &str, size: u32) {
         self.2.borrow_mut().push((name.to_owned(), size));
     }
-    fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
+    fn pin_lease(&self, now: Micros, name: &str) -> Option<Micros> {
         (name == self.0 && now < self.1).then(|| self.1 - now)
     }
-    fn workers(&mut self, _: usize) {}
+    fn set_ready_workers(&mut self, _: usize) {}
 }
 
 // A request's opening goes to its worker, with a lease while the list has it; a request is counted when it
@@ -514,7 +514,7 @@
     let uses = std::rc::Rc::default();
     let gateway = applepond_gateway::Gateway::new(b.now, deployment(1), Box::new(|_| ()));
     let leases = Leases("long", b.now + 2 * S, std::rc::Rc::clone(&uses));
-    b.gateway = gateway.with_openings(Box::new(leases));
+    b.gateway = gateway.with_prefix_tracker(Box::new(leases));
     b.paper = Default::default();
     b.gateway.start(b.now, &mut b.paper);
     let client = b.caller();
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/memory.rs
@@ -3,7 +3,9 @@
 mod common;
 use applepond::interface::*;
 use applepond_fakes::simulated_transport::SimulatedTransport;
-use applepond_gateway::Gateway;
+use applepond_gateway::{
+    Gateway, HistoryStore, PromisedRetry, RestoredTraffic, RestoredWorker, TrafficBaseline,
+};
 use applepond_reactor::Machine;
 use applepond_recovery::{About, Fact, Memory, What};
 use common::*;
@@ -12,32 +14,45 @@
 
 struct Shelf(Rc<RefCell<Memory>>);
 
-impl applepond_gateway::Memory for Shelf {
-    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
-        self.0.borrow_mut().saw(now, server, up_since, seen);
+impl HistoryStore for Shelf {
+    fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory) {
+        self.0.borrow_mut().saw(now, worker, up_since, history);
     }
-    fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
-        self.0.borrow_mut().saw_load_time(now, function, took);
+    fn record_load_time(&mut self, now: Micros, function: FunctionId, load_time: Micros) {
+        self.0.borrow_mut().saw_load_time(now, function, load_time);
     }
-    fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
-        self.0.borrow_mut().saw_usual(now, usual);
+    fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
+        let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
+        self.0.borrow_mut().saw_usual(now, [first_attempts_per_second, connections_per_second, pace]);
     }
-    fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
-        self.0.borrow_mut().promised(now, request, wait);
+    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry) {
+        self.0.borrow_mut().promised(now, retry.request, retry.wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_recovery::Own> {
-        self.0.borrow_mut().own(now)
+    fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
+        let (usual, promises) = self.0.borrow_mut().own(now)?;
+        let baseline = usual.map(|[first_attempts_per_second, connections_per_second, pace]| {
+            TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
+        });
+        let promised = promises.into_iter().map(|(request, wait)| PromisedRetry { request, wait });
+        Some(RestoredTraffic { baseline, promised_retries: promised.collect() })
     }
-    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
-        self.0.borrow_mut().recalls(now)
+    fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
+        let recalled = self.0.borrow_mut().recalls(now).into_iter();
+        recalled.map(|(worker, up_since, history)| RestoredWorker { worker, up_since, history }).collect()
     }
-    fn recalled(&mut self, server: WorkerId, up_since: Micros) {
-        self.0.borrow_mut().recalled(server, up_since);
+    fn worker_restored(&mut self, worker: WorkerId, up_since: Micros) {
+        self.0.borrow_mut().recalled(worker, up_since);
     }
-    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
-        self.0.borrow_mut().listed(now, server, up_since, is)
+    fn effective_status(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        up_since: Micros,
+        listed: WorkerStatus,
+    ) -> WorkerStatus {
+        self.0.borrow_mut().listed(now, worker, up_since, listed)
     }
-    fn whole(&mut self, named: &[(WorkerId, Micros)]) {
+    fn full_list_received(&mut self, named: &[(WorkerId, Micros)]) {
         self.0.borrow_mut().whole(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
@@ -57,8 +72,8 @@
     let gateway = Gateway::new(now, deployment(2), Box::new(|_| ()));
     let news = Rc::new(RefCell::new(None));
     let found = news.clone();
-    let gateway = gateway.with_memory(Box::new(Shelf(memory.clone())));
-    let gateway = gateway.with_news(Box::new(move || found.borrow_mut().take().map(Ok)));
+    let gateway = gateway.with_history(Box::new(Shelf(memory.clone())));
+    let gateway = gateway.with_config_source(Box::new(move || found.borrow_mut().take().map(Ok)));
     let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
     bench.gateway.start(now, &mut bench.paper);
     (bench, memory)
@@ -133,7 +148,7 @@
 fn promises_outlast_the_process() {
     let (mut b, memory) = told(&[]);
     b.gateway =
-        Gateway::new(b.now, deployment(0), Box::new(|_| ())).with_memory(Box::new(Shelf(memory.clone())));
+        Gateway::new(b.now, deployment(0), Box::new(|_| ())).with_history(Box::new(Shelf(memory.clone())));
     b.gateway.start(b.now, &mut b.paper);
     let client = b.asks("quote", "1");
     b.pass(4 * S);
