--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -3,8 +3,8 @@
 
 /// Interval between two heartbeats to each neighbour, in µs.
 ///
-/// Eight or more heartbeats fit into [`HEARTBEAT_TIMEOUT`], so that with a third of all messages lost only one
-/// silence in a thousand is due to chance.
+/// Eight or more heartbeats fit into [`HEARTBEAT_TIMEOUT`], so that with a third of all messages lost only
+/// one silence in a thousand is due to chance.
 pub const HEARTBEAT_INTERVAL: Micros = 250_000;
 
 /// Silence after which a neighbour is suspected, in µs.
@@ -54,11 +54,12 @@
 /// some tenths of a second.
 pub(crate) const FLUSH_INTERVAL: Micros = 50_000;
 
-/// How often an update goes to all neighbours: with ten of them, a loss of a third of the messages stops none.
+/// How often an update goes to all neighbours: with ten of them, a loss of a third of the messages stops
+/// none.
 pub(crate) const RETRANSMIT_ROUNDS: u8 = 4;
 
-/// Updates that wait for dissemination at most. Beyond it the most transmitted one is dropped; comparing views
-/// repairs what that costs.
+/// Updates that wait for dissemination at most. Beyond it the most transmitted one is dropped; comparing
+/// views repairs what that costs.
 pub(crate) const MAX_QUEUED_UPDATES: usize = 2_048;
 
 /// Interval between two comparisons of views with neighbours whose view differs, in µs.
--- a/crates/membership/src/damped_count.rs
+++ b/crates/membership/src/damped_count.rs
@@ -7,8 +7,8 @@
 /// Time in µs for which the view must have shown fewer routers before the lower count is taken.
 const DECREASE_DELAY: Micros = 2_000_000;
 
-/// Fraction of the routers below which a remaining count is distrusted: this router may be the one that is cut
-/// off.
+/// Fraction of the routers below which a remaining count is distrusted: this router may be the one that is
+/// cut off.
 const MIN_TRUSTED_FRACTION: f64 = 0.5;
 
 /// Time in µs for which a view that lost more than that is distrusted: a partition has healed or is known to
@@ -38,8 +38,8 @@
     /// Number of routers among which shared limits are divided here: never less than `configured_max`, the
     /// most that the settings name.
     ///
-    /// This guards against shares that are computed from a wrong view: only agreement could give the shares of
-    /// lost routers to those that are left.
+    /// This guards against shares that are computed from a wrong view: only agreement could give the shares
+    /// of lost routers to those that are left.
     pub fn share_count(&mut self, now: Micros, live: usize, configured_max: usize) -> usize {
         self.observe(now, live).max(configured_max)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,7 +8,8 @@
 //! - Every router exchanges heartbeats with a few neighbours ([`Rings`]), which are the same for all routers
 //!   that share a view.
 //! - A neighbour that is silent for longer than the heartbeat timeout, directly and through others, is
-//!   suspected by each of its neighbours independently. Only votes of several independent neighbours, held for
+//!   suspected by each of its neighbours independently. Only votes of several independent neighbours, held
+//!   for
 //!   the suspicion timeout, declare a router dead. Meanwhile it may refute under a higher incarnation.
 //! - The view is a hint: it tells who seems to be there. Nothing that has to be safe may rest on it.
 //!
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -136,8 +136,8 @@
         transient.map(|(id, _)| *id).take(MAX_TRANSIENT_NEIGHBOURS)
     }
 
-    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a router
-    /// that is there.
+    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a
+    /// router that is there.
     pub(super) fn contact_missing(&mut self, actions: &mut dyn Actions) {
         if self.now < self.next_contact {
             return;
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -13,8 +13,8 @@
 pub(super) struct IncomingMessage<'a> {
     membership: &'a mut Membership,
     actions: &'a mut dyn Actions,
-    /// Whether the sender is the current process of an active router, as far as is known here. Determined once
-    /// for each message, as it has effects.
+    /// Whether the sender is the current process of an active router, as far as is known here. Determined
+    /// once for each message, as it has effects.
     sender_is_current: Option<bool>,
 }
 
--- a/crates/membership/src/membership/local_record.rs
+++ b/crates/membership/src/membership/local_record.rs
@@ -79,8 +79,8 @@
 
     /// Refutes what was said about this router up to the incarnation `said`, by a higher one.
     ///
-    /// A router that was declared dead by several others joins again, and counts only once its neighbours hear
-    /// it.
+    /// A router that was declared dead by several others joins again, and counts only once its neighbours
+    /// hear it.
     pub(super) fn refute(&mut self, actions: &mut dyn Actions, said: u64) {
         let now = self.now;
         self.removal_reports.retain(|_, at| now < *at + HEALTH_PENALTY_DURATION);
--- a/crates/membership/src/safeguards.rs
+++ b/crates/membership/src/safeguards.rs
@@ -2,8 +2,8 @@
 
 /// What keeps a view from being wrong.
 ///
-/// Each safeguard can be disabled, to measure what it is worth and to prove that the fault-injection scenarios
-/// find its absence. In service all of them are enabled.
+/// Each safeguard can be disabled, to measure what it is worth and to prove that the fault-injection
+/// scenarios find its absence. In service all of them are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A router that is suspected refutes the suspicion.
