--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -131,7 +131,7 @@
     ) -> WorkflowRecord {
         WorkflowRecord {
             workflow: plan.name.clone(),
-            plan_digest: plan_digest,
+            plan_digest,
             function: named_function,
             customer: customer.map(|customer| self.deployment.customers[customer.0].clone()),
             header_lines: event.fields.without(&OWN_FIELDS).bytes().to_vec(),
