--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,8 +1,10 @@
 //! `fleet`: what a running router says of its fleet, and that part of `serve`.
 use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
-use applepond_fleet::desk::{DiskFault, Threads};
-use applepond_fleet::envelope::Key;
-use applepond_fleet::{Fleet, OpeningGuards, Place, Shared, View, ask, page};
+use applepond_fleet::disk::{DiskConfig, DiskFault, DiskThreads};
+use applepond_fleet::envelope::FleetKey;
+use applepond_fleet::{
+    FleetConfig, FleetMachine, FleetView, PrefixGuards, SharedState, SharedStateConfig, page, query,
+};
 use applepond_gateway::deployment::{FleetRow, OpeningsRow};
 use applepond_gateway::fault::NotTaken;
 use applepond_gateway::switch::merge;
@@ -35,7 +37,7 @@
 
 pub fn run(what: What) -> ExitCode {
     let What::Members { at, json } = what;
-    let fleet = match ask(at) {
+    let fleet = match query(at) {
         Ok(fleet) => fleet,
         Err(why) => {
             crate::told("", &why);
@@ -65,12 +67,12 @@
     ExitCode::SUCCESS
 }
 
-fn keys(row: &FleetRow) -> Result<Vec<Key>, NotTaken> {
+fn keys(row: &FleetRow) -> Result<Vec<FleetKey>, NotTaken> {
     let key = |file: &std::path::PathBuf| {
         let at = |why| NotTaken::KeyFile { file: file.display().to_string(), why };
         let secret = std::fs::read(file).map_err(|e| at(e.to_string()))?;
         let short = || at("a key of 16 bytes at least is wanted".to_owned());
-        Key::from_secret(&secret).ok_or_else(short)
+        FleetKey::from_secret(&secret).ok_or_else(short)
     };
     row.key_files.iter().map(key).collect()
 }
@@ -97,7 +99,7 @@
     /// How it comes back.
     pub comeback: Return,
     /// How openings are counted.
-    pub openings: OpeningGuards,
+    pub openings: PrefixGuards,
 }
 
 /// What a drill takes out of how a router comes back.
@@ -151,17 +153,17 @@
 }
 
 /// The fleet's counts of openings as the gateway uses them.
-pub struct Counter(pub Rc<RefCell<View>>);
+pub struct Counter(pub Rc<RefCell<FleetView>>);
 
 impl Counts for Counter {
     fn uses(&mut self, name: &str, size: u32) {
-        self.0.borrow_mut().shared.iter_mut().for_each(|s| s.uses(name, size));
+        self.0.borrow_mut().shared.iter_mut().for_each(|s| s.record_prefix_use(name, size));
     }
     fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
-        self.0.borrow().shared.as_ref().and_then(|s| s.rides(now, name))
+        self.0.borrow().shared.as_ref().and_then(|s| s.prefix_lease(now, name))
     }
     fn workers(&mut self, ready: usize) {
-        self.0.borrow_mut().shared.iter_mut().for_each(|s| s.workers(ready));
+        self.0.borrow_mut().shared.iter_mut().for_each(|s| s.set_ready_workers(ready));
     }
 }
 
@@ -209,39 +211,54 @@
     row: &FleetRow,
     now: Micros,
     rig: &Rig,
-) -> Result<(Fleet, Rc<RefCell<View>>, Rc<RefCell<ObservationStore>>), NotTaken> {
+) -> Result<(FleetMachine, Rc<RefCell<FleetView>>, Rc<RefCell<ObservationStore>>), NotTaken> {
     let random = || getrandom::u64().map_err(|e| NotTaken::NoRandom(e.to_string()));
     let (seed, fresh) = (random()?, InstanceId(random()?));
-    let who = (row.name.clone(), row.zone.clone(), row.listen);
-    let (fleet, view) = Fleet::new(now, who, row.seeds.clone(), keys(row)?, seed, (rig.through, rig.guards));
+    let config = FleetConfig {
+        name: row.name.clone(),
+        zone: row.zone.clone(),
+        listen: row.listen,
+        seeds: row.seeds.clone(),
+        keys: keys(row)?,
+        proxy: rig.through,
+        safeguards: rig.guards,
+    };
+    let (fleet, view) = FleetMachine::new(now, config, seed);
     let memory = Rc::new(RefCell::new(ObservationStore::default()));
     let (me, instance_id) = (RouterId::named(&row.name), view.borrow().members.local_record().instance_id);
-    let desk = Threads::new(me, (founding(row), fresh), row.votes.clone(), row.snapshot.clone(), rig.disk);
-    let place = Place {
-        me,
+    let disks = DiskThreads::new(DiskConfig {
+        router: me,
+        fleet: founding(row),
+        new_file: fresh,
+        votes: row.votes.clone(),
+        snapshot: row.snapshot.clone(),
+        fault: rig.disk,
+    });
+    let config = SharedStateConfig {
+        router: me,
         instance_id,
         incarnation: view.borrow().members.local_record().incarnation,
-        keepers: named(&row.keepers),
-        founding: founding(row),
-        keeps: row.votes.is_some(),
-        snapshots: row.snapshot.is_some(),
-        openings: row.openings.map(terms),
+        replicas: named(&row.keepers),
+        bootstrap: founding(row),
+        is_replica: row.votes.is_some(),
+        has_snapshot: row.snapshot.is_some(),
+        prefix_terms: row.openings.map(terms),
     };
-    let shared = Shared::new(now, place, memory.clone(), Box::new(desk), seed.rotate_left(31));
+    let shared = SharedState::new(now, config, memory.clone(), Box::new(disks), seed.rotate_left(31));
     let shared = shared.with_guards(rig.comeback.guards, rig.comeback.alone);
-    let shared = shared.with_opening_guards(rig.openings);
+    let shared = shared.with_prefix_guards(rig.openings);
     view.borrow_mut().shared = Some(shared);
     Ok((fleet, view, memory))
 }
 
 /// The view as a part of the state page.
-pub fn shown(view: Rc<RefCell<View>>) -> Page {
+pub fn shown(view: Rc<RefCell<FleetView>>) -> Page {
     Box::new(move |now| page(&view.borrow(), now))
 }
 
 /// The live count as new settings, by the same way as those of the file. With those of a file come its seeds
 /// and keys; where a key cannot be read, or another part needs a restart, nothing of the file is taken.
-pub fn counted(view: Rc<RefCell<View>>, mut held: Deployment, mut news: News) -> News {
+pub fn counted(view: Rc<RefCell<FleetView>>, mut held: Deployment, mut news: News) -> News {
     let begun = Instant::now();
     let mut most = held.rows.router_count;
     let mut count = DampedCount::new(most as usize);
@@ -258,8 +275,8 @@
                         match keys(row) {
                             Ok(keys) => {
                                 let mut view = view.borrow_mut();
-                                view.renew(row.seeds.clone(), keys);
-                                view.shared.iter_mut().for_each(|s| s.rename(&named(&row.keepers)));
+                                view.reconfigure(row.seeds.clone(), keys);
+                                view.shared.iter_mut().for_each(|s| s.set_replicas(&named(&row.keepers)));
                             }
                             Err(why) => return Some(Err(why)),
                         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -38,7 +38,7 @@
         fleet_through: Option<std::net::SocketAddr>,
         /// What its disks do: late-MS, lies or full.
         #[arg(long, hide = true, value_parser = fleet::disk_fault)]
-        disk: Option<applepond_fleet::desk::DiskFault>,
+        disk: Option<applepond_fleet::disk::DiskFault>,
         /// Ends with the process that started it: a drill that is broken off leaves no router behind.
         #[arg(long, hide = true)]
         with_parent: bool,
@@ -87,7 +87,7 @@
             let guards = guard.unwrap_or(applepond_membership::Safeguards::ALL);
             let comeback = fleet::Return::without(plant.as_deref());
             let lone = plant.as_deref() == Some("lone-voter-pins");
-            let openings = applepond_fleet::OpeningGuards { several: !lone };
+            let openings = applepond_fleet::PrefixGuards { several: !lone };
             let taken = guard.is_some() || comeback.is_some() || lone;
             let comeback = comeback.unwrap_or(fleet::Return::ALL);
             let rig = fleet::Rig {
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -18,7 +18,7 @@
     put(&mut all, "recovery", applepond_recovery::SnapshotError::EACH.to_vec());
     put(&mut all, "recovery", vec![applepond_recovery::MalformedMessage]);
     put(&mut all, "scenarios", applepond_scenarios::fault::Unplayed::each());
-    put(&mut all, "fleet", applepond_fleet::NoView::each());
+    put(&mut all, "fleet", applepond_fleet::QueryError::each());
     put(&mut all, "gateway", applepond_gateway::fault::Unlisted::each());
     put(&mut all, "gateway", applepond_gateway::fault::NotTaken::each());
     put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
--- /dev/null
+++ b/crates/fleet/src/disk/acceptor.rs
@@ -0,0 +1,75 @@
+//! The acceptor's thread: answers requests one by one, each after its vote is on the disk.
+use super::{AgreedState, DiskConfig, DiskEvent, DiskFault};
+use applepond_consensus::message::{self, MessageWriter};
+use applepond_consensus::{AcceptorError, AcceptorState, AcceptorStorage, RegisterState, Replica};
+use applepond_storage::AcceptorFile;
+use std::path::Path;
+use std::sync::mpsc::{Receiver, SyncSender};
+
+/// The vote on a disk that may have a fault.
+struct FaultyStorage {
+    file: AcceptorFile,
+    fault: DiskFault,
+}
+
+impl AcceptorStorage<RegisterState<AgreedState>> for FaultyStorage {
+    fn persist(&mut self, state: &AcceptorState<RegisterState<AgreedState>>) -> Result<(), AcceptorError> {
+        match self.fault {
+            DiskFault::None => {}
+            DiskFault::Late(time) => std::thread::sleep(time),
+            DiskFault::Lies => return Ok(()),
+            DiskFault::Full => return Err(AcceptorError::WriteFailed),
+        }
+        self.file.persist(state)
+    }
+}
+
+/// In place of a file that could not be opened.
+struct NoStorage;
+
+impl AcceptorStorage<RegisterState<AgreedState>> for NoStorage {
+    fn persist(&mut self, _: &AcceptorState<RegisterState<AgreedState>>) -> Result<(), AcceptorError> {
+        Err(AcceptorError::WriteFailed)
+    }
+}
+
+/// Runs until the router is gone.
+pub(super) fn run(
+    file: &Path,
+    config: &DiskConfig,
+    requests: &Receiver<Vec<u8>>,
+    events: &SyncSender<DiskEvent>,
+) {
+    let (mut storage, mut replica) = open(file, config);
+    let mut reported = replica.error();
+    if events.send(DiskEvent::AcceptorError(reported)).is_err() {
+        return;
+    }
+    while let Ok(request) = requests.recv() {
+        let mut answers = MessageWriter::new(config.router);
+        // A request that cannot be read is not answered.
+        let _ = message::handle_acceptor_request(&request, &mut replica, storage.as_mut(), &mut answers);
+        if replica.error() != reported {
+            reported = replica.error();
+            if events.send(DiskEvent::AcceptorError(reported)).is_err() {
+                return;
+            }
+        }
+        if events.send(DiskEvent::Messages(answers.messages)).is_err() {
+            return;
+        }
+    }
+}
+
+type OpenedStorage = Box<dyn AcceptorStorage<RegisterState<AgreedState>>>;
+
+/// Opens the file; one that cannot be read makes a replica that does not vote.
+fn open(file: &Path, config: &DiskConfig) -> (OpenedStorage, Replica<AgreedState>) {
+    match AcceptorFile::open(file, config.new_file) {
+        Ok((file, id, found)) => {
+            let storage = FaultyStorage { file, fault: config.fault };
+            (Box::new(storage), Replica::new(config.fleet, id, Ok(found)))
+        }
+        Err(error) => (Box::new(NoStorage), Replica::new(config.fleet, config.new_file, Err(error))),
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/disk/snapshot.rs
@@ -0,0 +1,58 @@
+//! The snapshot's thread: reads the file at the start, then replaces it as snapshots come.
+use super::{DiskEvent, DiskFault};
+use applepond_storage::{SnapshotFile, StorageError};
+use std::path::Path;
+use std::sync::mpsc::{Receiver, SyncSender};
+
+/// A snapshot file, with what was wrong with it when it was opened.
+type OpenedFile = Result<(SnapshotFile, Option<StorageError>), StorageError>;
+
+/// Runs until the router is gone.
+pub(super) fn run(
+    file: &Path,
+    fault: DiskFault,
+    snapshots: &Receiver<Vec<u8>>,
+    events: &SyncSender<DiskEvent>,
+) {
+    let mut opened = SnapshotFile::open(file);
+    if events.send(read(&opened)).is_err() {
+        return;
+    }
+    while let Ok(bytes) = snapshots.recv() {
+        // A directory that was missing may be there by now.
+        if opened.is_err() {
+            opened = SnapshotFile::open(file);
+        }
+        let written = write(&mut opened, file, fault, &bytes);
+        if events.send(DiskEvent::SnapshotWritten(written.err())).is_err() {
+            return;
+        }
+    }
+}
+
+/// The snapshot that was there at the start.
+fn read(opened: &OpenedFile) -> DiskEvent {
+    let (snapshot, error) = match opened {
+        Ok((file, error)) => match file.read() {
+            Ok(snapshot) => (snapshot, error.clone()),
+            Err(error) => (None, Some(error)),
+        },
+        Err(error) => (None, Some(error.clone())),
+    };
+    DiskEvent::SnapshotRead { snapshot, error }
+}
+
+fn write(opened: &mut OpenedFile, file: &Path, fault: DiskFault, bytes: &[u8]) -> Result<(), StorageError> {
+    match fault {
+        DiskFault::Full => {
+            return Err(StorageError::WriteFailed { file: file.to_owned(), why: "no space left".to_owned() });
+        }
+        DiskFault::Lies => return Ok(()),
+        DiskFault::None | DiskFault::Late(_) => {}
+    }
+    let (file, _) = opened.as_mut().map_err(|error| error.clone())?;
+    if let DiskFault::Late(time) = fault {
+        std::thread::sleep(time);
+    }
+    file.write(bytes)
+}
--- /dev/null
+++ b/crates/fleet/src/shared_state/disk_events.rs
@@ -0,0 +1,63 @@
+//! What the disks report: answers of the acceptor, the snapshot of the last run, errors.
+use super::{Messages, SharedState};
+use crate::disk::DiskEvent;
+use applepond_reactor::Micros;
+use applepond_recovery as recovery;
+use applepond_storage::StorageError;
+
+impl SharedState {
+    pub(super) fn handle_disk_events(&mut self, now: Micros, messages: &mut Messages) {
+        while let Some(event) = self.disks.next_event() {
+            match event {
+                DiskEvent::Messages(answers) => messages.0.extend(answers),
+                DiskEvent::AcceptorError(error) => {
+                    if let Some(register) = &mut self.register {
+                        register.set_acceptor_error(error);
+                    }
+                }
+                DiskEvent::SnapshotRead { snapshot, error } => self.load_snapshot(now, snapshot, error),
+                DiskEvent::SnapshotWritten(None) => self.snapshots_written += 1,
+                DiskEvent::SnapshotWritten(Some(error)) => self.snapshot_failed(&error),
+            }
+        }
+    }
+
+    /// Takes over the facts of the snapshot that was found at the start.
+    fn load_snapshot(&mut self, now: Micros, snapshot: Option<Vec<u8>>, error: Option<StorageError>) {
+        let (boot, at) = self.disks.boot();
+        let read =
+            snapshot.map(|bytes| recovery::decode_snapshot(self.router.0, boot, at, &bytes)).transpose();
+        let why = match (&read, &error) {
+            (Err(why), _) => Some(why.to_string()),
+            (_, Some(error)) => Some(error.to_string()),
+            _ => None,
+        };
+        if let Some(why) = &why {
+            tracing::warn!(
+                reason = "snapshot-unusable",
+                why,
+                "recovery: the snapshot cannot be used, facts come from peers or not at all"
+            );
+        }
+        self.snapshot_error = why;
+        if let Ok(Some(facts)) = read
+            && !facts.is_empty()
+        {
+            tracing::info!(reason = "snapshot", facts = facts.len(), "recovery: a snapshot has been loaded");
+            self.observations.borrow_mut().import(now, &facts);
+            self.recovery.snapshot_loaded(now);
+        }
+    }
+
+    fn snapshot_failed(&mut self, error: &StorageError) {
+        let why = error.to_string();
+        if self.snapshot_error.as_ref() != Some(&why) {
+            tracing::warn!(
+                reason = "snapshot-not-written",
+                why,
+                "recovery: the snapshot could not be written, routing goes on"
+            );
+        }
+        self.snapshot_error = Some(why);
+    }
+}
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,9 +1,9 @@
 //! Bytes of datagrams: a version that seals others cannot run beside the one before.
-use applepond_fleet::envelope::{Envelopes, Key, process};
+use applepond_fleet::envelope::{Envelopes, FleetKey, process};
 
 #[test]
 fn datagrams_keep_their_bytes() {
-    let key = || Key::from_secret(b"  a secret of sixteen bytes and more\n").expect("long enough");
+    let key = || FleetKey::from_secret(b"  a secret of sixteen bytes and more\n").expect("long enough");
     let mut sender = Envelopes::new(0x1122_3344_5566_7788, 8, vec![key()]);
     let alone = process(7, 99);
     let sealed: Vec<Vec<u8>> = [(7, &b"a message"[..]), (0, b""), (alone, b"for one process")]
--- a/crates/scenarios/src/links.rs
+++ b/crates/scenarios/src/links.rs
@@ -1,6 +1,6 @@
 //! Faults between processes: datagrams go through one socket of the rig, connections through a listener each,
 //! both by the pair of who sends and who is to hear. One seed, one plan; when a process sends is its own.
-use applepond_fleet::envelope::AROUND;
+use applepond_fleet::envelope::OVERHEAD_BYTES;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -103,7 +103,7 @@
             let to = line.and_then(|l| Some((l.parse::<SocketAddr>().ok()?, l.len() + 1)));
             let Some((to, begin)) = to.filter(|(to, _)| !faults.cut.contains(&(from, *to))) else { continue };
             if let Some((mark, counts)) = &mut faults.counts
-                && buffer[begin..n].get(AROUND..).is_some_and(|message| message.starts_with(mark))
+                && buffer[begin..n].get(OVERHEAD_BYTES..).is_some_and(|message| message.starts_with(mark))
             {
                 *counts.entry((to, start.elapsed().as_millis() as u64 / 100)).or_default() += 1;
             }
--- a/crates/scenarios/src/members.rs
+++ b/crates/scenarios/src/members.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{ports, settings};
 use crate::links::Links;
 use crate::process::{Plan, Router, start};
-use applepond_fleet::ask;
+use applepond_fleet::query;
 use applepond_membership::{Rings, RouterId};
 use oorandom::Rand64;
 use rustix::process::{Pid, Signal, kill_process};
@@ -85,7 +85,7 @@
     }
 
     fn view(&self, n: usize) -> Option<Value> {
-        self.routers[n].as_ref().filter(|_| self.runs[n]).and_then(|r| ask(r.at).ok())
+        self.routers[n].as_ref().filter(|_| self.runs[n]).and_then(|r| query(r.at).ok())
     }
 
     fn breaks(&mut self, rule: &'static str, what: String) {
