--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -297,7 +297,8 @@
         if self.recovery.stage() != self.logged_stage {
             self.logged_stage = self.recovery.stage();
             let requests = self.recovery.requests_sent();
-            tracing::info!(reason = "comeback", stage = ?self.logged_stage, asks = requests, "recovery: over");
+            let stage = &self.logged_stage;
+            tracing::info!(reason = "comeback", ?stage, asks = requests, "recovery: over");
         }
     }
 
