--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -69,7 +69,7 @@
     workers: Vec<SocketAddr>,
     turn: usize,
     callers: BTreeMap<Conn, (Decoder, Vec<u8>, Option<Conn>)>,
-    links: BTreeMap<Conn, (Decoder, Option<Conn>, Vec<u8>, usize)>,
+    worker_connections: BTreeMap<Conn, (Decoder, Option<Conn>, Vec<u8>, usize)>,
     idle: Vec<Vec<Conn>>,
 }
 
@@ -116,7 +116,7 @@
     fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         let talk = self.talks.get_mut(&conn).expect("accepted");
         (0..whole(talk, bytes).expect("sound requests"))
-            .for_each(|_| transport.write(conn, common::DONE.as_bytes()));
+            .for_each(|_| transport.write(conn, common::FINISHED_RESPONSE.as_bytes()));
     }
     fn woken(&mut self, _: Micros, _: &mut dyn Transport, _: Wake) {}
 }
@@ -131,11 +131,12 @@
         self.callers.insert(conn, (decoder(Side::Server), Vec::new(), None));
     }
     fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
-        let request = self.links.get(&conn).and_then(|(_, c, _, _)| c.map(|c| self.callers[&c].1.clone()));
+        let request =
+            self.worker_connections.get(&conn).and_then(|(_, c, _, _)| c.map(|c| self.callers[&c].1.clone()));
         transport.write(conn, &request.unwrap_or_default());
     }
     fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        if let Some((decoder, request, link)) = self.callers.get_mut(&conn) {
+        if let Some((decoder, request, connection)) = self.callers.get_mut(&conn) {
             request.extend_from_slice(bytes);
             if whole(decoder, bytes).expect("sound requests") == 0 {
                 return;
@@ -143,24 +144,25 @@
             self.turn = (self.turn + 1) % self.workers.len();
             match self.idle[self.turn].pop() {
                 Some(idle) => {
-                    *link = Some(idle);
-                    self.links.get_mut(&idle).expect("kept").1 = Some(conn);
+                    *connection = Some(idle);
+                    self.worker_connections.get_mut(&idle).expect("kept").1 = Some(conn);
                     transport.write(idle, request);
                 }
                 None => {
                     let new = transport.connect(self.workers[self.turn], 1_000_000);
-                    *link = Some(new);
-                    self.links.insert(new, (self::decoder(Side::Client), Some(conn), Vec::new(), self.turn));
+                    *connection = Some(new);
+                    self.worker_connections
+                        .insert(new, (self::decoder(Side::Client), Some(conn), Vec::new(), self.turn));
                 }
             }
-        } else if let Some((decoder, caller, answer, turn)) = self.links.get_mut(&conn) {
+        } else if let Some((decoder, connect_client, answer, turn)) = self.worker_connections.get_mut(&conn) {
             answer.extend_from_slice(bytes);
             if whole(decoder, bytes).expect("sound answers") > 0 {
                 let answer = std::mem::take(answer);
                 self.idle[*turn].push(conn);
-                let caller = caller.take().expect("asked for");
-                transport.write(caller, &answer);
-                self.callers.get_mut(&caller).expect("waits").1.clear();
+                let connect_client = connect_client.take().expect("asked for");
+                transport.write(connect_client, &answer);
+                self.callers.get_mut(&connect_client).expect("waits").1.clear();
             }
         }
     }
@@ -312,7 +314,7 @@
                     workers: addresses,
                     turn: 0,
                     callers: BTreeMap::new(),
-                    links: BTreeMap::new(),
+                    worker_connections: BTreeMap::new(),
                 };
                 reactor.add(Box::new(forwarder));
             });
--- a/crates/gateway/benches/pushback.rs
+++ b/crates/gateway/benches/pushback.rs
@@ -34,20 +34,20 @@
 }
 
 fn alone() -> (f64, f64) {
-    let mut bench = common::Bench::new(common::deployment(1));
-    let mut conn = bench.caller();
+    let mut bench = common::SimulatedGateway::new(common::deployment(1));
+    let mut conn = bench.connect_client();
     let mut back = 0u64;
-    let mut one = |bench: &mut common::Bench, n: u64| {
+    let mut one = |bench: &mut common::SimulatedGateway, n: u64| {
         bench.now += 100;
-        bench.says(conn, event(n).as_bytes());
-        match bench.paper.written.get(&conn) {
+        bench.receive(conn, event(n).as_bytes());
+        match bench.transport.written.get(&conn) {
             Some(told) => {
                 back += u64::from(told.starts_with(b"HTTP/1.1 429") || told.starts_with(b"HTTP/1.1 503"))
             }
             // It went in, and waits for a worker that says nothing.
-            None => conn = bench.caller(),
+            None => conn = bench.connect_client(),
         }
-        bench.paper.written.clear();
+        bench.transport.written.clear();
     };
     (0..20_000).for_each(|n| one(&mut bench, n));
     let begun = Instant::now();
@@ -121,9 +121,9 @@
     let clients: Vec<_> = (0..ASKING).map(client).collect();
     let (mut all, mut back) = (0, 0);
     for client in clients {
-        let (a, b) = client.join().expect("a client ends");
+        let (a, sim) = client.join().expect("a client ends");
         all += a;
-        back += b;
+        back += sim;
     }
     let took = begun.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -62,8 +62,8 @@
 }
 
 impl ClientConnection {
-    /// A connection that was accepted now. `attribute_names` are the event attributes that the deployment reads
-    /// by name.
+    /// A connection that was accepted now. `attribute_names` are the event attributes that the deployment
+    /// reads by name.
     pub(crate) fn new(now: Micros, max_event_bytes: u64, attribute_names: Rc<[String]>) -> Self {
         ClientConnection {
             decoder: Decoder::new(Side::Server, MAX_HEAD_BYTES, max_event_bytes),
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -48,8 +48,8 @@
         self.set_timeout_timer(now, transport);
     }
 
-    /// Puts an attempt on a connection: an idle one, on which it is sent at once, else a new one, on which it is
-    /// sent as soon as that is established.
+    /// Puts an attempt on a connection: an idle one, on which it is sent at once, else a new one, on which
+    /// it is sent as soon as that is established.
     pub(super) fn connect_attempt(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         let retry_safety = request.data.retry_safety;
--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -146,8 +146,8 @@
         self.apply_endpoint_update(now, transport, update);
     }
 
-    /// Cuts connections that lead nowhere any more, and tells `Control` of the new entries. History may give a
-    /// worker another status than the list does.
+    /// Cuts connections that lead nowhere any more, and tells `Control` of the new entries. History may give
+    /// a worker another status than the list does.
     fn apply_endpoint_update(&mut self, now: Micros, transport: &mut dyn Transport, update: EndpointUpdate) {
         for conn in &update.disconnect {
             self.workers.cut(transport, *conn);
@@ -169,8 +169,8 @@
         self.control.endpoints_updated(&mut self.actions, update.kind, &entries);
     }
 
-    /// Gives an entry the status that history knows. Guards against a drain that was known before a restart and
-    /// that a late list takes back.
+    /// Gives an entry the status that history knows. Guards against a drain that was known before a restart
+    /// and that a late list takes back.
     fn apply_known_status(&mut self, now: Micros, entry: &mut EndpointEntry) {
         let Some(history) = &mut self.history else { return };
         let status = history.effective_status(now, entry.worker, entry.up_since, entry.status);
--- a/crates/gateway/src/gateway/extensions.rs
+++ b/crates/gateway/src/gateway/extensions.rs
@@ -50,8 +50,8 @@
     pub history: WorkerHistory,
 }
 
-/// History that outlasts this process or comes from other routers. What it holds makes a gateway more careful,
-/// and never permits anything: a router without it works, and learns again.
+/// History that outlasts this process or comes from other routers. What it holds makes a gateway more
+/// careful, and never permits anything: a router without it works, and learns again.
 pub trait HistoryStore {
     /// Stores what this router has measured of a worker that has answered it.
     fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory);
@@ -67,8 +67,8 @@
     fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker>;
     /// `Control` has taken up the history of this process of a worker.
     fn worker_restored(&mut self, worker: WorkerId, up_since: Micros);
-    /// The status that counts for a worker which the endpoint list gives with status `listed`: one that is known
-    /// to drain stays out, also where the list is late.
+    /// The status that counts for a worker which the endpoint list gives with status `listed`: one that is
+    /// known to drain stays out, also where the list is late.
     fn effective_status(
         &mut self,
         now: Micros,
@@ -86,8 +86,8 @@
 pub trait PrefixTracker {
     /// A request with this prefix was accepted; `size` is in the workload's units.
     fn record_use(&mut self, name: &str, size: u32);
-    /// For how long the worker of a request that is sent now may keep this prefix pinned; none where it is not
-    /// pinned.
+    /// For how long the worker of a request that is sent now may keep this prefix pinned; none where it is
+    /// not pinned.
     fn pin_lease(&self, now: Micros, name: &str) -> Option<Micros>;
     /// How many workers are ready.
     fn set_ready_workers(&mut self, ready: usize);
--- a/crates/gateway/src/gateway/history.rs
+++ b/crates/gateway/src/gateway/history.rs
@@ -1,5 +1,5 @@
-//! The exchange with [`HistoryStore`](super::HistoryStore): what this router has learned is stored, and what is
-//! known from before a restart or from other routers is taken up.
+//! The exchange with [`HistoryStore`](super::HistoryStore): what this router has learned is stored, and what
+//! is known from before a restart or from other routers is taken up.
 //!
 //! Enters here: a timer, each second and more often just after the start, when history is worth most.
 use super::Gateway;
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Stores load times that the history does not have. Guards against hearsay that stays young: what is stored
-    /// already was taken up from there, or stored before.
+    /// Stores load times that the history does not have. Guards against hearsay that stays young: what is
+    /// stored already was taken up from there, or stored before.
     fn store_load_times(&mut self, now: Micros) {
         let Some(history) = &mut self.history else { return };
         for (function, load_time) in self.control.load_times() {
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -1,5 +1,5 @@
-//! Events of clients: each one joins a request in progress, gets a kept answer, is refused, or becomes a request
-//! or a workflow. An `Err` of these methods is the answer that the exchange gets at once.
+//! Events of clients: each one joins a request in progress, gets a kept answer, is refused, or becomes a
+//! request or a workflow. An `Err` of these methods is the answer that the exchange gets at once.
 use super::Gateway;
 use super::extensions::PromisedRetry;
 use super::request::{NewRequest, PromptPrefix, RequestContent};
@@ -15,8 +15,8 @@
 
 /// Bytes of a prompt prefix's name at most; a longer one is ignored.
 const MAX_PREFIX_NAME_BYTES: usize = 200;
-/// Requests and workflows that have not ended at most; beyond it the gateway itself rejects, at the cost of one
-/// answer.
+/// Requests and workflows that have not ended at most; beyond it the gateway itself rejects, at the cost of
+/// one answer.
 const MAX_OPEN_REQUESTS: usize = 20_000;
 /// The wait that a client is told then.
 const TOO_MANY_RETRY_AFTER: Micros = 1_000_000;
@@ -155,8 +155,8 @@
         })
     }
 
-    /// Has an exchange join the request or workflow in progress with its key, or gives it the kept answer. None
-    /// where the key is new.
+    /// Has an exchange join the request or workflow in progress with its key, or gives it the kept answer.
+    /// None where the key is new.
     pub(super) fn join_or_replay(
         &mut self,
         now: Micros,
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Whether one more may come in: by the number of open requests, and by admission, which sheds load during
-    /// a retry storm.
+    /// Whether one more may come in: by the number of open requests, and by admission, which sheds load
+    /// during a retry storm.
     pub(super) fn admit(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -94,8 +94,8 @@
 }
 
 impl Gateway {
-    /// An instance that has not started; the reactor starts it. `now` is the reactor's clock. `on_listening` is
-    /// called with the address that it listens at, which matters for port 0.
+    /// An instance that has not started; the reactor starts it. `now` is the reactor's clock. `on_listening`
+    /// is called with the address that it listens at, which matters for port 0.
     pub fn new(now: Micros, deployment: Deployment, on_listening: Box<dyn FnMut(SocketAddr)>) -> Self {
         let mut actions = ActionQueue::default();
         let control = Control::new(now, deployment.startup.clone(), &mut actions);
@@ -176,9 +176,10 @@
         RequestId(id)
     }
 
-    /// Carries out what `Control` ordered and what follows from it, until nothing is left. A client whose answer
-    /// went out may have sent its next request already: such clients are read here one after the other and not
-    /// from within each other, or a long pipeline would overflow the stack. The same holds for workflows.
+    /// Carries out what `Control` ordered and what follows from it, until nothing is left. A client whose
+    /// answer went out may have sent its next request already: such clients are read here one after the
+    /// other and not from within each other, or a long pipeline would overflow the stack. The same holds for
+    /// workflows.
     fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             self.carry_out_actions(now, transport);
--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -1,5 +1,5 @@
-//! The end of a workflow: the one place where its answer is given to the clients that wait, to the idempotency
-//! table, and to the log.
+//! The end of a workflow: the one place where its answer is given to the clients that wait, to the
+//! idempotency table, and to the log.
 use super::ActiveWorkflow;
 use super::steps::UNDO_PERIOD;
 use crate::client::Answer;
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -19,8 +19,8 @@
 const OWN_FIELDS: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
 
 impl Gateway {
-    /// Takes an event that starts the workflow of this index. An `Err` is the answer that the exchange gets at
-    /// once.
+    /// Takes an event that starts the workflow of this index. An `Err` is the answer that the exchange gets
+    /// at once.
     pub(in crate::gateway) fn accept_workflow(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,8 +1,8 @@
-//! Workflows in progress. Each step is a request of its own that no client waits for; its end is handed to the
-//! workflow, whose [`Run`] decides what comes next and gives it as commands ([`Do`]).
+//! Workflows in progress. Each step is a request of its own that no client waits for; its end is handed to
+//! the workflow, whose [`Run`] decides what comes next and gives it as commands ([`Do`]).
 //!
-//! A workflow with steps that are not idempotent is stored before such a step is sent and before it is answered
-//! as finished, so that a restart neither repeats nor forgets what may have run.
+//! A workflow with steps that are not idempotent is stored before such a step is sent and before it is
+//! answered as finished, so that a restart neither repeats nor forgets what may have run.
 //!
 //! Owned here: the active workflows, what waits to be stored, and the estimates that admit new ones. Where to
 //! look, by event:
@@ -254,8 +254,8 @@
 }
 
 impl Gateway {
-    /// Lets a workflow's run decide, with the time that its steps need as it is estimated now. Gives the default
-    /// where the workflow is not active any more.
+    /// Lets a workflow's run decide, with the time that its steps need as it is estimated now. Gives the
+    /// default where the workflow is not active any more.
     fn with_run<T: Default>(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/workflow/recovery.rs
+++ b/crates/gateway/src/gateway/workflow/recovery.rs
@@ -43,7 +43,8 @@
         self.schedule(now, transport, CLEAR_INTERVAL, Box::new(clear));
     }
 
-    /// Takes up a workflow for which no client has asked again. One whose plan has changed stays in the store.
+    /// Takes up a workflow for which no client has asked again. One whose plan has changed stays in the
+    /// store.
     fn resume_without_client(&mut self, now: Micros, key: IdempotencyKey) {
         if !matches!(self.idempotency.look_up(now, &key), Lookup::New) {
             return;
--- a/crates/gateway/src/gateway/workflow/steps.rs
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of workflows: a run's commands are carried out, each step's request is started and its end handed
-//! back to the run, and steps that must not last are undone.
+//! The steps of workflows: a run's commands are carried out, each step's request is started and its end
+//! handed back to the run, and steps that must not last are undone.
 use super::{ActiveWorkflow, FinishedStep, OnStepEnd, StepEnd, UnansweredWorkflow, UnsentStep};
 use super::{result_field, step_outcome};
 use crate::gateway::Gateway;
@@ -30,7 +30,8 @@
 }
 
 impl Gateway {
-    /// Carries out what a workflow's run wants, in its order; then drops or closes the workflow, if it is done.
+    /// Carries out what a workflow's run wants, in its order; then drops or closes the workflow, if it is
+    /// done.
     pub(in crate::gateway) fn run_commands(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/workflow/store.rs
+++ b/crates/gateway/src/gateway/workflow/store.rs
@@ -105,7 +105,8 @@
         self.mark_unwritten(now, transport, request);
     }
 
-    /// The stored form of a workflow is out of date; it is written soon. One that is not stored needs no write.
+    /// The stored form of a workflow is out of date; it is written soon. One that is not stored needs no
+    /// write.
     pub(super) fn mark_unwritten(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         if self.workflows.active.get(&request).is_none_or(|workflow| !workflow.is_stored) {
             return;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! One router instance as a machine without I/O. It reads the exchanges of clients, asks `Control` of the root
-//! package for every routing decision, carries its actions out on connections to workers, and gives each request
-//! exactly one final answer.
+//! One router instance as a machine without I/O. It reads the exchanges of clients, asks `Control` of the
+//! root package for every routing decision, carries its actions out on connections to workers, and gives
+//! each request exactly one final answer.
 //!
-//! The shell around it (`applepond serve`) provides connections, time and configuration; tests provide simulated
-//! ones. Decisions that are made here and not in `Control`:
+//! The shell around it (`applepond serve`) provides connections, time and configuration; tests provide
+//! simulated ones. Decisions that are made here and not in `Control`:
 //!
 //! - `attempt_outcome`: whether an attempt may have run, from what happened on its connection;
 //! - `idempotency`: which exchanges share a request, and whose answer is replayed after its end;
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -1,10 +1,11 @@
 //! The request table: the state machine of each request and its attempts, whatever protocol they travel by. A
-//! request starts once, each attempt closes once, a request ends once, and it is dropped with the last attempt
-//! in flight. Shared by the gateway and the platform's node, each with data of its own beside a request.
+//! request starts once, each attempt closes once, a request ends once, and it is dropped with the last
+//! attempt in flight. Shared by the gateway and the platform's node, each with data of its own beside a
+//! request.
 //!
 //! Owned here: all requests that have not ended or have attempts in flight, and the queue of attempts by
-//! timeout. Events: `Control`'s actions, which arrive through [`ActionQueue`], and the ends of attempts, which
-//! the machine reports with [`RequestTable::close_attempt`].
+//! timeout. Events: `Control`'s actions, which arrive through [`ActionQueue`], and the ends of attempts,
+//! which the machine reports with [`RequestTable::close_attempt`].
 use applepond::interface::{
     Actions, AttemptResult, LoadState, Micros, Outcome, RequestId, TimerToken, WorkerId,
 };
@@ -151,7 +152,8 @@
 pub enum Started {
     /// It is in flight, and is to be sent.
     InFlight(AttemptId),
-    /// It must not be sent, as its request has ended or has had as many attempts as it may; it is to be closed.
+    /// It must not be sent, as its request has ended or has had as many attempts as it may; it is to be
+    /// closed.
     Refused(AttemptId),
 }
 
@@ -232,8 +234,8 @@
         Some(Started::InFlight(id))
     }
 
-    /// The moment for which the caller is to set a timer that leads to [`Self::pop_timed_out`]; none where one
-    /// that is set already fires early enough.
+    /// The moment for which the caller is to set a timer that leads to [`Self::pop_timed_out`]; none where
+    /// one that is set already fires early enough.
     pub fn next_timer(&mut self) -> Option<Micros> {
         let first = self.by_timeout.first().map(|(times_out_at, _)| *times_out_at)?;
         let is_earlier = self.timer_at.is_none_or(|at| first < at);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,6 +1,9 @@
-//! A wire on paper: what the gateway wrote, opened and cut, with time moved by hand.
+//! A simulated network: what the gateway wrote, opened and cut, with time moved by hand.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond::interface::*;
+use applepond::interface::{
+    AttemptPolicy, CustomerConfig, IdempotencyScope, Micros, RackId, RetrySafety, SlowStartRules,
+    StartupConfig, WorkloadConfig,
+};
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::deployment::{
     AnswerRetention, FunctionConfig, FunctionSource, PrefixAttributes, StaticWorker, WorkloadEvents,
@@ -16,13 +19,13 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// A gateway with its paper wire.
-pub struct Bench {
+/// A gateway with its simulated network.
+pub struct SimulatedGateway {
     pub gateway: Gateway,
-    pub paper: SimulatedTransport,
+    pub transport: SimulatedTransport,
     pub now: Micros,
-    /// Settings that the gateway finds when it next asks.
-    pub news: Rc<RefCell<Option<Deployment>>>,
+    /// Settings that the gateway finds when it next polls.
+    pub new_config: Rc<RefCell<Option<Deployment>>>,
 }
 
 /// `workers` static workers; workloads `quote` (idempotent), `hold` (keyed) and `confirm`
@@ -109,90 +112,92 @@
     }
 }
 
-impl Bench {
+impl SimulatedGateway {
     pub fn new(deployment: Deployment) -> Self {
         Self::with(deployment, 1_000 * S, Box::new(Memory::default()))
     }
 
     /// One that finds this record when it starts.
     pub fn with(deployment: Deployment, now: Micros, record: Box<dyn Record>) -> Self {
-        let news = Rc::new(RefCell::new(None));
-        let found = news.clone();
+        let new_config = Rc::new(RefCell::new(None));
+        let found = new_config.clone();
         let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_workflow_store(record);
         let gateway = gateway.with_config_source(Box::new(move || found.borrow_mut().take().map(Ok)));
-        let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
-        bench.gateway.start(now, &mut bench.paper);
+        let mut bench =
+            SimulatedGateway { gateway, transport: SimulatedTransport::default(), now, new_config };
+        bench.gateway.start(now, &mut bench.transport);
         bench
     }
 
-    pub fn pass(&mut self, time: Micros) {
+    pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.paper.due(until) {
+        while let Some((at, wake)) = self.transport.due(until) {
             self.now = self.now.max(at);
-            self.gateway.woken(self.now, &mut self.paper, wake);
+            self.gateway.woken(self.now, &mut self.transport, wake);
         }
         self.now = until;
     }
 
     /// Has it take new settings.
-    pub fn switches(&mut self, deployment: Deployment) {
-        *self.news.borrow_mut() = Some(deployment);
-        self.pass(S);
-        assert!(self.news.borrow().is_none(), "it asks once a second");
+    pub fn reload(&mut self, deployment: Deployment) {
+        *self.new_config.borrow_mut() = Some(deployment);
+        self.advance(S);
+        assert!(self.new_config.borrow().is_none(), "it asks once a second");
     }
 
-    pub fn caller(&mut self) -> Conn {
-        let conn = self.paper.number();
-        self.gateway.accepted(self.now, &mut self.paper, conn, Listener(0));
+    pub fn connect_client(&mut self) -> Conn {
+        let conn = self.transport.number();
+        self.gateway.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
 
-    pub fn says(&mut self, conn: Conn, bytes: &[u8]) {
-        self.gateway.bytes(self.now, &mut self.paper, conn, bytes);
+    pub fn receive(&mut self, conn: Conn, bytes: &[u8]) {
+        self.gateway.bytes(self.now, &mut self.transport, conn, bytes);
     }
 
-    pub fn asks(&mut self, kind: &str, id: &str) -> Conn {
-        let conn = self.caller();
-        self.says(conn, event(kind, id).as_bytes());
+    pub fn send_event(&mut self, kind: &str, id: &str) -> Conn {
+        let conn = self.connect_client();
+        self.receive(conn, event(kind, id).as_bytes());
         conn
     }
 
     pub fn connected(&mut self, conn: Conn) {
-        self.gateway.connected(self.now, &mut self.paper, conn);
+        self.gateway.connected(self.now, &mut self.transport, conn);
     }
 
     /// All connections to workers that were opened so far; each is let stand.
-    pub fn links(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.paper.connects.iter().map(|(c, _)| *c).collect();
-        let new = all.iter().filter(|c| !self.paper.written.contains_key(c) && !self.paper.cut.contains(c));
+    pub fn worker_connections(&mut self) -> Vec<Conn> {
+        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let new =
+            all.iter().filter(|c| !self.transport.written.contains_key(c) && !self.transport.cut.contains(c));
         for conn in new.copied().collect::<Vec<_>>() {
             self.connected(conn);
         }
         all
     }
 
-    pub fn breaks(&mut self, conn: Conn, why: Closed) {
-        let sent = self.paper.sent(conn);
-        self.gateway.closed(self.now, &mut self.paper, conn, why, sent);
+    pub fn disconnect(&mut self, conn: Conn, why: Closed) {
+        let sent = self.transport.sent(conn);
+        self.gateway.closed(self.now, &mut self.transport, conn, why, sent);
     }
 
     pub fn told(&self, conn: Conn) -> String {
-        self.paper.told(conn)
+        self.transport.told(conn)
     }
 
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
-        self.paper.statuses(conn)
+        self.transport.statuses(conn)
     }
 
     /// Requests that a connection carried, and when the last of them was written, as a count of all writes.
     pub fn requests_at(&self, conn: Conn) -> (usize, u64) {
-        (self.told(conn).matches("POST /run").count(), self.paper.wrote.get(&conn).copied().unwrap_or(0))
+        (self.told(conn).matches("POST /run").count(), self.transport.wrote.get(&conn).copied().unwrap_or(0))
     }
 
     /// Requests that workers were sent, over all connections.
     pub fn requests(&self) -> usize {
-        let links: BTreeSet<Conn> = self.paper.connects.iter().map(|(c, _)| *c).collect();
-        links.iter().map(|c| self.told(*c).matches("POST /run").count()).sum()
+        let worker_connections: BTreeSet<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        worker_connections.iter().map(|c| self.told(*c).matches("POST /run").count()).sum()
     }
 }
 
@@ -204,24 +209,26 @@
 }
 
 /// A worker's finished answer.
-pub const DONE: &str = "HTTP/1.1 200 OK\r\nce-specversion: 1.0\r\nce-id: r1\r\nce-source: /w\r\n\
+pub const FINISHED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nce-specversion: 1.0\r\nce-id: r1\r\nce-source: /w\r\n\
     ce-type: result\r\napplepond-copy: stood\r\napplepond-company: 0\r\n\
     Content-Type: application/json\r\nContent-Length: 9\r\n\r\n{\"ok\": 1}";
 
 /// A worker's finished answer with this result.
 pub fn result(body: &str) -> String {
-    DONE.replace("Content-Length: 9", &format!("Content-Length: {}", body.len())).replace("{\"ok\": 1}", body)
+    FINISHED_RESPONSE
+        .replace("Content-Length: 9", &format!("Content-Length: {}", body.len()))
+        .replace("{\"ok\": 1}", body)
 }
 
 /// A record that outlives its instance; the write of this number fails, where one is named.
 #[derive(Clone, Default)]
-pub struct Shared {
+pub struct SharedStore {
     pub inner: Rc<RefCell<Memory>>,
     pub writes: Rc<RefCell<usize>>,
     pub fails: Option<usize>,
 }
 
-impl Record for Shared {
+impl Record for SharedStore {
     fn keep(&mut self, chains: &[(Name<'_>, &Kept)]) -> Result<(), applepond_storage::StoreFault> {
         *self.writes.borrow_mut() += 1;
         if self.fails == Some(*self.writes.borrow()) {
--- a/crates/gateway/tests/memory.rs
+++ b/crates/gateway/tests/history.rs
@@ -1,7 +1,7 @@
-//! What a gateway remembers over its end, on a paper wire: drains that are kept, doubt that is taken up, and
-//! hearsay that is not passed on as its own sight.
+//! What a gateway remembers over its end, on a simulated network: drains that are kept, doubt that is taken
+//! up, and hearsay that is not passed on as its own sight.
 mod common;
-use applepond::interface::*;
+use applepond::interface::{FunctionId, Micros, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::{
     Gateway, HistoryStore, PromisedRetry, RestoredTraffic, RestoredWorker, TrafficBaseline,
@@ -12,9 +12,9 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-struct Shelf(Rc<RefCell<Memory>>);
+struct SharedHistory(Rc<RefCell<Memory>>);
 
-impl HistoryStore for Shelf {
+impl HistoryStore for SharedHistory {
     fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory) {
         self.0.borrow_mut().saw(now, worker, up_since, history);
     }
@@ -65,114 +65,114 @@
 }
 
 /// A gateway with two workers that has these facts from before.
-fn told(facts: &[Fact]) -> (Bench, Rc<RefCell<Memory>>) {
+fn told(facts: &[Fact]) -> (SimulatedGateway, Rc<RefCell<Memory>>) {
     let now = 1_000 * S;
     let memory = Rc::new(RefCell::new(Memory::default()));
     memory.borrow_mut().take(now, facts);
     let gateway = Gateway::new(now, deployment(2), Box::new(|_| ()));
-    let news = Rc::new(RefCell::new(None));
-    let found = news.clone();
-    let gateway = gateway.with_history(Box::new(Shelf(memory.clone())));
+    let new_config = Rc::new(RefCell::new(None));
+    let found = new_config.clone();
+    let gateway = gateway.with_history(Box::new(SharedHistory(memory.clone())));
     let gateway = gateway.with_config_source(Box::new(move || found.borrow_mut().take().map(Ok)));
-    let mut bench = Bench { gateway, paper: SimulatedTransport::default(), now, news };
-    bench.gateway.start(now, &mut bench.paper);
+    let mut bench = SimulatedGateway { gateway, transport: SimulatedTransport::default(), now, new_config };
+    bench.gateway.start(now, &mut bench.transport);
     (bench, memory)
 }
 
 /// A request each for so many functions, so that each worker is the home of some.
-fn many(b: &mut Bench, from: usize) {
-    some(b, from..from + 12);
+fn many(sim: &mut SimulatedGateway, from: usize) {
+    some(sim, from..from + 12);
 }
 
-fn some(b: &mut Bench, which: std::ops::Range<usize>) {
+fn some(sim: &mut SimulatedGateway, which: std::ops::Range<usize>) {
     for n in which {
-        let client = b.caller();
+        let client = sim.connect_client();
         let event = event("quote", &n.to_string()).replace("subject: hut", &format!("subject: hut-{n}"));
-        b.says(client, event.as_bytes());
+        sim.receive(client, event.as_bytes());
     }
 }
 
 /// Where the requests went, by the workers' ports.
-fn ports(b: &mut Bench) -> Vec<u16> {
-    b.links();
-    b.paper.connects.iter().map(|(_, to)| to.port()).collect()
+fn ports(sim: &mut SimulatedGateway) -> Vec<u16> {
+    sim.worker_connections();
+    sim.transport.connects.iter().map(|(_, to)| to.port()).collect()
 }
 
 // The list says ready, and before the restart it had said that the worker drains: nothing goes there
 // until that is over.
 #[test]
-fn a_drain_is_kept_over_a_restart() {
+fn a_drain_is_known_after_a_restart() {
     for (worker, other) in [("w1", 9002), ("w2", 9001)] {
-        let (mut b, _) = told(&[fact(What::Drain, worker, 1.0)]);
-        many(&mut b, 0);
-        assert!(ports(&mut b).iter().all(|p| *p == other), "{worker}");
-        b.pass(61 * S);
-        many(&mut b, 12);
-        assert!(ports(&mut b).iter().any(|p| *p != other), "{worker}: it is over");
+        let (mut sim, _) = told(&[fact(What::Drain, worker, 1.0)]);
+        many(&mut sim, 0);
+        assert!(ports(&mut sim).iter().all(|p| *p == other), "{worker}");
+        sim.advance(61 * S);
+        many(&mut sim, 12);
+        assert!(ports(&mut sim).iter().any(|p| *p != other), "{worker}: it is over");
     }
 }
 
 #[test]
-fn a_worker_in_doubt_is_tried_by_one_job() {
-    let asks = |facts: &[Fact]| {
-        let (mut b, _) = told(facts);
-        b.pass(2 * S);
-        many(&mut b, 0);
-        let all = ports(&mut b);
+fn an_ejected_worker_is_probed_by_one_request_after_a_restart() {
+    let send_event = |facts: &[Fact]| {
+        let (mut sim, _) = told(facts);
+        sim.advance(2 * S);
+        many(&mut sim, 0);
+        let all = ports(&mut sim);
         all.iter().filter(|p| **p == 9001).count()
     };
-    assert_eq!(asks(&[fact(What::Aside, "w1", 1.0)]), 1);
-    assert!(asks(&[]) > 1);
+    assert_eq!(send_event(&[fact(What::Aside, "w1", 1.0)]), 1);
+    assert!(send_event(&[]) > 1);
 }
 
 // What it was told and has not seen itself does not become its own word.
 #[test]
-fn hearsay_does_not_stay_young() {
-    let (mut b, memory) = told(&[fact(What::Room, "w1", 3.0), fact(What::Room, "w2", 3.0)]);
-    b.pass(10 * S);
-    let ages = |b: &Bench| {
-        let facts: Vec<_> = memory.borrow().facts().all(b.now).collect();
+fn what_was_learned_elsewhere_is_not_stored_as_measured_here() {
+    let (mut sim, memory) = told(&[fact(What::Room, "w1", 3.0), fact(What::Room, "w2", 3.0)]);
+    sim.advance(10 * S);
+    let ages = |sim: &SimulatedGateway| {
+        let facts: Vec<_> = memory.borrow().facts().all(sim.now).collect();
         facts.iter().filter(|f| f.about.what == What::Room).map(|f| f.age).collect::<Vec<_>>()
     };
-    assert!(ages(&b).iter().all(|age| *age >= 10 * S), "{:?}", ages(&b));
-    b.asks("quote", "1");
-    let link = b.links()[0];
-    b.says(link, DONE.as_bytes());
-    b.pass(2 * S);
-    assert_eq!(ages(&b).iter().filter(|age| **age <= S).count(), 1, "the one that has answered");
+    assert!(ages(&sim).iter().all(|age| *age >= 10 * S), "{:?}", ages(&sim));
+    sim.send_event("quote", "1");
+    let connection = sim.worker_connections()[0];
+    sim.receive(connection, FINISHED_RESPONSE.as_bytes());
+    sim.advance(2 * S);
+    assert_eq!(ages(&sim).iter().filter(|age| **age <= S).count(), 1, "the one that has answered");
 }
 
 // A request that was told to come back before the restart is known to have been, and the next promise is kept
 // too.
 #[test]
-fn promises_outlast_the_process() {
-    let (mut b, memory) = told(&[]);
-    b.gateway =
-        Gateway::new(b.now, deployment(0), Box::new(|_| ())).with_history(Box::new(Shelf(memory.clone())));
-    b.gateway.start(b.now, &mut b.paper);
-    let client = b.asks("quote", "1");
-    b.pass(4 * S);
-    assert_eq!(b.statuses(client), [503], "nobody is there to serve it");
+fn promised_retries_are_known_after_a_restart() {
+    let (mut sim, memory) = told(&[]);
+    sim.gateway = Gateway::new(sim.now, deployment(0), Box::new(|_| ()))
+        .with_history(Box::new(SharedHistory(memory.clone())));
+    sim.gateway.start(sim.now, &mut sim.transport);
+    let client = sim.send_event("quote", "1");
+    sim.advance(4 * S);
+    assert_eq!(sim.statuses(client), [503], "nobody is there to serve it");
     let promised = |memory: &Rc<RefCell<Memory>>, now| {
         memory.borrow().facts().all(now).filter(|f| f.about.what == What::Promise).count()
     };
-    assert_eq!(promised(&memory, b.now), 1);
-    let facts: Vec<Fact> = memory.borrow().facts().all(b.now).collect();
+    assert_eq!(promised(&memory, sim.now), 1);
+    let facts: Vec<Fact> = memory.borrow().facts().all(sim.now).collect();
     let (mut after, later) = told(&facts);
-    after.pass(S);
+    after.advance(S);
     assert_eq!(later.borrow_mut().own(after.now), None, "taken up by the gateway");
 }
 
 // A worker that a whole list leaves out is gone, with requests still out there or not: what was said of it
 // before does not bring it back.
 #[test]
-fn who_is_gone_stays_so() {
-    let (mut b, _) = told(&[]);
-    some(&mut b, 0..3);
-    assert!(ports(&mut b).contains(&9002), "jobs are out there");
-    b.switches(deployment(1));
-    let before = ports(&mut b).len();
-    b.pass(S / 2);
-    many(&mut b, 12);
-    assert!(ports(&mut b)[before..].iter().all(|p| *p == 9001));
+fn a_full_list_ends_what_is_known_of_a_gone_worker() {
+    let (mut sim, _) = told(&[]);
+    some(&mut sim, 0..3);
+    assert!(ports(&mut sim).contains(&9002), "jobs are out there");
+    sim.reload(deployment(1));
+    let before = ports(&mut sim).len();
+    sim.advance(S / 2);
+    many(&mut sim, 12);
+    assert!(ports(&mut sim)[before..].iter().all(|p| *p == 9001));
 }
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/reload.rs
@@ -1,6 +1,6 @@
 //! New settings in a running instance, there and back: nothing taken in is lost or sent twice.
 mod common;
-use applepond::interface::*;
+use applepond::interface::{CustomerConfig, RetrySafety, WorkloadConfig};
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::StaticWorker;
 use applepond_gateway::reload::merge;
@@ -23,9 +23,9 @@
 }
 
 /// The connection that was sent a request last.
-fn latest(b: &mut Bench) -> Conn {
-    let links = b.links();
-    links.into_iter().max_by_key(|link| b.requests_at(*link).1).expect("sent")
+fn latest(sim: &mut SimulatedGateway) -> Conn {
+    let worker_connections = sim.worker_connections();
+    worker_connections.into_iter().max_by_key(|connection| sim.requests_at(*connection).1).expect("sent")
 }
 
 #[test_case(|d| d.listen.set_port(1), "listen")]
@@ -39,14 +39,14 @@
 #[test_case(|d| d.answer_retention.max_answers = 1, "bounds.remember")]
 #[test_case(|d| d.answer_retention.max_bytes = 1, "bounds.remember_bytes")]
 #[test_case(|d| d.zones = (0..10_000).map(|n| format!("z{n}")).collect(), "zones")]
-fn only_a_restart_changes(change: fn(&mut Deployment), key: &str) {
+fn settings_of_the_process_need_a_restart(change: fn(&mut Deployment), key: &str) {
     let mut new = other();
     change(&mut new);
     assert_eq!(merge(&deployment(3), new).err(), Some(vec![key]));
 }
 
 #[test]
-fn rows_keep_their_places_there_and_back_and_there() {
+fn indices_stay_over_reloads_to_and_fro() {
     let (first, second) = (deployment(3), other());
     let there = merge(&first, second.clone()).expect("it fits");
     let effects: Vec<RetrySafety> = there.startup.workloads.iter().map(|w| w.retry_safety).collect();
@@ -74,95 +74,98 @@
 // An at-most-once request that was out at the switch stays one, though its workload may be repeated now; the
 // next may.
 #[test]
-fn a_job_keeps_the_terms_it_was_taken_under() {
-    let mut b = Bench::new(deployment(3));
-    let client = b.asks("confirm", "1");
-    let link = b.links()[0];
-    b.switches(other());
-    b.breaks(link, Closed::Reset);
-    b.pass(S);
-    assert_eq!((b.statuses(client), b.requests()), (vec![502], 1));
-    let again = b.asks("confirm", "1");
-    assert_eq!((b.statuses(again), b.requests()), (vec![502], 1), "and its answer is told again");
-    let client = b.asks("confirm", "2");
-    let link = latest(&mut b);
-    b.breaks(link, Closed::Reset);
-    b.pass(S);
-    b.links();
-    assert_eq!((b.statuses(client), b.requests()), (vec![], 3), "repeated by the new terms");
-    b.switches(deployment(3));
-    let link = latest(&mut b);
-    b.says(link, DONE.as_bytes());
-    assert_eq!((b.statuses(client), b.requests()), (vec![200], 3));
+fn a_request_keeps_the_retry_safety_it_was_accepted_under() {
+    let mut sim = SimulatedGateway::new(deployment(3));
+    let client = sim.send_event("confirm", "1");
+    let connection = sim.worker_connections()[0];
+    sim.reload(other());
+    sim.disconnect(connection, Closed::Reset);
+    sim.advance(S);
+    assert_eq!((sim.statuses(client), sim.requests()), (vec![502], 1));
+    let again = sim.send_event("confirm", "1");
+    assert_eq!((sim.statuses(again), sim.requests()), (vec![502], 1), "and its answer is told again");
+    let client = sim.send_event("confirm", "2");
+    let connection = latest(&mut sim);
+    sim.disconnect(connection, Closed::Reset);
+    sim.advance(S);
+    sim.worker_connections();
+    assert_eq!((sim.statuses(client), sim.requests()), (vec![], 3), "repeated by the new terms");
+    sim.reload(deployment(3));
+    let connection = latest(&mut sim);
+    sim.receive(connection, FINISHED_RESPONSE.as_bytes());
+    assert_eq!((sim.statuses(client), sim.requests()), (vec![200], 3));
 }
 
 // Two attempts are out when second copies are forbidden: one is taken back, and no request gets another.
 #[test]
-fn copies_end_with_their_permit() {
-    let mut b = Bench::new(deployment(3));
-    let client = b.asks("quote", "1");
-    b.links();
-    b.pass(S);
-    let links = b.links();
-    assert_eq!(b.requests(), 2, "the hedge delay has passed");
+fn hedged_requests_end_when_hedging_is_forbidden() {
+    let mut sim = SimulatedGateway::new(deployment(3));
+    let client = sim.send_event("quote", "1");
+    sim.worker_connections();
+    sim.advance(S);
+    let worker_connections = sim.worker_connections();
+    assert_eq!(sim.requests(), 2, "the hedge delay has passed");
     let mut new = deployment(3);
     new.startup.attempt_policy.hedging_allowed = false;
-    b.switches(new);
-    assert_eq!(links.iter().filter(|l| b.paper.cut.contains(l)).count(), 1);
-    let second = b.asks("quote", "2");
-    b.links();
-    b.pass(S);
-    let sent = b.links().into_iter().filter(|l| !b.paper.cut.contains(l) && b.requests_at(*l).0 > 0);
+    sim.reload(new);
+    assert_eq!(worker_connections.iter().filter(|l| sim.transport.cut.contains(l)).count(), 1);
+    let second = sim.send_event("quote", "2");
+    sim.worker_connections();
+    sim.advance(S);
+    let sent = sim
+        .worker_connections()
+        .into_iter()
+        .filter(|l| !sim.transport.cut.contains(l) && sim.requests_at(*l).0 > 0);
     assert_eq!(sent.count(), 2, "one out a job");
-    for link in b.links() {
-        if !b.paper.cut.contains(&link) {
-            b.says(link, DONE.as_bytes());
+    for connection in sim.worker_connections() {
+        if !sim.transport.cut.contains(&connection) {
+            sim.receive(connection, FINISHED_RESPONSE.as_bytes());
         }
     }
-    assert_eq!((b.statuses(client), b.statuses(second)), (vec![200], vec![200]));
+    assert_eq!((sim.statuses(client), sim.statuses(second)), (vec![200], vec![200]));
 }
 
 // A workload or customer that the new settings leave out: what runs is answered, new ones are refused, until
 // the way back.
 #[test]
-fn what_is_left_out_ends_and_comes_back() {
-    let mut b = Bench::new(deployment(3));
-    let client = b.asks("quote", "1");
-    let link = b.links()[0];
-    b.switches(other());
-    let refused = b.asks("quote", "2");
-    let unknown = b.caller();
-    b.says(
+fn a_workload_that_is_left_out_finishes_and_returns() {
+    let mut sim = SimulatedGateway::new(deployment(3));
+    let client = sim.send_event("quote", "1");
+    let connection = sim.worker_connections()[0];
+    sim.reload(other());
+    let refused = sim.send_event("quote", "2");
+    let unknown = sim.connect_client();
+    sim.receive(
         unknown,
         event("confirm", "3").replace("ce-subject", "ce-customer: huts\r\nce-subject").as_bytes(),
     );
-    assert_eq!((b.statuses(refused), b.statuses(unknown)), (vec![422], vec![422]));
-    b.says(link, DONE.as_bytes());
-    assert_eq!(b.statuses(client), [200]);
-    b.switches(deployment(3));
-    let again = b.asks("quote", "2");
-    let link = latest(&mut b);
-    b.says(link, DONE.as_bytes());
-    assert_eq!((b.statuses(again), b.requests()), (vec![200], 2));
+    assert_eq!((sim.statuses(refused), sim.statuses(unknown)), (vec![422], vec![422]));
+    sim.receive(connection, FINISHED_RESPONSE.as_bytes());
+    assert_eq!(sim.statuses(client), [200]);
+    sim.reload(deployment(3));
+    let again = sim.send_event("quote", "2");
+    let connection = latest(&mut sim);
+    sim.receive(connection, FINISHED_RESPONSE.as_bytes());
+    assert_eq!((sim.statuses(again), sim.requests()), (vec![200], 2));
 }
 
 // Held requests are not lost: the workers that the new settings name get them; those left out get nothing
 // new.
 #[test]
-fn held_jobs_go_to_the_workers_of_the_new_settings() {
-    let mut b = Bench::new(deployment(0));
-    b.pass(900 * MS);
-    let client = b.asks("confirm", "1");
-    assert_eq!(b.requests(), 0);
-    b.switches(deployment(1));
-    let link = b.links()[0];
-    b.says(link, DONE.as_bytes());
-    assert_eq!((b.statuses(client), b.requests()), (vec![200], 1));
+fn waiting_requests_go_to_the_workers_of_a_reload() {
+    let mut sim = SimulatedGateway::new(deployment(0));
+    sim.advance(900 * MS);
+    let client = sim.send_event("confirm", "1");
+    assert_eq!(sim.requests(), 0);
+    sim.reload(deployment(1));
+    let connection = sim.worker_connections()[0];
+    sim.receive(connection, FINISHED_RESPONSE.as_bytes());
+    assert_eq!((sim.statuses(client), sim.requests()), (vec![200], 1));
     let mut moved = deployment(1);
     let address = ([127, 0, 0, 1], 9100).into();
     moved.workers = vec![StaticWorker { name: "v1".into(), address, ..moved.workers[0].clone() }];
-    b.switches(moved);
-    b.asks("confirm", "2");
-    assert_eq!(b.paper.connects.last().map(|(_, to)| *to), Some(address));
-    assert!(b.paper.cut.contains(&link), "an idle connection to a worker that was left out");
+    sim.reload(moved);
+    sim.send_event("confirm", "2");
+    assert_eq!(sim.transport.connects.last().map(|(_, to)| *to), Some(address));
+    assert!(sim.transport.cut.contains(&connection), "an idle connection to a worker that was left out");
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -113,7 +113,7 @@
 // A thousand connections at the same moment, one request each: each gets exactly one answer, and none is left
 // over.
 #[test]
-fn a_thousand_clients_at_once() {
+fn a_thousand_clients_at_once_are_answered() {
     let mut fleet = fleet(8, &[]);
     let at = fleet.reactor.now() + 50 * MS;
     let plan = (0..1_000).map(|n| planned(at, n, "quote")).collect();
@@ -139,7 +139,7 @@
 #[test_case(Mood::Hang, &[Got::Killed, Got::PushedBack]; "hang")]
 #[test_case(Mood::TwoAnswers, &[Got::Finished, Got::PushedBack]; "two answers")]
 #[test_case(Mood::RefuseAll, &[Got::PushedBack, Got::PushedBack]; "full")]
-fn at_most_once_among_bad_workers(mood: Mood, wanted: &[Got]) {
+fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, wanted: &[Got]) {
     let mut fleet = fleet(3, &[(0, Turn::Mood(mood))]);
     let at = fleet.reactor.now() + 50 * MS;
     let plan = (0..40).map(|n| planned(at + n as Micros * 5 * MS, n, "confirm")).collect();
@@ -162,7 +162,7 @@
 
 // A worker dies while it runs requests, and comes back: idempotent ones are answered by another.
 #[test]
-fn a_worker_dies_with_its_jobs() {
+fn idempotent_requests_of_a_dead_worker_are_answered_by_another() {
     let mut fleet = fleet(2, &[]);
     let at = fleet.reactor.now() + 50 * MS;
     let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned(at, n, "quote") }).collect();
@@ -182,7 +182,7 @@
 // Clients that send a byte at a time and clients that never read: the others are served as if they were not
 // there.
 #[test]
-fn slow_and_deaf_clients_slow_nobody() {
+fn slow_clients_delay_nobody_else() {
     let mut fleet = fleet(2, &[]);
     let mut slow: Vec<TcpStream> =
         (0..50).map(|_| TcpStream::connect(fleet.front).expect("connects")).collect();
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn one_event_in_plain_bytes() {
+fn an_event_is_answered_over_real_sockets() {
     let mut fleet = fleet(1, &[]);
     let mut stream = TcpStream::connect(fleet.front).expect("connects");
     stream.set_nonblocking(true).expect("set");
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,6 +1,6 @@
 //! Connections to model servers: many attempts on each, their lines as long as the kernel has not taken
 //! them, and answers as they come in.
-use applepond::interface::*;
+use applepond::interface::{AttemptResult, Micros, RequestId, WorkerId};
 use applepond_gateway::request_table::AttemptId;
 use applepond_http::Fault;
 use applepond_platform::{call, line};
--- a/crates/node/src/machine.rs
+++ b/crates/node/src/machine.rs
@@ -4,7 +4,9 @@
 use crate::watch::Watch;
 use crate::workers::{Worker, Workers};
 use applepond::control::Control;
-use applepond::interface::*;
+use applepond::interface::{
+    AttemptResult, Endpoint, EndpointListKind, Micros, Outcome, RequestArrival, RequestId, WorkerStatus,
+};
 use applepond_gateway::attempt_outcome::{self, SendProgress};
 use applepond_gateway::deferred::{DeferredCall, DeferredCalls, FiredTimer};
 use applepond_gateway::request_table::{
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,5 +1,5 @@
 //! The list of model servers: one record each, found by its id, and what a list does to it.
-use applepond::interface::*;
+use applepond::interface::{EndpointListKind, Micros, WorkerId, WorkerStatus};
 use applepond_platform::config::Member;
 use applepond_reactor::Conn;
 use std::collections::{BTreeMap, BTreeSet};
