--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -12,7 +12,7 @@
 use applepond_capacity::fit::{Fit, Form};
 use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
 use applepond_capacity::traffic::{Popularity, SIGMA};
-use applepond_gateway::host_list::HostList;
+use applepond_gateway::endpoint_list::EndpointList;
 use plotters::prelude::*;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
@@ -215,17 +215,17 @@
     let rows = sizes.map(|workers| {
         let full = list_line("full", 0..workers);
         let before = allocated().live;
-        let mut hosts = HostList::default();
+        let mut hosts = EndpointList::default();
         let begun = Instant::now();
-        drop(hosts.line(&full, &zones).expect("a good line"));
+        drop(hosts.read_line(&full, &zones).expect("a good line"));
         let first = begun.elapsed();
         let state = allocated().live - before;
         let begun = Instant::now();
-        drop(hosts.line(&full, &zones).expect("a good line"));
+        drop(hosts.read_line(&full, &zones).expect("a good line"));
         let again = begun.elapsed();
         let changes: Vec<Vec<u8>> = (0..1_000).map(|n| list_line("changes", n..n + 1)).collect();
         let begun = Instant::now();
-        changes.iter().for_each(|line| drop(hosts.line(line, &zones).expect("a good line")));
+        changes.iter().for_each(|line| drop(hosts.read_line(line, &zones).expect("a good line")));
         let change = begun.elapsed().as_secs_f64() * 1e6 / changes.len() as f64;
         let ms = |took: Duration| took.as_secs_f64() * 1e3;
         [full.len() as f64 / 1e3, ms(first), ms(again), state as f64 / 1e6, changes[0].len() as f64, change]
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,12 +3,15 @@
 use applepond_fleet::disk::{DiskConfig, DiskFault, DiskThreads};
 use applepond_fleet::envelope::FleetKey;
 use applepond_fleet::{
-    FleetConfig, FleetMachine, FleetView, PrefixGuards, SharedState, SharedStateConfig, page, query,
+    FleetMachine, FleetMachineConfig, FleetView, PrefixGuards, SharedState, SharedStateConfig, page, query,
+};
+use applepond_gateway::deployment::{FleetConfig, PrefixCacheConfig};
+use applepond_gateway::errors::ReloadError;
+use applepond_gateway::reload::merge;
+use applepond_gateway::{
+    ConfigSource, Deployment, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker,
+    StatusSection, TrafficBaseline,
 };
-use applepond_gateway::deployment::{FleetRow, OpeningsRow};
-use applepond_gateway::fault::NotTaken;
-use applepond_gateway::switch::merge;
-use applepond_gateway::{Deployment, Memory as Remembers, News, Openings as Counts, Page};
 use applepond_membership::{DampedCount, Safeguards};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_prefix_cache::Terms;
@@ -67,9 +70,9 @@
     ExitCode::SUCCESS
 }
 
-fn keys(row: &FleetRow) -> Result<Vec<FleetKey>, NotTaken> {
+fn keys(row: &FleetConfig) -> Result<Vec<FleetKey>, ReloadError> {
     let key = |file: &std::path::PathBuf| {
-        let at = |why| NotTaken::KeyFile { file: file.display().to_string(), why };
+        let at = |why| ReloadError::KeyFile { file: file.display().to_string(), reason: why };
         let secret = std::fs::read(file).map_err(|e| at(e.to_string()))?;
         let short = || at("a key of 16 bytes at least is wanted".to_owned());
         FleetKey::from_secret(&secret).ok_or_else(short)
@@ -133,36 +136,36 @@
 }
 
 /// One number for a fleet's founding: votes of another one are foreign.
-fn founding(row: &FleetRow) -> u64 {
-    row.founding.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xacc0_4d00
+fn founding(row: &FleetConfig) -> u64 {
+    row.bootstrap_epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xacc0_4d00
 }
 
 fn named(keepers: &[String]) -> Vec<RouterId> {
     keepers.iter().map(|k| RouterId::named(k)).collect()
 }
 
-fn terms(row: OpeningsRow) -> Terms {
+fn terms(row: PrefixCacheConfig) -> Terms {
     Terms {
-        prepare: row.prepare as f64,
+        prepare: row.prepare_time as f64,
         bytes: 1.0,
         workers: 1.0,
         price: row.price,
-        memory: row.memory as f64,
-        keeps: row.keeps as f64,
+        memory: row.pinned_units as f64,
+        keeps: row.retention as f64,
     }
 }
 
 /// The fleet's counts of openings as the gateway uses them.
 pub struct Counter(pub Rc<RefCell<FleetView>>);
 
-impl Counts for Counter {
-    fn uses(&mut self, name: &str, size: u32) {
+impl PrefixTracker for Counter {
+    fn record_use(&mut self, name: &str, size: u32) {
         self.0.borrow_mut().shared.iter_mut().for_each(|s| s.record_prefix_use(name, size));
     }
-    fn rides(&self, now: Micros, name: &str) -> Option<Micros> {
+    fn pin_lease(&self, now: Micros, name: &str) -> Option<Micros> {
         self.0.borrow().shared.as_ref().and_then(|s| s.prefix_lease(now, name))
     }
-    fn workers(&mut self, ready: usize) {
+    fn set_ready_workers(&mut self, ready: usize) {
         self.0.borrow_mut().shared.iter_mut().for_each(|s| s.set_ready_workers(ready));
     }
 }
@@ -170,33 +173,46 @@
 /// The memory of a router as its gateway uses it.
 pub struct Shelf(pub Rc<RefCell<ObservationStore>>, pub Return);
 
-impl Remembers for Shelf {
-    fn saw(&mut self, now: Micros, server: WorkerId, up_since: Micros, seen: &WorkerHistory) {
-        self.0.borrow_mut().record_worker(now, server, up_since, seen);
+impl HistoryStore for Shelf {
+    fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory) {
+        self.0.borrow_mut().record_worker(now, worker, up_since, history);
     }
-    fn saw_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
-        self.0.borrow_mut().record_load_time(now, function, took);
+    fn record_load_time(&mut self, now: Micros, function: FunctionId, load_time: Micros) {
+        self.0.borrow_mut().record_load_time(now, function, load_time);
     }
-    fn saw_usual(&mut self, now: Micros, usual: [f64; 3]) {
-        self.0.borrow_mut().record_baseline(now, usual);
+    fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
+        let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
+        self.0.borrow_mut().record_baseline(now, [first_attempts_per_second, connections_per_second, pace]);
     }
-    fn promised(&mut self, now: Micros, request: u64, wait: Micros) {
-        self.0.borrow_mut().record_scheduled_retry(now, request, wait);
+    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry) {
+        self.0.borrow_mut().record_scheduled_retry(now, retry.request, retry.wait);
     }
-    fn own(&mut self, now: Micros) -> Option<applepond_recovery::RouterHistory> {
-        self.0.borrow_mut().take_router_history(now)
+    fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
+        let (usual, promises) = self.0.borrow_mut().take_router_history(now)?;
+        let baseline = usual.map(|[first_attempts_per_second, connections_per_second, pace]| {
+            TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
+        });
+        let promised = promises.into_iter().map(|(request, wait)| PromisedRetry { request, wait });
+        Some(RestoredTraffic { baseline, promised_retries: promised.collect() })
     }
-    fn recalls(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
-        self.0.borrow_mut().pending_worker_history(now)
+    fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
+        let recalled = self.0.borrow_mut().pending_worker_history(now).into_iter();
+        recalled.map(|(worker, up_since, history)| RestoredWorker { worker, up_since, history }).collect()
     }
-    fn recalled(&mut self, server: WorkerId, up_since: Micros) {
-        self.0.borrow_mut().mark_restored(server, up_since);
+    fn worker_restored(&mut self, worker: WorkerId, up_since: Micros) {
+        self.0.borrow_mut().mark_restored(worker, up_since);
     }
-    fn listed(&mut self, now: Micros, server: WorkerId, up_since: Micros, is: WorkerStatus) -> WorkerStatus {
-        let made = self.0.borrow_mut().apply_listed_status(now, server, up_since, is);
-        if self.1.keeps_drains { made } else { is }
+    fn effective_status(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        up_since: Micros,
+        listed: WorkerStatus,
+    ) -> WorkerStatus {
+        let status = self.0.borrow_mut().apply_listed_status(now, worker, up_since, listed);
+        if self.1.keeps_drains { status } else { listed }
     }
-    fn whole(&mut self, named: &[(WorkerId, Micros)]) {
+    fn full_list_received(&mut self, named: &[(WorkerId, Micros)]) {
         self.0.borrow_mut().apply_complete_list(named);
     }
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
@@ -208,13 +224,13 @@
 /// names the file at fault.
 #[allow(clippy::type_complexity)] // three things that are made together
 pub fn of(
-    row: &FleetRow,
+    row: &FleetConfig,
     now: Micros,
     rig: &Rig,
-) -> Result<(FleetMachine, Rc<RefCell<FleetView>>, Rc<RefCell<ObservationStore>>), NotTaken> {
-    let random = || getrandom::u64().map_err(|e| NotTaken::NoRandom(e.to_string()));
+) -> Result<(FleetMachine, Rc<RefCell<FleetView>>, Rc<RefCell<ObservationStore>>), ReloadError> {
+    let random = || getrandom::u64().map_err(|e| ReloadError::NoRandomNumbers(e.to_string()));
     let (seed, fresh) = (random()?, InstanceId(random()?));
-    let config = FleetConfig {
+    let config = FleetMachineConfig {
         name: row.name.clone(),
         zone: row.zone.clone(),
         listen: row.listen,
@@ -230,19 +246,19 @@
         router: me,
         fleet: founding(row),
         new_file: fresh,
-        votes: row.votes.clone(),
-        snapshot: row.snapshot.clone(),
+        votes: row.votes_file.clone(),
+        snapshot: row.snapshot_file.clone(),
         fault: rig.disk,
     });
     let config = SharedStateConfig {
         router: me,
         instance_id,
         incarnation: view.borrow().members.local_record().incarnation,
-        replicas: named(&row.keepers),
+        replicas: named(&row.voters),
         bootstrap: founding(row),
-        is_replica: row.votes.is_some(),
-        has_snapshot: row.snapshot.is_some(),
-        prefix_terms: row.openings.map(terms),
+        is_replica: row.votes_file.is_some(),
+        has_snapshot: row.snapshot_file.is_some(),
+        prefix_terms: row.prefix_cache.map(terms),
     };
     let shared = SharedState::new(now, config, memory.clone(), Box::new(disks), seed.rotate_left(31));
     let shared = shared.with_guards(rig.comeback.guards, rig.comeback.alone);
@@ -252,15 +268,15 @@
 }
 
 /// The view as a part of the state page.
-pub fn shown(view: Rc<RefCell<FleetView>>) -> Page {
+pub fn shown(view: Rc<RefCell<FleetView>>) -> StatusSection {
     Box::new(move |now| page(&view.borrow(), now))
 }
 
 /// The live count as new settings, by the same way as those of the file. With those of a file come its seeds
 /// and keys; where a key cannot be read, or another part needs a restart, nothing of the file is taken.
-pub fn counted(view: Rc<RefCell<FleetView>>, mut held: Deployment, mut news: News) -> News {
+pub fn counted(view: Rc<RefCell<FleetView>>, mut held: Deployment, mut news: ConfigSource) -> ConfigSource {
     let begun = Instant::now();
-    let mut most = held.rows.router_count;
+    let mut most = held.startup.router_count;
     let mut count = DampedCount::new(most as usize);
     Box::new(move || {
         let mut told = false;
@@ -276,21 +292,21 @@
                             Ok(keys) => {
                                 let mut view = view.borrow_mut();
                                 view.reconfigure(row.seeds.clone(), keys);
-                                view.shared.iter_mut().for_each(|s| s.set_replicas(&named(&row.keepers)));
+                                view.shared.iter_mut().for_each(|s| s.set_replicas(&named(&row.voters)));
                             }
                             Err(why) => return Some(Err(why)),
                         }
                     }
-                    most = merged.rows.router_count;
+                    most = merged.startup.router_count;
                     held = merged;
                     told = true;
                 }
             },
         }
-        let was = held.rows.router_count;
+        let was = held.startup.router_count;
         let live = view.borrow().members.live_count();
         let now = begun.elapsed().as_micros() as Micros;
-        held.rows.router_count = count.share_count(now, live, most as usize) as u64;
-        (told || was != held.rows.router_count).then(|| Ok(held.clone()))
+        held.startup.router_count = count.share_count(now, live, most as usize) as u64;
+        (told || was != held.startup.router_count).then(|| Ok(held.clone()))
     })
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,8 +1,8 @@
 //! `serve` and `check`.
 use crate::fleet;
 use applepond::interface::RetrySafety;
-use applepond_gateway::fault::NotTaken;
-use applepond_gateway::{Deployment, Gateway, News};
+use applepond_gateway::errors::ReloadError;
+use applepond_gateway::{ConfigSource, Deployment, Gateway};
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
 use applepond_scenarios::saboteur::{PLANTS, Saboteur};
@@ -55,8 +55,9 @@
     match read(file) {
         Ok(d) => {
             let (workloads, workers) = (d.workloads.len(), d.workers.len());
-            let chains = d.chains.len();
-            let hosts = d.hosts.map_or("no host list".to_owned(), |at| format!("the host list at {at}"));
+            let chains = d.workflows.len();
+            let hosts =
+                d.endpoint_list.map_or("no host list".to_owned(), |at| format!("the host list at {at}"));
             let file = file.display();
             println!(
                 "{file}: good; {workloads} workload(s), {chains} chain(s), {workers} worker(s), {hosts}"
@@ -68,7 +69,7 @@
 }
 
 /// Reads the settings file again after a SIGHUP; a file with faults is told and changes nothing.
-fn asked_for_news(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<News> {
+fn asked_for_news(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<ConfigSource> {
     let asked = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGHUP, asked.clone())?;
     let file = file.to_owned();
@@ -76,7 +77,7 @@
         if !asked.swap(false, Ordering::Relaxed) {
             return None;
         }
-        let new = read(&file).map_err(|_| NotTaken::Faults);
+        let new = read(&file).map_err(|_| ReloadError::InvalidFile);
         Some(new.map(|new| Deployment { listen: listen.unwrap_or(new.listen), ..new }))
     }))
 }
@@ -115,9 +116,9 @@
         let _ = std::io::stdout().flush();
     });
     let lasts = |d: &Deployment| {
-        d.chains.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
+        d.workflows.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
     };
-    let record = match &deployment.record {
+    let record = match &deployment.workflow_store {
         Some(file) => match DiskStore::open(file) {
             Ok(disk) => Some(Box::new(disk)),
             Err(why) => {
@@ -150,16 +151,16 @@
         Some((_, view, _)) => fleet::counted(view.clone(), deployment.clone(), news),
         None => news,
     };
-    let gateway = Gateway::new(reactor.now(), deployment, told).with_news(news);
+    let gateway = Gateway::new(reactor.now(), deployment, told).with_config_source(news);
     let gateway = match &fleet {
         Some((_, view, memory)) => gateway
-            .with_page("fleet", fleet::shown(view.clone()))
-            .with_memory(Box::new(fleet::Shelf(memory.clone(), rig.comeback)))
-            .with_openings(Box::new(fleet::Counter(view.clone()))),
+            .with_status_section("fleet", fleet::shown(view.clone()))
+            .with_history(Box::new(fleet::Shelf(memory.clone(), rig.comeback)))
+            .with_prefix_tracker(Box::new(fleet::Counter(view.clone()))),
         None => gateway,
     };
     let gateway = match record {
-        Some(record) => Box::new(gateway.with_record(record)),
+        Some(record) => Box::new(gateway.with_workflow_store(record)),
         None => Box::new(gateway),
     };
     let machine: Box<dyn Machine> = match plant {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -14,7 +14,7 @@
 mod query;
 mod shared_state;
 
-pub use machine::{FleetConfig, FleetMachine, FleetView};
+pub use machine::{FleetMachine, FleetMachineConfig, FleetView};
 pub use page::page;
 pub use query::{QueryError, query};
 pub use shared_state::{PrefixGuards, SharedState, SharedStateConfig};
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -49,7 +49,7 @@
 }
 
 /// What a router starts with.
-pub struct FleetConfig {
+pub struct FleetMachineConfig {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -103,8 +103,8 @@
 impl FleetMachine {
     /// The machine and the view that the rest of the process shares. `seed` is for random numbers, and new at
     /// each start, as the instance id that is made of it has to be.
-    pub fn new(now: Micros, config: FleetConfig, seed: u64) -> (Self, Rc<RefCell<FleetView>>) {
-        let FleetConfig { name, zone, listen, seeds, keys, proxy, safeguards } = config;
+    pub fn new(now: Micros, config: FleetMachineConfig, seed: u64) -> (Self, Rc<RefCell<FleetView>>) {
+        let FleetMachineConfig { name, zone, listen, seeds, keys, proxy, safeguards } = config;
         let instance_id = InstanceId(seed | 1);
         // Later starts have higher incarnations as far as the clock goes on; where it went back, the others
         // say so.
--- a/crates/fleet/src/machine/tests.rs
+++ b/crates/fleet/src/machine/tests.rs
@@ -1,5 +1,5 @@
 //! The machine on a simulated transport.
-use super::{FleetConfig, FleetMachine, FleetView};
+use super::{FleetMachine, FleetMachineConfig, FleetView};
 use crate::envelope::FleetKey;
 use crate::page;
 use applepond_fakes::simulated_transport::SimulatedTransport;
@@ -18,7 +18,7 @@
 
 fn fleet(name: &str, port: u16, seed: u16, secret: &[u8]) -> (FleetMachine, Rc<RefCell<FleetView>>) {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let config = FleetConfig {
+    let config = FleetMachineConfig {
         name: name.to_owned(),
         zone: "z".to_owned(),
         listen: at(port),
--- /dev/null
+++ b/crates/gateway/src/gateway/mod.rs
@@ -0,0 +1,321 @@
+//! One router instance, as a machine without I/O: connections, bytes and timers come in through [`Machine`],
+//! and what is to be written or connected goes out through [`Transport`].
+//!
+//! Every event runs the same way: the event's method updates this machine's state and calls `Control`, which
+//! queues actions; [`Gateway::settle`] then carries out actions, and what follows from them, until nothing is
+//! left to do. No method that is called from there may call `settle` again.
+//!
+//! Where to look, by event:
+//! - a client connects, sends, or leaves: `clients`, then `intake` for what the event asks for;
+//! - `Control` orders an attempt, or its timeout is over: `attempts`;
+//! - a worker responds or its connection ends: `responses`, with the connections in `worker_pool`;
+//! - a request ends: `completion`;
+//! - the endpoint list sends a line or is lost: `endpoint_watch`;
+//! - a timer of the gateway's own fires: `maintenance` (idle connections, reloads) and `history`;
+//! - a workflow's event arrives or one of its steps ends: `workflow`.
+use crate::client::{Answer, ClientConnection};
+use crate::deferred::{DeferredCall, DeferredCalls, FiredTimer};
+use crate::deployment::{Deployment, FunctionSource, WorkloadEvents};
+use crate::endpoint_list::EndpointEntry;
+use crate::idempotency::IdempotencyTable;
+use crate::request_table::{Action, ActionQueue, RequestTable};
+use applepond::control::Control;
+use applepond::interface::{Micros, Outcome, RequestId, WorkerId};
+use applepond_admission::Gate;
+use applepond_admission::watch::Called;
+use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
+use applepond_storage::WorkflowStore;
+use endpoint_watch::EndpointWatch;
+use request::RequestData;
+use rustc_hash::FxHashMap;
+use state_page::Counters;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use worker_pool::WorkerPool;
+use workflow::Workflows;
+
+mod attempts;
+mod clients;
+mod completion;
+mod endpoint_watch;
+mod extensions;
+mod history;
+mod intake;
+mod maintenance;
+mod overload;
+mod request;
+mod responses;
+mod state_page;
+mod worker_pool;
+mod workflow;
+
+pub use extensions::{
+    ConfigSource, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker, StatusSection,
+    TrafficBaseline,
+};
+
+/// One router instance.
+pub struct Gateway {
+    /// The configuration in force.
+    deployment: Deployment,
+    /// Event attributes that are read by name: those of functions, prefixes and customers.
+    attribute_names: Rc<[String]>,
+    /// Every routing decision.
+    control: Control,
+    /// What `Control` has ordered and is not carried out yet.
+    actions: ActionQueue,
+    clients: FxHashMap<Conn, ClientConnection>,
+    /// Clients whose answer has gone out and whose next request may have arrived already.
+    answered_clients: VecDeque<Conn>,
+    workers: WorkerPool,
+    endpoint_watch: EndpointWatch,
+    /// The entries that the list gives as ready, where `history` may give another status.
+    listed_ready: BTreeMap<WorkerId, EndpointEntry>,
+    requests: RequestTable<RequestData>,
+    /// Requests and workflows started so far; the next one's id is made of it.
+    started_requests: u64,
+    idempotency: IdempotencyTable<Answer>,
+    /// Detects retry storms, and sheds load before `Control` while one lasts.
+    admission: Gate,
+    /// The traffic state that the log was last told.
+    logged_traffic: Called,
+    workflows: Workflows,
+    /// Calls that wait for a timer.
+    deferred: DeferredCalls<Gateway>,
+    counters: Counters,
+    started_at: Micros,
+    /// Called with the address once the instance listens.
+    on_listening: Box<dyn FnMut(SocketAddr)>,
+    config_source: ConfigSource,
+    history: Option<Box<dyn HistoryStore>>,
+    prefix_tracker: Option<Box<dyn PrefixTracker>>,
+    status_sections: Vec<(&'static str, StatusSection)>,
+}
+
+impl Gateway {
+    /// An instance that has not started; the reactor starts it. `now` is the reactor's clock. `on_listening`
+    /// is called with the address that it listens at, which matters for port 0.
+    pub fn new(now: Micros, deployment: Deployment, on_listening: Box<dyn FnMut(SocketAddr)>) -> Self {
+        let mut actions = ActionQueue::default();
+        let control = Control::new(now, deployment.startup.clone(), &mut actions);
+        Gateway {
+            attribute_names: attribute_names(&deployment),
+            control,
+            actions,
+            clients: FxHashMap::default(),
+            answered_clients: VecDeque::new(),
+            workers: WorkerPool::default(),
+            endpoint_watch: EndpointWatch::default(),
+            listed_ready: BTreeMap::new(),
+            requests: RequestTable::default(),
+            started_requests: 0,
+            idempotency: IdempotencyTable::new(deployment.answer_retention),
+            admission: Gate::new(now, deployment.startup.seed),
+            logged_traffic: Called::Calm,
+            workflows: Workflows::new(deployment.startup.cache_lifetime),
+            deferred: DeferredCalls::default(),
+            counters: Counters::default(),
+            started_at: now,
+            on_listening,
+            config_source: Box::new(|| None),
+            history: None,
+            prefix_tracker: None,
+            status_sections: Vec::new(),
+            deployment,
+        }
+    }
+
+    /// Polls this source for new configurations, which are applied without a restart.
+    pub fn with_config_source(mut self, config_source: ConfigSource) -> Self {
+        self.config_source = config_source;
+        self
+    }
+
+    /// Stores what is learned here, and takes up what was known before or elsewhere.
+    pub fn with_history(mut self, history: Box<dyn HistoryStore>) -> Self {
+        self.history = Some(history);
+        self
+    }
+
+    /// Counts prompt prefixes with the fleet, and sends the leases of pinned ones.
+    pub fn with_prefix_tracker(mut self, prefix_tracker: Box<dyn PrefixTracker>) -> Self {
+        self.prefix_tracker = Some(prefix_tracker);
+        self
+    }
+
+    /// Adds a section to the state page.
+    pub fn with_status_section(mut self, name: &'static str, section: StatusSection) -> Self {
+        self.status_sections.push((name, section));
+        self
+    }
+
+    /// Stores workflows here; without it they are known only as long as this instance lives.
+    pub fn with_workflow_store(mut self, store: Box<dyn WorkflowStore>) -> Self {
+        self.workflows.store = store;
+        self
+    }
+
+    /// Has `call` made after `delay`.
+    fn schedule(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        delay: Micros,
+        call: DeferredCall<Gateway>,
+    ) {
+        self.deferred.schedule(now, transport, delay, call);
+    }
+
+    /// The id of the next request or workflow.
+    fn next_request_id(&mut self) -> RequestId {
+        self.started_requests += 1;
+        let text = format!("{:016x}-{:019}", self.deployment.startup.seed, self.started_requests);
+        let mut id = [b'0'; 36];
+        id.copy_from_slice(&text.as_bytes()[..36]);
+        RequestId(id)
+    }
+
+    /// Carries out what `Control` ordered and what follows from it, until nothing is left. A client whose
+    /// answer went out may have sent its next request already: such clients are read here one after the
+    /// other and not from within each other, or a long pipeline would overflow the stack. The same holds for
+    /// workflows.
+    fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
+        loop {
+            self.carry_out_actions(now, transport);
+            if let Some(started) = self.workflows.started.pop_front() {
+                self.run_commands(now, transport, started.request, started.commands);
+                continue;
+            }
+            if let Some(ended) = self.workflows.ended_steps.pop_front() {
+                (ended.on_end)(self, now, transport, ended.end);
+                continue;
+            }
+            match self.answered_clients.pop_front() {
+                Some(conn) => self.read_requests(now, transport, conn),
+                None if self.write_pending(now, transport) => {}
+                None if self.actions.is_empty() && self.workflows.ended_steps.is_empty() => return,
+                None => {}
+            }
+        }
+    }
+
+    fn carry_out_actions(&mut self, now: Micros, transport: &mut dyn Transport) {
+        while let Some(action) = self.actions.pop() {
+            match action {
+                Action::Send(dispatch) => self.start_attempt(now, transport, &dispatch),
+                Action::Cancel(attempt) => self.end_attempt(now, transport, attempt, Outcome::Cancelled),
+                Action::Reject(request, retry_after) => {
+                    self.reject_request(now, transport, request, retry_after);
+                }
+                Action::Fail(request) => self.fail_request(now, transport, request),
+                Action::SetTimer(delay, token) => {
+                    DeferredCalls::<Gateway>::schedule_control(now, transport, delay, token);
+                }
+                Action::Log(text) => tracing::info!(target: "module", "{text}"),
+                // The list is pushed to whoever is connected to it, so there is nothing to ask for.
+                Action::WatchEndpoints => {}
+            }
+        }
+    }
+}
+
+/// The event attributes that functions, prefixes and customers are named by.
+fn attribute_names(deployment: &Deployment) -> Rc<[String]> {
+    let function_attribute = |workload: &WorkloadEvents| match &workload.function_source {
+        FunctionSource::Attribute(name) => Some(name.clone()),
+        FunctionSource::Named(_) => None,
+    };
+    let prefixes = deployment.workloads.iter().filter_map(|workload| workload.prefix_attributes.clone());
+    let prefixes = prefixes.flat_map(|prefix| [prefix.name, prefix.size]);
+    let functions = deployment.workloads.iter().filter_map(function_attribute);
+    functions.chain(prefixes).chain([deployment.customer_attribute.clone()]).collect()
+}
+
+impl Machine for Gateway {
+    fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
+        match transport.listen(self.deployment.listen, self.deployment.max_clients) {
+            Ok((_, address)) => (self.on_listening)(address),
+            Err(error) => tracing::error!(listen = %self.deployment.listen, %error, "cannot listen"),
+        }
+        if !self.deployment.workers.is_empty() {
+            self.apply_static_workers(now, transport);
+        }
+        self.resume_workflows(now, transport);
+        self.connect_endpoint_watch(transport);
+        self.maintain(now, transport);
+        if self.history.is_some() {
+            self.exchange_history_periodically(now, transport);
+        }
+        self.settle(now, transport);
+    }
+
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
+        self.client_accepted(now, transport, conn, listener);
+    }
+
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        if self.endpoint_watch.is(conn) {
+            self.request_endpoint_list(transport, conn);
+        } else if let Some(connection) = self.workers.connections.get_mut(&conn) {
+            connection.connected = true;
+            self.send_request(now, transport, conn);
+        }
+        self.settle(now, transport);
+    }
+
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.feed(now, transport, conn, bytes);
+            self.read_requests(now, transport, conn);
+        } else if self.endpoint_watch.is(conn) {
+            self.endpoint_watch_bytes(now, transport, conn, bytes);
+        } else {
+            self.worker_bytes(now, transport, conn, bytes);
+        }
+        self.settle(now, transport);
+    }
+
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.half_closed(now, transport, conn);
+        } else if self.endpoint_watch.is(conn) {
+            transport.cut(conn);
+            self.endpoint_watch_lost(now, transport);
+        } else if self.workers.connections.contains_key(&conn) {
+            let sent = transport.sent(conn);
+            transport.cut(conn);
+            self.worker_disconnected(now, transport, conn, Closed::Ended, sent);
+        }
+        self.settle(now, transport);
+    }
+
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
+        if self.clients.contains_key(&conn) {
+            self.client_closed(now, conn);
+        } else if self.endpoint_watch.is(conn) {
+            self.endpoint_watch_lost(now, transport);
+        } else {
+            self.worker_disconnected(now, transport, conn, why, sent);
+        }
+        self.settle(now, transport);
+    }
+
+    fn flushed(&mut self, now: Micros, _: &mut dyn Transport, conn: Conn) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.flushed(now);
+        }
+    }
+
+    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
+        match self.deferred.fired(wake) {
+            Some(FiredTimer::Control(token)) => {
+                self.control.advance_to(now);
+                self.control.timer_fired(&mut self.actions, token);
+            }
+            Some(FiredTimer::Call(call)) => call(self, now, transport),
+            None => {}
+        }
+        self.settle(now, transport);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/worker_connection.rs
@@ -0,0 +1,161 @@
+//! The worker side: one connection to a worker, and how a response on it is read.
+//!
+//! A connection carries one attempt at a time. Closing it is the cancel: HTTP/1.1 has no other one that the
+//! worker sees on the same connection, and it reaches a worker that still reads the request as well as one
+//! that runs it.
+//!
+//! Owned here: which attempt a connection carries and the part of its response that has arrived.
+use crate::request_table::AttemptId;
+use applepond::interface::{LoadState, WorkerId};
+use applepond_http::Fault;
+use applepond_http::cloudevent::{EventSink, Reader};
+use applepond_http::decode::{Decoder, Fields, Side, Visitor};
+use applepond_http::encode::Lines;
+
+/// Bytes of a response's head and body at most: a response beyond it counts as broken.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: u64 = 8 * 1024 * 1024;
+
+/// Header fields with this prefix are the worker's own, about the request or about itself.
+const WORKER_FIELD_PREFIX: &str = "applepond-";
+/// Header fields with this prefix are attributes of the result event.
+const EVENT_FIELD_PREFIX: &str = "ce-";
+
+/// A response while it comes in.
+pub(crate) struct WorkerResponse {
+    pub(crate) status: u16,
+    /// The worker's own verdict on the request: `full` or `missing`, which prove that it has not run.
+    pub(crate) verdict: Option<String>,
+    /// The state of the function's copy when the request came.
+    pub(crate) load_state: LoadState,
+    /// Requests of the same function that the worker had when this one arrived; 0 where not reported.
+    pub(crate) same_function_in_flight: u32,
+    /// Requests of all functions that the worker has in flight, where it reports them.
+    pub(crate) reported_in_flight: Option<f64>,
+    /// Loads in progress or queued at the worker, where it reports them.
+    pub(crate) reported_loads: Option<f64>,
+    /// Fields for the client: the result event's attributes and its media type.
+    pub(crate) fields: Lines,
+    pub(crate) body: Vec<u8>,
+    /// The response is a CloudEvent.
+    pub(crate) is_event: bool,
+    /// Set once the response is complete: whether the connection may carry another request.
+    pub(crate) keep_alive: Option<bool>,
+}
+
+impl Default for WorkerResponse {
+    fn default() -> Self {
+        WorkerResponse {
+            status: 0,
+            verdict: None,
+            load_state: LoadState::Unreported,
+            same_function_in_flight: 0,
+            reported_in_flight: None,
+            reported_loads: None,
+            fields: Lines::default(),
+            body: Vec::new(),
+            is_event: false,
+            keep_alive: None,
+        }
+    }
+}
+
+impl WorkerResponse {
+    /// Reads one of the worker's own header fields, by its name without the prefix.
+    fn read_worker_field(&mut self, name: &str, value: &str) {
+        let number = || value.parse::<f64>().ok().filter(|number| number.is_finite());
+        match name.to_ascii_lowercase().as_str() {
+            "outcome" => self.verdict = Some(value.to_owned()),
+            "copy" => {
+                self.load_state = match value {
+                    "stood" => LoadState::Loaded,
+                    "begun" => LoadState::LoadStarted,
+                    "awaited" => LoadState::LoadPending,
+                    "load-failed" => LoadState::LoadFailed,
+                    _ => LoadState::Unreported,
+                }
+            }
+            "company" => self.same_function_in_flight = value.parse().unwrap_or(0),
+            "held" => self.reported_in_flight = number(),
+            "loads" => self.reported_loads = number(),
+            _ => {}
+        }
+    }
+
+    /// The copy that answered was loaded when the request came.
+    pub(crate) fn was_loaded(&self) -> bool {
+        self.load_state != LoadState::LoadStarted && self.load_state != LoadState::LoadPending
+    }
+}
+
+impl EventSink for WorkerResponse {
+    fn attribute(&mut self, _: &str, _: &str) {}
+    fn data(&mut self, _: Option<&str>, _: Vec<u8>) {}
+}
+
+/// Whether a header field's name starts with a prefix, in any case.
+fn has_prefix(name: &str, prefix: &str) -> bool {
+    name.get(..prefix.len()).is_some_and(|start| start.eq_ignore_ascii_case(prefix))
+}
+
+impl Visitor for WorkerResponse {
+    fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
+        Err(Fault::new(400, "bad-head", "an answer is wanted"))
+    }
+
+    fn response(&mut self, status: u16, fields: &Fields<'_>) -> Result<(), Fault> {
+        self.status = status;
+        // One pass over the fields: a response has a dozen, and looking each name up would be a dozen passes.
+        for (name, value) in fields.iter() {
+            let Ok(value) = std::str::from_utf8(value) else { continue };
+            if has_prefix(name, WORKER_FIELD_PREFIX) {
+                self.read_worker_field(&name[WORKER_FIELD_PREFIX.len()..], value);
+            } else if has_prefix(name, EVENT_FIELD_PREFIX) || name.eq_ignore_ascii_case("content-type") {
+                self.fields.field(name, value);
+            }
+        }
+        let mut discarded = WorkerResponse::default();
+        self.is_event = Reader::head(fields, &mut discarded).is_ok();
+        Ok(())
+    }
+
+    fn body(&mut self, bytes: &[u8]) -> Result<(), Fault> {
+        self.body.extend_from_slice(bytes);
+        Ok(())
+    }
+
+    fn end(&mut self, keep_alive: bool) -> Result<(), Fault> {
+        self.keep_alive = Some(keep_alive);
+        Ok(())
+    }
+}
+
+/// One connection to a worker.
+pub(crate) struct WorkerConnection {
+    pub(crate) worker: WorkerId,
+    /// It is established.
+    pub(crate) connected: bool,
+    /// It has carried a complete response before.
+    pub(crate) reused: bool,
+    /// The attempt that it carries; none while it is idle.
+    pub(crate) attempt: Option<AttemptId>,
+    /// Bytes that the kernel had taken before this attempt's request.
+    pub(crate) sent_before: u64,
+    pub(crate) decoder: Decoder,
+    pub(crate) response: WorkerResponse,
+}
+
+impl WorkerConnection {
+    /// A connection that is being established for an attempt.
+    pub(crate) fn new(worker: WorkerId, attempt: AttemptId) -> Self {
+        WorkerConnection {
+            worker,
+            connected: false,
+            reused: false,
+            attempt: Some(attempt),
+            sent_before: 0,
+            decoder: Decoder::new(Side::Client, MAX_HEAD_BYTES, MAX_BODY_BYTES),
+            response: WorkerResponse::default(),
+        }
+    }
+}
