--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,14 @@
-//! Reads an instance's settings, in HCL, and names every fault by line and column: what was found, what is
-//! wanted.
-mod chains;
-pub mod instance;
-pub mod sheet;
+//! Settings of one instance, in HCL.
+//!
+//! [`deployment`] reads a file and reports every fault by line and column: what was found, what is wanted.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
-pub use instance::deployment;
-pub use sheet::Fault;
+mod deployment;
+mod fleet;
+mod section;
+mod workflow;
+mod workload;
+
+pub use deployment::deployment;
+pub use section::Fault;
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -38,7 +38,7 @@
 
 // Whose rack is not named, shares with nobody what it has seen.
 #[test]
-fn workers_without_racks() {
+fn workers_without_racks_share_none() {
     let two = format!("{GOOD}worker \"w2\" {{\n  address = \"127.0.0.1:9002\"\n}}\n");
     let d = deployment(&two).expect("no fault");
     assert_ne!(d.workers[0].rack, d.workers[1].rack);
@@ -63,13 +63,13 @@
 #[test_case("zones = [\"hall-a\"]", "zones = [", "found"; "syntax")]
 #[test_case("zones", "limits_shared = 1\nzones", "2:17: found limits_shared = `1`"; "limits shared")]
 #[test_case("zones", "router = 1\nzones", "2:10: found router = 1 of 1"; "router past routers")]
-fn faults(old: &str, new: &str, told: &str) {
+fn each_fault_is_reported_at_its_place(old: &str, new: &str, expected: &str) {
     let text = GOOD.replacen(old, new, 1);
     match deployment(&text) {
-        Ok(_) => assert!(told.is_empty(), "a fault was wanted: {told}"),
+        Ok(_) => assert!(expected.is_empty(), "a fault was wanted: {expected}"),
         Err(faults) => {
             let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            assert!(!told.is_empty() && all.iter().any(|f| f.contains(told)), "{all:#?}");
+            assert!(!expected.is_empty() && all.iter().any(|f| f.contains(expected)), "{all:#?}");
         }
     }
 }
@@ -83,13 +83,13 @@
 
 #[test_case("effect = \"fingerprinted\"", 2; "window and group are wanted")]
 #[test_case("effect = \"run-once\"\n  window = \"3s\"", 1; "a window without an idempotency key")]
-fn keyed(effect: &str, faults: usize) {
+fn a_keyed_workload_names_scope_and_window(effect: &str, faults: usize) {
     let text = GOOD.replace("effect = \"restartable\"", effect);
     assert_eq!(deployment(&text).expect_err("faults").len(), faults);
 }
 
 #[test]
-fn names_once() {
+fn a_name_stands_once() {
     let text = format!("{GOOD}{}", GOOD[GOOD.find("workload").expect("there")..].replace("w1", "w2"));
     let faults = deployment(&text).expect_err("faults");
     assert!(faults.len() == 1 && faults[0].found.contains("workload \"quote\" a second time"), "{faults:?}");
@@ -132,15 +132,15 @@
 #[test_case("]\n}", "]\n  openings {\n    memory = 0\n  }\n}", "8:14: found"; "no memory")]
 #[test_case("]\n}", "]\n  founding = 0\n}", "7:14: found"; "no founding")]
 #[test_case("seeds", "sedes", "5:3: found 'sedes' in block 'fleet'"; "misspelt")]
-fn fleet_faults(old: &str, new: &str, told: &str) {
+fn each_fault_of_a_fleet_block_is_reported(old: &str, new: &str, expected: &str) {
     let faults = deployment(&format!("{}{GOOD}", FLEET.replacen(old, new, 1))).expect_err("a fault");
     let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert!(all.iter().any(|f| f.contains(told)), "{all:#?}");
+    assert!(all.iter().any(|f| f.contains(expected)), "{all:#?}");
 }
 
 // An opening has a name and a size, or the workload has none.
 #[test]
-fn half_an_opening() {
+fn half_a_prefix_is_a_fault() {
     let one = GOOD.replacen("  types ", "  opening_by = \"opening\"\n  types ", 1);
     assert_ne!(one, GOOD);
     let faults = deployment(&one).expect_err("a fault");
--- a/crates/settings/tests/chains.rs
+++ b/crates/settings/tests/workflows.rs
@@ -94,9 +94,9 @@
     "24:11: found type \"quote\" again, it is \"quote\"'s"; "type twice")]
 #[test_case("at_least", "at_last", "28:5: found 'at_last' in block 'step'"; "misspelt")]
 #[test_case("go = \"beds\"", "goes = \"beds\"", "found 'goes' in block 'next'"; "misspelt in a branch")]
-fn faults(old: &str, new: &str, told: &str) {
+fn each_fault_is_reported_at_its_place(old: &str, new: &str, expected: &str) {
     assert!(GOOD.contains(old), "nothing replaced");
     let faults = deployment(&GOOD.replacen(old, new, 1)).expect_err("a fault");
     let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert!(all.iter().any(|f| f.contains(told)), "{all:#?}");
+    assert!(all.iter().any(|f| f.contains(expected)), "{all:#?}");
 }
