--- a/crates/gateway/src/gateway/completion.rs
+++ b/crates/gateway/src/gateway/completion.rs
@@ -4,10 +4,12 @@
 //! Enters here: `Control`'s orders to reject and to fail a request, and the first finished attempt of each.
 use super::Gateway;
 use super::extensions::PromisedRetry;
+use super::request::RequestData;
 use super::workflow::{EndedStep, StepEnd};
 use crate::client::Answer;
-use crate::idempotency::{Completion, FinalOutcome};
-use applepond::interface::{Micros, RequestId};
+use crate::idempotency::{Completion, FinalOutcome, IdempotencyKey};
+use crate::request_table::RequestState;
+use applepond::interface::{Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
 use applepond_reactor::{Conn, Transport};
 use std::rc::Rc;
@@ -77,36 +79,36 @@
             self.workflows.ended_steps.push_back(EndedStep { on_end, end });
             return;
         }
+        let workload = &self.deployment.workloads[state.data.content.workload].name;
+        log_end(now, state, workload, &answer);
+        let key = state.data.content.key.clone();
+        let retry_safety = state.data.retry_safety;
+        let clients = std::mem::take(&mut state.data.clients);
+        self.requests.remove_if_done(request);
+        self.record_end(now, &key, retry_safety, &answer);
+        self.answer_clients(now, transport, clients, &answer);
+    }
+
+    /// Records the end of a request or a workflow in the counters, with admission and in the idempotency
+    /// table.
+    pub(super) fn record_end(
+        &mut self,
+        now: Micros,
+        key: &IdempotencyKey,
+        retry_safety: RetrySafety,
+        answer: &Rc<Answer>,
+    ) {
         self.counters.count_end(answer.outcome);
-        self.admission.ended(
-            now,
-            answer.outcome == FinalOutcome::Finished,
-            answer.outcome == FinalOutcome::Rejected,
-        );
-        let content = &state.data.content;
+        let is_finished = answer.outcome == FinalOutcome::Finished;
+        let is_rejected = answer.outcome == FinalOutcome::Rejected;
+        self.admission.ended(now, is_finished, is_rejected);
         let completion = Completion {
             outcome: answer.outcome,
-            retry_safety: state.data.retry_safety,
+            retry_safety,
             answer: answer.clone(),
             bytes: answer.bytes(),
         };
-        self.idempotency.complete(now, &content.key, completion);
-        tracing::info!(
-            id = %content.key.id,
-            source = %content.key.source,
-            function = %content.function,
-            workload = %self.deployment.workloads[content.workload].name,
-            reason = answer.reason,
-            status = answer.status,
-            attempts = state.attempts.len(),
-            exchanges = state.data.clients.len(),
-            duration_us = now - state.arrived_at,
-            time_left_us = state.deadline.saturating_sub(now),
-            "request ended"
-        );
-        let clients = std::mem::take(&mut state.data.clients);
-        self.requests.remove_if_done(request);
-        self.answer_clients(now, transport, clients, &answer);
+        self.idempotency.complete(now, key, completion);
     }
 
     /// Answers the clients that waited for a request or a workflow; their next requests are read when the
@@ -126,3 +128,21 @@
         }
     }
 }
+
+/// The request's line in the log.
+fn log_end(now: Micros, state: &RequestState<RequestData>, workload: &str, answer: &Answer) {
+    let content = &state.data.content;
+    tracing::info!(
+        id = %content.key.id,
+        source = %content.key.source,
+        function = %content.function,
+        %workload,
+        reason = answer.reason,
+        status = answer.status,
+        attempts = state.attempts.len(),
+        exchanges = state.data.clients.len(),
+        duration_us = now - state.arrived_at,
+        time_left_us = state.deadline.saturating_sub(now),
+        "request ended"
+    );
+}
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -40,7 +40,8 @@
 }
 
 impl Gateway {
-    /// Takes one event.
+    /// Takes one event. Longer than a screen, as the request is put together here field by field; the checks
+    /// are in the order in which clients know them, each in a method of its own.
     pub(super) fn accept_event(
         &mut self,
         now: Micros,
@@ -66,19 +67,18 @@
         if let (Some(tracker), Some(prefix)) = (&mut self.prefix_tracker, &prefix) {
             tracker.record_use(&prefix.name, prefix.size);
         }
-        let content = RequestContent {
-            key: key.clone(),
-            client_digest: admitted.client_digest,
-            digest: admitted.digest,
-            workload,
-            function,
-            fields: event.fields,
-            media_type: event.media_type,
-            data: Rc::new(event.data),
-            prefix,
-        };
         let new = NewRequest {
-            content,
+            content: RequestContent {
+                key: key.clone(),
+                client_digest: admitted.client_digest,
+                digest: admitted.digest,
+                workload,
+                function,
+                fields: event.fields,
+                media_type: event.media_type,
+                data: Rc::new(event.data),
+                prefix,
+            },
             customer,
             time_left,
             is_retry: admitted.is_retry,
@@ -86,12 +86,17 @@
             clients: vec![conn],
             on_end: None,
         };
+        self.start_client_request(now, conn, key, new);
+        Ok(())
+    }
+
+    /// Starts a request that a client waits for.
+    fn start_client_request(&mut self, now: Micros, conn: Conn, key: IdempotencyKey, new: NewRequest) {
         let request = self.start_request(now, new);
         self.idempotency.start(key, request);
         if let Some(client) = self.clients.get_mut(&conn) {
             client.request = Some(request);
         }
-        Ok(())
     }
 
     /// The index of the workload that takes the event's type.
--- a/crates/gateway/src/gateway/state_page.rs
+++ b/crates/gateway/src/gateway/state_page.rs
@@ -54,7 +54,7 @@
                 "pushed-back": counters.rejected, "killed": counters.failed,
                 "requests-refused": counters.unreadable},
             "executions": {"out": open.attempts, "begun": counters.attempts},
-            "remembered": self.idempotency.kept_answers(),
+            "remembered": self.idempotency.cached_answers(),
             "chains": self.workflows.state(),
             "storm": self.storm_state(now),
             "connections": {"clients": self.clients.len(), "workers": self.workers.connections.len(),
--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -4,7 +4,7 @@
 use super::steps::UNDO_PERIOD;
 use crate::client::Answer;
 use crate::gateway::Gateway;
-use crate::idempotency::{Completion, FinalOutcome};
+use crate::idempotency::FinalOutcome;
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
 use applepond_reactor::Transport;
@@ -106,23 +106,12 @@
         let is_finished = matches!(ended, Ended::Finished(_));
         let did_work = workflow.last_finished.is_some() || workflow.is_stored;
         self.workflows.pace.ended(now, is_finished, did_work && !is_finished);
-        self.counters.count_end(answer.outcome);
-        self.admission.ended(
-            now,
-            answer.outcome == FinalOutcome::Finished,
-            answer.outcome == FinalOutcome::Rejected,
-        );
-        // What may have run must not run again here, whatever the effect of the step that failed.
-        let completion = Completion {
-            outcome: answer.outcome,
-            retry_safety: RetrySafety::AtMostOnce,
-            answer: answer.clone(),
-            bytes: answer.bytes(),
-        };
-        self.idempotency.complete(now, &workflow.key, completion);
         workflow.log_end(now, last_step, &answer);
         workflow.is_answered = true;
         let clients = std::mem::take(&mut workflow.clients);
+        let key = workflow.key.clone();
+        // What may have run must not run again here, whatever the effect of the step that failed.
+        self.record_end(now, &key, RetrySafety::AtMostOnce, &answer);
         self.answer_clients(now, transport, clients, &answer);
     }
 }
--- a/crates/gateway/src/idempotency.rs
+++ b/crates/gateway/src/idempotency.rs
@@ -1,12 +1,12 @@
-//! The idempotency table: which exchanges share a request, and which get a kept answer after its end.
+//! The idempotency table: which exchanges share a request, and which get a cached answer after its end.
 //!
 //! CloudEvents makes two events with the same `source` and `id` the same event, so this pair is the key. An
 //! exchange whose key belongs to a request in progress joins it. After the end, the answer is replayed where
-//! running the request again could do harm, or would only repeat work. Answers are kept for a time, up to a
+//! running the request again could do harm, or would only repeat work. Answers are cached for a time, up to a
 //! number and a sum of bytes.
 //!
-//! Owned here: the keys in progress and the kept answers. Written by the gateway when a request or a workflow
-//! starts, ends, or is dropped because its last client left before anything was sent.
+//! Owned here: the keys in progress and the cached answers. Written by the gateway when a request or a
+//! workflow starts, ends, or is dropped because its last client left before anything was sent.
 use crate::deployment::AnswerRetention;
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use std::collections::{BTreeSet, HashMap};
@@ -63,7 +63,7 @@
 }
 
 /// An answer that is replayed until it expires.
-struct KeptAnswer<A> {
+struct CachedAnswer<A> {
     expires_at: Micros,
     /// Number of the completion: tells apart answers that expire at the same time.
     sequence: u64,
@@ -72,15 +72,15 @@
     answer: Rc<A>,
 }
 
-/// Keys in progress and kept answers; `A` is the answer.
+/// Keys in progress and cached answers; `A` is the answer.
 pub(crate) struct IdempotencyTable<A> {
     in_progress: HashMap<IdempotencyKey, RequestId>,
-    kept: HashMap<IdempotencyKey, KeptAnswer<A>>,
-    /// Expiry, sequence number and key of each kept answer; the first expires first.
+    cached: HashMap<IdempotencyKey, CachedAnswer<A>>,
+    /// Expiry, sequence number and key of each cached answer; the first expires first.
     by_expiry: BTreeSet<(Micros, u64, IdempotencyKey)>,
     last_sequence: u64,
-    /// Sum of the kept answers' bytes.
-    kept_bytes: usize,
+    /// Sum of the cached answers' bytes.
+    cached_bytes: usize,
     retention: AnswerRetention,
 }
 
@@ -100,17 +100,17 @@
     pub(crate) fn new(retention: AnswerRetention) -> Self {
         IdempotencyTable {
             in_progress: HashMap::new(),
-            kept: HashMap::new(),
+            cached: HashMap::new(),
             by_expiry: BTreeSet::new(),
             last_sequence: 0,
-            kept_bytes: 0,
+            cached_bytes: 0,
             retention,
         }
     }
 
-    /// Answers kept now.
-    pub(crate) fn kept_answers(&self) -> usize {
-        self.kept.len()
+    /// Answers cached now.
+    pub(crate) fn cached_answers(&self) -> usize {
+        self.cached.len()
     }
 
     /// Says what an exchange with this key is.
@@ -119,7 +119,7 @@
         if let Some(request) = self.in_progress.get(key) {
             return Lookup::InProgress(*request);
         }
-        self.kept.get(key).map_or(Lookup::New, |kept| Lookup::Completed(kept.answer.clone()))
+        self.cached.get(key).map_or(Lookup::New, |cached| Lookup::Completed(cached.answer.clone()))
     }
 
     /// A request or workflow with this key has started.
@@ -132,7 +132,7 @@
         self.in_progress.remove(key);
     }
 
-    /// A request has ended; its answer is kept where it is to be replayed.
+    /// A request has ended; its answer is cached where it is to be replayed.
     pub(crate) fn complete(&mut self, now: Micros, key: &IdempotencyKey, completion: Completion<A>) {
         self.in_progress.remove(key);
         let replayed = is_replayed(completion.outcome, completion.retry_safety);
@@ -142,13 +142,14 @@
         self.last_sequence += 1;
         let expires_at = now + self.retention.time;
         let bytes = completion.bytes + key.len();
-        let kept = KeptAnswer { expires_at, sequence: self.last_sequence, bytes, answer: completion.answer };
-        if let Some(old) = self.kept.insert(key.clone(), kept) {
+        let cached =
+            CachedAnswer { expires_at, sequence: self.last_sequence, bytes, answer: completion.answer };
+        if let Some(old) = self.cached.insert(key.clone(), cached) {
             self.by_expiry.remove(&(old.expires_at, old.sequence, key.clone()));
-            self.kept_bytes -= old.bytes;
+            self.cached_bytes -= old.bytes;
         }
         self.by_expiry.insert((expires_at, self.last_sequence, key.clone()));
-        self.kept_bytes += bytes;
+        self.cached_bytes += bytes;
         self.drop_expired(now);
     }
 
@@ -156,11 +157,11 @@
     fn drop_expired(&mut self, now: Micros) {
         while let Some((expires_at, _, _)) = self.by_expiry.first()
             && (*expires_at <= now
-                || self.kept.len() > self.retention.max_answers
-                || self.kept_bytes > self.retention.max_bytes)
+                || self.cached.len() > self.retention.max_answers
+                || self.cached_bytes > self.retention.max_bytes)
         {
             let Some((_, _, key)) = self.by_expiry.pop_first() else { return };
-            self.kept_bytes -= self.kept.remove(&key).map_or(0, |kept| kept.bytes);
+            self.cached_bytes -= self.cached.remove(&key).map_or(0, |cached| cached.bytes);
         }
     }
 }
--- a/crates/gateway/src/idempotency/tests.rs
+++ b/crates/gateway/src/idempotency/tests.rs
@@ -42,7 +42,7 @@
 
 #[test_case(4, 100_000; "by number")]
 #[test_case(1000, 4 * 16; "by bytes")]
-fn kept_answers_are_bounded(max_answers: usize, max_bytes: usize) {
+fn cached_answers_are_bounded(max_answers: usize, max_bytes: usize) {
     let mut table = table(1000, max_answers, max_bytes);
     for number in 0..100 {
         table.start(key(number), request(number as u8));
@@ -53,13 +53,13 @@
             bytes: 9,
         };
         table.complete(u64::from(number), &key(number), completion);
-        assert!(table.kept_answers() <= 4);
+        assert!(table.cached_answers() <= 4);
     }
     assert_eq!(
         (table.look_up(100, &key(99)), table.look_up(100, &key(0))),
         (Lookup::Completed(Rc::new(())), Lookup::New)
     );
-    assert!(table.kept_answers() >= 3 && table.in_progress.is_empty());
+    assert!(table.cached_answers() >= 3 && table.in_progress.is_empty());
     table.look_up(5000, &key(1));
-    assert_eq!((table.kept_answers(), table.kept_bytes, table.by_expiry.len()), (0, 0, 0));
+    assert_eq!((table.cached_answers(), table.cached_bytes, table.by_expiry.len()), (0, 0, 0));
 }
