--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,5 +1,5 @@
 //! `node`: one real router of the operators' platform.
-use applepond_node::{End, News, Node};
+use applepond_node::{ExitReason, Node, ProcessEvent};
 use applepond_platform::config::{self, Start};
 use applepond_platform::fault::Unfit;
 use applepond_reactor::Reactor;
@@ -21,16 +21,16 @@
 }
 
 /// Asked by the machine for what the process has been told by signals since.
-fn signals(file: PathBuf) -> std::io::Result<Box<dyn FnMut() -> Option<News>>> {
+fn signals(file: PathBuf) -> std::io::Result<Box<dyn FnMut() -> Option<ProcessEvent>>> {
     let (again, leave) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     signal_hook::flag::register(SIGHUP, again.clone())?;
     signal_hook::flag::register(SIGTERM, leave.clone())?;
     signal_hook::flag::register(SIGINT, leave.clone())?;
     Ok(Box::new(move || {
         if again.swap(false, Ordering::Relaxed) {
-            return Some(News::Again(read(&file).map(Box::new)));
+            return Some(ProcessEvent::ConfigReplaced(read(&file).map(Box::new)));
         }
-        leave.swap(false, Ordering::Relaxed).then_some(News::Leave)
+        leave.swap(false, Ordering::Relaxed).then_some(ProcessEvent::ShutDown)
     }))
 }
 
@@ -62,7 +62,7 @@
         }
     }
     match over.get() {
-        Some(End::NoAddress) => ExitCode::FAILURE,
+        Some(ExitReason::AddressUnavailable) => ExitCode::FAILURE,
         _ => ExitCode::SUCCESS,
     }
 }
--- /dev/null
+++ b/crates/node/src/node/clients.rs
@@ -0,0 +1,155 @@
+//! Client connections: accepted, read, answered, and let go when they time out or are too many.
+//!
+//! Enters here: the reactor's events of client connections.
+use super::{Node, RequestData};
+use crate::client::{ClientConnection, ClientRequest, Phase, Reply};
+use applepond::interface::{Micros, RequestArrival};
+use applepond_http::Fault;
+use applepond_platform::call::{Ask, id_text};
+use applepond_reactor::{Conn, Transport};
+
+/// Time kept back for an answer's way to the client, whose time counts from when it sent its call.
+const RESPONSE_MARGIN: Micros = 10_000;
+
+impl Node {
+    /// A client has connected.
+    pub(super) fn client_accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        // A client that hangs up wants no answer: its hang-up is reported ahead of its bytes, so that what it
+        // asked for is not sent any more.
+        transport.hangup_first(conn);
+        let client = ClientConnection::new(now);
+        self.client_timeouts.insert(conn, &client);
+        self.clients.insert(conn, client);
+        self.cut_excess_clients(now, transport);
+    }
+
+    /// Bytes of a client have arrived.
+    pub(super) fn client_bytes(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        bytes: &[u8],
+    ) {
+        let Some(client) = self.clients.get_mut(&conn) else { return };
+        if client.phase == Phase::Reading {
+            self.client_timeouts.remove(conn, client);
+        }
+        let fits = client.feed(now, transport.arrived(conn, now), bytes);
+        if client.phase == Phase::Reading {
+            self.client_timeouts.insert(conn, client);
+        }
+        if fits {
+            self.read_requests(now, transport, conn);
+        } else {
+            transport.cut(conn);
+            self.client_closed(now, conn);
+        }
+    }
+
+    /// Takes the requests that are complete, as far as answers allow. While the endpoint list is stale the
+    /// client waits.
+    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        if self.name_service.is_stale(now) {
+            self.stalled_clients.insert(conn);
+            return;
+        }
+        while let Some(client) = self.clients.get_mut(&conn)
+            && let Some(request) = client.next_request(transport, conn, &self.config)
+        {
+            self.client_timeouts.remove(conn, client);
+            match request {
+                Ok(ClientRequest { ask: Ask::Check, .. }) => {
+                    return self.answer_client(now, transport, conn, &Reply::status_only(200));
+                }
+                Ok(ClientRequest { ask: Ask::Job(mut arrival, head), body, first_byte_at }) => {
+                    let spent = now.saturating_sub(first_byte_at) + RESPONSE_MARGIN;
+                    arrival.time_left = arrival.time_left.saturating_sub(spent).max(1);
+                    let data = RequestData { client: Some(conn), head, body };
+                    self.start_request(now, transport, conn, &arrival, data);
+                }
+                Err(fault) => self.refuse_client(now, transport, conn, &fault),
+            }
+        }
+    }
+
+    /// Hands a request to `Control`.
+    fn start_request(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        arrival: &RequestArrival,
+        data: RequestData,
+    ) {
+        let request = arrival.request;
+        if self.requests.get(request).is_some() {
+            // Another request with an open id: which of the two an answer belongs to could not be told.
+            return self.answer_client(now, transport, conn, &Reply::status_only(409));
+        }
+        tracing::debug!(
+            request = id_text(&request),
+            function = ?arrival.function,
+            workload = ?arrival.workload,
+            time_left_us = arrival.time_left,
+            concurrency = arrival.concurrency,
+            retry = arrival.retry,
+            load_time = ?arrival.load_time,
+            "request arrived"
+        );
+        self.requests.insert(request, now, now + arrival.time_left, data);
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.request = Some(request);
+        }
+        self.control.advance_to(now);
+        self.control.request_arrived(&mut self.actions, arrival);
+    }
+
+    /// Answers a client; its next request is read when the current event has been handled.
+    pub(super) fn answer_client(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        reply: &Reply,
+    ) {
+        let Some(client) = self.clients.get_mut(&conn) else { return };
+        client.answer(now, transport, conn, reply, self.shutdown_since.is_some());
+        self.client_timeouts.insert(conn, client);
+        self.readable_clients.push_back(conn);
+    }
+
+    /// Answers what is no call, and closes the connection.
+    fn refuse_client(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+        tracing::debug!(reason = fault.reason, detail = fault.detail, "request refused");
+        let Some(client) = self.clients.get_mut(&conn) else { return };
+        client.refuse(now, transport, conn, fault);
+        self.client_timeouts.insert(conn, client);
+    }
+
+    /// A client has gone: no answer is due to it, and its request ends.
+    pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
+        let Some(client) = self.clients.remove(&conn) else { return };
+        self.client_timeouts.remove(conn, &client);
+        if let Some(request) = client.request
+            && self.requests.end(request).is_some()
+        {
+            self.requests.remove_if_done(request);
+            self.control.advance_to(now);
+            self.control.client_disconnected(&mut self.actions, request);
+        }
+    }
+
+    /// Cuts connections that have timed out, and where there are too many, the least valuable ones. Never one
+    /// that waits for its answer.
+    pub(super) fn cut_excess_clients(&mut self, now: Micros, transport: &mut dyn Transport) {
+        loop {
+            let too_many = self.clients.len() > self.max_clients;
+            let has_unsent = |conn| transport.unsent(conn) > 0;
+            let excess = if too_many { self.client_timeouts.least_valuable(now, has_unsent) } else { None };
+            let Some(conn) = self.client_timeouts.expired(now).or(excess) else { return };
+            transport.cut(conn);
+            self.client_closed(now, conn);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/endpoints.rs
@@ -0,0 +1,24 @@
+//! The endpoint list, from the configuration at the start and from the name service after that.
+use super::Node;
+use applepond::interface::{Endpoint, EndpointListKind, Micros};
+use applepond_platform::config::Member;
+use applepond_reactor::Transport;
+
+impl Node {
+    /// Takes a list: connections to servers that take nothing new are drained, and `Control` is told.
+    pub(super) fn endpoints_updated(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        kind: EndpointListKind,
+        list: &[Member],
+    ) {
+        for conn in self.workers.apply(kind, list) {
+            self.drain_connection(now, transport, conn);
+        }
+        self.ready_workers = self.workers.count_ready().max(1);
+        let entries: Vec<Endpoint> = list.iter().map(|member| member.listed.clone()).collect();
+        self.control.advance_to(now);
+        self.control.endpoints_updated(&mut self.actions, kind, &entries);
+    }
+}
--- /dev/null
+++ b/crates/node/src/node/worker_connections.rs
@@ -0,0 +1,139 @@
+//! Connections to model servers: their answers, their ends, and the health check of those that are silent.
+//!
+//! Enters here: bytes, half-closes and closes of worker connections, and the tick.
+use super::Node;
+use crate::client::Reply;
+use crate::worker_connection::{QueuedWrite, Received};
+use applepond::interface::{Micros, Outcome};
+use applepond_gateway::attempt_outcome::{SendProgress, on_disconnect};
+use applepond_gateway::request_table::AttemptId;
+use applepond_platform::line;
+use applepond_reactor::{Conn, Transport};
+
+/// Silence of a connection on which answers are due after which it is sent a health check: most answers take
+/// less.
+const PROBE_AFTER_SILENCE: Micros = 250_000;
+/// Time in which a working connection answers it: far above the way there and back, and above the pauses of a
+/// model server that is merely busy.
+const PROBE_TIMEOUT: Micros = 500_000;
+/// The tag of the one health check that a connection may have open.
+const PROBE_TAG: &str = "works";
+
+impl Node {
+    /// Bytes of a model server have arrived.
+    pub(super) fn worker_bytes(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        bytes: &[u8],
+    ) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let mut received = Received::default();
+        let read = connection.feed(bytes, &mut received);
+        connection.last_received = now;
+        if received.probe_answered || !received.answers.is_empty() {
+            connection.probed_at = None;
+        }
+        for answer in received.answers {
+            let request = answer.request;
+            let connection = self.connections.get_mut(&conn);
+            // Cancelled, answered twice, or never sent: nobody waits for it.
+            let Some(index) = connection.and_then(|connection| connection.in_flight.remove(&request)) else {
+                continue;
+            };
+            if answer.result.outcome == Outcome::Finished {
+                let reply = Reply { body: answer.body, ..Reply::status_only(200) };
+                self.finish_request(now, transport, request, &reply);
+            }
+            self.close_attempt(now, AttemptId { request, index }, answer.result);
+        }
+        if let Err(fault) = read {
+            tracing::debug!(reason = fault.reason, detail = fault.detail, "a connection to a server is cut");
+            self.cut_connection(now, transport, conn);
+        }
+    }
+
+    /// Cuts a connection that cannot be used any more: what has been sent on it may have run.
+    pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        transport.cut(conn);
+        self.worker_disconnected(now, transport, conn);
+    }
+
+    /// A connection is gone. Of what was queued on it nothing had been sent: it goes out on another
+    /// connection, unless this one was never established.
+    pub(super) fn worker_disconnected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let Some(connection) = self.connections.remove(&conn) else { return };
+        if !connection.in_flight.is_empty() {
+            tracing::info!(
+                worker = connection.worker.0,
+                lost = connection.in_flight.len(),
+                silent_us = now - connection.last_received,
+                age_us = now - connection.opened_at,
+                "a connection that owed answers is gone"
+            );
+        }
+        if let Some(record) = self.workers.get_mut(connection.worker) {
+            record.connections.retain(|open| *open != conn);
+        }
+        for (request, index) in connection.in_flight {
+            self.close_with(now, AttemptId { request, index }, on_disconnect(SendProgress::Sent));
+        }
+        for attempt in connection.cancelling {
+            self.close_with(now, attempt, Outcome::Cancelled);
+        }
+        for write in connection.queue {
+            let QueuedWrite::Attempt(attempt) = write else { continue };
+            if connection.connected {
+                self.place_attempt(now, transport, attempt);
+            } else {
+                self.close_with(now, attempt, on_disconnect(SendProgress::NotConnected));
+            }
+        }
+    }
+
+    /// A connection carries nothing new any more: what is queued on it is taken back, what has been sent may
+    /// come to its end.
+    pub(super) fn drain_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        connection.draining = true;
+        let mut taken_back = Vec::new();
+        for write in std::mem::take(&mut connection.queue) {
+            match write {
+                QueuedWrite::Attempt(attempt) => taken_back.push(attempt),
+                QueuedWrite::Bytes(_) => connection.queue.push_back(write),
+            }
+        }
+        for attempt in taken_back {
+            self.close_with(now, attempt, Outcome::Superseded);
+        }
+        self.check_connection(now, transport, conn);
+    }
+
+    /// Cuts a connection that is of no more use: drained, idle too long, or one on which answers are due and
+    /// that does not even answer a health check. Guards against peers that vanish silently.
+    pub(super) fn check_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+        let idle_timeout = self.idle_timeout();
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let is_useless = match connection.probed_at {
+            // Also where no answer is due any more: or lines that cancel would pile up on a dead connection.
+            Some(probed_at) if now >= probed_at + PROBE_TIMEOUT => true,
+            _ => {
+                let has_expired = now >= connection.last_used + idle_timeout;
+                connection.load() == 0 && (connection.draining || has_expired)
+            }
+        };
+        if is_useless {
+            return self.cut_connection(now, transport, conn);
+        }
+        let is_silent = now >= connection.last_received + PROBE_AFTER_SILENCE;
+        let is_probed = connection.probed_at.is_some();
+        if connection.connected && !is_probed && connection.has_open_attempts() && is_silent {
+            let mut bytes = Vec::new();
+            line::echo(&mut bytes, PROBE_TAG);
+            connection.queue.push_back(QueuedWrite::Bytes(bytes));
+            connection.probed_at = Some(now);
+            self.unflushed.push(conn);
+        }
+    }
+}
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,4 +1,5 @@
-//! The list of model servers: one record each, found by its id, and what a list does to it.
+//! The model servers: one record each, found by its id, and what an endpoint list does to it. An id, not an
+//! address, is who a model server is.
 use applepond::interface::{EndpointListKind, Micros, WorkerId, WorkerStatus};
 use applepond_platform::config::Member;
 use applepond_reactor::Conn;
@@ -6,59 +7,66 @@
 use std::net::SocketAddr;
 
 /// The one record of a model server.
-pub struct Worker {
-    pub address: SocketAddr,
-    pub standing: WorkerStatus,
-    pub up_since: Micros,
+pub(crate) struct WorkerRecord {
+    pub(crate) address: SocketAddr,
+    pub(crate) status: WorkerStatus,
+    /// When its process started; another value is another process.
+    pub(crate) up_since: Micros,
     /// Connections that may carry new attempts.
-    pub links: Vec<Conn>,
+    pub(crate) connections: Vec<Conn>,
 }
 
+/// All model servers that the list names.
 #[derive(Default)]
-pub struct Workers(BTreeMap<WorkerId, Worker>);
+pub(crate) struct Workers(BTreeMap<WorkerId, WorkerRecord>);
 
 impl Workers {
-    pub fn get_mut(&mut self, server: WorkerId) -> Option<&mut Worker> {
-        self.0.get_mut(&server)
+    pub(crate) fn get_mut(&mut self, worker: WorkerId) -> Option<&mut WorkerRecord> {
+        self.0.get_mut(&worker)
     }
 
-    pub fn len(&self) -> usize {
+    /// The record of a model server that takes new attempts.
+    pub(crate) fn ready(&self, worker: WorkerId) -> Option<&WorkerRecord> {
+        self.0.get(&worker).filter(|record| record.status == WorkerStatus::Ready)
+    }
+
+    pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
 
     /// How many take new attempts.
-    pub fn ready(&self) -> usize {
-        self.0.values().filter(|w| w.standing == WorkerStatus::Ready).count()
+    pub(crate) fn count_ready(&self) -> usize {
+        self.0.values().filter(|record| record.status == WorkerStatus::Ready).count()
     }
 
-    /// Takes a list; what is left to do is to part with the connections that lead to another process than the
-    /// one listed now, or to one that takes nothing new. An id, not an address, is who a model server is.
-    pub fn take(&mut self, kind: EndpointListKind, list: &[Member]) -> Vec<Conn> {
-        let mut parted = Vec::new();
+    /// Takes a list. Gives the connections that are to be drained: they lead to another process than the one
+    /// that the list names, or to one that takes nothing new.
+    pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[Member]) -> Vec<Conn> {
+        let mut to_drain = Vec::new();
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<WorkerId> = list.iter().map(|m| m.listed.worker).collect();
-            for (_, worker) in self.0.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                worker.standing = WorkerStatus::Gone;
-                parted.append(&mut worker.links);
+            let named: BTreeSet<WorkerId> = list.iter().map(|member| member.listed.worker).collect();
+            for (_, record) in self.0.iter_mut().filter(|(worker, _)| !named.contains(worker)) {
+                record.status = WorkerStatus::Gone;
+                to_drain.append(&mut record.connections);
             }
         }
         for Member { address, listed, .. } in list {
-            let worker = self.0.entry(listed.worker).or_insert_with(|| Worker {
+            let record = self.0.entry(listed.worker).or_insert_with(|| WorkerRecord {
                 address: *address,
-                standing: listed.status,
+                status: listed.status,
                 up_since: listed.up_since,
-                links: Vec::new(),
+                connections: Vec::new(),
             });
-            let same = worker.address == *address && worker.up_since == listed.up_since;
-            if !same || listed.status != WorkerStatus::Ready {
-                parted.append(&mut worker.links);
+            let is_same_process = record.address == *address && record.up_since == listed.up_since;
+            if !is_same_process || listed.status != WorkerStatus::Ready {
+                to_drain.append(&mut record.connections);
             }
-            (worker.address, worker.standing) = (*address, listed.status);
+            (record.address, record.status) = (*address, listed.status);
             if listed.status == WorkerStatus::Ready {
-                worker.up_since = listed.up_since;
+                record.up_since = listed.up_since;
             }
         }
-        self.0.retain(|_, w| w.standing != WorkerStatus::Gone);
-        parted
+        self.0.retain(|_, record| record.status != WorkerStatus::Gone);
+        to_drain
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::WorkerStatus;
 use applepond_fakes::simulated_transport::SimulatedTransport;
-use applepond_node::{End, News, Node};
+use applepond_node::{ExitReason, Node, ProcessEvent};
 use applepond_platform::config::{self, Start};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use serde_json::{Value, json};
@@ -55,7 +55,7 @@
     pub node: Node,
     pub paper: SimulatedTransport,
     pub now: Micros,
-    pub news: Rc<RefCell<Vec<News>>>,
+    pub news: Rc<RefCell<Vec<ProcessEvent>>>,
     pub over: Rc<Cell<bool>>,
 }
 
@@ -72,7 +72,7 @@
             now,
             start(file),
             Box::new(move || told.borrow_mut().pop()),
-            Box::new(move |end| ends.set(end == End::Left)),
+            Box::new(move |end| ends.set(end == ExitReason::ShutDown)),
         );
         let mut bench = Bench { node, paper: SimulatedTransport::default(), now, news, over };
         bench.node.start(now, &mut bench.paper);
@@ -364,7 +364,7 @@
     pub peers: Vec<Peer>,
     pub names: UdpSocket,
     pub file: Value,
-    pub news: Rc<RefCell<Vec<News>>>,
+    pub news: Rc<RefCell<Vec<ProcessEvent>>>,
     pub over: Rc<Cell<bool>>,
     /// Done once when the machine next asks for news: after sockets were read, amid its tick.
     pub amid: Amid,
@@ -375,6 +375,12 @@
 }
 
 impl Real {
+    /// Open requests and client connections of the node.
+    pub fn requests_and_clients(&self) -> (usize, usize) {
+        let open = self.node.borrow().open_counts();
+        (open.requests, open.clients)
+    }
+
     pub fn new(servers: u16, change: impl FnOnce(&mut Value)) -> Self {
         let listeners: Vec<_> =
             (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
@@ -394,7 +400,7 @@
         }
         change(&mut file);
         let mut reactor = Reactor::new().expect("epoll");
-        let (news, over) = (Rc::new(RefCell::new(Vec::<News>::new())), Rc::new(Cell::new(false)));
+        let (news, over) = (Rc::new(RefCell::new(Vec::<ProcessEvent>::new())), Rc::new(Cell::new(false)));
         let amid: Amid = Rc::default();
         let (told, ends, first) = (news.clone(), over.clone(), amid.clone());
         let node = Node::new(
@@ -412,7 +418,7 @@
         let clients: Rc<Cell<usize>> = Rc::default();
         let between: Amid = Rc::default();
         reactor.add(Box::new(Shared(node.clone(), clients.clone(), between.clone())));
-        let at = node.borrow().at().expect("it listens");
+        let at = node.borrow().local_address().expect("it listens");
         Real {
             reactor,
             node,
@@ -511,7 +517,7 @@
     }
 
     pub fn leaves(&mut self) {
-        self.news.borrow_mut().push(News::Leave);
+        self.news.borrow_mut().push(ProcessEvent::ShutDown);
     }
 
     /// Reads so many answers with a body of 30,000 bytes on a connection that stays open.
--- a/crates/node/tests/ends.rs
+++ b/crates/node/tests/ends.rs
@@ -1,7 +1,7 @@
 //! Every way in which something ends, on real sockets: the bad order lies in the kernel before the router
 //! looks. The rows of docs/ends.md name these cases.
 mod common;
-use applepond_node::News;
+use applepond_node::ProcessEvent;
 use common::*;
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -23,7 +23,7 @@
     client.set_nonblocking(true).expect("set");
     let _ = client.write(&vec![b'x'; more]);
     r.hangs_up(client);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 0]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 0));
     assert_eq!(told(&r.ends(), "DO", 2), 0, "nobody waits for it");
 }
 
@@ -41,7 +41,7 @@
         hang_up(at, client);
         std::thread::sleep(Duration::from_millis(60));
     }));
-    r.until("seen", |r| r.node.borrow().kept()[1] == 1);
+    r.until("seen", |r| r.node.borrow().open_counts().clients == 1);
     assert_eq!(told(&r.ends(), "DO", 2), 0, "nobody waits for it");
 }
 
@@ -55,7 +55,7 @@
     while client.write(&piece).is_ok() {}
     drop(client);
     r.until("given up", |r| r.peers[link].told("UNDO", 1) == 1);
-    assert_eq!(r.node.borrow().kept()[..2], [0, 0]);
+    assert_eq!(r.requests_and_clients(), (0, 0));
 }
 
 // A client that goes on sending without an end is cut, and its request given up, though it has not gone.
@@ -69,7 +69,7 @@
         let _ = client.write(&piece);
         r.peers[link].told("UNDO", 1) == 1
     });
-    assert_eq!(r.node.borrow().kept()[..2], [0, 0]);
+    assert_eq!(r.requests_and_clients(), (0, 0));
 }
 
 // What is sent behind a request and does not fit ends the connection, after the answer that is owed.
@@ -104,7 +104,7 @@
     r.quiet();
     r.peers[link].says(&word(verb, 2));
     r.hangs_up(client);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 1]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 1));
     assert_eq!(told(&r.ends(), "DO", 2), 1, "no further attempt");
 }
 
@@ -115,9 +115,9 @@
     let mut r = Real::new(1, |file| file["settings"]["allowed"]["cancel"] = cancel.into());
     let mut client = r.client();
     client.write_all(call("quote", 1).as_bytes()).expect("written");
-    r.until("connecting", |r| r.node.borrow().kept()[2] == 1);
+    r.until("connecting", |r| r.node.borrow().open_counts().worker_connections == 1);
     r.hangs_up(client);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 0]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 0));
     assert_eq!(told(&r.ends(), "DO", 1), 0);
 }
 
@@ -129,12 +129,12 @@
     });
     let mut client = r.client();
     client.write_all(call("quote", 1).as_bytes()).expect("written");
-    r.until("held", |r| r.node.borrow().kept()[0] == 1);
+    r.until("held", |r| r.node.borrow().open_counts().requests == 1);
     let mut file = r.file.clone();
     file["known"]["updates"][0]["endpoints"]["members"][0]["phase"] = "in_service".into();
     r.lists(&start(&file));
     r.hangs_up(client);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 0]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 0));
     r.served(2);
     assert_eq!(told(&r.ends(), "DO", 1), 0);
 }
@@ -146,7 +146,7 @@
     let (client, _) = r.carried("quote", 1);
     r.hangs_up(client);
     r.stands_still(900 * MS);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 0]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 0));
     assert_eq!(told(&r.ends(), "DO", 1), 1, "no copy");
 }
 
@@ -158,7 +158,7 @@
         let head = call("quote", id).replace("Content-Length: 2", "Content-Length: 16000");
         head.replace("\r\n\r\nhi", &format!("\r\n\r\n{}", "y".repeat(16_000)))
     };
-    let (mut clients, open) = (Vec::new(), r.node.borrow().kept()[0]);
+    let (mut clients, open) = (Vec::new(), r.node.borrow().open_counts().requests);
     let mut next = 1;
     while clients.len() < 3 {
         let mut client = r.client();
@@ -169,7 +169,7 @@
             r.turn();
         }
         // That answer is nobody's as long as its line has not begun to leave.
-        if r.node.borrow().kept()[0] > open + clients.len() {
+        if r.node.borrow().open_counts().requests > open + clients.len() {
             clients.push(client);
         }
         next += 1;
@@ -190,7 +190,7 @@
     for client in clients {
         r.hangs_up(client);
     }
-    r.until("seen", |r| r.node.borrow().kept()[1] == 0);
+    r.until("seen", |r| r.node.borrow().open_counts().clients == 0);
     let mut first = resets.then(|| r.peers.remove(0));
     if let Some(peer) = &mut first {
         peer.read();
@@ -199,7 +199,7 @@
     let first = first.map(|peer| peer.text);
     r.doing = Doing::Serves;
     // Where nothing may be cancelled, a line that had left in part is still owed an answer of its own.
-    r.until("all over", |r| r.node.borrow().kept()[0] <= usize::from(!cancel));
+    r.until("all over", |r| r.node.borrow().open_counts().requests <= usize::from(!cancel));
     r.served(next);
     let peers = r.ends();
     if let Some(text) = first {
@@ -244,7 +244,7 @@
     r.doing = then;
     r.until("sent on, or answered", |r| {
         reads(r);
-        told(&r.peers, "DO", 1000) == 2 || r.node.borrow().kept()[0] == 0
+        told(&r.peers, "DO", 1000) == 2 || r.node.borrow().open_counts().requests == 0
     });
     assert_eq!(told(&r.peers, "DO", 1000), sent);
     if sent == 1 {
@@ -265,7 +265,7 @@
         let link = r.carries(id);
         r.peers[link].says(&big(id));
     }
-    r.until("all answered", |r| r.node.borrow().kept()[0] == 0);
+    r.until("all answered", |r| r.node.borrow().open_counts().requests == 0);
     client
 }
 
@@ -313,8 +313,8 @@
     r.leaves();
     let asked: Rc<RefCell<Vec<TcpStream>>> = Rc::default();
     let (mut next, mut served) = (2, 2);
-    while r.node.borrow().at().is_some() || served < next {
-        if r.amid.borrow().is_none() && r.node.borrow().at().is_some() {
+    while r.node.borrow().local_address().is_some() || served < next {
+        if r.amid.borrow().is_none() && r.node.borrow().local_address().is_some() {
             let (at, id, asked) = (r.at, next, asked.clone());
             *r.amid.borrow_mut() = Some(Box::new(move || {
                 let mut client = TcpStream::connect(at).expect("it listens");
@@ -346,7 +346,9 @@
     let mut r = Real::new(1, |_| ());
     r.served(1);
     r.leaves();
-    r.until("told to, and nobody is there", |r| r.news.borrow().is_empty() && r.node.borrow().kept()[1] == 0);
+    r.until("told to, and nobody is there", |r| {
+        r.news.borrow().is_empty() && r.node.borrow().open_counts().clients == 0
+    });
     let at = r.at;
     let asked: Rc<RefCell<Option<TcpStream>>> = Rc::default();
     let put = asked.clone();
@@ -356,7 +358,7 @@
         *put.borrow_mut() = Some(client);
     }));
     r.stands_still(1_000 * MS);
-    r.until("the tick", |r| r.node.borrow().at().is_none());
+    r.until("the tick", |r| r.node.borrow().local_address().is_none());
     assert!(!r.over.get(), "it owes an answer");
     let link = r.carries(2);
     r.peers[link].says(&word("OK", 2));
@@ -414,7 +416,7 @@
         let link = r.carries(id);
         reached.insert(r.peers[link].stream.local_addr().expect("connected"));
         r.peers[link].says(&word("OK", id));
-        let (mut answer, conns) = ([0; 1024], r.node.borrow().kept()[2]);
+        let (mut answer, conns) = ([0; 1024], r.node.borrow().open_counts().worker_connections);
         assert!(conns <= 6, "{conns} connections");
         r.quiet();
         let n = client.read(&mut answer).expect("an answer");
@@ -461,7 +463,7 @@
     let begun = Instant::now();
     let (_silent, mut half) = (r.client(), r.client());
     half.write_all(&call("quote", 1).as_bytes()[..60]).expect("written");
-    r.until("off", |r| r.node.borrow().kept()[1] == 0);
+    r.until("off", |r| r.node.borrow().open_counts().clients == 0);
     assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
 }
 
@@ -513,7 +515,7 @@
     let mut r = Real::new(1, |_| ());
     let mut client = r.client();
     client.write_all(call("confirm", 1).as_bytes()).expect("written");
-    r.until("connecting", |r| r.node.borrow().kept()[2] == 1);
+    r.until("connecting", |r| r.node.borrow().open_counts().worker_connections == 1);
     r.stands_still(300 * MS);
     r.carries(1);
     assert_eq!(told(&r.ends(), "DO", 1), 1);
@@ -529,7 +531,7 @@
     r.doing = Doing::Shut;
     let mut client = r.client();
     client.write_all(call("confirm", 1).as_bytes()).expect("written");
-    r.until("connecting", |r| r.node.borrow().kept()[2] == 1);
+    r.until("connecting", |r| r.node.borrow().open_counts().worker_connections == 1);
     let mut file = r.file.clone();
     file["known"]["updates"][0]["endpoints"]["members"][0]["phase"] = "terminating".into();
     r.lists(&start(&file));
@@ -587,7 +589,7 @@
         let (came, waits): (Vec<u64>, _) = std::mem::take(&mut owed).into_iter().partition(is);
         owed = waits;
         came.into_iter().for_each(|id| r.peers[0].says(&word("OK", id)));
-        r.node.borrow().kept()[0] == 0
+        r.node.borrow().open_counts().requests == 0
     });
     r.leaves();
     let answers: Vec<String> = clients.into_iter().map(|client| r.rest(client)).collect();
@@ -616,7 +618,9 @@
     let mut file = r.file.clone();
     file["known"]["updates"][0]["endpoints"]["members"][0]["id"] = "s-new".into();
     r.lists(&start(&file));
-    r.until("taken in", |r| r.node.borrow().kept()[3] == 1 && r.names.peek(&mut [0; 512]).is_ok());
+    r.until("taken in", |r| {
+        r.node.borrow().open_counts().workers == 1 && r.names.peek(&mut [0; 512]).is_ok()
+    });
     let (_client, new) = r.carried("confirm", 2);
     assert_ne!(new, old);
     r.peers[old].says(&word("OK", 1));
@@ -624,7 +628,7 @@
     let mut answer = [0; 1024];
     let n = client.read(&mut answer).expect("an answer");
     assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
-    r.until("parted", |r| r.node.borrow().kept()[2] == 1);
+    r.until("parted", |r| r.node.borrow().open_counts().worker_connections == 1);
 }
 
 // A connection that owes an answer and does not even say that it works: it may have run.
@@ -687,7 +691,7 @@
     let (client, link) = r.carried("hold", 1);
     r.quiet();
     r.peers[link].says(&word("ERR", 1));
-    r.until("a further attempt", |r| r.node.borrow().kept()[2] == 2);
+    r.until("a further attempt", |r| r.node.borrow().open_counts().worker_connections == 2);
     r.stands_still(400 * MS);
     r.leaves();
     let answer = r.rest(client);
@@ -742,7 +746,7 @@
     let ask = |id| call("quote", id).replace("Budget-Ms: 2000", "Budget-Ms: 5000");
     let mut client = r.client();
     client.write_all(ask(1).as_bytes()).expect("written");
-    r.until("connecting", |r| r.node.borrow().kept()[2] == 1);
+    r.until("connecting", |r| r.node.borrow().open_counts().worker_connections == 1);
     let draining = match what {
         Waits::Connection => r.home(),
         Waits::Request => {
@@ -831,7 +835,7 @@
     r.names.set_nonblocking(true).expect("set");
     let mut new = r.file.clone();
     new["names"] = r.names.local_addr().expect("bound").to_string().into();
-    r.news.borrow_mut().push(News::Again(Ok(Box::new(start(&new)))));
+    r.news.borrow_mut().push(ProcessEvent::ConfigReplaced(Ok(Box::new(start(&new)))));
     r.until("asked anew", |r| r.names.peek(&mut [0; 512]).is_ok());
     let mut gone = r.file.clone();
     gone["known"]["updates"][0]["endpoints"]["members"][0]["phase"] = "terminated".into();
@@ -907,7 +911,7 @@
     let mut client = r.client();
     let begun = Instant::now();
     client.write_all(call("quote", 2).as_bytes()).expect("written");
-    r.until("connecting", |r| r.node.borrow().kept()[2] == 1);
+    r.until("connecting", |r| r.node.borrow().open_counts().worker_connections == 1);
     r.runs_for(500 * MS);
     let by = begun.elapsed();
     // The kernel tries again about a second after its first try.
@@ -938,11 +942,11 @@
     let mut r = Real::new(0, |_| ());
     let mut client = TcpStream::connect(r.at).expect("it listens");
     client.write_all(call("quote", 1).as_bytes()).expect("written");
-    r.until("read", |r| r.node.borrow().kept()[0] == 1);
+    r.until("read", |r| r.node.borrow().open_counts().requests == 1);
     if leaves {
         r.leaves();
     }
-    r.until("ended", |r| r.node.borrow().kept()[0] == 0);
+    r.until("ended", |r| r.node.borrow().open_counts().requests == 0);
     r.leaves();
     let answer = r.rest(client);
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
@@ -987,6 +991,6 @@
     r.quiet();
     client.write_all(last).expect("written");
     r.hangs_up(client);
-    r.until("seen", |r| r.node.borrow().kept()[..2] == [0, 0]);
+    r.until("seen", |r| r.requests_and_clients() == (0, 0));
     assert_eq!(told(&r.ends(), "DO", 2), 0, "nobody waits for it");
 }
--- a/crates/node/tests/machine.rs
+++ b/crates/node/tests/machine.rs
@@ -1,6 +1,6 @@
 //! One router on a paper wire: hard cases, each by what its peers see.
 mod common;
-use applepond_node::News;
+use applepond_node::ProcessEvent;
 use applepond_reactor::Closed;
 use common::*;
 use serde_json::json;
@@ -187,9 +187,9 @@
 fn leaving() {
     let mut b = Bench::new(1);
     let early = b.asks("quote", 1);
-    b.news.borrow_mut().push(News::Leave);
+    b.news.borrow_mut().push(ProcessEvent::ShutDown);
     b.pass(100 * MS);
-    b.news.borrow_mut().push(News::Leave);
+    b.news.borrow_mut().push(ProcessEvent::ShutDown);
     let late = b.asks("quote", 2);
     b.pass(500 * MS);
     for id in [1, 2] {
@@ -216,7 +216,7 @@
     let mut b = Bench::new(1);
     let client = b.asks("confirm", 1);
     let link = b.carries(1);
-    b.news.borrow_mut().push(News::Leave);
+    b.news.borrow_mut().push(ProcessEvent::ShutDown);
     for _ in 0..3 {
         b.pass(400 * MS);
         b.says(link, b"{\"verb\":\"UP\",\"rid\":\"works\"}\n");
@@ -241,7 +241,7 @@
     } else {
         Err(applepond_platform::fault::Unfit::NoJson(String::new()))
     };
-    b.news.borrow_mut().push(News::Again(new));
+    b.news.borrow_mut().push(ProcessEvent::ConfigReplaced(new));
     b.pass(S);
     assert_eq!(b.paper.datagrams.last().map(|(_, to, _)| to.to_string()), Some(asked.to_owned()));
     let client = b.asks("quote", 1);
@@ -327,8 +327,13 @@
             timers = b.paper.timers();
         }
     }
-    assert_eq!(b.node.kept(), [0, 0, b.node.kept()[2], 4], "jobs, clients, links, servers");
-    assert!(b.node.kept()[2] <= 4 && b.paper.timers() <= timers * 2, "{} timers", b.paper.timers());
+    let open = b.node.open_counts();
+    assert_eq!((open.requests, open.clients, open.workers), (0, 0, 4), "requests, clients, servers");
+    assert!(
+        b.node.open_counts().worker_connections <= 4 && b.paper.timers() <= timers * 2,
+        "{} timers",
+        b.paper.timers()
+    );
 }
 
 // A connection that takes nothing is cut also when nobody waits for it any more.
@@ -352,7 +357,7 @@
     let gone = json!({"index": 2, "endpoints": {"members": [{"id": "s-1", "phase": "terminated"}]}});
     file["known"]["updates"].as_array_mut().expect("events").push(gone);
     let b = Bench::with(&file);
-    assert_eq!(b.node.kept()[3], 1);
+    assert_eq!(b.node.open_counts().workers, 1);
 }
 
 // The list of the start names no cells: no two model servers are in the same one, as far as is known.
