--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/desk.rs
@@ -5,7 +5,7 @@
 use applepond_membership::{InstanceId, RouterId};
 use applepond_reactor::Micros;
 use applepond_recovery::BootId;
-use applepond_storage::{AcceptorFile, SnapshotFile, StorageError};
+use applepond_storage::{AcceptorFile, OpenedAcceptor, SnapshotFile, StorageError};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError, sync_channel};
 use std::thread::JoinHandle;
@@ -134,7 +134,9 @@
     say: &SyncSender<Said>,
 ) {
     let (mut disk, mut voter) = match AcceptorFile::open(file, fresh) {
-        Ok((file, disk, found)) => (Some(Votings { file, fault }), Replica::new(fleet, disk, Ok(found))),
+        Ok(OpenedAcceptor { file, disk, state }) => {
+            (Some(Votings { file, fault }), Replica::new(fleet, disk, Ok(state)))
+        }
         Err(trouble) => (None, Replica::<Charter>::new(fleet, fresh, Err(trouble))),
     };
     let mut told = voter.error();
--- a/crates/storage/benches/record.rs
+++ b/crates/storage/benches/record.rs
@@ -1,4 +1,4 @@
-//! What it costs to write chains down, durably: one a transaction, and ten: `cargo bench -p
+//! What it costs to record workflows durably: one a transaction, and ten: `cargo bench -p
 //! applepond-storage`.
 use applepond_storage::{
     DiskStore, MemoryStore, StepOutcome, StepRecord, StoredResponse, WorkflowRecord, WorkflowStore,
@@ -6,8 +6,8 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 
-/// A chain of three steps as the drill's: some 600 bytes.
-fn kept() -> WorkflowRecord {
+/// A workflow of three steps as in the scenarios: some 600 bytes.
+fn record() -> WorkflowRecord {
     let answer = StoredResponse { header_lines: vec![b'x'; 100], body: vec![b'y'; 100] };
     let fields = BTreeMap::from([("hut".to_owned(), "hold-hut-7".to_owned())]);
     let end = StepOutcome { code: 0, fields, response: Some(answer) };
@@ -22,22 +22,22 @@
 
 fn benches(c: &mut Criterion) {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut disk = DiskStore::open(&folder.path().join("record")).expect("a new file");
-    let (kept, mut n) = (kept(), 0u64);
-    let mut keep = |record: &mut dyn WorkflowStore, chains: u64| {
+    let mut store_on_disk = DiskStore::open(&folder.path().join("record")).expect("a new file");
+    let (example, mut n) = (record(), 0u64);
+    let mut save = |store: &mut dyn WorkflowStore, chains: u64| {
         let names: Vec<String> = (0..chains).map(|i| ((n + i) % 10_000).to_string()).collect();
         n += chains;
-        let rows: Vec<_> = names.iter().map(|id| (("/desk", id.as_str()), &kept)).collect();
-        record.save(&rows).expect("kept");
+        let rows: Vec<_> = names.iter().map(|id| (("/desk", id.as_str()), &example)).collect();
+        store.save(&rows).expect("kept");
     };
     let mut group = c.benchmark_group("keep");
     group.sample_size(30);
-    group.bench_function("disk/1", |b| b.iter(|| keep(&mut disk, 1)));
-    group.bench_function("disk/10", |b| b.iter(|| keep(&mut disk, 10)));
-    let mut memory = MemoryStore::default();
-    group.bench_function("memory/1", |b| b.iter(|| keep(&mut memory, 1)));
+    group.bench_function("disk/1", |b| b.iter(|| save(&mut store_on_disk, 1)));
+    group.bench_function("disk/10", |b| b.iter(|| save(&mut store_on_disk, 10)));
+    let mut store_in_memory = MemoryStore::default();
+    group.bench_function("memory/1", |b| b.iter(|| save(&mut store_in_memory, 1)));
     group.finish();
-    c.bench_function("read/none", |b| b.iter(|| disk.load(("/desk", "none")).expect("read")));
+    c.bench_function("read/none", |b| b.iter(|| store_on_disk.load(("/desk", "none")).expect("read")));
 }
 
 criterion_group!(all, benches);
--- /dev/null
+++ b/crates/storage/src/disk_store.rs
@@ -0,0 +1,152 @@
+//! Workflow records on disk, in one `redb` file.
+use crate::{MAX_WORKFLOWS, Micros, StorageError, WorkflowKey, WorkflowRecord, WorkflowStore};
+use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, Table, TableDefinition};
+use std::fmt::Display;
+use std::path::{Path, PathBuf};
+
+/// Records by `source`, a zero byte and `id`.
+const RECORDS: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("chains");
+/// The same keys by when the records expire.
+const EXPIRIES: TableDefinition<'_, (u64, &[u8]), ()> = TableDefinition::new("until");
+/// The most records that are removed in one transaction, so that it does not hold up a step.
+const MAX_EXPIRED_PER_TRANSACTION: usize = 1_000;
+
+/// Workflow records in a file.
+pub struct DiskStore {
+    file: PathBuf,
+    database: Database,
+}
+
+fn encode_key((source, id): WorkflowKey<'_>) -> Vec<u8> {
+    [source.as_bytes(), b"\0", id.as_bytes()].concat()
+}
+
+fn open_failed(file: &Path, why: &dyn Display) -> StorageError {
+    StorageError::OpenFailed { file: file.to_owned(), why: why.to_string() }
+}
+
+impl DiskStore {
+    /// Opens the file, or makes it.
+    ///
+    /// # Errors
+    /// The file can't be read or written, is no file of records, or was damaged.
+    pub fn open(file: &Path) -> Result<Self, StorageError> {
+        let database = Database::create(file).map_err(|e| open_failed(file, &e))?;
+        Self::with_database(file, database)
+    }
+
+    fn with_database(file: &Path, database: Database) -> Result<Self, StorageError> {
+        let failed = |why: &dyn Display| open_failed(file, why);
+        let transaction = database.begin_write().map_err(|e| failed(&e))?;
+        transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+        transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
+        transaction.commit().map_err(|e| failed(&e))?;
+        Ok(DiskStore { file: file.to_owned(), database })
+    }
+
+    fn read_failed(&self, why: &dyn Display) -> StorageError {
+        StorageError::ReadFailed { file: self.file.clone(), why: why.to_string() }
+    }
+
+    fn write_failed(&self, why: &dyn Display) -> StorageError {
+        StorageError::WriteFailed { file: self.file.clone(), why: why.to_string() }
+    }
+
+    fn decode(&self, bytes: &[u8]) -> Result<WorkflowRecord, StorageError> {
+        postcard::from_bytes(bytes).map_err(|e| self.read_failed(&e))
+    }
+
+    /// Puts one record in place of an earlier one, and moves its expiry.
+    fn insert(
+        &self,
+        records: &mut Table<'_, &[u8], &[u8]>,
+        expiries: &mut Table<'_, (u64, &[u8]), ()>,
+        key: WorkflowKey<'_>,
+        record: &WorkflowRecord,
+    ) -> Result<(), StorageError> {
+        let failed = |e: &dyn Display| self.write_failed(e);
+        let key = encode_key(key);
+        let bytes = postcard::to_stdvec(record).map_err(|e| failed(&e))?;
+        let old = records.insert(key.as_slice(), bytes.as_slice()).map_err(|e| failed(&e))?;
+        let old = old.map(|old| self.decode(old.value())).transpose()?;
+        let old_expiry = old.map(|old| old.expires_at).filter(|old| *old != record.expires_at);
+        if let Some(old_expiry) = old_expiry {
+            expiries.remove((old_expiry, key.as_slice())).map_err(|e| failed(&e))?;
+        }
+        expiries.insert((record.expires_at, key.as_slice()), ()).map_err(|e| failed(&e))?;
+        Ok(())
+    }
+}
+
+impl WorkflowStore for DiskStore {
+    fn save(&mut self, new: &[(WorkflowKey<'_>, &WorkflowRecord)]) -> Result<(), StorageError> {
+        let failed = |e: &dyn Display| self.write_failed(e);
+        let transaction = self.database.begin_write().map_err(|e| failed(&e))?;
+        {
+            let mut records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+            let mut expiries = transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
+            for (key, record) in new {
+                self.insert(&mut records, &mut expiries, *key, record)?;
+            }
+            if records.len().map_err(|e| failed(&e))? > MAX_WORKFLOWS {
+                return Err(StorageError::Full { file: self.file.clone(), most: MAX_WORKFLOWS });
+            }
+        }
+        transaction.commit().map_err(|e| failed(&e))
+    }
+
+    fn load(&mut self, key: WorkflowKey<'_>) -> Result<Option<WorkflowRecord>, StorageError> {
+        let failed = |e: &dyn Display| self.read_failed(e);
+        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
+        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+        let found = records.get(encode_key(key).as_slice()).map_err(|e| failed(&e))?;
+        found.map(|bytes| self.decode(bytes.value())).transpose()
+    }
+
+    fn unfinished(&mut self) -> Result<Vec<(String, String)>, StorageError> {
+        let failed = |e: &dyn Display| self.read_failed(e);
+        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
+        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+        let mut keys = Vec::new();
+        for row in records.iter().map_err(|e| failed(&e))? {
+            let (key, bytes) = row.map_err(|e| failed(&e))?;
+            if self.decode(bytes.value())?.closed {
+                continue;
+            }
+            let text = String::from_utf8_lossy(key.value()).into_owned();
+            let (source, id) = text.split_once('\0').ok_or_else(|| failed(&"a name without its parts"))?;
+            keys.push((source.to_owned(), id.to_owned()));
+        }
+        Ok(keys)
+    }
+
+    fn remove_expired(&mut self, now: Micros) -> Result<usize, StorageError> {
+        let failed = |e: &dyn Display| self.write_failed(e);
+        let transaction = self.database.begin_write().map_err(|e| failed(&e))?;
+        let mut removed = 0;
+        {
+            let mut records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+            let mut expiries = transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
+            while removed < MAX_EXPIRED_PER_TRANSACTION {
+                let first = expiries.first().map_err(|e| failed(&e))?;
+                let first = first.map(|(row, _)| (row.value().0, row.value().1.to_vec()));
+                let Some((expiry, key)) = first.filter(|(expiry, _)| *expiry <= now) else { break };
+                expiries.remove((expiry, key.as_slice())).map_err(|e| failed(&e))?;
+                records.remove(key.as_slice()).map_err(|e| failed(&e))?;
+                removed += 1;
+            }
+        }
+        transaction.commit().map_err(|e| failed(&e))?;
+        Ok(removed)
+    }
+
+    fn count(&mut self) -> Result<u64, StorageError> {
+        let failed = |e: &dyn Display| self.read_failed(e);
+        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
+        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+        records.len().map_err(|e| failed(&e))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/storage/src/fails.rs
+++ b/crates/storage/src/failing_backend.rs
@@ -1,4 +1,4 @@
-//! A store that is full from some write on, for tests.
+//! A backend that is full from some write on, for tests.
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use std::io;
@@ -7,9 +7,9 @@
 
 /// Fails from its Nth write on, and keeps what was written before.
 #[derive(Debug)]
-pub struct FailingBackend {
-    pub inner: Arc<InMemoryBackend>,
-    pub left: Arc<AtomicU64>,
+pub(crate) struct FailingBackend {
+    pub(crate) inner: Arc<InMemoryBackend>,
+    pub(crate) writes_left: Arc<AtomicU64>,
 }
 
 impl StorageBackend for FailingBackend {
@@ -26,8 +26,9 @@
         self.inner.sync_data()
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), io::Error> {
-        let left = self.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| n.checked_sub(1));
-        left.map_err(|_| io::Error::other("no space left"))?;
+        let taken =
+            self.writes_left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
+        taken.map_err(|_| io::Error::other("no space left"))?;
         self.inner.write(offset, data)
     }
     fn close(&self) -> Result<(), io::Error> {
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -3,11 +3,14 @@
 use applepond::interface::Micros;
 use applepond_consensus::{AcceptorState, AcceptorStorage, Ballot, RegisterState, ReplicaId};
 use applepond_membership::{InstanceId, RouterId};
-use applepond_storage::*;
+use applepond_storage::{
+    AcceptorFile, DiskStore, OpenedAcceptor, SnapshotFile, StepOutcome, StepRecord, StoredResponse,
+    WorkflowRecord, WorkflowStore,
+};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::BTreeMap;
 
-fn kept() -> WorkflowRecord {
+fn record() -> WorkflowRecord {
     let answer = StoredResponse { header_lines: b"Content-Type: a/b\r\n".to_vec(), body: b"body".to_vec() };
     let fields = BTreeMap::from([("free".to_owned(), "yes".to_owned())]);
     let end = |code, response| Some(StepOutcome { code, fields: fields.clone(), response });
@@ -50,7 +53,7 @@
     let file = folder.path().join("record");
     let mut disk = DiskStore::open(&file).expect("a new file");
     let empty = WorkflowRecord::default();
-    disk.save(&[(("/desk/7", "1"), &kept()), (("/desk/7", "2"), &empty)]).expect("room");
+    disk.save(&[(("/desk/7", "1"), &record()), (("/desk/7", "2"), &empty)]).expect("room");
     drop(disk);
     let database = Database::create(&file).expect("opened again");
     let read = database.begin_read().expect("a transaction");
@@ -71,7 +74,7 @@
     insta::assert_snapshot!("chains", lines.join("\n"));
     drop((chains, until, read, database));
     let mut disk = DiskStore::open(&file).expect("opened again");
-    assert_eq!(disk.load(("/desk/7", "1")).expect("read"), Some(kept()));
+    assert_eq!(disk.load(("/desk/7", "1")).expect("read"), Some(record()));
     assert_eq!(disk.load(("/desk/7", "2")).expect("read"), Some(empty));
 }
 
@@ -79,26 +82,27 @@
 fn votes_keep_their_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("votes");
-    let seat = |n: u64| ReplicaId { router: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) };
+    let replica =
+        |n: u64| ReplicaId { router: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) };
     let agreed = RegisterState {
         register_id: InstanceId(987_654_321),
         version: 300,
-        replicas: vec![seat(1), seat(2), seat(3)],
-        previous_replicas: vec![seat(4)],
+        replicas: vec![replica(1), replica(2), replica(3)],
+        previous_replicas: vec![replica(4)],
         value: b"agreed value".to_vec(),
     };
     let ballot = |round| Ballot { round, proposer: 0xfeed_f00d };
     let vote = AcceptorState { fleet: 77, promised: ballot(9), accepted: Some((ballot(8), agreed)) };
-    let (mut disk, _, _) =
+    let OpenedAcceptor { file: mut opened, .. } =
         AcceptorFile::open::<RegisterState<Vec<u8>>>(&file, InstanceId(555)).expect("a new file");
-    disk.persist(&vote).expect("room");
-    drop(disk);
+    opened.persist(&vote).expect("room");
+    drop(opened);
     let database = Database::create(&file).expect("opened again");
     insta::assert_snapshot!("votes", rows(&database, "vote").join("\n"));
     drop(database);
-    let (_, number, found) =
+    let OpenedAcceptor { disk, state, .. } =
         AcceptorFile::open::<RegisterState<Vec<u8>>>(&file, InstanceId(1)).expect("opened again");
-    assert_eq!((number, found), (InstanceId(555), Some(vote)));
+    assert_eq!((disk, state), (InstanceId(555), Some(vote)));
 }
 
 #[test]
--- /dev/null
+++ b/crates/storage/tests/record.rs
@@ -0,0 +1,38 @@
+//! Which steps of a resumed workflow count as done or as perhaps done.
+use applepond::interface::{IdempotencyScope, RetrySafety};
+use applepond_storage::{Micros, StepRecord, WorkflowRecord, recorded_steps};
+use applepond_workflow::{Function, How, Plan, Step, StepId};
+use std::collections::BTreeMap;
+use test_case::test_case;
+
+const S: Micros = 1_000_000;
+const EVERYWHERE: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3 * S };
+const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
+
+#[test_case(RetrySafety::Idempotent, 9, None; "idempotent: begun again")]
+#[test_case(EVERYWHERE, 2, None; "keyed everywhere, in its window: begun again")]
+#[test_case(EVERYWHERE, 3, Some(How::MayHaveRun); "past its window")]
+#[test_case(RACK, 2, Some(How::MayHaveRun); "keyed by rack: which one is not known")]
+#[test_case(RetrySafety::AtMostOnce, 0, Some(How::MayHaveRun); "at-most-once")]
+fn a_step_without_an_outcome_is_sent_again_only_where_safe(
+    effect: RetrySafety,
+    later_s: u64,
+    want: Option<How>,
+) {
+    let step = Step {
+        name: "a".into(),
+        workload: 0,
+        effect,
+        function: Function::OfEvent,
+        at_least: 1,
+        optional: false,
+        undo: None,
+        next: Vec::new(),
+        or_else: Vec::new(),
+    };
+    let plan = Plan { name: "p".into(), limit: S, steps: vec![step] };
+    let sent = StepRecord { sent_at: 100 * S, outcome: None };
+    let record = WorkflowRecord { steps: BTreeMap::from([(0, sent)]), ..WorkflowRecord::default() };
+    let got = recorded_steps(&record, &plan, (100 + later_s) * S);
+    assert_eq!(got.get(&StepId(0)).map(|(how, _)| *how), want);
+}
--- /dev/null
+++ b/crates/storage/tests/snapshot_file.rs
@@ -0,0 +1,43 @@
+//! Snapshots on disk: what is there after a restart, and files that are damaged.
+use applepond_storage::{SnapshotFile, StorageError};
+
+#[test]
+fn the_last_snapshot_is_there_after_a_restart() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("snapshot");
+    let (mut opened, fault) = SnapshotFile::open(&file).expect("a new file");
+    assert!(fault.is_none() && opened.read().expect("read").is_none());
+    opened.write(b"one").expect("room");
+    opened.write(b"two").expect("room");
+    drop(opened);
+    let (opened, _) = SnapshotFile::open(&file).expect("opened again");
+    assert_eq!(opened.read().expect("read").as_deref(), Some(&b"two"[..]));
+}
+
+// Cut anywhere or written over: the last one, or a new file with the old one beside it. Never an
+// older one.
+#[test]
+fn a_damaged_file_is_put_aside() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let (file, damaged) = (folder.path().join("snapshot"), folder.path().join("bent"));
+    let (mut opened, _) = SnapshotFile::open(&file).expect("a new file");
+    (0..20u8).for_each(|n| opened.write(&[n; 3_000]).expect("room"));
+    drop(opened);
+    let whole = std::fs::read(&file).expect("read");
+    let mut anew = 0;
+    for at in (0..whole.len()).step_by(4_096) {
+        std::fs::write(&damaged, &whole[..at]).expect("written");
+        let (opened, fault) = SnapshotFile::open(&damaged).expect("opened or begun anew");
+        let read = opened.read().expect("read");
+        assert!(read.is_none() || read.as_deref() == Some(&[19; 3_000][..]), "cut at {at}");
+        anew += usize::from(fault.is_some());
+    }
+    assert!(anew > 3, "{anew}");
+    std::fs::write(&damaged, "no store at all ".repeat(2_000)).expect("written");
+    let (mut opened, fault) = SnapshotFile::open(&damaged).expect("begun anew");
+    assert!(matches!(fault, Some(StorageError::OpenFailed { .. })));
+    opened.write(b"new").expect("room");
+    assert!(folder.path().join("bent.spoilt").exists());
+    let nowhere = folder.path().join("no/such/folder");
+    assert!(SnapshotFile::open(&nowhere).is_err());
+}
