--- a/crates/consensus/tests/acceptor.rs
+++ b/crates/consensus/tests/acceptor.rs
@@ -1,6 +1,9 @@
 //! Replicas whose disks fail, and a proposer that finds one older than its promise.
 mod common;
-use applepond_consensus::*;
+use applepond_consensus::{
+    Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, ProposalOutcome, Proposer,
+    ProposerActions, RESPONSE_TIMEOUT, RETRY_BACKOFF, Rejection, ReplicaIndex,
+};
 use applepond_membership::InstanceId;
 use common::{FLEET, Marks};
 use test_case::test_case;
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,6 +1,9 @@
 //! Replicas and proposers whose network, disks and deaths are steps to choose from.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_consensus::*;
+use applepond_consensus::{
+    Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Promise, ProposalOutcome, Proposer,
+    ProposerActions, Rejection, ReplicaIndex,
+};
 use applepond_membership::InstanceId;
 use rustc_hash::{FxHashSet, FxHasher};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/consensus/tests/fault_points/simulation.rs
+++ b/crates/consensus/tests/fault_points/simulation.rs
@@ -1,7 +1,10 @@
 //! Registers on a simulated network whose disks and sockets are numbered fault points: simulated time, clocks
 //! that drift, faults by a function or at a point. One seed gives one run.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_consensus::*;
+use applepond_consensus::{
+    AcceptorError, AcceptorState, AcceptorStorage, LEASE_DURATION, Register, RegisterState, Replica,
+    Unavailable, message,
+};
 use applepond_membership::{InstanceId, RouterId};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,7 +1,10 @@
 //! Bytes of votes and of messages between processes: a version that writes or reads others cannot run beside
 //! the one before, nor read its disk.
 use applepond_consensus::message::{self, MessageWriter};
-use applepond_consensus::*;
+use applepond_consensus::{
+    AcceptorError, AcceptorState, AcceptorStorage, Ballot, KnownPromise, Promise, Register, RegisterActions,
+    RegisterState, Replica, ReplicaId, ReplicaRequests,
+};
 use applepond_membership::{InstanceId, RouterId};
 
 type Value = Vec<u8>;
--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -1,6 +1,9 @@
 //! Replicas that change and lose their disks, in all orders of steps: breadth first, and long runs at random.
 mod common;
-use applepond_consensus::*;
+use applepond_consensus::{
+    Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Guards, KnownPromise, Promise,
+    ReconfigurableProposer, RegisterState, Rejection, ReplicaId, ReplicaRequests, RoundOutcome,
+};
 use applepond_membership::{InstanceId, RouterId};
 use common::{Explorable, Marks, explore, report};
 use oorandom::Rand64;
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -2,7 +2,10 @@
 //! lost.
 #[path = "fault_points/simulation.rs"]
 mod simulation;
-use applepond_consensus::*;
+use applepond_consensus::{
+    Ballot, CLOCK_DRIFT_DIVISOR, LEASE_DURATION, MAX_REPLICAS, Promise, Register, RegisterActions,
+    RegisterState, Replica, ReplicaId, ReplicaRequests, Unavailable, message,
+};
 use applepond_membership::InstanceId;
 use simulation::*;
 use test_case::test_case;
--- /dev/null
+++ b/crates/recovery/src/peer_recovery/merge.rs
@@ -0,0 +1,40 @@
+//! The answers of several peers, merged by the median.
+use crate::{Fact, FactKey};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The median value of each fact, as old as the oldest of those that have it. Without `uses_median`, which
+/// only tests leave out, it is the lowest.
+pub(super) fn merge(answers: &[Vec<Fact>], uses_median: bool) -> Vec<Fact> {
+    let by_key = group_by_key(answers).into_iter();
+    by_key.filter_map(|(key, facts)| merge_one(key, facts, answers.len(), uses_median)).collect()
+}
+
+/// The facts of all answers by their key, one of each answer.
+fn group_by_key(answers: &[Vec<Fact>]) -> BTreeMap<FactKey, Vec<Fact>> {
+    let mut by_key: BTreeMap<FactKey, Vec<Fact>> = BTreeMap::new();
+    for facts in answers {
+        let mut seen = BTreeSet::new();
+        for fact in facts.iter().filter(|fact| seen.insert(fact.key)) {
+            by_key.entry(fact.key).or_default().push(*fact);
+        }
+    }
+    by_key
+}
+
+fn merge_one(key: FactKey, mut facts: Vec<Fact>, answers: usize, uses_median: bool) -> Option<Fact> {
+    facts.sort_by(|a, b| a.value.total_cmp(&b.value));
+    if !uses_median {
+        return facts.first().copied();
+    }
+    // Guards against the word of one peer: what a majority has not observed is left out, and the facts of a
+    // lone survivor are half expired already.
+    if facts.len() < answers / 2 + 1 {
+        return None;
+    }
+    let value = facts[(facts.len() - 1) / 2].value;
+    let mut age = facts.iter().map(|fact| fact.age).max()?;
+    if answers == 1 {
+        age = age.max(key.kind.lifetime().expiry / 2);
+    }
+    Some(Fact { key, value, age }).filter(|fact| fact.weight() > 0.0)
+}
--- a/crates/recovery/tests/points/paper.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -1,14 +1,17 @@
-//! Routers that come back, on a paper network with disks that lie: simulated time, one seed one run.
+//! Routers that recover, on a simulated network with disks that lie. One seed gives one run.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_membership::RouterId;
 use applepond_recovery::message::MessageVisitor;
-use applepond_recovery::*;
+use applepond_recovery::{
+    Actions, BootId, Fact, FactKey, FactKind, Facts, Guards, MAX_SNAPSHOT_BYTES, PeerRecovery,
+    SNAPSHOT_INTERVAL, SnapshotError, decode_snapshot, encode_snapshot, message,
+};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
-/// Workers of the paper world; the first drains, the second is set aside.
+/// Workers of the simulated world; the first drains, the second is ejected.
 pub const WORKERS: u64 = 60;
 
 /// What becomes of a message: lost, or there after so many µs.
@@ -19,19 +22,19 @@
     Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
 }
 
-pub fn about(what: FactKind, key: u64) -> FactKey {
-    FactKey { kind: what, subject: key, incarnation: 1 }
+pub fn key_of(kind: FactKind, key: u64) -> FactKey {
+    FactKey { kind, subject: key, incarnation: 1 }
 }
 
-/// What holds in the paper world, which every router that lives has seen.
+/// What holds in the simulated world, which every router that lives has seen.
 pub fn truth(key: u64) -> Vec<Fact> {
     let mut facts = vec![
-        Fact { key: about(FactKind::ConcurrencyLimit, key), value: 4.0 + key as f32, age: 0 },
-        Fact { key: about(FactKind::QueueingDelay, key), value: 0.1, age: 0 },
+        Fact { key: key_of(FactKind::ConcurrencyLimit, key), value: 4.0 + key as f32, age: 0 },
+        Fact { key: key_of(FactKind::QueueingDelay, key), value: 0.1, age: 0 },
     ];
     match key {
-        0 => facts.push(Fact { key: about(FactKind::Draining, 0), value: 1.0, age: 0 }),
-        1 => facts.push(Fact { key: about(FactKind::Ejected, 1), value: 1.0, age: 0 }),
+        0 => facts.push(Fact { key: key_of(FactKind::Draining, 0), value: 1.0, age: 0 }),
+        1 => facts.push(Fact { key: key_of(FactKind::Ejected, 1), value: 1.0, age: 0 }),
         _ => {}
     }
     facts
@@ -60,20 +63,20 @@
 
 /// All that an instance does with the outside, counted through a run.
 #[derive(Default)]
-pub struct Points {
+pub struct FaultPoints {
     pub count: u64,
     pub at: Option<(u64, Fault)>,
     pub hit: Option<String>,
 }
 
-impl Points {
-    fn pass(&mut self, what: impl FnOnce() -> String) -> Option<Fault> {
+impl FaultPoints {
+    fn pass(&mut self, kind: impl FnOnce() -> String) -> Option<Fault> {
         self.count += 1;
         let (at, fault) = self.at?;
         if at != self.count {
             return None;
         }
-        self.hit = Some(what());
+        self.hit = Some(kind());
         Some(fault)
     }
 }
@@ -83,7 +86,7 @@
     pub facts: Facts,
     /// What its snapshot could not be used for.
     pub unusable: Option<SnapshotError>,
-    pub told: Vec<Fact>,
+    pub merged: Vec<Fact>,
     life: u64,
     born: u64,
     /// It has seen the workers itself.
@@ -105,14 +108,14 @@
     pub boots: Vec<Option<BootId>>,
     pub link: Link,
     pub rng: Rand64,
-    pub points: Points,
+    pub points: FaultPoints,
     pub guards: Guards,
-    /// One that says other rooms than it sees.
+    /// One that says other concurrency limits than it observes.
     pub liar: Option<usize>,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
     lives: u64,
-    /// Asks that came to each, and bytes that each gave, by tenth of a second.
+    /// Requests that came to each, and bytes that each gave, by tenth of a second.
     pub asked: BTreeMap<(usize, u64), u64>,
     pub gave: BTreeMap<(usize, u64), u64>,
 }
@@ -150,14 +153,14 @@
 
 impl SimulatedNetwork {
     pub fn new(seed: u64, routers: usize) -> Self {
-        let mut paper = SimulatedNetwork {
+        let mut network = SimulatedNetwork {
             now: 1_000 * S,
             all: (0..routers).map(|_| None).collect(),
             disks: vec![None; routers],
             boots: vec![Some(BootId(7)); routers],
             link: lossy(0.0),
             rng: Rand64::new(u128::from(seed)),
-            points: Points::default(),
+            points: FaultPoints::default(),
             guards: Guards::ALL,
             liar: None,
             events: BTreeMap::new(),
@@ -166,18 +169,18 @@
             asked: BTreeMap::new(),
             gave: BTreeMap::new(),
         };
-        (0..routers).for_each(|n| paper.start(n));
-        paper
+        (0..routers).for_each(|n| network.start(n));
+        network
     }
 
     /// A fleet that has been there for a while: each has seen all workers itself.
     pub fn settled(seed: u64, routers: usize) -> Self {
-        let mut paper = SimulatedNetwork::new(seed, routers);
-        paper.pass(12 * S);
-        assert!(paper.all.iter().flatten().all(|p| p.seen && p.facts.len() > WORKERS as usize));
-        paper.asked.clear();
-        paper.gave.clear();
-        paper
+        let mut network = SimulatedNetwork::new(seed, routers);
+        network.pass(12 * S);
+        assert!(network.all.iter().flatten().all(|p| p.seen && p.facts.len() > WORKERS as usize));
+        network.asked.clear();
+        network.gave.clear();
+        network
     }
 
     fn push(&mut self, at: u64, event: Event) {
@@ -222,7 +225,7 @@
             Some(Err(why)) => unusable = Some(why),
             None => {}
         }
-        let process = Process { peers, facts, unusable, told: Vec::new(), life, born: now, seen: false };
+        let process = Process { peers, facts, unusable, merged: Vec::new(), life, born: now, seen: false };
         self.all[n] = Some(process);
         if fault == Some(Fault::KilledAfter) {
             return self.die(n);
@@ -295,9 +298,9 @@
             Event::Start(_) => return,
             Event::Wake(n, life) if is(self, n, life) => {
                 let p = self.all[n].as_mut().expect("there");
-                let told = p.peers.wake(now, &live, &mut out);
-                told.iter().for_each(|f| p.facts.insert(now, *f));
-                p.told.extend(told);
+                let merged = p.peers.wake(now, &live, &mut out);
+                merged.iter().for_each(|f| p.facts.insert(now, *f));
+                p.merged.extend(merged);
                 let next = p.peers.next_wakeup();
                 if next != u64::MAX {
                     self.push(next.max(now + 1), Event::Wake(n, life));
@@ -355,7 +358,7 @@
         self.send(n, out.0);
     }
 
-    pub fn until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
+    pub fn until(&mut self, by: u64, value_of: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
         while let Some((&(at, k), _)) = self.events.iter().next() {
             if at > by {
@@ -364,12 +367,12 @@
             let event = self.events.remove(&(at, k)).expect("just seen");
             self.now = at;
             self.play(event);
-            if holds(self) {
+            if value_of(self) {
                 return true;
             }
         }
         self.now = by;
-        holds(self)
+        value_of(self)
     }
 
     pub fn pass(&mut self, time: u64) {
@@ -380,12 +383,12 @@
         self.all[n].as_ref().expect("there")
     }
 
-    pub fn holds(&self, n: usize, what: FactKind, key: u64) -> Option<f32> {
-        self.at(n).facts.get(self.now, &about(what, key)).map(|f| f.value)
+    pub fn value_of(&self, n: usize, kind: FactKind, key: u64) -> Option<f32> {
+        self.at(n).facts.get(self.now, &key_of(kind, key)).map(|f| f.value)
     }
 
     /// Whatever a router holds for true is, or was by what it could know.
-    pub fn sound(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), String> {
         for (n, p) in self.all.iter().enumerate() {
             for fact in p.iter().flat_map(|p| p.facts.iter(self.now)) {
                 let want = truth(fact.key.subject).into_iter().find(|t| t.key == fact.key);
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -2,17 +2,17 @@
 //! beside the one before, nor read its disk.
 use applepond_membership::RouterId;
 use applepond_recovery::message::{self, MessageVisitor};
-use applepond_recovery::*;
+use applepond_recovery::{BootId, Fact, FactKey, FactKind, Facts, decode_snapshot, encode_snapshot};
 
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 const ROUTER: u64 = 0x0102_0304_0506_0708;
 
-/// One fact of each sort.
+/// One fact of each kind.
 fn facts() -> Vec<Fact> {
-    let about =
-        |(n, what)| FactKey { kind: what, subject: 1_000_003 * (n as u64 + 1), incarnation: 77 * n as u64 };
+    let key_of =
+        |(n, kind)| FactKey { kind, subject: 1_000_003 * (n as u64 + 1), incarnation: 77 * n as u64 };
     let each = FactKind::EACH.into_iter().enumerate();
-    each.map(|(n, what)| Fact { key: about((n, what)), value: 0.5 + n as f32, age: 100_000 * n as u64 })
+    each.map(|(n, kind)| Fact { key: key_of((n, kind)), value: 0.5 + n as f32, age: 100_000 * n as u64 })
         .collect()
 }
 
--- a/crates/recovery/tests/cases.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,49 +1,54 @@
-//! Routers that come back: one, most, all at once; with disks that were lost, bent or put back.
-#[path = "points/paper.rs"]
+//! Routers that restart: one, most, all at once; with disks that were lost, damaged or put back.
+#[path = "fault_points/simulation.rs"]
 mod world;
-use applepond_recovery::*;
+use applepond_recovery::{
+    Actions, BootId, FACTS_PER_PAGE, Fact, FactKey, FactKind, Facts, Guards, MAX_FACTS, MAX_REQUESTS,
+    MAX_SNAPSHOT_BYTES, MalformedMessage, PeerRecovery, RECOVERY_WINDOW, SEND_BURST_BYTES,
+    SEND_BYTES_PER_SECOND, SnapshotError, Stage, decode_snapshot, encode_snapshot, message,
+};
 use test_case::test_case;
 use world::*;
 
 /// Kills these at once and starts them 1 s later; their disks kept or lost.
-fn restart(paper: &mut SimulatedNetwork, who: std::ops::Range<usize>, disks: bool) {
+fn restart(network: &mut SimulatedNetwork, who: std::ops::Range<usize>, disks: bool) {
     for n in who.clone() {
-        paper.kill(n);
+        network.kill(n);
         if !disks {
-            paper.disks[n] = None;
+            network.disks[n] = None;
         }
     }
-    paper.pass(S);
-    who.for_each(|n| paper.start(n));
+    network.pass(S);
+    who.for_each(|n| network.start(n));
 }
 
 #[test]
-fn one_comes_back_from_its_peers() {
+fn one_router_recovers_from_its_peers() {
     for seed in 1..=20 {
-        let mut paper = SimulatedNetwork::settled(seed, 20);
-        restart(&mut paper, 3..4, false);
+        let mut network = SimulatedNetwork::settled(seed, 20);
+        restart(&mut network, 3..4, false);
         let back = |p: &SimulatedNetwork| p.at(3).peers.stage() == Stage::Recovered(3);
-        assert!(paper.until(2 * S, back), "seed {seed}: {:?}", paper.at(3).peers.stage());
-        assert_eq!(paper.holds(3, FactKind::ConcurrencyLimit, 9), Some(13.0));
+        assert!(network.until(2 * S, back), "seed {seed}: {:?}", network.at(3).peers.stage());
+        assert_eq!(network.value_of(3, FactKind::ConcurrencyLimit, 9), Some(13.0));
         assert_eq!(
-            (paper.holds(3, FactKind::Draining, 0), paper.holds(3, FactKind::Ejected, 1)),
+            (network.value_of(3, FactKind::Draining, 0), network.value_of(3, FactKind::Ejected, 1)),
             (Some(1.0), Some(1.0))
         );
-        assert_eq!(paper.sound(), Ok(()));
+        assert_eq!(network.check(), Ok(()));
     }
 }
 
-// One of three says other than it sees: the middle one holds.
+// One of three peers says other than it observes: the median holds.
 #[test]
-fn not_ones_word() {
+fn one_wrong_peer_of_three_is_outvoted() {
     let mut wrong = 0;
     for seed in 1..=20 {
-        let mut paper = SimulatedNetwork::settled(seed, 4);
-        paper.liar = Some(1);
-        paper.pass(3 * S);
-        restart(&mut paper, 3..4, false);
-        assert!(paper.until(5 * S, |p| p.at(3).peers.stage() != Stage::Requesting));
-        wrong += usize::from(paper.holds(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0));
+        let mut network = SimulatedNetwork::settled(seed, 4);
+        network.liar = Some(1);
+        network.pass(3 * S);
+        restart(&mut network, 3..4, false);
+        assert!(network.until(5 * S, |p| p.at(3).peers.stage() != Stage::Requesting));
+        wrong +=
+            usize::from(network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0));
     }
     assert_eq!(wrong, 0);
 }
@@ -51,56 +56,57 @@
 // A lone survivor is not taken for all of them, is not overrun, and nobody believes the others' emptiness.
 #[test_case(0.0)]
 #[test_case(0.1; "a tenth is lost")]
-fn nineteen_at_once(lost: f64) {
+fn a_lone_survivor_is_neither_overrun_nor_believed_alone(lost: f64) {
     for seed in 1..=10 {
-        let mut paper = SimulatedNetwork::settled(seed, 20);
-        paper.link = lossy(lost);
-        restart(&mut paper, 1..20, false);
+        let mut network = SimulatedNetwork::settled(seed, 20);
+        network.link = lossy(lost);
+        restart(&mut network, 1..20, false);
         let all =
             |p: &SimulatedNetwork| (1..20).all(|n| matches!(p.at(n).peers.stage(), Stage::Recovered(_)));
-        assert!(paper.until(RECOVERY_WINDOW + S, all), "seed {seed}");
-        assert!((1..20).all(|n| paper.holds(n, FactKind::Draining, 0) == Some(1.0)), "seed {seed}");
+        assert!(network.until(RECOVERY_WINDOW + S, all), "seed {seed}");
+        assert!((1..20).all(|n| network.value_of(n, FactKind::Draining, 0) == Some(1.0)), "seed {seed}");
         let most = |of: &std::collections::BTreeMap<(usize, u64), u64>| {
             of.iter().filter(|((n, _), _)| *n == 0).map(|(_, k)| *k).max().unwrap_or(0)
         };
-        let (asks, bytes) = (most(&paper.asked), most(&paper.gave));
+        let (asks, bytes) = (most(&network.asked), most(&network.gave));
         // A page each and four that follow.
         assert!(asks <= 5 * 19, "seed {seed}: {asks} asks in a tenth of a second");
         assert!(
             bytes <= SEND_BURST_BYTES + SEND_BYTES_PER_SECOND / 10 + 2_000,
             "seed {seed}: {bytes} bytes in a tenth of a second"
         );
-        assert_eq!(paper.sound(), Ok(()));
+        assert_eq!(network.check(), Ok(()));
     }
 }
 
 // All at once and nobody knows anything: nothing is made up, and it is known that nothing is known.
 #[test]
-fn all_at_once_without_disks() {
-    let mut paper = SimulatedNetwork::settled(3, 20);
-    restart(&mut paper, 0..20, false);
-    paper.pass(RECOVERY_WINDOW + S);
+fn all_at_once_without_disks_make_nothing_up() {
+    let mut network = SimulatedNetwork::settled(3, 20);
+    restart(&mut network, 0..20, false);
+    network.pass(RECOVERY_WINDOW + S);
     for n in 0..20 {
-        assert_eq!((paper.at(n).peers.stage(), paper.at(n).facts.len()), (Stage::Exhausted, 0));
-        assert!(paper.at(n).peers.requests_sent() <= MAX_REQUESTS);
+        assert_eq!((network.at(n).peers.stage(), network.at(n).facts.len()), (Stage::Exhausted, 0));
+        assert!(network.at(n).peers.requests_sent() <= MAX_REQUESTS);
     }
-    assert!(!paper.at(0).peers.can_serve(paper.now - 2 * S), "and it says so to others");
-    paper.pass(4 * S);
-    assert_eq!(paper.holds(7, FactKind::ConcurrencyLimit, 9), Some(13.0), "what it sees itself");
+    assert!(!network.at(0).peers.can_serve(network.now - 2 * S), "and it says so to others");
+    network.pass(4 * S);
+    assert_eq!(network.value_of(7, FactKind::ConcurrencyLimit, 9), Some(13.0), "what it sees itself");
 }
 
 // All at once with their disks: each has what it knew, as old as it is.
 #[test]
-fn all_at_once_with_disks() {
-    let mut paper = SimulatedNetwork::settled(4, 20);
-    restart(&mut paper, 0..20, true);
+fn all_at_once_with_disks_have_what_they_knew() {
+    let mut network = SimulatedNetwork::settled(4, 20);
+    restart(&mut network, 0..20, true);
     for n in 0..20 {
-        assert_eq!(paper.holds(n, FactKind::Draining, 0), Some(1.0), "before anybody is asked");
-        let room = paper.at(n).facts.get(paper.now, &about(FactKind::ConcurrencyLimit, 9)).expect("kept");
+        assert_eq!(network.value_of(n, FactKind::Draining, 0), Some(1.0), "before anybody is asked");
+        let room =
+            network.at(n).facts.get(network.now, &key_of(FactKind::ConcurrencyLimit, 9)).expect("kept");
         assert!((S..4 * S).contains(&room.age), "{room:?}");
     }
-    paper.pass(2 * S);
-    assert_eq!(paper.sound(), Ok(()));
+    network.pass(2 * S);
+    assert_eq!(network.check(), Ok(()));
 }
 
 /// A file as it may be found.
@@ -133,47 +139,50 @@
 #[test_case("form", SnapshotError::UnsupportedFormat(9))]
 #[test_case("long", SnapshotError::TooLarge(MAX_SNAPSHOT_BYTES + 1))]
 #[test_case("somebody else's", SnapshotError::WrongRouter)]
-fn a_disk_that_lies(kind: &str, why: SnapshotError) {
-    let mut paper = SimulatedNetwork::settled(5, 6);
-    paper.kill(2);
-    let whole = paper.disks[2].clone().expect("written");
-    paper.disks[2] = Some(disk(kind, &whole));
-    paper.start(2);
-    assert_eq!((paper.at(2).unusable, paper.at(2).facts.len()), (Some(why), 0));
-    assert!(paper.until(2 * S, |p| matches!(p.at(2).peers.stage(), Stage::Recovered(_))), "from its peers");
-    assert_eq!(paper.holds(2, FactKind::ConcurrencyLimit, 9), Some(13.0));
-    paper.pass(3 * S);
-    paper.kill(2);
-    paper.start(2);
-    assert_eq!(paper.at(2).unusable, None, "written anew");
+fn an_unusable_snapshot_is_named_and_replaced(kind: &str, why: SnapshotError) {
+    let mut network = SimulatedNetwork::settled(5, 6);
+    network.kill(2);
+    let whole = network.disks[2].clone().expect("written");
+    network.disks[2] = Some(disk(kind, &whole));
+    network.start(2);
+    assert_eq!((network.at(2).unusable, network.at(2).facts.len()), (Some(why), 0));
+    assert!(network.until(2 * S, |p| matches!(p.at(2).peers.stage(), Stage::Recovered(_))), "from its peers");
+    assert_eq!(network.value_of(2, FactKind::ConcurrencyLimit, 9), Some(13.0));
+    network.pass(3 * S);
+    network.kill(2);
+    network.start(2);
+    assert_eq!(network.at(2).unusable, None, "written anew");
 }
 
 #[test]
-fn every_bit_and_every_length() {
-    let paper = SimulatedNetwork::settled(6, 2);
-    let whole = paper.disks[1].clone().expect("written");
+fn every_damaged_or_truncated_snapshot_is_refused() {
+    let network = SimulatedNetwork::settled(6, 2);
+    let whole = network.disks[1].clone().expect("written");
     for at in 0..whole.len() {
-        assert!(decode_snapshot(1, Some(BootId(7)), paper.now, &whole[..at]).is_err(), "cut at {at}");
+        assert!(decode_snapshot(1, Some(BootId(7)), network.now, &whole[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
             let mut bent = whole.clone();
             bent[at] ^= 1 << bit;
-            assert!(decode_snapshot(1, Some(BootId(7)), paper.now, &bent).is_err(), "bit {bit} of byte {at}");
+            assert!(
+                decode_snapshot(1, Some(BootId(7)), network.now, &bent).is_err(),
+                "bit {bit} of byte {at}"
+            );
         }
     }
 }
 
-// Another boot, no word of a boot, or a clock that went back: each fact is as old as it may be.
+// Another boot, no known boot, or a clock that went back: each fact is as old as it may be.
 #[test_case(Some(BootId(7)), Some(BootId(8)), 0; "another boot")]
 #[test_case(None, Some(BootId(7)), 0; "written without one")]
 #[test_case(Some(BootId(7)), None, 0; "read without one")]
 #[test_case(Some(BootId(7)), Some(BootId(7)), S; "the clock went back")]
-fn an_age_that_nobody_knows(then: Option<BootId>, now: Option<BootId>, back: u64) {
+fn a_fact_of_unknown_age_counts_as_the_oldest(then: Option<BootId>, now: Option<BootId>, back: u64) {
     let mut facts = Facts::default();
     (0..2).flat_map(truth).for_each(|f| facts.insert(5 * S, f));
     let bytes = encode_snapshot(1, then, 5 * S, 5 * S, &facts);
     let read = decode_snapshot(1, now, 5 * S - back, &bytes).expect("whole");
     let weight =
-        |what: FactKind, key| read.iter().find(|f| f.key == about(what, key)).map_or(0.0, Fact::weight);
+        |kind: FactKind, key| read.iter().find(|f| f.key == key_of(kind, key)).map_or(0.0, Fact::weight);
     assert!(weight(FactKind::ConcurrencyLimit, 0) < 1e-6 && weight(FactKind::Ejected, 1) < 1e-6);
     assert_eq!(weight(FactKind::Draining, 0), 1.0, "a drain is kept");
     let mut facts = Facts::default();
@@ -182,19 +191,19 @@
 }
 
 #[test]
-fn an_older_file_in_place() {
-    let mut paper = SimulatedNetwork::settled(7, 4);
-    let old = paper.disks[1].clone();
-    paper.pass(40 * S);
-    paper.kill(1);
-    paper.disks[1] = old;
-    paper.start(1);
-    assert_eq!(paper.holds(1, FactKind::ConcurrencyLimit, 9), None, "older than it counts");
-    assert_eq!(paper.holds(1, FactKind::Draining, 0), Some(1.0));
-    assert!(paper.holds(1, FactKind::Ejected, 1).is_some(), "counts less");
+fn an_older_snapshot_counts_by_its_age() {
+    let mut network = SimulatedNetwork::settled(7, 4);
+    let old = network.disks[1].clone();
+    network.pass(40 * S);
+    network.kill(1);
+    network.disks[1] = old;
+    network.start(1);
+    assert_eq!(network.value_of(1, FactKind::ConcurrencyLimit, 9), None, "older than it counts");
+    assert_eq!(network.value_of(1, FactKind::Draining, 0), Some(1.0));
+    assert!(network.value_of(1, FactKind::Ejected, 1).is_some(), "counts less");
 }
 
-// What is known has a bound, ages, and ends with the life of what it is about.
+// Facts have a bound, age, and end with the incarnation of their worker.
 #[test]
 fn facts_age_end_and_make_room() {
     let mut facts = Facts::default();
@@ -229,8 +238,8 @@
 
 // Cut anywhere a message is refused, and what nobody asked for changes nothing.
 #[test]
-fn messages_cut_and_unasked() {
-    let mut paper = SimulatedNetwork::settled(8, 3);
+fn malformed_and_unrequested_messages_change_nothing() {
+    let mut network = SimulatedNetwork::settled(8, 3);
     let some: Vec<Fact> = truth(3);
     let messages = [
         message::encode_request(router(1), 5, 0),
@@ -244,37 +253,37 @@
             assert_eq!(message::decode(&message[..at], &mut Number(0)), Err(MalformedMessage), "cut at {at}");
         });
     }
-    let own = Fact { key: about(FactKind::TrafficBaseline, 0), value: 1.0, age: 0 };
+    let own = Fact { key: key_of(FactKind::TrafficBaseline, 0), value: 1.0, age: 0 };
     let nan = Fact { value: f32::INFINITY, ..some[0] };
     for facts in [vec![own], vec![nan], vec![some[0]; FACTS_PER_PAGE + 1]] {
         let message = message::encode_page(router(1), 5, 0, true, &facts);
         assert_eq!(message::decode(&message, &mut Number(0)), Err(MalformedMessage));
     }
-    paper.kill(2);
-    paper.disks[2] = None;
-    paper.start(2);
-    let now = paper.now;
-    let p = paper.all[2].as_mut().expect("there");
+    network.kill(2);
+    network.disks[2] = None;
+    network.start(2);
+    let now = network.now;
+    let p = network.all[2].as_mut().expect("there");
     p.peers.on_page(now, router(1), 5, 0, true, some, &mut Messages::default());
     assert_eq!(p.peers.stage(), Stage::Requesting);
     assert!(p.peers.wake(now + RECOVERY_WINDOW, &[], &mut Messages::default()).is_empty(), "nobody asked it");
     assert_eq!(p.peers.stage(), Stage::Exhausted);
 }
 
-// A lone survivor's word is half gone already; what one of three says alone is left out.
+// The facts of a lone survivor are half expired already; what one of three says alone is left out.
 #[test]
-fn a_lone_word() {
-    let mut paper = SimulatedNetwork::settled(10, 2);
-    restart(&mut paper, 1..2, false);
-    assert!(paper.until(RECOVERY_WINDOW + S, |p| p.at(1).peers.stage() == Stage::Recovered(1)));
-    let room = paper.at(1).facts.get(paper.now, &about(FactKind::ConcurrencyLimit, 9)).expect("told");
-    assert!(room.age >= FactKind::ConcurrencyLimit.lifetimes().1 / 2, "{room:?}");
-    let mut paper = SimulatedNetwork::settled(11, 4);
-    let (now, alone) = (paper.now, Fact { key: about(FactKind::Ejected, 50), value: 1.0, age: 0 });
-    paper.all[1].as_mut().expect("there").facts.insert(now, alone);
-    restart(&mut paper, 3..4, false);
-    assert!(paper.until(RECOVERY_WINDOW + S, |p| p.at(3).peers.stage() == Stage::Recovered(3)));
-    assert_eq!(paper.holds(3, FactKind::Ejected, 50), None);
+fn the_facts_of_one_peer_count_half() {
+    let mut network = SimulatedNetwork::settled(10, 2);
+    restart(&mut network, 1..2, false);
+    assert!(network.until(RECOVERY_WINDOW + S, |p| p.at(1).peers.stage() == Stage::Recovered(1)));
+    let room = network.at(1).facts.get(network.now, &key_of(FactKind::ConcurrencyLimit, 9)).expect("merged");
+    assert!(room.age >= FactKind::ConcurrencyLimit.lifetime().expiry / 2, "{room:?}");
+    let mut network = SimulatedNetwork::settled(11, 4);
+    let (now, alone) = (network.now, Fact { key: key_of(FactKind::Ejected, 50), value: 1.0, age: 0 });
+    network.all[1].as_mut().expect("there").facts.insert(now, alone);
+    restart(&mut network, 3..4, false);
+    assert!(network.until(RECOVERY_WINDOW + S, |p| p.at(3).peers.stage() == Stage::Recovered(3)));
+    assert_eq!(network.value_of(3, FactKind::Ejected, 50), None);
 }
 
 #[derive(Default)]
@@ -286,7 +295,7 @@
     }
 }
 
-/// The number of an ask.
+/// The number of a request.
 struct Number(u64);
 
 impl message::MessageVisitor for Number {
@@ -298,42 +307,42 @@
     fn on_empty(&mut self, _: applepond_membership::RouterId, _: u64) {}
 }
 
-// An answer to another ask, or another page, is none.
+// An answer to another request, or another page, is none.
 #[test_case(0, 0, 2; "its own")]
-#[test_case(1, 0, 0; "another ask")]
+#[test_case(1, 0, 0; "another request")]
 #[test_case(0, 1, 0; "another page")]
-fn an_answer_to_its_ask(other: u64, page: u16, taken: usize) {
+fn only_the_answer_to_the_latest_request_counts(other: u64, page: u16, taken: usize) {
     let (mut peers, mut out, mut number) =
         (PeerRecovery::new(0, router(0), 1), Messages::default(), Number(0));
     peers.wake(S, &[router(1)], &mut out);
-    message::decode(&out.0[0], &mut number).expect("an ask");
+    message::decode(&out.0[0], &mut number).expect("a request");
     peers.on_page(S, router(1), number.0 ^ other, page, true, truth(3), &mut out);
     assert_eq!(peers.wake(RECOVERY_WINDOW, &[router(1)], &mut out).len(), taken);
 }
 
 // Each guard taken out is seen from outside.
 #[test]
-fn guards_taken_out() {
+fn each_missing_guard_is_seen() {
     let emptiness = |guards: Guards| {
-        let mut paper = SimulatedNetwork::settled(9, 20);
-        paper.guards = guards;
-        restart(&mut paper, 1..20, false);
-        paper.pass(RECOVERY_WINDOW + S);
-        (1..20).filter(|n| paper.holds(*n, FactKind::Draining, 0).is_none()).count()
+        let mut network = SimulatedNetwork::settled(9, 20);
+        network.guards = guards;
+        restart(&mut network, 1..20, false);
+        network.pass(RECOVERY_WINDOW + S);
+        (1..20).filter(|n| network.value_of(*n, FactKind::Draining, 0).is_none()).count()
     };
     assert_eq!(emptiness(Guards::ALL), 0);
     assert!(emptiness(Guards { reports_empty: false, ..Guards::ALL }) > 5, "emptiness was believed");
     let rush = |guards: Guards| {
-        let mut paper = SimulatedNetwork::new(9, 120);
-        paper.guards = guards;
-        paper.pass(12 * S);
-        paper.kill(0);
-        paper.start(0);
-        paper.pass(10 * S);
-        paper.gave.clear();
-        restart(&mut paper, 1..120, false);
-        paper.pass(RECOVERY_WINDOW);
-        let of_one = paper.gave.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
+        let mut network = SimulatedNetwork::new(9, 120);
+        network.guards = guards;
+        network.pass(12 * S);
+        network.kill(0);
+        network.start(0);
+        network.pass(10 * S);
+        network.gave.clear();
+        restart(&mut network, 1..120, false);
+        network.pass(RECOVERY_WINDOW);
+        let of_one = network.gave.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
         of_one.max().unwrap_or(0)
     };
     let (with, without) = (rush(Guards::ALL), rush(Guards { spreads_retries: false, ..Guards::ALL }));
@@ -344,13 +353,13 @@
     let lie = |guards: Guards| {
         (1..=20)
             .filter(|seed| {
-                let mut paper = SimulatedNetwork::settled(*seed, 4);
-                paper.liar = Some(1);
-                paper.guards = guards;
-                paper.pass(3 * S);
-                restart(&mut paper, 3..4, false);
-                paper.pass(RECOVERY_WINDOW + S);
-                paper.holds(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0)
+                let mut network = SimulatedNetwork::settled(*seed, 4);
+                network.liar = Some(1);
+                network.guards = guards;
+                network.pass(3 * S);
+                restart(&mut network, 3..4, false);
+                network.pass(RECOVERY_WINDOW + S);
+                network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0)
             })
             .count()
     };
@@ -359,7 +368,7 @@
 }
 
 #[test]
-fn errors_say_what_to_do() {
+fn each_error_says_what_to_do() {
     use miette::Diagnostic;
     assert!(SnapshotError::EACH.iter().all(|e| e.code().is_some() && e.help().is_some()));
     assert!(MalformedMessage.help().is_some());
