--- a/crates/fleet/src/disk/acceptor.rs
+++ b/crates/fleet/src/disk/acceptor.rs
@@ -8,7 +8,7 @@
 
 /// The vote on a disk that may have a fault.
 struct FaultyStorage {
-    file: AcceptorFile,
+    file: AcceptorFile, OpenedAcceptor,
     fault: DiskFault,
 }
 
@@ -66,9 +66,9 @@
 /// Opens the file; one that cannot be read makes a replica that does not vote.
 fn open(file: &Path, config: &DiskConfig) -> (OpenedStorage, Replica<AgreedState>) {
     match AcceptorFile::open(file, config.new_file) {
-        Ok((file, id, found)) => {
+        Ok(OpenedAcceptor { file, disk, state }) => {
             let storage = FaultyStorage { file, fault: config.fault };
-            (Box::new(storage), Replica::new(config.fleet, id, Ok(found)))
+            (Box::new(storage), Replica::new(config.fleet, disk, Ok(state)))
         }
         Err(error) => (Box::new(NoStorage), Replica::new(config.fleet, config.new_file, Err(error))),
     }
