--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -12,7 +12,7 @@
 const ALL: u64 = 5 * S;
 const BYTES: usize = 200;
 
-struct KindLifetime {
+struct Outcome {
     /// Until all hold it, at the median and the latest of the words, and words that somebody never got.
     ms: (u64, u64),
     lost: usize,
@@ -22,7 +22,7 @@
 }
 
 /// One word at a time, looked at until all hold it.
-fn compared(routers: usize, lost: f64) -> KindLifetime {
+fn compared(routers: usize, lost: f64) -> Outcome {
     let (mut took, mut rate) = (Vec::new(), 0);
     let mut never = 0;
     for seed in 0..SEEDS {
@@ -53,16 +53,16 @@
     took.sort_unstable();
     let words = took.len() + never;
     let at = |k: usize| took.get(k).copied().unwrap_or(0);
-    KindLifetime { ms: (at(took.len() / 2), at(took.len().max(1) - 1)), lost: never, words, rate }
+    Outcome { ms: (at(took.len() / 2), at(took.len().max(1) - 1)), lost: never, words, rate }
 }
 
 /// To everybody once: a message that is lost is never sent again.
-fn once(routers: usize, lost: f64) -> KindLifetime {
+fn once(routers: usize, lost: f64) -> Outcome {
     let mut rng = Rand64::new(1);
     let words = 5 * SEEDS as usize;
     let never = (0..words).filter(|_| (1..routers).any(|_| rng.rand_float() < lost)).count();
     let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (ALL / S);
-    KindLifetime { ms: (1, 1), lost: never, words, rate }
+    Outcome { ms: (1, 1), lost: never, words, rate }
 }
 
 fn main() {
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,128 +1,194 @@
-//! Messages between neighbours: a mark, a kind, then what it says, as postcard writes it. A message is read
-//! whole before any of it counts.
-use crate::fault::MessageError;
-use crate::*;
+//! Messages between neighbours: a marker, a kind (one byte each) and the body as postcard encodes it.
+//!
+//! The order of the fields is part of the wire format. A message is decoded and validated completely before
+//! any part of it takes effect.
+use crate::config::{DIGEST_BUCKETS, MAX_MESSAGE_BYTES, MAX_NUMBER, MAX_VALUE_BYTES};
+use crate::error::MessageError;
+use applepond::interface::Micros;
 use applepond_membership::RouterId;
 use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
 
-/// First byte of each message here; those of `members` begin with a small number.
+/// First byte of each gossip message; those of the membership protocol begin with a small number.
 pub const PROTOCOL_MARKER: u8 = 0xb1;
 
-const COMPARES: u8 = 1;
-const HOLDS: u8 = 2;
-const WANTS: u8 = 3;
-const TELLS: u8 = 4;
+const KIND_DIGEST: u8 = 1;
+const KIND_SUMMARY: u8 = 2;
+const KIND_REQUEST: u8 = 3;
+const KIND_DELTA: u8 = 4;
 
-/// How much of an origin's words is held: all of this incarnation up to this version.
+/// Kind of an entry; the caller defines which kinds there are.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Kind(
+    /// Number of the kind.
+    pub u8,
+);
+
+/// Key of an entry among those of its origin and kind, such as the id of a worker.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Key(
+    /// Number of the key.
+    pub u64,
+);
+
+/// How far an origin has come, or how much of what it published is known: everything of this incarnation up
+/// to this sequence number, without gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Held {
-    pub origin: RouterId,
-    pub incarnation: u64,
-    pub upto: u64,
+pub(crate) struct Version {
+    pub(crate) incarnation: u64,
+    pub(crate) sequence: u64,
 }
 
-/// All that the writer holds of a part, from one origin to another.
+impl Version {
+    /// Nothing is known.
+    pub(crate) const NONE: Version = Version { incarnation: 0, sequence: 0 };
+
+    fn is_in_range(self) -> bool {
+        self.incarnation.max(self.sequence) < MAX_NUMBER
+    }
+}
+
+/// The version that is known of one origin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct OriginVersion {
+    pub(crate) origin: RouterId,
+    pub(crate) version: Version,
+}
+
+/// All origins of a bucket that the sender knows in a range of ids, and their versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holds {
-    pub part: u8,
-    pub first: RouterId,
-    pub last: RouterId,
-    pub held: Vec<Held>,
+pub(crate) struct Summary {
+    pub(crate) bucket: u8,
+    /// First id of the range.
+    pub(crate) first: RouterId,
+    /// Last id of the range, inclusive.
+    pub(crate) last: RouterId,
+    pub(crate) versions: Vec<OriginVersion>,
 }
 
-/// One entry on its way; an empty value was withdrawn.
+/// One entry in a delta. An empty value says that the entry was withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
-    pub kind: Kind,
-    pub key: Key,
-    pub version: u64,
-    /// µs since its origin wrote it, as far as is known.
-    pub age: Micros,
-    pub value: Vec<u8>,
+pub(crate) struct DeltaEntry {
+    pub(crate) kind: Kind,
+    pub(crate) key: Key,
+    pub(crate) sequence: u64,
+    /// Time in µs since the origin published it, as far as is known.
+    pub(crate) age: Micros,
+    pub(crate) value: Vec<u8>,
 }
 
-/// All that one origin has to say after `from` up to `upto`; what it wrote over is left out.
+/// What one origin has published after the sequence number `from` up to `upto`. Entries that it has
+/// replaced since are left out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tells {
-    pub origin: RouterId,
-    pub incarnation: u64,
-    pub from: u64,
-    pub upto: u64,
-    pub lines: Vec<Line>,
+pub(crate) struct Delta {
+    pub(crate) origin: RouterId,
+    pub(crate) incarnation: u64,
+    pub(crate) from: u64,
+    pub(crate) upto: u64,
+    pub(crate) entries: Vec<DeltaEntry>,
+}
+
+impl Delta {
+    /// The version of the origin that is known once the delta is applied.
+    pub(crate) fn version(&self) -> Version {
+        Version { incarnation: self.incarnation, sequence: self.upto }
+    }
 }
 
+/// A message between neighbours.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Message {
-    Compares(Vec<u64>),
-    Holds(Holds),
-    Wants(Vec<Held>),
-    Tells(Tells),
+pub(crate) enum Message {
+    /// Digests of all buckets of the sender; begins a comparison.
+    Digest(Vec<u64>),
+    /// The versions of one bucket whose digest differs.
+    Summary(Summary),
+    /// Asks for what these origins published after these versions.
+    Request(Vec<OriginVersion>),
+    /// Entries that the receiver lacks.
+    Delta(Delta),
 }
 
-fn put(kind: u8, what: &impl Serialize) -> Vec<u8> {
-    // Numbers and bytes always can be written.
-    postcard::to_extend(what, vec![PROTOCOL_MARKER, kind]).unwrap_or_default()
+fn encode(kind: u8, body: &impl Serialize) -> Vec<u8> {
+    // Encoding numbers and bytes into a growing buffer does not fail.
+    postcard::to_extend(body, vec![PROTOCOL_MARKER, kind]).unwrap_or_default()
 }
 
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
+/// Decodes a body that fills the bytes completely.
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     match postcard::take_from_bytes(bytes) {
-        Ok((read, [])) => Ok(read),
+        Ok((body, [])) => Ok(body),
         _ => Err(MessageError::Malformed),
     }
 }
 
 impl Message {
-    pub fn write(&self) -> Vec<u8> {
+    pub(crate) fn write(&self) -> Vec<u8> {
         match self {
-            Message::Compares(parts) => put(COMPARES, parts),
-            Message::Holds(holds) => put(HOLDS, holds),
-            Message::Wants(held) => put(WANTS, held),
-            Message::Tells(tells) => put(TELLS, tells),
+            Message::Digest(digests) => encode(KIND_DIGEST, digests),
+            Message::Summary(summary) => encode(KIND_SUMMARY, summary),
+            Message::Request(versions) => encode(KIND_REQUEST, versions),
+            Message::Delta(delta) => encode(KIND_DELTA, delta),
         }
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Message, MessageError> {
-        let [PROTOCOL_MARKER, kind, rest @ ..] = bytes else { return Err(MessageError::Malformed) };
+    pub(crate) fn read(bytes: &[u8]) -> Result<Message, MessageError> {
+        let [PROTOCOL_MARKER, kind, body @ ..] = bytes else { return Err(MessageError::Malformed) };
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::Malformed);
         }
         let message = match *kind {
-            COMPARES => Message::Compares(whole(rest)?),
-            HOLDS => Message::Holds(whole(rest)?),
-            WANTS => Message::Wants(whole(rest)?),
-            TELLS => Message::Tells(whole(rest)?),
+            KIND_DIGEST => Message::Digest(decode(body)?),
+            KIND_SUMMARY => Message::Summary(decode(body)?),
+            KIND_REQUEST => Message::Request(decode(body)?),
+            KIND_DELTA => Message::Delta(decode(body)?),
             _ => return Err(MessageError::Malformed),
         };
-        message.sound()?;
+        message.validate()?;
         Ok(message)
     }
 
-    /// What no honest router writes is not taken, so that nothing behind it has to ask.
-    fn sound(&self) -> Result<(), MessageError> {
-        let low = |held: &[Held]| held.iter().all(|h| h.incarnation.max(h.upto) < MAX_NUMBER);
-        let (formed, low) = match self {
-            Message::Compares(parts) => (parts.len() == DIGEST_BUCKETS, true),
-            Message::Holds(holds) => {
-                let within = |h: &Held| (holds.first..=holds.last).contains(&h.origin);
-                ((holds.part as usize) < DIGEST_BUCKETS && holds.held.iter().all(within), low(&holds.held))
-            }
-            Message::Wants(held) => (true, low(held)),
-            Message::Tells(tells) => {
-                let mut last = tells.from;
-                let mut rising = |l: &Line| {
-                    let rises =
-                        l.version > last && l.version <= tells.upto && l.value.len() <= MAX_VALUE_BYTES;
-                    last = l.version;
-                    rises
-                };
-                let formed = tells.from <= tells.upto && tells.lines.iter().all(&mut rising);
-                (formed, tells.incarnation.max(tells.upto) < MAX_NUMBER)
+    /// Rejects what no correct router sends, so that nothing behind it has to check.
+    fn validate(&self) -> Result<(), MessageError> {
+        if !self.is_well_formed() {
+            return Err(MessageError::Malformed);
+        }
+        if !self.is_in_range() {
+            return Err(MessageError::NumberOutOfRange);
+        }
+        Ok(())
+    }
+
+    fn is_well_formed(&self) -> bool {
+        match self {
+            Message::Digest(digests) => digests.len() == DIGEST_BUCKETS,
+            Message::Summary(summary) => {
+                let range = summary.first..=summary.last;
+                let is_within = |known: &OriginVersion| range.contains(&known.origin);
+                (summary.bucket as usize) < DIGEST_BUCKETS && summary.versions.iter().all(is_within)
             }
-        };
-        match (formed, low) {
-            (false, _) => Err(MessageError::Malformed),
-            (_, false) => Err(MessageError::NumberOutOfRange),
-            _ => Ok(()),
+            Message::Request(_) => true,
+            Message::Delta(delta) => delta.from <= delta.upto && has_rising_entries(delta),
         }
     }
+
+    fn is_in_range(&self) -> bool {
+        let all_in_range =
+            |versions: &[OriginVersion]| versions.iter().all(|known| known.version.is_in_range());
+        match self {
+            Message::Digest(_) => true,
+            Message::Summary(summary) => all_in_range(&summary.versions),
+            Message::Request(versions) => all_in_range(versions),
+            Message::Delta(delta) => delta.version().is_in_range(),
+        }
+    }
+}
+
+/// Whether the sequence numbers of a delta's entries rise within its bounds, and no value is too long.
+fn has_rising_entries(delta: &Delta) -> bool {
+    let mut previous = delta.from;
+    delta.entries.iter().all(|entry| {
+        let rises = entry.sequence > previous && entry.sequence <= delta.upto;
+        previous = entry.sequence;
+        rises && entry.value.len() <= MAX_VALUE_BYTES
+    })
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,20 +1,21 @@
-//! Intervals, timeouts and bounds of the membership protocol, each with its unit and the reason for its size.
+//! Intervals, timeouts and bounds of the membership protocol, each with its unit and the reason for its
+//! size.
 use applepond::interface::Micros;
 
 /// Interval between two heartbeats to each neighbour, in µs.
 ///
-/// Eight or more heartbeats fit into [`HEARTBEAT_TIMEOUT`], so that with a third of all messages lost only one
-/// silence in a thousand is due to chance.
+/// Eight or more heartbeats fit into [`HEARTBEAT_TIMEOUT`], so that with a third of all messages lost only
+/// one silence in a thousand is due to chance.
 pub const HEARTBEAT_INTERVAL: Micros = 250_000;
 
 /// Silence after which a neighbour is suspected, in µs.
 ///
-/// Together with [`SUSPICION_TIMEOUT`] it exceeds the two seconds for which a process may stand still without
-/// being declared dead.
+/// Together with the suspicion timeout it exceeds the two seconds for which a process may stand still
+/// without being declared dead.
 pub const HEARTBEAT_TIMEOUT: Micros = 2_000_000;
 
-/// Time from the quorum of votes to the declaration of death, in µs: a process that has just resumed is heard
-/// within it, and its refutation reaches everybody.
+/// Time from the quorum of votes to the declaration of death, in µs: a process that has just resumed is
+/// heard within it, and its refutation reaches everybody.
 pub(crate) const SUSPICION_TIMEOUT: Micros = 600_000;
 
 /// Age in µs at which a vote no longer counts, unless it is cast anew.
@@ -23,8 +24,8 @@
 /// Age in µs at which this router casts its own standing vote anew.
 pub(crate) const VOTE_RENEWAL_INTERVAL: Micros = 1_000_000;
 
-/// Lateness of a timer, in µs, from which this process counts as having stood still: far above a busy turn of
-/// the event loop.
+/// Lateness of a timer, in µs, from which this process counts as having stood still: far above a busy turn
+/// of the event loop.
 pub(crate) const STALL_THRESHOLD: Micros = 150_000;
 
 /// Time in µs for which a sign of bad health (a stall, a false suspicion) lengthens timeouts.
@@ -36,8 +37,8 @@
 /// Health penalties that count at most: with [`HEALTH_PENALTY_FACTOR`], a timeout at most doubles.
 pub(crate) const MAX_HEALTH_PENALTIES: u32 = 4;
 
-/// Neighbours that a router has at least when it takes itself for isolated because all of them are silent at
-/// once. An isolated router suspects nobody.
+/// Neighbours that a router has at least when it takes itself for isolated because all of them are silent
+/// at once. An isolated router suspects nobody.
 pub(crate) const MIN_NEIGHBOURS_TO_DETECT_ISOLATION: usize = 3;
 
 /// Time in µs for which a router waits for a second report that it was declared dead before it refutes the
@@ -54,11 +55,12 @@
 /// some tenths of a second.
 pub(crate) const FLUSH_INTERVAL: Micros = 50_000;
 
-/// How often an update goes to all neighbours: with ten of them, a loss of a third of the messages stops none.
+/// How often an update goes to all neighbours: with ten of them, a loss of a third of the messages stops
+/// none.
 pub(crate) const RETRANSMIT_ROUNDS: u8 = 4;
 
-/// Updates that wait for dissemination at most. Beyond it the most transmitted one is dropped; comparing views
-/// repairs what that costs.
+/// Updates that wait for dissemination at most. Beyond it the most transmitted one is dropped; comparing
+/// views repairs what that costs.
 pub(crate) const MAX_QUEUED_UPDATES: usize = 2_048;
 
 /// Interval between two comparisons of views with neighbours whose view differs, in µs.
--- a/crates/membership/src/damped_count.rs
+++ b/crates/membership/src/damped_count.rs
@@ -1,18 +1,18 @@
 //! Damped count of live routers, from which shares are derived.
 //!
-//! More routers mean smaller shares of what all of them divide, so a rise counts at once. Fewer routers mean
-//! larger shares, so a fall counts only after a while.
+//! More routers mean smaller shares of what all of them divide, so a rise counts at once. Fewer routers
+//! mean larger shares, so a fall counts only after a while.
 use applepond::interface::Micros;
 
 /// Time in µs for which the view must have shown fewer routers before the lower count is taken.
 const DECREASE_DELAY: Micros = 2_000_000;
 
-/// Fraction of the routers below which a remaining count is distrusted: this router may be the one that is cut
-/// off.
+/// Fraction of the routers below which a remaining count is distrusted: this router may be the one that is
+/// cut off.
 const MIN_TRUSTED_FRACTION: f64 = 0.5;
 
-/// Time in µs for which a view that lost more than that is distrusted: a partition has healed or is known to
-/// somebody by then.
+/// Time in µs for which a view that lost more than that is distrusted: a partition has healed or is known
+/// to somebody by then.
 const DISTRUST_DURATION: Micros = 30_000_000;
 
 /// Number of live routers, damped against a view that shows too few of them.
@@ -38,8 +38,8 @@
     /// Number of routers among which shared limits are divided here: never less than `configured_max`, the
     /// most that the settings name.
     ///
-    /// This guards against shares that are computed from a wrong view: only agreement could give the shares of
-    /// lost routers to those that are left.
+    /// This guards against shares that are computed from a wrong view: only agreement could give the shares
+    /// of lost routers to those that are left.
     pub fn share_count(&mut self, now: Micros, live: usize, configured_max: usize) -> usize {
         self.observe(now, live).max(configured_max)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,11 +5,11 @@
 //! indirect probes, suspicion, incarnations, dissemination by piggybacked updates) with the local health
 //! awareness of Lifeguard and the fixed observers in rings of Rapid:
 //!
-//! - Every router exchanges heartbeats with a few neighbours ([`Rings`]), which are the same for all routers
-//!   that share a view.
+//! - Every router exchanges heartbeats with a few neighbours ([`Rings`]), which are the same for all
+//!   routers that share a view.
 //! - A neighbour that is silent for longer than the heartbeat timeout, directly and through others, is
-//!   suspected by each of its neighbours independently. Only votes of several independent neighbours, held for
-//!   the suspicion timeout, declare a router dead. Meanwhile it may refute under a higher incarnation.
+//!   suspected by each of its neighbours independently. Only votes of several independent neighbours, held
+//!   for the suspicion timeout, declare a router dead. Meanwhile it may refute under a higher incarnation.
 //! - The view is a hint: it tells who seems to be there. Nothing that has to be safe may rest on it.
 //!
 //! See `docs/membership.md` for the design and the options that were weighed.
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates piggybacked on heartbeats, comparison of views, and contact to routers that may be
-//! back.
+//! Dissemination: updates piggybacked on heartbeats, comparison of views, and contact to routers that may
+//! be back.
 use super::Membership;
 use super::peer::Peer;
 use super::table::digest_bucket;
@@ -136,8 +136,8 @@
         transient.map(|(id, _)| *id).take(MAX_TRANSIENT_NEIGHBOURS)
     }
 
-    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a router
-    /// that is there.
+    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a
+    /// router that is there.
     pub(super) fn contact_missing(&mut self, actions: &mut dyn Actions) {
         if self.now < self.next_contact {
             return;
@@ -149,8 +149,8 @@
         let is_dead = |peer: &&Peer| peer.record.status == MemberStatus::Dead;
         let dead: Vec<SocketAddr> =
             self.peers.values().filter(is_dead).map(|peer| peer.record.address).collect();
-        // A router that has not been admitted yet goes on asking: those that knew more at first may have lost
-        // it since.
+        // A router that has not been admitted yet goes on asking: those that knew more at first may have
+        // lost it since.
         let is_joining = self.local.status == MemberStatus::Joining;
         let helpers: Vec<SocketAddr> = if is_joining { active().collect() } else { Vec::new() };
         for candidates in [seeds, dead, helpers] {
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -13,8 +13,8 @@
 pub(super) struct IncomingMessage<'a> {
     membership: &'a mut Membership,
     actions: &'a mut dyn Actions,
-    /// Whether the sender is the current process of an active router, as far as is known here. Determined once
-    /// for each message, as it has effects.
+    /// Whether the sender is the current process of an active router, as far as is known here. Determined
+    /// once for each message, as it has effects.
     sender_is_current: Option<bool>,
 }
 
@@ -23,8 +23,8 @@
         IncomingMessage { membership, actions, sender_is_current: None }
     }
 
-    /// Takes notice of the sender. Returns false if the message's body does not count, because its sender is
-    /// unknown, has been replaced or has departed.
+    /// Takes notice of the sender. Returns false if the message's body does not count, because its sender
+    /// is unknown, has been replaced or has departed.
     fn accept_sender(&mut self, header: &Header) -> bool {
         if let Some(is_current) = self.sender_is_current {
             return is_current;
--- a/crates/membership/src/membership/local_record.rs
+++ b/crates/membership/src/membership/local_record.rs
@@ -35,8 +35,8 @@
         self.queue_update(Update::Local);
     }
 
-    /// What others say about this router: an older process under its name yields or holds it; that it left or
-    /// has a higher incarnation is refuted.
+    /// What others say about this router: an older process under its name yields or holds it; that it left
+    /// or has a higher incarnation is refuted.
     pub(super) fn merge_local_record(&mut self, actions: &mut dyn Actions, record: &Record) {
         let Record { instance_id, incarnation, status, .. } = *record;
         if instance_id == self.local.instance_id {
@@ -79,8 +79,8 @@
 
     /// Refutes what was said about this router up to the incarnation `said`, by a higher one.
     ///
-    /// A router that was declared dead by several others joins again, and counts only once its neighbours hear
-    /// it.
+    /// A router that was declared dead by several others joins again, and counts only once its neighbours
+    /// hear it.
     pub(super) fn refute(&mut self, actions: &mut dyn Actions, said: u64) {
         let now = self.now;
         self.removal_reports.retain(|_, at| now < *at + HEALTH_PENALTY_DURATION);
@@ -110,8 +110,8 @@
         actions.changed(Change::Rejoined(incarnation));
     }
 
-    /// Becomes alive once most of the neighbours hear this router, or it is alone by its settings. Afterwards
-    /// resets the backoff of rejoins when there was none for long.
+    /// Becomes alive once most of the neighbours hear this router, or it is alone by its settings.
+    /// Afterwards resets the backoff of rejoins when there was none for long.
     pub(super) fn update_admission(&mut self) {
         if self.local.status != MemberStatus::Joining {
             if self.now > self.rejoin_not_before + MAX_REJOIN_BACKOFF {
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,9 +1,9 @@
 //! The membership state machine: its state, its events and what can be asked of it.
 //!
-//! Each concern has a module of its own: [`table`] holds the records of other routers, [`local_record`] that of
-//! this one, [`failure_detector`] measures silence, [`voting`] turns votes into deaths, [`takeover`] decides
-//! between two processes under one name, [`dissemination`] sends what others are to know and [`incoming`]
-//! handles what they send.
+//! Each concern has a module of its own: [`table`] holds the records of other routers, [`local_record`]
+//! that of this one, [`failure_detector`] measures silence, [`voting`] turns votes into deaths,
+//! [`takeover`] decides between two processes under one name, [`dissemination`] sends what others are to
+//! know and [`incoming`] handles what they send.
 mod dissemination;
 mod failure_detector;
 mod health;
@@ -34,7 +34,8 @@
 /// The view that one router has of the fleet, and the protocol that keeps it.
 ///
 /// The caller passes in the time (monotonic, in µs) with each event, and calls
-/// [`handle_timeout`](Membership::handle_timeout) when [`next_deadline`](Membership::next_deadline) has passed.
+/// [`handle_timeout`](Membership::handle_timeout) when [`next_deadline`](Membership::next_deadline) has
+/// passed.
 pub struct Membership {
     /// Time of the event that is being handled.
     now: Micros,
@@ -99,8 +100,8 @@
 impl Membership {
     /// Starts as a joining router.
     ///
-    /// `random_seed` seeds the generator of random numbers. If `seeds` names nobody but this router, it forms a
-    /// fleet of its own.
+    /// `random_seed` seeds the generator of random numbers. If `seeds` names nobody but this router, it
+    /// forms a fleet of its own.
     pub fn new(now: Micros, identity: LocalIdentity, seeds: Vec<SocketAddr>, random_seed: u64) -> Self {
         let local_id = RouterId::named(&identity.name);
         let LocalIdentity { name, zone, address, instance_id, incarnation } = identity;
@@ -324,8 +325,8 @@
 
     /// Sets the time, and notices when this process stood still.
     ///
-    /// This guards against a process that takes its own pause for the silence of others: votes that it received
-    /// before are void, silence counts from now, and it is patient for a while.
+    /// This guards against a process that takes its own pause for the silence of others: votes that it
+    /// received before are void, silence counts from now, and it is patient for a while.
     fn advance_clock(&mut self, now: Micros, actions: &mut dyn Actions) {
         let deadline = self.next_deadline();
         self.now = now;
--- a/crates/membership/src/membership/peer.rs
+++ b/crates/membership/src/membership/peer.rs
@@ -38,8 +38,8 @@
     /// Times that it was suspected though it was there.
     pub(super) false_suspicions: HealthPenalties,
     pub(super) link_fault: Option<LinkFault>,
-    /// When its last heartbeat arrived. If the peer is no neighbour here, views differ and it is answered for a
-    /// while as a transient neighbour.
+    /// When its last heartbeat arrived. If the peer is no neighbour here, views differ and it is answered
+    /// for a while as a transient neighbour.
     pub(super) last_heartbeat: Option<Micros>,
 }
 
--- a/crates/membership/src/membership/takeover.rs
+++ b/crates/membership/src/membership/takeover.rs
@@ -16,7 +16,8 @@
 }
 
 impl Membership {
-    /// Pings the holder of a name that a newcomer asks for: an answer refuses the newcomer, silence admits it.
+    /// Pings the holder of a name that a newcomer asks for: an answer refuses the newcomer, silence admits
+    /// it.
     pub(super) fn challenge_holder(&mut self, actions: &mut dyn Actions, id: RouterId, record: &Record) {
         let Record { address: newcomer, instance_id, .. } = *record;
         match self.takeovers.get(&id) {
--- a/crates/membership/src/membership/voting.rs
+++ b/crates/membership/src/membership/voting.rs
@@ -84,9 +84,9 @@
         peer.standing_votes().filter(move |vote| is_active(vote.voter))
     }
 
-    /// Votes that are needed to declare a router dead: those of most of its observers that are not suspected
-    /// themselves, and never that of one router alone. A router that errs or lies has one vote, however often
-    /// it casts it.
+    /// Votes that are needed to declare a router dead: those of most of its observers that are not
+    /// suspected themselves, and never that of one router alone. A router that errs or lies has one vote,
+    /// however often it casts it.
     fn quorum(&self, id: RouterId) -> usize {
         if !self.safeguards.vote_quorum {
             return 1;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between routers and their encoding.
 //!
-//! A message consists of the kind (one byte), the sender's [`Header`], the body of the kind, and then tagged
-//! updates until its end. All parts are encoded with postcard, so the order of fields and variants is part of
-//! the wire format. A message is decoded completely before any part of it takes effect.
+//! A message consists of the kind (one byte), the sender's [`Header`], the body of the kind, and then
+//! tagged updates until its end. All parts are encoded with postcard, so the order of fields and variants
+//! is part of the wire format. A message is decoded completely before any part of it takes effect.
 use crate::config::MAX_NAME_BYTES;
 use crate::record::{InstanceId, Record, RouterId};
 use applepond::interface::Micros;
@@ -11,12 +11,12 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Size of a message at most, in bytes: with its envelope it stays below 1,200 bytes, which every network path
-/// carries unfragmented.
+/// Size of a message at most, in bytes: with its envelope it stays below 1,200 bytes, which every network
+/// path carries unfragmented.
 pub const MAX_MESSAGE_BYTES: usize = 1_140;
 
-/// Number of parts into which the members are divided when two views are compared; each part has a digest of
-/// its own.
+/// Number of parts into which the members are divided when two views are compared; each part has a digest
+/// of its own.
 pub const DIGEST_BUCKETS: usize = 32;
 
 /// The sender of a message: a copy of the essential parts of its record.
@@ -63,8 +63,8 @@
 /// Why a message is rejected. A rejected message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is truncated, continues after its end, or contains what no message contains. The sender runs another
-    /// version, or the network path is broken: compare the routers' versions.
+    /// It is truncated, continues after its end, or contains what no message contains. The sender runs
+    /// another version, or the network path is broken: compare the routers' versions.
     Malformed,
     /// The name of a router or a zone in it is empty, too long or not printable ASCII.
     InvalidName,
@@ -81,11 +81,11 @@
 
 impl std::error::Error for MessageError {}
 
-/// Receives the contents of a message, part by part, after all of it has been decoded: first its updates, then
-/// its body.
+/// Receives the contents of a message, part by part, after all of it has been decoded: first its updates,
+/// then its body.
 pub trait MessageHandler {
-    /// A heartbeat. `last_heard`: µs since the sender last heard the receiver, if it ever did; `view`: digest
-    /// of the sender's view.
+    /// A heartbeat. `last_heard`: µs since the sender last heard the receiver, if it ever did; `view`:
+    /// digest of the sender's view.
     fn heartbeat(&mut self, header: &Header, last_heard: Option<Micros>, view: u64);
     /// The sender wants the receiver to probe `target` on its behalf.
     fn ping_request(&mut self, header: &Header, target: RouterId);
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,8 +1,8 @@
 //! Who monitors whom.
 //!
-//! Each ring holds all routers in its own order, by a hash of the ring's number and the router's id. The two
-//! routers beside a router in each ring are its neighbours. All routers that share a view agree on them, and
-//! the number of neighbours does not grow with the fleet.
+//! Each ring holds all routers in its own order, by a hash of the ring's number and the router's id. The
+//! two routers beside a router in each ring are its neighbours. All routers that share a view agree on
+//! them, and the number of neighbours does not grow with the fleet.
 use crate::config::RING_COUNT;
 use crate::record::RouterId;
 use std::collections::BTreeSet;
@@ -50,8 +50,8 @@
         self.rings[0].is_empty()
     }
 
-    /// The neighbours of a router, whether it is in the rings or not, in ascending order. In fleets that are
-    /// not larger than a router's neighbourhood these are all other routers.
+    /// The neighbours of a router, whether it is in the rings or not, in ascending order. In fleets that
+    /// are not larger than a router's neighbourhood these are all other routers.
     pub fn neighbours_of(&self, id: RouterId) -> Vec<RouterId> {
         let mut found: Vec<RouterId> = Vec::with_capacity(2 * RING_COUNT);
         if self.len() <= 2 * RING_COUNT + 1 {
@@ -67,7 +67,8 @@
     }
 }
 
-/// The successor and the predecessor of a place in a ring; the ring closes from its last router to its first.
+/// The successor and the predecessor of a place in a ring; the ring closes from its last router to its
+/// first.
 fn adjacent(ring: &Ring, place: (u64, RouterId)) -> impl Iterator<Item = RouterId> {
     let successor = ring.range(place..).find(|entry| **entry != place).or(ring.first());
     let predecessor = ring.range(..place).next_back().or(ring.last());
--- a/crates/membership/src/safeguards.rs
+++ b/crates/membership/src/safeguards.rs
@@ -2,8 +2,8 @@
 
 /// What keeps a view from being wrong.
 ///
-/// Each safeguard can be disabled, to measure what it is worth and to prove that the fault-injection scenarios
-/// find its absence. In service all of them are enabled.
+/// Each safeguard can be disabled, to measure what it is worth and to prove that the fault-injection
+/// scenarios find its absence. In service all of them are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A router that is suspected refutes the suspicion.
@@ -14,8 +14,8 @@
     pub local_health: bool,
     /// A process that stood still counts the silence of others from the moment it resumed.
     pub pause_detection: bool,
-    /// A refutation carries a higher incarnation, also that of a router that was declared dead and has heard
-    /// so from one router only.
+    /// A refutation carries a higher incarnation, also that of a router that was declared dead and has
+    /// heard so from one router only.
     pub incarnation_bump: bool,
 }
 
@@ -29,8 +29,8 @@
         incarnation_bump: true,
     };
 
-    /// All safeguards except the one whose absence is injected under the name of this fault; `None` if there
-    /// is no such fault.
+    /// All safeguards except the one whose absence is injected under the name of this fault; `None` if
+    /// there is no such fault.
     pub fn without(fault: &str) -> Option<Safeguards> {
         let mut safeguards = Safeguards::ALL;
         let disabled = match fault {
