--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -2,14 +2,14 @@
 //! which an origin sends each word to everybody once. Prints a table; with a file's name it draws a chart.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::*;
+use common::{MILLISECOND, SECOND, SimulatedNetwork, lossy};
 use oorandom::Rand64;
 use plotters::prelude::*;
 
 const SIZES: [usize; 3] = [20, 300, 1_000];
 const SEEDS: u64 = 3;
 /// A word a router each so many µs, of so many bytes: a pane of a sketch, as the openings tell it.
-const ALL: u64 = 5 * S;
+const ALL: u64 = 5 * SECOND;
 const BYTES: usize = 200;
 
 struct Outcome {
@@ -26,29 +26,29 @@
     let (mut took, mut rate) = (Vec::new(), 0);
     let mut never = 0;
     for seed in 0..SEEDS {
-        let mut paper = SimulatedNetwork::fleet(seed, routers, lossy(lost));
-        paper.pass(5 * S);
+        let mut network = SimulatedNetwork::fleet(seed, routers, lossy(lost));
+        network.run_for(5 * SECOND);
         for n in 0..5 {
-            let begun = paper.now;
-            paper.put(n, 1, &[n as u8; BYTES]);
-            if paper.until(begun + 20 * S, |p| p.one_view()) {
-                took.push((paper.now - begun) / MS);
+            let begun = network.now;
+            network.publish(n, 1, &[n as u8; BYTES]);
+            if network.run_until(begun + 20 * SECOND, |p| p.has_converged()) {
+                took.push((network.now - begun) / MILLISECOND);
             } else {
                 never += 1;
             }
         }
         // All of them speak: what that costs.
-        let (before, begun) = (paper.all.iter().flatten().map(|p| p.bytes).sum::<u64>(), paper.now);
+        let (before, begun) = (network.processes.iter().flatten().map(|p| p.bytes).sum::<u64>(), network.now);
         let mut at: Vec<(u64, usize)> =
-            (0..routers).map(|n| (begun + paper.rng.rand_range(0..ALL), n)).collect();
+            (0..routers).map(|n| (begun + network.rng.rand_range(0..ALL), n)).collect();
         at.sort_unstable();
         for (at, n) in at {
-            paper.until(at, |_| false);
-            paper.put(n, 1, &[n as u8; BYTES]);
+            network.run_until(at, |_| false);
+            network.publish(n, 1, &[n as u8; BYTES]);
         }
-        paper.until(begun + 2 * ALL, |_| false);
-        let after = paper.all.iter().flatten().map(|p| p.bytes).sum::<u64>();
-        rate += (after - before) / routers as u64 / (ALL / S) / SEEDS;
+        network.run_until(begun + 2 * ALL, |_| false);
+        let after = network.processes.iter().flatten().map(|p| p.bytes).sum::<u64>();
+        rate += (after - before) / routers as u64 / (ALL / SECOND) / SEEDS;
     }
     took.sort_unstable();
     let words = took.len() + never;
@@ -61,7 +61,7 @@
     let mut rng = Rand64::new(1);
     let words = 5 * SEEDS as usize;
     let never = (0..words).filter(|_| (1..routers).any(|_| rng.rand_float() < lost)).count();
-    let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (ALL / S);
+    let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (ALL / SECOND);
     Outcome { ms: (1, 1), lost: never, words, rate }
 }
 
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Bytes of messages between neighbours: a version that writes others cannot run beside the one before.
-use applepond_gossip::*;
+use applepond_gossip::{Actions, Gossip, Key, Kind, KindLifetime, SYNC_INTERVAL};
 use applepond_membership::RouterId;
 
 const PACE: Kind = Kind(1);
--- a/crates/membership/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -1,10 +1,11 @@
-//! Fleets on the paper network beside two plain ways: the same machine with one accuser and no local health,
-//! and heartbeats from all to all with a fixed time. Prints tables; a word that ends in `.svg`
-//! is a file for the chart. `cargo bench -p applepond-membership --bench paper -- 20 300 docs/x.svg`.
+//! Fleets on the simulated network beside two plain ways: the same machine with one accuser and no local
+//! health, and heartbeats from all to all with a fixed timeout. Prints tables; an argument that ends in
+//! `.svg` is a file for the chart. `cargo bench -p applepond-membership --bench paper -- 20 300
+//! docs/x.svg`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use applepond_membership::*;
-use common::*;
+use applepond_membership::{Change, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, ObservedStatus, Safeguards};
+use common::{Link, MILLISECOND, Process, SECOND, SimulatedNetwork, lossy};
 use oorandom::Rand64;
 use plotters::prelude::*;
 use std::time::Instant;
@@ -17,8 +18,8 @@
     pause_detection: false,
     incarnation_bump: true,
 };
-/// Faults, each for so long: what is lost, which of eight pairs is cut one way, delay, and whether processes
-/// stand still for 0.2 to 2 s, one in twenty a second.
+/// Faults, each for so long: what is lost, which of eight pairs is cut one way, delay, and whether
+/// processes stand still for 0.2 to 2 s, one in twenty a second.
 struct Fault {
     name: &'static str,
     lost: f64,
@@ -37,7 +38,8 @@
 
 impl Fault {
     fn takes(&self, a: usize, b: usize, rng: &mut Rand64) -> Option<u64> {
-        let late = if self.delay > 0 { 200 * MS + rng.rand_range(0..self.delay) * MS } else { 0 };
+        let late =
+            if self.delay > 0 { 200 * MILLISECOND + rng.rand_range(0..self.delay) * MILLISECOND } else { 0 };
         let cut = self.cut && (a + 2 * b).is_multiple_of(8) && !(b + 2 * a).is_multiple_of(8);
         (!cut && rng.rand_float() >= self.lost).then(|| late + 200 + rng.rand_range(0..800))
     }
@@ -56,11 +58,11 @@
 fn kill(routers: usize, seeds: u64, guards: Safeguards) -> Vec<u64> {
     let mut took = Vec::new();
     for seed in 0..seeds {
-        let mut paper = SimulatedNetwork::fleet_with(seed, routers, lossy(0.02), guards);
-        paper.pass(seed * 70 * MS);
-        let (dead, at) = (routers / 2, paper.now);
-        paper.kill(dead);
-        paper.pass(8 * S);
+        let mut network = SimulatedNetwork::fleet_with(seed, routers, lossy(0.02), guards);
+        network.run_for(seed * 70 * MILLISECOND);
+        let (dead, at) = (routers / 2, network.now);
+        network.kill(dead);
+        network.run_for(8 * SECOND);
         let dead_name = format!("r{dead}");
         let is_removal = |change: &Change| match change {
             Change::StatusChanged { name, current, .. } => {
@@ -69,7 +71,7 @@
             _ => false,
         };
         let gone = |c: &&(u64, Change)| c.0 > at && is_removal(&c.1);
-        let known = |n: usize| paper.changes(n).find(gone).map_or(8_000, |c| (c.0 - at) / MS);
+        let known = |n: usize| network.changes(n).find(gone).map_or(8_000, |c| (c.0 - at) / MILLISECOND);
         took.extend((0..routers).filter(|n| *n != dead).map(known));
     }
     took
@@ -77,25 +79,25 @@
 
 /// Live routers removed in so many s.
 fn removed(routers: usize, seconds: u64, guards: Safeguards, fault: &'static Fault) -> usize {
-    let mut paper = SimulatedNetwork::fleet_with(1, routers, fault.link(), guards);
-    let (mut rng, before) = (Rand64::new(5), paper.removals());
+    let mut network = SimulatedNetwork::fleet_with(1, routers, fault.link(), guards);
+    let (mut rng, before) = (Rand64::new(5), network.removals());
     for _ in 0..seconds {
         for _ in 0..if fault.pauses { routers / 20 } else { 0 } {
             let n = rng.rand_range(0..routers as u64) as usize;
-            if paper.all[n].as_ref().is_some_and(|p| p.stopped.is_none()) {
-                paper.stop(n, 200 * MS + rng.rand_range(0..1_800) * MS);
+            if network.processes[n].as_ref().is_some_and(|p| p.paused_until.is_none()) {
+                network.pause(n, 200 * MILLISECOND + rng.rand_range(0..1_800) * MILLISECOND);
             }
         }
-        paper.pass(S);
+        network.run_for(SECOND);
     }
-    paper.removals() - before
+    network.removals() - before
 }
 
-/// All to all: a beat of each to each other, gone after `PATIENCE` of silence by each one's own look. Live
-/// routers removed in so many s, and ms until each knows of one that is killed at half of them.
+/// All to all: a beat of each to each other, gone after `HEARTBEAT_TIMEOUT` of silence by each one's own
+/// look. Live routers removed in so many s, and ms until each knows of one that is killed at half of them.
 fn all_to_all(routers: usize, seconds: u64, fault: Option<&Fault>) -> (usize, Vec<u64>) {
-    const STEP: u64 = 50 * MS;
-    let (mut rng, end) = (Rand64::new(1), seconds * S);
+    const STEP: u64 = 50 * MILLISECOND;
+    let (mut rng, end) = (Rand64::new(1), seconds * SECOND);
     let phase: Vec<u64> = (0..routers).map(|n| n as u64 * 7 % (HEARTBEAT_INTERVAL / STEP)).collect();
     let mut heard = vec![0; routers * routers];
     let mut gone = vec![false; routers * routers];
@@ -104,10 +106,10 @@
     let (dead, dies) = (routers / 2, if fault.is_none() { end / 2 } else { u64::MAX });
     for step in 0..end / STEP {
         let now = step * STEP;
-        if fault.is_some_and(|f| f.pauses) && step % (S / STEP) == 0 {
+        if fault.is_some_and(|f| f.pauses) && step % (SECOND / STEP) == 0 {
             for _ in 0..routers / 20 {
                 let n = rng.rand_range(0..routers as u64) as usize;
-                until[n] = now.max(until[n]) + 200 * MS + rng.rand_range(0..1_800) * MS;
+                until[n] = now.max(until[n]) + 200 * MILLISECOND + rng.rand_range(0..1_800) * MILLISECOND;
             }
         }
         let acts = |n: &usize| {
@@ -127,7 +129,7 @@
                 let is = now.saturating_sub(heard[n * routers + of]) > HEARTBEAT_TIMEOUT;
                 if is && !std::mem::replace(&mut gone[n * routers + of], is) {
                     if of == dead && now >= dies {
-                        known.push((now - dies) / MS);
+                        known.push((now - dies) / MILLISECOND);
                     } else {
                         removed += 1;
                     }
@@ -141,16 +143,17 @@
 
 /// Bytes and messages a second of an instance, and ms of CPU a second of it, without a fault.
 fn costs(routers: usize, seconds: u64) -> (u64, u64, f64) {
-    let mut paper = SimulatedNetwork::fleet(1, routers, lossy(0.02));
+    let mut network = SimulatedNetwork::fleet(1, routers, lossy(0.02));
     // What is left to say of the start does not count.
-    paper.pass(10 * S);
-    let sum = |p: &SimulatedNetwork, of: fn(&Process) -> u64| p.all.iter().flatten().map(of).sum::<u64>();
-    let (bytes, messages) = (sum(&paper, |p| p.bytes), sum(&paper, |p| p.messages));
+    network.run_for(10 * SECOND);
+    let sum =
+        |p: &SimulatedNetwork, of: fn(&Process) -> u64| p.processes.iter().flatten().map(of).sum::<u64>();
+    let (bytes, messages) = (sum(&network, |p| p.bytes), sum(&network, |p| p.messages));
     let begun = Instant::now();
-    paper.pass(seconds * S);
+    network.run_for(seconds * SECOND);
     let each = routers as u64 * seconds;
     let cpu = begun.elapsed().as_secs_f64() * 1e3 / each as f64;
-    ((sum(&paper, |p| p.bytes) - bytes) / each, (sum(&paper, |p| p.messages) - messages) / each, cpu)
+    ((sum(&network, |p| p.bytes) - bytes) / each, (sum(&network, |p| p.messages) - messages) / each, cpu)
 }
 
 fn main() {
@@ -193,7 +196,7 @@
     area.fill(&WHITE)?;
     let most = rows.iter().flat_map(|(_, ways)| *ways).fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
-        .caption("Live routers taken for gone, paper network (0 has no bar)", ("sans-serif", 16))
+        .caption("Live routers taken for gone, simulated network (0 has no bar)", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,13 +1,17 @@
-//! Members on a paper network: simulated time, faults by a function, one seed one run.
+//! A fleet on a simulated network: simulated time, faults injected by a function, and equal seeds give equal
+//! runs.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_membership::message::{Header, Message, Opinion, Suspicion};
-use applepond_membership::*;
+use applepond_membership::{
+    Actions, Change, InstanceId, LocalIdentity, MAX_MESSAGE_BYTES, MemberStatus, Membership, ObservedStatus,
+    Record, RouterId, Safeguards,
+};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-pub const MS: u64 = 1_000;
-pub const S: u64 = 1_000_000;
+pub const MILLISECOND: u64 = 1_000;
+pub const SECOND: u64 = 1_000_000;
 /// Bytes of the envelope around each message.
 const ENVELOPE: usize = 48;
 /// Datagrams that a socket holds for a process that stands still.
@@ -17,12 +21,12 @@
 pub type Link = Box<dyn FnMut(u64, usize, usize, &mut Rand64) -> Option<u64>>;
 
 /// What a message of a process is made into on its way.
-pub type Bend = Box<dyn FnMut(usize, &[u8]) -> Vec<Vec<u8>>>;
+pub type MessageFilter = Box<dyn FnMut(usize, &[u8]) -> Vec<Vec<u8>>>;
 
 pub struct Process {
     pub members: Membership,
     /// It stands still until then.
-    pub stopped: Option<u64>,
+    pub paused_until: Option<u64>,
     socket: VecDeque<Vec<u8>>,
     pub changes: Vec<(u64, Change)>,
     pub bytes: u64,
@@ -31,9 +35,9 @@
 
 pub struct SimulatedNetwork {
     pub now: u64,
-    pub all: Vec<Option<Process>>,
+    pub processes: Vec<Option<Process>>,
     pub link: Link,
-    pub bend: Option<Bend>,
+    pub filter: Option<MessageFilter>,
     rng: Rand64,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
@@ -51,12 +55,12 @@
 }
 
 #[derive(Default)]
-struct Out {
+struct RecordedActions {
     messages: Vec<(SocketAddr, Vec<u8>)>,
     changes: Vec<Change>,
 }
 
-impl Actions for Out {
+impl Actions for RecordedActions {
     fn send(&mut self, to: SocketAddr, message: &[u8]) {
         assert!(message.len() <= MAX_MESSAGE_BYTES, "{} bytes", message.len());
         self.messages.push((to, message.to_vec()));
@@ -82,10 +86,10 @@
 impl SimulatedNetwork {
     pub fn new(seed: u64, link: Link) -> Self {
         SimulatedNetwork {
-            now: 1_000 * S,
-            all: Vec::new(),
+            now: 1_000 * SECOND,
+            processes: Vec::new(),
             link,
-            bend: None,
+            filter: None,
             rng: Rand64::new(u128::from(seed)),
             events: BTreeMap::new(),
             next: 0,
@@ -102,13 +106,13 @@
     }
 
     pub fn fleet_with(seed: u64, routers: usize, link: Link, guards: Safeguards) -> Self {
-        let mut paper = SimulatedNetwork::new(seed, lossy(0.0));
-        paper.guards = guards;
-        (0..routers).for_each(|n| paper.start(n, &name(n), address(n), &[0, 1, 2]));
-        let settled = |p: &SimulatedNetwork| p.one_view(routers);
-        assert!(paper.until(30 * S, settled), "{routers} routers find each other");
-        paper.link = link;
-        paper
+        let mut network = SimulatedNetwork::new(seed, lossy(0.0));
+        network.guards = guards;
+        (0..routers).for_each(|n| network.start(n, &name(n), address(n), &[0, 1, 2]));
+        let settled = |p: &SimulatedNetwork| p.has_converged(routers);
+        assert!(network.run_until(30 * SECOND, settled), "{routers} routers find each other");
+        network.link = link;
+        network
     }
 
     pub fn start(&mut self, n: usize, name: &str, at: SocketAddr, seeds: &[usize]) {
@@ -128,18 +132,18 @@
             incarnation: self.instance_ids - self.clock_back,
         };
         let members = Membership::new(self.now, me, seeds, self.rng.rand_u64()).with_guards(self.guards);
-        self.all.resize_with(self.all.len().max(n + 1), || None);
+        self.processes.resize_with(self.processes.len().max(n + 1), || None);
         self.at.insert(at, n);
         let due = members.next_deadline();
         let process = Process {
             members,
-            stopped: None,
+            paused_until: None,
             socket: VecDeque::new(),
             changes: Vec::new(),
             bytes: 0,
             messages: 0,
         };
-        self.all[n] = Some(process);
+        self.processes[n] = Some(process);
         self.event(due, Event::Wake(n, instance_id));
     }
 
@@ -149,37 +153,38 @@
     }
 
     pub fn kill(&mut self, n: usize) {
-        self.all[n] = None;
+        self.processes[n] = None;
     }
 
-    pub fn stop(&mut self, n: usize, time: u64) {
+    pub fn pause(&mut self, n: usize, time: u64) {
         let until = self.now + time;
-        let process = self.all[n].as_mut().expect("it runs");
-        process.stopped = Some(until);
+        let process = self.processes[n].as_mut().expect("it runs");
+        process.paused_until = Some(until);
         let instance_id = process.members.local_record().instance_id;
         self.event(until, Event::Wake(n, instance_id));
     }
 
     pub fn members(&self, n: usize) -> &Membership {
-        &self.all[n].as_ref().expect("it runs").members
+        &self.processes[n].as_ref().expect("it runs").members
     }
 
     pub fn changes(&self, n: usize) -> impl Iterator<Item = &(u64, Change)> {
-        self.all[n].iter().flat_map(|p| &p.changes)
+        self.processes[n].iter().flat_map(|p| &p.changes)
     }
 
     /// Those whom a router takes for `shown`.
-    pub fn shown(&self, n: usize, shown: ObservedStatus) -> Vec<String> {
+    pub fn members_observed_as(&self, n: usize, shown: ObservedStatus) -> Vec<String> {
         self.members(n).members().filter(|s| s.observed == shown).map(|s| s.record.name).collect()
     }
 
-    pub fn live(&self, n: usize) -> usize {
+    pub fn live_count(&self, n: usize) -> usize {
         self.members(n).live_count()
     }
 
     /// All that run count this many, themselves alive, and see the same.
-    pub fn one_view(&self, live: usize) -> bool {
-        let mut running = self.all.iter().flatten().filter(|p| p.stopped.is_none()).map(|p| &p.members);
+    pub fn has_converged(&self, live: usize) -> bool {
+        let mut running =
+            self.processes.iter().flatten().filter(|p| p.paused_until.is_none()).map(|p| &p.members);
         let Some(first) = running.next() else { return false };
         let alive = |m: &Membership| m.local_record().status == MemberStatus::Alive && m.live_count() == live;
         alive(first) && running.all(|m| alive(m) && m.view_digest() == first.view_digest())
@@ -189,24 +194,24 @@
     pub fn removals(&self) -> usize {
         let gone =
             |c: &&(u64, Change)| matches!(c.1, Change::StatusChanged { current: ObservedStatus::Dead, .. });
-        (0..self.all.len()).map(|n| self.changes(n).filter(gone).count()).sum()
+        (0..self.processes.len()).map(|n| self.changes(n).filter(gone).count()).sum()
     }
 
-    fn call(&mut self, n: usize, call: impl FnOnce(&mut Membership, u64, &mut Out)) {
-        let Some(process) = self.all[n].as_mut() else { return };
-        let mut out = Out::default();
+    fn call(&mut self, n: usize, call: impl FnOnce(&mut Membership, u64, &mut RecordedActions)) {
+        let Some(process) = self.processes[n].as_mut() else { return };
+        let mut out = RecordedActions::default();
         call(&mut process.members, self.now, &mut out);
         let (due, instance_id) =
             (process.members.next_deadline(), process.members.local_record().instance_id);
         process.changes.extend(out.changes.into_iter().map(|c| (self.now, c)));
         for (to, message) in out.messages {
             let Some(to) = self.at.get(&to).copied() else { continue };
-            let messages = match &mut self.bend {
-                Some(bend) => bend(n, &message),
+            let messages = match &mut self.filter {
+                Some(filter) => filter(n, &message),
                 None => vec![message],
             };
             for message in messages {
-                let process = self.all[n].as_mut().expect("it has just been called");
+                let process = self.processes[n].as_mut().expect("it has just been called");
                 process.bytes += (message.len() + ENVELOPE) as u64;
                 process.messages += 1;
                 if let Some(takes) = (self.link)(self.now, n, to, &mut self.rng) {
@@ -222,7 +227,7 @@
     }
 
     /// Hands a router a message as it stands.
-    pub fn tell(&mut self, n: usize, message: &[u8]) {
+    pub fn deliver(&mut self, n: usize, message: &[u8]) {
         self.call(n, |m, now, out| _ = m.handle_message(now, message, out));
     }
 
@@ -231,8 +236,8 @@
         self.now = self.now.max(at);
         let (Event::Wake(n, _) | Event::Message(n, _)) = &event;
         let n = *n;
-        let Some(process) = self.all[n].as_mut() else { return };
-        if let Some(until) = process.stopped {
+        let Some(process) = self.processes[n].as_mut() else { return };
+        if let Some(until) = process.paused_until {
             if self.now < until {
                 if let Event::Message(_, message) = event
                     && process.socket.len() < SOCKET_MOST
@@ -242,7 +247,7 @@
                 return;
             }
             // What waits in its socket is read before any timer.
-            process.stopped = None;
+            process.paused_until = None;
             for message in std::mem::take(&mut process.socket) {
                 self.call(n, |m, now, out| _ = m.handle_message(now, &message, out));
             }
@@ -252,7 +257,7 @@
                 self.call(n, |m, now, out| _ = m.handle_message(now, &message, out))
             }
             Event::Wake(_, instance_id) => {
-                let members = &self.all[n].as_ref().expect("just seen").members;
+                let members = &self.processes[n].as_ref().expect("just seen").members;
                 // A timer of a process before, or one that an earlier call has made needless.
                 if members.local_record().instance_id == instance_id && members.next_deadline() <= self.now {
                     self.call(n, |m, now, out| m.handle_timeout(now, out));
@@ -261,7 +266,7 @@
         }
     }
 
-    pub fn pass(&mut self, time: u64) {
+    pub fn run_for(&mut self, time: u64) {
         let end = self.now + time;
         while self.events.first_key_value().is_some_and(|((at, _), _)| *at <= end) {
             self.step();
@@ -270,10 +275,10 @@
     }
 
     /// Lets time pass until something holds, or for as long as this.
-    pub fn until(&mut self, most: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
+    pub fn run_until(&mut self, most: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let end = self.now + most;
         while self.now < end {
-            self.pass(50 * MS);
+            self.run_for(50 * MILLISECOND);
             if holds(self) {
                 return true;
             }
@@ -288,7 +293,7 @@
 }
 
 /// A message that says of a router that it is gone.
-pub fn lie(from: &Record, of: &Record, sequence: u64) -> Vec<u8> {
+pub fn report_of_death(from: &Record, of: &Record, sequence: u64) -> Vec<u8> {
     let Record { instance_id, incarnation, .. } = *of;
     let (subject, voter) = (RouterId::named(&of.name), RouterId::named(&from.name));
     let mut message = Message::updates(&head(from));
--- a/crates/membership/tests/parts.rs
+++ b/crates/membership/tests/damped_count.rs
@@ -5,13 +5,13 @@
     use applepond_membership::DampedCount;
     use test_case::test_case;
 
-    const S: Micros = 1_000_000;
+    const SECOND: Micros = 1_000_000;
 
     #[test_case(25, 25; "more")]
     #[test_case(6, 20; "most are gone, for a minute")]
-    fn parts(live: usize, want: usize) {
+    fn share_count_never_falls(live: usize, want: usize) {
         let mut count = DampedCount::new(20);
-        let all: Vec<usize> = (0..60).map(|s| count.share_count(s * S, live, 20)).collect();
+        let all: Vec<usize> = (0..60).map(|s| count.share_count(s * SECOND, live, 20)).collect();
         assert!(all.iter().all(|parts| *parts == want), "{all:?}");
     }
 
@@ -23,10 +23,10 @@
     #[test_case(&[(0, 10, 20), (2, 10, 10)]; "half is not most")]
     #[test_case(&[(0, 9, 20), (5, 12, 12)]; "some of them are back")]
     #[test_case(&[(0, 0, 20), (40, 0, 1)]; "never below one")]
-    fn counts(looks: &[(Micros, usize, usize)]) {
+    fn rises_count_at_once_and_falls_late(looks: &[(Micros, usize, usize)]) {
         let mut count = DampedCount::new(20);
         for (at, live, told) in looks {
-            assert_eq!(count.observe(at * S, *live), *told, "at {at} s");
+            assert_eq!(count.observe(at * SECOND, *live), *told, "at {at} s");
         }
     }
 }
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -1,8 +1,10 @@
-//! Messages that are torn, bent or made up: a clear refusal, and nothing of them counts.
+//! Truncated, mutated and forged messages: they are rejected and have no effect.
 mod common;
 use applepond_membership::message::{self, DIGEST_BUCKETS, Header, Message, MessageHandler};
-use applepond_membership::*;
-use common::*;
+use applepond_membership::{
+    InstanceId, MAX_MESSAGE_BYTES, MAX_NAME_BYTES, MemberStatus, MessageError, Record, RouterId,
+};
+use common::{SECOND, SimulatedNetwork, address, lossy, name, news};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -84,7 +86,7 @@
 
 // Cut anywhere but between two records nothing is said at all: what comes before the cut does not count.
 #[test]
-fn cut_at_every_byte() {
+fn truncated_messages_have_no_effect() {
     for whole in messages() {
         let mut all = Count::default();
         assert_eq!(message::read(&whole, &mut all), Ok(()));
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn names_are_looked_at() {
+fn invalid_names_are_rejected() {
     for bad in ["", "a b", "tab\t", &"x".repeat(MAX_NAME_BYTES + 1)] {
         let message = news(&record(1), &Record { name: bad.to_owned(), ..record(2) });
         let mut said = Count::default();
@@ -112,7 +114,7 @@
 }
 
 #[test]
-fn a_message_has_a_most() {
+fn messages_stay_within_their_size() {
     let own = record(1);
     let head = Header {
         from: RouterId::named("r1"),
@@ -128,7 +130,8 @@
 proptest! {
     // Whatever comes, nothing panics, and a fleet goes on with one view of itself afterwards.
     #[test]
-    fn made_up(kind in 0usize..9, bits in proptest::collection::vec((0usize..4_000, 0u8..8), 1..6),
+    fn mutated_messages_do_no_harm(kind in 0usize..9,
+               bits in proptest::collection::vec((0usize..4_000, 0u8..8), 1..6),
                tail in proptest::collection::vec(any::<u8>(), 0..40)) {
         let mut bytes = messages()[kind].clone();
         for (at, bit) in bits {
@@ -136,9 +139,9 @@
             bytes[at] ^= 1 << bit;
         }
         bytes.extend(tail);
-        let mut paper = SimulatedNetwork::fleet(1, 3, lossy(0.0));
-        (0..3).for_each(|n| paper.tell(n, &bytes));
-        paper.pass(S);
-        prop_assert!((0..3).all(|n| paper.live(n) >= 1));
+        let mut network = SimulatedNetwork::fleet(1, 3, lossy(0.0));
+        (0..3).for_each(|n| network.deliver(n, &bytes));
+        network.run_for(SECOND);
+        prop_assert!((0..3).all(|n| network.live_count(n) >= 1));
     }
 }
