--- a/crates/fleet/src/disk/acceptor.rs
+++ b/crates/fleet/src/disk/acceptor.rs
@@ -2,13 +2,13 @@
 use super::{AgreedState, DiskConfig, DiskEvent, DiskFault};
 use applepond_consensus::message::{self, MessageWriter};
 use applepond_consensus::{AcceptorError, AcceptorState, AcceptorStorage, RegisterState, Replica};
-use applepond_storage::AcceptorFile;
+use applepond_storage::{AcceptorFile, OpenedAcceptor};
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender};
 
 /// The vote on a disk that may have a fault.
 struct FaultyStorage {
-    file: AcceptorFile, OpenedAcceptor,
+    file: AcceptorFile,
     fault: DiskFault,
 }
 
--- a/crates/membership/src/damped_count.rs
+++ b/crates/membership/src/damped_count.rs
@@ -1,7 +1,7 @@
 //! Damped count of live routers, from which shares are derived.
 //!
-//! More routers mean smaller shares of what all of them divide, so a rise counts at once. Fewer routers mean
-//! larger shares, so a fall counts only after a while.
+//! More routers mean smaller shares of what all of them divide, so a rise counts at once. Fewer routers
+//! mean larger shares, so a fall counts only after a while.
 use applepond::interface::Micros;
 
 /// Time in µs for which the view must have shown fewer routers before the lower count is taken.
@@ -11,8 +11,8 @@
 /// cut off.
 const MIN_TRUSTED_FRACTION: f64 = 0.5;
 
-/// Time in µs for which a view that lost more than that is distrusted: a partition has healed or is known to
-/// somebody by then.
+/// Time in µs for which a view that lost more than that is distrusted: a partition has healed or is known
+/// to somebody by then.
 const DISTRUST_DURATION: Micros = 30_000_000;
 
 /// Number of live routers, damped against a view that shows too few of them.
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,9 +1,9 @@
 //! The membership state machine: its state, its events and what can be asked of it.
 //!
-//! Each concern has a module of its own: [`table`] holds the records of other routers, [`local_record`] that
-//! of this one, [`failure_detector`] measures silence, [`voting`] turns votes into deaths, [`takeover`]
-//! decides between two processes under one name, [`dissemination`] sends what others are to know and
-//! [`incoming`] handles what they send.
+//! Each concern has a module of its own: [`table`] holds the records of other routers, [`local_record`]
+//! that of this one, [`failure_detector`] measures silence, [`voting`] turns votes into deaths,
+//! [`takeover`] decides between two processes under one name, [`dissemination`] sends what others are to
+//! know and [`incoming`] handles what they send.
 mod dissemination;
 mod failure_detector;
 mod health;
--- a/crates/membership/src/safeguards.rs
+++ b/crates/membership/src/safeguards.rs
@@ -14,8 +14,8 @@
     pub local_health: bool,
     /// A process that stood still counts the silence of others from the moment it resumed.
     pub pause_detection: bool,
-    /// A refutation carries a higher incarnation, also that of a router that was declared dead and has heard
-    /// so from one router only.
+    /// A refutation carries a higher incarnation, also that of a router that was declared dead and has
+    /// heard so from one router only.
     pub incarnation_bump: bool,
 }
 
@@ -29,8 +29,8 @@
         incarnation_bump: true,
     };
 
-    /// All safeguards except the one whose absence is injected under the name of this fault; `None` if there
-    /// is no such fault.
+    /// All safeguards except the one whose absence is injected under the name of this fault; `None` if
+    /// there is no such fault.
     pub fn without(fault: &str) -> Option<Safeguards> {
         let mut safeguards = Safeguards::ALL;
         let disabled = match fault {
