--- /dev/null
+++ b/crates/cli/src/fakes.rs
@@ -0,0 +1,137 @@
+//! `standin`: a test double of an outside system, for trying things out by hand.
+use crate::errors::USAGE_ERROR;
+use applepond_fakes::hosts::{Hosts, Row};
+use applepond_fakes::ledger::Ledger;
+use applepond_fakes::store::Store;
+use applepond_fakes::worker::{Build, Mood, Turn, Worker};
+use applepond_reactor::{Machine, Micros, Reactor};
+use clap::Subcommand;
+use std::net::SocketAddr;
+use std::process::ExitCode;
+use std::rc::Rc;
+use std::time::Duration;
+
+const MS: Micros = 1_000;
+
+/// The systems that have a test double.
+#[derive(Subcommand)]
+pub(crate) enum Fake {
+    /// A worker that loads functions on demand and answers with a price.
+    Worker {
+        #[arg(long)]
+        listen: SocketAddr,
+        #[arg(long, default_value = "worker")]
+        name: String,
+        #[arg(long, default_value_t = 2)]
+        cores: usize,
+        #[arg(long, default_value_t = 8000)]
+        memory_mb: u64,
+        /// ms that a load takes beside its fetch.
+        #[arg(long, default_value_t = 200)]
+        load_ms: u64,
+        /// The model store to fetch from; without it a load takes no fetch.
+        #[arg(long)]
+        store: Option<SocketAddr>,
+        /// Misbehaves from the start: fail-fast, hang, stall, cut-answers, garbage, no-handshakes,
+        /// refuse-all, two-answers. While it runs, `POST /-/mood?NAME` changes it; `well` mends it.
+        #[arg(long)]
+        mood: Option<String>,
+    },
+    /// A model store. `POST /-/stop?MS` stops it for so many ms.
+    Store {
+        #[arg(long)]
+        listen: SocketAddr,
+        #[arg(long, default_value_t = 150)]
+        fetch_ms: u64,
+        /// Fetches at a time; more are turned away.
+        #[arg(long, default_value_t = 16)]
+        most: usize,
+    },
+    /// A host list that names the given workers ready. `POST /-/standing?NAME=draining` changes one.
+    Hosts {
+        #[arg(long)]
+        listen: SocketAddr,
+        /// NAME=ADDRESS, once for each worker.
+        #[arg(long = "worker")]
+        workers: Vec<String>,
+    },
+}
+
+/// Runs it until the process ends.
+pub(crate) fn run(fake: Fake) -> ExitCode {
+    let machine = match machine(fake) {
+        Ok(machine) => machine,
+        Err(why) => {
+            eprintln!("{why}");
+            return ExitCode::from(USAGE_ERROR);
+        }
+    };
+    let Ok(mut reactor) = Reactor::new() else { return ExitCode::FAILURE };
+    reactor.add(machine);
+    while reactor.turn(Duration::from_secs(1)).is_ok() {}
+    ExitCode::FAILURE
+}
+
+fn invalid_value(message: String) -> clap::Error {
+    clap::Error::raw(clap::error::ErrorKind::InvalidValue, message + "\n")
+}
+
+fn machine(fake: Fake) -> Result<Box<dyn Machine>, clap::Error> {
+    let ledger = Ledger::default();
+    Ok(match fake {
+        Fake::Worker { listen, name, cores, memory_mb, load_ms, store, mood } => {
+            let mut build = worker_build(name, listen, store);
+            (build.cores, build.memory_mb, build.load) = (cores, memory_mb, load_ms * MS);
+            let script = mood.map(|name| mood_from_start(&name)).transpose()?;
+            Box::new(Worker::new(build, script.into_iter().collect(), ledger, Rc::default()))
+        }
+        Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
+        Fake::Hosts { listen, workers } => {
+            let rows: Result<Vec<Row>, clap::Error> = workers.iter().map(|text| host_row(text)).collect();
+            Box::new(Hosts::new(listen, rows?, Vec::new(), ledger))
+        }
+    })
+}
+
+/// A worker that is warm at once and never overloaded, with the defaults of the command line.
+fn worker_build(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> Build {
+    Build {
+        name: Rc::from(name),
+        listen,
+        rack: 0,
+        cores: 2,
+        memory_mb: 8_000,
+        queue: 64,
+        store,
+        load: 200 * MS,
+        keep: 10_000 * MS,
+        cold_share: 1.0,
+        warm_within: 0,
+        fall_multiple: f64::INFINITY,
+        fall_span: 1000 * MS,
+        window: 3000 * MS,
+        seed: 1,
+        openings: 400,
+        prepare: 1_000,
+    }
+}
+
+fn mood_from_start(name: &str) -> Result<(Micros, Turn), clap::Error> {
+    let mood = Mood::named(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
+    Ok((0, Turn::Mood(mood)))
+}
+
+/// A row of the list, of NAME=ADDRESS.
+fn host_row(text: &str) -> Result<Row, clap::Error> {
+    let invalid = || invalid_value(format!("--worker {text}: NAME=ADDRESS is wanted"));
+    let (name, address) = text.split_once('=').ok_or_else(invalid)?;
+    Ok(Row {
+        name: Rc::from(name),
+        address: address.parse().map_err(|_| invalid())?,
+        standing: "ready",
+        started: 0,
+        zone: String::new(),
+        rack: 0,
+        weight: 1.0,
+    })
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,24 +1,34 @@
-//! The program: `applepond serve`, `check`, `standin`, `drill`.
-mod drill;
+//! The program `applepond`: runs a router, checks settings, and runs test doubles and fault-injection
+//! scenarios.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
+
+mod errors;
+mod fakes;
 mod fleet;
 mod node;
+mod scenario;
 mod serve;
-mod standin;
+mod settings;
 
+use applepond_fleet::disk::DiskFault;
 use clap::{Parser, Subcommand};
+use fleet::FaultInjection;
+use serve::{LogFormat, ServeOptions};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// Routes requests to workers that load functions on demand.
 #[derive(Parser)]
 #[command(name = "applepond", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Runs one router instance.
     Serve {
         /// The instance's settings, HCL.
@@ -26,19 +36,19 @@
         settings: PathBuf,
         /// Listens here instead of where the settings say.
         #[arg(long)]
-        listen: Option<std::net::SocketAddr>,
+        listen: Option<SocketAddr>,
         /// Form of the log on standard error.
-        #[arg(long, value_enum, default_value_t = serve::LogForm::Text)]
-        log: serve::LogForm,
+        #[arg(long, value_enum, default_value_t = LogFormat::Text)]
+        log: LogFormat,
         /// Breaks a rule on purpose, to prove the auditor of a drill.
         #[arg(long, hide = true)]
         plant: Option<String>,
         /// Sends the datagrams of its fleet through a rig that stands between the routers.
         #[arg(long, hide = true)]
-        fleet_through: Option<std::net::SocketAddr>,
+        fleet_through: Option<SocketAddr>,
         /// What its disks do: late-MS, lies or full.
         #[arg(long, hide = true, value_parser = fleet::disk_fault)]
-        disk: Option<applepond_fleet::disk::DiskFault>,
+        disk: Option<DiskFault>,
         /// Ends with the process that started it: a drill that is broken off leaves no router behind.
         #[arg(long, hide = true)]
         with_parent: bool,
@@ -52,57 +62,37 @@
     /// Asks a running router of its fleet.
     Fleet {
         #[command(subcommand)]
-        what: fleet::What,
+        command: fleet::FleetCommand,
     },
     /// Reads settings and reports every fault by line and column.
     Check { file: PathBuf },
     /// Runs a stand-in of an outside system, for trying things out by hand.
     Standin {
         #[command(subcommand)]
-        which: standin::Which,
+        fake: fakes::Fake,
     },
     /// Plays a scripted day against a fleet on loopback and judges it.
     Drill {
         #[command(subcommand)]
-        which: drill::Which,
+        scenario: scenario::Scenario,
     },
 }
 
-/// An error as an operator reads it: what happened, and what to do about it.
-fn told(what: &str, error: &dyn miette::Diagnostic) {
-    eprintln!("{what}{error}");
-    if let Some(help) = error.help() {
-        let code = error.code().map_or(String::new(), |c| format!(" ({c})"));
-        eprintln!("  what to do{code}: {help}");
-    }
-}
-
 fn main() -> ExitCode {
-    match Line::parse().what {
-        What::Serve { settings, listen, log, plant, fleet_through, disk, with_parent } => {
+    match CommandLine::parse().command {
+        Command::Serve { settings, listen, log, plant, fleet_through, disk, with_parent } => {
             if with_parent {
                 serve::end_with_parent();
             }
-            let guard = plant.as_deref().and_then(applepond_membership::Safeguards::without);
-            let guards = guard.unwrap_or(applepond_membership::Safeguards::ALL);
-            let comeback = fleet::Return::without(plant.as_deref());
-            let lone = plant.as_deref() == Some("lone-voter-pins");
-            let openings = applepond_fleet::PrefixGuards { several: !lone };
-            let taken = guard.is_some() || comeback.is_some() || lone;
-            let comeback = comeback.unwrap_or(fleet::Return::ALL);
-            let rig = fleet::Rig {
-                through: fleet_through,
-                guards,
-                disk: disk.unwrap_or_default(),
-                comeback,
-                openings,
-            };
-            serve::serve(&settings, listen, log, plant.as_deref().filter(|_| !taken), &rig)
+            let faults = FaultInjection::new(plant.as_deref(), fleet_through, disk.unwrap_or_default());
+            // A seeded bug of the fleet is not one of the gateway as well.
+            let seeded_bug = plant.filter(|_| !faults.has_seeded_bug());
+            serve::serve(&ServeOptions { settings, listen, log, seeded_bug, faults })
         }
-        What::Node { config } => node::node(config),
-        What::Fleet { what } => fleet::run(what),
-        What::Check { file } => serve::check(&file),
-        What::Standin { which } => standin::run(which),
-        What::Drill { which } => drill::run(which),
+        Command::Node { config } => node::node(config),
+        Command::Fleet { command } => fleet::run(&command),
+        Command::Check { file } => settings::check(&file),
+        Command::Standin { fake } => fakes::run(fake),
+        Command::Drill { scenario } => scenario::run(scenario),
     }
 }
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,11 +1,12 @@
 //! `node`: one real router of the operators' platform.
+use crate::errors::{USAGE_ERROR, print_error};
 use applepond_node::{End, News, Node};
 use applepond_platform::config::{self, Start};
 use applepond_platform::fault::Unfit;
 use applepond_reactor::Reactor;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::cell::Cell;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,10 +14,12 @@
 use std::time::Duration;
 
 /// Longest wait of one turn: the machine's own tick ends it earlier.
-const TURN: Duration = Duration::from_secs(1);
+const MAX_TURN: Duration = Duration::from_secs(1);
 
-fn read(file: &PathBuf) -> Result<Start, Unfit> {
-    let text = std::fs::read(file).map_err(|e| Unfit::Unread { file: file.clone(), why: e.to_string() })?;
+/// Reads the configuration.
+fn read(file: &Path) -> Result<Start, Unfit> {
+    let unread = |error: std::io::Error| Unfit::Unread { file: file.to_owned(), why: error.to_string() };
+    let text = std::fs::read(file).map_err(unread)?;
     config::start(&text).map_err(|why| why.at(file.display()))
 }
 
@@ -34,18 +37,19 @@
     }))
 }
 
-pub fn node(file: PathBuf) -> ExitCode {
+/// Runs a router by this configuration until it is told to end.
+pub(crate) fn node(file: PathBuf) -> ExitCode {
     let start = match read(&file) {
         Ok(start) => start,
         Err(why) => {
-            crate::told("", &why);
-            return ExitCode::from(crate::serve::WRONG);
+            print_error("", &why);
+            return ExitCode::from(USAGE_ERROR);
         }
     };
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
-    let (mut reactor, news) = match Reactor::new().and_then(|r| Ok((r, signals(file)?))) {
+    let (mut reactor, news) = match Reactor::new().and_then(|reactor| Ok((reactor, signals(file)?))) {
         Ok(both) => both,
         Err(error) => {
             tracing::error!(%error, "cannot begin");
@@ -56,7 +60,7 @@
     let ends = over.clone();
     reactor.add(Box::new(Node::new(reactor.now(), start, news, Box::new(move |end| ends.set(Some(end))))));
     while over.get().is_none() {
-        if let Err(error) = reactor.turn(TURN) {
+        if let Err(error) = reactor.turn(MAX_TURN) {
             tracing::error!(%error, "epoll");
             return ExitCode::FAILURE;
         }
--- /dev/null
+++ b/crates/cli/src/scenario/recovery.rs
@@ -0,0 +1,103 @@
+//! `drill comeback`.
+use super::report::print_breaches;
+use super::{NotPlayed, Outcome, plan, play, print_progress};
+use applepond_scenarios::comeback::{self, Order, Report, WAYS};
+use applepond_scenarios::process::Plan;
+use clap::Args;
+use serde_json::json;
+use std::path::PathBuf;
+
+#[derive(Args)]
+pub(crate) struct RecoveryArgs {
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=40))]
+    routers: u64,
+    #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(6..=40))]
+    workers: u64,
+    /// Who dies and what is left of their disks.
+    #[arg(long, value_parser = comeback::FAULTS, default_value = "kill")]
+    fault: String,
+    /// What a router may start from; `all` plays each.
+    #[arg(long, default_value = "both")]
+    way: String,
+    /// Takes a guard out in every router, to prove the drill; it is played in the fault that shows it.
+    #[arg(long, value_parser = comeback::PLANTS.map(|(name, ..)| name))]
+    plant: Option<String>,
+    /// Prints each play as one JSON object.
+    #[arg(long)]
+    json: bool,
+    /// Keeps settings and logs of the routers in this folder.
+    #[arg(long)]
+    keep: Option<PathBuf>,
+}
+
+pub(super) fn run(args: RecoveryArgs) -> Result<Outcome, NotPlayed> {
+    let mut ways: Vec<&str> =
+        WAYS.iter().copied().filter(|way| args.way == "all" || args.way == **way).collect();
+    if ways.is_empty() {
+        eprintln!("--way {}: one of {} or all is wanted", args.way, WAYS.join(", "));
+        return Err(NotPlayed);
+    }
+    let mut fault = args.fault.as_str();
+    // A seeded bug is played in the fault and the way that show it.
+    let bug = comeback::PLANTS.iter().find(|(name, ..)| Some(*name) == args.plant.as_deref());
+    if let Some((_, _, shown_in, way)) = bug {
+        (fault, ways) = (shown_in, vec![*way]);
+    }
+    let plan = plan(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
+    let plan = Plan { fleet: true, ..plan };
+    let mut is_broken = false;
+    for way in ways {
+        let order = Order { plan: &plan, fault, way };
+        let mut progress = |line: &str| print_progress(args.json, line);
+        let report = play(args.keep.as_deref(), |folder| comeback::comeback(&order, folder, &mut progress))?;
+        is_broken |= !report.broken.is_empty();
+        let looks_like = comeback::PLANTS.iter().filter(|(_, rule, ..)| report.broken.contains_key(rule));
+        let looks_like: Vec<&str> = looks_like.map(|(name, ..)| *name).collect();
+        if args.json {
+            print_json(&args, &order, &report, &looks_like);
+        } else {
+            print_table(&args, &order, &report);
+            print_breaches(&report.broken, &looks_like);
+        }
+    }
+    Ok(Outcome::of(is_broken))
+}
+
+fn print_json(args: &RecoveryArgs, order: &Order<'_>, report: &Report, looks_like: &[&str]) {
+    let [before, dead, after] = report.service;
+    println!(
+        "{}",
+        json!({"seed": args.seed, "routers": args.routers, "fault": order.fault, "way": order.way,
+            "jobs": report.requests, "before": before, "dead": dead, "after-2s": after,
+            "whole-ms": report.whole,
+            "loads": {"before": report.loads.0, "after": report.loads.1}, "fell": report.fell,
+            "strays": {"all": report.strays.0, "after-grace": report.strays.1},
+            "asks": {"most": report.asks.0, "all": report.asks.1, "part": report.asks_part},
+            "broken": report.broken, "looks-like": looks_like})
+    );
+}
+
+fn print_table(args: &RecoveryArgs, order: &Order<'_>, report: &Report) {
+    let [before, dead, after] = report.service;
+    println!(
+        "comeback, seed {}, {} routers, {}, from {}: {} jobs",
+        args.seed, args.routers, order.fault, order.way, report.requests
+    );
+    println!(
+        "  in time: {:.1} % before, {:.1} % while they are dead, {:.1} % in the 2 s after the last start",
+        100.0 * before,
+        100.0 * dead,
+        100.0 * after
+    );
+    let whole = report.whole.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
+    println!(
+        "  service whole again {whole}; {} cold workers fell; {} jobs to a drain, {} after the grace",
+        report.fell, report.strays.0, report.strays.1
+    );
+    println!(
+        "  fetches in a tenth of a second at most {} before, {} after; asks to one router {}, in all {}",
+        report.loads.0, report.loads.1, report.asks.0, report.asks.1
+    );
+}
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,202 +1,178 @@
-//! `serve` and `check`.
-use crate::fleet;
+//! `serve`: one router instance.
+use crate::errors::{USAGE_ERROR, print_error};
+use crate::fleet::{self, FaultInjection, FleetParts};
+use crate::settings;
 use applepond::interface::RetrySafety;
-use applepond_gateway::errors::ReloadError;
-use applepond_gateway::{ConfigSource, Deployment, Gateway};
+use applepond_gateway::{Deployment, Gateway};
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
 use applepond_scenarios::saboteur::{PLANTS, Saboteur};
 use applepond_storage::DiskStore;
 use clap::ValueEnum;
+use std::cell::Cell;
 use std::io::Write;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::PathBuf;
 use std::process::ExitCode;
+use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 /// Longest wait of one turn: nothing but events ends it earlier.
-const TURN: Duration = Duration::from_secs(1);
-/// Exit status for settings or words of the command line that are wrong.
-pub const WRONG: u8 = 2;
+const MAX_TURN: Duration = Duration::from_secs(1);
 
+/// Form of the log.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum LogForm {
+pub(crate) enum LogFormat {
     /// A line of text an event.
     Text,
     /// A JSON object a line.
     Json,
 }
 
-fn read(file: &Path) -> Result<Deployment, u8> {
-    let text = std::fs::read_to_string(file).map_err(|error| {
-        eprintln!("{}: {error}", file.display());
-        WRONG
-    })?;
-    applepond_settings::deployment(&text).map_err(|faults| {
-        for fault in &faults {
-            eprintln!("{}:{fault}", file.display());
-        }
-        eprintln!("{}: {} fault(s)", file.display(), faults.len());
-        WRONG
-    })
+/// What the command line says of an instance.
+pub(crate) struct ServeOptions {
+    /// File of the settings.
+    pub(crate) settings: PathBuf,
+    /// Listens here instead of where the settings say.
+    pub(crate) listen: Option<SocketAddr>,
+    pub(crate) log: LogFormat,
+    /// Name of a bug that the gateway is to have, for scenarios.
+    pub(crate) seeded_bug: Option<String>,
+    /// Faults of its fleet, for scenarios.
+    pub(crate) faults: FaultInjection,
 }
 
 /// Has the kernel end this process when its parent ends. A parent that is killed outright cannot do it.
-pub fn end_with_parent() {
+pub(crate) fn end_with_parent() {
     let signal = rustix::process::Signal::KILL;
     if let Err(error) = rustix::process::set_parent_process_death_signal(Some(signal)) {
         eprintln!("cannot be tied to the parent process: {error}");
     }
 }
 
-pub fn check(file: &Path) -> ExitCode {
-    match read(file) {
-        Ok(d) => {
-            let (workloads, workers) = (d.workloads.len(), d.workers.len());
-            let chains = d.workflows.len();
-            let hosts =
-                d.endpoint_list.map_or("no host list".to_owned(), |at| format!("the host list at {at}"));
-            let file = file.display();
-            println!(
-                "{file}: good; {workloads} workload(s), {chains} chain(s), {workers} worker(s), {hosts}"
-            );
-            ExitCode::SUCCESS
-        }
-        Err(status) => ExitCode::from(status),
-    }
+/// Serves until the process is told to end.
+pub(crate) fn serve(options: &ServeOptions) -> ExitCode {
+    run(options).unwrap_or_else(|status| status)
 }
 
-/// Reads the settings file again after a SIGHUP; a file with faults is told and changes nothing.
-fn asked_for_news(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<ConfigSource> {
-    let asked = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal_hook::consts::SIGHUP, asked.clone())?;
-    let file = file.to_owned();
-    Ok(Box::new(move || {
-        if !asked.swap(false, Ordering::Relaxed) {
-            return None;
-        }
-        let new = read(&file).map_err(|_| ReloadError::InvalidFile);
-        Some(new.map(|new| Deployment { listen: listen.unwrap_or(new.listen), ..new }))
-    }))
+/// The error is an exit status too: what was wrong has been printed or logged.
+fn run(options: &ServeOptions) -> Result<ExitCode, ExitCode> {
+    let mut deployment = settings::read(&options.settings).map_err(ExitCode::from)?;
+    deployment.listen = options.listen.unwrap_or(deployment.listen);
+    init_log(options.log);
+    let mut reactor = Reactor::new().map_err(|error| {
+        tracing::error!(%error, "no epoll instance");
+        ExitCode::FAILURE
+    })?;
+    let store = open_workflow_store(&deployment)?;
+    let reload = settings::reload_on_hangup(&options.settings, options.listen).map_err(|error| {
+        tracing::error!(%error, "SIGHUP cannot be waited for");
+        ExitCode::FAILURE
+    })?;
+    let fleet = deployment.fleet.as_ref();
+    let fleet = fleet.map(|config| fleet::start(config, reactor.now(), &options.faults)).transpose();
+    let fleet = fleet.map_err(|error| {
+        print_error("", &error);
+        ExitCode::from(USAGE_ERROR)
+    })?;
+    let config_source = match &fleet {
+        Some(fleet) => fleet::with_live_count(fleet.view.clone(), deployment.clone(), reload),
+        None => reload,
+    };
+    let is_listening = Rc::new(Cell::new(false));
+    let mut gateway = Gateway::new(reactor.now(), deployment, announce(is_listening.clone()))
+        .with_config_source(config_source);
+    if let Some(fleet) = &fleet {
+        gateway = fleet.attach(gateway, &options.faults);
+    }
+    if let Some(store) = store {
+        gateway = gateway.with_workflow_store(store);
+    }
+    reactor.add(with_seeded_bug(Box::new(gateway), options.seeded_bug.as_deref())?);
+    let has_left = match fleet {
+        Some(fleet) => leave_on_signal(&mut reactor, fleet)?,
+        None => Box::new(|| false),
+    };
+    if !is_listening.get() {
+        return Err(ExitCode::FAILURE);
+    }
+    turn_until(&mut reactor, &has_left)
 }
 
-pub fn serve(
-    file: &Path,
-    listen: Option<SocketAddr>,
-    log: LogForm,
-    plant: Option<&str>,
-    rig: &fleet::Rig,
-) -> ExitCode {
-    let mut deployment = match read(file) {
-        Ok(deployment) => deployment,
-        Err(status) => return ExitCode::from(status),
-    };
-    deployment.listen = listen.unwrap_or(deployment.listen);
+fn init_log(format: LogFormat) {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    match log {
-        LogForm::Text => lines.init(),
-        LogForm::Json => lines.json().flatten_event(true).init(),
+    let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    match format {
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
-    let mut reactor = match Reactor::new() {
-        Ok(reactor) => reactor,
-        Err(error) => {
-            tracing::error!(%error, "no epoll instance");
-            return ExitCode::FAILURE;
-        }
-    };
-    let heard = std::rc::Rc::new(std::cell::Cell::new(false));
-    let listening = heard.clone();
-    let told = Box::new(move |at: SocketAddr| {
-        listening.set(true);
-        println!("listening {at}");
-        let _ = std::io::stdout().flush();
-    });
-    let lasts = |d: &Deployment| {
-        d.workflows.iter().flat_map(|c| &c.plan.steps).any(|s| s.effect != RetrySafety::Idempotent)
-    };
-    let record = match &deployment.workflow_store {
-        Some(file) => match DiskStore::open(file) {
-            Ok(disk) => Some(Box::new(disk)),
-            Err(why) => {
-                crate::told("the record of chains cannot be used: ", &why);
-                return ExitCode::from(WRONG);
-            }
-        },
-        None if lasts(&deployment) => {
+}
+
+/// Opens the file in which workflows are recorded, where the settings name one.
+fn open_workflow_store(deployment: &Deployment) -> Result<Option<Box<DiskStore>>, ExitCode> {
+    let Some(file) = &deployment.workflow_store else {
+        let mut steps = deployment.workflows.iter().flat_map(|workflow| &workflow.plan.steps);
+        if steps.any(|step| step.effect != RetrySafety::Idempotent) {
             tracing::warn!(reason = "no-record", "chains with effects are not recorded: a kill forgets them");
-            None
         }
-        None => None,
+        return Ok(None);
     };
-    let news = match asked_for_news(file, listen) {
-        Ok(news) => news,
+    match DiskStore::open(file) {
+        Ok(store) => Ok(Some(Box::new(store))),
         Err(error) => {
-            tracing::error!(%error, "SIGHUP cannot be waited for");
-            return ExitCode::FAILURE;
-        }
-    };
-    let fleet = match deployment.fleet.as_ref().map(|row| fleet::of(row, reactor.now(), rig)) {
-        Some(Ok(fleet)) => Some(fleet),
-        Some(Err(why)) => {
-            crate::told("", &why);
-            return ExitCode::from(WRONG);
+            print_error("the record of chains cannot be used: ", &error);
+            Err(ExitCode::from(USAGE_ERROR))
         }
-        None => None,
-    };
-    let news = match &fleet {
-        Some((_, view, _)) => fleet::counted(view.clone(), deployment.clone(), news),
-        None => news,
-    };
-    let gateway = Gateway::new(reactor.now(), deployment, told).with_config_source(news);
-    let gateway = match &fleet {
-        Some((_, view, memory)) => gateway
-            .with_status_section("fleet", fleet::shown(view.clone()))
-            .with_history(Box::new(fleet::Shelf(memory.clone(), rig.comeback)))
-            .with_prefix_tracker(Box::new(fleet::Counter(view.clone()))),
-        None => gateway,
-    };
-    let gateway = match record {
-        Some(record) => Box::new(gateway.with_workflow_store(record)),
-        None => Box::new(gateway),
-    };
-    let machine: Box<dyn Machine> = match plant {
-        None => gateway,
-        Some(name) => match PLANTS.iter().find(|(known, _, _)| *known == name) {
-            Some((_, plant, _)) => Box::new(Saboteur::new(gateway, *plant)),
-            None => {
-                eprintln!("--plant {name}: no such fault");
-                return ExitCode::from(WRONG);
-            }
-        },
-    };
-    reactor.add(machine);
-    // A word to the others before the end, where there are any; else a signal ends the process by itself.
-    let mut left: Box<dyn Fn() -> bool> = Box::new(|| false);
-    if let Some((fleet, view, _)) = fleet {
-        let asked = Arc::new(AtomicBool::new(false));
-        for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
-            if let Err(error) = signal_hook::flag::register(signal, asked.clone()) {
-                tracing::error!(%error, "SIGTERM cannot be waited for");
-                return ExitCode::FAILURE;
-            }
+    }
+}
+
+/// Prints the address of the gateway once it listens, for whoever started this process.
+fn announce(is_listening: Rc<Cell<bool>>) -> Box<dyn FnMut(SocketAddr)> {
+    Box::new(move |at| {
+        is_listening.set(true);
+        println!("listening {at}");
+        let _ = std::io::stdout().flush();
+    })
+}
+
+fn with_seeded_bug(gateway: Box<Gateway>, bug: Option<&str>) -> Result<Box<dyn Machine>, ExitCode> {
+    let Some(name) = bug else { return Ok(gateway) };
+    match PLANTS.iter().find(|(known, _, _)| *known == name) {
+        Some((_, bug, _)) => Ok(Box::new(Saboteur::new(gateway, *bug))),
+        None => {
+            eprintln!("--plant {name}: no such fault");
+            Err(ExitCode::from(USAGE_ERROR))
         }
-        reactor.add(Box::new(fleet.with_end(Box::new(move || asked.load(Ordering::Relaxed)))));
-        left = Box::new(move || view.borrow().members.local_record().status == MemberStatus::Left);
     }
-    if !heard.get() {
-        return ExitCode::FAILURE;
+}
+
+/// Has the router leave its fleet on SIGTERM and SIGINT, which would otherwise end the process at once.
+/// Returns whether it has left.
+fn leave_on_signal(reactor: &mut Reactor, fleet: FleetParts) -> Result<Box<dyn Fn() -> bool>, ExitCode> {
+    let requested = Arc::new(AtomicBool::new(false));
+    for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
+        if let Err(error) = signal_hook::flag::register(signal, requested.clone()) {
+            tracing::error!(%error, "SIGTERM cannot be waited for");
+            return Err(ExitCode::FAILURE);
+        }
     }
+    let is_ending = Box::new(move || requested.load(Ordering::Relaxed));
+    reactor.add(Box::new(fleet.machine.with_end(is_ending)));
+    let view = fleet.view;
+    Ok(Box::new(move || view.borrow().members.local_record().status == MemberStatus::Left))
+}
+
+fn turn_until(reactor: &mut Reactor, has_ended: &dyn Fn() -> bool) -> Result<ExitCode, ExitCode> {
     loop {
-        if let Err(error) = reactor.turn(TURN) {
+        if let Err(error) = reactor.turn(MAX_TURN) {
             tracing::error!(%error, "epoll");
-            return ExitCode::FAILURE;
+            return Err(ExitCode::FAILURE);
         }
-        if left() {
-            return ExitCode::SUCCESS;
+        if has_ended() {
+            return Ok(ExitCode::SUCCESS);
         }
     }
 }
