--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! `drill`: plays a fault-injection scenario, prints what came of it, and exits 0 only if all rules held and no
-//! request went unanswered.
+//! `drill`: plays a fault-injection scenario, prints what came of it, and exits 0 only if all rules held and
+//! no request went unanswered.
 mod bad_day;
 mod membership;
 mod prefixes;
--- a/crates/cli/src/scenario/report.rs
+++ b/crates/cli/src/scenario/report.rs
@@ -28,8 +28,8 @@
 
 /// What was broken, as JSON.
 pub(super) fn broken_as_json(verdict: &Verdict) -> Vec<Value> {
-    let row = |(rule, (times, faults)): (&u8, &(usize, Vec<String>))| json!({"rule": rule, "times": times, "faults": faults});
-    verdict.broken.iter().map(row).collect()
+    let broken = verdict.broken.iter();
+    broken.map(|(rule, (times, faults))| json!({"rule": rule, "times": times, "faults": faults})).collect()
 }
 
 /// Prints the verdict on the five rules.
