--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -18,7 +18,7 @@
 
 proptest! {
     #[test]
-    fn as_a_plain_list(
+    fn indexes_agree_with_a_plain_list(
         steps in prop::collection::vec(
             (any::<bool>(), 0u64..4, 0u64..20, 0u8..40, 0u8..4, 0u8..2, 0u64..30, any::<(bool, bool)>()),
             1..150,
