--- a/crates/rendezvous/src/lib.rs
+++ b/crates/rendezvous/src/lib.rs
@@ -1,13 +1,14 @@
 //! Weighted rendezvous (highest random weight) hashing over many members.
 //!
-//! [`Members`] holds the members once. For each key a caller keeps a [`Prefix`]: the first members of the
+//! [`Members`] holds the members once. For each key a caller holds a [`Prefix`]: the first members of the
 //! key's order, exactly as sorting all of them would give, and no more of it than has been walked. A prefix
 //! costs memory by its length and not by the number of members. It follows joins, leaves and changes of
 //! weight through a bounded log of changes, and is scanned anew where it has fallen behind that log.
-//! [`PrefixCache`] keeps the prefixes of a bounded number of keys.
+//! [`PrefixCache`] holds the prefixes of a bounded number of keys.
 //!
-//! Which member comes first is the caller's matter: it gives the hash and the score as a [`Draw`].
-#![warn(missing_docs)]
+//! The caller decides which member comes first: it gives the hash and the score as a [`Draw`].
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod cache;
 mod change_log;
@@ -29,7 +30,7 @@
     /// What is put in order.
     type Member: Copy + Ord + Hash;
 
-    /// What of a member goes into the hash of each of its pairs; worked out once.
+    /// The part of a pair's hash that depends on the member alone; computed once for each member.
     fn digest(member: Self::Member) -> u64;
 
     /// Evenly spread bits of the pair of a key and a member's digest.
--- a/crates/rendezvous/src/members.rs
+++ b/crates/rendezvous/src/members.rs
@@ -5,27 +5,34 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// Members of like weight: within a factor of two, so that one bound on the hash serves all in a scan.
+/// Members whose weights have the same binary exponent, so that one bound on the hash serves all in a scan.
 struct WeightClass<M> {
     /// Bits of the weights' common exponent.
     exponent: u64,
+    // One entry a member, at the same index.
     members: Vec<M>,
     digests: Vec<u64>,
     weights: Vec<f64>,
 }
 
 impl<M> WeightClass<M> {
-    /// A weight that none in the class exceeds.
-    fn heaviest(&self) -> f64 {
+    /// An upper bound of the weights in the class.
+    fn max_weight(&self) -> f64 {
         f64::from_bits((self.exponent + 1) << f64::MANTISSA_DIGITS.saturating_sub(1))
     }
 }
 
 impl<M: Copy> WeightClass<M> {
-    /// Keeps the member that a scan has come upon if its score is within the cutoff. Few get here, so it
-    /// stays out of the loop.
+    /// Adds a member that a scan has found, if its score is within the cutoff. Few get here, so it stays out
+    /// of the loop.
     #[cold]
-    fn keep<D: Draw<Member = M>>(&self, found: &mut Vec<Ranked<M>>, index: usize, hash: u64, cutoff: f64) {
+    fn add_if_within<D: Draw<Member = M>>(
+        &self,
+        found: &mut Vec<Ranked<M>>,
+        index: usize,
+        hash: u64,
+        cutoff: f64,
+    ) {
         let weight = self.weights[index];
         let score = D::score(hash, weight);
         if score <= cutoff {
@@ -34,7 +41,7 @@
     }
 }
 
-/// Where a member stands.
+/// Where a member is stored.
 #[derive(Clone, Copy)]
 struct Slot {
     class: usize,
@@ -44,9 +51,11 @@
 /// The members that orders are drawn from. Memory: about 50 bytes a member.
 pub struct Members<D: Draw> {
     classes: Vec<WeightClass<D::Member>>,
+    /// Where each member is stored.
     slots: FxHashMap<D::Member, Slot>,
-    /// Members by weight (bits of positive numbers order as the numbers do), for exact sums without drift.
-    by_weight: BTreeMap<u64, usize>,
+    /// How many members have each weight (the bits of positive numbers order as the numbers do), for exact
+    /// sums without drift.
+    count_by_weight: BTreeMap<u64, usize>,
     total_weight: f64,
     log: ChangeLog<D::Member>,
 }
@@ -56,13 +65,14 @@
         Members {
             classes: Vec::new(),
             slots: FxHashMap::default(),
-            by_weight: BTreeMap::new(),
+            count_by_weight: BTreeMap::new(),
             total_weight: 0.0,
             log: ChangeLog::default(),
         }
     }
 }
 
+/// Bits of the weight's binary exponent.
 fn exponent(weight: f64) -> u64 {
     weight.to_bits() >> (f64::MANTISSA_DIGITS - 1)
 }
@@ -85,15 +95,18 @@
 
     /// The smallest weight; `None` without members.
     pub fn least_weight(&self) -> Option<f64> {
-        self.by_weight.keys().next().map(|bits| f64::from_bits(*bits))
+        self.count_by_weight.keys().next().map(|bits| f64::from_bits(*bits))
     }
 
-    /// Makes the member one of this weight, or no member at all. Costs nothing where that is so already.
+    /// Sets the weight of a member, or removes it where there is none. Costs nothing where nothing changes.
     ///
     /// # Panics
-    /// Where the weight is not a positive finite number.
+    /// If the weight is not a positive finite number.
     pub fn set(&mut self, member: D::Member, weight: Option<f64>) {
-        assert!(weight.is_none_or(|w| w > 0.0 && w.is_finite()), "weights are positive and finite");
+        assert!(
+            weight.is_none_or(|weight| weight > 0.0 && weight.is_finite()),
+            "weights are positive and finite"
+        );
         let before = self.slots.get(&member).map(|slot| self.classes[slot.class].weights[slot.index]);
         if before == weight {
             return;
@@ -106,15 +119,17 @@
             self.insert(member, new);
             self.count(new, true);
         }
-        self.total_weight = self.by_weight.iter().map(|(bits, n)| f64::from_bits(*bits) * *n as f64).sum();
+        self.total_weight =
+            self.count_by_weight.iter().map(|(bits, count)| f64::from_bits(*bits) * *count as f64).sum();
         self.log.push(Change { member, before, after: weight });
     }
 
+    /// Counts a member of this weight that joins or leaves.
     fn count(&mut self, weight: f64, joins: bool) {
-        let number = self.by_weight.entry(weight.to_bits()).or_default();
+        let number = self.count_by_weight.entry(weight.to_bits()).or_default();
         *number = if joins { *number + 1 } else { *number - 1 };
         if *number == 0 {
-            self.by_weight.remove(&weight.to_bits());
+            self.count_by_weight.remove(&weight.to_bits());
         }
     }
 
@@ -130,11 +145,11 @@
             });
             self.classes.len() - 1
         });
-        let of = &mut self.classes[class];
-        self.slots.insert(member, Slot { class, index: of.members.len() });
-        of.members.push(member);
-        of.digests.push(D::digest(member));
-        of.weights.push(weight);
+        let weight_class = &mut self.classes[class];
+        self.slots.insert(member, Slot { class, index: weight_class.members.len() });
+        weight_class.members.push(member);
+        weight_class.digests.push(D::digest(member));
+        weight_class.weights.push(weight);
     }
 
     fn remove(&mut self, member: D::Member) {
@@ -156,11 +171,11 @@
     pub(crate) fn scan(&self, key: D::Key, cutoff: f64) -> Vec<Ranked<D::Member>> {
         let mut found = Vec::new();
         for class in &self.classes {
-            let least = D::least_hash(cutoff, class.heaviest());
+            let least_hash = D::least_hash(cutoff, class.max_weight());
             for (index, digest) in class.digests.iter().enumerate() {
                 let hash = D::hash(key, *digest);
-                if hash >= least {
-                    class.keep::<D>(&mut found, index, hash, cutoff);
+                if hash >= least_hash {
+                    class.add_if_within::<D>(&mut found, index, hash, cutoff);
                 }
             }
         }
--- a/crates/rendezvous/src/prefix.rs
+++ b/crates/rendezvous/src/prefix.rs
@@ -1,13 +1,13 @@
-//! The kept beginning of one key's order.
+//! The beginning of one key's order.
 use crate::{Draw, Members};
 use std::cmp::Ordering;
 
 /// Members that a prefix holds to begin with, on average; each extension doubles that.
 pub const PREFIX_FIRST: usize = 8;
-/// A prefix more than so many times as long as what is walked of it is cut to half of that.
-const SLACK: usize = 4;
-/// What was once walked counts a sixteenth less at each later walk.
-const WALKED_FADE: usize = 16;
+/// A prefix longer than so many times what is walked of it is truncated to half of that.
+const MAX_LENGTH_FACTOR: usize = 4;
+/// The number of places walked decays by one part in so many at each refresh.
+const WALKED_DECAY: usize = 16;
 
 /// A member at its place in an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,22 +31,29 @@
 ///
 /// It belongs to one key and one [`Members`]; [`Prefix::refresh`] has to come before each walk.
 pub struct Prefix<M> {
+    /// All members whose score is at most `cutoff`, in order.
     entries: Vec<Ranked<M>>,
     cutoff: f64,
-    /// Hashes below this one, of members of at most this weight, are beyond the cutoff.
-    quick: (u64, f64),
-    /// The membership's version that the entries hold for.
+    /// A quick test: members with a hash below `least_hash` and a weight of at most `max_weight` are beyond
+    /// the cutoff.
+    least_hash: u64,
+    max_weight: f64,
+    /// Version of the members that the entries are valid for.
     version: u64,
-    /// Places walked lately; it fades.
+    /// Places walked recently, which decays.
     walked: usize,
 }
 
-/// An entry, and its place or the one where it would stand.
-type Search<M> = (Ranked<M>, Result<usize, usize>);
+/// Where a member belongs among the entries.
+struct Position<M> {
+    ranked: Ranked<M>,
+    /// Its place, or the one at which it would be inserted.
+    place: Result<usize, usize>,
+}
 
 impl<M> Default for Prefix<M> {
     fn default() -> Self {
-        Prefix { entries: Vec::new(), cutoff: 0.0, quick: (0, 0.0), version: 0, walked: 0 }
+        Prefix { entries: Vec::new(), cutoff: 0.0, least_hash: 0, max_weight: 0.0, version: 0, walked: 0 }
     }
 }
 
@@ -61,9 +68,9 @@
         self.entries.is_empty()
     }
 
-    /// Brings the prefix up to the members as they are now.
+    /// Updates the prefix to the members as they are now.
     pub fn refresh<D: Draw<Member = M>>(&mut self, members: &Members<D>, key: D::Key) {
-        self.walked -= self.walked / WALKED_FADE;
+        self.walked -= self.walked / WALKED_DECAY;
         let log = members.log();
         if self.version != log.version() {
             match log.since(self.version).filter(|_| self.cutoff > 0.0) {
@@ -80,10 +87,10 @@
             }
             self.version = log.version();
         }
-        self.shorten::<D>();
+        self.truncate::<D>();
     }
 
-    /// The member at a place of the order, from 0; `None` past the last one. Extends what is kept on demand.
+    /// The member at a place of the order, from 0; `None` past the last one. Extends the prefix on demand.
     pub fn get<D: Draw<Member = M>>(
         &mut self,
         members: &Members<D>,
@@ -97,7 +104,7 @@
         self.entries.get(place).copied()
     }
 
-    /// Twice as many as now, and so many that a half of all is the whole.
+    /// Doubles the expected length; a prefix that would hold half of all members holds all.
     fn extend<D: Draw<Member = M>>(&mut self, members: &Members<D>, key: D::Key) {
         let first = PREFIX_FIRST as f64 / members.total_weight();
         let cutoff = first.max(2.0 * self.cutoff);
@@ -105,52 +112,54 @@
         self.cutoff = if 2.0 * expected >= members.len() as f64 { f64::INFINITY } else { cutoff };
         self.entries = members.scan(key, self.cutoff);
         self.entries.shrink_to_fit();
-        self.look_quick::<D>();
+        self.update_least_hash::<D>();
     }
 
-    fn look_quick<D: Draw<Member = M>>(&mut self) {
-        let heaviest = 1.0_f64.max(self.quick.1);
-        self.quick = (D::least_hash(self.cutoff, heaviest), heaviest);
+    fn update_least_hash<D: Draw<Member = M>>(&mut self) {
+        self.max_weight = 1.0_f64.max(self.max_weight);
+        self.least_hash = D::least_hash(self.cutoff, self.max_weight);
     }
 
-    /// A member's place among the entries where it belongs to them: found, or where it would stand.
-    fn search<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: f64) -> Option<Search<M>> {
-        if weight > self.quick.1 {
-            self.quick.1 = weight;
-            self.look_quick::<D>();
+    /// Where a member belongs among the entries; `None` where it is beyond the cutoff.
+    fn search<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: f64) -> Option<Position<M>> {
+        if weight > self.max_weight {
+            self.max_weight = weight;
+            self.update_least_hash::<D>();
         }
         let hash = D::hash(key, D::digest(member));
-        if hash < self.quick.0 {
+        if hash < self.least_hash {
             return None;
         }
         let ranked = Ranked { score: D::score(hash, weight), weight, member };
-        let found = self.entries.binary_search_by(|entry| entry.order(&ranked));
-        Some((ranked, found)).filter(|(ranked, _)| ranked.score <= self.cutoff)
+        let place = self.entries.binary_search_by(|entry| entry.order(&ranked));
+        (ranked.score <= self.cutoff).then_some(Position { ranked, place })
     }
 
+    /// Removes a member that had this weight.
     fn leave<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: Option<f64>) {
         let found = weight.and_then(|weight| self.search::<D>(key, member, weight));
-        if let Some((_, Ok(place))) = found {
+        if let Some(Position { place: Ok(place), .. }) = found {
             self.entries.remove(place);
         }
     }
 
+    /// Inserts a member that has this weight.
     fn join<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: Option<f64>) {
         let found = weight.and_then(|weight| self.search::<D>(key, member, weight));
-        if let Some((ranked, Err(place))) = found {
+        if let Some(Position { ranked, place: Err(place) }) = found {
             self.entries.insert(place, ranked);
         }
     }
 
-    /// Gives back what is no longer walked; what stays is again all up to a cutoff.
-    fn shorten<D: Draw<Member = M>>(&mut self) {
+    /// Drops entries that are no longer walked; those that remain are again all up to a cutoff.
+    fn truncate<D: Draw<Member = M>>(&mut self) {
         let wanted = self.walked.max(PREFIX_FIRST);
-        if self.entries.len() <= SLACK * wanted {
+        if self.entries.len() <= MAX_LENGTH_FACTOR * wanted {
             return;
         }
-        self.entries.truncate(SLACK / 2 * wanted);
+        self.entries.truncate(MAX_LENGTH_FACTOR / 2 * wanted);
         self.entries.shrink_to_fit();
         self.cutoff = self.entries[self.entries.len() - 1].score;
-        self.look_quick::<D>();
+        self.update_least_hash::<D>();
     }
 }
--- a/crates/rendezvous/tests/order.rs
+++ b/crates/rendezvous/tests/order.rs
@@ -1,4 +1,4 @@
-//! The kept prefix beside a plain sort of all members.
+//! The prefix beside a plain sort of all members.
 use applepond_rendezvous::{Draw, Members, PREFIX_FIRST, Prefix};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -117,7 +117,7 @@
 
 proptest! {
     #[test]
-    fn as_a_plain_sort(steps in steps()) {
+    fn prefixes_agree_with_a_plain_sort(steps in steps()) {
         let mut members = Members::<Exponential>::default();
         let mut plain = BTreeMap::new();
         let mut prefixes: BTreeMap<u64, Prefix<u64>> = BTreeMap::new();
@@ -155,7 +155,7 @@
 
 /// More changes than the log keeps lie between two walks.
 #[test]
-fn a_prefix_that_fell_behind_the_log() {
+fn a_prefix_that_fell_behind_the_log_is_scanned_anew() {
     let mut members = Members::<Exponential>::default();
     let mut plain = BTreeMap::new();
     let mut prefix = Prefix::default();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn nobody_is_there() {
+fn without_members_there_is_no_order() {
     let mut members = Members::<Exponential>::default();
     let mut prefix = Prefix::default();
     assert_eq!(walk(&members, &mut prefix, 1, 3), Vec::<u64>::new());
@@ -218,6 +218,6 @@
 
 #[test]
 #[should_panic(expected = "positive")]
-fn weights_are_positive() {
+fn a_weight_that_is_not_positive_panics() {
     Members::<Exponential>::default().set(1, Some(0.0));
 }
