--- a/crates/gateway/benches/pushback.rs
+++ b/crates/gateway/benches/pushback.rs
@@ -1,4 +1,5 @@
-//! What an answer costs that is pushed back in a storm: `cargo bench -p applepond-gateway --bench pushback`.
+//! What the rejection of a request costs in a retry storm: `cargo bench -p applepond-gateway --bench
+//! pushback`.
 //!
 //! First the gateway alone, without sockets; then one instance on loopback whose only worker hangs, and
 //! clients that all ask again: over connections that stand, and over a new one each time. CPU is that of the
@@ -69,7 +70,7 @@
     std::str::from_utf8(&buffer[..got]).ok().and_then(|t| t.get(9..12)?.parse().ok()).unwrap_or(0)
 }
 
-/// (answers a second, µs of CPU each, share pushed back)
+/// (answers a second, µs of CPU each, share rejected)
 fn sockets(anew: bool) -> (f64, f64, f64) {
     let hangs = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut deployment = common::deployment(1);
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -40,8 +40,8 @@
 }
 
 impl Gateway {
-    /// Takes one event. Longer than a screen, as the request is put together here field by field; the checks
-    /// are in the order in which clients know them, each in a method of its own.
+    /// Takes one event. Longer than a screen, as the request is put together here field by field. The order
+    /// of the checks decides which refusal an event gets that fails several, so it must stay.
     pub(super) fn accept_event(
         &mut self,
         now: Micros,
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -393,7 +393,7 @@
 }
 
 // Two thousand retries of different clients within four seconds, to an instance that has seen nothing before:
-// told from work, most are sent back before the module, each with a time of its own; the state page says why.
+// told from work, most are rejected before Control, each with a time of its own; the state page says why.
 // Undamped all go in.
 #[test_case(true; "damped")]
 #[test_case(false; "not damped")]
@@ -445,7 +445,7 @@
     assert_eq!(sim.now > begun + S, damping, "4,000 do not come in at once");
 }
 
-// A time that the module named while all was calm is remembered: whoever comes before it did not follow.
+// A time that Control named while all was calm is remembered: whoever comes before it did not follow.
 #[test]
 fn retry_after_is_followed_or_not() {
     let mut sim = SimulatedGateway::new(deployment(0));
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! One router on a paper wire: hard cases, each by what its peers see.
+//! One router on a simulated network: hard cases, each by what its peers see.
 mod common;
 use applepond_node::ProcessEvent;
 use applepond_reactor::Closed;
