--- a/crates/quota/benches/office.rs
+++ b/crates/quota/benches/quota.rs
@@ -1,48 +1,48 @@
-//! Leases beside the even division on the paper network: how much of the whole is used over time, how long a
-//! new division takes, what it costs; and what one spend costs. A word that ends in `.svg` is a
-//! file for the chart. `cargo bench -p applepond-quota --bench office -- docs/x.svg`.
+//! Leases beside the even division on the simulated network: how much of the total is used over time, how
+//! long a new division takes, what it costs; and what one spend costs. A word that ends in `.svg` is a file
+//! for the chart. `cargo bench -p applepond-quota --bench quota -- docs/x.svg`.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use applepond_quota::*;
+use applepond_quota::{Lessee, UNIT};
 use common::*;
 use plotters::prelude::*;
 use std::hint::black_box;
 use std::time::Instant;
 
-/// s of the play; traffic moves to another router at the second, and the divider dies at the third.
+/// s of the play; traffic moves to another router at the second, and the allocator dies at the third.
 const PLAY: u64 = 40;
 const MOVES: u64 = 15;
 const DIES: u64 = 25;
 
-/// One with ten times the mean, the rest alike, together half above the whole.
+/// One with ten times the mean, the rest alike, together half above the total.
 fn skewed(routers: usize, hot: usize) -> Vec<f64> {
     let mean = 1_500.0 / routers as f64;
     let rest = (1_500.0 - 10.0 * mean) / (routers - 1) as f64;
     (0..routers).map(|n| if n == hot { 10.0 * mean } else { rest }).collect()
 }
 
-/// Parts of the whole used in each second.
+/// Parts of the total used in each second.
 fn leases(routers: usize) -> Vec<f64> {
     let mut world = World::new(1, routers);
     let mut used = Vec::new();
     for second in 0..PLAY {
         world.wants = skewed(routers, if second < MOVES { routers - 1 } else { routers - 2 });
         if second == DIES {
-            world.dividers().into_iter().for_each(|n| world.kill(n));
+            world.allocators().into_iter().for_each(|n| world.kill(n));
         }
         let before = world.spent;
         world.pass(S);
-        used.push((world.spent - before) as f64 * UNIT as f64 / WHOLE as f64);
+        used.push((world.spent - before) as f64 * UNIT as f64 / TOTAL as f64);
     }
     used
 }
 
-/// The same demand, each with the whole divided by their number.
+/// The same demand, each with the total divided by their number.
 fn even(routers: usize) -> Vec<f64> {
-    let part = WHOLE as f64 / UNIT as f64 / routers as f64;
+    let share = TOTAL as f64 / UNIT as f64 / routers as f64;
     let second = |at: u64| {
         let wants = skewed(routers, if at < MOVES { routers - 1 } else { routers - 2 });
-        wants.iter().map(|w| w.min(part)).sum::<f64>() / (WHOLE / UNIT) as f64
+        wants.iter().map(|w| w.min(share)).sum::<f64>() / (TOTAL / UNIT) as f64
     };
     (0..PLAY).map(second).collect()
 }
@@ -60,7 +60,7 @@
         world.pass(10 * S);
         let cpu = begun.elapsed().as_secs_f64() * 1e3 / 10.0 / routers as f64;
         let messages = (world.messages - messages) as f64 / 10.0 / routers as f64;
-        world.dividers().into_iter().for_each(|n| world.kill(n));
+        world.allocators().into_iter().for_each(|n| world.kill(n));
         world.pass(4 * S);
         let anew = world.until(90, 60 * S).map(|time| (4 * S + time) / MS);
         println!(
@@ -73,10 +73,10 @@
         println!("| {routers} | used each second: {} | | |", each.join(" "));
         plays.push((routers, used, plain));
     }
-    let mut holder = Holder::new(0, &[row(20)]);
+    let mut lessee = Lessee::new(0, &[budget(20)]);
     let begun = Instant::now();
     let many = 10_000_000u64;
-    let spent = (0..many).filter(|n| holder.spend(black_box(n * 100), 0, UNIT)).count();
+    let spent = (0..many).filter(|n| lessee.spend(black_box(n * 100), 0, UNIT)).count();
     println!("a spend: {:.1} ns ({spent} of {many})", begun.elapsed().as_nanos() as f64 / many as f64);
     if let Some(file) = std::env::args().find(|w| w.ends_with(".svg")) {
         chart(&plays, &file).expect("a chart");
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,93 +1,60 @@
-//! What all routers share, divided among them: each has a floor that is always its own, and a part above it
-//! as a lease. The sum of all parts in force is never above the whole, whatever is lost, late, stopped or
-//! killed: the holder counts its lease from before it asked, the giver from after it gave, and a part is
-//! looked at where it is spent. Only monotonic clocks count, and that two of them drift apart by `DRIFT` at
-//! most. Who is there and what it needs decides how the whole is divided, never whether the sum holds. See
-//! docs/quota.md.
-mod divider;
-mod holder;
+//! Budgets that all routers share, divided among them by need.
+//!
+//! Each router has a floor of each budget that is always its own, and a share above it as a lease. The sum of
+//! all shares in force is never above the total, however many messages are lost or delayed and whichever
+//! processes are paused or killed: the lessee counts its lease from before it asked, the allocator from after
+//! it granted, and a share is checked where it is spent. Only monotonic clocks count, and two of them drift
+//! apart by [`CLOCK_DRIFT`] at most. Which routers are alive and what they need decides how the total is
+//! divided, never whether the sum holds.
+//!
+//! All types are state machines without I/O. `docs/quota.md` explains why the sum holds.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
+mod allocator;
+mod budget;
+mod guards;
+mod lessee;
 pub mod message;
-mod office;
+mod service;
 
-pub use divider::{Divider, fair};
-pub use holder::Holder;
-pub use office::{Actions, Office, Place, Term};
+pub use allocator::{Allocator, max_min_fair_shares};
+pub use budget::{Amount, Budget, UNIT};
+pub use guards::Guards;
+pub use lessee::Lessee;
+pub use message::{LeaseGrant, LeaseRequest};
+pub use service::{QuotaActions, QuotaService, ServiceConfig, Term};
 
 use applepond::interface::Micros;
 
-// ---- Constants: unit, and why this size ------------------------------------------------
-
-/// µs of a lease: a few renewals may be lost, and a dead router's part is back soon.
-pub const LEASE: Micros = 2_000_000;
-/// µs between two asks of a holder.
-pub const RENEW: Micros = 400_000;
-/// µs for which a divider may give after it began to have its term confirmed.
-pub const AUTHORITY: Micros = 2_000_000;
-/// µs between two confirmations of a term: three may fail within its authority.
-pub const CONFIRM: Micros = 500_000;
-/// µs for which nobody who divides is heard of before a keeper's router takes over, and more by chance.
-pub const TAKE_OVER: Micros = 1_500_000;
-/// Part by which a µs of one machine may be longer than that of another: ten times what quartz does.
-pub const DRIFT: f64 = 0.001;
-/// Asks of which a holder remembers when it sent them: more than can be under way within a lease.
-pub const ASKS_MOST: usize = 16;
-/// Leases that a divider remembers of one holder; beyond it nothing is given until some have run out.
-pub const GIVEN_MOST: usize = 32;
-/// Holders that a divider knows at most; a further one keeps to its floor.
-pub const HOLDERS_MOST: usize = 8_192;
-/// A need is told above what was asked for by one part in so many: what is spare is lost to others.
-pub const SPARE: u64 = 32;
-/// µs of its part that a bucket may hold, and millionths of a unit that it may hold at least: with one unit a
-/// small part would lose what comes between two requests. The burst of all is so much of the whole and two
-/// units a router.
-pub const BURST: Micros = 100_000;
-pub const LEAST: u64 = 2 * UNIT;
-pub const UNIT: u64 = 1_000_000;
-
-/// A time as another machine may count it, at the longest.
-pub fn at_most(time: Micros) -> Micros {
-    time + (time as f64 * DRIFT).ceil() as Micros
-}
-
-/// Units a second, in millionths.
-pub type Amount = u64;
-
-/// One budget: what all share, and what is always each router's own. Both follow the settings.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row {
-    pub whole: Amount,
-    pub floor: Amount,
-}
-
-impl Row {
-    /// What is left to divide once each router that could ever be there has its floor.
-    pub fn above(&self, routers: u64) -> Amount {
-        self.whole.saturating_sub(self.floor.saturating_mul(routers))
-    }
-}
-
-/// What keeps the sum below the whole. Each can be taken out, to prove the tests and drills that would find
-/// it missing; in service all are in place.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Guards {
-    /// A part rises only by what others have let go of, or whose leases have run out.
-    pub shrinks_first: bool,
-    /// A lease counts from when it was asked for.
-    pub from_the_ask: bool,
-    /// A lease is looked at where it is spent.
-    pub looks_when_spent: bool,
-    /// A part that moves brings no tokens along.
-    pub mints_nothing: bool,
-    /// A divider gives only while its term was confirmed lately; a new one waits for the leases before it.
-    pub one_divides: bool,
-}
-
-impl Guards {
-    pub const ALL: Guards = Guards {
-        shrinks_first: true,
-        from_the_ask: true,
-        looks_when_spent: true,
-        mints_nothing: true,
-        one_divides: true,
-    };
+/// How long a lease lasts, in µs: some renewals may be lost, and a dead router's share is back soon.
+pub const LEASE_DURATION: Micros = 2_000_000;
+/// Time between two requests of a lessee, in µs.
+pub const LEASE_RENEWAL_INTERVAL: Micros = 400_000;
+/// How long an allocator may grant after it began to have its term confirmed, in µs.
+pub const TERM_AUTHORITY: Micros = 2_000_000;
+/// Time between two confirmations of a term, in µs: three may fail within its authority.
+pub const TERM_CONFIRMATION_INTERVAL: Micros = 500_000;
+/// How long nothing is heard of an allocator before a replica takes over, in µs, and the size of the random
+/// range on top of it.
+pub const ALLOCATOR_TIMEOUT: Micros = 1_500_000;
+/// The part by which a µs of one machine may be longer than that of another: ten times what quartz does.
+pub const CLOCK_DRIFT: f64 = 0.001;
+/// The most requests of which a lessee remembers when it sent them: more than can be under way in a lease.
+pub const MAX_REMEMBERED_REQUESTS: usize = 16;
+/// The most leases of one lessee that an allocator remembers. Beyond it nothing is granted until some expire.
+pub const MAX_LEASES_PER_LESSEE: usize = 32;
+/// The most lessees that an allocator knows. A further one keeps to its floor.
+pub const MAX_LESSEES: usize = 8_192;
+/// A need is stated above the demand by one part in this number: what is spare is lost to others.
+pub const NEED_MARGIN_DIVISOR: u64 = 32;
+/// How much of its share a token bucket may hold, in µs. The burst of all routers is so much of the total,
+/// and [`MIN_BURST`] a router.
+pub const BURST_DURATION: Micros = 100_000;
+/// What a token bucket may hold at least, in millionths of a unit: with one unit a small share would lose
+/// what comes between two requests.
+pub const MIN_BURST: u64 = 2 * UNIT;
+
+/// A time as another machine may count it, at the longest, in µs.
+pub fn with_clock_drift(time: Micros) -> Micros {
+    time + (time as f64 * CLOCK_DRIFT).ceil() as Micros
 }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,121 +1,173 @@
-//! Messages between offices: a kind, then what it says, as postcard writes it. A message is read whole before
-//! any of it counts.
-use crate::office::{Actions, Term};
-use crate::*;
-use applepond_consensus::Ballot;
+//! Messages of the quota service: a tag, a kind, then the sender and the contents in postcard's format.
+//!
+//! A message is decoded as a whole before any of it counts. The order of the parts of each message is its
+//! format between versions of the router.
+use crate::{Amount, QuotaActions, QuotaService, Term};
+use applepond::interface::Micros;
+use applepond_consensus::{AcceptorStorage, Ballot, Promise};
 use applepond_membership::{InstanceId, RouterId};
-use serde::Serialize;
 use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use std::fmt::{Display, Formatter};
 
-/// First byte of each message here; those of `members` begin with a small number.
-pub const MARK: u8 = 0xb0;
-/// Budgets at most: what is told of all of them has to fit into one message.
-pub const BUDGETS_MOST: usize = 64;
+/// The first byte of each message here. Those of membership begin with a small number.
+pub const PROTOCOL_TAG: u8 = 0xb0;
+/// The most budgets: what is said of all of them has to fit into one message.
+pub const MAX_BUDGETS: usize = 64;
 
-const PROMISE: u8 = 1;
+const PREPARE: u8 = 1;
 const ACCEPT: u8 = 2;
 const PROMISED: u8 = 3;
 const ACCEPTED: u8 = 4;
-const REFUSED: u8 = 5;
-const ASK: u8 = 6;
-const GIVEN: u8 = 7;
-const ELSEWHERE: u8 = 8;
+const REJECTED: u8 = 5;
+const LEASE_REQUEST: u8 = 6;
+const LEASE_GRANT: u8 = 7;
+const REDIRECT: u8 = 8;
 
-/// Actions as messages of this router, each with whom it is for.
-pub struct Written {
-    pub me: RouterId,
+/// A lessee's request for the next leases. The order of the fields is the format of the message.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LeaseRequest {
+    /// The process that asks.
+    pub lessee: InstanceId,
+    /// Its settings, as [`ServiceConfig::digest`](crate::ServiceConfig::digest) has them.
+    pub settings_digest: u64,
+    /// The number of the request, which only rises.
+    pub number: u64,
+    /// The number of the request whose answer is in force.
+    pub in_force: u64,
+    /// The need of each budget.
+    pub need: Vec<Amount>,
+}
+
+/// The answer to a request for leases. The order of the fields is the format of the message.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LeaseGrant {
+    /// The process that asked.
+    pub lessee: InstanceId,
+    /// The number of its request.
+    pub number: u64,
+    /// Its share of each budget, above its floor.
+    pub extra: Vec<Amount>,
+}
+
+/// A message that is not used. It changes nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MalformedMessage;
+
+impl Display for MalformedMessage {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str("a message that ends early, goes on after its end or holds what no message holds")
+    }
+}
+
+impl std::error::Error for MalformedMessage {}
+
+/// Actions as messages of this router.
+pub struct MessageWriter {
+    sender: RouterId,
+    /// The messages so far, each with its receiver.
     pub messages: Vec<(RouterId, Vec<u8>)>,
 }
 
-impl Written {
-    pub fn by(me: RouterId) -> Self {
-        Written { me, messages: Vec::new() }
+impl MessageWriter {
+    /// A writer without messages.
+    pub fn new(sender: RouterId) -> Self {
+        MessageWriter { sender, messages: Vec::new() }
     }
 
-    fn put(&mut self, to: RouterId, kind: u8, parts: &impl Serialize) {
-        // Numbers and ids always can be written.
-        if let Ok(bytes) = postcard::to_extend(&(self.me, parts), vec![MARK, kind]) {
+    fn write(&mut self, to: RouterId, kind: u8, contents: &impl Serialize) {
+        // Numbers and ids can always be written.
+        if let Ok(bytes) = postcard::to_extend(&(self.sender, contents), vec![PROTOCOL_TAG, kind]) {
             self.messages.push((to, bytes));
         }
     }
 }
 
-impl Actions for Written {
-    fn promise(&mut self, to: RouterId, ballot: Ballot) {
-        self.put(to, PROMISE, &ballot);
+impl QuotaActions for MessageWriter {
+    fn prepare(&mut self, to: RouterId, ballot: Ballot) {
+        self.write(to, PREPARE, &ballot);
     }
     fn accept(&mut self, to: RouterId, ballot: Ballot, term: &Term) {
-        self.put(to, ACCEPT, &(ballot, term));
+        self.write(to, ACCEPT, &(ballot, term));
     }
-    fn promised(&mut self, to: RouterId, ballot: Ballot, before: Ballot, accepted: Option<(Ballot, Term)>) {
-        self.put(to, PROMISED, &(ballot, before, accepted));
+    fn promised(&mut self, to: RouterId, promise: &Promise<Term>) {
+        let Promise { ballot, previous, accepted } = promise;
+        self.write(to, PROMISED, &(ballot, previous, accepted));
     }
     fn accepted(&mut self, to: RouterId, ballot: Ballot) {
-        self.put(to, ACCEPTED, &ballot);
+        self.write(to, ACCEPTED, &ballot);
     }
-    fn refused(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
-        self.put(to, REFUSED, &(ballot, promised));
+    fn rejected(&mut self, to: RouterId, ballot: Ballot, promised: Ballot) {
+        self.write(to, REJECTED, &(ballot, promised));
     }
-    fn ask(
-        &mut self,
-        to: RouterId,
-        instance_id: InstanceId,
-        settings: u64,
-        numbers: (u64, u64),
-        need: &[Amount],
-    ) {
-        self.put(to, ASK, &(instance_id, settings, numbers, need));
+    fn request_leases(&mut self, to: RouterId, request: &LeaseRequest) {
+        self.write(to, LEASE_REQUEST, request);
     }
-    fn given(&mut self, to: RouterId, instance_id: InstanceId, number: u64, extra: &[Amount]) {
-        self.put(to, GIVEN, &(instance_id, number, extra));
+    fn grant_leases(&mut self, to: RouterId, grant: &LeaseGrant) {
+        self.write(to, LEASE_GRANT, grant);
     }
-    fn elsewhere(&mut self, to: RouterId, divides: RouterId) {
-        self.put(to, ELSEWHERE, &divides);
+    fn redirect(&mut self, to: RouterId, allocator: RouterId) {
+        self.write(to, REDIRECT, &allocator);
     }
 }
 
-/// All of a message, and nothing after it.
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(part, _)| part)
+/// Decodes the sender and the contents, with nothing after them.
+fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<(RouterId, T), MalformedMessage> {
+    match postcard::take_from_bytes(bytes) {
+        Ok((message, [])) => Ok(message),
+        _ => Err(MalformedMessage),
+    }
 }
 
-/// Reads a message to an office, found to be of its fleet. None: it cannot be read, and nothing has happened.
-pub fn read(
-    bytes: &[u8],
+/// Hands a message to the service, which answers by `actions`. The message has to be known to be of its
+/// fleet.
+///
+/// # Errors
+/// The message cannot be decoded; nothing has changed.
+pub fn handle_message(
+    message: &[u8],
     now: Micros,
-    office: &mut Office,
-    disk: &mut dyn applepond_consensus::AcceptorStorage<Term>,
-    live: &dyn Fn(RouterId) -> bool,
-    orders: &mut dyn Actions,
-) -> Option<()> {
-    let [MARK, kind, rest @ ..] = bytes else { return None };
-    let (from, rest) = postcard::take_from_bytes::<RouterId>(rest).ok()?;
+    service: &mut QuotaService,
+    storage: &mut dyn AcceptorStorage<Term>,
+    is_alive: &dyn Fn(RouterId) -> bool,
+    actions: &mut dyn QuotaActions,
+) -> Result<(), MalformedMessage> {
+    let [PROTOCOL_TAG, kind, contents @ ..] = message else { return Err(MalformedMessage) };
     match *kind {
-        PROMISE => office.promise(from, whole(rest)?, disk, orders),
+        PREPARE => {
+            let (from, ballot) = decode(contents)?;
+            service.on_prepare(from, ballot, storage, actions);
+        }
         ACCEPT => {
-            let (ballot, term) = whole(rest)?;
-            office.accept(from, ballot, term, now, disk, orders);
+            let (from, proposal): (_, (Ballot, Term)) = decode(contents)?;
+            service.on_accept(now, from, proposal, storage, actions);
         }
         PROMISED => {
-            let (ballot, before, accepted) = whole(rest)?;
-            office.promised(now, from, (ballot, before), accepted, live, orders);
+            let (from, (ballot, previous, accepted)) = decode(contents)?;
+            let promise = Promise { ballot, previous, accepted };
+            service.on_promised(now, from, promise, is_alive, actions);
+        }
+        ACCEPTED => {
+            let (from, ballot) = decode(contents)?;
+            service.on_accepted(now, from, ballot);
+        }
+        REJECTED => {
+            let (_, (ballot, promised)) = decode(contents)?;
+            service.on_rejected(now, ballot, promised);
         }
-        ACCEPTED => office.accepted(now, from, whole(rest)?),
-        REFUSED => {
-            let (ballot, promised) = whole(rest)?;
-            office.refused(now, ballot, promised);
+        LEASE_REQUEST => {
+            let (from, request) = decode(contents)?;
+            service.on_lease_request(now, from, &request, actions);
         }
-        ASK => {
-            let (instance_id, settings, numbers, need) =
-                whole::<(InstanceId, u64, (u64, u64), Vec<Amount>)>(rest)?;
-            office.asked(now, from, (instance_id, settings), numbers, &need, orders);
+        LEASE_GRANT => {
+            let (from, grant) = decode(contents)?;
+            service.on_grant(now, from, &grant);
         }
-        GIVEN => {
-            let (instance_id, number, extra) = whole::<(InstanceId, u64, Vec<Amount>)>(rest)?;
-            office.given(now, from, instance_id, number, &extra);
+        REDIRECT => {
+            let (_, allocator) = decode(contents)?;
+            service.on_redirect(now, allocator, is_alive);
         }
-        ELSEWHERE => office.elsewhere(now, whole(rest)?, live),
-        _ => return None,
+        _ => return Err(MalformedMessage),
     }
-    Some(())
+    Ok(())
 }
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -1,19 +1,22 @@
-//! Offices on a paper network, three of them keepers; the sum of what is in force is judged at each step.
+//! Quota services on a simulated network, three of them replicas; the sum of what is in force is judged at
+//! each step.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage};
 use applepond_membership::{InstanceId, RouterId};
-use applepond_quota::message::{Written, read};
-use applepond_quota::*;
+use applepond_quota::message::{MessageWriter, handle_message};
+use applepond_quota::{
+    Amount, BURST_DURATION, Budget, CLOCK_DRIFT, Guards, MIN_BURST, QuotaService, ServiceConfig, Term, UNIT,
+};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 pub const STEP: u64 = 10 * MS;
-pub const KEEPERS: usize = 3;
+pub const REPLICAS: usize = 3;
 pub const FLEET: u64 = 9;
 /// 1,000 units a second; a fifth of it is floors.
-pub const WHOLE: Amount = 1_000 * UNIT;
+pub const TOTAL: Amount = 1_000 * UNIT;
 
 #[derive(Default)]
 pub struct Disk(pub Option<AcceptorState<Term>>);
@@ -26,7 +29,7 @@
 }
 
 pub struct Process {
-    pub office: Office,
+    pub service: QuotaService,
     pub begins: u64,
     pub rate: f64,
     pub stopped: u64,
@@ -63,39 +66,39 @@
     pub instance_ids: u64,
 }
 
-pub fn row(routers: usize) -> Row {
-    Row { whole: WHOLE, floor: WHOLE / 5 / routers as u64 }
+pub fn budget(routers: usize) -> Budget {
+    Budget { total: TOTAL, floor: TOTAL / 5 / routers as u64 }
 }
 
 pub fn name(n: usize) -> RouterId {
     RouterId(n as u64)
 }
 
-pub fn office(
+pub fn service(
     now: u64,
     (n, routers): (usize, usize),
     instance_id: u64,
     found: Option<AcceptorState<Term>>,
-) -> Office {
-    let row = row(routers);
-    let place = Place {
-        name: name(n),
+) -> QuotaService {
+    let budget = budget(routers);
+    let config = ServiceConfig {
+        router: name(n),
         instance_id: InstanceId(instance_id),
-        keepers: (0..KEEPERS).map(name).collect(),
+        replicas: (0..REPLICAS).map(name).collect(),
         routers: routers as u64,
-        rows: vec![row],
+        budgets: vec![budget],
     };
-    Office::new(now, place, (n < KEEPERS).then(|| Acceptor::new(FLEET, Ok(found))), instance_id)
+    QuotaService::new(now, config, (n < REPLICAS).then(|| Acceptor::new(FLEET, Ok(found))), instance_id)
 }
 
 impl World {
     pub fn new(seed: u64, routers: usize) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
         let all = (0..routers).map(|n| {
-            let (begins, rate) = (rng.rand_range(0..1 << 40), 1.0 + rng.rand_float() * DRIFT * 0.9);
-            let office = office(begins, (n, routers), n as u64 + 1, None);
+            let (begins, rate) = (rng.rand_range(0..1 << 40), 1.0 + rng.rand_float() * CLOCK_DRIFT * 0.9);
+            let service = service(begins, (n, routers), n as u64 + 1, None);
             let (mail, disk) = (VecDeque::new(), Disk::default());
-            Process { office, begins, rate, stopped: 0, runs: true, mail, disk, owed: 0.0, silent: None }
+            Process { service, begins, rate, stopped: 0, runs: true, mail, disk, owed: 0.0, silent: None }
         });
         let all = all.collect();
         let (net, cut) = (BTreeMap::new(), BTreeSet::new());
@@ -128,8 +131,8 @@
         self.guards = guards;
         for n in 0..self.all.len() {
             let now = self.clock(n);
-            let fresh = office(now, (n, self.all.len()), n as u64 + 1, None);
-            self.all[n].office = fresh.with_guards(guards);
+            let fresh = service(now, (n, self.all.len()), n as u64 + 1, None);
+            self.all[n].service = fresh.with_guards(guards);
         }
         self
     }
@@ -143,7 +146,7 @@
     pub fn start(&mut self, n: usize) {
         self.instance_ids += 1;
         let (now, found) = (self.clock(n), self.all[n].disk.0.clone());
-        self.all[n].office = office(now, (n, self.all.len()), self.instance_ids, found);
+        self.all[n].service = service(now, (n, self.all.len()), self.instance_ids, found);
         (self.all[n].runs, self.all[n].stopped) = (true, 0);
     }
 
@@ -193,15 +196,15 @@
             process.owed += wants * STEP as f64 / S as f64;
             while process.owed >= 1.0 {
                 process.owed -= 1.0;
-                self.spent += u64::from(process.office.holder.spend(now, 0, UNIT));
+                self.spent += u64::from(process.service.lessee.spend(now, 0, UNIT));
             }
-            let mut out = Written::by(name(n));
-            let Process { office, mail, disk, .. } = process;
+            let mut out = MessageWriter::new(name(n));
+            let Process { service, mail, disk, .. } = process;
             for message in std::mem::take(mail) {
-                read(&message, now, office, disk, &live, &mut out).expect("whole");
+                handle_message(&message, now, service, disk, &live, &mut out).expect("whole");
             }
-            if now >= office.next() {
-                office.wake(now, &live, &mut out);
+            if now >= service.next_wakeup() {
+                service.wake(now, &live, &mut out);
             }
             for (to, message) in out.messages {
                 let to = to.0 as usize;
@@ -225,11 +228,12 @@
         self.judge();
     }
 
-    /// Never parts of more than the whole in force, nor more spent in a second than it and the burst.
+    /// Never shares above the total in force, nor more spent in a second than it and the burst.
     fn judge(&mut self) {
         let (sum, spent) = (self.sum(), self.window.iter().sum::<u64>() * UNIT);
-        let burst = (WHOLE as f64 * (DRIFT + BURST as f64 / S as f64)) as u64 + LEAST * self.all.len() as u64;
-        if sum > WHOLE || spent > WHOLE + burst {
+        let burst = (TOTAL as f64 * (CLOCK_DRIFT + BURST_DURATION as f64 / S as f64)) as u64
+            + MIN_BURST * self.all.len() as u64;
+        if sum > TOTAL || spent > TOTAL + burst {
             let at = self.now as f64 / S as f64;
             let what =
                 format!("{at:.2} s: {} units in force, {} spent in a second", sum / UNIT, spent / UNIT);
@@ -239,14 +243,14 @@
     }
 
     pub fn sum(&self) -> Amount {
-        let part =
-            |n: usize| if self.all[n].runs { self.all[n].office.holder.part(self.clock(n), 0) } else { 0 };
-        (0..self.all.len()).map(part).sum()
+        let share =
+            |n: usize| if self.all[n].runs { self.all[n].service.lessee.share(self.clock(n), 0) } else { 0 };
+        (0..self.all.len()).map(share).sum()
     }
 
-    pub fn dividers(&self) -> Vec<usize> {
+    pub fn allocators(&self) -> Vec<usize> {
         (0..self.all.len())
-            .filter(|n| self.all[*n].runs && self.all[*n].office.is_divider(self.clock(*n)))
+            .filter(|n| self.all[*n].runs && self.all[*n].service.is_allocator(self.clock(*n)))
             .collect()
     }
 
@@ -257,12 +261,12 @@
         }
     }
 
-    /// µs until this part of the whole is in force.
-    pub fn until(&mut self, part: u64, most: u64) -> Option<u64> {
+    /// µs until this part of the total is in force.
+    pub fn until(&mut self, share: u64, most: u64) -> Option<u64> {
         let begun = self.now;
         while self.now < begun + most {
             self.step();
-            if self.sum() >= WHOLE * part / 100 {
+            if self.sum() >= TOTAL * share / 100 {
                 return Some(self.now - begun);
             }
         }
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,13 +1,18 @@
 //! Bytes of messages between processes: a version that writes others cannot run beside the one before.
-use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot};
+use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Promise};
 use applepond_membership::{InstanceId, RouterId};
-use applepond_quota::message::{self, Written};
-use applepond_quota::*;
+use applepond_quota::message::{self, MessageWriter};
+use applepond_quota::{Budget, LeaseGrant, LeaseRequest, QuotaActions, QuotaService, ServiceConfig, Term};
 
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 
 fn term() -> Term {
-    Term { number: 12, name: RouterId(4_000_000_007), by: InstanceId(55), settings: 0xdead_beef }
+    Term {
+        number: 12,
+        router: RouterId(4_000_000_007),
+        instance_id: InstanceId(55),
+        settings_digest: 0xdead_beef,
+    }
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -15,17 +20,23 @@
 }
 
 fn messages() -> Vec<Vec<u8>> {
-    let mut written = Written::by(ME);
+    let mut written = MessageWriter::new(ME);
     let to = RouterId(5);
-    written.promise(to, ballot(7));
+    written.prepare(to, ballot(7));
     written.accept(to, ballot(8), &term());
-    written.promised(to, ballot(7), ballot(2), Some((ballot(2), term())));
-    written.promised(to, ballot(7), ballot(2), None);
+    let accepted = Some((ballot(2), term()));
+    let full = Promise { ballot: ballot(7), previous: ballot(2), accepted };
+    written.promised(to, &full);
+    written.promised(to, &Promise { accepted: None, ..full });
     written.accepted(to, ballot(8));
-    written.refused(to, ballot(8), ballot(9));
-    written.ask(to, InstanceId(77), 0xdead_beef, (3, 4), &[1, 200, 70_000]);
-    written.given(to, InstanceId(77), 4, &[1, 200, 70_000]);
-    written.elsewhere(to, RouterId(6));
+    written.rejected(to, ballot(8), ballot(9));
+    let need = vec![1, 200, 70_000];
+    let lessee = InstanceId(77);
+    let request =
+        LeaseRequest { lessee, settings_digest: 0xdead_beef, number: 3, in_force: 4, need: need.clone() };
+    written.request_leases(to, &request);
+    written.grant_leases(to, &LeaseGrant { lessee, number: 4, extra: need });
+    written.redirect(to, RouterId(6));
     written.messages.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
@@ -45,13 +56,14 @@
 
 #[test]
 fn messages_are_read() {
-    let rows = vec![Row { whole: 1_000, floor: 10 }];
-    let place = Place { name: ME, instance_id: InstanceId(1), keepers: vec![ME], routers: 3, rows };
-    let mut office = Office::new(0, place, Some(Acceptor::new(3, Ok(None))), 1);
+    let budgets = vec![Budget { total: 1_000, floor: 10 }];
+    let config =
+        ServiceConfig { router: ME, instance_id: InstanceId(1), replicas: vec![ME], routers: 3, budgets };
+    let mut service = QuotaService::new(0, config, Some(Acceptor::new(3, Ok(None))), 1);
     for bytes in messages() {
-        let mut answers = Written::by(ME);
-        let read = message::read(&bytes, 0, &mut office, &mut Memory, &|_| true, &mut answers);
-        assert_eq!(read, Some(()), "{}", hex::encode(&bytes));
+        let mut answers = MessageWriter::new(ME);
+        let read = message::handle_message(&bytes, 0, &mut service, &mut Memory, &|_| true, &mut answers);
+        assert_eq!(read, Ok(()), "{}", hex::encode(&bytes));
     }
 }
 
