--- a/crates/admission/benches/sketch.rs
+++ b/crates/admission/benches/sketch.rs
@@ -1,5 +1,5 @@
 //! A client's count in the sketch and in a plain map, with 100,000 clients.
-use applepond_admission::sketch::Counts;
+use applepond_admission::sketch::DecayingCounts;
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -8,7 +8,7 @@
 
 fn benches(c: &mut Criterion) {
     let mut group = c.benchmark_group("clients/100000");
-    let mut sketch = Counts::new(0, u64::MAX / 2);
+    let mut sketch = DecayingCounts::new(0, u64::MAX / 2);
     let mut n = 0u64;
     group.bench_function("count-min", |b| {
         b.iter(|| {
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/gate.rs
@@ -1,252 +1,347 @@
-//! What stands before the module while a storm lasts: who goes in, who is told to come back, and when.
+//! Admission of requests before they reach the routing module: who is admitted while a retry storm lasts,
+//! who is told to come back, and when.
 use crate::Micros;
-use crate::advice::Advice;
-use crate::doors::Doors;
-use crate::promise::{Kept, Promises};
+use crate::accept_limiter::AcceptLimiter;
+use crate::retry_after::RetryAfterSchedule;
 use crate::room::Room;
-use crate::sketch::{Counts, Marks};
+use crate::scheduled_retry::{RetryTiming, ScheduledRetries};
+use crate::sketch::{DecayingCounts, SeenFilter};
 use crate::watch::{Called, Watch};
 use oorandom::Rand64;
 
-/// µs in which a client's tries lose half their weight.
-const HALF_LIFE: Micros = 10_000_000;
-/// µs for which a request's name is known: longer than any deadline.
-const KNOWN: Micros = 60_000_000;
-/// Retries that a client has in any case, and a first try earns on top: the usual fifth of retry budgets.
-const RETRIES_FREE: f32 = 3.0;
-const RETRIES_EARNED: f32 = 0.2;
-/// µs of the pace that may be saved up for a burst.
+/// Time in µs in which a client's attempts lose half their weight.
+const ATTEMPT_HALF_LIFE: Micros = 10_000_000;
+
+/// Time in µs for which a request's name is remembered: longer than any deadline.
+const SEEN_SPAN: Micros = 60_000_000;
+
+/// Retries that a client has in any case.
+const FREE_RETRIES: f32 = 3.0;
+
+/// Retries that a first attempt earns on top: the usual fifth of retry budgets.
+const RETRIES_PER_FIRST_ATTEMPT: f32 = 0.2;
+
+/// Admissions that may be saved up, in µs of the admission rate.
 const BURST: f64 = 500_000.0;
-/// Part of that which retries leave to first tries, and little importance to the rest.
-const FOR_FIRSTS: f64 = 0.5;
-/// The same for a retry that comes when it was told to: it was promised its turn.
-const FOR_FIRSTS_TOLD: f64 = 0.25;
-const FOR_IMPORTANT: f64 = 0.2;
-/// Part that a client over its budget, or before its time, leaves to all others. It is let in behind them
-/// rather than never: a request that could be done and is not keeps coming back, and the storm lasts
-/// (measured: 29 s instead of 11).
-const FOR_FOLLOWERS: f64 = 0.3;
-/// Part of the pace that a storm's advice hands out: the rest is for those who come of themselves.
-const ADVISED: f64 = 0.7;
-/// Times the pace that goes in at first: what was finished before was what was asked for, and there may be
-/// room for more.
-const PROBES: f64 = 1.5;
-/// Part of what may go in that is open to those behind all others: what they would probe with is taken from
-/// those that follow.
-const FOR_ALL: f64 = 0.7;
-/// µs of that which may be saved up: they come at once whenever they can, and all of it would be a burst.
-const BURST_FOR_ALL: f64 = 50_000.0;
-/// Part a second by which the best pace seen is forgotten: what the fleet did before the storm is what it can
-/// do.
-const FORGETS: f64 = 0.005;
-/// Jobs a second taken for the pace before any has finished.
-const PACE_UNKNOWN: f64 = 50.0;
-
-/// One request on its way in.
+
+/// Fraction of the burst that retries leave to first attempts.
+const RESERVED_FOR_FIRST_ATTEMPTS: f64 = 0.5;
+
+/// The same for a retry that comes when it was told to: its turn was promised.
+const RESERVED_FROM_SCHEDULED_RETRIES: f64 = 0.25;
+
+/// Fraction of the burst that less important requests leave to the others.
+const RESERVED_FOR_IMPORTANT: f64 = 0.2;
+
+/// Fraction of the burst that a client over its budget, or before its time, leaves to all others. It is
+/// admitted behind them rather than never: a request that could be done and is not keeps coming back, and
+/// the storm lasts (measured: 29 s instead of 11).
+const RESERVED_FOR_FOLLOWERS: f64 = 0.3;
+
+/// Fraction of the capacity for which retries are scheduled: the rest is for those that come of themselves.
+const SCHEDULED_FRACTION: f64 = 0.7;
+
+/// The admission rate at first, as a multiple of the completion rate: what completed before was what was
+/// asked for, and there may be more capacity.
+const PROBING_FACTOR: f64 = 1.5;
+
+/// Fraction of the admission rate that is open to those behind all others: what they would probe with is
+/// taken from those that follow their schedule.
+const FRACTION_FOR_LAST: f64 = 0.7;
+
+/// Admissions that may be saved up for those behind all others, in µs of the rate: they come whenever they
+/// can, and all of it would be a burst.
+const BURST_FOR_LAST: f64 = 50_000.0;
+
+/// Fraction a second by which the best completion rate is forgotten: what the fleet did before the storm is
+/// what it can do.
+const FORGETTING: f64 = 0.005;
+
+/// Completions a second that are assumed before any request has completed.
+const UNKNOWN_COMPLETION_RATE: f64 = 50.0;
+
+/// Weight of one request in the mean importance.
+const IMPORTANCE_WEIGHT: f64 = 0.01;
+
+/// One request that arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Digest of who asks.
+    /// Digest of the client.
     pub client: u64,
     /// Digest of the request's name.
     pub name: u64,
-    /// The client says that it has asked before.
+    /// The client says that this is a retry.
     pub retry: bool,
+    /// Importance of the request, compared with the mean of all.
     pub importance: f64,
-    /// µs that the client has left.
+    /// Time in µs until the client's deadline.
     pub left: Micros,
 }
 
-/// What becomes of it.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Passage {
-    /// It goes to the module, as a first try or as a retry.
-    In { retry: bool },
-    /// It is pushed back at once.
-    Back { wait: Option<Micros>, why: &'static str },
+    /// It is admitted.
+    In {
+        /// Whether it counts as a retry.
+        retry: bool,
+    },
+    /// It is rejected.
+    Back {
+        /// Time in µs after which it should come back; `None` if its deadline is too near.
+        wait: Option<Micros>,
+        /// The reason, as the response and the log name it.
+        why: &'static str,
+    },
+}
+
+/// How a request stands against others that want to be admitted.
+#[derive(Clone, Copy)]
+struct Priority {
+    is_retry: bool,
+    /// Its client has used up its budget of retries.
+    is_over_budget: bool,
+    timing: RetryTiming,
+}
+
+impl Priority {
+    /// Whether the request is admitted behind all others only.
+    fn is_last(self) -> bool {
+        match self.timing {
+            // Whoever comes when told to is within any budget.
+            RetryTiming::OnTime => false,
+            RetryTiming::Unscheduled => self.is_over_budget,
+            RetryTiming::Early => true,
+        }
+    }
+
+    /// Fraction of the burst that the request leaves to others.
+    fn reserved_fraction(self, is_less_important: bool) -> f64 {
+        let for_first_attempts = match self.timing {
+            RetryTiming::OnTime => RESERVED_FROM_SCHEDULED_RETRIES,
+            RetryTiming::Unscheduled | RetryTiming::Early => RESERVED_FOR_FIRST_ATTEMPTS,
+        };
+        let if_applies = |applies: bool, fraction: f64| if applies { fraction } else { 0.0 };
+        if_applies(self.is_retry, for_first_attempts)
+            + if_applies(is_less_important, RESERVED_FOR_IMPORTANT)
+            + if_applies(self.is_last(), RESERVED_FOR_FOLLOWERS)
+    }
 }
 
+/// Admission control of one router.
 pub struct Gate {
     rng: Rand64,
     watch: Watch,
-    known: Marks,
-    firsts: Counts,
-    retries: Counts,
-    /// Clients that came before their time.
-    early: Counts,
-    /// Times told, by request.
-    promises: Promises,
-    doors: Doors,
-    advice: Advice,
+    /// Names of recent requests: one that comes again is a retry.
+    seen_names: SeenFilter,
+    /// Recent first attempts, by client.
+    first_attempts: DecayingCounts,
+    /// Recent retries, by client.
+    retries: DecayingCounts,
+    /// Recent retries before their time, by client.
+    early_retries: DecayingCounts,
+    scheduled: ScheduledRetries,
+    accept_limiter: AcceptLimiter,
+    retry_after: RetryAfterSchedule,
+    /// Admissions that are saved up.
     tokens: f64,
-    /// What the others leave of the pace itself, without what goes in beyond it to probe.
-    spare: f64,
-    filled: Micros,
-    /// What goes in, found by what the module pushes back.
-    room: Room,
-    pace: f64,
-    paced: Micros,
-    importance: f64,
-    let_in: u64,
-    sent_back: u64,
+    /// Those of them that are open to requests behind all others.
+    tokens_for_last: f64,
+    refilled_at: Micros,
+    /// The admission rate, adapted to what the routing module rejects.
+    admission_rate: Room,
+    /// The best completion rate, as of `completion_rate_at`.
+    completion_rate: f64,
+    completion_rate_at: Micros,
+    mean_importance: f64,
+    admitted: u64,
+    rejected: u64,
 }
 
 impl Gate {
+    /// Starts without any knowledge of the traffic. `seed` seeds the generator of random numbers.
     pub fn new(now: Micros, seed: u64) -> Self {
-        let counts = || Counts::new(now, HALF_LIFE);
+        let counts = || DecayingCounts::new(now, ATTEMPT_HALF_LIFE);
         Gate {
             rng: Rand64::new(u128::from(seed)),
             watch: Watch::new(now),
-            known: Marks::new(now, KNOWN),
-            firsts: counts(),
+            seen_names: SeenFilter::new(now, SEEN_SPAN),
+            first_attempts: counts(),
             retries: counts(),
-            early: counts(),
-            promises: Promises::default(),
-            doors: Doors::new(now),
-            advice: Advice::default(),
+            early_retries: counts(),
+            scheduled: ScheduledRetries::default(),
+            accept_limiter: AcceptLimiter::new(now),
+            retry_after: RetryAfterSchedule::default(),
             tokens: 0.0,
-            spare: 0.0,
-            filled: now,
-            room: Room::default(),
-            pace: 0.0,
-            paced: now,
-            importance: 0.0,
-            let_in: 0,
-            sent_back: 0,
+            tokens_for_last: 0.0,
+            refilled_at: now,
+            admission_rate: Room::default(),
+            completion_rate: 0.0,
+            completion_rate_at: now,
+            mean_importance: 0.0,
+            admitted: 0,
+            rejected: 0,
         }
     }
 
-    /// Jobs a second that the fleet has lately finished at its best, as far as this router sees.
+    /// The best recent completion rate as it counts now: it is forgotten slowly.
+    fn aged_completion_rate(&self, now: Micros) -> f64 {
+        let seconds = (now - self.completion_rate_at) as f64 / 1e6;
+        self.completion_rate * (1.0 - FORGETTING).powf(seconds)
+    }
+
+    /// Requests a second that the fleet has lately completed at its best, as far as this router sees.
     pub fn pace(&self, now: Micros) -> f64 {
-        let aged = self.pace * (1.0 - FORGETS).powf((now - self.paced) as f64 / 1e6);
-        let pace = aged.max(self.watch.finished.per_s(now));
-        if pace > 0.0 { pace } else { PACE_UNKNOWN }
+        let rate = self.aged_completion_rate(now).max(self.watch.finished.per_s(now));
+        if rate > 0.0 { rate } else { UNKNOWN_COMPLETION_RATE }
     }
 
+    /// Decides whether a request that arrives is admitted.
     pub fn arrive(&mut self, now: Micros, arrival: &Arrival) -> Passage {
-        let known = self.known.mark(now, arrival.name);
-        let retry = arrival.retry || known;
+        let was_seen = self.seen_names.insert(now, arrival.name);
+        let is_retry = arrival.retry || was_seen;
         let client = arrival.client;
-        let tries = if retry { self.retries.add(now, client) } else { self.firsts.add(now, client) };
-        let kept = self.promises.came(now, arrival.name);
-        match kept {
-            Kept::Untold => {}
-            Kept::Followed => self.watch.followed.add(now),
-            Kept::Early => {
-                self.watch.early.add(now);
-                // Its first time only: later ones were given no turn.
-                if self.early.add(now, client) < 2.0 {
-                    let pace = self.advised(now);
-                    self.advice.given_up(now, pace);
-                }
-            }
-        }
-        self.watch.arrival(now, retry, if retry { f64::from(tries) } else { 0.0 });
-        self.importance += 0.01 * (arrival.importance - self.importance);
-        let over = retry && tries > RETRIES_FREE + RETRIES_EARNED * self.firsts.of(now, client);
+        let counts = if is_retry { &mut self.retries } else { &mut self.first_attempts };
+        let attempts = counts.add(now, client);
+        let timing = self.scheduled.observe(now, arrival.name);
+        self.record_timing(now, client, timing);
+        self.watch.arrival(now, is_retry, if is_retry { f64::from(attempts) } else { 0.0 });
+        self.mean_importance += IMPORTANCE_WEIGHT * (arrival.importance - self.mean_importance);
+        let is_over_budget = is_retry && attempts > self.retry_budget(now, client);
+        let priority = Priority { is_retry, is_over_budget, timing };
         let passage = match self.watch.called() {
-            Called::Calm | Called::Jump | Called::Slow => Passage::In { retry },
-            Called::Loop if over => self.back(now, arrival, "retry-budget"),
-            Called::Loop => Passage::In { retry },
-            Called::Storm => self.admit(now, arrival, retry, over, kept),
+            Called::Calm | Called::Jump | Called::Slow => Passage::In { retry: is_retry },
+            Called::Loop if is_over_budget => self.reject(now, arrival, "retry-budget"),
+            Called::Loop => Passage::In { retry: is_retry },
+            Called::Storm => self.admit_in_storm(now, arrival, priority),
         };
         match passage {
-            Passage::In { .. } => self.let_in += 1,
-            Passage::Back { .. } => self.sent_back += 1,
+            Passage::In { .. } => self.admitted += 1,
+            Passage::Back { .. } => self.rejected += 1,
         }
         passage
     }
 
-    /// What times are given out for.
-    fn advised(&self, now: Micros) -> f64 {
-        let found = if self.room.in_use(now) { self.room.last() / PROBES } else { 0.0 };
-        found.max(self.pace(now)) * ADVISED
-    }
-
-    /// In a storm as many go in as the fleet finishes; first tries before retries, those that keep their time
-    /// before those that do not, importance before the rest.
-    fn admit(&mut self, now: Micros, arrival: &Arrival, retry: bool, over: bool, kept: Kept) -> Passage {
-        let (finishes, since) = (self.pace(now), (now - self.filled) as f64 / 1e6);
-        let pace = self.room.allowed(now, finishes, PROBES, 1.0);
-        let most = (pace * BURST / 1e6).max(1.0);
-        self.tokens = (self.tokens + pace * since).min(most);
-        let spare_most = (pace * BURST_FOR_ALL / 1e6).max(1.0);
-        self.spare = (self.spare + FOR_ALL * pace * since).clamp(-spare_most, spare_most);
-        self.filled = now;
-        let less = arrival.importance < self.importance;
-        let part = |when: bool, part: f64| if when { part } else { 0.0 };
-        // Who comes when told to is within any budget.
-        let (for_firsts, behind) = match kept {
-            Kept::Followed => (FOR_FIRSTS_TOLD, false),
-            Kept::Untold => (FOR_FIRSTS, over),
-            Kept::Early => (FOR_FIRSTS, true),
-        };
-        let left = part(retry, for_firsts) + part(less, FOR_IMPORTANT) + part(behind, FOR_FOLLOWERS);
-        if self.tokens >= (1.0 + most * left).min(most) && (!behind || self.spare >= 1.0) {
+    fn record_timing(&mut self, now: Micros, client: u64, timing: RetryTiming) {
+        match timing {
+            RetryTiming::Unscheduled => {}
+            RetryTiming::OnTime => self.watch.followed.add(now),
+            RetryTiming::Early => {
+                self.watch.early.add(now);
+                // The first time only: at later times it had no slot.
+                if self.early_retries.add(now, client) < 2.0 {
+                    let rate = self.scheduling_rate(now);
+                    self.retry_after.release_slot(now, rate);
+                }
+            }
+        }
+    }
+
+    /// Recent retries that a client may have.
+    fn retry_budget(&mut self, now: Micros, client: u64) -> f32 {
+        FREE_RETRIES + RETRIES_PER_FIRST_ATTEMPT * self.first_attempts.estimate(now, client)
+    }
+
+    /// Retries a second that are scheduled.
+    fn scheduling_rate(&self, now: Micros) -> f64 {
+        let is_known = self.admission_rate.in_use(now);
+        let found = if is_known { self.admission_rate.last() / PROBING_FACTOR } else { 0.0 };
+        found.max(self.pace(now)) * SCHEDULED_FRACTION
+    }
+
+    /// In a storm as many are admitted as the fleet completes: first attempts before retries, those that
+    /// follow their schedule before those that do not, important requests before the rest.
+    fn admit_in_storm(&mut self, now: Micros, arrival: &Arrival, priority: Priority) -> Passage {
+        let burst = self.refill(now);
+        let is_less_important = arrival.importance < self.mean_importance;
+        let reserved = priority.reserved_fraction(is_less_important);
+        let has_token = self.tokens >= (1.0 + burst * reserved).min(burst);
+        if has_token && (!priority.is_last() || self.tokens_for_last >= 1.0) {
             self.tokens -= 1.0;
-            self.spare -= 1.0;
-            return Passage::In { retry };
+            self.tokens_for_last -= 1.0;
+            return Passage::In { retry: priority.is_retry };
         }
-        self.room.want();
-        self.back(now, arrival, if over { "retry-budget" } else { "storm" })
+        self.admission_rate.want();
+        self.reject(now, arrival, if priority.is_over_budget { "retry-budget" } else { "storm" })
+    }
+
+    /// Refills the tokens by the admission rate; returns how many may be saved up.
+    fn refill(&mut self, now: Micros) -> f64 {
+        let completion_rate = self.pace(now);
+        let seconds = (now - self.refilled_at) as f64 / 1e6;
+        let rate = self.admission_rate.allowed(now, completion_rate, PROBING_FACTOR, 1.0);
+        let burst = (rate * BURST / 1e6).max(1.0);
+        self.tokens = (self.tokens + rate * seconds).min(burst);
+        let burst_for_last = (rate * BURST_FOR_LAST / 1e6).max(1.0);
+        let tokens_for_last = self.tokens_for_last + FRACTION_FOR_LAST * rate * seconds;
+        self.tokens_for_last = tokens_for_last.clamp(-burst_for_last, burst_for_last);
+        self.refilled_at = now;
+        burst
     }
 
-    fn back(&mut self, now: Micros, arrival: &Arrival, why: &'static str) -> Passage {
+    fn reject(&mut self, now: Micros, arrival: &Arrival, why: &'static str) -> Passage {
         Passage::Back { wait: self.come_back(now, arrival.client, arrival.name, arrival.left), why }
     }
 
-    /// When the request `name` of a client, pushed back here or by the module, should come back.
+    /// Schedules the retry of the request `name`, rejected here or by the routing module. Returns the wait
+    /// in µs; `None` if its deadline, `left` µs from now, is too near.
     pub fn come_back(&mut self, now: Micros, client: u64, name: u64, left: Micros) -> Option<Micros> {
-        let ignored = self.early.of(now, client).floor() as u32;
-        let pace = self.advised(now);
-        let chance = self.rng.rand_float();
-        let wait = self.advice.wait(now, pace, left, ignored, chance)?;
-        self.promises.told(name, now + wait);
+        let early_retries = self.early_retries.estimate(now, client).floor() as u32;
+        let rate = self.scheduling_rate(now);
+        let random = self.rng.rand_float();
+        let wait = self.retry_after.next_wait(now, rate, left, early_retries, random)?;
+        self.scheduled.schedule(name, now + wait);
         Some(wait)
     }
 
-    /// The module itself named a time to a request that it pushed back.
+    /// The routing module itself scheduled the retry of a request that it rejected.
     pub fn told(&mut self, name: u64, until: Micros) {
-        self.promises.told(name, until);
+        self.scheduled.schedule(name, until);
     }
 
-    /// A connection was taken: for how long none is to be taken now, if so.
+    /// A connection was accepted. Returns for how long, in µs, none is to be accepted now, if the limit is
+    /// reached.
     pub fn connection(&mut self, now: Micros) -> Option<Micros> {
         self.watch.opened.add(now);
-        self.doors.taken(now)
+        self.accept_limiter.connection_accepted(now)
     }
 
-    pub fn doors(&self) -> &Doors {
-        &self.doors
+    /// The limiter of accepted connections.
+    pub fn doors(&self) -> &AcceptLimiter {
+        &self.accept_limiter
     }
 
-    /// A request's end: `finished`, or pushed back by the module; a kill is neither.
-    pub fn ended(&mut self, now: Micros, finished: bool, pushed_back: bool) {
-        if finished {
+    /// A request has ended: it completed, or was rejected by the routing module; a failure is neither.
+    pub fn ended(&mut self, now: Micros, completed: bool, rejected: bool) {
+        if completed {
             self.watch.finished.add(now);
-            let aged = self.pace * (1.0 - FORGETS).powf((now - self.paced) as f64 / 1e6);
-            self.pace = aged.max(self.watch.finished.per_s(now));
-            self.paced = now;
+            self.completion_rate = self.aged_completion_rate(now).max(self.watch.finished.per_s(now));
+            self.completion_rate_at = now;
         }
-        self.room.ended(finished, pushed_back);
-        if pushed_back {
+        self.admission_rate.ended(completed, rejected);
+        if rejected {
             self.watch.pushed_back.add(now);
         }
     }
 
-    /// What was usual before a restart, and the pace at which the fleet finished requests then.
-    pub fn recall(&mut self, now: Micros, (rate, opened): (f64, f64), pace: f64) {
-        self.watch.recall(now, rate, opened);
-        if self.pace == 0.0 {
-            (self.pace, self.paced) = (pace, now);
+    /// Restores, after a restart, the usual arrivals and connections a second and the completion rate of
+    /// the fleet, unless this process knows better.
+    pub fn recall(&mut self, now: Micros, usual: (f64, f64), completion_rate: f64) {
+        let (arrivals_per_s, connections_per_s) = usual;
+        self.watch.recall(now, arrivals_per_s, connections_per_s);
+        if self.completion_rate == 0.0 {
+            self.completion_rate = completion_rate;
+            self.completion_rate_at = now;
         }
     }
 
+    /// The classification of the traffic and the rates behind it.
     pub fn watch(&self) -> &Watch {
         &self.watch
     }
 
-    /// Let in and sent back since the start, and µs to the end of the line of those told to come back.
+    /// Requests admitted and rejected since the start, and µs to the end of the queue of scheduled retries.
     pub fn sums(&self, now: Micros) -> (u64, u64, Micros) {
-        (self.let_in, self.sent_back, self.advice.line(now))
+        (self.admitted, self.rejected, self.retry_after.backlog(now))
     }
 }
--- a/crates/admission/src/room.rs
+++ b/crates/admission/src/room.rs
@@ -1,67 +1,93 @@
-//! How much may go in where more is wanted than there is room for: found by steps, up while next to nothing
-//! of what went in had no room, down while much of it had none.
+//! Adaptive limit on admissions: how much may be admitted while more is wanted than there is capacity for.
+//!
+//! The limit rises by steps while next to nothing of what was admitted is rejected downstream, and falls
+//! while much of it is.
 use crate::Micros;
 
-/// µs between two steps: about what it takes until it is told that there was no room. Factors of a step where
-/// little, and much, of what went in had none, beside what finished.
-const STEP: Micros = 500_000;
+/// Interval between two steps in µs: about the time until a rejection downstream is known.
+const STEP_INTERVAL: Micros = 500_000;
+
+/// Factor of a step up.
 const STEP_UP: f64 = 1.2;
+
+/// Factor of a step down.
 const STEP_DOWN: f64 = 0.85;
-const LITTLE: f64 = 0.05;
-const MUCH: f64 = 0.15;
-/// Times what finishes that may go in at most: it would grow without end where nobody uses it.
-const PROBES_MOST: f64 = 2.0;
-/// Steps after which the last figure is not taken up again.
-const STALE: Micros = 6;
 
+/// Rejections, as a fraction of completions, up to which the limit may rise.
+const LOW_REJECTION_RATIO: f64 = 0.05;
+
+/// Rejections, as a fraction of completions, from which on the limit falls.
+const HIGH_REJECTION_RATIO: f64 = 0.15;
+
+/// The limit at most, as a multiple of the completion rate: it would grow without end where nobody uses it.
+const MAX_OVER_COMPLETIONS: f64 = 2.0;
+
+/// Steps after which the last limit is obsolete.
+const MAX_AGE_STEPS: Micros = 6;
+
+/// Results of admitted work since the last step.
+#[derive(Clone, Copy, Default)]
+struct Results {
+    completed: f64,
+    rejected: f64,
+}
+
+/// The adaptive limit.
 #[derive(Default)]
 pub struct Room {
-    allowed: f64,
-    stepped: Micros,
-    wanted: bool,
-    /// Finished, and without room, since the last step.
-    ends: (f64, f64),
+    /// Admissions a second.
+    limit: f64,
+    stepped_at: Micros,
+    /// Somebody was not admitted since the last step up.
+    is_saturated: bool,
+    results: Results,
 }
 
 impl Room {
-    /// Whether it was looked at lately.
+    /// Whether the limit was used lately.
     pub fn in_use(&self, now: Micros) -> bool {
-        self.stepped + STALE * STEP >= now
+        self.stepped_at + MAX_AGE_STEPS * STEP_INTERVAL >= now
     }
 
-    /// What may go in a second as of the last look.
+    /// Admissions a second as of the last call of [`allowed`](Room::allowed).
     pub fn last(&self) -> f64 {
-        self.allowed
+        self.limit
     }
 
-    /// What may go in a second, where `pace` finishes: from `begin` times that on, and never under `least`
-    /// times that.
-    pub fn allowed(&mut self, now: Micros, pace: f64, begin: f64, least: f64) -> f64 {
+    /// Admissions a second that are allowed now, where `completions` a second complete. The limit begins at
+    /// `begin` times that and never falls below `least` times that.
+    pub fn allowed(&mut self, now: Micros, completions: f64, begin: f64, least: f64) -> f64 {
         if !self.in_use(now) {
-            (self.allowed, self.stepped, self.ends) = (pace * begin, now, (0.0, 0.0));
+            self.limit = completions * begin;
+            self.stepped_at = now;
+            self.results = Results::default();
+        }
+        if self.stepped_at + STEP_INTERVAL <= now {
+            self.stepped_at = now;
+            self.step();
+            self.limit = self.limit.min(MAX_OVER_COMPLETIONS * completions);
         }
-        if self.stepped + STEP <= now {
-            self.stepped = now;
-            let (done, back) = std::mem::take(&mut self.ends);
-            if back > MUCH * done {
-                self.allowed *= STEP_DOWN;
-            } else if back <= LITTLE * done && std::mem::take(&mut self.wanted) {
-                self.allowed *= STEP_UP;
-            }
-            self.allowed = self.allowed.min(PROBES_MOST * pace);
+        self.limit = self.limit.max(completions * least);
+        self.limit
+    }
+
+    fn step(&mut self) {
+        let Results { completed, rejected } = std::mem::take(&mut self.results);
+        if rejected > HIGH_REJECTION_RATIO * completed {
+            self.limit *= STEP_DOWN;
+        } else if rejected <= LOW_REJECTION_RATIO * completed && std::mem::take(&mut self.is_saturated) {
+            self.limit *= STEP_UP;
         }
-        self.allowed = self.allowed.max(pace * least);
-        self.allowed
     }
 
-    /// Somebody was not let in.
+    /// Somebody was not admitted.
     pub fn want(&mut self) {
-        self.wanted = true;
+        self.is_saturated = true;
     }
 
-    /// What went in has come to its end: it finished, or had no room.
-    pub fn ended(&mut self, finished: bool, no_room: bool) {
-        self.ends.0 += f64::from(u8::from(finished));
-        self.ends.1 += f64::from(u8::from(no_room));
+    /// Something that was admitted has ended: it completed, or was rejected downstream.
+    pub fn ended(&mut self, completed: bool, rejected: bool) {
+        self.results.completed += f64::from(u8::from(completed));
+        self.results.rejected += f64::from(u8::from(rejected));
     }
 }
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/watch.rs
@@ -1,47 +1,74 @@
-//! What a router sees, and what it is called: calm, a jump in work, a storm of retries, one client's loop, a
-//! slow day.
+//! Classification of the traffic that a router sees: calm, more work, a storm of retries, the loop of one
+//! client, or a slow day.
 use crate::Micros;
 
-/// µs over which the quick rates are taken: a storm is there within one.
-const QUICK: f64 = 2_000_000.0;
-/// µs over which the usual rate is learned, within its hour.
-const SLOW: f64 = 300_000_000.0;
+/// Time constant in µs of the quick rates: a storm shows within one.
+const QUICK_SPAN: f64 = 2_000_000.0;
+
+/// Time constant in µs with which the usual rates of an hour of the day are learned.
+const LEARNING_SPAN: f64 = 300_000_000.0;
+
+/// An hour, in µs.
 const HOUR: Micros = 3_600_000_000;
+
+/// Hours of a day.
 const HOURS: usize = 24;
-/// Share of retries from which on it is a storm or a loop; below `SHARE_LOW` it ends. Clients that retry one
-/// lost answer in a hundred are far below; when a hall is cut each request comes back at least once.
-const SHARE_HIGH: f64 = 0.3;
-const SHARE_LOW: f64 = 0.1;
-/// Times the usual number of connections opened anew from which on that speaks for a storm; alone it says
-/// nothing, as a jump in work opens connections too. Each sign that speaks for one lowers the share.
-const OPENED: f64 = 4.0;
-/// Share of the times told that are not kept which speaks for one as well.
-const NOT_KEPT: f64 = 0.5;
-/// Arrivals, as times of the usual, from which on it is a jump.
-const JUMP: f64 = 2.0;
-/// Retries a second at least: with fewer, chance decides.
-const LEAST: f64 = 5.0;
-/// Share of the retries that come from one client in a loop.
-const ONE_CLIENT: f64 = 0.5;
-/// Part of arrivals that ends well under which a day is slow.
-const SLOW_PART: f64 = 0.7;
-/// µs for which signs must be gone before a storm is over: it comes in waves.
-const OVER: Micros = 3_000_000;
 
+/// Time in µs for which an hour must have been observed before its usual rates count.
+const MIN_OBSERVED: f64 = QUICK_SPAN * 5.0;
+
+/// Fraction of retries from which on it is a storm or a loop. Clients that retry one lost response in a
+/// hundred are far below; when a data hall is cut off, each request comes back at least once.
+const RETRY_FRACTION_HIGH: f64 = 0.3;
+
+/// Fraction of retries below which a storm or a loop ends.
+const RETRY_FRACTION_LOW: f64 = 0.1;
+
+/// Connections opened, as a multiple of the usual, from which on that indicates a storm. Alone it proves
+/// nothing, as more work opens connections too. Each indication lowers the fraction of retries that is
+/// needed.
+const CONNECTIONS_OVER_USUAL: f64 = 4.0;
+
+/// Fraction of scheduled retries that come early from which on that indicates a storm too.
+const EARLY_FRACTION: f64 = 0.5;
+
+/// Arrivals, as a multiple of the usual, from which on it is more work.
+const JUMP_OVER_USUAL: f64 = 2.0;
+
+/// Events a second that are needed at least: with fewer, chance decides.
+const MIN_RATE: f64 = 5.0;
+
+/// Fraction of the retries that come from one client in a loop.
+const ONE_CLIENT_FRACTION: f64 = 0.5;
+
+/// Fraction of arrivals that complete below which a day is slow.
+const SLOW_FRACTION: f64 = 0.7;
+
+/// Time in µs for which the indications must be absent before a storm is over: it comes in waves.
+const STORM_END_DELAY: Micros = 3_000_000;
+
+/// What the traffic is classified as. The log and the state page print the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Called {
+    /// Nothing unusual.
     Calm,
-    /// More work than usual, few retries: no reason to turn any of it away.
+    /// More work than usual, few retries: no reason to reject any of it.
     Jump,
-    /// Many clients ask again for what they have asked before.
+    /// Many clients retry.
     Storm,
-    /// One client does.
+    /// One client retries in a loop.
     Loop,
-    /// No more than usual comes, and much of it does not end well.
+    /// No more than usual arrives, and much of it does not complete.
     Slow,
 }
 
-/// A rate that fades; events a second.
+impl Called {
+    fn is_retry_problem(self) -> bool {
+        matches!(self, Called::Storm | Called::Loop)
+    }
+}
+
+/// An exponentially decaying rate of events.
 #[derive(Clone, Copy, Default)]
 pub struct Rate {
     count: f64,
@@ -49,158 +76,197 @@
 }
 
 impl Rate {
-    fn faded(&self, now: Micros, span: f64) -> f64 {
+    fn decayed(&self, now: Micros, span: f64) -> f64 {
         self.count * (-(now.saturating_sub(self.at) as f64) / span).exp()
     }
+
+    /// Counts one event.
     pub fn add(&mut self, now: Micros) {
-        self.count = self.faded(now, QUICK) + 1.0;
+        self.count = self.decayed(now, QUICK_SPAN) + 1.0;
         self.at = now;
     }
+
+    /// Events a second.
     pub fn per_s(&self, now: Micros) -> f64 {
-        self.faded(now, QUICK) / QUICK * 1e6
+        self.decayed(now, QUICK_SPAN) / QUICK_SPAN * 1e6
+    }
+}
+
+/// What is usual in one hour of the day.
+#[derive(Clone, Copy, Default)]
+struct UsualTraffic {
+    arrivals_per_s: f64,
+    connections_per_s: f64,
+    /// For how long the hour was observed, in µs.
+    observed: f64,
+}
+
+impl UsualTraffic {
+    /// Moves the usual rates towards those that were observed for `elapsed` µs.
+    fn learn(&mut self, arrivals_per_s: f64, connections_per_s: f64, elapsed: f64) {
+        // At first a plain mean over the observed time, later an exponential one.
+        let mean = elapsed / (self.observed + elapsed);
+        let weight = mean.max(1.0 - (-elapsed / LEARNING_SPAN).exp()).min(1.0);
+        self.arrivals_per_s += weight * (arrivals_per_s - self.arrivals_per_s);
+        self.connections_per_s += weight * (connections_per_s - self.connections_per_s);
+        self.observed += elapsed;
     }
 }
 
+/// Observes the traffic and classifies it.
 #[derive(Default)]
 pub struct Watch {
-    born: Micros,
-    firsts: Rate,
+    started_at: Micros,
+    first_attempts: Rate,
     retries: Rate,
-    /// Retries of the client that has most of them.
-    heaviest: f64,
+    /// Recent retries of the client that has most of them.
+    heaviest_client: f64,
+    /// Requests that completed.
     pub finished: Rate,
+    /// Requests that the routing module rejected.
     pub pushed_back: Rate,
-    /// Connections opened anew.
+    /// Connections that were opened.
     pub opened: Rate,
-    /// Times to come back: kept, and not kept.
+    /// Retries that came when they were told to.
     pub followed: Rate,
+    /// Retries that came before their time.
     pub early: Rate,
-    /// Arrivals and connections opened a second by hour of the day, as learned while nothing was wrong, and
-    /// for how long (µs).
-    usual: [(f64, f64, f64); HOURS],
-    learned: Micros,
+    /// By hour of the day, as learned while nothing was unusual.
+    usual: [UsualTraffic; HOURS],
+    learned_at: Micros,
+    /// The classification, and since when it holds.
     called: Option<(Called, Micros)>,
+    /// Since when a storm or a loop shows no indications any more.
     quiet_since: Option<Micros>,
 }
 
 impl Watch {
+    /// Starts without any knowledge of what is usual.
     pub fn new(now: Micros) -> Self {
-        Watch { born: now, learned: now, ..Watch::default() }
+        Watch { started_at: now, learned_at: now, ..Watch::default() }
     }
 
     fn hour(now: Micros) -> usize {
         (now / HOUR) as usize % HOURS
     }
 
-    /// Arrivals and connections opened a second that are usual now; none where this router has not seen
-    /// enough of this hour, or the one before.
+    /// Arrivals and connections a second that are usual now; `None` if this router has not observed enough
+    /// of this hour or the one before.
     pub fn usual(&self, now: Micros) -> Option<(f64, f64)> {
         let hour = Self::hour(now);
-        let known = |n: usize| Some(self.usual[n % HOURS]).filter(|(_, _, time)| *time >= QUICK * 5.0);
-        known(hour).or_else(|| known(hour + HOURS - 1)).map(|(rate, opened, _)| (rate, opened))
+        let learned =
+            |hour: usize| Some(self.usual[hour % HOURS]).filter(|usual| usual.observed >= MIN_OBSERVED);
+        let usual = learned(hour).or_else(|| learned(hour + HOURS - 1))?;
+        Some((usual.arrivals_per_s, usual.connections_per_s))
     }
 
-    /// What was usual before a restart, where this life has not seen enough of the hour itself: as little as
-    /// just counts, so that what comes soon weighs more.
-    pub fn recall(&mut self, now: Micros, rate: f64, opened: f64) {
-        let row = &mut self.usual[Self::hour(now)];
-        if row.2 < QUICK * 5.0 {
-            *row = (rate, opened, QUICK * 5.0);
+    /// Restores what was usual before a restart, unless this process has observed enough of the hour
+    /// itself. It counts for as little observation as just suffices, so that what comes soon weighs more.
+    pub fn recall(&mut self, now: Micros, arrivals_per_s: f64, connections_per_s: f64) {
+        let usual = &mut self.usual[Self::hour(now)];
+        if usual.observed < MIN_OBSERVED {
+            *usual = UsualTraffic { arrivals_per_s, connections_per_s, observed: MIN_OBSERVED };
         }
     }
 
-    /// What speaks for a storm beside the share of retries: connections opened anew far above the usual, and
-    /// times to come back that are not kept.
+    /// What indicates a storm besides the fraction of retries: far more connections than usual, and
+    /// scheduled retries that come early.
     pub fn speaks(&self, now: Micros) -> (bool, bool) {
         let opened = self.opened.per_s(now);
-        let usual = self.usual(now).is_some_and(|(_, usual)| opened >= OPENED * usual);
+        let is_unusual = self.usual(now).is_some_and(|(_, usual)| opened >= CONNECTIONS_OVER_USUAL * usual);
         let (early, followed) = (self.early.per_s(now), self.followed.per_s(now));
-        (usual && opened >= LEAST, early >= LEAST && early >= NOT_KEPT * (early + followed))
+        let many_early = early >= MIN_RATE && early >= EARLY_FRACTION * (early + followed);
+        (is_unusual && opened >= MIN_RATE, many_early)
     }
 
-    /// One arrival; `of_client` is how many retries its client has had lately.
-    pub fn arrival(&mut self, now: Micros, retry: bool, of_client: f64) {
+    /// A request arrived; `client_retries`: recent retries of its client.
+    pub fn arrival(&mut self, now: Micros, retry: bool, client_retries: f64) {
         if retry {
             self.retries.add(now);
-            self.heaviest = self.heaviest.max(of_client);
+            self.heaviest_client = self.heaviest_client.max(client_retries);
         } else {
-            self.firsts.add(now);
+            self.first_attempts.add(now);
         }
-        self.look(now);
+        self.reclassify(now);
     }
 
+    /// First attempts and retries a second.
     pub fn rates(&self, now: Micros) -> (f64, f64) {
-        (self.firsts.per_s(now), self.retries.per_s(now))
+        (self.first_attempts.per_s(now), self.retries.per_s(now))
     }
 
-    /// Since when it is called so.
+    /// Since when the classification holds.
     pub fn since(&self) -> Micros {
-        self.called.map_or(self.born, |(_, since)| since)
+        self.called.map_or(self.started_at, |(_, since)| since)
     }
 
+    /// The classification.
     pub fn called(&self) -> Called {
         self.called.map_or(Called::Calm, |(called, _)| called)
     }
 
-    fn signs(&self, now: Micros) -> Called {
-        let (firsts, retries) = self.rates(now);
-        let all = firsts + retries;
-        let held = matches!(self.called(), Called::Storm | Called::Loop);
-        let (opened, early) = self.speaks(now);
-        let signs = 1.0 + f64::from(u8::from(opened)) + f64::from(u8::from(early));
-        let share = if held { SHARE_LOW } else { SHARE_HIGH / signs };
-        if retries >= LEAST && retries >= share * all {
+    /// The classification by the present rates alone.
+    fn classify(&self, now: Micros) -> Called {
+        let (first_attempts, retries) = self.rates(now);
+        let arrivals = first_attempts + retries;
+        if retries >= MIN_RATE && retries >= self.retry_threshold(now) * arrivals {
             // The quick rate holds about two seconds of retries.
-            let one = self.heaviest >= ONE_CLIENT * retries * QUICK / 1e6;
-            return if one { Called::Loop } else { Called::Storm };
+            let is_one_client = self.heaviest_client >= ONE_CLIENT_FRACTION * retries * QUICK_SPAN / 1e6;
+            return if is_one_client { Called::Loop } else { Called::Storm };
         }
         let Some((usual, _)) = self.usual(now) else { return Called::Calm };
-        if all >= JUMP * usual && all >= LEAST {
+        if arrivals >= JUMP_OVER_USUAL * usual && arrivals >= MIN_RATE {
             return Called::Jump;
         }
-        let ended = self.finished.per_s(now);
-        if all >= LEAST && ended < SLOW_PART * all && self.pushed_back.per_s(now) > ended / 2.0 {
+        let finished = self.finished.per_s(now);
+        let rejected = self.pushed_back.per_s(now);
+        if arrivals >= MIN_RATE && finished < SLOW_FRACTION * arrivals && rejected > finished / 2.0 {
             return Called::Slow;
         }
         Called::Calm
     }
 
-    fn look(&mut self, now: Micros) {
-        let signs = self.signs(now);
-        let held = matches!(self.called(), Called::Storm | Called::Loop);
-        let bad = matches!(signs, Called::Storm | Called::Loop);
-        if held && !bad {
-            // Waves: between two of them it looks calm for a moment.
+    /// Fraction of retries from which on it is a storm or a loop.
+    fn retry_threshold(&self, now: Micros) -> f64 {
+        if self.called().is_retry_problem() {
+            return RETRY_FRACTION_LOW;
+        }
+        let (many_connections, many_early) = self.speaks(now);
+        let indications = 1.0 + f64::from(u8::from(many_connections)) + f64::from(u8::from(many_early));
+        RETRY_FRACTION_HIGH / indications
+    }
+
+    fn reclassify(&mut self, now: Micros) {
+        let observed = self.classify(now);
+        if self.called().is_retry_problem() && !observed.is_retry_problem() {
+            // Between two waves of a storm it looks calm for a moment.
             let since = *self.quiet_since.get_or_insert(now);
-            if now < since + OVER {
+            if now < since + STORM_END_DELAY {
                 return;
             }
         }
         self.quiet_since = None;
-        if self.called.is_none_or(|(called, _)| called != signs) {
-            self.called = Some((signs, now));
-            self.heaviest = if bad { self.heaviest } else { 0.0 };
+        if self.called.is_none_or(|(called, _)| called != observed) {
+            self.called = Some((observed, now));
+            if !observed.is_retry_problem() {
+                self.heaviest_client = 0.0;
+            }
         }
-        if signs == Called::Calm {
+        if observed == Called::Calm {
             self.learn(now);
         }
     }
 
-    /// Learns what is usual, only while nothing is out of the ordinary and once the quick rate says
-    /// something.
+    /// Learns what is usual, only while nothing is unusual and once the quick rates have settled.
     fn learn(&mut self, now: Micros) {
-        let time = now.saturating_sub(self.learned.max(self.born + QUICK as Micros)) as f64;
-        if now < self.born + 2 * QUICK as Micros || time <= 0.0 {
+        let settled_at = self.started_at + QUICK_SPAN as Micros;
+        let elapsed = now.saturating_sub(self.learned_at.max(settled_at)) as f64;
+        if now < self.started_at + 2 * QUICK_SPAN as Micros || elapsed <= 0.0 {
             return;
         }
-        self.learned = now;
-        let (firsts, retries) = self.rates(now);
-        let opened_now = self.opened.per_s(now);
-        let (rate, opened, known) = &mut self.usual[Self::hour(now)];
-        // At first a plain mean over the time seen, later a slow one.
-        let weight = (time / (*known + time)).max(1.0 - (-time / SLOW).exp()).min(1.0);
-        *rate += weight * (firsts + retries - *rate);
-        *opened += weight * (opened_now - *opened);
-        *known += time;
+        self.learned_at = now;
+        let (first_attempts, retries) = self.rates(now);
+        let connections = self.opened.per_s(now);
+        self.usual[Self::hour(now)].learn(first_attempts + retries, connections, elapsed);
     }
 }
--- a/crates/admission/tests/days.rs
+++ b/crates/admission/tests/traffic.rs
@@ -1,9 +1,10 @@
-//! Short days as one router sees them, and what they are called; who goes in.
+//! Short periods of traffic as one router sees them: how they are classified, and which requests are
+//! admitted.
 use applepond_admission::watch::Called;
 use applepond_admission::{Arrival, Gate, Micros, Passage};
 use test_case::test_case;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 /// A gate and how the day went so far.
 struct Day {
@@ -17,13 +18,13 @@
 
 impl Day {
     fn new() -> Self {
-        let now = 1_000 * S;
+        let now = 1_000 * SECOND;
         Day { gate: Gate::new(now, 7), now, next: 0, let_in: 0, back: 0, waits: Vec::new() }
     }
 
     /// One request of a client; a retry carries the name of an earlier one.
     fn ask(&mut self, client: u64, name: u64, told: bool) -> Passage {
-        let arrival = Arrival { client, name, retry: told, importance: 1.0, left: 60 * S };
+        let arrival = Arrival { client, name, retry: told, importance: 1.0, left: 60 * SECOND };
         let passage = self.gate.arrive(self.now, &arrival);
         match passage {
             Passage::In { .. } => self.let_in += 1,
@@ -35,10 +36,11 @@
         passage
     }
 
-    /// For `seconds`, `firsts` and `retries` a second spread over `clients`; `well` of what goes in finishes.
+    /// For `seconds`, `firsts` and `retries` a second spread over `clients`; `well` of what goes in
+    /// finishes.
     fn run(&mut self, seconds: u64, firsts: u64, retries: u64, clients: u64, well: f64) {
         let all = (firsts + retries).max(1);
-        let gap = S / all;
+        let gap = SECOND / all;
         for n in 0..seconds * all {
             self.now += gap;
             self.next += 1;
@@ -63,7 +65,7 @@
 #[test_case(1000, 600, 1000, 0.2, Called::Storm; "a storm hidden in a jump")]
 #[test_case(100, 100, 1, 1.0, Called::Loop; "one client's loop")]
 #[test_case(100, 3, 1000, 0.3, Called::Slow; "usual work, most of it not ending well")]
-fn called(firsts: u64, retries: u64, clients: u64, well: f64, want: Called) {
+fn traffic_is_classified(firsts: u64, retries: u64, clients: u64, well: f64, want: Called) {
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
     day.run(6, firsts, retries, clients, well);
@@ -71,20 +73,20 @@
 }
 
 #[test]
-fn a_true_jump_goes_in_whole() {
+fn all_requests_of_a_true_jump_are_admitted() {
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
     day.run(20, 1000, 5, 5000, 1.0);
     assert_eq!(day.back, 0);
 }
 
-// A router that was restarted in the middle knows no usual rate: the share of retries is enough. Here clients
-// say so.
+// A router that was restarted in the middle knows no usual rate: the share of retries is enough. Here
+// clients say so.
 #[test]
-fn a_storm_met_without_any_past() {
+fn a_storm_is_recognized_right_after_a_start() {
     let mut day = Day::new();
     for n in 0..2_000 {
-        day.now += S / 500;
+        day.now += SECOND / 500;
         day.ask(n % 700, 5_000_000 + n, true);
     }
     assert_eq!(day.called(), Called::Storm);
@@ -107,25 +109,25 @@
 
 // The same where clients do not say that they ask again: their names are known from the second time on.
 #[test]
-fn a_storm_met_without_any_past_by_names_alone() {
+fn a_storm_is_recognized_right_after_a_start_by_names_alone() {
     let mut day = Day::new();
     for n in 0..2_000 {
-        day.now += S / 500;
+        day.now += SECOND / 500;
         day.ask(n % 700, 5_000_000 + n % 700, false);
     }
     assert_eq!(day.called(), Called::Storm);
     assert!(day.back > 300, "{}", day.back);
 }
 
-// A fifth of what comes are retries: no storm by itself. It is one with a sign beside it: connections opened
-// anew far above the usual, or times to come back that are not kept.
+// A fifth of what comes are retries: no storm by itself. It is one with a sign beside it: connections
+// opened anew far above the usual, or times to come back that are not kept.
 #[test_case(1, false, Called::Calm; "no other sign")]
 #[test_case(10, false, Called::Storm; "connections")]
 #[test_case(1, true, Called::Storm; "times not kept")]
-fn signs_beside_the_share(connections: u64, early: bool, want: Called) {
+fn indications_lower_the_fraction_of_retries_needed(connections: u64, early: bool, want: Called) {
     let mut day = Day::new();
     for n in 0..6_000u64 {
-        day.now += S / 200;
+        day.now += SECOND / 200;
         day.ask(n * 7919 % 1_000, 2_000_000 + n, false);
         day.gate.ended(day.now, true, false);
         if n % 20 == 0 {
@@ -133,11 +135,11 @@
         }
     }
     for n in 0..600u64 {
-        day.now += S / 200;
+        day.now += SECOND / 200;
         let retry = n % 5 == 0;
         let name = if retry { 3_000_000 + n / 100 } else { 4_000_000 + n };
         if retry && early {
-            day.gate.told(name, day.now + 20 * S);
+            day.gate.told(name, day.now + 20 * SECOND);
         }
         day.ask(n * 7919 % 1_000, name, retry);
         day.gate.ended(day.now, true, false);
@@ -151,7 +153,7 @@
 // Half of the clients ask ten times a second whatever they are told. Those that come when they are told to
 // are through about as soon as if the others were not there.
 #[test]
-fn followers_are_not_slowed_by_those_that_ignore() {
+fn clients_that_follow_are_not_slowed_by_those_that_do_not() {
     let through = |ignoring: u64| {
         const PACE: u64 = 100;
         let mut day = Day::new();
@@ -161,7 +163,8 @@
             (0..400).map(|c| (day.now + c * 2_000, 10_000 + c, true)).collect();
         asks.extend((0..ignoring).map(|c| (day.now + c * 2_000, 20_000 + c, false)));
         let (begin, mut slots, mut waits) = (day.now, 0.0f64, Vec::new());
-        while let Some((at, client, follows)) = asks.pop_first().filter(|(at, ..)| *at < begin + 60 * S) {
+        while let Some((at, client, follows)) = asks.pop_first().filter(|(at, ..)| *at < begin + 60 * SECOND)
+        {
             // The fleet finishes so many a second, and the module pushes back what has no room.
             slots = (slots + (at - day.now) as f64 * PACE as f64 / 1e6).min(10.0);
             day.now = at;
@@ -176,11 +179,15 @@
                 }
                 Passage::In { .. } => {
                     day.gate.ended(at, false, true);
-                    day.gate.come_back(at, client, client, 60 * S)
+                    day.gate.come_back(at, client, client, 60 * SECOND)
                 }
                 Passage::Back { wait, .. } => wait,
             };
-            asks.insert((at + if follows { wait.expect("there is time") } else { S / 10 }, client, follows));
+            asks.insert((
+                at + if follows { wait.expect("there is time") } else { SECOND / 10 },
+                client,
+                follows,
+            ));
         }
         assert_eq!(waits.len(), 400, "all followers are through");
         waits.sort_unstable();
@@ -190,9 +197,9 @@
     assert!(beside.0 < 2 * alone.0 && beside.1 < 2 * alone.1, "{alone:?} alone, {beside:?} beside 400");
 }
 
-/// A storm of clients that ask ten times a second until they are through, over ordinary work, against a fleet
-/// that finishes so many a second and has its pushbacks told half a second later: seconds until all are
-/// through (60 at most), and the share of what went in that had no room.
+/// A storm of clients that ask ten times a second until they are through, over ordinary work, against a
+/// fleet that finishes so many a second and has its pushbacks told half a second later: seconds until all
+/// are through (60 at most), and the share of what went in that had no room.
 fn against(fleet: f64, ignoring: u64) -> (u64, f64) {
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
@@ -219,19 +226,19 @@
         }
         back += u64::from(went);
         if went {
-            late.push_back(at + S / 2);
+            late.push_back(at + SECOND / 2);
         }
         if ignores {
-            asks.insert((at + S / 10, client));
+            asks.insert((at + SECOND / 10, client));
         }
     }
-    ((day.now - begin) / S, back as f64 / (day.let_in - before) as f64)
+    ((day.now - begin) / SECOND, back as f64 / (day.let_in - before) as f64)
 }
 
 // What was finished before a storm is what was asked for; the fleet may bear more, and it is found out.
 #[test_case(120.0, 50, 0.45; "hardly more than before: few go in for nothing")]
 #[test_case(300.0, 12, 0.45; "three times as much: it is used")]
-fn room_is_found(fleet: f64, seconds: u64, wasted: f64) {
+fn the_admission_rate_adapts_to_the_capacity(fleet: f64, seconds: u64, wasted: f64) {
     let (took, back) = against(fleet, 1_000);
     assert!(
         took <= seconds && back <= wasted,
@@ -255,13 +262,13 @@
 
 // In a storm about as many go in as the fleet finished before it, and first tries come before retries.
 #[test]
-fn admission() {
+fn first_attempts_come_before_retries_in_a_storm() {
     let mut day = Day::new();
     day.run(30, 200, 1, 1000, 1.0);
     day.run(4, 150, 600, 5000, 0.25);
     let (before, mut firsts, mut retries) = (day.let_in, 0, 0);
     for n in 0..3_750u64 {
-        day.now += S / 750;
+        day.now += SECOND / 750;
         let retry = n % 5 != 0;
         let name = if retry { n % 50 } else { 9_000_000 + n };
         if matches!(day.ask(n * 7919 % 5000, name, false), Passage::In { .. }) {
@@ -276,12 +283,12 @@
 
 // One client asks ten times a second for ever: it is held to its budget, the others are not touched.
 #[test]
-fn one_loop_costs_nobody_else() {
+fn the_loop_of_one_client_costs_nobody_else() {
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
     let (mut loops, mut others) = (0, 0);
     for n in 0..4_000u64 {
-        day.now += S / 200;
+        day.now += SECOND / 200;
         let passage =
             if n % 2 == 0 { day.ask(424_242, 7, true) } else { day.ask(n % 900, 8_000_000 + n, false) };
         if matches!(passage, Passage::Back { .. }) {
@@ -292,7 +299,7 @@
 }
 
 #[test]
-fn the_same_events_have_the_same_passages() {
+fn equal_events_give_equal_decisions() {
     let run = || {
         let mut day = Day::new();
         day.run(20, 100, 1, 1000, 1.0);
