--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -4,10 +4,10 @@
 //! `.svg`, and no PART it draws need against allowance by the size of the fleet.
 //!
 //! Simulated time and one thread; times are those of a shared machine, bytes and messages are counts.
-#[path = "../../membership/tests/common/mod.rs"]
-mod members;
 #[path = "../../gossip/tests/common/mod.rs"]
-mod tallies;
+mod gossip_fleet;
+#[path = "../../membership/tests/common/mod.rs"]
+mod membership_fleet;
 
 use applepond_capacity::fit::{Fit, Form};
 use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
@@ -134,14 +134,14 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = members::SimulatedNetwork::fleet(1, routers, members::lossy(0.0));
-        fleet.pass(60 * members::S);
-        let sum = |fleet: &members::SimulatedNetwork| {
-            let all = fleet.all.iter().flatten();
+        let mut fleet = membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy(0.0));
+        fleet.run_for(60 * membership_fleet::SECOND);
+        let sum = |fleet: &membership_fleet::SimulatedNetwork| {
+            let all = fleet.processes.iter().flatten();
             all.fold((0, 0), |(bytes, messages), p| (bytes + p.bytes, messages + p.messages))
         };
         let (from, begun) = (sum(&fleet), Instant::now());
-        fleet.pass(WATCHED_S * members::S);
+        fleet.run_for(WATCHED_S * membership_fleet::SECOND);
         let took = begun.elapsed();
         let to = sum(&fleet);
         let each = |n: u64| n as f64 / routers as f64 / WATCHED_S as f64;
@@ -166,21 +166,22 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = tallies::SimulatedNetwork::fleet(1, routers, tallies::lossy(0.0));
-        let publish = |fleet: &mut tallies::SimulatedNetwork| {
+        let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy(0.0));
+        let publish = |fleet: &mut gossip_fleet::SimulatedNetwork| {
             for n in 0..routers {
-                let at = fleet.now + PUBLISHED_EACH_S * tallies::S / routers as u64;
-                fleet.until(at, |_| false);
-                fleet.put(n, 1, &[n as u8; PUBLISHED_BYTES]);
+                let at = fleet.now + PUBLISHED_EACH_S * gossip_fleet::SECOND / routers as u64;
+                fleet.run_until(at, |_| false);
+                fleet.publish(n, 1, &[n as u8; PUBLISHED_BYTES]);
             }
         };
         publish(&mut fleet);
-        let bytes =
-            |fleet: &tallies::SimulatedNetwork| fleet.all.iter().flatten().map(|p| p.bytes).sum::<u64>();
+        let bytes = |fleet: &gossip_fleet::SimulatedNetwork| {
+            fleet.processes.iter().flatten().map(|p| p.bytes).sum::<u64>()
+        };
         let (from, begun, since) = (bytes(&fleet), Instant::now(), fleet.now);
         publish(&mut fleet);
         let took = begun.elapsed();
-        let (seconds, count) = ((fleet.now - since) as f64 / tallies::S as f64, routers as f64);
+        let (seconds, count) = ((fleet.now - since) as f64 / gossip_fleet::SECOND as f64, routers as f64);
         let sent = (bytes(&fleet) - from) as f64 / count / seconds / 1e3;
         let held = (allocated().live - before) as f64 / count / 1e3;
         rows.push((count, [sent, held, took.as_secs_f64() * 1e3 / count / seconds]));
--- a/crates/capacity/tests/messages.rs
+++ b/crates/capacity/tests/messages.rs
@@ -1,9 +1,9 @@
 //! What hollow routers tell each other in steady state, by counts, at small sizes: each grows as
 //! docs/CAPACITY.md states.
-#[path = "../../membership/tests/common/mod.rs"]
-mod members;
 #[path = "../../gossip/tests/common/mod.rs"]
-mod tallies;
+mod gossip_fleet;
+#[path = "../../membership/tests/common/mod.rs"]
+mod membership_fleet;
 
 use applepond_capacity::fit::{Fit, Form};
 
@@ -17,31 +17,31 @@
 
 /// Bytes and messages a second that an instance of membership sends once its fleet has settled.
 fn membership(routers: usize) -> [f64; 2] {
-    let mut fleet = members::SimulatedNetwork::fleet(1, routers, members::lossy(0.0));
-    fleet.pass(30 * members::S);
-    let sum = |fleet: &members::SimulatedNetwork| {
-        let all = fleet.all.iter().flatten();
+    let mut fleet = membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy(0.0));
+    fleet.run_for(30 * membership_fleet::SECOND);
+    let sum = |fleet: &membership_fleet::SimulatedNetwork| {
+        let all = fleet.processes.iter().flatten();
         all.fold([0, 0], |[bytes, messages], process| [bytes + process.bytes, messages + process.messages])
     };
     let from = sum(&fleet);
-    fleet.pass(WATCHED_S * members::S);
+    fleet.run_for(WATCHED_S * membership_fleet::SECOND);
     let to = sum(&fleet);
     [0, 1].map(|n| (to[n] - from[n]) as f64 / routers as f64 / WATCHED_S as f64)
 }
 
 /// Bytes a second that an instance of gossip sends while each router publishes.
 fn gossip(routers: usize) -> f64 {
-    let mut fleet = tallies::SimulatedNetwork::fleet(1, routers, tallies::lossy(0.0));
-    let publish = |fleet: &mut tallies::SimulatedNetwork| {
+    let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy(0.0));
+    let publish = |fleet: &mut gossip_fleet::SimulatedNetwork| {
         for n in 0..routers {
-            let at = fleet.now + PUBLISHED_EACH_S * tallies::S / routers as u64;
-            fleet.until(at, |_| false);
-            fleet.put(n, 1, &[n as u8; PUBLISHED_BYTES]);
+            let at = fleet.now + PUBLISHED_EACH_S * gossip_fleet::SECOND / routers as u64;
+            fleet.run_until(at, |_| false);
+            fleet.publish(n, 1, &[n as u8; PUBLISHED_BYTES]);
         }
     };
     publish(&mut fleet);
-    let bytes = |fleet: &tallies::SimulatedNetwork| {
-        fleet.all.iter().flatten().map(|process| process.bytes).sum::<u64>()
+    let bytes = |fleet: &gossip_fleet::SimulatedNetwork| {
+        fleet.processes.iter().flatten().map(|process| process.bytes).sum::<u64>()
     };
     let from = bytes(&fleet);
     publish(&mut fleet);
