--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -126,7 +126,7 @@
         self.advance(300 * MS);
         let (conn, _, question) = self.transport.datagrams.last().expect("it asks").clone();
         let answer = answer(u16::from_be_bytes([question[0], question[1]]), 2, start);
-        self.node.told(self.now, &mut self.transport, conn, &answer);
+        self.node.datagram_received(self.now, &mut self.transport, conn, &answer);
     }
 
     pub fn disconnect(&mut self, conn: Conn, why: Closed) {
--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -39,7 +39,7 @@
         self.0.borrow_mut().closed(now, transport, conn, why, sent);
     }
     fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        self.0.borrow_mut().told(now, transport, conn, bytes);
+        self.0.borrow_mut().datagram_received(now, transport, conn, bytes);
     }
     fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.0.borrow_mut().flushed(now, transport, conn);
