--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -3,12 +3,14 @@
 //! the worker's LRU alone, each router pinning by its own counts, pins by the merged counts, and by the
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
-use applepond_prefix_cache::*;
+use applepond_prefix_cache::{
+    LEASE_DURATION, List, OpeningId, PANE_DURATION, PaneCounts, Panes, Pins, PrefixUsage, Sketch, Terms,
+};
 use oorandom::Rand64;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 const ROUTERS: usize = 20;
 const WORKERS: usize = 12;
 const OPENINGS: u64 = 2_000;
@@ -74,13 +76,13 @@
         keeps: KEPT as f64 * WORKERS as f64 / RATE as f64 * 1e6,
     };
     let mut panes: Vec<Panes> = (0..ROUTERS).map(|_| Panes::new(0)).collect();
-    let mut told: Vec<(u64, RouterId, Told)> = Vec::new();
+    let mut told: Vec<(u64, RouterId, PaneCounts)> = Vec::new();
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
     let mut pins: Vec<Pins> = (0..lists_of).map(|_| Pins::new(0, terms)).collect();
     let mut lists = vec![List::default(); lists_of];
     let (mut prepared, mut requests, mut took) = (0u64, 0u64, 0u64);
     for n in 0..RATE * SECONDS {
-        let now = n * S / RATE;
+        let now = n * SECOND / RATE;
         if n % RATE == 0 {
             for (r, pane) in panes.iter_mut().enumerate() {
                 told.extend(pane.wake(now).map(|t| (now, RouterId(r as u64), t)));
@@ -93,7 +95,7 @@
                     Way::True => (0..OPENINGS)
                         .map(|id| {
                             let per_s = (id as f64 + 1.0).powf(-zipf) / all * RATE as f64;
-                            Counted { id: OpeningId(id), per_s, lacks: 0.0, by: ROUTERS }
+                            PrefixUsage { id: OpeningId(id), per_s, max_error: 0.0, routers: ROUTERS }
                         })
                         .collect(),
                     // Alone a router has no other's word; its own uses stand for the fleet's.
@@ -111,7 +113,7 @@
         panes[router].uses(OpeningId(id));
         let worker = &mut workers[rng.rand_range(0..WORKERS as u64) as usize];
         let list = &lists[if way == Way::Own { router } else { 0 }];
-        let had = worker.request(now, id, list.rides(now, now + RIDES, OpeningId(id)));
+        let had = worker.request(now, id, list.rides(now, now + LEASE_DURATION, OpeningId(id)));
         if n >= WARM * RATE {
             requests += 1;
             prepared += u64::from(!had);
@@ -122,18 +124,18 @@
 }
 
 /// One router's uses as if all saw the same.
-fn own<'a>(told: impl Iterator<Item = &'a Told>) -> Vec<Counted> {
+fn own<'a>(told: impl Iterator<Item = &'a PaneCounts>) -> Vec<PrefixUsage> {
     let (mut sum, mut panes) = (Sketch::default(), 0u64);
     for t in told {
         sum.merge(&t.sketch);
         panes += 1;
     }
-    let seconds = panes.max(1) as f64 * PANE as f64 / 1e6;
-    let counted = |(id, count): (OpeningId, u64)| Counted {
+    let seconds = panes.max(1) as f64 * PANE_DURATION as f64 / 1e6;
+    let counted = |(id, count): (OpeningId, u64)| PrefixUsage {
         id,
         per_s: count as f64 / seconds * ROUTERS as f64,
-        lacks: 0.0,
-        by: 1,
+        max_error: 0.0,
+        routers: 1,
     };
     sum.counts().map(counted).collect()
 }
--- a/crates/prefix_cache/src/fault.rs
+++ b/crates/prefix_cache/src/error.rs
@@ -1,21 +1,25 @@
-//! Why what is told or agreed on is not taken, and what an operator can do about it.
+//! Errors of the prefix cache. Each carries a code and what an operator can do about it.
 use miette::Diagnostic;
 use thiserror::Error;
 
+/// Why published counts or an agreed list are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum Unfit {
+    /// Published counts cannot be decoded.
     #[error("counts of openings that cannot be read")]
     #[diagnostic(
         code(openings::unreadable),
         help("a router of another version: compare the versions of the routers; its counts are left out")
     )]
     Unreadable,
+    /// Published counts contradict the bounds of a sketch.
     #[error("counts of openings that no sketch can have")]
     #[diagnostic(
         code(openings::unsound),
         help("somebody with the fleet's key makes counts up: change the key files of all routers")
     )]
     Unsound,
+    /// An agreed list cannot be decoded, or has more than [`MAX_PINS`](crate::MAX_PINS) pins.
     #[error("a list of openings that cannot be read, or is longer than any")]
     #[diagnostic(
         code(openings::no_list),
@@ -25,6 +29,6 @@
 }
 
 impl Unfit {
-    /// One of each, for the table of codes.
+    /// One of each, for the table of error codes.
     pub const EACH: [Unfit; 3] = [Unfit::Unreadable, Unfit::Unsound, Unfit::NoList];
 }
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -1,66 +1,106 @@
-//! Panes of time: a router's own uses, what others tell of theirs, and the fleet's uses a second of each
-//! opening.
-use crate::{FEW, Micros, ONE_PART, OpeningId, PANE, PANES, Sketch, Unfit};
+//! Panes of time: a router's own uses of prefixes, those that others have published, and the fleet's uses a
+//! second of each prefix.
+use crate::OpeningId;
+use crate::config::{MAX_ROUTER_FRACTION, MIN_OTHER_USES, PANE_DURATION, PANES};
+use crate::error::Unfit;
+use crate::sketch::Sketch;
+use applepond::interface::Micros;
 use applepond_membership::RouterId;
 use std::collections::BTreeMap;
 
-/// One pane as it is told: its number at its origin, and what was counted in it.
+/// The counts of one pane, as they are published.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct PaneCounts {
+    /// Number of the pane at its origin.
     pub pane: u64,
+    /// What was counted in it.
     pub sketch: Sketch,
 }
 
-/// Uses a second of one opening over the fleet, by what is known.
+/// Uses of one prefix over the fleet, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Counted {
+pub struct PrefixUsage {
+    /// The prefix.
     pub id: OpeningId,
-    /// Certain, each router's part bounded; the true one is higher by `lacks` at most.
+    /// Uses a second that are certain, with the part of each router bounded.
     pub per_s: f64,
-    pub lacks: f64,
-    /// Routers that have told of it.
-    pub by: usize,
+    /// The true rate is higher than [`per_s`](PrefixUsage::per_s) by this at most.
+    pub max_error: f64,
+    /// Number of routers that have published uses of it.
+    pub routers: usize,
 }
 
-/// A router's own panes, the one under way and those that count.
+/// What one router contributes to the uses of one prefix.
+#[derive(Clone, Copy)]
+struct Contribution {
+    per_s: f64,
+    uses: u64,
+}
+
+/// The counts of one router over its panes.
+#[derive(Default)]
+struct RouterCounts {
+    sketch: Sketch,
+    panes: u64,
+}
+
+impl RouterCounts {
+    /// Duration of the panes in seconds.
+    fn seconds(&self) -> f64 {
+        self.panes.max(1) as f64 * PANE_DURATION as f64 / 1e6
+    }
+}
+
+/// The pane of a router that is under way.
 pub struct Panes {
-    begun: Micros,
+    began_at: Micros,
     number: u64,
-    now: Sketch,
+    current: Sketch,
 }
 
 impl Panes {
+    /// Time in µs for which published panes count.
+    pub const LIFE: Micros = PANE_DURATION * PANES;
+
+    /// Begins the first pane.
     pub fn new(now: Micros) -> Self {
-        Panes { begun: now, number: 0, now: Sketch::default() }
+        Panes { began_at: now, number: 0, current: Sketch::default() }
     }
 
-    /// A request that uses this opening has come.
+    /// A request that has this prefix arrived.
     pub fn uses(&mut self, id: OpeningId) {
-        self.now.add(id, 1);
+        self.current.add(id, 1);
     }
 
+    /// When the pane ends.
     pub fn next(&self) -> Micros {
-        self.begun + PANE
+        self.began_at + PANE_DURATION
     }
 
-    /// The pane that is over, once it is; it is told as it stands and never changed.
-    pub fn wake(&mut self, now: Micros) -> Option<Told> {
+    /// The pane that is over, if it is. It is published as it stands and never changed.
+    pub fn wake(&mut self, now: Micros) -> Option<PaneCounts> {
         if now < self.next() {
             return None;
         }
-        // A process that stood still has one long pane, and says nothing of the time in which it saw nothing.
-        self.begun = now;
+        // A process that stood still has one long pane, and says nothing about the time in which it saw
+        // nothing.
+        self.began_at = now;
         self.number += 1;
-        Some(Told { pane: self.number, sketch: std::mem::take(&mut self.now) })
+        Some(PaneCounts { pane: self.number, sketch: std::mem::take(&mut self.current) })
     }
 
-    /// A pane as bytes, as others are told it.
-    pub fn write(told: &Told) -> Vec<u8> {
-        // Numbers always can be written.
-        postcard::to_stdvec(&told.sketch).unwrap_or_default()
+    /// Encodes the counts of a pane for publication.
+    pub fn write(counts: &PaneCounts) -> Vec<u8> {
+        // Encoding numbers does not fail.
+        postcard::to_stdvec(&counts.sketch).unwrap_or_default()
     }
 
-    pub fn read(pane: u64, bytes: &[u8]) -> Result<Told, Unfit> {
+    /// Decodes the published counts of a pane.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes cannot be decoded, or no sketch can have these counts.
+    pub fn read(pane: u64, bytes: &[u8]) -> Result<PaneCounts, Unfit> {
         let sketch = match postcard::take_from_bytes::<Sketch>(bytes) {
             Ok((sketch, [])) => sketch,
             _ => return Err(Unfit::Unreadable),
@@ -68,53 +108,75 @@
         if !sketch.is_sound() {
             return Err(Unfit::Unsound);
         }
-        Ok(Told { pane, sketch })
+        Ok(PaneCounts { pane, sketch })
     }
 
-    /// How long panes count, in µs since they were told.
-    pub const LIFE: Micros = PANE * PANES;
-
-    /// The fleet's uses: of each origin each pane once, however often it was told. `panes` are all that still
-    /// count; who has told nothing is not in it, and not taken for one that sees nothing.
-    pub fn fleet(panes: impl IntoIterator<Item = (RouterId, Told)>) -> Vec<Counted> {
-        Self::counted(panes, ONE_PART)
+    /// The fleet's uses of each prefix. `panes` are all that still count; each pane of an origin counts
+    /// once, however often it appears. A router that has published nothing is left out, and not taken for
+    /// one that sees nothing.
+    pub fn fleet(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
+        usage(panes, Some(MAX_ROUTER_FRACTION))
     }
 
-    /// The same with whatever one router says, for drills.
-    pub fn unbounded(panes: impl IntoIterator<Item = (RouterId, Told)>) -> Vec<Counted> {
-        Self::counted(panes, 1.0)
+    /// The same without the bound on the part of one router, for fault injection.
+    pub fn unbounded(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
+        usage(panes, None)
     }
+}
 
-    fn counted(panes: impl IntoIterator<Item = (RouterId, Told)>, one_part: f64) -> Vec<Counted> {
-        let mut each: BTreeMap<(RouterId, u64), Sketch> = BTreeMap::new();
-        for (origin, told) in panes {
-            each.insert((origin, told.pane), told.sketch);
+/// Merges panes into the uses of each prefix. `max_router_fraction`: what one router may contribute at
+/// most.
+fn usage(
+    panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
+    max_router_fraction: Option<f64>,
+) -> Vec<PrefixUsage> {
+    let mut contributions: BTreeMap<OpeningId, Vec<Contribution>> = BTreeMap::new();
+    let mut max_error = 0.0;
+    for counts in merge_by_router(panes).values() {
+        let seconds = counts.seconds();
+        max_error += counts.sketch.error() as f64 / seconds;
+        for (id, uses) in counts.sketch.counts() {
+            let contribution = Contribution { per_s: uses as f64 / seconds, uses };
+            contributions.entry(id).or_default().push(contribution);
         }
-        let mut of: BTreeMap<RouterId, (Sketch, u64)> = BTreeMap::new();
-        for ((origin, _), sketch) in &each {
-            let (sum, panes) = of.entry(*origin).or_default();
-            sum.merge(sketch);
-            *panes += 1;
-        }
-        let mut uses: BTreeMap<OpeningId, Vec<(f64, u64)>> = BTreeMap::new();
-        let mut lacks = 0.0;
-        for (sketch, panes) in of.values() {
-            let seconds = (*panes).max(1) as f64 * PANE as f64 / 1e6;
-            lacks += sketch.error() as f64 / seconds;
-            for (id, count) in sketch.counts() {
-                uses.entry(id).or_default().push((count as f64 / seconds, count));
-            }
-        }
-        let counted = |(id, mut parts): (OpeningId, Vec<(f64, u64)>)| {
-            let by = parts.len();
-            // Guards against one voice: nobody speaks for more than a part of all, the others' word for it.
-            parts.sort_by(|a, b| b.0.total_cmp(&a.0));
-            let others = parts[1..].iter().fold(0u64, |sum, (_, uses)| sum.saturating_add(*uses));
-            let rest: f64 = parts[1..].iter().map(|(per_s, _)| per_s).sum();
-            let most = if one_part < 1.0 { rest * one_part / (1.0 - one_part) } else { f64::MAX };
-            let few = one_part < 1.0 && others < FEW;
-            Counted { id, per_s: if few { 0.0 } else { rest + parts[0].0.min(most) }, lacks, by }
-        };
-        uses.into_iter().map(counted).collect()
     }
+    let of_prefix = |(id, contributions): (OpeningId, Vec<Contribution>)| {
+        let routers = contributions.len();
+        PrefixUsage { id, per_s: total_rate(contributions, max_router_fraction), max_error, routers }
+    };
+    contributions.into_iter().map(of_prefix).collect()
+}
+
+/// The counts of each router, each of its panes once.
+fn merge_by_router(
+    panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
+) -> BTreeMap<RouterId, RouterCounts> {
+    let mut distinct: BTreeMap<(RouterId, u64), Sketch> = BTreeMap::new();
+    for (origin, counts) in panes {
+        distinct.insert((origin, counts.pane), counts.sketch);
+    }
+    let mut merged: BTreeMap<RouterId, RouterCounts> = BTreeMap::new();
+    for ((origin, _), sketch) in &distinct {
+        let counts = merged.entry(*origin).or_default();
+        counts.sketch.merge(sketch);
+        counts.panes += 1;
+    }
+    merged
+}
+
+/// Uses a second of one prefix over all routers.
+///
+/// This guards against a single router that lies: its part of the total is bounded, and counts only if the
+/// others see the prefix too.
+fn total_rate(mut contributions: Vec<Contribution>, max_router_fraction: Option<f64>) -> f64 {
+    contributions.sort_by(|one, other| other.per_s.total_cmp(&one.per_s));
+    let Some((largest, others)) = contributions.split_first() else { return 0.0 };
+    let others_rate: f64 = others.iter().map(|other| other.per_s).sum();
+    let Some(fraction) = max_router_fraction else { return others_rate + largest.per_s };
+    let others_uses = others.iter().fold(0u64, |sum, other| sum.saturating_add(other.uses));
+    if others_uses < MIN_OTHER_USES {
+        return 0.0;
+    }
+    let most = others_rate * fraction / (1.0 - fraction);
+    others_rate + largest.per_s.min(most)
 }
--- a/crates/prefix_cache/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
-use applepond_prefix_cache::*;
+use applepond_prefix_cache::{List, OpeningId, PANE_DURATION, Panes, Pin};
 
 fn list() -> List {
     let pin = |n: u64| Pin { id: OpeningId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
@@ -20,7 +20,7 @@
     for (id, uses) in [(1, 5), (0xffee_ddcc_bbaa_9988, 2), (70_000, 1)] {
         (0..uses).for_each(|_| panes.uses(OpeningId(id)));
     }
-    let told = panes.wake(PANE).expect("a pane is over");
+    let told = panes.wake(PANE_DURATION).expect("a pane is over");
     let bytes = Panes::write(&told);
     insta::assert_snapshot!("panes", hex::encode(&bytes));
     let read = Panes::read(told.pane, &bytes).expect("a pane");
--- a/crates/prefix_cache/tests/openings.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -1,12 +1,17 @@
-//! Counts against exact ones, panes that come twice, late or from a liar, and a list that does not flutter.
+//! Sketches beside exact counts, panes that arrive twice, late or from a router that lies, and stable lists
+//! of pins.
 use applepond_membership::RouterId;
-use applepond_prefix_cache::*;
+use applepond_prefix_cache::{
+    CHANGE_INTERVAL, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED,
+    OpeningId, PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixUsage, RELEASE_DELAY, SKETCH_COUNTERS,
+    Sketch, Terms, Unfit,
+};
 use oorandom::Rand64;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 
 /// Ranks by 1 / rank to the power `s`.
 struct Zipf(Vec<f64>);
@@ -28,10 +33,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
-    // However it is split over routers and merged in whatever order: never too high, too low by the
-    // stated error at most, and that is the total by one more than the counters at most.
+    // However it is split over routers and merged in whatever order: never too high, too low by the stated
+    // error at most, and that is the total by one more than the counters at most.
     #[test]
-    fn the_stated_error_holds(seed: u64, s in 0.8f64..1.4, routers in 1usize..30, crowd: bool) {
+    fn the_error_of_a_sketch_is_bounded(seed: u64, s in 0.8f64..1.4, routers in 1usize..30, crowd: bool) {
         let (mut rng, zipf) = (Rand64::new(u128::from(seed)), Zipf::new(2_000, s));
         let mut parts = vec![Sketch::default(); routers];
         let mut exact: BTreeMap<OpeningId, u64> = BTreeMap::new();
@@ -49,14 +54,14 @@
         }
         prop_assert!(merged.is_sound());
         prop_assert_eq!(merged.total(), 6_000);
-        prop_assert!(merged.error() <= 6_000 / (COUNTERS as u64 + 1));
+        prop_assert!(merged.error() <= 6_000 / (SKETCH_COUNTERS as u64 + 1));
         for (id, count) in exact {
             prop_assert!(merged.count(id) <= count && merged.count(id) + merged.error() >= count);
         }
     }
 
     #[test]
-    fn what_others_tell_is_looked_at(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn published_counts_are_checked(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(told) = Panes::read(1, &bytes) {
             prop_assert!(told.sketch.is_sound());
         }
@@ -64,29 +69,30 @@
 }
 
 #[test]
-fn the_largest_fits_into_a_value_that_is_told() {
+fn the_largest_sketch_fits_into_a_published_value() {
     let mut panes = Panes::new(0);
-    (0..COUNTERS as u64 * 2).for_each(|n| (0..1 + n % 9).for_each(|_| panes.uses(OpeningId(u64::MAX - n))));
-    let told = panes.wake(PANE).expect("over");
+    (0..SKETCH_COUNTERS as u64 * 2)
+        .for_each(|n| (0..1 + n % 9).for_each(|_| panes.uses(OpeningId(u64::MAX - n))));
+    let told = panes.wake(PANE_DURATION).expect("over");
     let bytes = Panes::write(&told);
     assert!(bytes.len() <= 900, "{} bytes", bytes.len());
     assert_eq!(Panes::read(1, &bytes), Ok(told));
     (0..bytes.len()).for_each(|at| assert!(Panes::read(1, &bytes[..at]).is_err(), "cut at {at}"));
 }
 
-fn pane(origin: u64, number: u64, uses: &[(u64, u64)]) -> (RouterId, Told) {
+fn pane(origin: u64, number: u64, uses: &[(u64, u64)]) -> (RouterId, PaneCounts) {
     let mut sketch = Sketch::default();
     uses.iter().for_each(|(id, n)| sketch.add(OpeningId(*id), *n));
-    (RouterId(origin), Told { pane: number, sketch })
+    (RouterId(origin), PaneCounts { pane: number, sketch })
 }
 
-fn per_s(counted: &[Counted], id: u64) -> f64 {
+fn per_s(counted: &[PrefixUsage], id: u64) -> f64 {
     counted.iter().find(|c| c.id == OpeningId(id)).map_or(0.0, |c| c.per_s)
 }
 
 // Each origin's pane counts once, in whatever order and however often it was told.
 #[test]
-fn each_pane_once() {
+fn each_pane_counts_once() {
     let all =
         [pane(1, 1, &[(7, 50)]), pane(2, 1, &[(7, 50)]), pane(3, 4, &[(7, 50)]), pane(4, 2, &[(7, 50)])];
     let once = Panes::fleet(all.clone());
@@ -96,7 +102,7 @@
     // The fuller of two panes weighs no more for having come three times.
     let (full, bare) = (pane(1, 1, &[(7, 100)]), pane(1, 2, &[(8, 1)]));
     let rest = [2, 3, 4].map(|r| pane(r, 1, &[(7, 200)]));
-    let of = |mine: &[(RouterId, Told)]| Panes::fleet(mine.iter().chain(&rest).cloned());
+    let of = |mine: &[(RouterId, PaneCounts)]| Panes::fleet(mine.iter().chain(&rest).cloned());
     assert_eq!(of(&[full.clone(), bare.clone()]), of(&[full.clone(), full.clone(), full, bare]));
     // Two panes of one origin are twice the time, not twice the rate.
     let more = Panes::fleet(all.into_iter().chain([pane(1, 2, &[(7, 50)])]));
@@ -108,7 +114,7 @@
 #[test_case(&[(1, 1_000_000), (2, 15), (3, 15)], 8.0; "beside two")]
 #[test_case(&[(1, 1_000), (2, 2), (3, 3)], 0.0; "beside few")]
 #[test_case(&[(1, 50), (2, 50), (3, 50), (4, 50)], 40.0; "four alike")]
-fn one_voice(uses: &[(u64, u64)], want: f64) {
+fn the_part_of_one_router_is_bounded(uses: &[(u64, u64)], want: f64) {
     let counted = Panes::fleet(uses.iter().map(|(origin, n)| pane(*origin, 1, &[(7, *n)])));
     assert!((per_s(&counted, 7) - want).abs() < 1e-9, "{counted:?}");
 }
@@ -121,7 +127,7 @@
 }
 
 #[test]
-fn a_made_up_sketch_is_refused() {
+fn an_impossible_sketch_is_rejected() {
     // More counted than came in all: total 1, one counter of 5.
     let made_up =
         postcard::to_stdvec(&(BTreeMap::from([(OpeningId(7), 5u64)]), 1u64, 0u64)).expect("written");
@@ -133,69 +139,82 @@
 const TERMS: Terms =
     Terms { prepare: 1_000.0, bytes: 1e6, workers: 10.0, price: 0.0002, memory: 100e6, keeps: 1e5 };
 
-fn counts(uses: &[(u64, f64)]) -> Vec<Counted> {
-    uses.iter().map(|(id, per_s)| Counted { id: OpeningId(*id), per_s: *per_s, lacks: 0.0, by: 4 }).collect()
+fn counts(uses: &[(u64, f64)]) -> Vec<PrefixUsage> {
+    uses.iter()
+        .map(|(id, per_s)| PrefixUsage { id: OpeningId(*id), per_s: *per_s, max_error: 0.0, routers: 4 })
+        .collect()
 }
 
 fn ids(list: &List) -> Vec<u64> {
     list.pins.iter().map(|p| p.id.0).collect()
 }
 
-// The line in is where saving pays for the memory: here 10 uses a second; below half of it a pin goes,
-// and not before its time.
+// The line in is where saving pays for the memory: here 10 uses a second; below half of it a pin goes, and
+// not before its time.
 #[test]
-fn in_by_one_line_out_by_a_lower_one() {
+fn the_threshold_to_stay_is_lower_than_the_one_to_become_pinned() {
     let size = |_| Some(10);
     let mut pins = Pins::new(0, TERMS);
     let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.worth(*n, 10) > 0.0).expect("a line");
     let at = |uses: f64| counts(&[(7, uses)]);
-    assert_eq!(pins.next(CHANGE, &List::default(), &at(line * 0.9), size), None);
-    let list = pins.next(CHANGE, &List::default(), &at(line * 1.1), size).expect("worth it");
+    assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &at(line * 0.9), size), None);
+    let list = pins.next(CHANGE_INTERVAL, &List::default(), &at(line * 1.1), size).expect("worth it");
     assert_eq!(ids(&list), [7]);
     // It wanders about the line: nothing changes for a minute.
     for n in 1..12 {
         let uses = line * if n % 2 == 0 { 0.6 } else { 1.2 };
-        assert_eq!(pins.next((n + 1) * CHANGE, &list, &at(uses), size), None, "{n}");
+        assert_eq!(pins.next((n + 1) * CHANGE_INTERVAL, &list, &at(uses), size), None, "{n}");
     }
-    assert_eq!(pins.next(14 * CHANGE, &list, &at(line * 0.3), size), Some(List::default()));
+    assert_eq!(pins.next(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(List::default()));
 }
 
 #[test]
-fn least_times_in_and_out() {
+fn pins_stay_and_stay_away_for_a_minimum_time() {
     let size = |_| Some(10);
     let mut pins = Pins::new(0, TERMS);
     let (much, none) = (counts(&[(7, 100.0)]), counts(&[(7, 0.0)]));
-    let list = pins.next(CHANGE, &List::default(), &much, size).expect("worth it");
-    assert_eq!(pins.next(CHANGE + LEAST_IN / 2, &list, &none, size), None, "it has just come");
-    let empty = pins.next(CHANGE + 2 * LEAST_IN, &list, &none, size).expect("it goes");
-    assert_eq!(pins.next(2 * CHANGE + 2 * LEAST_IN, &empty, &much, size), None, "it has just gone");
-    assert!(pins.next(2 * CHANGE + 2 * LEAST_IN + LEAST_OUT, &empty, &much, size).is_some());
+    let list = pins.next(CHANGE_INTERVAL, &List::default(), &much, size).expect("worth it");
+    assert_eq!(
+        pins.next(CHANGE_INTERVAL + MIN_TIME_PINNED / 2, &list, &none, size),
+        None,
+        "it has just come"
+    );
+    let empty = pins.next(CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &list, &none, size).expect("it goes");
+    assert_eq!(
+        pins.next(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &empty, &much, size),
+        None,
+        "it has just gone"
+    );
+    assert!(
+        pins.next(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED + MIN_TIME_UNPINNED, &empty, &much, size)
+            .is_some()
+    );
     // Who proposes anew takes all for just changed.
-    let mut new = Pins::new(100 * S, TERMS);
-    assert_eq!(new.next(100 * S + CHANGE, &list, &none, size), None);
-    assert!(new.next(101 * S + CHANGE + LEAST_IN, &list, &none, size).is_some());
+    let mut new = Pins::new(100 * SECOND, TERMS);
+    assert_eq!(new.next(100 * SECOND + CHANGE_INTERVAL, &list, &none, size), None);
+    assert!(new.next(101 * SECOND + CHANGE_INTERVAL + MIN_TIME_PINNED, &list, &none, size).is_some());
 }
 
 // At most so much memory, so many changes at a time, ties in one order; what has no size is never pinned.
 #[test]
-fn bounds() {
+fn memory_changes_and_pins_are_bounded() {
     let many = counts(&(0..60).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut pins = Pins::new(0, TERMS);
-    let list = pins.next(CHANGE, &List::default(), &many, |_| Some(10)).expect("worth it");
-    assert_eq!(ids(&list), (0..CHANGES_MOST as u64).collect::<Vec<_>>());
+    let list = pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| Some(10)).expect("worth it");
+    assert_eq!(ids(&list), (0..MAX_CHANGES as u64).collect::<Vec<_>>());
     let mut list = list;
     for n in 2..20 {
-        list = pins.next(n * CHANGE, &list, &many, |_| Some(10)).unwrap_or(list);
+        list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
     assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten of 10 MB are 100 MB");
     let mut pins = Pins::new(0, TERMS);
-    assert_eq!(pins.next(CHANGE, &List::default(), &many, |_| None), None);
+    assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| None), None);
     let mut pins = Pins::new(0, Terms { memory: 1e12, ..TERMS });
     let mut list = List::default();
     for n in 1..40 {
-        list = pins.next(n * CHANGE, &list, &many, |_| Some(10)).unwrap_or(list);
+        list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
-    assert_eq!(list.pins.len(), PINS_MOST);
+    assert_eq!(list.pins.len(), MAX_PINS);
     assert!(list.write().len() <= 700, "{} bytes", list.write().len());
     assert_eq!(List::read(&list.write()), Ok(list));
 }
@@ -203,26 +222,29 @@
 // What goes and what comes are two lists: no memory is promised twice while the first is still held
 // somewhere.
 #[test]
-fn shrinks_before_it_grows() {
+fn memory_of_removed_pins_counts_until_their_leases_end() {
     let size = |_| Some(10);
     let mut pins = Pins::new(0, TERMS);
     let old = counts(&(0..10).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut list = List::default();
     for n in 1..4 {
-        list = pins.next(n * CHANGE, &list, &old, size).unwrap_or(list);
+        list = pins.next(n * CHANGE_INTERVAL, &list, &old, size).unwrap_or(list);
     }
     let new = counts(&(20..30).map(|id| (id, 100.0)).collect::<Vec<_>>());
-    let mut at = 4 * CHANGE + LEAST_IN;
+    let mut at = 4 * CHANGE_INTERVAL + MIN_TIME_PINNED;
     let mut shrunk = 0;
     for _ in 0..24 {
-        at += CHANGE;
+        at += CHANGE_INTERVAL;
         let Some(next) = pins.next(at, &list, &new, size) else { continue };
         let (was, is) = (ids(&list), ids(&next));
         let grows = is.iter().any(|id| !was.contains(id));
         let shrinks = was.iter().any(|id| !is.contains(id));
         assert!(!(grows && shrinks), "{was:?} to {is:?}");
         shrunk = if shrinks { at } else { shrunk };
-        assert!(!grows || at >= shrunk + SHRUNK - CHANGE, "leases on what went may still run");
+        assert!(
+            !grows || at >= shrunk + RELEASE_DELAY - CHANGE_INTERVAL,
+            "leases on what went may still run"
+        );
         list = next;
     }
     assert!(ids(&list).iter().all(|id| *id >= 20));
@@ -231,24 +253,24 @@
 // What is asked for so often that each worker keeps it by itself is worth no pin, and neither is what is
 // hardly asked.
 #[test]
-fn worth_lies_in_the_middle() {
+fn neither_rare_nor_constant_use_is_worth_a_pin() {
     let pins = Pins::new(0, TERMS);
     let worth: Vec<bool> = [0.1, 10.0, 100.0, 2_000.0].iter().map(|n| pins.worth(*n, 10) > 0.0).collect();
     assert_eq!(worth, [false, true, true, false]);
 }
 
 // A pin rides on a request only while the list counts.
-#[test_case(7, 5 * S, 8 * S, Some(RIDES); "while the list counts")]
-#[test_case(7, 8 * S, 8 * S, None; "the list is over")]
-#[test_case(9, 5 * S, 8 * S, None; "it is not in it")]
-fn rides(id: u64, now: u64, end: u64, want: Option<u64>) {
+#[test_case(7, 5 * SECOND, 8 * SECOND, Some(LEASE_DURATION); "while the list counts")]
+#[test_case(7, 8 * SECOND, 8 * SECOND, None; "the list is over")]
+#[test_case(9, 5 * SECOND, 8 * SECOND, None; "it is not in it")]
+fn a_lease_is_granted_while_the_list_is_valid(id: u64, now: u64, end: u64, want: Option<u64>) {
     let list = List { pins: vec![Pin { id: OpeningId(7), size: 1 }] };
     assert_eq!(list.rides(now, end, OpeningId(id)), want);
 }
 
 #[test]
-fn a_list_that_cannot_be_read() {
-    let long = List { pins: vec![Pin { id: OpeningId(1), size: 1 }; PINS_MOST + 1] };
+fn an_invalid_list_is_rejected() {
+    let long = List { pins: vec![Pin { id: OpeningId(1), size: 1 }; MAX_PINS + 1] };
     assert_eq!(List::read(&long.write()), Err(Unfit::NoList));
     assert_eq!(List::read(&[1, 2]), Err(Unfit::NoList));
     assert_eq!(List::read(&[]), Ok(List::default()));
