--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -115,8 +115,8 @@
         let recipients = self.neighbours.iter().copied().chain(self.transient_neighbours());
         for id in recipients {
             let Some(peer) = self.peers.get(&id) else { continue };
-            let last_heard = peer.last_heard.map(|at| self.now - at);
-            let mut message = Message::heartbeat(&header, last_heard, view);
+            let since_last_receipt = peer.last_receipt.map(|at| self.now - at);
+            let mut message = Message::heartbeat(&header, since_last_receipt, view);
             message.append(&updates);
             // A suspected router hears of the suspicion first.
             let vote = peer.standing_votes().next();
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn silence(&self, peer: &Peer) -> Silence {
-        let direct_since = peer.last_heard.unwrap_or(0).max(peer.monitored_since).max(self.resumed_at);
+        let direct_since = peer.last_receipt.unwrap_or(0).max(peer.monitored_since).max(self.resumed_at);
         let overall_since = peer.last_confirmed.unwrap_or(0).max(direct_since);
         Silence {
             direct: self.now.saturating_sub(direct_since),
@@ -39,7 +39,7 @@
     /// Whether this router hears the peer itself: then it is there, whatever others say.
     pub(super) fn hears_directly(&self, peer: &Peer) -> bool {
         let timeout = self.heartbeat_timeout(peer);
-        peer.last_heard.is_some_and(|at| self.now < at.max(self.resumed_at) + timeout)
+        peer.last_receipt.is_some_and(|at| self.now < at.max(self.resumed_at) + timeout)
     }
 
     /// Checks each active neighbour: has others probe one that is silent, suspects one that nobody hears.
@@ -79,7 +79,7 @@
             // Nobody hears it: nothing new is known of the link.
             (true, true) => peer.link_fault,
             (false, _) => {
-                let silent_to_peer = peer.last_heard_us.is_some_and(|at| self.now >= at + timeout);
+                let silent_to_peer = peer.last_receipt_by_peer.is_some_and(|at| self.now >= at + timeout);
                 silent_to_peer.then_some(LinkFault::Out)
             }
         }
--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -55,7 +55,7 @@
             self.answer_outdated_sender(actions, header);
             return false;
         }
-        peer.last_heard = Some(now);
+        peer.last_receipt = Some(now);
         if !peer.is_active() {
             self.answer_departed_sender(actions, header);
             return false;
@@ -154,14 +154,15 @@
 }
 
 impl MessageHandler for IncomingMessage<'_> {
-    fn heartbeat(&mut self, header: &Header, last_heard: Option<Micros>, view: u64) {
+    fn heartbeat(&mut self, header: &Header, since_last_receipt: Option<Micros>, view: u64) {
         if !self.accept_sender(header) {
             return;
         }
         let membership = &mut *self.membership;
         let now = membership.now;
         if let Some(peer) = membership.peers.get_mut(&header.from) {
-            peer.last_heard_us = last_heard.map(|age| now.saturating_sub(age)).or(peer.last_heard_us);
+            peer.last_receipt_by_peer =
+                since_last_receipt.map(|age| now.saturating_sub(age)).or(peer.last_receipt_by_peer);
             peer.last_heartbeat = Some(now);
         }
         let differs = view != membership.view_digest();
--- a/crates/membership/src/membership/local_record.rs
+++ b/crates/membership/src/membership/local_record.rs
@@ -121,7 +121,7 @@
         }
         let hears_us = |id: &&RouterId| {
             let peer = &self.peers[*id];
-            peer.is_active() && peer.last_heard_us.is_some_and(|at| self.now < at + HEARTBEAT_TIMEOUT)
+            peer.is_active() && peer.last_receipt_by_peer.is_some_and(|at| self.now < at + HEARTBEAT_TIMEOUT)
         };
         let neighbours = self.neighbours.len();
         let confirmations = self.neighbours.iter().filter(hears_us).count();
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -109,6 +109,7 @@
         let mut rng = Rand64::new(u128::from(random_seed));
         // Routers that start together need not send their heartbeats together.
         let next_heartbeat = now + rng.rand_range(0..HEARTBEAT_INTERVAL / 4);
+        // Over forty lines, as each field has a line.
         let mut membership = Membership {
             now,
             local_id,
--- a/crates/membership/src/membership/peer.rs
+++ b/crates/membership/src/membership/peer.rs
@@ -27,11 +27,11 @@
     /// Silence counts from here at the earliest.
     pub(super) monitored_since: Micros,
     /// When a message of the peer itself last arrived.
-    pub(super) last_heard: Option<Micros>,
+    pub(super) last_receipt: Option<Micros>,
     /// When another router last confirmed that it hears the peer.
     pub(super) last_confirmed: Option<Micros>,
     /// When the peer last heard this router, as far as its heartbeats tell.
-    pub(super) last_heard_us: Option<Micros>,
+    pub(super) last_receipt_by_peer: Option<Micros>,
     pub(super) votes: Vec<Vote>,
     /// Since when enough votes stand to declare it dead.
     pub(super) quorum_since: Option<Micros>,
@@ -51,9 +51,9 @@
             since: now,
             accusers: Vec::new(),
             monitored_since: now,
-            last_heard: None,
+            last_receipt: None,
             last_confirmed: None,
-            last_heard_us: None,
+            last_receipt_by_peer: None,
             votes: Vec::new(),
             quorum_since: None,
             false_suspicions: HealthPenalties::default(),
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -84,9 +84,9 @@
 /// Receives the contents of a message, part by part, after all of it has been decoded: first its updates,
 /// then its body.
 pub trait MessageHandler {
-    /// A heartbeat. `last_heard`: µs since the sender last heard the receiver, if it ever did; `view`:
-    /// digest of the sender's view.
-    fn heartbeat(&mut self, header: &Header, last_heard: Option<Micros>, view: u64);
+    /// A heartbeat. `since_last_receipt`: µs since the sender last heard the receiver, if it ever did;
+    /// `view`: digest of the sender's view.
+    fn heartbeat(&mut self, header: &Header, since_last_receipt: Option<Micros>, view: u64);
     /// The sender wants the receiver to probe `target` on its behalf.
     fn ping_request(&mut self, header: &Header, target: RouterId);
     /// The sender wants an acknowledgement, on behalf of `requester`.
@@ -132,8 +132,8 @@
     }
 
     /// A heartbeat, see [`MessageHandler::heartbeat`].
-    pub fn heartbeat(header: &Header, last_heard: Option<Micros>, view: u64) -> Self {
-        Self::begin(KIND_HEARTBEAT, header, &(last_heard, view))
+    pub fn heartbeat(header: &Header, since_last_receipt: Option<Micros>, view: u64) -> Self {
+        Self::begin(KIND_HEARTBEAT, header, &(since_last_receipt, view))
     }
 
     /// A request to probe `target`.
@@ -220,7 +220,7 @@
 
 /// The decoded body of a message.
 enum Body {
-    Heartbeat { last_heard: Option<Micros>, view: u64 },
+    Heartbeat { since_last_receipt: Option<Micros>, view: u64 },
     PingRequest(RouterId),
     Ping(RouterId),
     Ack(RouterId),
@@ -243,15 +243,15 @@
 ///
 /// If any part of the message is malformed or holds an invalid name; the handler is not called then.
 pub fn read(bytes: &[u8], handler: &mut dyn MessageHandler) -> Result<(), MessageError> {
-    let mut rest = bytes;
-    let kind: u8 = take(&mut rest)?;
-    let header: Header = take(&mut rest)?;
-    let body = decode_body(kind, &mut rest)?;
+    let mut remaining = bytes;
+    let kind: u8 = take(&mut remaining)?;
+    let header: Header = take(&mut remaining)?;
+    let body = decode_body(kind, &mut remaining)?;
     let mut updates = Vec::new();
-    while !rest.is_empty() {
-        updates.push(decode_update(&mut rest)?);
+    while !remaining.is_empty() {
+        updates.push(decode_update(&mut remaining)?);
     }
-    // Updates first: what the body leads to rests on them.
+    // Updates first: what the body leads to depends on them.
     for update in updates {
         match update {
             Update::Record(record) => handler.record(&header, record),
@@ -264,43 +264,43 @@
 
 /// Takes one part off the front.
 fn take<T: DeserializeOwned>(bytes: &mut &[u8]) -> Result<T, MessageError> {
-    let (part, rest) = postcard::take_from_bytes(bytes).map_err(|_| MessageError::Malformed)?;
-    *bytes = rest;
+    let (part, remaining) = postcard::take_from_bytes(bytes).map_err(|_| MessageError::Malformed)?;
+    *bytes = remaining;
     Ok(part)
 }
 
-fn decode_body(kind: u8, rest: &mut &[u8]) -> Result<Body, MessageError> {
+fn decode_body(kind: u8, remaining: &mut &[u8]) -> Result<Body, MessageError> {
     Ok(match kind {
-        KIND_HEARTBEAT => Body::Heartbeat { last_heard: take(rest)?, view: take(rest)? },
-        KIND_PING_REQUEST => Body::PingRequest(take(rest)?),
-        KIND_PING => Body::Ping(take(rest)?),
-        KIND_ACK => Body::Ack(take(rest)?),
-        KIND_INDIRECT_ACK => Body::IndirectAck { target: take(rest)?, instance_id: take(rest)? },
-        KIND_SYNC_REQUEST => Body::SyncRequest(take(rest)?),
+        KIND_HEARTBEAT => Body::Heartbeat { since_last_receipt: take(remaining)?, view: take(remaining)? },
+        KIND_PING_REQUEST => Body::PingRequest(take(remaining)?),
+        KIND_PING => Body::Ping(take(remaining)?),
+        KIND_ACK => Body::Ack(take(remaining)?),
+        KIND_INDIRECT_ACK => Body::IndirectAck { target: take(remaining)?, instance_id: take(remaining)? },
+        KIND_SYNC_REQUEST => Body::SyncRequest(take(remaining)?),
         KIND_UPDATES => Body::Updates,
-        KIND_NAME_CONFLICT => Body::NameConflict { instance_id: take(rest)?, holder: take(rest)? },
-        KIND_NAME_CONTESTED => Body::NameContested { claimant: take(rest)? },
+        KIND_NAME_CONFLICT => Body::NameConflict { instance_id: take(remaining)?, holder: take(remaining)? },
+        KIND_NAME_CONTESTED => Body::NameContested { claimant: take(remaining)? },
         _ => return Err(MessageError::Malformed),
     })
 }
 
-fn decode_update(rest: &mut &[u8]) -> Result<Update, MessageError> {
-    match take::<u8>(rest)? {
+fn decode_update(remaining: &mut &[u8]) -> Result<Update, MessageError> {
+    match take::<u8>(remaining)? {
         TAG_RECORD => {
-            let record: Record = take(rest)?;
+            let record: Record = take(remaining)?;
             if !is_valid_name(&record.name) || !is_valid_name(&record.zone) {
                 return Err(MessageError::InvalidName);
             }
             Ok(Update::Record(record))
         }
-        TAG_SUSPICION => Ok(Update::Suspicion(take(rest)?)),
+        TAG_SUSPICION => Ok(Update::Suspicion(take(remaining)?)),
         _ => Err(MessageError::Malformed),
     }
 }
 
 fn deliver(header: &Header, body: &Body, handler: &mut dyn MessageHandler) {
     match body {
-        Body::Heartbeat { last_heard, view } => handler.heartbeat(header, *last_heard, *view),
+        Body::Heartbeat { since_last_receipt, view } => handler.heartbeat(header, *since_last_receipt, *view),
         Body::PingRequest(target) => handler.ping_request(header, *target),
         Body::Ping(requester) => handler.ping(header, *requester),
         Body::Ack(requester) => handler.ack(header, *requester),
