--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -1,5 +1,6 @@
-//! How long until all routers hold what one has said, and what it costs, on paper; beside the plain way, in
-//! which an origin sends each word to everybody once. Prints a table; with a file's name it draws a chart.
+//! How long until all routers know what one has published, and what it costs, on a simulated network;
+//! beside the plain way, in which an origin sends each entry to everybody once. Prints a table; with a
+//! file's name it draws a chart.
 #[path = "../tests/common/mod.rs"]
 mod common;
 use common::{MILLISECOND, SECOND, SimulatedNetwork, lossy};
--- a/crates/membership/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -93,8 +93,9 @@
     network.removals() - before
 }
 
-/// All to all: a beat of each to each other, gone after `HEARTBEAT_TIMEOUT` of silence by each one's own
-/// look. Live routers removed in so many s, and ms until each knows of one that is killed at half of them.
+/// All to all: a heartbeat of each to each other, dead after `HEARTBEAT_TIMEOUT` of silence by each one's
+/// own look. Live routers removed in so many s, and ms until each knows of one that is killed at half of
+/// them.
 fn all_to_all(routers: usize, seconds: u64, fault: Option<&Fault>) -> (usize, Vec<u64>) {
     const STEP: u64 = 50 * MILLISECOND;
     let (mut rng, end) = (Rand64::new(1), seconds * SECOND);
--- a/crates/membership/tests/simulated_fleet.rs
+++ b/crates/membership/tests/simulated_fleet.rs
@@ -91,7 +91,7 @@
     let kept = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let keep = kept.clone();
     network.filter = Some(Box::new(move |from, message| {
-        // A beat's first byte is 0.
+        // A heartbeat's first byte is 0.
         if from == 2 && message[0] == 0 {
             keep.borrow_mut().push(message.to_vec());
         }
@@ -104,7 +104,7 @@
     network.run_for(SECOND);
     assert!(network.members(2).local_record().incarnation > 3 && network.has_converged(6));
     network.kill(2);
-    let old = kept.borrow().first().expect("it beats").clone();
+    let old = kept.borrow().first().expect("it sends heartbeats").clone();
     for _ in 0..30 {
         (0..6).filter(|n| *n != 2).for_each(|n| network.deliver(n, &old));
         network.run_for(200 * MILLISECOND);
