--- a/crates/consensus/src/reconfigurable_proposer.rs
+++ b/crates/consensus/src/reconfigurable_proposer.rs
@@ -217,7 +217,8 @@
         if !self.guards.joint_quorums {
             quorum_sets = vec![state.replicas.clone()];
         }
-        let routers: BTreeSet<RouterId> = quorum_sets.iter().flatten().map(|r| r.router).collect();
+        let routers: BTreeSet<RouterId> =
+            quorum_sets.iter().flatten().map(|replica| replica.router).collect();
         self.deadline = now + RESPONSE_TIMEOUT;
         for router in routers {
             requests.accept(router, self.ballot, &state, self.known_promise(router));
@@ -352,7 +353,8 @@
         accepted.insert(replica);
         self.known_promises.insert(replica, ballot);
         let has_accepted = |replica: &ReplicaId| {
-            accepted.contains(replica) || !checks_disk && accepted.iter().any(|a| a.router == replica.router)
+            accepted.contains(replica)
+                || !checks_disk && accepted.iter().any(|other| other.router == replica.router)
         };
         let is_committed = match *needs_all {
             true => quorum_sets.iter().flatten().all(has_accepted),
--- a/crates/consensus/src/register/leader.rs
+++ b/crates/consensus/src/register/leader.rs
@@ -209,14 +209,16 @@
 ) -> Option<Vec<ReplicaId>> {
     let mut next = current.to_vec();
     for replica in responders {
-        let has_new_disk = |r: &&mut ReplicaId| r.router == replica.router && r.disk != replica.disk;
+        let has_new_disk =
+            |place: &&mut ReplicaId| place.router == replica.router && place.disk != replica.disk;
         if let Some(place) = next.iter_mut().find(has_new_disk) {
             *place = *replica;
             return Some(next);
         }
     }
     let is_current = |router: RouterId| current.iter().any(|replica| replica.router == router);
-    let added = responders.iter().find(|r| configured.contains(&r.router) && !is_current(r.router));
+    let is_wanted = |router: RouterId| configured.contains(&router) && !is_current(router);
+    let added = responders.iter().find(|replica| is_wanted(replica.router));
     let removed = next.iter().position(|replica| !configured.contains(&replica.router));
     match (added, removed) {
         (Some(replica), Some(place)) => next[place] = *replica,
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -307,75 +307,96 @@
     }
 
     fn take(&mut self, message: &Message, again: bool) -> Result<(), String> {
-        let sound = self.plant != SeededBug::AnswersBeforeWrite;
-        let mut out = Out(0, Vec::new());
-        let report = match message.clone() {
-            Message::Prepare(p, k, ballot) => {
-                let mut disk = Disk(&mut self.disks[k], sound);
-                match self.acceptors[k].prepare(ballot, &mut disk) {
-                    Ok(promise) => out.1.push(Message::Promised(k, p, promise)),
-                    Err(Rejection::Superseded { promised }) => {
-                        out.1.push(Message::Rejected(k, p, ballot, promised));
-                    }
-                    Err(Rejection::Abstained(_)) => {}
-                }
-                None
+        match message.clone() {
+            Message::Prepare(proposer, acceptor, ballot) => {
+                let answer = self.prepare(proposer, acceptor, ballot);
+                self.send(answer.into_iter().collect());
             }
-            Message::Accept(p, k, ballot, value) => {
-                let mut disk = Disk(&mut self.disks[k], sound);
-                match self.acceptors[k].accept(ballot, value.clone(), &mut disk) {
-                    Ok(()) => {
-                        self.note(k, ballot, value)?;
-                        out.1.push(Message::Accepted(k, p, ballot));
-                    }
-                    Err(Rejection::Superseded { promised }) => {
-                        out.1.push(Message::Rejected(k, p, ballot, promised));
-                    }
-                    Err(Rejection::Abstained(_)) => {}
-                }
-                None
+            Message::Accept(proposer, acceptor, ballot, value) => {
+                let answer = self.accept(proposer, acceptor, ballot, value)?;
+                self.send(answer.into_iter().collect());
             }
-            Message::Promised(k, p, promise) => {
-                let report = self.proposers[p].on_promised(ReplicaIndex(k as u8), promise);
-                report.map(|report| (p, report))
+            Message::Promised(acceptor, proposer, promise) => {
+                let replica = ReplicaIndex(acceptor as u8);
+                let outcome = self.proposers[proposer].on_promised(replica, promise);
+                return self.conclude(proposer, outcome);
             }
-            Message::Accepted(k, p, ballot) => {
-                let mut report = self.proposers[p].on_accepted(ReplicaIndex(k as u8), ballot);
+            Message::Accepted(acceptor, proposer, ballot) => {
+                let replica = ReplicaIndex(acceptor as u8);
+                let mut outcome = self.proposers[proposer].on_accepted(replica, ballot);
                 if again && self.plant == SeededBug::CountsTwice {
-                    let other = ReplicaIndex(((k + 1) % self.acceptors.len()) as u8);
-                    report = report.or(self.proposers[p].on_accepted(other, ballot));
+                    let other = ReplicaIndex(((acceptor + 1) % self.acceptors.len()) as u8);
+                    outcome = outcome.or(self.proposers[proposer].on_accepted(other, ballot));
                 }
-                report.map(|report| (p, report))
+                return self.conclude(proposer, outcome);
+            }
+            Message::Rejected(_, proposer, ballot, promised) => {
+                self.proposers[proposer].on_rejected(0, ballot, promised);
+            }
+        }
+        Ok(())
+    }
+
+    /// An acceptor's answer in phase 1.
+    fn prepare(&mut self, proposer: usize, acceptor: usize, ballot: Ballot) -> Option<Message> {
+        let is_durable = self.plant != SeededBug::AnswersBeforeWrite;
+        let mut disk = Disk(&mut self.disks[acceptor], is_durable);
+        match self.acceptors[acceptor].prepare(ballot, &mut disk) {
+            Ok(promise) => Some(Message::Promised(acceptor, proposer, promise)),
+            Err(Rejection::Superseded { promised }) => {
+                Some(Message::Rejected(acceptor, proposer, ballot, promised))
             }
-            Message::Rejected(_, p, ballot, promised) => {
-                self.proposers[p].on_rejected(0, ballot, promised);
-                None
+            Err(Rejection::Abstained(_)) => None,
+        }
+    }
+
+    /// An acceptor's answer in phase 2.
+    fn accept(
+        &mut self,
+        proposer: usize,
+        acceptor: usize,
+        ballot: Ballot,
+        value: Marks,
+    ) -> Result<Option<Message>, String> {
+        let is_durable = self.plant != SeededBug::AnswersBeforeWrite;
+        let mut disk = Disk(&mut self.disks[acceptor], is_durable);
+        match self.acceptors[acceptor].accept(ballot, value.clone(), &mut disk) {
+            Ok(()) => {
+                self.note(acceptor, ballot, value)?;
+                Ok(Some(Message::Accepted(acceptor, proposer, ballot)))
             }
-        };
-        self.send(out.1);
-        match report {
-            Some((p, ProposalOutcome::Read(value))) => {
-                let (mut value, mark) = (value.unwrap_or_default(), self.marks[p]);
-                // A try before may have been written without this one knowing.
+            Err(Rejection::Superseded { promised }) => {
+                Ok(Some(Message::Rejected(acceptor, proposer, ballot, promised)))
+            }
+            Err(Rejection::Abstained(_)) => Ok(None),
+        }
+    }
+
+    /// What a proposer does next, and whether what it says of its round is true.
+    fn conclude(&mut self, proposer: usize, outcome: Option<ProposalOutcome<Marks>>) -> Result<(), String> {
+        match outcome {
+            Some(ProposalOutcome::Read(value)) => {
+                let (mut value, mark) = (value.unwrap_or_default(), self.marks[proposer]);
+                // An earlier round may have been committed without this proposer knowing.
                 if !value.contains(&mark) {
                     value.push(mark);
                 }
-                let mut out = Out(p, Vec::new());
-                self.proposers[p].propose(0, value, &mut out);
+                let mut out = Out(proposer, Vec::new());
+                self.proposers[proposer].propose(0, value, &mut out);
                 self.send(out.1);
             }
-            Some((p, ProposalOutcome::Committed(value))) => {
+            Some(ProposalOutcome::Committed(value)) => {
                 self.written += 1;
-                let ballot = self.proposers[p].ballot();
+                let ballot = self.proposers[proposer].ballot();
                 let most = self.acceptors.len() / 2 + 1;
                 if self.accepted.get(&ballot).is_none_or(|(v, by)| *v != value || by.len() < most) {
-                    return Err(format!("{value:?} told as written under {ballot:?}, and too few have it"));
+                    return Err(format!("{value:?} committed under {ballot:?}, and too few have it"));
                 }
             }
-            Some((_, ProposalOutcome::StaleReplica(k))) if matches!(self.plant, SeededBug::Sound) => {
-                return Err(format!("{k:?} is sound and taken for stale"));
+            Some(ProposalOutcome::StaleReplica(replica)) if self.plant == SeededBug::Sound => {
+                return Err(format!("{replica:?} is sound and taken for stale"));
             }
-            _ => {}
+            Some(ProposalOutcome::StaleReplica(_)) | None => {}
         }
         Ok(())
     }
--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -162,76 +162,100 @@
     }
 
     fn take(&mut self, message: &Message) -> Result<(), String> {
-        let mut out = Out(0, Vec::new());
-        let heard = match message.clone() {
-            Message::Promise(c, k, ballot, word) => {
-                let (disk, keeper) = &mut self.acceptors[k];
-                let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
-                keeper.observe_promise(word.filter(|known| known.disk == *disk).map(|known| known.ballot));
-                match keeper.prepare(ballot, &mut Disk(&mut self.disks[k])) {
-                    Ok(Promise { ballot, previous, accepted }) => {
-                        let accepted = accepted.map(|(b, v)| (b, ordered(&v)));
-                        let promise = Promise { ballot, previous, accepted };
-                        out.1.push(Message::Promised(c, seat, promise));
-                    }
-                    Err(Rejection::Superseded { promised }) => {
-                        out.1.push(Message::Rejected(c, ballot, promised));
-                    }
-                    Err(Rejection::Abstained(_)) => {}
-                }
-                None
+        match message.clone() {
+            Message::Promise(proposer, router, ballot, known) => {
+                let answer = self.prepare(proposer, router, ballot, known);
+                self.send(answer.into_iter().collect());
             }
-            Message::Accept(c, k, ballot, v, word) => {
-                let (disk, keeper) = &mut self.acceptors[k];
-                let seat = ReplicaId { router: RouterId(k as u64), disk: *disk };
-                keeper.observe_promise(word.filter(|known| known.disk == *disk).map(|known| known.ballot));
-                match keeper.accept(ballot, value(v), &mut Disk(&mut self.disks[k])) {
-                    Ok(()) => out.1.push(Message::Accepted(c, seat, ballot)),
-                    Err(Rejection::Superseded { promised }) => {
-                        out.1.push(Message::Rejected(c, ballot, promised));
-                    }
-                    Err(Rejection::Abstained(_)) => {}
-                }
-                None
+            Message::Accept(proposer, router, ballot, state, known) => {
+                let answer = self.accept(proposer, router, (ballot, value(state)), known);
+                self.send(answer.into_iter().collect());
             }
-            Message::Promised(c, seat, Promise { ballot, previous, accepted }) => {
-                out.0 = c;
-                let accepted = accepted.map(|(b, v)| (b, value(v)));
+            Message::Promised(proposer, replica, Promise { ballot, previous, accepted }) => {
+                let accepted = accepted.map(|(at, state)| (at, value(state)));
                 let promise = Promise { ballot, previous, accepted };
-                let heard = self.proposers[c].on_promised(seat, promise, &mut out);
-                heard.map(|h| (c, h))
+                let mut out = Out(proposer, Vec::new());
+                let outcome = self.proposers[proposer].on_promised(replica, promise, &mut out);
+                self.send(out.1);
+                return outcome.map_or(Ok(()), |outcome| self.conclude(proposer, outcome));
             }
-            Message::Accepted(c, seat, ballot) => self.proposers[c].on_accepted(seat, ballot).map(|h| (c, h)),
-            Message::Rejected(c, ballot, promised) => {
-                self.proposers[c].on_rejected(0, ballot, promised);
-                None
+            Message::Accepted(proposer, replica, ballot) => {
+                let outcome = self.proposers[proposer].on_accepted(replica, ballot);
+                return outcome.map_or(Ok(()), |outcome| self.conclude(proposer, outcome));
             }
-        };
-        self.send(out.1);
-        let Some((c, heard)) = heard else { return Ok(()) };
-        let mut out = Out(c, Vec::new());
-        let next = match heard {
-            RoundOutcome::Read(read, _) => Some(self.next(c, read)),
-            RoundOutcome::Uninitialized(acceptors) => {
-                let (line, value) = (InstanceId(u64::from(self.marks[c])), vec![self.marks[c]]);
-                Some(RegisterState {
-                    register_id: line,
-                    version: 1,
-                    replicas: acceptors,
-                    previous_replicas: Vec::new(),
-                    value,
-                })
+            Message::Rejected(proposer, ballot, promised) => {
+                self.proposers[proposer].on_rejected(0, ballot, promised);
             }
-            RoundOutcome::Committed(v) => return self.note(self.proposers[c].ballot(), v),
-            RoundOutcome::StaleReplica(seat) => return Err(format!("{seat:?} is sound and taken for older")),
-        };
-        if let Some(next) = next {
-            self.proposers[c].propose(0, next, &mut out);
-            self.send(out.1);
         }
         Ok(())
     }
 
+    /// The replica of a router, which has heard of a promise of it.
+    fn replica(&mut self, router: usize, known: Option<KnownPromise>) -> ReplicaId {
+        let (disk, acceptor) = &mut self.acceptors[router];
+        let of_this_disk = known.filter(|known| known.disk == *disk);
+        acceptor.observe_promise(of_this_disk.map(|known| known.ballot));
+        ReplicaId { router: RouterId(router as u64), disk: *disk }
+    }
+
+    /// A replica's answer in phase 1.
+    fn prepare(
+        &mut self,
+        proposer: usize,
+        router: usize,
+        ballot: Ballot,
+        known: Option<KnownPromise>,
+    ) -> Option<Message> {
+        let replica = self.replica(router, known);
+        match self.acceptors[router].1.prepare(ballot, &mut Disk(&mut self.disks[router])) {
+            Ok(Promise { ballot, previous, accepted }) => {
+                let accepted = accepted.map(|(at, state)| (at, ordered(&state)));
+                let promise = Promise { ballot, previous, accepted };
+                Some(Message::Promised(proposer, replica, promise))
+            }
+            Err(Rejection::Superseded { promised }) => Some(Message::Rejected(proposer, ballot, promised)),
+            Err(Rejection::Abstained(_)) => None,
+        }
+    }
+
+    /// A replica's answer in phase 2.
+    fn accept(
+        &mut self,
+        proposer: usize,
+        router: usize,
+        (ballot, state): (Ballot, Value),
+        known: Option<KnownPromise>,
+    ) -> Option<Message> {
+        let replica = self.replica(router, known);
+        match self.acceptors[router].1.accept(ballot, state, &mut Disk(&mut self.disks[router])) {
+            Ok(()) => Some(Message::Accepted(proposer, replica, ballot)),
+            Err(Rejection::Superseded { promised }) => Some(Message::Rejected(proposer, ballot, promised)),
+            Err(Rejection::Abstained(_)) => None,
+        }
+    }
+
+    /// What a proposer does next, and whether what it says of its round is true.
+    fn conclude(&mut self, proposer: usize, outcome: RoundOutcome<Marks>) -> Result<(), String> {
+        let next = match outcome {
+            RoundOutcome::Read(state, _) => self.next(proposer, state),
+            RoundOutcome::Uninitialized(replicas) => RegisterState {
+                register_id: InstanceId(u64::from(self.marks[proposer])),
+                version: 1,
+                replicas,
+                previous_replicas: Vec::new(),
+                value: vec![self.marks[proposer]],
+            },
+            RoundOutcome::Committed(state) => return self.note(self.proposers[proposer].ballot(), state),
+            RoundOutcome::StaleReplica(replica) => {
+                return Err(format!("{replica:?} is sound and taken for stale"));
+            }
+        };
+        let mut out = Out(proposer, Vec::new());
+        self.proposers[proposer].propose(0, next, &mut out);
+        self.send(out.1);
+        Ok(())
+    }
+
     /// Whatever was written is in the past of all that is written under higher ballots.
     fn note(&mut self, ballot: Ballot, v: Value) -> Result<(), String> {
         self.written.insert(ballot, v);
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -22,7 +22,7 @@
 struct LesseeRecord {
     /// The number of its latest request.
     latest_request: u64,
-    last_heard_at: Micros,
+    last_request_at: Micros,
     /// By budget.
     need: Vec<Amount>,
     leases: Vec<GrantedLease>,
@@ -30,7 +30,7 @@
 
 impl LesseeRecord {
     fn new(now: Micros) -> Self {
-        LesseeRecord { latest_request: 0, last_heard_at: now, need: Vec::new(), leases: Vec::new() }
+        LesseeRecord { latest_request: 0, last_request_at: now, need: Vec::new(), leases: Vec::new() }
     }
 
     /// The most that it may have in force of a budget.
@@ -121,8 +121,8 @@
         (number, in_force): (u64, u64),
         need: &[Amount],
     ) -> Option<Vec<Amount>> {
-        let has_room = self.lessees.contains_key(&lessee) || self.lessees.len() < MAX_LESSEES;
-        if !self.is_active(now) || need.len() != self.budgets.len() || !has_room {
+        let is_admitted = self.lessees.contains_key(&lessee) || self.lessees.len() < MAX_LESSEES;
+        if !self.is_active(now) || need.len() != self.budgets.len() || !is_admitted {
             return None;
         }
         self.remove_expired(now, lessee);
@@ -131,7 +131,7 @@
             return None;
         }
         record.latest_request = number;
-        record.last_heard_at = now;
+        record.last_request_at = now;
         record.need = need.to_vec();
         // It has the answer to `in_force`, and will not go back to one before.
         record.leases.retain(|lease| lease.number >= in_force);
@@ -148,7 +148,7 @@
             record.leases.retain(|lease| now < lease.expires_at);
         }
         self.lessees.retain(|lessee, record| {
-            *lessee == asking || !record.leases.is_empty() || now < record.last_heard_at + LEASE_DURATION
+            *lessee == asking || !record.leases.is_empty() || now < record.last_request_at + LEASE_DURATION
         });
     }
 
@@ -184,7 +184,7 @@
     /// How many lessees have asked within a lease's time, and what all may have in force of a budget, above
     /// the floors.
     pub fn outstanding(&self, now: Micros, budget: usize) -> (usize, Amount) {
-        let is_recent = |record: &&LesseeRecord| now < record.last_heard_at + LEASE_DURATION;
+        let is_recent = |record: &&LesseeRecord| now < record.last_request_at + LEASE_DURATION;
         let lessees = self.lessees.values().filter(is_recent).count();
         (lessees, self.lessees.values().map(|record| record.outstanding_at(now, budget)).sum())
     }
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -155,6 +155,20 @@
             let (_, (ballot, promised)) = decode(contents)?;
             service.on_rejected(now, ballot, promised);
         }
+        _ => handle_lease_message(*kind, contents, now, service, is_alive, actions)?,
+    }
+    Ok(())
+}
+
+fn handle_lease_message(
+    kind: u8,
+    contents: &[u8],
+    now: Micros,
+    service: &mut QuotaService,
+    is_alive: &dyn Fn(RouterId) -> bool,
+    actions: &mut dyn QuotaActions,
+) -> Result<(), MalformedMessage> {
+    match kind {
         LEASE_REQUEST => {
             let (from, request) = decode(contents)?;
             service.on_lease_request(now, from, &request, actions);
--- a/crates/quota/src/service/election.rs
+++ b/crates/quota/src/service/election.rs
@@ -31,8 +31,8 @@
         self.next_round_at = now + if has_term { TERM_CONFIRMATION_INTERVAL } else { wait };
         let own = self.config.router;
         let is_gone = self.known_allocator.is_none_or(|known| known == own || !is_alive(known));
-        let is_overdue = is_gone && now >= self.allocator_heard_at + ALLOCATOR_TIMEOUT;
-        if has_term || is_overdue || now >= self.allocator_heard_at + 2 * LEASE_DURATION {
+        let is_overdue = is_gone && now >= self.allocator_seen_at + ALLOCATOR_TIMEOUT;
+        if has_term || is_overdue || now >= self.allocator_seen_at + 2 * LEASE_DURATION {
             self.round_started_at = now;
             proposer.prepare(now, &mut requests);
         }
@@ -100,7 +100,7 @@
         if !is_own && !is_gone {
             proposer.abandon();
             self.known_allocator = term.map(|term| term.router);
-            self.allocator_heard_at = now;
+            self.allocator_seen_at = now;
             self.allocator = None;
             return;
         }
@@ -128,7 +128,7 @@
         }
         self.next_round_at = now + TERM_CONFIRMATION_INTERVAL;
         self.known_allocator = Some(self.config.router);
-        self.allocator_heard_at = now;
+        self.allocator_seen_at = now;
         // The term is its own since the first time that it was known to be written.
         let config = &self.config;
         let new = || Allocator::new(now, &config.budgets, config.routers).with_guards(self.guards);
--- a/crates/quota/src/service/leases.rs
+++ b/crates/quota/src/service/leases.rs
@@ -13,7 +13,7 @@
         actions: &mut dyn QuotaActions,
     ) {
         let renewal = self.lessee.renew(now);
-        let is_known = now < self.allocator_heard_at + LEASE_DURATION;
+        let is_known = now < self.allocator_seen_at + LEASE_DURATION;
         let known = self.known_allocator.filter(|allocator| is_alive(*allocator) && is_known);
         let replicas = &self.config.replicas;
         let to = known.unwrap_or(replicas[renewal.number as usize % replicas.len()]);
@@ -42,14 +42,14 @@
         }
         let LeaseRequest { lessee, number, in_force, .. } = *request;
         let allocator = self.allocator.as_mut().filter(|allocator| allocator.is_active(now));
-        match allocator.and_then(|a| a.allocate(now, lessee, (number, in_force), &request.need)) {
+        match allocator.and_then(|active| active.allocate(now, lessee, (number, in_force), &request.need)) {
             Some(extra) => actions.grant_leases(from, &LeaseGrant { lessee, number, extra }),
             None => self.redirect(now, from, actions),
         }
     }
 
     fn redirect(&self, now: Micros, from: RouterId, actions: &mut dyn QuotaActions) {
-        let is_known = now < self.allocator_heard_at + LEASE_DURATION;
+        let is_known = now < self.allocator_seen_at + LEASE_DURATION;
         if let Some(allocator) = self.known_allocator.filter(|known| *known != from && is_known) {
             actions.redirect(from, allocator);
         }
@@ -60,7 +60,7 @@
         if grant.lessee == self.config.instance_id {
             self.lessee.on_grant(now, grant.number, &grant.extra);
             self.known_allocator = Some(from);
-            self.allocator_heard_at = now;
+            self.allocator_seen_at = now;
         }
     }
 
@@ -72,10 +72,10 @@
         allocator: RouterId,
         is_alive: &dyn Fn(RouterId) -> bool,
     ) {
-        let is_unknown = self.known_allocator.is_none() || now >= self.allocator_heard_at + LEASE_DURATION;
+        let is_unknown = self.known_allocator.is_none() || now >= self.allocator_seen_at + LEASE_DURATION;
         if is_alive(allocator) && is_unknown {
             self.known_allocator = Some(allocator);
-            self.allocator_heard_at = self.allocator_heard_at.max(now.saturating_sub(LEASE_DURATION / 2));
+            self.allocator_seen_at = self.allocator_seen_at.max(now.saturating_sub(LEASE_DURATION / 2));
         }
     }
 }
--- a/crates/quota/src/service/mod.rs
+++ b/crates/quota/src/service/mod.rs
@@ -118,7 +118,7 @@
     /// The router that allocates, as last heard.
     known_allocator: Option<RouterId>,
     /// When that was last known.
-    allocator_heard_at: Micros,
+    allocator_seen_at: Micros,
     rng: Rand64,
     guards: Guards,
     /// The router that was last found to have other settings, and when.
@@ -146,7 +146,7 @@
             next_round_at,
             next_request_at,
             known_allocator: None,
-            allocator_heard_at: now,
+            allocator_seen_at: now,
             mismatch: None,
             config,
             rng,
--- a/crates/recovery/src/fact_table.rs
+++ b/crates/recovery/src/fact_table.rs
@@ -33,7 +33,7 @@
             return;
         }
         if self.0.len() >= MAX_FACTS && !self.0.contains_key(&fact.key) {
-            self.make_room(now);
+            self.evict_oldest(now);
         }
         let others = self.other_incarnations(&fact.key);
         if others.iter().any(|other| other.incarnation > fact.key.incarnation) {
@@ -48,7 +48,7 @@
     }
 
     /// Removes what does not count any more, or else the oldest fact.
-    fn make_room(&mut self, now: Micros) {
+    fn evict_oldest(&mut self, now: Micros) {
         self.remove_expired(now);
         if self.0.len() < MAX_FACTS {
             return;
--- a/crates/recovery/src/peer_recovery/merge.rs
+++ b/crates/recovery/src/peer_recovery/merge.rs
@@ -22,7 +22,7 @@
 }
 
 fn merge_one(key: FactKey, mut facts: Vec<Fact>, answers: usize, uses_median: bool) -> Option<Fact> {
-    facts.sort_by(|a, b| a.value.total_cmp(&b.value));
+    facts.sort_by(|left, right| left.value.total_cmp(&right.value));
     if !uses_median {
         return facts.first().copied();
     }
--- a/crates/recovery/src/peer_recovery/requester.rs
+++ b/crates/recovery/src/peer_recovery/requester.rs
@@ -100,7 +100,7 @@
     }
 
     fn finish(&mut self, now: Micros) -> Vec<Fact> {
-        let complete = std::mem::take(&mut self.requests).into_values().filter(|r| r.is_complete);
+        let complete = std::mem::take(&mut self.requests).into_values().filter(|request| request.is_complete);
         let answers: Vec<Vec<Fact>> = complete.map(|request| request.facts).collect();
         if answers.is_empty() {
             self.stage = Stage::Exhausted;
--- a/crates/storage/src/disk_store.rs
+++ b/crates/storage/src/disk_store.rs
@@ -31,16 +31,16 @@
     /// # Errors
     /// The file can't be read or written, is no file of records, or was damaged.
     pub fn open(file: &Path) -> Result<Self, StorageError> {
-        let database = Database::create(file).map_err(|e| open_failed(file, &e))?;
+        let database = Database::create(file).map_err(|error| open_failed(file, &error))?;
         Self::with_database(file, database)
     }
 
     fn with_database(file: &Path, database: Database) -> Result<Self, StorageError> {
         let failed = |why: &dyn Display| open_failed(file, why);
-        let transaction = database.begin_write().map_err(|e| failed(&e))?;
-        transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
-        transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
-        transaction.commit().map_err(|e| failed(&e))?;
+        let transaction = database.begin_write().map_err(|error| failed(&error))?;
+        transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
+        transaction.open_table(EXPIRIES).map_err(|error| failed(&error))?;
+        transaction.commit().map_err(|error| failed(&error))?;
         Ok(DiskStore { file: file.to_owned(), database })
     }
 
@@ -53,7 +53,7 @@
     }
 
     fn decode(&self, bytes: &[u8]) -> Result<WorkflowRecord, StorageError> {
-        postcard::from_bytes(bytes).map_err(|e| self.read_failed(&e))
+        postcard::from_bytes(bytes).map_err(|error| self.read_failed(&error))
     }
 
     /// Puts one record in place of an earlier one, and moves its expiry.
@@ -64,52 +64,52 @@
         key: WorkflowKey<'_>,
         record: &WorkflowRecord,
     ) -> Result<(), StorageError> {
-        let failed = |e: &dyn Display| self.write_failed(e);
+        let failed = |why: &dyn Display| self.write_failed(why);
         let key = encode_key(key);
-        let bytes = postcard::to_stdvec(record).map_err(|e| failed(&e))?;
-        let old = records.insert(key.as_slice(), bytes.as_slice()).map_err(|e| failed(&e))?;
+        let bytes = postcard::to_stdvec(record).map_err(|error| failed(&error))?;
+        let old = records.insert(key.as_slice(), bytes.as_slice()).map_err(|error| failed(&error))?;
         let old = old.map(|old| self.decode(old.value())).transpose()?;
         let old_expiry = old.map(|old| old.expires_at).filter(|old| *old != record.expires_at);
         if let Some(old_expiry) = old_expiry {
-            expiries.remove((old_expiry, key.as_slice())).map_err(|e| failed(&e))?;
+            expiries.remove((old_expiry, key.as_slice())).map_err(|error| failed(&error))?;
         }
-        expiries.insert((record.expires_at, key.as_slice()), ()).map_err(|e| failed(&e))?;
+        expiries.insert((record.expires_at, key.as_slice()), ()).map_err(|error| failed(&error))?;
         Ok(())
     }
 }
 
 impl WorkflowStore for DiskStore {
     fn save(&mut self, new: &[(WorkflowKey<'_>, &WorkflowRecord)]) -> Result<(), StorageError> {
-        let failed = |e: &dyn Display| self.write_failed(e);
-        let transaction = self.database.begin_write().map_err(|e| failed(&e))?;
+        let failed = |why: &dyn Display| self.write_failed(why);
+        let transaction = self.database.begin_write().map_err(|error| failed(&error))?;
         {
-            let mut records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
-            let mut expiries = transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
+            let mut records = transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
+            let mut expiries = transaction.open_table(EXPIRIES).map_err(|error| failed(&error))?;
             for (key, record) in new {
                 self.insert(&mut records, &mut expiries, *key, record)?;
             }
-            if records.len().map_err(|e| failed(&e))? > MAX_WORKFLOWS {
+            if records.len().map_err(|error| failed(&error))? > MAX_WORKFLOWS {
                 return Err(StorageError::Full { file: self.file.clone(), most: MAX_WORKFLOWS });
             }
         }
-        transaction.commit().map_err(|e| failed(&e))
+        transaction.commit().map_err(|error| failed(&error))
     }
 
     fn load(&mut self, key: WorkflowKey<'_>) -> Result<Option<WorkflowRecord>, StorageError> {
-        let failed = |e: &dyn Display| self.read_failed(e);
-        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
-        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
-        let found = records.get(encode_key(key).as_slice()).map_err(|e| failed(&e))?;
+        let failed = |why: &dyn Display| self.read_failed(why);
+        let transaction = self.database.begin_read().map_err(|error| failed(&error))?;
+        let records = transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
+        let found = records.get(encode_key(key).as_slice()).map_err(|error| failed(&error))?;
         found.map(|bytes| self.decode(bytes.value())).transpose()
     }
 
     fn unfinished(&mut self) -> Result<Vec<(String, String)>, StorageError> {
-        let failed = |e: &dyn Display| self.read_failed(e);
-        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
-        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
+        let failed = |why: &dyn Display| self.read_failed(why);
+        let transaction = self.database.begin_read().map_err(|error| failed(&error))?;
+        let records = transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
         let mut keys = Vec::new();
-        for row in records.iter().map_err(|e| failed(&e))? {
-            let (key, bytes) = row.map_err(|e| failed(&e))?;
+        for row in records.iter().map_err(|error| failed(&error))? {
+            let (key, bytes) = row.map_err(|error| failed(&error))?;
             if self.decode(bytes.value())?.closed {
                 continue;
             }
@@ -121,30 +121,30 @@
     }
 
     fn remove_expired(&mut self, now: Micros) -> Result<usize, StorageError> {
-        let failed = |e: &dyn Display| self.write_failed(e);
-        let transaction = self.database.begin_write().map_err(|e| failed(&e))?;
+        let failed = |why: &dyn Display| self.write_failed(why);
+        let transaction = self.database.begin_write().map_err(|error| failed(&error))?;
         let mut removed = 0;
         {
-            let mut records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
-            let mut expiries = transaction.open_table(EXPIRIES).map_err(|e| failed(&e))?;
+            let mut records = transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
+            let mut expiries = transaction.open_table(EXPIRIES).map_err(|error| failed(&error))?;
             while removed < MAX_EXPIRED_PER_TRANSACTION {
-                let first = expiries.first().map_err(|e| failed(&e))?;
+                let first = expiries.first().map_err(|error| failed(&error))?;
                 let first = first.map(|(row, _)| (row.value().0, row.value().1.to_vec()));
                 let Some((expiry, key)) = first.filter(|(expiry, _)| *expiry <= now) else { break };
-                expiries.remove((expiry, key.as_slice())).map_err(|e| failed(&e))?;
-                records.remove(key.as_slice()).map_err(|e| failed(&e))?;
+                expiries.remove((expiry, key.as_slice())).map_err(|error| failed(&error))?;
+                records.remove(key.as_slice()).map_err(|error| failed(&error))?;
                 removed += 1;
             }
         }
-        transaction.commit().map_err(|e| failed(&e))?;
+        transaction.commit().map_err(|error| failed(&error))?;
         Ok(removed)
     }
 
     fn count(&mut self) -> Result<u64, StorageError> {
-        let failed = |e: &dyn Display| self.read_failed(e);
-        let transaction = self.database.begin_read().map_err(|e| failed(&e))?;
-        let records = transaction.open_table(RECORDS).map_err(|e| failed(&e))?;
-        records.len().map_err(|e| failed(&e))
+        let failed = |why: &dyn Display| self.read_failed(why);
+        let transaction = self.database.begin_read().map_err(|error| failed(&error))?;
+        let records = transaction.open_table(RECORDS).map_err(|error| failed(&error))?;
+        records.len().map_err(|error| failed(&error))
     }
 }
 
--- a/crates/storage/src/snapshot_file.rs
+++ b/crates/storage/src/snapshot_file.rs
@@ -44,7 +44,7 @@
         };
         match create() {
             Ok(database) => Ok(SnapshotFile { file: file.to_owned(), database }),
-            Err(e) => Err(StorageError::OpenFailed { file: file.to_owned(), why: e.to_string() }),
+            Err(error) => Err(StorageError::OpenFailed { file: file.to_owned(), why: error.to_string() }),
         }
     }
 
@@ -57,7 +57,7 @@
             let table = self.database.begin_read()?.open_table(SNAPSHOTS)?;
             Ok(table.get(FORMAT)?.map(|bytes| bytes.value().to_vec()))
         };
-        read().map_err(|e| StorageError::ReadFailed { file: self.file.clone(), why: e.to_string() })
+        read().map_err(|error| StorageError::ReadFailed { file: self.file.clone(), why: error.to_string() })
     }
 
     /// Writes a snapshot in place of the one before. Returns once it would outlast a power cut, as far as the
@@ -71,6 +71,6 @@
             transaction.open_table(SNAPSHOTS)?.insert(FORMAT, bytes)?;
             Ok(transaction.commit()?)
         };
-        write().map_err(|e| StorageError::WriteFailed { file: self.file.clone(), why: e.to_string() })
+        write().map_err(|error| StorageError::WriteFailed { file: self.file.clone(), why: error.to_string() })
     }
 }
