--- a/crates/consensus/tests/fault_points/simulation.rs
+++ b/crates/consensus/tests/fault_points/simulation.rs
@@ -134,6 +134,26 @@
     RouterId(1_000 + n as u64)
 }
 
+/// The disk of a router during its turn, with the faults at its points, and the one that killed it there.
+struct At<'a>(&'a mut SimulatedDisk, &'a mut FaultPoints, usize, Option<Fault>);
+impl AcceptorStorage<RegisterState<Text>> for At<'_> {
+    fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
+        let n = self.2;
+        match self.1.pass(|| format!("r{n} writes its state")) {
+            Some(f @ (Fault::KilledBefore | Fault::Half)) => {
+                self.0.torn |= f == Fault::Half;
+                self.3 = Some(f);
+                return Err(AcceptorError::WriteFailed);
+            }
+            Some(Fault::KilledAfter) => self.3 = Some(Fault::KilledAfter),
+            Some(Fault::Error) => return Err(AcceptorError::WriteFailed),
+            Some(Fault::SaidDone) => return Ok(()),
+            _ => {}
+        }
+        self.0.persist(vote)
+    }
+}
+
 impl SimulatedNetwork {
     pub fn new(seed: u64, routers: usize, acceptors: usize) -> Self {
         let mut network = SimulatedNetwork {
@@ -316,24 +336,6 @@
         message: Option<&[u8]>,
         there: &[bool],
     ) -> Option<Vec<(RouterId, Vec<u8>)>> {
-        struct At<'a>(&'a mut SimulatedDisk, &'a mut FaultPoints, usize, Option<Fault>);
-        impl AcceptorStorage<RegisterState<Text>> for At<'_> {
-            fn persist(&mut self, vote: &AcceptorState<RegisterState<Text>>) -> Result<(), AcceptorError> {
-                let n = self.2;
-                match self.1.pass(|| format!("r{n} writes its state")) {
-                    Some(f @ (Fault::KilledBefore | Fault::Half)) => {
-                        self.0.torn |= f == Fault::Half;
-                        self.3 = Some(f);
-                        return Err(AcceptorError::WriteFailed);
-                    }
-                    Some(Fault::KilledAfter) => self.3 = Some(Fault::KilledAfter),
-                    Some(Fault::Error) => return Err(AcceptorError::WriteFailed),
-                    Some(Fault::SaidDone) => return Ok(()),
-                    _ => {}
-                }
-                self.0.persist(vote)
-            }
-        }
         let remembered: Vec<_> =
             self.all.iter().flatten().filter_map(|m| m.register.highest_seen()).collect();
         let machine = self.all[n].as_mut()?;
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -171,61 +171,82 @@
         self.now += STEP;
         let before = self.spent;
         let live = self.live();
-        let live = |of: RouterId| live[of.0 as usize] && !self.deluded;
+        let live = |of: RouterId| live[of.0 as usize];
+        self.deliver();
+        for n in 0..self.all.len() {
+            if self.all[n].runs && self.all[n].stopped <= self.now {
+                self.spend(n);
+                let messages = self.turn(n, &live);
+                self.post(n, messages);
+            }
+        }
+        self.window.push_back(self.spent - before);
+        if self.window.len() > (S / STEP) as usize {
+            self.window.pop_front();
+        }
+        self.judge();
+    }
+
+    /// Messages whose time has come, as far as their receivers run and have room for them.
+    fn deliver(&mut self) {
         while let Some(entry) = self.net.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, message) = entry.remove();
             if self.all[to].runs && self.all[to].mail.len() < 200 {
                 self.all[to].mail.push_back(message);
             }
         }
-        let routers = self.all.len();
-        for n in 0..routers {
-            let now = self.clock(n);
-            let process = &mut self.all[n];
-            if !process.runs || process.stopped > self.now {
+    }
+
+    /// All want more than their share, or one alone wants all there is, in turn.
+    fn spend(&mut self, n: usize) {
+        let (now, routers) = (self.clock(n), self.all.len());
+        let turn = (self.now / (2 * S)) as usize;
+        let wants = match (self.wants.get(n), self.moves && turn % 2 == 1) {
+            (Some(wants), _) => *wants,
+            (None, true) if turn * 7 % routers == n => 1_200.0,
+            (None, true) => 0.0,
+            (None, false) => 8_000.0 / routers as f64,
+        };
+        let process = &mut self.all[n];
+        process.owed += wants * STEP as f64 / S as f64;
+        while process.owed >= 1.0 {
+            process.owed -= 1.0;
+            self.spent += u64::from(process.service.lessee.spend(now, 0, UNIT));
+        }
+    }
+
+    /// What a process does with its messages and when it is time, and the messages that it sends.
+    fn turn(&mut self, n: usize, live: &dyn Fn(RouterId) -> bool) -> Vec<(RouterId, Vec<u8>)> {
+        let now = self.clock(n);
+        let deluded = self.deluded;
+        let live = |of: RouterId| live(of) && !deluded;
+        let mut out = MessageWriter::new(name(n));
+        let Process { service, mail, disk, .. } = &mut self.all[n];
+        for message in std::mem::take(mail) {
+            handle_message(&message, now, service, disk, &live, &mut out).expect("whole");
+        }
+        if now >= service.next_wakeup() {
+            service.wake(now, &live, &mut out);
+        }
+        out.messages
+    }
+
+    /// Messages on their way: lost, late or twice as the world has it.
+    fn post(&mut self, n: usize, messages: Vec<(RouterId, Vec<u8>)>) {
+        for (to, message) in messages {
+            let to = to.0 as usize;
+            self.messages += 1;
+            if self.cut.contains(&(n, to)) || self.rng.rand_float() < self.lost {
                 continue;
             }
-            let turn = (self.now / (2 * S)) as usize;
-            // All want more than their part, or one alone wants all there is, in turn.
-            let wants = match (self.wants.get(n), self.moves && turn % 2 == 1) {
-                (Some(wants), _) => *wants,
-                (None, true) if turn * 7 % routers == n => 1_200.0,
-                (None, true) => 0.0,
-                (None, false) => 8_000.0 / routers as f64,
-            };
-            process.owed += wants * STEP as f64 / S as f64;
-            while process.owed >= 1.0 {
-                process.owed -= 1.0;
-                self.spent += u64::from(process.service.lessee.spend(now, 0, UNIT));
-            }
-            let mut out = MessageWriter::new(name(n));
-            let Process { service, mail, disk, .. } = process;
-            for message in std::mem::take(mail) {
-                handle_message(&message, now, service, disk, &live, &mut out).expect("whole");
-            }
-            if now >= service.next_wakeup() {
-                service.wake(now, &live, &mut out);
-            }
-            for (to, message) in out.messages {
-                let to = to.0 as usize;
-                self.messages += 1;
-                if self.cut.contains(&(n, to)) || self.rng.rand_float() < self.lost {
-                    continue;
-                }
-                let late = self.lost > 0.0 && self.rng.rand_float() < 0.02;
-                let takes =
-                    if late { self.rng.rand_range(0..60 * S) } else { MS + self.rng.rand_range(0..20 * MS) };
-                for _ in 0..1 + usize::from(self.lost > 0.0 && self.rng.rand_float() < 0.05) {
-                    self.next += 1;
-                    self.net.insert((self.now + takes, self.next), (to, message.clone()));
-                }
+            let late = self.lost > 0.0 && self.rng.rand_float() < 0.02;
+            let takes =
+                if late { self.rng.rand_range(0..60 * S) } else { MS + self.rng.rand_range(0..20 * MS) };
+            for _ in 0..1 + usize::from(self.lost > 0.0 && self.rng.rand_float() < 0.05) {
+                self.next += 1;
+                self.net.insert((self.now + takes, self.next), (to, message.clone()));
             }
         }
-        self.window.push_back(self.spent - before);
-        if self.window.len() > (S / STEP) as usize {
-            self.window.pop_front();
-        }
-        self.judge();
     }
 
     /// Never shares above the total in force, nor more spent in a second than it and the burst.
--- a/crates/recovery/tests/fault_points/simulation.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -325,39 +325,42 @@
                 self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, life));
                 return;
             }
-            Event::Message(from, n, mut message) => {
-                if self.all[n].is_none() {
-                    return;
-                }
-                let mut times = 1;
-                let fault = self.points.pass(|| format!("r{n} receives kind {}", message[1]));
-                match fault {
-                    Some(Fault::KilledBefore) => return self.die(n),
-                    Some(Fault::Error | Fault::SaidDone) => return,
-                    Some(Fault::Half) => message.truncate(message.len() / 2),
-                    Some(Fault::Late) => return self.push(now + 2 * S, Event::Message(from, n, message)),
-                    Some(Fault::Twice) => times = 2,
-                    _ => {}
-                }
-                for _ in 0..times {
-                    let p = self.all[n].as_mut().expect("there");
-                    let _ = message::decode(&message, &mut At(now, p, &mut out));
-                }
-                if fault == Some(Fault::KilledAfter) {
-                    return self.die(n);
-                }
-                let p = self.all[n].as_ref().expect("there");
-                let (next, life) = (p.peers.next_wakeup(), p.life);
-                if next != u64::MAX {
-                    self.push(next.max(now + 1), Event::Wake(n, life));
-                }
-                n
-            }
+            Event::Message(from, n, message) => return self.receive(from, n, message),
             _ => return,
         };
         self.send(n, out.0);
     }
 
+    fn receive(&mut self, from: usize, n: usize, mut message: Vec<u8>) {
+        if self.all[n].is_none() {
+            return;
+        }
+        let (now, mut times) = (self.now, 1);
+        let fault = self.points.pass(|| format!("r{n} receives kind {}", message[1]));
+        match fault {
+            Some(Fault::KilledBefore) => return self.die(n),
+            Some(Fault::Error | Fault::SaidDone) => return,
+            Some(Fault::Half) => message.truncate(message.len() / 2),
+            Some(Fault::Late) => return self.push(now + 2 * S, Event::Message(from, n, message)),
+            Some(Fault::Twice) => times = 2,
+            _ => {}
+        }
+        let mut out = Out(Vec::new());
+        for _ in 0..times {
+            let process = self.all[n].as_mut().expect("there");
+            let _ = message::decode(&message, &mut At(now, process, &mut out));
+        }
+        if fault == Some(Fault::KilledAfter) {
+            return self.die(n);
+        }
+        let process = self.all[n].as_ref().expect("there");
+        let (next, life) = (process.peers.next_wakeup(), process.life);
+        if next != u64::MAX {
+            self.push(next.max(now + 1), Event::Wake(n, life));
+        }
+        self.send(n, out.0);
+    }
+
     pub fn until(&mut self, by: u64, value_of: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
         while let Some((&(at, k), _)) = self.events.iter().next() {
