--- a/crates/consensus/tests/fault_points/main.rs
+++ b/crates/consensus/tests/fault_points/main.rs
@@ -39,47 +39,49 @@
     doubts.len()
 }
 
+/// Has a text agreed on, with what an operator has to do for it, which is noted.
+fn reach(network: &mut SimulatedNetwork, text: &str, done: &mut Done) -> Result<(), String> {
+    let mut agreed = settles(network, text);
+    if !agreed {
+        let many = mend(network);
+        done.mended += many;
+        agreed = many > 0 && settles(network, text);
+    }
+    let reasons = (0..3).filter_map(|n| network.unavailable_reason(n)).collect::<Vec<_>>();
+    let lost = |s: &Unavailable| matches!(s, Unavailable::MajorityLost { .. });
+    if !agreed && reasons.iter().any(lost) {
+        (0..5).for_each(|n| network.kill(n));
+        (0..3).for_each(|n| network.lose(n));
+        network.fleet += 1;
+        (0..5).for_each(|n| network.start(n));
+        done.bootstrapped += 1;
+        agreed = settles(network, text);
+    }
+    match (&network.broken, agreed) {
+        (Some(why), _) => Err(why.clone()),
+        (None, false) => Err(format!("{text:?} is not agreed on; {reasons:?}")),
+        _ => Ok(()),
+    }
+}
+
 /// A register's life: bootstrapped, changed, its leader killed, a disk lost, changed again. Where nothing is
 /// agreed on, an operator does what the router's own words say, and nothing else.
 fn life(network: &mut SimulatedNetwork) -> Result<Done, String> {
     let mut done = Done::default();
-    let mut step = |network: &mut SimulatedNetwork, text: &str| {
-        let mut agreed = settles(network, text);
-        if !agreed {
-            let many = mend(network);
-            done.mended += many;
-            agreed = many > 0 && settles(network, text);
-        }
-        let reasons = (0..3).filter_map(|n| network.unavailable_reason(n)).collect::<Vec<_>>();
-        let lost = |s: &Unavailable| matches!(s, Unavailable::MajorityLost { .. });
-        if !agreed && reasons.iter().any(lost) {
-            (0..5).for_each(|n| network.kill(n));
-            (0..3).for_each(|n| network.lose(n));
-            network.fleet += 1;
-            (0..5).for_each(|n| network.start(n));
-            done.bootstrapped += 1;
-            agreed = settles(network, text);
-        }
-        match (&network.broken, agreed) {
-            (Some(why), _) => Err(why.clone()),
-            (None, false) => Err(format!("{text:?} is not agreed on; {reasons:?}")),
-            _ => Ok(()),
-        }
-    };
-    step(network, "a")?;
-    step(network, "b")?;
+    reach(network, "a", &mut done)?;
+    reach(network, "b", &mut done)?;
     if let Some(n) = network.leader() {
         network.kill(n);
         network.pass(2 * S);
         network.start(n);
     }
-    step(network, "c")?;
+    reach(network, "c", &mut done)?;
     // The process of a lost disk dies with it. Where a fault has taken another one, most are lost.
     let lost = (0..3).find(|n| Some(*n) != network.leader()).unwrap_or(0);
     network.kill(lost);
     network.lose(lost);
     network.start(lost);
-    step(network, "d")?;
+    reach(network, "d", &mut done)?;
     Ok(done)
 }
 
--- a/crates/consensus/tests/fault_points/simulation.rs
+++ b/crates/consensus/tests/fault_points/simulation.rs
@@ -102,6 +102,9 @@
     Start(usize),
 }
 
+/// A fault has killed the process in its turn.
+struct Killed;
+
 pub type Link = Box<dyn FnMut(u64, usize, usize, &mut Rand64) -> Option<u64>>;
 
 /// A network that loses this part and takes 0.2 to 1 ms.
@@ -296,28 +299,38 @@
         }
         for _ in 0..1 + usize::from(again) {
             let Some(messages) = self.turn(n, local, message.as_deref(), &there) else { return };
-            for (to, bytes) in messages {
-                let mut times = 1;
-                let mut late = 0;
-                let mut bytes = bytes;
-                match self.points.pass(|| format!("r{n} sends kind {}", bytes[1])) {
-                    Some(Fault::KilledBefore) => return self.die(n),
-                    Some(Fault::KilledAfter) => {
-                        self.post(n, to, bytes, 0);
-                        return self.die(n);
-                    }
-                    Some(Fault::Error | Fault::SaidDone) => times = 0,
-                    Some(Fault::Half) => bytes.truncate(bytes.len() / 2),
-                    Some(Fault::Late) => late = 2 * S,
-                    Some(Fault::Twice) => times = 2,
-                    None => {}
+            if self.send(n, messages).is_err() {
+                return;
+            }
+        }
+        self.judge();
+    }
+
+    /// Sends messages one by one; an error: a fault has killed the process meanwhile.
+    fn send(&mut self, n: usize, messages: Vec<(RouterId, Vec<u8>)>) -> Result<(), Killed> {
+        for (to, mut bytes) in messages {
+            let (mut times, mut late) = (1, 0);
+            match self.points.pass(|| format!("r{n} sends kind {}", bytes[1])) {
+                Some(Fault::KilledBefore) => {
+                    self.die(n);
+                    return Err(Killed);
                 }
-                for _ in 0..times {
-                    self.post(n, to, bytes.clone(), late);
+                Some(Fault::KilledAfter) => {
+                    self.post(n, to, bytes, 0);
+                    self.die(n);
+                    return Err(Killed);
                 }
+                Some(Fault::Error | Fault::SaidDone) => times = 0,
+                Some(Fault::Half) => bytes.truncate(bytes.len() / 2),
+                Some(Fault::Late) => late = 2 * S,
+                Some(Fault::Twice) => times = 2,
+                None => {}
+            }
+            for _ in 0..times {
+                self.post(n, to, bytes.clone(), late);
             }
         }
-        self.judge();
+        Ok(())
     }
 
     fn post(&mut self, from: usize, to: RouterId, message: Vec<u8>, late: u64) {
@@ -367,10 +380,15 @@
             self.die(n);
             return None;
         }
+        self.schedule_wakeup(n);
+        Some(out.messages)
+    }
+
+    fn schedule_wakeup(&mut self, n: usize) {
+        let Some(machine) = self.all[n].as_ref() else { return };
         let (next, instance_id) = (machine.register.next_wakeup(), machine.register.instance_id());
         let at = self.truly(n, next);
         self.push(at, Event::Wake(n, instance_id));
-        Some(out.messages)
     }
 
     /// Nothing counts anywhere a lease after something else was written, and all is of one register.
@@ -394,6 +412,38 @@
         }
     }
 
+    /// Whose turn an event is, and with which message, unless it is over or has to wait.
+    fn due(&mut self, event: Event) -> Option<(usize, Option<Vec<u8>>)> {
+        match event {
+            Event::Start(n) => {
+                if self.all[n].is_none() {
+                    self.start(n);
+                }
+                None
+            }
+            Event::Wake(n, instance_id) => {
+                let machine = self.all[n].as_ref()?;
+                let is_early = self.clock(n, self.now) < machine.register.next_wakeup();
+                if machine.register.instance_id() != instance_id || is_early {
+                    return None;
+                }
+                if self.now < machine.stopped {
+                    self.push(machine.stopped, Event::Wake(n, instance_id));
+                    return None;
+                }
+                Some((n, None))
+            }
+            Event::Message(n, message) => {
+                let machine = self.all[n].as_ref()?;
+                if self.now < machine.stopped {
+                    self.push(machine.stopped, Event::Message(n, message));
+                    return None;
+                }
+                Some((n, Some(message)))
+            }
+        }
+    }
+
     /// Plays until the condition holds; whether it did by then.
     pub fn until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
@@ -403,36 +453,7 @@
             }
             let event = self.events.remove(&(at, k)).expect("just seen");
             self.now = at;
-            let (n, message) = match event {
-                Event::Start(n) => {
-                    if self.all[n].is_none() {
-                        self.start(n);
-                    }
-                    continue;
-                }
-                Event::Wake(n, instance_id) => {
-                    let Some(m) = self.all[n].as_ref() else { continue };
-                    if m.register.instance_id() != instance_id || self.clock(n, at) < m.register.next_wakeup()
-                    {
-                        continue;
-                    }
-                    if at < m.stopped {
-                        let stopped = m.stopped;
-                        self.push(stopped, Event::Wake(n, instance_id));
-                        continue;
-                    }
-                    (n, None)
-                }
-                Event::Message(n, message) => {
-                    let Some(m) = self.all[n].as_ref() else { continue };
-                    if at < m.stopped {
-                        let stopped = m.stopped;
-                        self.push(stopped, Event::Message(n, message));
-                        continue;
-                    }
-                    (n, Some(message))
-                }
-            };
+            let Some((n, message)) = self.due(event) else { continue };
             self.play(n, message);
             if holds(self) {
                 return true;
--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -234,6 +234,18 @@
         }
     }
 
+    /// Answers that can change nothing any more are as good as lost.
+    fn prune(&mut self) {
+        let proposers = &self.proposers;
+        self.net.retain(|message, _| match message {
+            Message::Promised(c, _, promise) => proposers[*c].awaits(promise.ballot),
+            Message::Accepted(c, _, ballot) | Message::Rejected(c, ballot, _) => {
+                proposers[*c].awaits(*ballot)
+            }
+            _ => true,
+        });
+    }
+
     /// What a proposer does next, and whether what it says of its round is true.
     fn conclude(&mut self, proposer: usize, outcome: RoundOutcome<Marks>) -> Result<(), String> {
         let next = match outcome {
@@ -317,14 +329,7 @@
                 self.acceptors[*k] = (InstanceId(900 + self.instance_ids), Acceptor::new(7, Ok(None)));
             }
         }
-        let proposers = &self.proposers;
-        self.net.retain(|message, _| match message {
-            Message::Promised(c, _, promise) => proposers[*c].awaits(promise.ballot),
-            Message::Accepted(c, _, ballot) | Message::Rejected(c, ballot, _) => {
-                proposers[*c].awaits(*ballot)
-            }
-            _ => true,
-        });
+        self.prune();
         Ok(())
     }
 
@@ -349,6 +354,35 @@
     assert!(found.broken.is_none() && found.depth == depth);
 }
 
+/// Any step that can be next. None: it would take what is not to be taken.
+fn random_step(world: &World, rng: &mut Rand64, (wipes, most): (f64, bool)) -> Option<Step> {
+    let idle = world.proposers.iter().filter(|c| c.is_idle()).count();
+    let messages = world.net.len() as u64;
+    let chance = rng.rand_float();
+    let any = |rng: &mut Rand64, of: usize| rng.rand_range(0..of as u64) as usize;
+    let step = if messages == 0 || chance < 0.03 + 0.05 * idle as f64 {
+        Step::Begin(any(rng, 2))
+    } else if chance > 1.0 - wipes && !world.written.is_empty() {
+        // Never most of those who keep it, unless that is looked at: one is left then.
+        let last = world.written.values().next_back().expect("some");
+        let whole = |s: &&ReplicaId| world.acceptors[s.router.0 as usize].0 == s.disk;
+        let left = last.replicas.iter().filter(whole).count();
+        if most && left < 2 || !most && (!last.previous_replicas.is_empty() || left < 3) {
+            return None;
+        }
+        Step::Wipe(any(rng, world.acceptors.len()))
+    } else {
+        let message = world.net.keys().nth(any(rng, messages as usize)).expect("one").clone();
+        match chance {
+            c if c > 0.99 => Step::Crash(any(rng, 2)),
+            c if c > 0.92 => Step::Lose(message),
+            c if c > 0.88 => Step::Keep(message),
+            _ => Step::Take(message),
+        }
+    };
+    Some(step)
+}
+
 /// Long runs at random; the first promise that was broken, and what was written and changed.
 fn long(
     guards: Guards,
@@ -363,30 +397,7 @@
         world.fixed = most;
         for _ in 0..3_000 {
             world.left = [u8::MAX; 4];
-            let idle = world.proposers.iter().filter(|c| c.is_idle()).count();
-            let messages = world.net.len() as u64;
-            let chance = rng.rand_float();
-            let any = |rng: &mut Rand64, of: usize| rng.rand_range(0..of as u64) as usize;
-            let step = if messages == 0 || chance < 0.03 + 0.05 * idle as f64 {
-                Step::Begin(any(&mut rng, 2))
-            } else if chance > 1.0 - wipes && !world.written.is_empty() {
-                // Never most of those who keep it, unless that is looked at: one is left then.
-                let last = world.written.values().next_back().expect("some");
-                let whole = |s: &&ReplicaId| world.acceptors[s.router.0 as usize].0 == s.disk;
-                let left = last.replicas.iter().filter(whole).count();
-                if most && left < 2 || !most && (!last.previous_replicas.is_empty() || left < 3) {
-                    continue;
-                }
-                Step::Wipe(any(&mut rng, routers))
-            } else {
-                let message = world.net.keys().nth(any(&mut rng, messages as usize)).expect("one").clone();
-                match chance {
-                    c if c > 0.99 => Step::Crash(any(&mut rng, 2)),
-                    c if c > 0.92 => Step::Lose(message),
-                    c if c > 0.88 => Step::Keep(message),
-                    _ => Step::Take(message),
-                }
-            };
+            let Some(step) = random_step(&world, &mut rng, (wipes, most)) else { continue };
             if let Err(why) = world.step(&step) {
                 return (Some(format!("seed {seed}: {why}")), written, changes);
             }
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -320,51 +320,58 @@
     assert_eq!(peers.wake(RECOVERY_WINDOW, &[router(1)], &mut out).len(), taken);
 }
 
+/// How many of 19 routers that restart at once have forgotten a drain.
+fn forgotten_drains(guards: Guards) -> usize {
+    let mut network = SimulatedNetwork::settled(9, 20);
+    network.guards = guards;
+    restart(&mut network, 1..20, false);
+    network.pass(RECOVERY_WINDOW + S);
+    (1..20).filter(|n| network.value_of(*n, FactKind::Draining, 0).is_none()).count()
+}
+
+/// The most bytes that one router gives in a tenth of a second to 119 that restart at once.
+fn burst_bytes(guards: Guards) -> u64 {
+    let mut network = SimulatedNetwork::new(9, 120);
+    network.guards = guards;
+    network.pass(12 * S);
+    network.kill(0);
+    network.start(0);
+    network.pass(10 * S);
+    network.gave.clear();
+    restart(&mut network, 1..120, false);
+    network.pass(RECOVERY_WINDOW);
+    let of_one = network.gave.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
+    of_one.max().unwrap_or(0)
+}
+
+/// In how many of 20 fleets a router believes the one peer of three that lies.
+fn believed_lies(guards: Guards) -> usize {
+    (1..=20)
+        .filter(|seed| {
+            let mut network = SimulatedNetwork::settled(*seed, 4);
+            network.liar = Some(1);
+            network.guards = guards;
+            network.pass(3 * S);
+            restart(&mut network, 3..4, false);
+            network.pass(RECOVERY_WINDOW + S);
+            network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0)
+        })
+        .count()
+}
+
 // Each guard taken out is seen from outside.
 #[test]
 fn each_missing_guard_is_seen() {
-    let emptiness = |guards: Guards| {
-        let mut network = SimulatedNetwork::settled(9, 20);
-        network.guards = guards;
-        restart(&mut network, 1..20, false);
-        network.pass(RECOVERY_WINDOW + S);
-        (1..20).filter(|n| network.value_of(*n, FactKind::Draining, 0).is_none()).count()
-    };
-    assert_eq!(emptiness(Guards::ALL), 0);
-    assert!(emptiness(Guards { reports_empty: false, ..Guards::ALL }) > 5, "emptiness was believed");
-    let rush = |guards: Guards| {
-        let mut network = SimulatedNetwork::new(9, 120);
-        network.guards = guards;
-        network.pass(12 * S);
-        network.kill(0);
-        network.start(0);
-        network.pass(10 * S);
-        network.gave.clear();
-        restart(&mut network, 1..120, false);
-        network.pass(RECOVERY_WINDOW);
-        let of_one = network.gave.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
-        of_one.max().unwrap_or(0)
-    };
-    let (with, without) = (rush(Guards::ALL), rush(Guards { spreads_retries: false, ..Guards::ALL }));
+    assert_eq!(forgotten_drains(Guards::ALL), 0);
+    assert!(forgotten_drains(Guards { reports_empty: false, ..Guards::ALL }) > 5, "emptiness was believed");
+    let (with, without) =
+        (burst_bytes(Guards::ALL), burst_bytes(Guards { spreads_retries: false, ..Guards::ALL }));
     assert!(
         with < without && with <= SEND_BURST_BYTES + SEND_BYTES_PER_SECOND / 10 + 2_000,
         "{with} and {without} bytes"
     );
-    let lie = |guards: Guards| {
-        (1..=20)
-            .filter(|seed| {
-                let mut network = SimulatedNetwork::settled(*seed, 4);
-                network.liar = Some(1);
-                network.guards = guards;
-                network.pass(3 * S);
-                restart(&mut network, 3..4, false);
-                network.pass(RECOVERY_WINDOW + S);
-                network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0)
-            })
-            .count()
-    };
-    assert_eq!(lie(Guards::ALL), 0);
-    assert!(lie(Guards { median: false, ..Guards::ALL }) > 10);
+    assert_eq!(believed_lies(Guards::ALL), 0);
+    assert!(believed_lies(Guards { median: false, ..Guards::ALL }) > 10);
 }
 
 #[test]
