--- a/crates/consensus/tests/fault_points/simulation.rs
+++ b/crates/consensus/tests/fault_points/simulation.rs
@@ -362,21 +362,15 @@
                 }
             }
             Some(message) => {
-                let _ = message::handle_register_message(
-                    message,
-                    &mut machine.register,
-                    now,
-                    &remembered,
-                    &mut out,
-                );
+                let register = &mut machine.register;
+                let _ = message::handle_register_message(message, register, now, &remembered, &mut out);
             }
             None => {
                 let live = |r: RouterId| there[(r.0 - 1_000) as usize];
                 machine.register.wake(now, &live, &mut out);
             }
         }
-        let died = disk.3;
-        if died.is_some() {
+        if disk.3.is_some() {
             self.die(n);
             return None;
         }
--- a/crates/recovery/tests/fault_points/simulation.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -308,15 +308,7 @@
                 n
             }
             Event::See(n, life) if is(self, n, life) => {
-                let lies = self.liar == Some(n);
-                let p = self.all[n].as_mut().expect("there");
-                p.seen = true;
-                for mut fact in (0..WORKERS).flat_map(truth) {
-                    if lies && fact.key.kind == FactKind::ConcurrencyLimit {
-                        fact.value = 0.01;
-                    }
-                    p.facts.insert(now, fact);
-                }
+                self.see(n);
                 self.push(now + 2 * S, Event::See(n, life));
                 n
             }
@@ -331,6 +323,19 @@
         self.send(n, out.0);
     }
 
+    /// A router observes all workers itself.
+    fn see(&mut self, n: usize) {
+        let lies = self.liar == Some(n);
+        let process = self.all[n].as_mut().expect("there");
+        process.seen = true;
+        for mut fact in (0..WORKERS).flat_map(truth) {
+            if lies && fact.key.kind == FactKind::ConcurrencyLimit {
+                fact.value = 0.01;
+            }
+            process.facts.insert(self.now, fact);
+        }
+    }
+
     fn receive(&mut self, from: usize, n: usize, mut message: Vec<u8>) {
         if self.all[n].is_none() {
             return;
