--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -1,5 +1,6 @@
 //! Events that start a workflow, or take up one that is in the store.
-use super::{ActiveWorkflow, StartedWorkflow, plan_digest};
+use super::plan_digest::plan_digest;
+use super::{ActiveWorkflow, StartedWorkflow};
 use crate::client::{Answer, EventDraft};
 use crate::gateway::Gateway;
 use crate::gateway::intake::{Admitted, refuse};
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -25,6 +25,7 @@
 
 mod completion;
 mod intake;
+mod plan_digest;
 mod recovery;
 mod steps;
 mod store;
@@ -223,15 +224,6 @@
     }
 }
 
-/// Tells a changed plan from the one under which a workflow was stored. Workloads count by their names: a
-/// reload may have moved their indices, and a restart puts them back.
-fn plan_digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
-    let mut plan = plan.clone();
-    let take_name = |step: &mut Step| workloads[std::mem::take(&mut step.workload)].name.clone();
-    let names: Vec<String> = plan.steps.iter_mut().map(take_name).collect();
-    FunctionId::named(&format!("{plan:?}{names:?}")).0
-}
-
 /// What the end of a step's request means for its workflow.
 fn step_outcome(outcome: FinalOutcome) -> How {
     match outcome {
--- a/crates/gateway/src/gateway/workflow/recovery.rs
+++ b/crates/gateway/src/gateway/workflow/recovery.rs
@@ -1,6 +1,6 @@
 //! Workflows that a restart cut off: each waits in the store for a client that asks for it again until its
 //! deadline, and then goes on by itself, which undoes what must be undone.
-use super::plan_digest;
+use super::plan_digest::plan_digest;
 use crate::gateway::Gateway;
 use crate::idempotency::{IdempotencyKey, Lookup};
 use applepond::interface::{CustomerId, Micros};
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,6 +1,13 @@
-//! Header lines of both HTTP sides: clients, workers and operators' tools read them by name.
+//! Header lines of both HTTP sides, which clients, workers and operators' tools read by name, and the digest
+//! of a plan, by which a stored workflow is known to belong to it.
 mod common;
+use applepond::interface::{IdempotencyScope, RetrySafety};
+use applepond_gateway::Deployment;
+use applepond_gateway::deployment::WorkflowConfig;
+use applepond_storage::WorkflowStore;
+use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 use common::*;
+use std::sync::Arc;
 
 /// What went to the worker and back to the client, with what differs from run to run left out.
 #[test]
@@ -32,3 +39,51 @@
     let all = [unknown, rejected, cut].map(|conn| sim.told(conn));
     insta::assert_snapshot!("refusals", all.join("\n----\n").replace("\r\n", "\n"));
 }
+
+fn step(name: &str, effect: RetrySafety, function: Function, next: Vec<Branch>) -> Step {
+    let (undo, or_else) = (None, Vec::new());
+    let (workload, at_least, optional) = (1, 20 * MS, false);
+    Step { name: name.into(), workload, effect, function, at_least, optional, undo, next, or_else }
+}
+
+/// A plan with each kind of step, function, test and branch.
+fn plan() -> Plan {
+    let keyed = |scope| RetrySafety::Keyed { scope, window: 3 * S };
+    let to = |go| Branch { test: None, go };
+    let named = || Function::Named("a \"quoted\" fn\n".into());
+    let test = Test { field: "free".into(), is: "yes".into() };
+    let both = || vec![StepId(2), StepId(3)];
+    let first = vec![Branch { test: Some(test), go: Go::One(StepId(1)) }, to(Go::First(both(), None))];
+    let second = vec![to(Go::All(both(), Some(StepId(4))))];
+    let of_first = Function::From(StepId(0), "hut".into());
+    let steps = vec![
+        step("first", keyed(IdempotencyScope::Rack), Function::OfEvent, first),
+        Step {
+            optional: true,
+            undo: Some(StepId(5)),
+            or_else: vec![to(Go::End)],
+            ..step("second", keyed(IdempotencyScope::Everywhere), of_first, second)
+        },
+        step("third", keyed(IdempotencyScope::Zone), named(), Vec::new()),
+        step("fourth", RetrySafety::Idempotent, named(), Vec::new()),
+        Step { workload: 2, ..step("fifth", RetrySafety::AtMostOnce, named(), Vec::new()) },
+        step("undo", keyed(IdempotencyScope::Rack), named(), Vec::new()),
+    ];
+    Plan { name: "book".into(), limit: 4 * S, steps }
+}
+
+// The value is that of the version before the types were renamed; a workflow that it stored goes on.
+#[test]
+fn a_stored_workflow_keeps_the_digest_of_its_plan() {
+    let row = WorkflowConfig {
+        types: vec!["book".into()],
+        function_attribute: "subject".into(),
+        plan: Arc::new(plan()),
+    };
+    let mut store = SharedStore::default();
+    let deployment = Deployment { workflows: vec![row], ..deployment(2) };
+    let mut sim = SimulatedGateway::with(deployment, 1_000 * S, Box::new(store.clone()));
+    sim.send_event("book", "1");
+    let stored = store.load(("/desk", "1")).expect("read").expect("stored before its first step");
+    assert_eq!(format!("{:016x}", stored.plan_digest), "61c8deb1cf86e7c0");
+}
