--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -12,14 +12,13 @@
 //! - the run says how the workflow ended: `completion`.
 use super::Gateway;
 use crate::client::Answer;
-use crate::deployment::WorkloadEvents;
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use applepond::interface::{CustomerId, FunctionId, Micros, RequestId};
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
 use applepond_workflow::run::Needs;
-use applepond_workflow::{Do, Ended, How, Pace, Plan, Run, Step, StepId, Times, Why};
+use applepond_workflow::{Do, Ended, How, Pace, Run, Step, StepId, Times, Why};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
