--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -1,9 +1,9 @@
 //! `drill bad-day`.
 use super::report::{broken_as_json, ends_as_json, ends_in_words, print_rules};
-use super::{NotPlayed, Outcome, is_known_bug, plan, play, print_progress};
-use applepond_scenarios::process::Plan;
-use applepond_scenarios::run::{self, Report};
-use applepond_scenarios::saboteur::PLANTS;
+use super::{NotPlayed, Outcome, is_known_bug, play, print_progress, setup};
+use applepond_scenarios::bad_day::{self, Report};
+use applepond_scenarios::process::Setup;
+use applepond_scenarios::seeded_bugs::SEEDED_BUGS;
 use clap::Args;
 use serde_json::json;
 use std::path::PathBuf;
@@ -40,17 +40,17 @@
 pub(super) fn run(args: BadDayArgs) -> Result<Outcome, NotPlayed> {
     let BadDayArgs { seed, routers, workers, die, fleet, plant, json, keep } = args;
     if let Some(name) = plant.as_deref().filter(|name| !is_known_bug(name)) {
-        let known: Vec<&str> = PLANTS.iter().map(|(known, _, _)| *known).collect();
+        let known: Vec<&str> = SEEDED_BUGS.iter().map(|(known, _, _)| *known).collect();
         eprintln!("--plant {name}: one of {} is wanted", known.join(", "));
         return Err(NotPlayed);
     }
-    let plan = plan(seed, routers, workers, plant).map_err(|error| {
+    let setup = setup(seed, routers, workers, plant).map_err(|error| {
         eprintln!("this program's own file: {error}");
         NotPlayed
     })?;
-    let plan = Plan { die: die as usize, fleet, ..plan };
+    let setup = Setup { dying_routers: die as usize, fleet, ..setup };
     let mut progress = |line: &str| print_progress(json, line);
-    let report = play(keep.as_deref(), |folder| run::bad_day(&plan, folder, &mut progress))?;
+    let report = play(keep.as_deref(), |folder| bad_day::play(&setup, folder, &mut progress))?;
     if json {
         print_json(&report, seed);
     } else {
--- a/crates/cli/src/scenario/membership.rs
+++ b/crates/cli/src/scenario/membership.rs
@@ -1,7 +1,7 @@
 //! `drill members`.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, plan, play, print_progress};
-use applepond_scenarios::members::{self, Report};
+use super::{NotPlayed, Outcome, play, print_progress, setup};
+use applepond_scenarios::membership::{self, Report, SCENES, SEEDED_BUGS};
 use clap::Args;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -13,10 +13,10 @@
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=100))]
     routers: u64,
     /// Plays these faults alone; several may be given.
-    #[arg(long, value_parser = members::SCENES)]
+    #[arg(long, value_parser = SCENES)]
     fault: Vec<String>,
     /// Takes a guard out in every router, to prove the drill.
-    #[arg(long, value_parser = members::PLANTS.map(|(name, _)| name))]
+    #[arg(long, value_parser = SEEDED_BUGS.map(|(name, _)| name))]
     plant: Option<String>,
     /// Prints the result as one JSON object.
     #[arg(long)]
@@ -29,12 +29,12 @@
 pub(super) fn run(args: MembershipArgs) -> Result<Outcome, NotPlayed> {
     let MembershipArgs { seed, routers, fault, plant, json, keep } = args;
     let is_wanted = |scene: &&&str| fault.is_empty() || fault.iter().any(|wanted| wanted == **scene);
-    let scenes: Vec<&'static str> = members::SCENES.iter().filter(is_wanted).copied().collect();
-    let plan = plan(seed, routers, 0, plant).map_err(|_| NotPlayed)?;
+    let scenes: Vec<&'static str> = SCENES.iter().filter(is_wanted).copied().collect();
+    let setup = setup(seed, routers, 0, plant).map_err(|_| NotPlayed)?;
     let mut progress = |scene: &str| print_progress(json, scene);
-    let report = play(keep.as_deref(), |folder| members::members(&plan, &scenes, folder, &mut progress))?;
+    let report = play(keep.as_deref(), |folder| membership::play(&setup, &scenes, folder, &mut progress))?;
     // A seeded bug is recognized by the rule that it breaks.
-    let looks_like = members::PLANTS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
+    let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
     let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
     if json {
         print_json(&report, seed, routers, &looks_like);
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -9,9 +9,9 @@
 mod workflows;
 
 use crate::errors::{USAGE_ERROR, print_error};
-use applepond_scenarios::fault::Unplayed;
-use applepond_scenarios::process::Plan;
-use applepond_scenarios::saboteur::PLANTS;
+use applepond_scenarios::errors::ScenarioError;
+use applepond_scenarios::process::Setup;
+use applepond_scenarios::seeded_bugs::SEEDED_BUGS;
 use clap::Subcommand;
 use std::path::Path;
 use std::process::ExitCode;
@@ -72,26 +72,29 @@
 struct NotPlayed;
 
 /// The routers of a scenario: processes of this program.
-fn plan(seed: u64, routers: u64, workers: u64, seeded_bug: Option<String>) -> std::io::Result<Plan> {
-    Ok(Plan {
+fn setup(seed: u64, routers: u64, workers: u64, seeded_bug: Option<String>) -> std::io::Result<Setup> {
+    Ok(Setup {
         program: std::env::current_exe()?,
         seed,
         routers: routers as usize,
         workers: workers as usize,
-        plant: seeded_bug,
-        through: None,
-        die: 1,
+        seeded_bug,
+        proxy: None,
+        dying_routers: 1,
         fleet: false,
     })
 }
 
 /// Whether the gateway has a seeded bug of this name.
 fn is_known_bug(name: &str) -> bool {
-    PLANTS.iter().any(|(known, _, _)| *known == name)
+    SEEDED_BUGS.iter().any(|(known, _, _)| *known == name)
 }
 
 /// Plays in the folder that is to be kept, or in one that is removed afterwards.
-fn play<R>(keep: Option<&Path>, play: impl FnOnce(&Path) -> Result<R, Unplayed>) -> Result<R, NotPlayed> {
+fn play<R>(
+    keep: Option<&Path>,
+    play: impl FnOnce(&Path) -> Result<R, ScenarioError>,
+) -> Result<R, NotPlayed> {
     let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
     let played = play(keep.unwrap_or(&own));
     if keep.is_none() {
--- a/crates/cli/src/scenario/prefixes.rs
+++ b/crates/cli/src/scenario/prefixes.rs
@@ -1,8 +1,8 @@
 //! `drill openings`.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, plan, play, print_progress};
-use applepond_scenarios::openings::{self, Order, Report};
-use applepond_scenarios::process::Plan;
+use super::{NotPlayed, Outcome, play, print_progress, setup};
+use applepond_scenarios::prefixes::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
+use applepond_scenarios::process::Setup;
 use clap::Args;
 use serde_json::json;
 use std::path::PathBuf;
@@ -16,13 +16,13 @@
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(6..=40))]
     workers: u64,
     /// What happens in the middle of it.
-    #[arg(long, value_parser = openings::FAULTS, default_value = "none")]
+    #[arg(long, value_parser = FAULTS, default_value = "none")]
     fault: String,
     /// `lru` pins nothing; `both` plays one after the other.
     #[arg(long, value_parser = ["lru", "merged", "both"], default_value = "both")]
     way: String,
     /// Takes a guard out in every router, to prove the drill.
-    #[arg(long, value_parser = openings::PLANTS.map(|(name, _)| name))]
+    #[arg(long, value_parser = SEEDED_BUGS.map(|(name, _)| name))]
     plant: Option<String>,
     /// Prints each play as one JSON object.
     #[arg(long)]
@@ -33,15 +33,15 @@
 }
 
 pub(super) fn run(args: PrefixArgs) -> Result<Outcome, NotPlayed> {
-    let plan = plan(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
-    let plan = Plan { fleet: true, ..plan };
+    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
+    let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
-    for way in openings::WAYS.iter().copied().filter(|way| args.way == "both" || args.way == *way) {
-        let order = Order { plan: &plan, fault: &args.fault, way };
+    for way in WAYS.iter().copied().filter(|way| args.way == "both" || args.way == *way) {
+        let options = Options { setup: &setup, fault: &args.fault, way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| openings::openings(&order, folder, &mut progress))?;
+        let report = play(args.keep.as_deref(), |folder| prefixes::play(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
-        let looks_like = openings::PLANTS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
+        let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
         if args.json {
             print_json(&args, way, &report, &looks_like);
@@ -57,8 +57,8 @@
     println!(
         "{}",
         json!({"seed": args.seed, "routers": args.routers, "fault": args.fault, "way": way,
-            "jobs": report.requests, "in-time": report.in_time, "preparing-s": report.preparing,
-            "prepared": report.prepared, "pinned": report.pinned, "most-at-one": report.most,
+            "jobs": report.requests, "in-time": report.in_time, "preparing-s": report.preparing_seconds,
+            "prepared": report.prepared, "pinned": report.pinned, "most-at-one": report.most_at_one_worker,
             "broken": report.broken, "looks-like": looks_like})
     );
 }
@@ -72,9 +72,9 @@
         "  last 20 s: {:.1} % in time, {:.1} s of preparing for {} openings; {} came with a lease, {} at \
          one worker at most",
         100.0 * report.in_time,
-        report.preparing,
+        report.preparing_seconds,
         report.prepared,
         report.pinned,
-        report.most
+        report.most_at_one_worker
     );
 }
--- a/crates/cli/src/scenario/recovery.rs
+++ b/crates/cli/src/scenario/recovery.rs
@@ -1,8 +1,8 @@
 //! `drill comeback`.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, plan, play, print_progress};
-use applepond_scenarios::comeback::{self, Order, Report, WAYS};
-use applepond_scenarios::process::Plan;
+use super::{NotPlayed, Outcome, play, print_progress, setup};
+use applepond_scenarios::process::Setup;
+use applepond_scenarios::recovery::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
 use clap::Args;
 use serde_json::json;
 use std::path::PathBuf;
@@ -16,13 +16,13 @@
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(6..=40))]
     workers: u64,
     /// Who dies and what is left of their disks.
-    #[arg(long, value_parser = comeback::FAULTS, default_value = "kill")]
+    #[arg(long, value_parser = FAULTS, default_value = "kill")]
     fault: String,
     /// What a router may start from; `all` plays each.
     #[arg(long, default_value = "both")]
     way: String,
     /// Takes a guard out in every router, to prove the drill; it is played in the fault that shows it.
-    #[arg(long, value_parser = comeback::PLANTS.map(|(name, ..)| name))]
+    #[arg(long, value_parser = SEEDED_BUGS.map(|(name, ..)| name))]
     plant: Option<String>,
     /// Prints each play as one JSON object.
     #[arg(long)]
@@ -41,49 +41,50 @@
     }
     let mut fault = args.fault.as_str();
     // A seeded bug is played in the fault and the way that show it.
-    let bug = comeback::PLANTS.iter().find(|(name, ..)| Some(*name) == args.plant.as_deref());
+    let bug = SEEDED_BUGS.iter().find(|(name, ..)| Some(*name) == args.plant.as_deref());
     if let Some((_, _, shown_in, way)) = bug {
         (fault, ways) = (shown_in, vec![*way]);
     }
-    let plan = plan(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
-    let plan = Plan { fleet: true, ..plan };
+    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
+    let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
     for way in ways {
-        let order = Order { plan: &plan, fault, way };
+        let options = Options { setup: &setup, fault, way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| comeback::comeback(&order, folder, &mut progress))?;
+        let report = play(args.keep.as_deref(), |folder| recovery::play(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
-        let looks_like = comeback::PLANTS.iter().filter(|(_, rule, ..)| report.broken.contains_key(rule));
+        let looks_like = SEEDED_BUGS.iter().filter(|(_, rule, ..)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, ..)| *name).collect();
         if args.json {
-            print_json(&args, &order, &report, &looks_like);
+            print_json(&args, &options, &report, &looks_like);
         } else {
-            print_table(&args, &order, &report);
+            print_table(&args, &options, &report);
             print_breaches(&report.broken, &looks_like);
         }
     }
     Ok(Outcome::of(is_broken))
 }
 
-fn print_json(args: &RecoveryArgs, order: &Order<'_>, report: &Report, looks_like: &[&str]) {
+fn print_json(args: &RecoveryArgs, options: &Options<'_>, report: &Report, looks_like: &[&str]) {
     let [before, dead, after] = report.service;
     println!(
         "{}",
-        json!({"seed": args.seed, "routers": args.routers, "fault": order.fault, "way": order.way,
+        json!({"seed": args.seed, "routers": args.routers, "fault": options.fault, "way": options.way,
             "jobs": report.requests, "before": before, "dead": dead, "after-2s": after,
-            "whole-ms": report.whole,
-            "loads": {"before": report.loads.0, "after": report.loads.1}, "fell": report.fell,
-            "strays": {"all": report.strays.0, "after-grace": report.strays.1},
-            "asks": {"most": report.asks.0, "all": report.asks.1, "part": report.asks_part},
+            "whole-ms": report.recovered_after,
+            "loads": {"before": report.fetches_before, "after": report.fetches_after},
+            "fell": report.overloaded_cold,
+            "strays": {"all": report.strays, "after-grace": report.strays_after_grace},
+            "asks": {"most": report.most_asks, "all": report.asks, "part": report.asks_part},
             "broken": report.broken, "looks-like": looks_like})
     );
 }
 
-fn print_table(args: &RecoveryArgs, order: &Order<'_>, report: &Report) {
+fn print_table(args: &RecoveryArgs, options: &Options<'_>, report: &Report) {
     let [before, dead, after] = report.service;
     println!(
         "comeback, seed {}, {} routers, {}, from {}: {} jobs",
-        args.seed, args.routers, order.fault, order.way, report.requests
+        args.seed, args.routers, options.fault, options.way, report.requests
     );
     println!(
         "  in time: {:.1} % before, {:.1} % while they are dead, {:.1} % in the 2 s after the last start",
@@ -91,13 +92,14 @@
         100.0 * dead,
         100.0 * after
     );
-    let whole = report.whole.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
+    let whole =
+        report.recovered_after.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
     println!(
         "  service whole again {whole}; {} cold workers fell; {} jobs to a drain, {} after the grace",
-        report.fell, report.strays.0, report.strays.1
+        report.overloaded_cold, report.strays, report.strays_after_grace
     );
     println!(
         "  fetches in a tenth of a second at most {} before, {} after; asks to one router {}, in all {}",
-        report.loads.0, report.loads.1, report.asks.0, report.asks.1
+        report.fetches_before, report.fetches_after, report.most_asks, report.asks
     );
 }
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -1,8 +1,8 @@
 //! `drill retry-storm`.
 use super::report::{broken_as_json, ends_as_json, ends_in_words, print_rules};
-use super::{NotPlayed, Outcome, plan, play, print_progress};
+use super::{NotPlayed, Outcome, play, print_progress, setup};
 use applepond_scenarios::chart;
-use applepond_scenarios::storm::{Cut, Order, Report, retry_storm};
+use applepond_scenarios::retry_storm::{self, Cut, Options, Report};
 use clap::Args;
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
@@ -48,7 +48,7 @@
         eprintln!("--ignore {}: a share from 0 to 1 is wanted", args.ignore);
         return Err(NotPlayed);
     }
-    let plan = plan(args.seed, 3, 12, None).map_err(|_| NotPlayed)?;
+    let setup = setup(args.seed, 3, 12, None).map_err(|_| NotPlayed)?;
     let plays: &[(&str, bool)] = match args.damping.as_str() {
         "on" => &[("damping on", true)],
         "off" => &[("damping off", false)],
@@ -56,8 +56,8 @@
     };
     let mut reports = Vec::new();
     for (name, damping) in plays {
-        let order = Order {
-            plan: &plan,
+        let options = Options {
+            setup: &setup,
             cut: if args.cut == "hang" { Cut::Hang } else { Cut::Refuse },
             seconds: args.seconds,
             clients: args.clients,
@@ -67,7 +67,7 @@
             restart: args.restart,
         };
         let mut progress = |line: &str| print_progress(args.json, &format!("{name}: {line}"));
-        let report = play(None, |folder| retry_storm(&order, folder, &mut progress))?;
+        let report = play(None, |folder| retry_storm::play(&options, folder, &mut progress))?;
         if args.json {
             println!("{}", as_json(name, args.seed, &report));
         } else {
@@ -93,7 +93,7 @@
 
 fn as_json(name: &str, seed: u64, report: &Report) -> Value {
     json!({"seed": seed, "play": name, "before": report.before, "recovery_s": report.recovery,
-        "peak": report.peak, "pushed_back": report.pushed_back, "fetches": report.fetches,
+        "peak": report.peak, "pushed_back": report.rejected, "fetches": report.fetches,
         "functions": report.functions,
         "executions_each": {"before": report.attempts.0, "after": report.attempts.1},
         "got": ends_as_json(&report.got), "broken": broken_as_json(&report.verdict),
@@ -108,7 +108,7 @@
     println!("  service before the cut {:.1} %; recovery after {recovery}", 100.0 * report.before);
     println!(
         "  peak {} asked a second; {} pushed back; {} fetches after the cut for {} functions in use",
-        report.peak, report.pushed_back, report.fetches, report.functions
+        report.peak, report.rejected, report.fetches, report.functions
     );
     println!(
         "  attempts begun for each job answered in time: {:.2} before the cut, {:.2} in the 10 s after it",
--- a/crates/cli/src/scenario/workflows.rs
+++ b/crates/cli/src/scenario/workflows.rs
@@ -1,7 +1,7 @@
 //! `drill chains`: plays each load twice, with chains run by the routers, and step by step by their clients.
 use super::report::{broken_as_json, ends_as_json, ends_in_words, print_rule, print_rules};
-use super::{NotPlayed, Outcome, is_known_bug, plan, play, print_progress};
-use applepond_scenarios::chains::{self, Order, PLAN, Report};
+use super::{NotPlayed, Outcome, is_known_bug, play, print_progress, setup};
+use applepond_scenarios::workflows::{self, DEFAULT_WORKFLOWS, Options, Report};
 use clap::Args;
 use serde_json::json;
 use std::path::PathBuf;
@@ -43,27 +43,27 @@
         return Err(NotPlayed);
     }
     let blocks = chain_blocks(args)?;
-    let plan = plan(args.seed, 2, 6, args.plant.clone()).map_err(|_| NotPlayed)?;
+    let setup = setup(args.seed, 2, 6, args.plant.clone()).map_err(|_| NotPlayed)?;
     let importance = [args.importance[0], args.importance[1], args.importance[2]];
     // Faults are for the routers: they play no step-by-step clients.
     let plays_both = args.plant.is_none() && args.kills == 0;
     let mut is_broken = false;
     for load in args.load.iter().copied() {
-        let mut order = Order {
-            plan: &plan,
+        let mut options = Options {
+            setup: &setup,
             load,
-            chains: &blocks,
-            plain: false,
+            workflows: &blocks,
+            step_by_step: false,
             kills: args.kills as usize,
             importance,
         };
-        let by_routers = play_one(args, &order, "by routers")?;
+        let by_routers = play_one(args, &options, "by routers")?;
         is_broken |= breaks_a_rule(&by_routers);
         if !plays_both {
             continue;
         }
-        order.plain = true;
-        let step_by_step = play_one(args, &order, "step by step")?;
+        options.step_by_step = true;
+        let step_by_step = play_one(args, &options, "step by step")?;
         is_broken |= breaks_a_rule(&step_by_step);
         if !args.json {
             let times = by_routers.finished as f64 / step_by_step.finished.max(1) as f64;
@@ -75,7 +75,7 @@
 
 /// The `chain` blocks of the settings.
 fn chain_blocks(args: &WorkflowArgs) -> Result<String, NotPlayed> {
-    let Some(file) = &args.plan else { return Ok(PLAN.to_owned()) };
+    let Some(file) = &args.plan else { return Ok(DEFAULT_WORKFLOWS.to_owned()) };
     std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{}: {error}", file.display());
         NotPlayed
@@ -83,15 +83,14 @@
 }
 
 fn breaks_a_rule(report: &Report) -> bool {
-    let (unanswered, on_record) = report.unanswered;
-    !report.verdict.broken.is_empty() || on_record < unanswered
+    !report.verdict.broken.is_empty() || report.unanswered_on_record < report.unanswered
 }
 
 /// Plays once and prints the result.
-fn play_one(args: &WorkflowArgs, order: &Order<'_>, name: &str) -> Result<Report, NotPlayed> {
-    let load = order.load;
+fn play_one(args: &WorkflowArgs, options: &Options<'_>, name: &str) -> Result<Report, NotPlayed> {
+    let load = options.load;
     let mut progress = |line: &str| print_progress(args.json, &format!("load {load}, {name}: {line}"));
-    let report = play(None, |folder| chains::chains(order, folder, &mut progress))?;
+    let report = play(None, |folder| workflows::play(options, folder, &mut progress))?;
     if args.json {
         print_json(args, load, name, &report);
     } else {
@@ -101,8 +100,8 @@
 }
 
 fn print_json(args: &WorkflowArgs, load: f64, name: &str, report: &Report) {
-    let (unanswered, on_record) = report.unanswered;
-    let all = json!({"seed": args.seed, "load": load, "play": name, "chains": report.chains,
+    let (unanswered, on_record) = (report.unanswered, report.unanswered_on_record);
+    let all = json!({"seed": args.seed, "load": load, "play": name, "chains": report.workflows,
         "finished": report.finished, "steps": report.steps, "got": ends_as_json(&report.got),
         "broken": broken_as_json(&report.verdict),
         "unanswered": {"begun": unanswered, "on-record": on_record}});
@@ -113,13 +112,13 @@
     println!("chains, seed {}, load {load}, {name}", args.seed);
     println!(
         "  {} of {} chains finished in time; {} steps begun at workers",
-        report.finished, report.chains, report.steps
+        report.finished, report.workflows, report.steps
     );
     println!("  ends as the desks saw them: {}", ends_in_words(&report.got));
     print_rules(&report.verdict);
     print_rule(&report.verdict, 6, ON_TIME);
     if args.kills > 0 {
-        let (unanswered, on_record) = report.unanswered;
+        let (unanswered, on_record) = (report.unanswered, report.unanswered_on_record);
         println!("  {unanswered} chains without an answer with a step begun, {on_record} of them on record");
     }
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,7 +6,7 @@
 use applepond_gateway::{Deployment, Gateway};
 use applepond_membership::MemberStatus;
 use applepond_reactor::{Machine, Reactor};
-use applepond_scenarios::saboteur::{PLANTS, Saboteur};
+use applepond_scenarios::seeded_bugs::{BuggyMachine, SEEDED_BUGS};
 use applepond_storage::DiskStore;
 use clap::ValueEnum;
 use std::cell::Cell;
@@ -57,7 +57,8 @@
     run(options).unwrap_or_else(|status| status)
 }
 
-/// The error is an exit status too: what was wrong has been printed or logged.
+/// The parts of an instance in the order in which they are made, which is why the function is long. The error
+/// is an exit status too: what was wrong has been printed or logged.
 fn run(options: &ServeOptions) -> Result<ExitCode, ExitCode> {
     let mut deployment = settings::read(&options.settings).map_err(ExitCode::from)?;
     deployment.listen = options.listen.unwrap_or(deployment.listen);
@@ -140,8 +141,8 @@
 
 fn with_seeded_bug(gateway: Box<Gateway>, bug: Option<&str>) -> Result<Box<dyn Machine>, ExitCode> {
     let Some(name) = bug else { return Ok(gateway) };
-    match PLANTS.iter().find(|(known, _, _)| *known == name) {
-        Some((_, bug, _)) => Ok(Box::new(Saboteur::new(gateway, *bug))),
+    match SEEDED_BUGS.iter().find(|(known, _, _)| *known == name) {
+        Some((_, bug, _)) => Ok(Box::new(BuggyMachine::new(gateway, *bug))),
         None => {
             eprintln!("--plant {name}: no such fault");
             Err(ExitCode::from(USAGE_ERROR))
--- a/crates/cli/tests/comeback.rs
+++ b/crates/cli/tests/comeback.rs
@@ -48,12 +48,12 @@
 
     // A dropped link, slow replies, and one who is not heard: what was agreed goes on to count.
     let ports = fleet.ports.clone();
-    fleet.links.faults().cut.extend([(ports[0], ports[1]), (ports[1], ports[0]), (ports[2], ports[4])]);
-    fleet.links.faults().delay = Duration::from_millis(100);
+    fleet.network.faults().cut.extend([(ports[0], ports[1]), (ports[1], ports[0]), (ports[2], ports[4])]);
+    fleet.network.faults().delay = Duration::from_millis(100);
     std::thread::sleep(Duration::from_secs(5));
     fleet.until("all still agree", |f| all_agreed(f, &all));
-    fleet.links.faults().cut.clear();
-    fleet.links.faults().delay = Duration::ZERO;
+    fleet.network.faults().cut.clear();
+    fleet.network.faults().delay = Duration::ZERO;
 
     // Who convenes stands still: another one does, and it acts on nothing when it wakes.
     let first = convener(&fleet, &all).expect("one of them");
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Processes of the program, asked over their sockets.
 #![allow(dead_code)] // each table of cases uses its own part
-use applepond_scenarios::fleet::{ports, settings};
-use applepond_scenarios::links::Links;
+use applepond_scenarios::faulty_network::FaultyNetwork;
+use applepond_scenarios::fleet_settings::{ports, settings};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -67,7 +67,7 @@
 pub struct Fleet {
     pub routers: Vec<Option<Serve>>,
     pub ports: Vec<SocketAddr>,
-    pub links: Links,
+    pub network: FaultyNetwork,
     pub folder: PathBuf,
     /// Further lines of each one's fleet block.
     more: Vec<String>,
@@ -80,16 +80,16 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(folder.join("key"), "a secret of a test's fleet\n").expect("a file");
         std::fs::write(folder.join("new-key"), "another one, just as long\n").expect("a file");
-        let (ports, links) = (ports(many).expect("ports"), Links::new(1).expect("a socket"));
+        let (ports, network) = (ports(many).expect("ports"), FaultyNetwork::new(1).expect("a socket"));
         let more = (0..many).map(|n| more(n, &folder)).collect();
-        let mut fleet = Fleet { routers: (0..many).map(|_| None).collect(), ports, links, folder, more };
+        let mut fleet = Fleet { routers: (0..many).map(|_| None).collect(), ports, network, folder, more };
         (0..many).for_each(|n| fleet.start(n, &[]));
         fleet
     }
 
     /// Starts a router, with further words on its command line.
     pub fn start(&mut self, n: usize, words: &[&str]) {
-        let mut line = vec!["--fleet-through".to_owned(), self.links.at.to_string()];
+        let mut line = vec!["--fleet-through".to_owned(), self.network.at.to_string()];
         line.extend(words.iter().map(|w| (*w).to_owned()));
         self.routers[n] = Some(serve(&self.write(n, "\"key\""), &line));
     }
@@ -99,7 +99,7 @@
         self.signal(n, Signal::TERM);
         let status = self.routers[n].as_mut().and_then(|router| router.child.wait().ok());
         assert!(status.is_some_and(|status| status.success()), "it ends by itself");
-        let line = ["--fleet-through".to_owned(), self.links.at.to_string()];
+        let line = ["--fleet-through".to_owned(), self.network.at.to_string()];
         self.routers[n] = Some(serve_by(program, &self.write(n, "\"key\""), &line));
     }
 
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -17,7 +17,7 @@
     put(&mut all, "consensus", vec![applepond_consensus::message::MalformedMessage]);
     put(&mut all, "recovery", applepond_recovery::SnapshotError::EACH.to_vec());
     put(&mut all, "recovery", vec![applepond_recovery::MalformedMessage]);
-    put(&mut all, "scenarios", applepond_scenarios::fault::Unplayed::each());
+    put(&mut all, "scenarios", applepond_scenarios::errors::ScenarioError::each());
     put(&mut all, "fleet", applepond_fleet::QueryError::each());
     put(&mut all, "gateway", applepond_gateway::errors::EndpointListError::each());
     put(&mut all, "gateway", applepond_gateway::errors::ReloadError::each());
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -14,23 +14,23 @@
     fleet.until("they find each other", |f| f.agree(&all, FLEET));
 
     // One way of one link: named on both sides, and nobody is removed.
-    fleet.links.faults().cut.insert((fleet.ports[0], fleet.ports[3]));
+    fleet.network.faults().cut.insert((fleet.ports[0], fleet.ports[3]));
     fleet.until("the lame link is named", |f| {
         f.standing(3, 0)["standing"] == "unreachable from here"
             && f.standing(3, 0)["lame"] == "in"
             && f.standing(0, 3)["lame"] == "out"
     });
     assert!(fleet.agree(&all, FLEET));
-    fleet.links.faults().cut.clear();
+    fleet.network.faults().cut.clear();
     fleet.until("and whole again", |f| f.standing(3, 0)["standing"] == "alive");
 
     // Slow replies of every router: nobody is removed while many patiences pass.
-    fleet.links.faults().delay = Duration::from_millis(300);
+    fleet.network.faults().delay = Duration::from_millis(300);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(5) {
         assert!(all.iter().all(|n| fleet.fleet(*n)["live"] == FLEET));
     }
-    fleet.links.faults().delay = Duration::ZERO;
+    fleet.network.faults().delay = Duration::ZERO;
 
     // Stopped until the others have removed it; it comes back by itself and accuses nobody.
     let before = fleet.standing(0, 2)["incarnation"].as_u64();
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -1,10 +1,13 @@
-//! The bad day: who plays, what they are asked, and what goes wrong when, all drawn from one seed.
+//! A day: the workers, the requests, and what goes wrong when, all drawn from one seed.
+use crate::audit::Outage;
+use crate::process::Setup;
 use applepond_fakes::client::Planned;
 use applepond_fakes::hosts::Row;
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::worker::{Build, Mood, Rack, Turn, Worker};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
+use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
 
@@ -14,10 +17,10 @@
 pub const HALLS: usize = 3;
 /// µs of arrivals.
 pub const LENGTH: Micros = 26 * S;
-/// Jobs a second on the quiet parts of the day, a worker.
+/// Requests a second and worker on the quiet parts of the day.
 const RATE: f64 = 11.0;
-/// Times that in the jump.
-const JUMP: f64 = 2.0;
+/// Factor of that rate in the jump.
+const JUMP_FACTOR: f64 = 2.0;
 /// Functions that requests are drawn from, popularity falling as 1 / rank.
 const FUNCTIONS: u64 = 40;
 /// µs for which a rack drops repeats.
@@ -27,47 +30,62 @@
 /// Importance of the workloads quote, hold and confirm.
 pub const IMPORTANCE: [u64; 3] = [1, 3, 5];
 /// µs from a notice of drain to the end of that process: longer than the grace, so that strays are seen.
-const DRAINS: Micros = 4 * S;
-/// µs by which the host list trails, as a rule and while it runs late.
-const LAG: Micros = 300 * MS;
-const LAG_LATE: Micros = 1_500 * MS;
+const DRAIN_TIME: Micros = 4 * S;
+/// µs by which the endpoint list is behind as a rule.
+const LIST_DELAY: Micros = 300 * MS;
+/// µs by which it is behind while it runs late.
+const LATE_LIST_DELAY: Micros = 1_500 * MS;
+/// µs that a client waits for an answer.
+const CLIENT_TIMEOUT: Micros = 4 * S;
 
-/// A worker's part of the day: what it is, what it does when, and what the list says of it when.
-pub struct Part {
+/// One worker's day.
+pub struct WorkerScript {
+    /// What it is.
     pub build: Build,
+    /// Its hall.
     pub hall: usize,
+    /// What it does when.
     pub script: Vec<(Micros, Turn)>,
-    /// Changes in truth; the list tells them later.
+    /// Its status from when on; the list has it later.
     pub standing: Vec<(Micros, &'static str)>,
+    /// It runs from the start.
     pub from_start: bool,
 }
 
+/// A day of a fleet.
 pub struct Day {
-    pub parts: Vec<Part>,
+    /// The workers.
+    pub workers: Vec<WorkerScript>,
+    /// The requests, in their order.
     pub requests: Vec<Planned>,
-    /// When the store stops, and goes on.
-    pub store_stop: (Micros, Micros),
-    /// Which router is killed, when, and when it is started again.
-    pub kill: (usize, Micros, Micros),
+    /// From when to when the store does no fetch, if at all.
+    pub store_stop: Option<(Micros, Micros)>,
+    /// Which router is killed when.
+    pub kill: Outage,
+    /// From when to when the endpoint list is late.
     pub late_list: (Micros, Micros),
-    /// When the list says nothing at all.
+    /// From when to when the endpoint list says nothing at all.
     pub silence: (Micros, Micros),
-    /// What happens when, for people.
+    /// What happens when, in words.
     pub story: Vec<(Micros, String)>,
 }
 
 /// An address of a hall with a port that is free now.
-pub fn address(hall: usize, n: usize) -> SocketAddr {
-    let host = Ipv4Addr::new(127, 10 + hall as u8, (std::process::id() % 250) as u8, (n + 1) as u8);
-    let probe = TcpListener::bind((host, 0)).and_then(|l| l.local_addr());
+///
+/// # Panics
+/// If there is none.
+pub fn address(hall: usize, host: usize) -> SocketAddr {
+    let host = Ipv4Addr::new(127, 10 + hall as u8, (std::process::id() % 250) as u8, (host + 1) as u8);
+    let probe = TcpListener::bind((host, 0)).and_then(|listener| listener.local_addr());
     probe.expect("a loopback address has a free port")
 }
 
-pub fn build(n: usize, hall: usize, store: SocketAddr, seed: u64, name: String) -> Build {
+/// The worker of this index in a hall.
+pub fn build(index: usize, hall: usize, store: SocketAddr, seed: u64, name: String) -> Build {
     Build {
         name: Rc::from(name),
-        listen: address(hall, n),
-        rack: (hall * 2 + n / HALLS % 2) as i64,
+        listen: address(hall, index),
+        rack: (hall * 2 + index / HALLS % 2) as i64,
         cores: 2,
         memory_mb: 8_000,
         queue: 40,
@@ -79,84 +97,146 @@
         fall_multiple: 2.5,
         fall_span: S,
         window: WINDOW,
-        seed: seed ^ n as u64,
+        seed: seed ^ index as u64,
         openings: 400,
         prepare: 1_000,
     }
 }
 
+/// When what goes wrong: pairs are its begin and its end.
+struct Timetable {
+    jump: (Micros, Micros),
+    late_list: (Micros, Micros),
+    wave: Micros,
+    lost: (Micros, Micros),
+    store_stop: (Micros, Micros),
+    failing: (Micros, Micros),
+    hanging: (Micros, Micros),
+    odd: (Micros, Micros),
+    silence: (Micros, Micros),
+    kill: (Micros, Micros),
+}
+
+impl Timetable {
+    fn draw(rng: &mut Rand64, begin: Micros) -> Self {
+        let mut about = |ms: u64| begin + ms * MS + rng.rand_range(0..800) * MS;
+        // The fields are drawn in this order.
+        Timetable {
+            jump: (about(3_000), about(6_000)),
+            late_list: (about(5_000), about(11_000)),
+            wave: about(7_500),
+            lost: (about(12_500), about(16_000)),
+            store_stop: (about(15_500), about(17_500)),
+            failing: (about(18_500), about(21_000)),
+            hanging: (about(19_500), about(22_000)),
+            odd: (about(1_500), about(3_000)),
+            silence: (about(24_000), about(24_900)),
+            kill: (about(21_500), about(23_000)),
+        }
+    }
+
+    /// What happens when, moods of workers aside.
+    fn story(&self, lost_hall: usize, killed: usize) -> Vec<(Micros, String)> {
+        let ms = |(from, until): (Micros, Micros)| (until - from) / MS;
+        let late =
+            format!("the host list runs {} ms late instead of {}", LATE_LIST_DELAY / MS, LIST_DELAY / MS);
+        vec![
+            (self.silence.0, format!("the host list falls silent, for {} ms", ms(self.silence))),
+            (self.jump.0, format!("{JUMP_FACTOR} times the jobs, for {} ms", ms(self.jump))),
+            (self.late_list.0, late),
+            (self.wave, "a quarter of the workers drains, successors come cold".to_owned()),
+            (self.lost.0, format!("hall {lost_hall} is lost")),
+            (self.lost.1, format!("hall {lost_hall} comes back, cold")),
+            (self.store_stop.0, format!("the store stops, for {} ms", ms(self.store_stop))),
+            (self.kill.0, format!("router {killed} is killed")),
+            (self.kill.1, format!("router {killed} is started again")),
+        ]
+    }
+}
+
 /// Draws the day; `begin` is its first µs.
 pub fn draw(seed: u64, begin: Micros, workers: usize, routers: usize, store: SocketAddr) -> Day {
     let mut rng = Rand64::new(u128::from(seed));
-    let mut about = |ms: u64| begin + ms * MS + rng.rand_range(0..800) * MS;
-    let jump = (about(3_000), about(6_000));
-    let late_list = (about(5_000), about(11_000));
-    let wave = about(7_500);
-    let lost = (about(12_500), about(16_000));
-    let store_stop = (about(15_500), about(17_500));
-    let failing = (about(18_500), about(21_000));
-    let hanging = (about(19_500), about(22_000));
-    let odd = (about(1_500), about(3_000));
-    let silence = (about(24_000), about(24_900));
-    let kill = (about(21_500), about(23_000));
+    let times = Timetable::draw(&mut rng, begin);
     let lost_hall = rng.rand_range(0..HALLS as u64) as usize;
     let killed = rng.rand_range(0..routers as u64) as usize;
-    let mut parts: Vec<Part> = (0..workers)
-        .map(|n| Part {
-            build: build(n, n % HALLS, store, seed, format!("w{n}")),
-            hall: n % HALLS,
-            script: Vec::new(),
-            standing: Vec::new(),
-            from_start: true,
-        })
-        .collect();
-    // A quarter drains; as many successors come, under new names, cold.
-    for n in (0..workers).filter(|n| n % 4 == 1) {
-        parts[n].standing = vec![(wave, "draining"), (wave + DRAINS, "gone")];
-        parts[n].script = vec![(wave + DRAINS, Turn::Die)];
-        let hall = parts[n].hall;
-        let new = build(workers + n, hall, store, seed, format!("w{n}b"));
-        parts.push(Part {
-            build: new,
+    let mut scripts = steady_workers(workers, store, seed);
+    drain_wave(&mut scripts, times.wave, store, seed);
+    lose_hall(&mut scripts, lost_hall, times.lost);
+    let mut story = times.story(lost_hall, killed);
+    story.extend(give_moods(&mut scripts[..workers], lost_hall, &times));
+    story.sort();
+    scripts.iter_mut().for_each(|script| script.script.sort_by_key(|(at, _)| *at));
+    let requests = requests(&mut rng, begin, workers, routers, times.jump);
+    Day {
+        workers: scripts,
+        requests,
+        store_stop: Some(times.store_stop),
+        kill: Outage { router: killed as u64, from: times.kill.0, until: times.kill.1 },
+        late_list: times.late_list,
+        silence: times.silence,
+        story,
+    }
+}
+
+/// Workers, in all halls in turn, to which nothing happens.
+pub(crate) fn steady_workers(workers: usize, store: SocketAddr, seed: u64) -> Vec<WorkerScript> {
+    let script = |index| WorkerScript {
+        build: build(index, index % HALLS, store, seed, format!("w{index}")),
+        hall: index % HALLS,
+        script: Vec::new(),
+        standing: Vec::new(),
+        from_start: true,
+    };
+    (0..workers).map(script).collect()
+}
+
+/// A quarter drains; as many successors come, under new names, cold.
+fn drain_wave(scripts: &mut Vec<WorkerScript>, wave: Micros, store: SocketAddr, seed: u64) {
+    let workers = scripts.len();
+    for index in (0..workers).filter(|index| index % 4 == 1) {
+        scripts[index].standing = vec![(wave, "draining"), (wave + DRAIN_TIME, "gone")];
+        scripts[index].script = vec![(wave + DRAIN_TIME, Turn::Die)];
+        let hall = scripts[index].hall;
+        scripts.push(WorkerScript {
+            build: build(workers + index, hall, store, seed, format!("w{index}b")),
             hall,
             script: vec![(wave + S, Turn::Rise)],
             standing: vec![(wave + S, "ready")],
             from_start: false,
         });
     }
-    for part in parts.iter_mut().filter(|p| p.hall == lost_hall && p.standing.iter().all(|s| s.1 != "gone")) {
-        part.script.extend([(lost.0, Turn::Die), (lost.1, Turn::Rise)]);
-        part.standing.extend([(lost.0, "gone"), (lost.1, "ready")]);
+}
+
+/// All workers of a hall die, and come back cold.
+fn lose_hall(scripts: &mut [WorkerScript], hall: usize, (from, until): (Micros, Micros)) {
+    let stays = |script: &WorkerScript| script.standing.iter().all(|(_, status)| *status != "gone");
+    for script in scripts.iter_mut().filter(|script| script.hall == hall && stays(script)) {
+        script.script.extend([(from, Turn::Die), (until, Turn::Rise)]);
+        script.standing.extend([(from, "gone"), (until, "ready")]);
     }
-    let mut others = (0..workers).filter(|n| n % HALLS != lost_hall && n % 4 != 1);
-    let mut trouble = |(from, until): (Micros, Micros), mood: Mood| {
-        let n = others.next().unwrap_or(0);
-        parts[n].script.extend([(from, Turn::Mood(mood)), (until, Turn::Mood(Mood::Well))]);
-        format!("worker w{n}: {mood:?}, for {} ms", (until - from) / MS)
+}
+
+/// Workers that are neither lost nor drained misbehave for a time, one after the other; returns it in words.
+fn give_moods(scripts: &mut [WorkerScript], lost_hall: usize, times: &Timetable) -> Vec<(Micros, String)> {
+    let unaffected = |index: &usize| index % HALLS != lost_hall && index % 4 != 1;
+    let mut others = (0..scripts.len()).filter(unaffected);
+    let mut give = |(from, until): (Micros, Micros), mood: Mood| {
+        let index = others.next().unwrap_or(0);
+        scripts[index].script.extend([(from, Turn::Mood(mood)), (until, Turn::Mood(Mood::Well))]);
+        (from, format!("worker w{index}: {mood:?}, for {} ms", (until - from) / MS))
     };
-    let mut story = vec![
-        (failing.0, trouble(failing, Mood::FailFast(0.8))),
-        (hanging.0, trouble(hanging, Mood::Hang)),
-        (odd.0, trouble(odd, Mood::CutAnswers)),
-        (odd.0, trouble((odd.0, odd.1), Mood::Garbage)),
-        (odd.1, trouble((odd.1, odd.1 + S), Mood::TwoAnswers)),
-        (wave, trouble((wave, wave + S), Mood::Stall)),
-        (silence.0, format!("the host list falls silent, for {} ms", (silence.1 - silence.0) / MS)),
-        (jump.0, format!("{JUMP} times the jobs, for {} ms", (jump.1 - jump.0) / MS)),
-        (late_list.0, format!("the host list runs {} ms late instead of {}", LAG_LATE / MS, LAG / MS)),
-        (wave, "a quarter of the workers drains, successors come cold".to_owned()),
-        (lost.0, format!("hall {lost_hall} is lost")),
-        (lost.1, format!("hall {lost_hall} comes back, cold")),
-        (store_stop.0, format!("the store stops, for {} ms", (store_stop.1 - store_stop.0) / MS)),
-        (kill.0, format!("router {killed} is killed")),
-        (kill.1, format!("router {killed} is started again")),
-    ];
-    story.sort();
-    parts.iter_mut().for_each(|p| p.script.sort_by_key(|(at, _)| *at));
-    let requests = requests(&mut rng, begin, workers, routers, jump);
-    Day { parts, requests, store_stop, kill: (killed, kill.0, kill.1), late_list, silence, story }
+    vec![
+        give(times.failing, Mood::FailFast(0.8)),
+        give(times.hanging, Mood::Hang),
+        give(times.odd, Mood::CutAnswers),
+        give(times.odd, Mood::Garbage),
+        give((times.odd.1, times.odd.1 + S), Mood::TwoAnswers),
+        give((times.wave, times.wave + S), Mood::Stall),
+    ]
 }
 
+/// Draws the requests; long as it names each of their properties.
 fn requests(
     rng: &mut Rand64,
     begin: Micros,
@@ -164,16 +244,16 @@
     routers: usize,
     jump: (Micros, Micros),
 ) -> Vec<Planned> {
-    let harmonic: f64 = (1..=FUNCTIONS).map(|r| 1.0 / r as f64).sum();
+    let harmonic: f64 = (1..=FUNCTIONS).map(|rank| 1.0 / rank as f64).sum();
     let mut requests = Vec::new();
     let mut at = begin;
     while at < begin + LENGTH {
-        let times = if (jump.0..jump.1).contains(&at) { JUMP } else { 1.0 };
+        let times = if (jump.0..jump.1).contains(&at) { JUMP_FACTOR } else { 1.0 };
         let gap = -(1.0 - rng.rand_float()).ln() / (RATE * workers as f64 * times) * S as f64;
         at += gap as Micros + 1;
         let mut draw = rng.rand_float() * harmonic;
-        let rank = (1..FUNCTIONS).find(|r| {
-            draw -= 1.0 / *r as f64;
+        let rank = (1..FUNCTIONS).find(|rank| {
+            draw -= 1.0 / *rank as f64;
             draw <= 0.0
         });
         let kind = match rng.rand_range(0..10) {
@@ -190,7 +270,7 @@
             function: format!("{kind}-hut-{}", rank.unwrap_or(FUNCTIONS)),
             customer: if chance(rng, 0.6) { "snezka" } else { "labska" },
             work_ms: rng.rand_range(30..90),
-            limit: 4 * S,
+            limit: CLIENT_TIMEOUT,
             target: if kind == "confirm" { 750 * MS } else { S },
             idempotent: kind == "quote",
             keyed: kind == "hold",
@@ -209,83 +289,129 @@
 }
 
 impl Day {
+    /// A day on which nothing goes wrong.
+    pub(crate) fn steady(workers: Vec<WorkerScript>, requests: Vec<Planned>) -> Day {
+        Day {
+            workers,
+            requests,
+            store_stop: None,
+            kill: Outage { router: 0, from: 0, until: 0 },
+            late_list: (0, 0),
+            silence: (0, 0),
+            story: Vec::new(),
+        }
+    }
+
+    /// The same with workers to which nothing happens, and without stops of the store.
+    pub(crate) fn without_faults(mut self) -> Day {
+        for worker in &mut self.workers {
+            worker.script.clear();
+            worker.standing.clear();
+        }
+        self.workers.retain(|worker| worker.from_start);
+        self.store_stop = None;
+        self
+    }
+
+    /// The workers as test doubles.
     pub fn workers(&self, ledger: &Ledger) -> Vec<Worker> {
-        let mut racks: std::collections::BTreeMap<i64, Rack> = Default::default();
-        let machines = self.parts.iter().map(|p| {
-            let rack = racks.entry(p.build.rack).or_default().clone();
-            Worker::new(p.build.clone(), p.script.clone(), ledger.clone(), rack)
+        let mut racks: BTreeMap<i64, Rack> = BTreeMap::new();
+        let workers = self.workers.iter().map(|worker| {
+            let rack = racks.entry(worker.build.rack).or_default().clone();
+            Worker::new(worker.build.clone(), worker.script.clone(), ledger.clone(), rack)
         });
-        machines.collect()
+        workers.collect()
     }
 
-    fn row(part: &Part, standing: &'static str, started: Micros) -> Row {
+    fn row(worker: &WorkerScript, status: &'static str, started: Micros) -> Row {
         Row {
-            name: part.build.name.clone(),
-            address: part.build.listen,
-            standing,
+            name: worker.build.name.clone(),
+            address: worker.build.listen,
+            standing: status,
             started: started / MS,
-            zone: format!("hall-{}", part.hall),
-            rack: part.build.rack,
-            weight: part.build.cores as f64,
+            zone: format!("hall-{}", worker.hall),
+            rack: worker.build.rack,
+            weight: worker.build.cores as f64,
         }
     }
 
-    /// What the list says at the start, and the changes with when it tells them: late, and later on some
-    /// stretch.
+    /// What the endpoint list says at the start, and its changes with when it has them: late, and later for a
+    /// while.
     pub fn list(&self) -> (Vec<Row>, Vec<(Micros, Row)>) {
-        let rows = self.parts.iter().filter(|p| p.from_start).map(|p| Self::row(p, "ready", 0)).collect();
+        let from_start = self.workers.iter().filter(|worker| worker.from_start);
+        let rows = from_start.map(|worker| Self::row(worker, "ready", 0)).collect();
         let mut changes = Vec::new();
-        for part in &self.parts {
+        for worker in &self.workers {
             let mut started = 0;
-            for (at, standing) in &part.standing {
-                started = if *standing == "ready" { *at } else { started };
-                let late = (self.late_list.0..self.late_list.1).contains(at);
-                let told = at + if late { LAG_LATE } else { LAG };
-                changes.push((told, Self::row(part, standing, started)));
+            for (at, status) in &worker.standing {
+                started = if *status == "ready" { *at } else { started };
+                let is_late = (self.late_list.0..self.late_list.1).contains(at);
+                let listed = at + if is_late { LATE_LIST_DELAY } else { LIST_DELAY };
+                changes.push((listed, Self::row(worker, status, started)));
             }
         }
         changes.sort_by_key(|(at, _)| *at);
         (rows, changes)
     }
+}
 
-    /// One router's settings.
-    #[allow(clippy::too_many_arguments)] // a file has as many rows
-    pub fn settings(
-        me: usize,
-        routers: usize,
-        workers: usize,
-        seed: u64,
-        hosts: SocketAddr,
-        limit: Micros,
-        importance: [u64; 3],
-        more: &str,
-    ) -> String {
-        let halls: Vec<String> = (0..HALLS).map(|h| format!("\"hall-{h}\"")).collect();
-        let workload = |name: &str, effect: &str, target: Micros, importance: u64| {
-            format!(
-                "workload \"{name}\" {{\n  types = [\"{name}\"]\n  effect = {effect}\n  \
-                 start_target = \"{}ms\"\n  time_limit = \"{}ms\"\n  importance = {importance}\n  \
-                 late_part = 0.2\n  \
-                 lanes = 4\n  memory_mb = 400\n  load_time = \"300ms\"\n}}\n",
-                target / MS,
-                limit / MS
-            )
-        };
+/// The settings of one router.
+pub(crate) struct RouterSettings<'a> {
+    setup: &'a Setup,
+    /// Index of the router.
+    index: usize,
+    endpoint_list: SocketAddr,
+    /// µs that the workloads have.
+    pub(crate) time_limit: Micros,
+    /// Importance of the workloads quote, hold and confirm.
+    pub(crate) importance: [u64; 3],
+    /// Lines and blocks of the scenario.
+    blocks: String,
+}
+
+impl<'a> RouterSettings<'a> {
+    pub(crate) fn new(setup: &'a Setup, index: usize, endpoint_list: SocketAddr) -> Self {
+        let (time_limit, importance) = (CLIENT_TIMEOUT, IMPORTANCE);
+        RouterSettings { setup, index, endpoint_list, time_limit, importance, blocks: String::new() }
+    }
+
+    /// The same with these lines and blocks.
+    pub(crate) fn with_blocks(self, blocks: String) -> Self {
+        RouterSettings { blocks, ..self }
+    }
+
+    fn workload(&self, name: &str, effect: &str, target: Micros, importance: u64) -> String {
+        format!(
+            "workload \"{name}\" {{\n  types = [\"{name}\"]\n  effect = {effect}\n  \
+             start_target = \"{}ms\"\n  time_limit = \"{}ms\"\n  importance = {importance}\n  \
+             late_part = 0.2\n  \
+             lanes = 4\n  memory_mb = 400\n  load_time = \"300ms\"\n}}\n",
+            target / MS,
+            self.time_limit / MS
+        )
+    }
+
+    /// The text of the file.
+    pub(crate) fn to_hcl(&self) -> String {
+        let RouterSettings { setup, index, endpoint_list, importance, blocks, .. } = self;
+        let halls: Vec<String> = (0..HALLS).map(|hall| format!("\"hall-{hall}\"")).collect();
         // What the fleet can do, erring low, in the shares of its two customers.
-        let rate = workers as f64 * 2.0 / 0.06 * 0.9;
+        let rate = setup.workers as f64 * 2.0 / 0.06 * 0.9;
         let hold = format!("\"fingerprinted\"\n  within = \"rack\"\n  window = \"{}ms\"", WINDOW / MS);
         format!(
-            "{more}\nlisten = \"{}\"\nhosts = \"{hosts}\"\nrouter = {me}\nrouters = {routers}\nseed = {}\n\
+            "{blocks}\nlisten = \"{}\"\nhosts = \"{endpoint_list}\"\nrouter = {index}\nrouters = {}\n\
+             seed = {}\n\
              zones = [{}]\ntells_company = true\nkeep = \"8s\"\nconnect_limit = \"250ms\"\n\
              rules {{\n  cold_share = 0.25\n  warm_within = \"6s\"\n  fall_multiple = 2.5\n  \
              fall_span = \"1s\"\n}}\n{}{}{}customer \"snezka\" {{\n  jobs_per_s = {}\n}}\n\
              customer \"labska\" {{\n  jobs_per_s = {}\n}}\n",
-            address(me % HALLS, 200 + me),
-            seed * 1000 + me as u64,
+            address(index % HALLS, 200 + index),
+            setup.routers,
+            setup.seed * 1000 + *index as u64,
             halls.join(", "),
-            workload("quote", "\"restartable\"", S, importance[0]),
-            workload("hold", &hold, S, importance[1]),
-            workload("confirm", "\"run-once\"", 750 * MS, importance[2]),
+            self.workload("quote", "\"restartable\"", S, importance[0]),
+            self.workload("hold", &hold, S, importance[1]),
+            self.workload("confirm", "\"run-once\"", 750 * MS, importance[2]),
             rate * 0.6,
             rate * 0.4,
         )
--- a/crates/scenarios/src/lib.rs
+++ b/crates/scenarios/src/lib.rs
@@ -1,16 +1,20 @@
-//! Drills: a day of troubles from one seed, played by stand-ins against routers that run as processes of
-//! their own; the auditor judges the five rules from what the stand-ins saw on their sockets.
+//! Fault-injection scenarios: faults drawn from one seed, played by test doubles against routers that run as
+//! processes of their own. An audit judges the rules from what the test doubles saw on their sockets.
+#![deny(missing_docs)]
+#![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
+
 pub mod audit;
-pub mod chains;
+pub mod bad_day;
 pub mod chart;
-pub mod comeback;
 pub mod day;
-pub mod fault;
-pub mod fleet;
-pub mod links;
-pub mod members;
-pub mod openings;
+pub mod errors;
+pub mod faulty_network;
+pub mod fleet_settings;
+pub mod membership;
+pub mod prefixes;
 pub mod process;
-pub mod run;
-pub mod saboteur;
-pub mod storm;
+pub mod recovery;
+pub mod retry_storm;
+pub mod seeded_bugs;
+mod testbed;
+pub mod workflows;
--- /dev/null
+++ b/crates/scenarios/src/testbed.rs
@@ -0,0 +1,157 @@
+//! What the scenarios with clients have in common: test doubles in this process, routers in their own.
+use crate::audit::Outage;
+use crate::day::{self, Day};
+use crate::errors::ScenarioError;
+use crate::fleet_settings::ports;
+use crate::process::{Router, Setup, start};
+use applepond_fakes::client::{Client, Planned, Results};
+use applepond_fakes::hosts::Hosts;
+use applepond_fakes::ledger::Ledger;
+use applepond_fakes::store::Store;
+use applepond_reactor::{Micros, Reactor};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// µs of a fetch from the store.
+const FETCH_TIME: Micros = 150_000;
+/// Fetches that the store does at a time.
+const MAX_FETCHES: usize = 24;
+
+/// Test doubles and routers of one scenario.
+pub(crate) struct Testbed<'a> {
+    setup: Setup,
+    folder: &'a Path,
+    reactor: Reactor,
+    /// The moment of the first request.
+    pub(crate) begin: Micros,
+    /// Address of the model store.
+    pub(crate) store: SocketAddr,
+    /// Address of the endpoint list.
+    pub(crate) endpoint_list: SocketAddr,
+    /// What the test doubles see.
+    pub(crate) ledger: Ledger,
+    /// The routers; none where one is dead.
+    pub(crate) routers: Vec<Option<Router>>,
+    /// Where each router listens, dead ones too.
+    addresses: Vec<SocketAddr>,
+}
+
+impl<'a> Testbed<'a> {
+    /// An empty one; requests begin `settling_time` µs from now, when the routers have found the others.
+    pub(crate) fn new(setup: Setup, folder: &'a Path, settling_time: Micros) -> Result<Self, ScenarioError> {
+        std::fs::create_dir_all(folder).map_err(|error| ScenarioError::machine(folder.display(), error))?;
+        let reactor = Reactor::new().map_err(|error| ScenarioError::machine("epoll", error))?;
+        let begin = reactor.now() + settling_time;
+        Ok(Testbed {
+            setup,
+            folder,
+            reactor,
+            begin,
+            store: day::address(0, 250),
+            endpoint_list: day::address(0, 251),
+            ledger: Ledger::default(),
+            routers: Vec::new(),
+            addresses: Vec::new(),
+        })
+    }
+
+    /// Adds store, workers and endpoint list of the day; the list is adjusted before it begins.
+    pub(crate) fn add_doubles(&mut self, day: &Day, adjust_list: impl FnOnce(&mut Hosts)) {
+        let mut store = Store::new(self.store, FETCH_TIME, MAX_FETCHES, self.ledger.clone());
+        store.stops = day.store_stop.into_iter().collect();
+        self.reactor.add(Box::new(store));
+        for worker in day.workers(&self.ledger) {
+            self.reactor.add(Box::new(worker));
+        }
+        let (rows, changes) = day.list();
+        let mut hosts = Hosts::new(self.endpoint_list, rows, changes, self.ledger.clone());
+        adjust_list(&mut hosts);
+        self.reactor.add(Box::new(hosts));
+    }
+
+    /// Writes the key of the routers' fleet.
+    pub(crate) fn write_fleet_key(&self) -> Result<PathBuf, ScenarioError> {
+        let key = self.folder.join("key");
+        let secret = format!("the secret of a drill's fleet, {}\n", self.setup.seed);
+        std::fs::write(&key, secret).map_err(|error| self.folder_error(error))?;
+        Ok(key)
+    }
+
+    /// Free ports for the datagrams of each router.
+    pub(crate) fn fleet_ports(&self) -> Result<Vec<SocketAddr>, ScenarioError> {
+        ports(self.setup.routers).map_err(|error| self.folder_error(error))
+    }
+
+    /// Starts the next router with these settings.
+    pub(crate) fn start_router(&mut self, settings: &str) -> Result<(), ScenarioError> {
+        let file = self.settings_file(self.routers.len());
+        std::fs::write(&file, settings).map_err(|error| self.folder_error(error))?;
+        let router = start(&self.setup, file)?;
+        self.addresses.push(router.at);
+        self.routers.push(Some(router));
+        Ok(())
+    }
+
+    /// Adds the clients with their requests.
+    pub(crate) fn add_clients(&mut self, requests: &[Planned]) -> Rc<RefCell<Results>> {
+        let addresses = Rc::new(RefCell::new(self.addresses.clone()));
+        let (client, results) = Client::new(requests.to_vec(), addresses, self.ledger.clone());
+        self.reactor.add(Box::new(client));
+        results
+    }
+
+    /// Kills a router with whatever it has in flight; none where it is dead already. It will listen at the
+    /// same address when it is restarted, as its clients know no other.
+    pub(crate) fn kill(&mut self, index: usize) -> Result<Option<Outage>, ScenarioError> {
+        let now = self.now();
+        if self.routers[index].take().is_none() {
+            return Ok(None);
+        }
+        let file = self.settings_file(index);
+        let text = std::fs::read_to_string(&file).map_err(|error| self.folder_error(error))?;
+        let listen = format!("listen = \"{}\"", self.addresses[index]);
+        let replace = |line: &str| {
+            if line.starts_with("listen") { listen.clone() } else { line.to_owned() }
+        };
+        let lines: Vec<String> = text.lines().map(replace).collect();
+        std::fs::write(&file, lines.join("\n")).map_err(|error| self.folder_error(error))?;
+        Ok(Some(Outage { router: index as u64, from: now, until: Micros::MAX }))
+    }
+
+    /// Starts a router that was killed; returns when it was there.
+    pub(crate) fn restart(&mut self, index: usize) -> Result<Micros, ScenarioError> {
+        self.routers[index] = Some(start(&self.setup, self.settings_file(index))?);
+        Ok(self.now())
+    }
+
+    /// Lets the test doubles work, for so many ms at most.
+    pub(crate) fn turn(&mut self, max_wait_ms: u64) -> Result<(), ScenarioError> {
+        let turned = self.reactor.turn(Duration::from_millis(max_wait_ms));
+        turned.map_err(|error| ScenarioError::machine("epoll", error))
+    }
+
+    /// Half a second in which answers that come too late, or a second time, are still seen.
+    pub(crate) fn see_stragglers(&mut self) -> Result<(), ScenarioError> {
+        (0..25).try_for_each(|_| self.turn(20))
+    }
+
+    pub(crate) fn now(&self) -> Micros {
+        self.reactor.now()
+    }
+
+    /// A file of this scenario.
+    pub(crate) fn file(&self, name: &str) -> PathBuf {
+        self.folder.join(name)
+    }
+
+    fn settings_file(&self, index: usize) -> PathBuf {
+        self.file(&format!("router-{index}.hcl"))
+    }
+
+    fn folder_error(&self, error: std::io::Error) -> ScenarioError {
+        ScenarioError::machine(self.folder.display(), error)
+    }
+}
--- a/crates/scenarios/tests/fleet.rs
+++ b/crates/scenarios/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What a drill sets up before its routers start.
-use applepond_scenarios::fleet::ports;
+//! What a scenario sets up before its routers start.
+use applepond_scenarios::fleet_settings::ports;
 use std::net::UdpSocket;
 
 // Ports are free for a moment before routers take them: another drill that is given the same ones meanwhile
--- a/crates/scenarios/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -3,7 +3,7 @@
 mod audit {
     use applepond_fakes::ledger::Saw;
     use applepond_reactor::Micros;
-    use applepond_scenarios::audit::*;
+    use applepond_scenarios::audit::{Effect, Outage, Terms, judge};
 
     use std::rc::Rc;
     use test_case::test_case;
@@ -26,7 +26,7 @@
         Saw::Asked { exchange: 1, router: 0, event: name(event), limit: 4 * S }
     }
 
-    fn told(ready: bool) -> Saw {
+    fn notified(ready: bool) -> Saw {
         Saw::Told { router: 0, worker: name("w"), ready, started: 1 }
     }
 
@@ -62,22 +62,22 @@
     #[test_case(vec![(0, asked("c")), (1, came("c", 1)), (2, began("c")), (3, answered(503))], Some(2);
         "pushed back after it began")]
     #[test_case(vec![(0, asked("c")), (1, came("c", 1)), (3, answered(503))], None; "pushed back unbegun")]
-    #[test_case(vec![(0, told(false)), (S, came("q", 1))], None; "within the grace")]
-    #[test_case(vec![(0, told(false)), (3 * S, came("q", 1))], Some(3); "past the grace")]
-    #[test_case(vec![(0, told(false)), (S, told(false)), (2 * S + S / 2, came("q", 1))], Some(3);
+    #[test_case(vec![(0, notified(false)), (S, came("q", 1))], None; "within the grace")]
+    #[test_case(vec![(0, notified(false)), (3 * S, came("q", 1))], Some(3); "past the grace")]
+    #[test_case(vec![(0, notified(false)), (S, notified(false)), (2 * S + S / 2, came("q", 1))], Some(3);
         "told again, the first notice counts")]
-    #[test_case(vec![(0, told(false)), (S, told(true)), (3 * S, came("q", 1))], None; "ready again")]
-    #[test_case(vec![(0, Saw::Rose { worker: name("w") }), (1, told(true)), (2, fell())], Some(4);
+    #[test_case(vec![(0, notified(false)), (S, notified(true)), (3 * S, came("q", 1))], None; "ready again")]
+    #[test_case(vec![(0, Saw::Rose { worker: name("w") }), (1, notified(true)), (2, fell())], Some(4);
     "pushed over")]
-    #[test_case(vec![(0, told(true)), (1, Saw::Rose { worker: name("w") }), (2, fell())], None;
+    #[test_case(vec![(0, notified(true)), (1, Saw::Rose { worker: name("w") }), (2, fell())], None;
         "pushed over before any was told that it started")]
-    fn stories(ledger: Vec<(Micros, Saw)>, rule: Option<u8>) {
+    fn each_story_breaks_its_rule_alone(ledger: Vec<(Micros, Saw)>, rule: Option<u8>) {
         let effects = [("q", Effect::Idempotent), ("h", Effect::Keyed), ("c", Effect::AtMostOnce)];
         let terms = Terms {
             grace: 2 * S,
             window: 3 * S,
             effects: effects.into_iter().map(|(n, e)| (name(n), e)).collect(),
-            kills: vec![(0, 9 * S, 10 * S)],
+            outages: vec![Outage { router: 0, from: 9 * S, until: 10 * S }],
             end: Micros::MAX,
         };
         let ledger: Vec<_> = ledger;
@@ -92,9 +92,8 @@
 }
 
 mod chart {
-    use applepond_scenarios::chart::*;
-
-    use applepond_scenarios::storm::Report;
+    use applepond_scenarios::chart::draw;
+    use applepond_scenarios::retry_storm::Report;
 
     #[test]
     fn both_plays_and_the_cut_are_in_the_picture() {
@@ -105,8 +104,8 @@
     }
 }
 
-mod links {
-    use applepond_scenarios::links::*;
+mod faulty_network {
+    use applepond_scenarios::faulty_network::FaultyNetwork;
 
     use std::io::{Read, Write};
     use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -115,21 +114,21 @@
 
     // Guards: a cut is of one way alone, and what waits on a connection comes after it.
     #[test]
-    fn a_connection_under_a_cut() {
-        let links = Links::new(1).expect("a socket");
+    fn a_cut_is_of_one_way_and_delays_what_waits() {
+        let network = FaultyNetwork::new(1).expect("a socket");
         let server = TcpListener::bind("127.0.0.1:0").expect("a port");
         let to = server.local_addr().expect("bound");
         let from = SocketAddr::from(([127, 0, 0, 9], 1));
-        let mut near = TcpStream::connect(links.connection(from, to).expect("a port")).expect("it listens");
+        let mut near = TcpStream::connect(network.connection(from, to).expect("a port")).expect("it listens");
         let (mut far, _) = server.accept().expect("a connection");
-        links.faults().cut.insert((to, from));
+        network.faults().cut.insert((to, from));
         (near.write_all(b"there"), far.write_all(b"back!")).0.expect("it reads");
         let mut got = [0; 5];
         far.read_exact(&mut got).expect("the other way is whole");
         assert_eq!(&got, b"there");
         near.set_read_timeout(Some(Duration::from_millis(50))).expect("a time");
         assert!(near.read_exact(&mut got).is_err(), "cut");
-        links.faults().cut.clear();
+        network.faults().cut.clear();
         near.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
         near.read_exact(&mut got).expect("after the cut");
         assert_eq!(&got, b"back!");
