--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -1,10 +1,9 @@
-//! The scripted client: open arrivals, retries as the contract allows, some that ask twice at once, some that
-//! leave.
+//! The clients: open arrivals, retries as the contract allows, some that ask twice at once, some that leave.
 //!
-//! The contract of docs/gateway.md: a pushback may be retried by anybody, a connection that never stood too;
-//! what broke off in between only where the request is idempotent.
+//! The contract of docs/gateway.md: a rejection may be retried by anybody, and so may a connection that was
+//! never established; what broke off in between only where the request is idempotent.
+use crate::http_peer::{HttpPeer, Message};
 use crate::ledger::{Event, Ledger, Saw};
-use crate::wording::{Message, Talk};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
@@ -14,60 +13,83 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// µs until a try elsewhere after a connection that never stood, and after one that broke.
-const ELSEWHERE: Micros = 50_000;
-/// µs beyond its limit for which a client still listens, to see answers that come too late.
-const LISTENS: Micros = 300_000;
+/// µs until a retry at another router after a connection failed.
+const FAILOVER_DELAY: Micros = 50_000;
+/// µs beyond its deadline for which a client still listens, to see answers that come too late.
+const LISTENING_TIME: Micros = 300_000;
 
-/// What a client asks next, once it has been answered after so many µs: none when it has all that it wants.
+/// The next request of a client, given its last one, after how many µs that was answered, and the answer:
+/// none when it has all that it wants.
 pub type Follow = Rc<dyn Fn(&Planned, Micros, &Message) -> Option<Planned>>;
 
 /// One request as the script has it.
 #[derive(Clone)]
 pub struct Planned {
+    /// When it is asked first.
     pub at: Micros,
+    /// The event's source.
     pub source: String,
+    /// The event's id.
     pub id: String,
+    /// The event's type.
     pub kind: &'static str,
+    /// The function that it names.
     pub function: String,
+    /// The customer that it names.
     pub customer: &'static str,
+    /// ms of work at a warm worker.
     pub work_ms: u64,
-    /// µs that the client waits in all, and within which it hopes for an answer.
+    /// µs that the client waits in all.
     pub limit: Micros,
+    /// µs within which an answer is in time.
     pub target: Micros,
+    /// It may run more than once.
     pub idempotent: bool,
+    /// It carries an idempotency key.
     pub keyed: bool,
+    /// The event is sent in structured mode.
     pub structured: bool,
+    /// Index of the router that is asked first.
     pub router: usize,
+    /// Limit of attempts.
     pub tries: u32,
-    /// Keeps to its router whatever happens, and asks again after so long where nothing better is told.
+    /// Stays with its router whatever happens, and retries after so many µs where it is given no other time.
     pub stays: Option<Micros>,
-    /// Follows no advice: asks again after `stays`, whatever it is told.
+    /// Retries after `stays` whatever time it is given.
     pub ignores: bool,
-    /// Asks once more, for the same event, while the first exchange runs.
+    /// Sends the same event once more after so many µs, while the first exchange runs.
     pub twin_after: Option<Micros>,
-    /// Leaves without waiting for the answer.
+    /// Leaves after so many µs without waiting for the answer.
     pub leaves_after: Option<Micros>,
-    /// What it begins with, and how large that is.
+    /// Name and size of its prompt prefix.
     pub opening: Option<(String, u32)>,
-    /// Asks for something else once this is finished.
+    /// What the client asks next once this is finished.
     pub follow: Option<Follow>,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Got {
+    /// There was no answer.
     #[default]
     Nothing,
+    /// It was answered in time.
     Finished,
+    /// It was answered past its target.
     Late,
+    /// It was rejected, and there was no time or attempt left.
     PushedBack,
+    /// It failed.
     Killed,
+    /// The connection broke, and there was no time or attempt left.
     Broken,
+    /// The client left.
     Left,
+    /// It was answered with another status.
     Other(u16),
 }
 
+/// One request on a connection.
 struct Exchange {
     request: usize,
     conn: Conn,
@@ -76,18 +98,23 @@
     twin: bool,
 }
 
+/// What became of the requests.
 #[derive(Default)]
 pub struct Results {
+    /// For each request its end, and after how many µs.
     pub got: Vec<(Got, Micros)>,
+    /// Requests that have ended.
     pub done: usize,
 }
 
+/// What a timer does.
 enum Then {
     Ask { request: usize, router: usize, twin: bool },
     Leave(usize),
     GiveUp(u64),
 }
 
+/// All clients.
 pub struct Client {
     plan: Vec<Planned>,
     routers: Rc<RefCell<Vec<SocketAddr>>>,
@@ -95,14 +122,14 @@
     results: Rc<RefCell<Results>>,
     tries: Vec<u32>,
     exchanges: BTreeMap<u64, Exchange>,
-    talks: BTreeMap<Conn, (Talk, u64)>,
+    peers: BTreeMap<Conn, (HttpPeer, u64)>,
     idle: Vec<(usize, Conn)>,
     next: u64,
     wakes: Vec<Option<Then>>,
 }
 
 impl Client {
-    /// `routers` may change while the day runs, as when one comes back on another port.
+    /// Clients with these requests. `routers` may change meanwhile, as when one is restarted on another port.
     pub fn new(
         plan: Vec<Planned>,
         routers: Rc<RefCell<Vec<SocketAddr>>>,
@@ -116,7 +143,7 @@
             ledger,
             results: results.clone(),
             exchanges: BTreeMap::new(),
-            talks: BTreeMap::new(),
+            peers: BTreeMap::new(),
             idle: Vec::new(),
             next: 0,
             wakes: Vec::new(),
@@ -150,9 +177,9 @@
         };
         self.next += 1;
         self.exchanges.insert(self.next, Exchange { request, conn, router, open: true, twin });
-        let talk = self.talks.entry(conn).or_insert_with(|| (Talk::new(Side::Client), 0));
-        talk.1 = self.next;
-        let (limit, number) = (planned.at + planned.limit + LISTENS, self.next);
+        let peer = self.peers.entry(conn).or_insert_with(|| (HttpPeer::new(Side::Client), 0));
+        peer.1 = self.next;
+        let (limit, number) = (planned.at + planned.limit + LISTENING_TIME, self.next);
         self.wake(transport, limit, Then::GiveUp(number));
         if stands {
             self.write(now, transport, conn);
@@ -160,7 +187,7 @@
     }
 
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        let Some((_, number)) = self.talks.get(&conn) else { return };
+        let Some((_, number)) = self.peers.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.request];
         let left = ((p.at + p.limit).saturating_sub(now) / 1000).to_string();
@@ -197,7 +224,8 @@
         self.ledger.write(now, Saw::Asked { exchange: *number, router, event, limit });
     }
 
-    fn again(
+    /// Retries after `wait` µs, where there is time and an attempt left; whether there is.
+    fn retry(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
@@ -206,12 +234,12 @@
         wait: Micros,
     ) -> bool {
         let p = &self.plan[request];
-        let may = self.tries[request] < p.tries && now + wait < p.at + p.limit;
-        if may {
+        let may_retry = self.tries[request] < p.tries && now + wait < p.at + p.limit;
+        if may_retry {
             self.tries[request] += 1;
             self.wake(transport, now + wait, Then::Ask { request, router, twin: false });
         }
-        may
+        may_retry
     }
 
     fn answered(&mut self, now: Micros, transport: &mut dyn Transport, number: u64, answer: &Message) {
@@ -241,10 +269,10 @@
             503 | 429 if !twin => {
                 let seconds = answer.number("retry-after").unwrap_or(1) * 1_000_000;
                 let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-                let told = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
+                let retry_after = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
                 let own = self.plan[request].stays.filter(|_| self.plan[request].ignores);
-                let wait = own.unwrap_or(told);
-                if !self.again(now, transport, request, router, wait) {
+                let wait = own.unwrap_or(retry_after);
+                if !self.retry(now, transport, request, router, wait) {
                     self.settle(now, request, Got::PushedBack);
                 }
             }
@@ -254,18 +282,19 @@
         }
     }
 
+    /// A connection has ended.
     fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, never: bool) {
         self.idle.retain(|(_, c)| *c != conn);
-        let Some((_, number)) = self.talks.remove(&conn) else { return };
+        let Some((_, number)) = self.peers.remove(&conn) else { return };
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
         exchange.open = false;
         let (request, router, twin) = (exchange.request, exchange.router, exchange.twin);
         self.ledger.write(now, Saw::Cut { exchange: number });
         let stays = self.plan[request].stays;
         let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
-        let wait = stays.unwrap_or(ELSEWHERE);
+        let wait = stays.unwrap_or(FAILOVER_DELAY);
         let may = never || self.plan[request].idempotent;
-        let goes_on = twin || may && self.again(now, transport, request, elsewhere, wait);
+        let goes_on = twin || may && self.retry(now, transport, request, elsewhere, wait);
         if !goes_on {
             self.settle(now, request, Got::Broken);
         }
@@ -291,9 +320,9 @@
         self.write(now, transport, conn);
     }
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        let Some((talk, number)) = self.talks.get_mut(&conn) else { return };
+        let Some((peer, number)) = self.peers.get_mut(&conn) else { return };
         let number = *number;
-        match talk.hear(bytes) {
+        match peer.receive(bytes) {
             Some(answers) => answers.iter().for_each(|a| self.answered(now, transport, number, a)),
             None => self.ledger.write(now, Saw::Stray { exchange: number }),
         }
@@ -315,7 +344,7 @@
                 for (number, exchange) in mine {
                     exchange.open = false;
                     transport.cut(exchange.conn);
-                    self.talks.remove(&exchange.conn);
+                    self.peers.remove(&exchange.conn);
                     self.ledger.write(now, Saw::Left { exchange: *number });
                 }
                 self.settle(now, request, Got::Left);
@@ -325,7 +354,7 @@
                 exchange.open = false;
                 let (request, conn) = (exchange.request, exchange.conn);
                 transport.cut(conn);
-                self.talks.remove(&conn);
+                self.peers.remove(&conn);
                 self.ledger.write(now, Saw::GaveUp { exchange: number });
                 self.settle(now, request, Got::Broken);
             }
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,6 +1,6 @@
-//! The host list: knows when processes run, drain and are gone, and pushes it late to whoever watches.
+//! The endpoint list: knows when workers run, drain and are gone, and sends it late to whoever watches.
+use crate::http_peer::HttpPeer;
 use crate::ledger::{Ledger, Saw};
-use crate::wording::Talk;
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
@@ -9,19 +9,25 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The timer at which it falls silent.
+/// The timer at which it stops answering.
 const SILENT: Wake = Wake(u64::MAX);
 
 /// One worker as the list names it.
 #[derive(Clone)]
 pub struct Row {
+    /// Name of the worker.
     pub name: Rc<str>,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Its status: ready, draining or gone.
     pub standing: &'static str,
     /// ms since the Unix epoch; 0 for one that ran before the day began.
     pub started: u64,
+    /// Its zone.
     pub zone: String,
+    /// Its rack.
     pub rack: i64,
+    /// Its weight.
     pub weight: f64,
 }
 
@@ -32,25 +38,33 @@
     }
 }
 
+/// The list.
 pub struct Hosts {
+    /// Where it listens.
     pub listen: SocketAddr,
-    /// Rows at the start, and changes with the time at which they are told.
+    /// The rows at present.
     pub rows: Vec<Row>,
+    /// Changes, with when the list has them.
     pub changes: Vec<(Micros, Row)>,
-    /// Says nothing and takes nobody from `.0` to `.1`; whoever asks after that is told all there is.
+    /// From when to when it answers nobody; whoever asks afterwards gets the whole list.
     pub silence: (Micros, Micros),
-    /// Whoever asks from `.0` to `.1` is told this row in place of the true one, as by a copy that is behind.
+    /// Whoever asks from the one moment to the other gets this row in place of the true one, as from a
+    /// replica that is behind.
     pub stale: Option<(Micros, Micros, Row)>,
+    /// Where observations go.
     pub ledger: Ledger,
-    talks: BTreeMap<Conn, (Talk, Option<u64>)>,
+    /// Connections, each with the router that watches on it.
+    peers: BTreeMap<Conn, (HttpPeer, Option<u64>)>,
 }
 
 impl Hosts {
+    /// A list that answers always.
     pub fn new(listen: SocketAddr, rows: Vec<Row>, changes: Vec<(Micros, Row)>, ledger: Ledger) -> Self {
-        Hosts { listen, rows, changes, silence: (0, 0), stale: None, ledger, talks: BTreeMap::new() }
+        Hosts { listen, rows, changes, silence: (0, 0), stale: None, ledger, peers: BTreeMap::new() }
     }
 
-    fn tell(
+    /// Sends rows to a router.
+    fn send_rows(
         &self,
         now: Micros,
         transport: &mut dyn Transport,
@@ -59,7 +73,7 @@
         kind: &str,
         rows: &[&Row],
     ) {
-        let workers: Vec<Value> = rows.iter().map(|r| r.json()).collect();
+        let workers: Vec<Value> = rows.iter().map(|row| row.json()).collect();
         let line = format!("{}\n", json!({"kind": kind, "workers": workers}));
         transport.write(conn, &encode::chunk(line.as_bytes()));
         for row in rows {
@@ -73,22 +87,22 @@
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         transport.listen(self.listen, 10_000).expect("the host list's port is free");
         transport.wake_at(self.silence.0, SILENT);
-        for (n, (at, _)) in self.changes.iter().enumerate() {
-            transport.wake_at(*at, Wake(n as u64));
+        for (index, (at, _)) in self.changes.iter().enumerate() {
+            transport.wake_at(*at, Wake(index as u64));
         }
     }
     fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
-        self.talks.insert(conn, (Talk::new(Side::Server), None));
+        self.peers.insert(conn, (HttpPeer::new(Side::Server), None));
     }
     fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        let Some((talk, watches)) = self.talks.get_mut(&conn) else { return };
-        let Some(asked) = talk.hear(bytes).and_then(|mut m| m.pop()) else { return };
+        let Some((peer, watches)) = self.peers.get_mut(&conn) else { return };
+        let Some(asked) = peer.receive(bytes).and_then(|mut messages| messages.pop()) else { return };
         if let Some((name, standing)) =
-            asked.target.strip_prefix("/-/standing?").and_then(|t| t.split_once('='))
+            asked.target.strip_prefix("/-/standing?").and_then(|rest| rest.split_once('='))
         {
-            let known = self.rows.iter().find(|r| *r.name == *name).cloned();
-            let standing = ["ready", "draining", "gone"].into_iter().find(|s| *s == standing);
+            let known = self.rows.iter().find(|row| *row.name == *name).cloned();
+            let standing = ["ready", "draining", "gone"].into_iter().find(|known| *known == standing);
             let status = if known.is_some() && standing.is_some() { 200 } else { 404 };
             transport.write(conn, &encode::response(status).body(b""));
             if let (Some(row), Some(standing)) = (known, standing) {
@@ -98,10 +112,10 @@
             return;
         }
         if (self.silence.0..self.silence.1).contains(&now) {
-            self.talks.remove(&conn);
+            self.peers.remove(&conn);
             return transport.cut(conn);
         }
-        let router = asked.target.rsplit("router=").next().and_then(|r| r.parse().ok()).unwrap_or(0);
+        let router = asked.target.rsplit("router=").next().and_then(|index| index.parse().ok()).unwrap_or(0);
         *watches = Some(router);
         transport.write(conn, &encode::response(200).field("Content-Type", "application/jsonl").chunked());
         let stale = self.stale.as_ref().filter(|(from, until, _)| (*from..*until).contains(&now));
@@ -109,31 +123,32 @@
         if let Some((_, _, old)) = stale {
             rows.iter_mut().filter(|row| row.name == old.name).for_each(|row| *row = old);
         }
-        self.tell(now, transport, conn, router, "full", &rows);
+        self.send_rows(now, transport, conn, router, "full", &rows);
     }
     fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
-        self.talks.remove(&conn);
+        self.peers.remove(&conn);
         transport.cut(conn);
     }
     fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
-        self.talks.remove(&conn);
+        self.peers.remove(&conn);
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake == SILENT {
             // Whoever watched finds out by the end of its connection, and asks again.
-            std::mem::take(&mut self.talks).keys().for_each(|conn| transport.cut(*conn));
+            std::mem::take(&mut self.peers).keys().for_each(|conn| transport.cut(*conn));
             return;
         }
         let row = self.changes[wake.0 as usize].1.clone();
-        match self.rows.iter_mut().find(|r| r.name == row.name) {
+        match self.rows.iter_mut().find(|known| known.name == row.name) {
             Some(known) => *known = row.clone(),
             None => self.rows.push(row.clone()),
         }
-        let watching = self.talks.iter().filter_map(|(c, (_, w))| w.map(|router| (*c, router)));
+        let watching =
+            self.peers.iter().filter_map(|(conn, (_, router))| router.map(|router| (*conn, router)));
         for (conn, router) in watching.collect::<Vec<_>>() {
-            self.tell(now, transport, conn, router, "changes", &[&row]);
+            self.send_rows(now, transport, conn, router, "changes", &[&row]);
         }
-        self.rows.retain(|r| r.standing != "gone");
+        self.rows.retain(|row| row.standing != "gone");
     }
 }
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What the peers saw on their sockets, in order of time.
+//! What the test doubles saw on their sockets, in order of time.
 use applepond_reactor::Micros;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,53 +6,146 @@
 /// An event's `source` and `id`, as one text.
 pub type Event = Rc<str>;
 
+/// One observation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Saw {
-    /// The host list wrote this to a router.
-    Told { router: u64, worker: Rc<str>, ready: bool, started: u64 },
-    /// A worker read a whole request.
-    Came { worker: Rc<str>, rack: i64, router: u64, event: Event },
-    /// It turned it away unseen, by its mark.
-    TurnedAway { worker: Rc<str>, event: Event },
-    /// Its work began: the effect counts from here.
-    Began { worker: Rc<str>, event: Event },
-    /// A request came whose lease has an opening kept.
-    Pinned { worker: Rc<str>, router: u64, opening: Rc<str> },
-    /// It prepared an opening, which took so many µs of a core.
-    Prepared { worker: Rc<str>, opening: Rc<str>, took: Micros },
-    /// Its work ended by itself: one that was cancelled does not.
-    Done { worker: Rc<str>, event: Event },
+    /// The endpoint list wrote this to a router.
+    Told {
+        /// Index of the router.
+        router: u64,
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Whether it is listed as ready.
+        ready: bool,
+        /// When it started, in ms; 0 before the scenario.
+        started: u64,
+    },
+    /// A worker received a complete request.
+    Came {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Its rack.
+        rack: i64,
+        /// Index of the router.
+        router: u64,
+        /// The event of the request.
+        event: Event,
+    },
+    /// It rejected the request without running it.
+    TurnedAway {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// The event of the request.
+        event: Event,
+    },
+    /// The request began to run: its effect counts from here.
+    Began {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// The event of the request.
+        event: Event,
+    },
+    /// A request came with a lease that pins its prefix.
+    Pinned {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Index of the router.
+        router: u64,
+        /// Name of the prefix.
+        opening: Rc<str>,
+    },
+    /// It prepared a prefix, which took so many µs of a core.
+    Prepared {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// Name of the prefix.
+        opening: Rc<str>,
+        /// µs of a core.
+        took: Micros,
+    },
+    /// The request finished; one that was cancelled does not.
+    Done {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// The event of the request.
+        event: Event,
+    },
     /// A repeat that the worker's rack dropped.
-    Dropped { worker: Rc<str>, event: Event },
+    Dropped {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// The event of the request.
+        event: Event,
+    },
     /// Its process started.
-    Rose { worker: Rc<str> },
-    /// A cold worker was sent more than it bears, and fell over; the routers' own parts of that work.
-    Fell { worker: Rc<str>, by: Vec<u64> },
-    /// The store took or turned away a fetch.
-    Fetch { taken: bool },
+    Rose {
+        /// Name of the worker.
+        worker: Rc<str>,
+    },
+    /// A cold worker was overloaded and died; the router of each request that it had lately.
+    Fell {
+        /// Name of the worker.
+        worker: Rc<str>,
+        /// A router for each of these requests.
+        by: Vec<u64>,
+    },
+    /// The store accepted or rejected a fetch.
+    Fetch {
+        /// Whether it was accepted.
+        taken: bool,
+    },
     /// The client wrote an exchange's request to a router.
-    Asked { exchange: u64, router: u64, event: Event, limit: Micros },
+    Asked {
+        /// Number of the exchange.
+        exchange: u64,
+        /// Index of the router.
+        router: u64,
+        /// The event of the request.
+        event: Event,
+        /// The client's deadline.
+        limit: Micros,
+    },
     /// An answer came: its status, and whether the exchange was still open.
-    Answered { exchange: u64, status: u16 },
+    Answered {
+        /// Number of the exchange.
+        exchange: u64,
+        /// The status of the answer.
+        status: u16,
+    },
     /// Bytes came that belong to no exchange that is open.
-    Stray { exchange: u64 },
+    Stray {
+        /// Number of the exchange.
+        exchange: u64,
+    },
     /// The connection ended without an answer.
-    Cut { exchange: u64 },
+    Cut {
+        /// Number of the exchange.
+        exchange: u64,
+    },
     /// The client left before its answer, on purpose.
-    Left { exchange: u64 },
+    Left {
+        /// Number of the exchange.
+        exchange: u64,
+    },
     /// The client's time was up.
-    GaveUp { exchange: u64 },
+    GaveUp {
+        /// Number of the exchange.
+        exchange: u64,
+    },
 }
 
+/// The observations of all test doubles; clones share them.
 #[derive(Clone, Default)]
 pub struct Ledger(Rc<RefCell<Vec<(Micros, Saw)>>>);
 
 impl Ledger {
+    /// Adds an observation.
     pub fn write(&self, now: Micros, saw: Saw) {
         self.0.borrow_mut().push((now, saw));
     }
 
-    pub fn read<T>(&self, look: impl FnOnce(&[(Micros, Saw)]) -> T) -> T {
-        look(&self.0.borrow())
+    /// Calls with all observations so far, each with its time.
+    pub fn read<T>(&self, call: impl FnOnce(&[(Micros, Saw)]) -> T) -> T {
+        call(&self.0.borrow())
     }
 }
--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -1,24 +1,32 @@
-//! A wire on paper, for tests of machines without sockets: what they wrote, opened and cut, with time moved
-//! by hand.
+//! A simulated transport for tests of machines without sockets: what they wrote, opened and cut, with time
+//! moved by hand.
 use applepond_reactor::{Conn, Listener, Micros, Transport, Wake};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+/// What a machine has commanded.
 #[derive(Default)]
 pub struct SimulatedTransport {
     next: u64,
+    /// Connections opened, in their order.
     pub connects: Vec<(Conn, SocketAddr)>,
+    /// Bytes written.
     pub written: BTreeMap<Conn, Vec<u8>>,
     /// Number of each connection's last write.
     pub wrote: BTreeMap<Conn, u64>,
+    /// How many of them the kernel has taken.
     pub sent: BTreeMap<Conn, u64>,
     /// Connections whose peer takes nothing.
     pub stuck: BTreeSet<Conn>,
-    /// Bytes that one offer is taken of, where not all.
+    /// Limit of bytes that one offer takes, where there is one.
     pub room: BTreeMap<Conn, usize>,
+    /// Connections cut.
     pub cut: BTreeSet<Conn>,
+    /// Connections finished.
     pub finished: BTreeSet<Conn>,
+    /// Connections on which reading is paused.
     pub paused: BTreeSet<Conn>,
+    /// Listeners that have stopped accepting.
     pub deaf: BTreeSet<Listener>,
     /// Writes that a test has had a worker answer.
     pub answered: BTreeSet<u64>,
@@ -132,13 +140,14 @@
         self.timers.len()
     }
 
+    /// All that was written on a connection, as text.
     pub fn told(&self, conn: Conn) -> String {
-        self.written.get(&conn).map_or(String::new(), |b| String::from_utf8_lossy(b).into_owned())
+        self.written.get(&conn).map_or(String::new(), |bytes| String::from_utf8_lossy(bytes).into_owned())
     }
 
     /// Statuses of all answers on a client's connection.
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
-        let told = self.told(conn);
-        told.split("HTTP/1.1 ").skip(1).filter_map(|a| a[..3].parse().ok()).collect()
+        let text = self.told(conn);
+        text.split("HTTP/1.1 ").skip(1).filter_map(|answer| answer[..3].parse().ok()).collect()
     }
 }
--- /dev/null
+++ b/crates/fakes/src/worker/build.rs
@@ -0,0 +1,97 @@
+//! What a worker is, and how it behaves.
+use applepond_reactor::Micros;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The properties of a worker.
+#[derive(Clone)]
+pub struct Build {
+    /// Its name.
+    pub name: Rc<str>,
+    /// Where it listens.
+    pub listen: SocketAddr,
+    /// Its rack.
+    pub rack: i64,
+    /// Requests that it runs at a time.
+    pub cores: usize,
+    /// MB for loaded functions.
+    pub memory_mb: u64,
+    /// Requests that may wait here; further ones are rejected.
+    pub queue: usize,
+    /// The store to fetch from; without one a load takes no fetch.
+    pub store: Option<SocketAddr>,
+    /// µs of a load after its fetch.
+    pub load: Micros,
+    /// µs after which an idle copy may be unloaded by itself.
+    pub keep: Micros,
+    /// Part of its pace with which it starts.
+    pub cold_share: f64,
+    /// µs until it is warm; 0 for one that is warm at once.
+    pub warm_within: Micros,
+    /// While cold, it dies when it is sent more than so many times what it can do.
+    pub fall_multiple: f64,
+    /// µs over which that is measured.
+    pub fall_span: Micros,
+    /// µs for which repeats of keyed requests are dropped.
+    pub window: Micros,
+    /// Seed of its random draws.
+    pub seed: u64,
+    /// Units of prompt prefixes that it keeps prepared.
+    pub openings: u64,
+    /// µs that it takes to prepare one unit.
+    pub prepare: Micros,
+}
+
+/// How a worker behaves.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Mood {
+    /// As it should.
+    Well,
+    /// This share of the requests fails at once.
+    FailFast(f64),
+    /// Accepts requests and answers none, those that run included.
+    Hang,
+    /// Stands still: accepts requests, and ends none before it is over.
+    Stall,
+    /// Answers only the first half of an answer, then ends the connection.
+    CutAnswers,
+    /// Answers with bytes that are no HTTP, or HTTP that is no event.
+    Garbage,
+    /// Accepts no connection; those that are established go on.
+    NoHandshakes,
+    /// Rejects everything.
+    RefuseAll,
+    /// Rejects one customer's requests, by the sum of the bytes of its name.
+    RefuseCustomer(u8),
+    /// Sends each answer twice.
+    TwoAnswers,
+}
+
+impl Mood {
+    /// The mood of this name, as on command lines and in `POST /-/mood?NAME`.
+    pub fn named(name: &str) -> Option<Mood> {
+        Some(match name {
+            "well" => Mood::Well,
+            "fail-fast" => Mood::FailFast(1.0),
+            "hang" => Mood::Hang,
+            "stall" => Mood::Stall,
+            "cut-answers" => Mood::CutAnswers,
+            "garbage" => Mood::Garbage,
+            "no-handshakes" => Mood::NoHandshakes,
+            "refuse-all" => Mood::RefuseAll,
+            "two-answers" => Mood::TwoAnswers,
+            _ => return None,
+        })
+    }
+}
+
+/// An event of a worker's script.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Turn {
+    /// It behaves like this from now on.
+    Mood(Mood),
+    /// The process ends: all connections break, the port closes.
+    Die,
+    /// It starts again, empty and cold.
+    Rise,
+}
--- a/crates/fleet/src/page.rs
+++ b/crates/fleet/src/page.rs
@@ -30,7 +30,7 @@
         "lame": member.link_fault.map(|fault| format!("{fault:?}").to_lowercase())})
 }
 
-/// Writes a change to the log.
+/// Writes a change to the log: one arm for each kind, which is why the function is long.
 pub(crate) fn log_change(change: &Change) {
     match change {
         Change::StatusChanged { name, previous, current, accusers } => {
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// Reads the whole file. Each part is read before any is missed, or the rest would go unchecked.
+/// Reads the whole file. Each part is read before any is missed, or the rest would go unchecked; the function
+/// is long as it names each part twice.
 fn read(file: &Section<'_>) -> Option<Deployment> {
     let listen: Option<SocketAddr> = file.parsed("listen", ADDRESS, None);
     // Where there is no such key nothing is wanted of it.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -12,7 +12,7 @@
 /// Limit of keys: two during a change of keys.
 const MAX_KEYS: usize = 2;
 
-/// Reads the block.
+/// Reads the block; long as it names each key twice.
 pub(crate) fn fleet(section: &Section<'_>) -> Option<FleetConfig> {
     let name = identifier(section, "name");
     let zone = identifier(section, "zone");
