--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -95,7 +95,7 @@
     keep: Option<&Path>,
     play: impl FnOnce(&Path) -> Result<R, ScenarioError>,
 ) -> Result<R, NotPlayed> {
-    let own = std::env::temp_dir().join(format!("applepond-scenarios-{}", std::process::id()));
+    let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
     let played = play(keep.unwrap_or(&own));
     if keep.is_none() {
         let _ = std::fs::remove_dir_all(&own);
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -125,6 +125,6 @@
             _ if second == report.cut.1 => "back",
             _ => "",
         };
-        println!("  {second:>4} s {requests:>5} requests {in_time:>5} in time {asked:>6} asked  {event}");
+        println!("  {second:>4} s {requests:>5} jobs {in_time:>5} in time {asked:>6} asked  {event}");
     }
 }
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -48,6 +48,15 @@
     pub prefix_terms: Option<Terms>,
 }
 
+/// The words of the log for a stage of recovery, which the operators' pages name.
+fn logged_stage_text(stage: &Stage) -> String {
+    match stage {
+        Stage::Requesting => "Asking".to_owned(),
+        Stage::Recovered(peers) => format!("Told({peers})"),
+        Stage::Exhausted => "Untold".to_owned(),
+    }
+}
+
 /// A message with its receiver.
 type Message = (RouterId, Vec<u8>);
 
@@ -297,8 +306,8 @@
         if self.recovery.stage() != self.logged_stage {
             self.logged_stage = self.recovery.stage();
             let requests = self.recovery.requests_sent();
-            let stage = &self.logged_stage;
-            tracing::info!(reason = "comeback", ?stage, asks = requests, "recovery: over");
+            let stage = logged_stage_text(&self.logged_stage);
+            tracing::info!(reason = "comeback", %stage, asks = requests, "recovery: over");
         }
     }
 
