--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -72,7 +72,7 @@
     /// With no more than [`SIZES_LEAST`] points.
     pub fn foretold(form: Form, points: &[(f64, f64)]) -> (Fit, f64) {
         let mut sorted = points.to_vec();
-        sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
+        sorted.sort_by(|left, right| left.0.total_cmp(&right.0));
         let largest = sorted.pop().expect("there are points");
         let fit = Fit::of(form, &sorted);
         (fit, fit.miss(largest))
--- a/crates/capacity/src/router.rs
+++ b/crates/capacity/src/router.rs
@@ -1,7 +1,11 @@
 //! One hollow router: the decisions alone, driven through simulated time.
 use crate::traffic::Popularity;
 use applepond::control::Control;
-use applepond::interface::*;
+use applepond::interface::{
+    Actions, AttemptPolicy, AttemptResult, CustomerConfig, CustomerId, Endpoint, EndpointListKind,
+    FunctionId, LoadState, Micros, Outcome, RackId, RequestArrival, RequestId, RetrySafety, SlowStartRules,
+    StartupConfig, TimerToken, WorkerId, WorkerStatus, WorkloadConfig, WorkloadId, ZoneId,
+};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -329,6 +333,9 @@
     }
 
     /// Plays so much simulated time, or until so much real time has gone by.
+    ///
+    /// # Panics
+    /// Panics if the popularity has no function.
     pub fn play(&mut self, span: Duration, real_time: Duration) -> Costs {
         let mut costs = Costs::default();
         let (begun, from) = (Instant::now(), self.world.now);
--- a/crates/capacity/src/traffic.rs
+++ b/crates/capacity/src/traffic.rs
@@ -33,7 +33,7 @@
                 sum
             })
             .collect();
-        sums.iter_mut().for_each(|s| *s /= sum);
+        sums.iter_mut().for_each(|share| *share /= sum);
         Popularity { sums }
     }
 
@@ -50,7 +50,8 @@
 
     /// The part of the functions that are called less often than this, given the calls of all together.
     pub fn rarer_than(&self, calls_per_s: f64, all_per_s: f64) -> f64 {
-        let rare = (0..self.sums.len()).filter(|f| self.part(*f) * all_per_s < calls_per_s).count();
+        let is_rare = |function: &usize| self.part(*function) * all_per_s < calls_per_s;
+        let rare = (0..self.sums.len()).filter(is_rare).count();
         rare as f64 / self.sums.len() as f64
     }
 }
