--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -7,13 +7,13 @@
 /// Weights below it are taken for it, so that a fleet without ready workers divides by no zero.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// Sums over the ready workers, as of the last refresh.
+/// Sums over the ready workers as of the last refresh, and the highest of them so far.
 pub(super) struct FleetCapacity {
     /// Sum of the weights of ready workers.
     pub total_weight: f64,
     /// The smallest of those weights.
     pub least_weight: f64,
-    /// The highest sum of weights so far.
+    /// The highest sum of weights so far; it begins with the first list, draining workers included.
     pub highest_total_weight: f64,
     /// Requests of all routers for each unit of weight.
     pub in_flight_per_weight: f64,
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -37,12 +37,17 @@
             if let Some(row) = self.queue.remove(&key).filter(|row| row.bare) {
                 heads.extend(self.queue.after(row.function, &key));
             }
-            self.send_first(actions, key.2, worker);
+            self.send_and_schedule_hedge(actions, key.2, worker);
         }
     }
 
-    /// Sends an attempt that is not hedged, and sets the timer after which it will be.
-    pub(super) fn send_first(&mut self, actions: &mut dyn Actions, id: RequestId, worker: WorkerId) {
+    /// Sends a first attempt or a retry, and sets the timer after which it is hedged.
+    pub(super) fn send_and_schedule_hedge(
+        &mut self,
+        actions: &mut dyn Actions,
+        id: RequestId,
+        worker: WorkerId,
+    ) {
         let attempt = self.send(actions, id, worker);
         self.schedule_hedge(actions, attempt);
     }
--- a/src/control/feedback.rs
+++ b/src/control/feedback.rs
@@ -12,7 +12,7 @@
 const FAST_REJECTION_SHARE: f64 = 0.06;
 /// Time for which a customer's requests keep away from a worker that rejects this customer alone.
 const CUSTOMER_REJECTION_BACKOFF: Micros = 8 * MICROS_PER_SECOND;
-/// Divisor of the latency objective that a rejection keeps the concurrency limit from shrinking again.
+/// A rejection blocks the next decrease of the concurrency limit for the latency objective divided by this.
 const REJECTION_INTERVAL_DIVISOR: Micros = 4;
 
 /// A result with the attempt that it belongs to.
@@ -151,7 +151,6 @@
         let now = self.now;
         let attempt = feedback.attempt;
         let loaded_until = now + self.config.cache_lifetime;
-        // Before the service time changes, by which a load's own time is told from the request's.
         let usual_load_time = self.load_time(attempt.function);
         let known = self.function_at_worker(feedback);
         known.loading_since = None;
@@ -195,7 +194,7 @@
         *self.worker_of(feedback).others_in_flight.at_mut(tick) += at_worker;
     }
 
-    /// Requests of the other routers at a worker, by the time that one of this router's was there.
+    /// What a request of `elapsed` adds to the estimate of the other routers' requests at a worker.
     fn expected_others(&self, elapsed: Micros) -> f64 {
         self.other_routers() * elapsed as f64 / AVERAGING_WINDOW
     }
--- a/src/control/hedging.rs
+++ b/src/control/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: one second attempt at the next worker where the first does not finish within the hedge
+//! Hedged requests: one further attempt at the next worker where the latest does not finish within the hedge
 //! delay.
 //!
 //! Guards against a worker that is slow for one request without being slow for all.
@@ -34,7 +34,8 @@
     }
 
     /// Sends the one hedged attempt that follows an attempt which has not finished within the hedge delay,
-    /// or whose worker has been ejected.
+    /// or whose worker has been ejected. Where hedging is forbidden and cancelling allowed, the attempt is
+    /// cancelled instead, so that its request is retried.
     pub(super) fn hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
         let Some(request) = self.requests.get(&id.request) else { return };
         let in_time = request.deadline > self.now + LAST_CALL;
--- a/src/control/load_limiter.rs
+++ b/src/control/load_limiter.rs
@@ -54,7 +54,7 @@
         (self.in_progress.len() as f64) < self.limit
     }
 
-    /// Whether reports of all workers say that loads are congested everywhere.
+    /// Whether the average over recent results says that loads are congested.
     pub fn is_congested(&self) -> bool {
         self.reported_loads > CONGESTED_LOADS
     }
@@ -90,7 +90,8 @@
         self.in_progress.iter().copied()
     }
 
-    /// Takes over a worker's report of its loads; none where a response does not report them.
+    /// Takes over a worker's report of its loads; a result without a report, timeouts included, counts as no
+    /// load.
     pub fn record_report(&mut self, loads: Option<f64>) {
         self.reported_loads += REPORT_WEIGHT * (loads.unwrap_or(0.0) - self.reported_loads);
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -12,7 +12,11 @@
 //! | the client of a request has left | [`Control::client_disconnected`] |
 //! | a timer fires | [`Control::timer_fired`] |
 //! | the configuration changes | [`Control::reconfigure`] |
-//! | the process has to end | [`Control::finish_all`] |
+//! | the process has to end: requests without a response | [`Control::finish_all`] |
+//!
+//! Five rules are never broken: a request gets one final response, in time, and nothing after it (1); it is
+//! not executed twice unless that is safe (2); nothing new goes to a draining or gone worker (3); a worker
+//! that warms up gets a bounded amount of work (4); loads are bounded (5).
 //!
 //! The decisions come out as calls of [`Actions`]. Nothing here does any input or output, reads a clock or
 //! draws randomness but from the configured seed. `docs/design.md` describes the design; each mechanism has
@@ -70,16 +74,15 @@
 
 /// Time after which a function is forgotten that nobody calls and no worker may have loaded.
 const FUNCTION_IDLE_TIME: Micros = 60 * MICROS_PER_SECOND;
-/// Functions known at most, several times those met within [`FUNCTION_IDLE_TIME`]; those called longest ago
-/// go first.
+/// Functions known beyond which idle ones are evicted, several times those met within
+/// [`FUNCTION_IDLE_TIME`]; those called longest ago go first.
 const MAX_FUNCTIONS: usize = 8_192;
 /// Part of the table of functions that is evicted at once when it is full.
 const EVICTED_PART: usize = 8;
 /// Functions of which the first workers of the hash order are cached: those of some minutes, as computing an
 /// order costs as much as a hundred requests.
 const MAX_CACHED_ORDERS: NonZeroUsize = NonZeroUsize::new(8_192).expect("above zero");
-/// Load times after which a response is no longer waited for before the next load starts: past twice the
-/// hedge delay.
+/// Load times after which a response is no longer waited for before the next load starts.
 const LOAD_WAIT_FACTOR: u64 = 5;
 /// Thousandths of a priority weight in a request's priority.
 const PRIORITY_SCALE: f64 = 1000.0;
@@ -155,7 +158,8 @@
 
     // ---- Events ----------------------------------------------------------------------------
 
-    /// Sets the time of the events that follow; it never goes back.
+    /// Sets the time of the events that follow. It must not be earlier than at the last call; this is not
+    /// checked.
     pub fn advance_to(&mut self, now: Micros) {
         self.now = now;
     }
@@ -187,7 +191,7 @@
         let worker = if must_queue { None } else { self.select_worker(id) };
         if let Some(worker) = worker {
             self.queue.remove(&self.queue_key(id));
-            self.send_first(actions, id, worker);
+            self.send_and_schedule_hedge(actions, id, worker);
         } else if arrival.time_left <= LAST_CALL + TICK_INTERVAL {
             // The client is about to leave: no tick would come in time to end the request.
             self.give_up(actions, id);
@@ -234,7 +238,8 @@
         }
     }
 
-    /// Ends all requests with their one final response each, for a process that has to end.
+    /// Ends all requests whose response has not started, with their one final response each, for a process
+    /// that has to end. The owner finishes the others.
     pub fn finish_all(&mut self, actions: &mut dyn Actions) {
         let all: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in all {
@@ -267,8 +272,9 @@
         self.functions.iter().filter_map(|(id, function)| Some((*id, function.load_time?)))
     }
 
-    /// Takes over what was measured before a restart, or by others; false where it cannot be yet. It is a
-    /// hint: it never gives a worker more than a new one has, and an ejected worker is tried by one request.
+    /// Takes over what was measured before a restart, or by others; false where the worker is
+    /// unknown, is another incarnation, or has no concurrency limit yet. It is a hint: it never gives a
+    /// worker more than a new one has, and an ejected worker is tried by one request.
     pub fn restore_worker_history(
         &mut self,
         id: WorkerId,
@@ -320,7 +326,7 @@
         let customer = arrival.customer;
         let over_quota = customer.is_some_and(|customer| !self.quotas.try_take(now, customer, router_count));
         let workload = self.workloads.get_mut(arrival.workload);
-        let spent = workload.time_spent_before(arrival.time_left);
+        let spent = workload.record_time_left(arrival.time_left);
         let spent_before = if self.config.timeouts_shared { spent } else { 0 };
         // A client's retry has lost its latency objective with the first try.
         let late = arrival.retry
--- a/src/control/outlier_ejection.rs
+++ b/src/control/outlier_ejection.rs
@@ -17,7 +17,8 @@
 const INITIAL_BACKOFF: Micros = MICROS_PER_SECOND / 2;
 /// Length of an ejection at most: a worker that recovers is found within this time.
 const MAX_BACKOFF: Micros = 8 * MICROS_PER_SECOND;
-/// Error rate above which a worker is ejected: two errors close together, never one.
+/// Error rate above which a worker is ejected: two errors close together, or a single one of a worker that
+/// has not responded for 4.3 s.
 const MAX_ERROR_RATE: f64 = 0.25;
 /// Overdue responses that make a worker silent: one can be a single slow request.
 const SILENT_RESPONSES: u32 = 2;
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -16,8 +16,8 @@
 const EARNED_PER_REQUEST: f64 = 0.05;
 /// Hedged attempts and retries saved up at most: enough for a short fault.
 const MAX_SAVED: f64 = 20.0;
-/// Time for which a request, and its function, avoid a worker that has just rejected it: the work of a few
-/// requests.
+/// Time for which a request avoids a worker after any attempt of it there has ended, and its function avoids
+/// a worker that has rejected it: the work of a few requests.
 pub(super) const REJECTION_BACKOFF: Micros = 300_000;
 
 /// The budget that hedged attempts and retries share, a token each.
--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -50,7 +50,7 @@
     known: Option<&'a FunctionAtWorker>,
     /// The function is loaded there, as known or as presumed.
     is_loaded: bool,
-    /// Nothing is known of it; the requests of other routers keep it loaded.
+    /// It is not known to be loaded; the requests of other routers are taken to keep it so.
     is_presumed_loaded: bool,
 }
 
@@ -96,7 +96,7 @@
     loaded: Option<WorkerId>,
     /// The first worker with capacity at which overflow may start a load.
     overflow: Option<WorkerId>,
-    /// Requests a microsecond of all routers that the workers passed so far do not take.
+    /// Requests a microsecond of the other routers that the workers passed so far do not take.
     remaining_rate: f64,
     /// The next position in the hash order.
     position: usize,
@@ -147,7 +147,7 @@
             && self.rate_elsewhere(function) * (self.config.cache_lifetime as f64) < KEEP_ALIVE_REQUESTS
     }
 
-    /// Takes the function to be loaded at a worker until a response says how it is.
+    /// Takes the function to be loaded at a worker for one load time, or until a response says how it is.
     fn presume_loaded(&mut self, id: WorkerId, function: FunctionId) {
         let loaded_until = self.now + self.load_time(function);
         let worker = self.workers.get_mut(&id).expect("selected among known workers");
--- a/src/control/shedding.rs
+++ b/src/control/shedding.rs
@@ -9,9 +9,11 @@
 use crate::interface::{Actions, FunctionId, Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// Time before its deadline at which a waiting request is ended: more than one tick.
+/// Time before its deadline at which a waiting request is ended at the latest: more than one tick. It ends
+/// earlier where its service time is longer.
 pub(super) const LAST_CALL: Micros = 30_000;
-/// Time for which a late request goes on waiting for a worker before it is given up.
+/// Time from its arrival from which on a late request is given up at the next tick, unless this router has a
+/// load of its function in progress.
 const LATE_GRACE: Micros = 2 * TICK_INTERVAL;
 /// The shortest time that a rejection names.
 const MIN_RETRY_AFTER: Micros = 200_000;
--- a/src/control/workloads.rs
+++ b/src/control/workloads.rs
@@ -40,7 +40,7 @@
 
     /// Takes over the time left of a request that arrives, and returns how much less it is than the longest:
     /// time that the client or another router has spent before, where all first tries get the same.
-    pub(super) fn time_spent_before(&mut self, time_left: Micros) -> Micros {
+    pub(super) fn record_time_left(&mut self, time_left: Micros) -> Micros {
         self.longest_timeout = self.longest_timeout.max(time_left);
         self.longest_timeout - time_left
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -126,7 +126,7 @@
     pub hedging_allowed: bool,
     /// Rejections may carry a time after which to retry.
     pub retry_after_allowed: bool,
-    /// The longest such time.
+    /// Bound of such times, exclusive; below 200 ms every rejection names 200 ms.
     pub max_retry_after: Micros,
 }
 
@@ -191,7 +191,8 @@
     pub concurrency_limit: f64,
     /// Response times as a multiple of the latency objective, as a moving average.
     pub queueing_delay: f64,
-    /// Share of errors among its responses, as a moving average.
+    /// Share of errors and lost connections among its results, as a moving average; an ejection resets it to
+    /// 0.
     pub error_rate: f64,
     /// It was ejected, or in its recovery ramp afterwards.
     pub ejected: bool,
@@ -243,7 +244,7 @@
 /// A request as it arrives.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Its id, unique among the requests in progress.
+    /// Its id, unique among the requests in progress and those that still have an attempt in flight.
     pub request: RequestId,
     /// The function that it calls.
     pub function: FunctionId,
@@ -322,6 +323,10 @@
 }
 
 /// What the decisions ask their owner to do. Each call takes effect at the time of the call.
+///
+/// Each attempt that was sent needs one
+/// [`Control::attempt_finished`](crate::control::Control::attempt_finished), also after a cancel or after the
+/// end of its request: until then it counts as in flight at its worker.
 pub trait Actions {
     /// Sends the next attempt of a request. It may take `timeout`; nothing of it may leave from `not_after`
     /// on, as a
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -57,7 +57,7 @@
     pub ejected_until: Option<Micros>,
     /// Length of the next ejection.
     pub backoff: Micros,
-    /// Requests at once during the recovery ramp; none outside of it.
+    /// Requests at once during the recovery ramp: set from the ejection on, none once the ramp has ended.
     pub recovery_limit: Option<u32>,
 }
 
@@ -95,7 +95,7 @@
     pub others_in_flight: FadingCount,
     pub concurrency: ConcurrencyLimit,
     pub outlier: OutlierState,
-    /// When a response last came.
+    /// When a response last came; before the first, when this router learned of the incarnation.
     pub last_response_at: Micros,
     /// When the latest sent of the answered attempts was sent.
     pub last_answered_sent_at: Micros,
--- a/src/state/worker_table.rs
+++ b/src/state/worker_table.rs
@@ -54,7 +54,8 @@
         self.known.get(id)
     }
 
-    /// For changes that move neither sums nor expiries; others go through [`Workers::update`].
+    /// For changes that move neither sums nor expiries, or between [`Workers::in_flight_at`] and
+    /// [`Workers::account_since`]; others go through [`Workers::update`].
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         self.known.get_mut(id)
     }
@@ -84,7 +85,7 @@
         self.in_flight.running + self.in_flight.others.max(0.0)
     }
 
-    /// Adds a worker, or replaces what was known of it.
+    /// Adds a worker that is not known yet, with nothing in flight.
     pub(crate) fn insert(&mut self, id: WorkerId, worker: Worker) {
         self.known.insert(id, worker);
         self.update(id, |_| {});
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3000 * MS };
 const ALL: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3000 * MS };
 
-// Rule 2: what follows each way an attempt can attempt_ends, for each kind of effect.
+// Rule 2: what follows each way an attempt can end, for each kind of effect.
 #[test_case(RetrySafety::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
 #[test_case(RetrySafety::Idempotent, Outcome::Overloaded, 2, false; "idempotent after full moves on")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Overloaded, 2, false; "at-most-once after full moves on")]
