--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,17 +1,16 @@
-//! Types that [`Control`](crate::control::Control) and its owner exchange: ids, the startup configuration,
-//! the
-//! endpoint list, requests, results of attempts, and the [`Actions`] that the decisions ask for.
+//! Types exchanged between [`Control`](crate::control::Control) and its owner: ids, the startup
+//! configuration, the endpoint list, requests, results of attempts, and the [`Actions`] callbacks.
 //!
-//! Nothing here decides, and nothing here does any input or output.
+//! Plain data: this module makes no decisions and does no I/O.
 
 use crate::hashing::digest;
 
-/// A number of whole microseconds: a moment on the instance's monotonic clock, or a duration.
+/// Microseconds: an instant on the process's monotonic clock, or a duration.
 pub type Micros = u64;
 
 // ---- Ids -------------------------------------------------------------------------------
 
-/// A worker (model server), by the digest of its name; the same at every router.
+/// A worker (model server), identified by the digest of its name; the same value at every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u64);
 
@@ -22,7 +21,7 @@
     }
 }
 
-/// A function, by the digest of its name; the same at every router.
+/// A function, identified by the digest of its name; the same value at every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FunctionId(pub u64);
 
@@ -33,32 +32,32 @@
     }
 }
 
-/// A request, by the id that its client side gave it.
+/// A request, identified by the id that its client assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub [u8; 36]);
 
-/// A timer that was set by [`Actions::set_timer`].
+/// A timer set through [`Actions::set_timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// A workload, by its position in [`StartupConfig::workloads`].
+/// A workload, identified by its index in [`StartupConfig::workloads`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkloadId(pub usize);
 
-/// A customer, by its position in [`StartupConfig::customers`].
+/// A customer, identified by its index in [`StartupConfig::customers`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CustomerId(pub usize);
 
-/// An availability zone, by its position in the deployment's list of zones.
+/// An availability zone, identified by its index in the deployment's list of zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A small group of workers that recognize each other's idempotency keys.
+/// A small group of workers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RackId(pub i64);
 
 impl RackId {
-    /// The rack of a worker for which none is configured: it shares idempotency keys with no other worker.
+    /// The rack of a worker without a configured one: it shares idempotency keys with no other worker.
     pub fn unshared(worker: WorkerId) -> Self {
         RackId(!((worker.0 >> 1) as i64))
     }
@@ -66,116 +65,117 @@
 
 // ---- Startup configuration -------------------------------------------------------------
 
-/// The set of workers within which a repeated idempotency key is recognized.
+/// The set of workers that recognize each other's idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All workers.
     Everywhere,
-    /// The workers of the first attempt's zone.
+    /// The workers in the zone of the first attempt.
     Zone,
-    /// The workers of the first attempt's rack.
+    /// The workers in the rack of the first attempt.
     Rack,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// A repetition does no harm.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// The request carries an idempotency key: workers in `scope` drop a repetition for `window` after the
-    /// first
-    /// attempt was sent.
+    /// The request carries an idempotency key: workers in `scope` drop a duplicate that arrives within
+    /// `window` of sending the first attempt.
     Keyed {
-        /// Where a repetition is recognized.
+        /// Which workers recognize a duplicate.
         scope: IdempotencyScope,
-        /// How long a repetition is recognized.
+        /// How long a duplicate is recognized.
         window: Micros,
     },
-    /// A second execution is never allowed.
+    /// The request must never be executed a second time.
     AtMostOnce,
 }
 
 /// The configuration of a workload (class of requests).
 #[derive(Clone, Debug)]
 pub struct WorkloadConfig {
-    /// Whether its requests may be repeated.
+    /// Whether requests may be executed more than once.
     pub retry_safety: RetrySafety,
     /// Time from arrival within which a response has its full value.
     pub latency_objective: Micros,
     /// Relative value of a request.
     pub priority_weight: f64,
-    /// Factor on the priority weight once the latency objective has been missed, from 0 to 1.
+    /// Factor on the priority weight once the latency objective has been missed, in 0..=1.
     pub late_priority_factor: f64,
 }
 
 /// The configuration of a customer (tenant).
 #[derive(Clone, Debug)]
 pub struct CustomerConfig {
-    /// Quota over all routers.
+    /// Quota across all routers.
     pub requests_per_second: f64,
 }
 
-/// What the deployment allows for attempts and rejections.
+/// Deployment-wide policy for attempts and rejections.
 #[derive(Clone, Debug)]
 pub struct AttemptPolicy {
-    /// Attempts of a request at most, the first included.
+    /// Maximum attempts per request, including the first.
     pub max_attempts: usize,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancel_allowed: bool,
-    /// A second attempt may run beside the first.
+    /// Whether a second attempt may run concurrently with the first.
     pub hedging_allowed: bool,
-    /// Rejections may carry a time after which to retry.
+    /// Whether rejections may carry a `Retry-After` time.
     pub retry_after_allowed: bool,
-    /// Bound of such times, exclusive; below 200 ms every rejection names 200 ms.
+    /// Exclusive upper bound of `Retry-After`; if it is below 200 ms, every rejection names 200 ms.
     pub max_retry_after: Micros,
 }
 
-/// How fast a worker that has just started may be loaded.
+/// Load limits for a worker that has recently started.
 #[derive(Clone, Debug)]
 pub struct SlowStartRules {
-    /// Share of its full capacity that a worker has when it starts, from 0 to 1.
+    /// Share of its full capacity that a worker has when it starts, in 0..=1.
     pub initial_capacity: f64,
-    /// Time from its start after which a worker has its full capacity.
+    /// Time from its start until a worker reaches full capacity.
     pub warmup_time: Micros,
-    /// Multiple of its current capacity within [`Self::overload_window`] at which a worker collapses.
+    /// Multiple of its current capacity, received within [`Self::overload_window`], at which a worker
+    /// collapses.
     pub overload_factor: f64,
-    /// Span of time over which the work sent to a worker is counted.
+    /// Period over which the work sent to a worker is summed.
     pub overload_window: Micros,
 }
 
-/// Everything that an instance is configured with when it starts.
+/// Configuration of an instance at startup.
 #[derive(Clone, Debug)]
 pub struct StartupConfig {
-    /// Seed of all random draws of the instance.
+    /// Seed of the instance's random number generator.
     pub seed: u64,
-    /// Position of this router among [`Self::router_count`].
+    /// Index of this router among the [`Self::router_count`] routers.
     pub router_index: u64,
     /// Number of routers that share workers and quotas; at least 1.
     pub router_count: u64,
-    /// Workloads; [`WorkloadId`] is the position here.
+    /// Workloads, indexed by [`WorkloadId`].
     pub workloads: Vec<WorkloadConfig>,
-    /// Customers; [`CustomerId`] is the position here.
+    /// Customers, indexed by [`CustomerId`].
     pub customers: Vec<CustomerConfig>,
-    /// What is allowed for attempts and rejections.
+    /// Policy for attempts and rejections.
     pub attempt_policy: AttemptPolicy,
-    /// How fast a new worker may be loaded.
+    /// Load limits for workers that have recently started.
     pub slow_start: SlowStartRules,
-    /// Factor on the priority weight of requests beyond their customer's quota.
+    /// Factor on the priority weight of requests that exceed their customer's quota.
     pub over_quota_factor: f64,
-    /// Time for which a worker keeps an idle function loaded at least.
+    /// Minimum time for which a worker keeps an idle function loaded.
     pub cache_lifetime: Micros,
-    /// Responses report how many requests of the same function the worker had in flight.
+    /// Whether responses report how many requests of the same function the worker had in flight.
     pub reports_same_function: bool,
-    /// The weights in the endpoint list are the same for every router and do not follow the load.
+    /// Whether the weights in the endpoint list are identical for every router and independent of load.
     pub weights_shared: bool,
-    /// Clients give every first try of a workload the same timeout; less time left was spent elsewhere.
+    /// Whether clients give every first try of a workload the same timeout, so that a shorter remaining
+    /// time means that the difference was spent elsewhere.
     pub timeouts_shared: bool,
-    /// The endpoint list is delivered only after [`Actions::watch_endpoints`].
+    /// Whether the endpoint list is only delivered after [`Actions::watch_endpoints`].
     pub watches_endpoints: bool,
 }
 
 impl StartupConfig {
-    /// The mean latency objective of all workloads in microseconds; 0 without workloads.
+    /// Mean latency objective over all workloads in microseconds; 0 without workloads.
     pub fn mean_latency_objective(&self) -> f64 {
         let objectives = self.workloads.iter().map(|workload| workload.latency_objective as f64);
         objectives.sum::<f64>() / self.workloads.len().max(1) as f64
@@ -184,17 +184,16 @@
 
 // ---- Endpoints -------------------------------------------------------------------------
 
-/// What a router has measured of one incarnation of a worker.
+/// Measurements of one incarnation of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerHistory {
-    /// Requests of all routers that it could hold; 0 where that is unknown.
+    /// Estimated number of concurrent requests, over all routers, that the worker can take; 0 if unknown.
     pub concurrency_limit: f64,
-    /// Response times as a multiple of the latency objective, as a moving average.
+    /// Moving average of response times, as a multiple of the latency objective.
     pub queueing_delay: f64,
-    /// Share of errors and lost connections among its results, as a moving average; an ejection resets it to
-    /// 0.
+    /// Moving average of the share of errors and lost connections among results; reset to 0 by an ejection.
     pub error_rate: f64,
-    /// It was ejected, or in its recovery ramp afterwards.
+    /// Whether the worker is ejected or in the recovery ramp that follows.
     pub ejected: bool,
 }
 
@@ -205,20 +204,20 @@
     Changes,
     /// All endpoints.
     Full,
-    /// All endpoints as of an earlier time, from a store of the platform.
+    /// All endpoints as of an earlier time, read from platform storage.
     Saved,
-    /// The list could not be fetched; it holds no entries.
+    /// The list could not be fetched; it has no entries.
     Failed,
 }
 
 /// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// Finishes the requests it has and accepts no new ones.
     Draining,
-    /// It is no longer there.
+    /// No longer exists.
     Gone,
 }
 
@@ -227,11 +226,11 @@
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: WorkerStatus,
-    /// When it started; identifies the incarnation. 0: before anything that matters here.
+    /// Start time, which identifies the incarnation; 0 if the worker started long enough ago not to matter.
     pub up_since: Micros,
-    /// Its zone, where known.
+    /// Its zone, if known.
     pub zone: Option<ZoneId>,
     /// Its rack.
     pub rack: RackId,
@@ -241,27 +240,27 @@
 
 // ---- Requests and attempts -------------------------------------------------------------
 
-/// A request as it arrives.
+/// A newly arrived request.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// Its id, unique among the requests in progress and those that still have an attempt in flight.
+    /// Id, unique among requests in progress and requests that still have an attempt in flight.
     pub request: RequestId,
-    /// The function that it calls.
+    /// The function to call.
     pub function: FunctionId,
     /// Its workload.
     pub workload: WorkloadId,
-    /// Its customer, where known.
+    /// Its customer, if known.
     pub customer: Option<CustomerId>,
     /// Time until its deadline.
     pub time_left: Micros,
-    /// Requests of the function that a worker is expected to run at once.
+    /// Number of requests of the function that a worker is expected to run concurrently.
     pub concurrency: u32,
-    /// The client says that it has tried before.
+    /// Whether the client marked this request as a retry.
     pub retry: bool,
-    /// How long a worker takes to load the function, where known.
+    /// Time a worker takes to load the function, if known.
     pub load_time: Option<Micros>,
-    /// Factor on the workload's priority weight: 1, or more where earlier steps of a workflow have been
-    /// paid for.
+    /// Factor on the workload's priority weight: 1, or more if earlier steps of a workflow have already
+    /// been paid for.
     pub priority_factor: f64,
 }
 
@@ -270,36 +269,36 @@
 pub enum Outcome {
     /// The worker executed the request and returned its result.
     Finished,
-    /// The worker does not have the function; nothing was executed.
+    /// The worker has not loaded the function; nothing was executed.
     NotLoaded,
     /// The worker reported an error; the request may have been executed.
     Error,
     /// The worker had no capacity; nothing was executed.
     Overloaded,
-    /// No response in time.
+    /// No response within the timeout.
     TimedOut,
     /// No connection could be established; nothing was executed.
     ConnectFailed,
-    /// The connection was lost before the response.
+    /// The connection was lost before a response arrived.
     ConnectionLost,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The attempt was dropped before anything of it was executed, because another one took its place.
+    /// The attempt was dropped before any of it was executed, because another attempt replaced it.
     Superseded,
 }
 
-/// What a response reports about the function at its worker.
+/// State of the function at the worker, as reported by a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadState {
-    /// Nothing is reported.
+    /// Not reported.
     Unreported,
-    /// The function was loaded already.
+    /// The function was already loaded.
     Loaded,
-    /// The attempt started the load.
+    /// This attempt triggered the load.
     LoadStarted,
-    /// The attempt waited for a load in progress.
+    /// This attempt waited for a load already in progress.
     LoadPending,
-    /// The load failed.
+    /// Loading the function failed.
     LoadFailed,
 }
 
@@ -308,40 +307,39 @@
 pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// The request has its final response, by this result or an earlier one.
+    /// Whether the request has received its final response, from this result or an earlier one.
     pub request_ended: bool,
     /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// What is reported about the function.
+    /// Reported state of the function.
     pub load_state: LoadState,
-    /// Requests of the function that the worker had when the attempt arrived; 0 where not reported.
+    /// Requests of the function that the worker had when the attempt arrived; 0 if not reported.
     pub same_function_in_flight: u32,
-    /// Requests of all functions that the worker has, where reported.
+    /// Requests of all functions at the worker, if reported.
     pub reported_in_flight: Option<f64>,
-    /// Loads in progress or queued at the worker, where reported.
+    /// Loads in progress or queued at the worker, if reported.
     pub reported_loads: Option<f64>,
 }
 
-/// What the decisions ask their owner to do. Each call takes effect at the time of the call.
+/// Callbacks through which [`Control`](crate::control::Control) acts. Each takes effect when it is called.
 ///
-/// Each attempt that was sent needs one
-/// [`Control::attempt_finished`](crate::control::Control::attempt_finished), also after a cancel or after the
-/// end of its request: until then it counts as in flight at its worker.
+/// Every attempt sent must be followed by exactly one call of
+/// [`Control::attempt_finished`](crate::control::Control::attempt_finished), even after it is cancelled or
+/// its request has ended: until then it counts as in flight at its worker.
 pub trait Actions {
-    /// Sends the next attempt of a request. It may take `timeout`; nothing of it may leave from `not_after`
-    /// on, as a
-    /// repetition would not be recognized any more.
+    /// Sends the next attempt of a request. The attempt may take at most `timeout`, and no part of it may
+    /// be sent at or after `not_after`, when workers may no longer recognize a duplicate.
     fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Micros, not_after: Micros);
-    /// Cancels an attempt, by its number from 0.
+    /// Cancels an attempt, given by its zero-based number.
     fn cancel(&mut self, request: RequestId, attempt: usize);
-    /// Ends a request with a rejection, after which a retry does no harm; `retry_after` names a time for it.
+    /// Ends a request with a rejection, after which a retry is safe; `retry_after` suggests when to retry.
     fn reject(&mut self, request: RequestId, retry_after: Option<Micros>);
     /// Ends a request with a failure: it may have been executed.
     fn fail(&mut self, request: RequestId);
-    /// Has [`Control::timer_fired`](crate::control::Control::timer_fired) called after `delay`.
+    /// Schedules a call of [`Control::timer_fired`](crate::control::Control::timer_fired) after `delay`.
     fn set_timer(&mut self, delay: Micros, token: TimerToken);
     /// Writes a line to the log.
     fn log(&mut self, text: &str);
-    /// Asks for the endpoint list and its changes.
+    /// Subscribes to the endpoint list and its changes.
     fn watch_endpoints(&mut self);
 }
