--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,36 +1,37 @@
 //! All decisions of one router.
 //!
-//! The owner of an instance makes one [`Control`] from its configuration and calls, for each event,
-//! [`Control::advance_to`] and then one of the event methods:
+//! The owner creates a [`Control`] from its configuration. For each event it calls [`Control::advance_to`]
+//! and then the method of that event:
 //!
 //! | event | method |
 //! | --- | --- |
-//! | the endpoint list, or changes of it | [`Control::endpoints_updated`] |
+//! | the endpoint list or changes of it arrive | [`Control::endpoints_updated`] |
 //! | a request arrives | [`Control::request_arrived`] |
 //! | an attempt ends | [`Control::attempt_finished`] |
-//! | the first byte of a response was passed on | [`Control::response_started`] |
-//! | the client of a request has left | [`Control::client_disconnected`] |
+//! | the first byte of a response is forwarded | [`Control::response_started`] |
+//! | the client of a request disconnects | [`Control::client_disconnected`] |
 //! | a timer fires | [`Control::timer_fired`] |
 //! | the configuration changes | [`Control::reconfigure`] |
-//! | the process has to end: requests without a response | [`Control::finish_all`] |
+//! | the process shuts down | [`Control::finish_all`] |
 //!
-//! Five rules are never broken: a request gets one final response, in time, and nothing after it (1); it is
-//! not executed twice unless that is safe (2); nothing new goes to a draining or gone worker (3); a worker
-//! that warms up gets a bounded amount of work (4); loads are bounded (5).
+//! Five invariants always hold: a request gets one final response, before its deadline, and nothing after
+//! it (rule 1); it is not executed twice unless that is safe (rule 2); no new request goes to a draining or
+//! removed worker (rule 3); a worker that is warming up receives a bounded amount of work (rule 4); the
+//! number of concurrent loads is bounded (rule 5).
 //!
-//! The decisions come out as calls of [`Actions`]. Nothing here does any input or output, reads a clock or
-//! draws randomness but from the configured seed. `docs/design.md` describes the design; each mechanism has
-//! a module:
+//! Decisions are issued as calls of [`Actions`]. This module does no I/O, reads no clock, and draws random
+//! numbers only from the configured seed. `docs/design.md` describes the design; each mechanism has its own
+//! module:
 //!
 //! - [`routing`]: home worker, hash order, overflow;
-//! - [`hedging`] and [`retry`]: second attempts, and whether a request may run again (rules 1 and 2);
-//! - [`endpoints`]: which workers there are (rule 3);
-//! - [`slow_start`]: workers that warm up (rule 4);
-//! - [`load_limiter`]: loads in progress (rule 5);
-//! - [`outlier_ejection`]: errors, silence, recovery;
+//! - [`hedging`] and [`retry`]: second attempts, and whether a request may be repeated (rules 1 and 2);
+//! - [`endpoints`]: the set of workers (rule 3);
+//! - [`slow_start`]: limits for workers that are warming up (rule 4);
+//! - [`load_limiter`]: limit on concurrent loads (rule 5);
+//! - [`outlier_ejection`]: errors, unresponsive workers, recovery;
 //! - [`concurrency_limit`]: queueing delay and overload;
-//! - [`quota`] and [`shedding`]: customers' shares; what waits, and what is rejected;
-//! - [`feedback`]: what results teach.
+//! - [`quota`] and [`shedding`]: customers' quotas; queue priority and rejection;
+//! - [`feedback`]: estimates updated from results.
 
 mod capacity;
 pub mod concurrency_limit;
@@ -72,38 +73,38 @@
 use traffic::Traffic;
 use workloads::Workloads;
 
-/// Time after which a function is forgotten that nobody calls and no worker may have loaded.
+/// Time after which a function that is neither called nor possibly loaded anywhere is forgotten.
 const FUNCTION_IDLE_TIME: Micros = 60 * MICROS_PER_SECOND;
-/// Functions known beyond which idle ones are evicted, several times those met within
-/// [`FUNCTION_IDLE_TIME`]; those called longest ago go first.
+/// Number of known functions above which idle ones are evicted, least recently called first. Several times
+/// the number of functions seen within [`FUNCTION_IDLE_TIME`].
 const MAX_FUNCTIONS: usize = 8_192;
-/// Part of the table of functions that is evicted at once when it is full.
+/// Fraction (1/n) of the function table that is evicted at once when it is full.
 const EVICTED_PART: usize = 8;
-/// Functions of which the first workers of the hash order are cached: those of some minutes, as computing an
-/// order costs as much as a hundred requests.
+/// Number of functions whose first workers in hash order are cached. It covers several minutes of traffic:
+/// computing an order costs as much as a hundred requests.
 const MAX_CACHED_ORDERS: NonZeroUsize = NonZeroUsize::new(8_192).expect("above zero");
-/// Load times after which a response is no longer waited for before the next load starts.
+/// Multiple of a function's load time after which an unanswered load is no longer waited for.
 const LOAD_WAIT_FACTOR: u64 = 5;
-/// Thousandths of a priority weight in a request's priority.
+/// Units of request priority per unit of priority weight.
 const PRIORITY_SCALE: f64 = 1000.0;
 
-/// Where a request stands in the queue.
+/// Key of a request in the wait queue.
 type QueueKey = Key<RequestId>;
 
-/// An attempt that has been sent and has no result yet, also when its request has ended.
+/// An attempt without a result yet; it may outlive its request.
 struct InFlightAttempt {
     worker: WorkerId,
     function: FunctionId,
     workload: WorkloadId,
     customer: Option<CustomerId>,
     sent_at: Micros,
-    /// The function was taken to be loaded there when the attempt was sent.
+    /// Whether the function was believed to be loaded at the worker when the attempt was sent.
     was_loaded: bool,
 }
 
-/// The decisions of one router, with the state that they rest on.
+/// The decision logic of one router and its state.
 pub struct Control {
-    /// The time of the current event.
+    /// Time of the current event.
     now: Micros,
     rng: Rand64,
     config: StartupConfig,
@@ -111,11 +112,11 @@
     quotas: CustomerQuotas,
     workers: Workers,
     functions: Functions,
-    /// The first workers of functions' hash orders, as far as they were walked.
+    /// Cached prefixes of the functions' hash orders.
     hash_orders: PrefixCache<HashOrder>,
     /// Requests without a final response.
     requests: BTreeMap<RequestId, Request>,
-    /// Those of them that wait for a worker.
+    /// The requests that wait for a worker.
     queue: Waiting<RequestId, FunctionId, WorkloadId>,
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     timers: Timers,
@@ -123,12 +124,12 @@
     attempt_budget: AttemptBudget,
     traffic: Traffic,
     fleet: FleetCapacity,
-    /// An endpoint list has been received.
+    /// Whether an endpoint list has been received.
     endpoints_known: bool,
 }
 
 impl Control {
-    /// An instance that starts at `now`.
+    /// Creates an instance that starts at `now`.
     pub fn new(now: Micros, config: StartupConfig, actions: &mut dyn Actions) -> Self {
         let mut control = Control {
             now,
@@ -158,15 +159,15 @@
 
     // ---- Events ----------------------------------------------------------------------------
 
-    /// Sets the time of the events that follow. It must not be earlier than at the last call; this is not
+    /// Sets the time of the events that follow. Time must not go backwards between calls; this is not
     /// checked.
     pub fn advance_to(&mut self, now: Micros) {
         self.now = now;
     }
 
-    /// Takes over another configuration of the same workloads and customers in the same places, new ones
-    /// after them. Requests in progress keep their retry safety; where hedging is no longer allowed, second
-    /// attempts in flight are cancelled.
+    /// Applies a changed configuration. Existing workloads and customers must keep their indexes; new ones
+    /// may be appended. Requests in progress keep their retry safety. If hedging is no longer allowed,
+    /// second attempts in flight are cancelled.
     pub fn reconfigure(&mut self, actions: &mut dyn Actions, config: StartupConfig) {
         self.workloads.reconfigure(&config);
         self.quotas.reconfigure(self.now, &config.customers);
@@ -176,7 +177,7 @@
         self.dispatch(actions);
     }
 
-    /// Takes a request: it is sent at once where a worker has capacity, else it waits.
+    /// Accepts a request: sends it at once if a worker has capacity, otherwise queues it.
     pub fn request_arrived(&mut self, actions: &mut dyn Actions, arrival: &RequestArrival) {
         self.attempt_budget.earn(arrival.retry);
         self.traffic.record_arrival(self.now);
@@ -193,12 +194,12 @@
             self.queue.remove(&self.queue_key(id));
             self.send_and_schedule_hedge(actions, id, worker);
         } else if arrival.time_left <= LAST_CALL + TICK_INTERVAL {
-            // The client is about to leave: no tick would come in time to end the request.
+            // The deadline falls before a tick could end the request.
             self.give_up(actions, id);
         }
     }
 
-    /// Takes the result of an attempt; a second result of the same attempt is ignored.
+    /// Processes the result of an attempt. A second result of the same attempt is ignored.
     pub fn attempt_finished(
         &mut self,
         actions: &mut dyn Actions,
@@ -213,15 +214,16 @@
         self.dispatch(actions);
     }
 
-    /// Notes that the response of a request is being passed on: this router ends it no more by itself.
+    /// Records that the response is being streamed to the client; the router no longer ends the request
+    /// itself.
     pub fn response_started(&mut self, request: RequestId) {
         if let Some(request) = self.requests.get_mut(&request) {
             request.response_started = true;
         }
     }
 
-    /// Ends a request whose client has left. What still waits for it at workers is cancelled: clients that
-    /// lose patience come again.
+    /// Ends a request whose client has disconnected. Its attempts in flight are cancelled, because clients
+    /// that give up tend to retry and the abandoned work would add to the load.
     pub fn client_disconnected(&mut self, actions: &mut dyn Actions, request: RequestId) {
         if self.requests.contains_key(&request) {
             self.cancel_attempts(actions, request);
@@ -229,7 +231,7 @@
         self.forget_request(request);
     }
 
-    /// Does what was due when the timer was set; a token that is not known is ignored.
+    /// Handles a timer. Unknown tokens are ignored.
     pub fn timer_fired(&mut self, actions: &mut dyn Actions, token: TimerToken) {
         match self.timers.take(token) {
             Some(Timer::Tick) => self.tick(actions),
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Ends all requests whose response has not started, with their one final response each, for a process
-    /// that has to end. The owner finishes the others.
+    /// Gives every request whose response has not started its final response, for a shutdown. The owner
+    /// finishes the others.
     pub fn finish_all(&mut self, actions: &mut dyn Actions) {
         let all: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in all {
@@ -247,14 +249,14 @@
         }
     }
 
-    // ---- What is known, for owners ---------------------------------------------------------
+    // ---- Queries ---------------------------------------------------------------------------
 
-    /// Number of functions that are known at present.
+    /// Number of functions currently known.
     pub fn known_functions(&self) -> usize {
         self.functions.len()
     }
 
-    /// What has been measured of each worker, with the start of its incarnation.
+    /// Measurements of every worker, with the start time of its incarnation.
     pub fn worker_histories(&self) -> impl Iterator<Item = (WorkerId, Micros, WorkerHistory)> + '_ {
         self.workers.iter().map(|(id, worker)| {
             let history = WorkerHistory {
@@ -267,14 +269,15 @@
         })
     }
 
-    /// The load times that are known.
+    /// The known load times.
     pub fn load_times(&self) -> impl Iterator<Item = (FunctionId, Micros)> + '_ {
         self.functions.iter().filter_map(|(id, function)| Some((*id, function.load_time?)))
     }
 
-    /// Takes over what was measured before a restart, or by others; false where the worker is
-    /// unknown, is another incarnation, or has no concurrency limit yet. It is a hint: it never gives a
-    /// worker more than a new one has, and an ejected worker is tried by one request.
+    /// Applies measurements taken before a restart or by another router. Returns false if the worker is
+    /// unknown, is a different incarnation, or has no concurrency limit yet. The history can only make the
+    /// router more careful: a worker never gets more than a new one would, and an ejected worker is probed
+    /// with a single request.
     pub fn restore_worker_history(
         &mut self,
         id: WorkerId,
@@ -293,9 +296,9 @@
         true
     }
 
-    // ---- Steps of events -------------------------------------------------------------------
+    // ---- Event handling --------------------------------------------------------------------
 
-    /// Cancels the second of two attempts in flight where the configuration allows only one.
+    /// Cancels the second of two attempts in flight if hedging is no longer allowed.
     fn cancel_forbidden_hedges(&self, actions: &mut dyn Actions) {
         let policy = &self.config.attempt_policy;
         if policy.hedging_allowed || !policy.cancel_allowed {
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Notes a call of a function.
+    /// Records a call of a function.
     fn record_call(&mut self, arrival: &RequestArrival) {
         if self.functions.len() >= MAX_FUNCTIONS && self.functions.get(arrival.function).is_none() {
             self.evict_functions();
@@ -319,7 +322,7 @@
         function.calls.record(self.now);
     }
 
-    /// A request as it arrives, with its priority.
+    /// Builds the state of a new request, including its priority.
     fn new_request(&mut self, arrival: &RequestArrival) -> Request {
         let now = self.now;
         let router_count = self.config.router_count;
@@ -328,7 +331,7 @@
         let workload = self.workloads.get_mut(arrival.workload);
         let spent = workload.record_time_left(arrival.time_left);
         let spent_before = if self.config.timeouts_shared { spent } else { 0 };
-        // A client's retry has lost its latency objective with the first try.
+        // By the time a client retries, the first try has used up the latency objective.
         let late = arrival.retry
             || spent_before as f64 + workload.service_time() > workload.latency_objective as f64;
         let quota_factor = if over_quota { self.config.over_quota_factor } else { 1.0 };
@@ -350,7 +353,7 @@
         }
     }
 
-    /// The periodic check of workers and of waiting requests.
+    /// Periodic check of workers and waiting requests.
     fn tick(&mut self, actions: &mut dyn Actions) {
         let now = self.now;
         self.timers.set(actions, TICK_INTERVAL, Timer::Tick);
@@ -359,7 +362,7 @@
         while let Some(id) = self.workers.take_expired(now) {
             self.drop_expired(id);
         }
-        // Guards against a table that grows with every name that any client ever makes up.
+        // Bounds the table's growth when clients send arbitrary function names.
         self.functions.forget_idle(now, FUNCTION_IDLE_TIME);
         self.clear_recovered_workers();
         self.refresh_capacity();
@@ -370,8 +373,8 @@
         }
     }
 
-    /// Stops waiting for loads that take far too long, or a worker that died while loading would block the
-    /// function.
+    /// Stops waiting for loads that take far too long; otherwise a worker that died while loading would
+    /// block the function.
     fn end_overdue_loads(&mut self) {
         let in_progress: Vec<(FunctionId, WorkerId)> = self.loads.in_progress().collect();
         for (function, id) in in_progress {
@@ -386,7 +389,7 @@
         }
     }
 
-    /// Drops what has expired by itself at a worker.
+    /// Drops expired entries of a worker.
     fn drop_expired(&mut self, id: WorkerId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&id) else { return };
@@ -399,7 +402,7 @@
         self.workers.schedule_expiry(id);
     }
 
-    /// Makes room in a full table of functions, and drops what workers have of those.
+    /// Evicts functions from a full table, together with what idle workers hold for them.
     fn evict_functions(&mut self) {
         for (id, evicted) in self.functions.evict(MAX_FUNCTIONS / EVICTED_PART) {
             for worker in &evicted.workers {
@@ -411,12 +414,12 @@
         }
     }
 
-    /// How long a worker takes to load a function, as far as it is known.
+    /// Load time of a function, or the default if it is unknown.
     fn load_time(&self, function: FunctionId) -> Micros {
         self.functions.get(function).and_then(|known| known.load_time).unwrap_or(DEFAULT_LOAD_TIME)
     }
 
-    /// Cancels all attempts of a request that are in flight, where that is allowed.
+    /// Cancels all attempts of a request that are in flight, if cancelling is allowed.
     fn cancel_attempts(&self, actions: &mut dyn Actions, id: RequestId) {
         if !self.config.attempt_policy.cancel_allowed {
             return;
@@ -428,7 +431,7 @@
         }
     }
 
-    /// Removes a request that has its final response, or whose client has left.
+    /// Removes a request that has its final response or whose client has disconnected.
     fn forget_request(&mut self, id: RequestId) {
         if !self.requests.contains_key(&id) {
             return;
