--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -1,9 +1,9 @@
-//! Routing: which worker a request's next attempt goes to.
+//! Routing: selects the worker for a request's next attempt.
 //!
 //! A function's requests go to its home worker, the first in a hash order that all routers share, so that
-//! few workers have to load it. What finds no capacity there overflows to the next workers of the order; a
-//! load is started for overflow only while this router waits for no other load of the function.
-//! `docs/design.md` has the reasons.
+//! few workers have to load the function. Requests that find no capacity there overflow to the next workers
+//! in the order. Overflow starts a load only if this router is not already waiting for another load of the
+//! function. `docs/design.md` gives the reasons.
 
 use super::Control;
 use super::concurrency_limit::bounded_load;
@@ -16,114 +16,122 @@
 use applepond_rendezvous::{Draw, Prefix, Ranked};
 use std::vec::IntoIter;
 
-/// Part of a worker's throughput that one function's requests of all routers may take before they move on.
+/// Share of a worker's throughput that one function may use, over all routers, before requests are
+/// diverted.
 const FUNCTION_SHARE: f64 = 0.8;
-/// Requests of the other routers within the cache lifetime from which on a function is taken to be kept
+/// Number of requests from other routers within the cache lifetime at which a function is assumed to stay
 /// loaded.
 const KEEP_ALIVE_REQUESTS: f64 = 2.0;
-/// Part of the mean of requests a worker up to which one is idle enough for overflow.
+/// Fraction of the mean number of requests per worker up to which a worker is idle enough for overflow.
 const IDLE_SHARE: f64 = 0.5;
-/// Factor on the limit of a worker for a function without a request there.
+/// Factor on a worker's limit for a function that has no request there.
 const SMALL_FUNCTION_ALLOWANCE: f64 = 1.5;
-/// Requests of other routers for a function below which it has none at a worker.
+/// Estimated number of other routers' requests for a function below which it counts as having none at a
+/// worker.
 const NO_REQUESTS: f64 = 1.0;
-/// Part of the latency objective that overflow waits before it starts a load at the next worker.
+/// Fraction of the latency objective that overflow waits before starting a load at another worker.
 const OVERFLOW_WAIT_SHARE: f64 = 0.25;
-/// Workers left in an order for each that may have the function loaded from which on those are sought by
-/// themselves: a draw and a look-up cost about so many steps.
+/// Remaining workers in the hash order, per worker that may have the function loaded, above which the
+/// loaded workers are ranked directly: one hash and look-up costs about as much as this many steps.
 const LONG_ORDER_FACTOR: usize = 8;
-/// Workers examined for one that may start a load: if none of so many takes it, the fleet is full.
+/// Maximum number of workers examined for overflow that starts a load; if none of these accepts it, the
+/// fleet is full.
 const MAX_EXAMINED: usize = 256;
 
-/// The worker that a selection ends with.
+/// The selected worker.
 struct Choice {
     worker: WorkerId,
-    /// It is the home, which is only presumed to have the function loaded.
+    /// The worker is the home and is only presumed to have the function loaded.
     is_presumed_loaded: bool,
 }
 
-/// A worker that a selection considers.
+/// A worker under consideration.
 struct Candidate<'a> {
     id: WorkerId,
     worker: &'a Worker,
-    /// What is known of the function there.
+    /// What is known about the function at the worker.
     known: Option<&'a FunctionAtWorker>,
-    /// The function is loaded there, as known or as presumed.
+    /// Whether the function is known or presumed to be loaded.
     is_loaded: bool,
-    /// It is not known to be loaded; the requests of other routers are taken to keep it so.
+    /// Whether the function is presumed, but not known, to be loaded because other routers' requests keep
+    /// it so.
     is_presumed_loaded: bool,
 }
 
-/// How busy a candidate is, as far as this router can know.
+/// Estimated load of a candidate.
 struct CandidateLoad {
-    /// This router's requests of the function there.
+    /// This router's requests for the function at the worker.
     own: u32,
-    /// Other routers' requests of the function there.
+    /// Other routers' requests for the function at the worker.
     others_of_function: f64,
-    /// Other routers' requests of all functions there.
+    /// Other routers' requests for all functions at the worker.
     others: f64,
-    /// The request's own part of what the others have there, from a half to 1. Reports are old and seen
-    /// alike by all routers: a hard bound would close the worker to all of them at once and for long.
+    /// Share of the other routers' requests that this request takes into account, drawn from 0.5..=1.
+    /// Reports are stale and identical for all routers, so a hard bound would close the worker to every
+    /// router at once and for a long time.
     visible_share: f64,
-    /// The bound on requests of all routers: the worker's concurrency limit and that of bounded loads.
+    /// Limit on the requests of all routers: the lower of the worker's concurrency limit and its bounded
+    /// load.
     limit: f64,
 }
 
 impl CandidateLoad {
-    /// Whether the function has no request there. Under overload the functions with most requests move on; a
-    /// small one stays and saves a load.
+    /// Whether the function has no request at the worker. Under overload the busiest functions are
+    /// diverted; a small one stays, which saves a load.
     fn is_small(&self) -> bool {
         self.own == 0 && self.others_of_function < NO_REQUESTS
     }
 }
 
-/// The home worker, as it was found.
+/// State of the home worker.
 struct Home {
     id: WorkerId,
     is_loaded: bool,
     has_capacity: bool,
-    /// What fills it will not be gone in a moment.
+    /// The overload is not expected to clear within a moment.
     overload_persists: bool,
 }
 
-/// What a selection has found so far.
+/// Progress of a selection.
 #[derive(Default)]
 struct Probe {
     home: Option<Home>,
     /// The home is only presumed to have the function loaded.
     home_is_presumed_loaded: bool,
-    /// The first worker with capacity that has the function loaded.
+    /// First worker with capacity that has the function loaded.
     loaded: Option<WorkerId>,
-    /// The first worker with capacity at which overflow may start a load.
+    /// First worker with capacity at which overflow may start a load.
     overflow: Option<WorkerId>,
-    /// Requests a microsecond of the other routers that the workers passed so far do not take.
+    /// Other routers' requests per microsecond not covered by the workers skipped so far.
     remaining_rate: f64,
-    /// The next position in the hash order.
+    /// Next position in the hash order.
     position: usize,
-    /// Workers examined.
+    /// Number of workers examined.
     examined: usize,
-    /// Once only workers that have the function loaded matter: those left, in the hash order.
+    /// Remaining workers that have the function loaded, in hash order; set once only those can change the
+    /// result.
     loaded_only: Option<IntoIter<Ranked<WorkerId>>>,
 }
 
-/// The selection of a worker for a request: what is the same at all candidates.
+/// Inputs of a selection that are the same for all candidates.
 struct Selection<'a> {
     control: &'a Control,
     request: &'a Request,
     function: &'a Function,
     workload: &'a Workload,
-    /// Requests a microsecond of the function that a worker of weight 1 may get.
+    /// Requests per microsecond of the function that a worker of weight 1 may receive.
     rate_per_weight: f64,
-    /// This router waits for a load of the function at a ready worker.
+    /// Whether this router waits for a load of the function at a ready worker.
     load_in_progress: bool,
-    /// The load limiter allows another load.
+    /// Whether the load limiter allows another load.
     may_start_load: bool,
-    /// Loads are congested everywhere: each further one makes the others late, and serves no request in time.
+    /// Whether loads are congested fleet-wide. Another load would then delay the others and serve no
+    /// request in time.
     loads_congested: bool,
 }
 
 impl Control {
-    /// The worker for a request's next attempt; none where it has to wait.
+    /// Selects the worker for a request's next attempt; `None` if the request has to wait.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerId> {
         let function = self.requests[&id].function;
         if self.has_to_wait_for_load(function) {
@@ -139,15 +147,16 @@
         Some(choice.worker)
     }
 
-    /// Whether a function that no worker may have loaded, and that other routers keep loaded nowhere, has to
-    /// wait because no further load may start.
+    /// Whether the function has to wait because no further load may start, no worker may have it loaded,
+    /// and other routers do not keep it loaded either.
     fn has_to_wait_for_load(&self, function: FunctionId) -> bool {
         !self.loads.allows_another()
             && self.functions[&function].workers.is_empty()
             && self.rate_elsewhere(function) * (self.config.cache_lifetime as f64) < KEEP_ALIVE_REQUESTS
     }
 
-    /// Takes the function to be loaded at a worker for one load time, or until a response says how it is.
+    /// Presumes that a function is loaded at a worker for one load time, or until a response reports its
+    /// state.
     fn presume_loaded(&mut self, id: WorkerId, function: FunctionId) {
         let loaded_until = self.now + self.load_time(function);
         let worker = self.workers.get_mut(&id).expect("selected among known workers");
@@ -155,7 +164,7 @@
         self.workers.schedule_expiry(id);
     }
 
-    /// The workers that have the function loaded, in its hash order, from `first` on.
+    /// The workers that have the function loaded, in its hash order, starting from `first`.
     fn loaded_from(&self, function: FunctionId, first: &Ranked<WorkerId>) -> Vec<Ranked<WorkerId>> {
         let is_loaded = |id: &&WorkerId| {
             self.workers.get(id).is_some_and(|worker| worker.ready && worker.has_loaded(self.now, function))
@@ -188,7 +197,7 @@
         }
     }
 
-    /// Walks the hash order, and decides by what was found.
+    /// Walks the hash order and decides from the result.
     fn choose(&self, order: &mut Prefix<WorkerId>) -> Option<Choice> {
         let remaining_rate = self.control.rate_elsewhere(self.request.function);
         let mut probe = Probe { remaining_rate, ..Probe::default() };
@@ -203,7 +212,7 @@
     }
 
     /// Whether only workers that have the function loaded can still change the decision: the home is known,
-    /// and an overflow worker is known or not wanted.
+    /// and an overflow worker is either known or not wanted.
     fn needs_only_loaded(&self, probe: &Probe) -> bool {
         if probe.home.is_none() {
             return false;
@@ -213,13 +222,12 @@
             || none_moves_on && (probe.overflow.is_some() || !self.overflow_may_start_load())
     }
 
-    /// Whether overflow may start a load at all.
     fn overflow_may_start_load(&self) -> bool {
         !self.loads_congested && !self.load_in_progress && self.may_start_load
     }
 
-    /// The next worker of the order with its position. Where a long order is left of which only workers
-    /// matter that have the function loaded, those are sought by themselves, all at position 0.
+    /// The next worker in hash order, with its position. If a long order remains and only workers that have
+    /// the function loaded matter, those are ranked directly and returned with position 0.
     fn next_ranked(
         &self,
         probe: &mut Probe,
@@ -245,7 +253,7 @@
         Some(found)
     }
 
-    /// A worker of the order as a candidate; none where it is passed over.
+    /// Turns a worker in the order into a candidate; `None` if it is skipped.
     fn candidate(
         &self,
         probe: &mut Probe,
@@ -268,7 +276,8 @@
         let worker = &control.workers[&id];
         let known = worker.functions.get(&self.request.function).map(Box::as_ref);
         let is_known_loaded = known.is_some_and(|known| known.loaded_until > control.now);
-        // What the other routers are taken to keep loaded at the home is loaded for this one too.
+        // If other routers are presumed to keep the function loaded at its home, this router benefits from
+        // that too.
         let is_presumed_loaded = !is_known_loaded
             && probe.home.is_none()
             && self.others_keep_loaded(probe.remaining_rate.min(rate))
@@ -280,19 +289,19 @@
         Some(Candidate { id, worker, known, is_loaded, is_presumed_loaded })
     }
 
-    /// Whether the request leaves a worker out because the function has more requests than its share of the
-    /// worker: so many of all routers' requests move on, by chance, that the rest fits.
+    /// Whether the request skips this worker because the function's rate exceeds its share of the worker.
+    /// Requests of all routers are diverted at random in such proportion that the remainder fits.
     fn moves_on(&self, remaining_rate: f64, rate: f64, position: usize) -> bool {
         remaining_rate > rate
             && unit_interval(hash_pair(self.request.random_bits, position as u64)) >= rate / remaining_rate
     }
 
-    /// Whether so many requests a microsecond keep a function loaded.
+    /// Whether this many requests per microsecond keep a function loaded.
     fn others_keep_loaded(&self, rate: f64) -> bool {
         rate * self.control.config.cache_lifetime as f64 >= KEEP_ALIVE_REQUESTS
     }
 
-    /// Takes a candidate into what the selection has found.
+    /// Updates the probe with a candidate.
     fn consider(&self, probe: &mut Probe, candidate: &Candidate<'_>) {
         let load = self.load_of(candidate);
         let has_capacity = !self.is_filled_by_function(&load)
@@ -333,12 +342,12 @@
         }
     }
 
-    /// Requests of the function that a worker is expected to run at once.
+    /// Requests of the function that a worker is expected to run concurrently.
     fn concurrency(&self) -> f64 {
         f64::from(self.function.concurrency)
     }
 
-    /// Whether the function's requests take up all that a worker is expected to run of it at once.
+    /// Whether the function's own requests use all of its expected concurrency at the worker.
     fn is_filled_by_function(&self, load: &CandidateLoad) -> bool {
         f64::from(load.own) + load.visible_share * load.others_of_function >= self.concurrency()
     }
@@ -350,7 +359,7 @@
         candidate.worker.running() + load.visible_share * load.others >= limit
     }
 
-    /// Whether rules, rejections, recovery and slow start let the worker have the request.
+    /// Whether retry rules, recent rejections, recovery and slow start allow the request at this worker.
     fn accepts(&self, candidate: &Candidate<'_>) -> bool {
         let (control, worker) = (self.control, candidate.worker);
         let now = control.now;
@@ -364,7 +373,8 @@
             && control.warmup_budget_allows(candidate.id, worker, self.request)
     }
 
-    /// Whether a worker's overload is more than this router's own requests, which may be gone in a moment.
+    /// Whether the overload is caused by more than this router's own requests, which may finish within a
+    /// moment.
     fn overload_persists(&self, candidate: &Candidate<'_>, load: &CandidateLoad) -> bool {
         !load.is_small() && load.others >= load.limit
             || load.others_of_function >= self.concurrency()
@@ -377,7 +387,7 @@
         in_flight <= IDLE_SHARE * self.control.fleet.in_flight_per_weight * worker.weight
     }
 
-    /// The decision by what was found.
+    /// Chooses a worker from the probe's result.
     fn decide(&self, probe: &Probe) -> Option<Choice> {
         let home = probe.home.as_ref()?;
         if let Some(worker) = probe.loaded
@@ -401,7 +411,8 @@
         probe.overflow.map(chosen)
     }
 
-    /// Whether overflow waits a moment for a loaded home that may soon have capacity again.
+    /// Whether overflow should briefly wait for a home that has the function loaded and may soon have
+    /// capacity.
     fn waits_for_home(&self, home: &Home) -> bool {
         let objective = self.workload.latency_objective as f64;
         let waits_until = self.request.arrived_at + (objective * OVERFLOW_WAIT_SHARE) as Micros;
