--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,4 +1,4 @@
-//! The queue of waiting requests, and sending from it.
+//! The wait queue, and dispatch from it.
 
 use super::retry::no_attempt_after;
 use super::{Control, InFlightAttempt, QueueKey};
@@ -8,13 +8,13 @@
 use std::cmp::Reverse;
 
 impl Control {
-    /// Where a request stands in the queue: by priority, then by age.
+    /// The request's key in the queue: by priority, then by age.
     pub(super) fn queue_key(&self, id: RequestId) -> QueueKey {
         let request = &self.requests[&id];
         (Reverse(request.priority), request.arrived_at, id)
     }
 
-    /// Lets a request wait for a worker.
+    /// Adds a request to the queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let request = &self.requests[&id];
         let row = Row {
@@ -27,12 +27,11 @@
         self.queue.insert(self.queue_key(id), row);
     }
 
-    /// Sends waiting requests, those of highest priority and then oldest first, as far as workers have
-    /// capacity.
+    /// Sends waiting requests while workers have capacity, highest priority first and then oldest first.
     pub(super) fn dispatch(&mut self, actions: &mut dyn Actions) {
         let mut heads = self.queue.heads();
         while let Some(key) = heads.pop_first() {
-            // Where the first request of a function finds no worker, its others need not look.
+            // If a function's first request finds no worker, its other requests would not either.
             let Some(worker) = self.select_worker(key.2) else { continue };
             if let Some(row) = self.queue.remove(&key).filter(|row| row.bare) {
                 heads.extend(self.queue.after(row.function, &key));
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Sends a first attempt or a retry, and sets the timer after which it is hedged.
+    /// Sends a first attempt or a retry, and schedules its hedge.
     pub(super) fn send_and_schedule_hedge(
         &mut self,
         actions: &mut dyn Actions,
@@ -52,10 +51,11 @@
         self.schedule_hedge(actions, attempt);
     }
 
-    /// Sends the next attempt of a request. The caller has the worker from [`Control::select_worker`].
+    /// Sends the next attempt of a request to a worker chosen by [`Control::select_worker`].
     ///
     /// # Panics
-    /// Panics if the request, its function or the worker is not known.
+    ///
+    /// Panics if the request, its function or the worker is unknown.
     pub(super) fn send(&mut self, actions: &mut dyn Actions, id: RequestId, to: WorkerId) -> AttemptId {
         let now = self.now;
         let request = &self.requests[&id];
@@ -88,7 +88,7 @@
         attempt_id
     }
 
-    /// Counts an attempt at its worker, and the load that it starts where the function is not loaded there.
+    /// Counts an attempt at its worker, and the load it triggers if the function is not loaded there.
     fn count_in_flight(&mut self, to: WorkerId, function: crate::interface::FunctionId, was_loaded: bool) {
         let worker = self.workers.get_mut(&to).expect("selected among known workers");
         let known = worker.functions.entry(function).or_default();
