--- a/src/control/feedback.rs
+++ b/src/control/feedback.rs
@@ -1,4 +1,4 @@
-//! What the results of attempts teach about workers, functions and workloads.
+//! Updates the estimates for workers, functions and workloads from the results of attempts.
 
 use super::retry::REJECTION_BACKOFF;
 use super::{Control, InFlightAttempt};
@@ -6,26 +6,28 @@
 use crate::interface::{Actions, AttemptResult, LoadState, Micros, Outcome};
 use crate::state::worker::{FunctionAtWorker, Worker};
 
-/// Weight of a new report of what is in flight at a worker: a report is nearly the whole truth, but noisy.
+/// Weight of a new in-flight report: reports are nearly complete but noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Share of the latency objective within which a worker without capacity says so: rejecting takes no work.
+/// Share of the latency objective within which a worker without capacity rejects, as a rejection takes no
+/// work.
 const FAST_REJECTION_SHARE: f64 = 0.06;
-/// Time for which a customer's requests keep away from a worker that rejects this customer alone.
+/// Time for which a customer's requests avoid a worker that rejects only that customer.
 const CUSTOMER_REJECTION_BACKOFF: Micros = 8 * MICROS_PER_SECOND;
-/// A rejection blocks the next decrease of the concurrency limit for the latency objective divided by this.
+/// After a rejection, the concurrency limit may not decrease again for the latency objective divided by
+/// this.
 const REJECTION_INTERVAL_DIVISOR: Micros = 4;
 
-/// A result with the attempt that it belongs to.
+/// A result and the attempt it belongs to.
 #[derive(Clone, Copy)]
 struct Feedback<'a> {
     attempt: &'a InFlightAttempt,
     result: &'a AttemptResult,
-    /// Weight of the result in moving averages.
+    /// Weight of this result in moving averages.
     sample_weight: f64,
 }
 
 impl Feedback<'_> {
-    /// The worker has returned something, if only an error.
+    /// Whether the worker responded at all, even with an error.
     fn is_response(&self) -> bool {
         matches!(
             self.result.outcome,
@@ -33,8 +35,8 @@
         )
     }
 
-    /// The function was loaded when the attempt arrived, so that the response time is that of the request
-    /// alone.
+    /// Whether the function was loaded when the attempt arrived, so that the response time excludes
+    /// loading.
     fn ran_loaded(&self) -> bool {
         match self.result.load_state {
             LoadState::Loaded => true,
@@ -45,7 +47,7 @@
 }
 
 impl Control {
-    /// Takes over what a result says, and keeps the sums over workers true.
+    /// Records a result and updates the sums over all workers.
     pub(super) fn record_result(
         &mut self,
         actions: &mut dyn Actions,
@@ -63,7 +65,7 @@
         self.workers.account_since(attempt.worker, before);
     }
 
-    /// The worker of an attempt. Only called while it is known.
+    /// The worker of the attempt. Must only be called while the worker is known.
     fn worker_of(&mut self, feedback: Feedback<'_>) -> &mut Worker {
         self.workers.get_mut(&feedback.attempt.worker).expect("looked up before")
     }
@@ -73,7 +75,7 @@
         self.worker_of(feedback).functions.entry(function).or_default()
     }
 
-    /// Counts the attempt off.
+    /// Removes the attempt from the in-flight counts.
     fn end_in_flight(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let attempt = feedback.attempt;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Takes over what the worker reports of other routers' requests and of its loads.
+    /// Records the worker's reports of other routers' requests and of its loads.
     fn record_reports(&mut self, feedback: Feedback<'_>) {
         let tick = self.workers.tick();
         let others = self.other_routers();
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Takes over the response time of a function that was loaded.
+    /// Records the response time of a function that was loaded.
     fn record_response_time(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
@@ -183,8 +185,8 @@
         worker.concurrency.adapt(now, objective, in_flight, throughput.min_limit(worker.weight));
     }
 
-    /// Where the worker does not report what others have there, each other router is taken to have as many
-    /// requests there on average as this one.
+    /// If the worker does not report other routers' requests, assumes that each other router has on average
+    /// as many requests there as this one.
     fn expect_others(&mut self, feedback: Feedback<'_>) {
         let tick = self.workers.tick();
         let expected = self.expected_others(feedback.result.elapsed);
@@ -194,12 +196,13 @@
         *self.worker_of(feedback).others_in_flight.at_mut(tick) += at_worker;
     }
 
-    /// What a request of `elapsed` adds to the estimate of the other routers' requests at a worker.
+    /// What a request of duration `elapsed` adds to the estimate of the other routers' requests at a
+    /// worker.
     fn expected_others(&self, elapsed: Micros) -> f64 {
         self.other_routers() * elapsed as f64 / AVERAGING_WINDOW
     }
 
-    /// Takes over how long a load took that this attempt started.
+    /// Records the duration of a load that this attempt triggered.
     fn record_load(&mut self, feedback: Feedback<'_>, usual_load_time: Micros) {
         let elapsed = feedback.result.elapsed;
         if !self.loads.record_finished(self.now, elapsed, usual_load_time) {
@@ -212,7 +215,8 @@
         }
     }
 
-    /// A worker without capacity says so at once; one that takes its time rejects this customer alone.
+    /// Records a rejection. A worker without capacity rejects at once; a slow rejection concerns only this
+    /// customer.
     fn record_rejection(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
@@ -234,8 +238,9 @@
         worker.concurrency.decrease(now, objective / REJECTION_INTERVAL_DIVISOR, in_flight, min_limit);
     }
 
-    /// No response is one too: the worker took at least this long. Where attempts that were sent later were
-    /// answered meanwhile, the response was lost or the request was long by itself.
+    /// Treats a missing response as a response time of at least `elapsed`. If the worker has meanwhile
+    /// answered attempts that were sent later, the response was lost or the request itself was long, and
+    /// nothing is recorded.
     fn record_missing_response(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
@@ -255,7 +260,6 @@
         worker.concurrency.decrease(now, objective, in_flight, min_limit);
     }
 
-    /// Number of the other routers.
     fn other_routers(&self) -> f64 {
         (self.config.router_count - 1) as f64
     }
