--- a/src/control/outlier_ejection.rs
+++ b/src/control/outlier_ejection.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection: a worker that returns errors, loses connections or falls silent gets nothing new for a
-//! while, then a recovery ramp that doubles with each success.
+//! Outlier ejection: a worker that returns errors, loses connections or stops responding receives no new
+//! requests for a while, and then goes through a recovery ramp that doubles with each success.
 //!
-//! Guards against workers that fail fast and so attract requests, and against those that accept requests and
-//! never answer. Names as in Envoy's outlier detection.
+//! Guards against workers that fail fast and thereby attract requests, and against workers that accept
+//! requests and never respond. Terminology follows Envoy's outlier detection.
 
 use super::Control;
 use crate::averages::MICROS_PER_SECOND;
@@ -13,31 +13,31 @@
 
 pub use crate::state::worker::OutlierState;
 
-/// Length of the first ejection; it doubles with each relapse.
+/// Duration of the first ejection; it doubles with each relapse.
 const INITIAL_BACKOFF: Micros = MICROS_PER_SECOND / 2;
-/// Length of an ejection at most: a worker that recovers is found within this time.
+/// Maximum duration of an ejection, which bounds the time until a recovered worker is noticed.
 const MAX_BACKOFF: Micros = 8 * MICROS_PER_SECOND;
-/// Error rate above which a worker is ejected: two errors close together, or a single one of a worker that
-/// has not responded for 4.3 s.
+/// Error rate above which a worker is ejected: two errors in quick succession, or a single one from a
+/// worker that has not responded for 4.3 s.
 const MAX_ERROR_RATE: f64 = 0.25;
-/// Overdue responses that make a worker silent: one can be a single slow request.
+/// Overdue responses at which a worker counts as silent; a single one may be a slow request.
 const SILENT_RESPONSES: u32 = 2;
-/// Requests at once during the recovery ramp to begin with.
+/// Concurrent requests at the start of the recovery ramp.
 const RECOVERY_START: u32 = 1;
-/// Requests at once at which the recovery ramp ends: more than a worker usually has from one router.
+/// Concurrent requests at which the recovery ramp ends: more than a worker usually has from one router.
 const RECOVERY_END: u32 = 16;
-/// Load times for which a response is waited for beyond the latency objective, where the function was loaded.
+/// Load times, beyond the latency objective, after which a response is overdue if the function was loaded.
 const OVERDUE_LOADS_IF_LOADED: u64 = 2;
-/// The same where it was not.
+/// The same if the function was not loaded.
 const OVERDUE_LOADS: u64 = 4;
 
 impl OutlierState {
-    /// The state of a worker of which nothing bad is known.
+    /// State of a worker without known faults.
     pub fn healthy() -> Self {
         OutlierState { backoff: INITIAL_BACKOFF, ..OutlierState::default() }
     }
 
-    /// Takes over a successful response: an ejection ends, and the recovery ramp doubles.
+    /// Records a successful response: it ends an ejection and doubles the recovery ramp.
     pub fn record_success(&mut self, now: Micros, sample_weight: f64) {
         self.error_rate *= 1.0 - sample_weight;
         self.ejected_until = self.ejected_until.map(|until| until.min(now));
@@ -51,15 +51,15 @@
         }
     }
 
-    /// Takes over an error. Returns whether the worker is to be ejected.
+    /// Records an error. Returns whether the worker should be ejected.
     pub fn record_error(&mut self, sample_weight: f64) -> bool {
         self.error_rate += sample_weight * (1.0 - self.error_rate);
         self.error_rate > MAX_ERROR_RATE || self.recovery_limit.is_some()
     }
 
-    /// Takes over that a connection was lost under a request. Returns whether the worker is to be ejected.
-    /// All that is lost at one moment is one sign: connections break by themselves too, and a worker that is
-    /// gone refuses the next connection.
+    /// Records a connection lost under a request. Returns whether the worker should be ejected. Connections
+    /// lost at the same moment count as one error: connections also break without a worker failure, and a
+    /// worker that is gone refuses the next connection anyway.
     pub fn record_connection_loss(&mut self, now: Micros, sample_weight: f64) -> bool {
         if self.last_connection_loss >= now {
             return false;
@@ -68,7 +68,7 @@
         self.record_error(sample_weight)
     }
 
-    /// Ejects the worker; when it is taken back, its recovery ramp begins.
+    /// Ejects the worker; a recovery ramp follows the ejection.
     pub fn eject(&mut self, now: Micros) {
         self.ejected_until = Some(now + self.backoff);
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
@@ -76,12 +76,13 @@
         self.error_rate = 0.0;
     }
 
-    /// Whether the worker is in its recovery ramp, or will be once its ejection ends.
+    /// Whether the worker is in its recovery ramp, or will be when its ejection ends.
     pub fn is_recovering(&self) -> bool {
         self.recovery_limit.is_some()
     }
 
-    /// Takes over what was known before a restart: a worker that was ejected is tried by one request first.
+    /// Restores state from before a restart: a worker that was ejected is first probed with a single
+    /// request.
     pub fn restore(&mut self, error_rate: f64, ejected: bool) {
         self.error_rate = self.error_rate.max(error_rate);
         if ejected && self.recovery_limit.is_none() {
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Whether `in_flight` requests of this router leave room for one more within the recovery ramp.
+    /// Whether the recovery ramp allows another request on top of `in_flight` requests of this router.
     pub fn allows_another(&self, in_flight: u32) -> bool {
         self.recovery_limit.is_none_or(|limit| in_flight < limit)
     }
 }
 
 impl Control {
-    /// Ejects a worker: nothing new is sent to it, and what waits for its responses gets its hedged attempt.
+    /// Ejects a worker: it receives nothing new, and requests that wait for its responses are hedged.
     pub(super) fn eject(&mut self, actions: &mut dyn Actions, id: WorkerId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&id).filter(|worker| !worker.outlier.is_ejected(now)) else {
@@ -114,22 +115,22 @@
         }
     }
 
-    /// Whether a selection passes a worker over: it is ejected, or it has just come back and the request may
-    /// run only once. Such a request waits until another one has found out how the worker is.
+    /// Whether a selection skips a worker: it is ejected, or it has just returned and the request may run
+    /// only once. Such a request waits until another one has probed the worker.
     pub(super) fn passes_over(&self, worker: &Worker, request: &Request) -> bool {
         worker.outlier.is_ejected(self.now)
             || worker.outlier.recovery_limit == Some(RECOVERY_START) && self.must_not_probe(request)
     }
 
-    /// Whether others can find out in a request's place how a worker is: it may run only once, and not all
-    /// may.
+    /// Whether probing a worker must be left to other requests: this one may run only once, and some
+    /// workload allows repetition.
     fn must_not_probe(&self, request: &Request) -> bool {
         request.retry_safety == RetrySafety::AtMostOnce
             && self.workloads.any_other_than(RetrySafety::AtMostOnce)
     }
 
-    /// Ejects the workers that owe several responses for longer than the hedge delay and have returned
-    /// nothing since.
+    /// Ejects workers that owe several overdue responses and have returned nothing since those attempts
+    /// were sent.
     pub(super) fn eject_silent_workers(&mut self, actions: &mut dyn Actions) {
         let mut overdue: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for attempt in self.in_flight.values() {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Stops treating workers as suspects that are neither ejected nor in their recovery ramp.
+    /// Clears the suspect mark of workers that are neither ejected nor in their recovery ramp.
     pub(super) fn clear_recovered_workers(&mut self) {
         let now = self.now;
         self.workers
