--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -1,7 +1,8 @@
-//! Retries: whether a request may have another attempt, where, and within which budget (rules 1 and 2).
+//! Retries: whether a request may have another attempt, at which worker, and within which budget (rules 1
+//! and 2).
 //!
-//! Guards against a second execution of what may run only once, and against retries that double the load
-//! when workers fail. Every attempt that is sent passes [`Control::may_send`].
+//! Guards against a second execution of requests that may run only once, and against retries that double
+//! the load when workers fail. Every attempt is checked by [`Control::may_send`].
 
 use super::Control;
 use super::shedding::LAST_CALL;
@@ -12,46 +13,46 @@
 use crate::state::request::{Attempt, AttemptId, AttemptState, Request};
 use crate::state::worker::Worker;
 
-/// Hedged attempts and retries earned by a request's first try: they must not double the load.
+/// Budget tokens earned per first try, so that hedged attempts and retries cannot double the load.
 const EARNED_PER_REQUEST: f64 = 0.05;
-/// Hedged attempts and retries saved up at most: enough for a short fault.
+/// Maximum saved tokens: enough for a short fault.
 const MAX_SAVED: f64 = 20.0;
-/// Time for which a request avoids a worker after any attempt of it there has ended, and its function avoids
-/// a worker that has rejected it: the work of a few requests.
+/// Time for which a request avoids a worker after an attempt of it there has ended, and for which a
+/// function avoids a worker that has rejected it: about the duration of a few requests.
 pub(super) const REJECTION_BACKOFF: Micros = 300_000;
 
-/// The budget that hedged attempts and retries share, a token each.
+/// Token budget shared by hedged attempts and retries; each costs one token.
 pub struct AttemptBudget {
     tokens: f64,
 }
 
 impl Default for AttemptBudget {
-    /// A budget that is half full.
+    /// A half-full budget.
     fn default() -> Self {
         AttemptBudget { tokens: MAX_SAVED / 2.0 }
     }
 }
 
 impl AttemptBudget {
-    /// Earns for a request that arrives. A client's retry earns nothing: in a retry storm the attempts of
-    /// this router would grow with it.
+    /// Earns tokens for an arriving request. A client's retry earns none; otherwise a retry storm would
+    /// increase the number of attempts per request.
     pub fn earn(&mut self, is_client_retry: bool) {
         let earned = if is_client_retry { 0.0 } else { EARNED_PER_REQUEST };
         self.tokens = (self.tokens + earned).min(MAX_SAVED);
     }
 
-    /// Whether there is a token.
+    /// Whether a token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Spends a token.
+    /// Spends one token.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 }
 
-/// The moment from which on no further attempt of the request may begin.
+/// The time from which on no further attempt of the request may be sent.
 pub(super) fn no_attempt_after(request: &Request) -> Micros {
     let first_risk = request.possibly_executed().map(|attempt| attempt.sent_at).min();
     match (first_risk, request.retry_safety) {
@@ -61,7 +62,7 @@
     }
 }
 
-/// Whether a worker recognizes a repetition of an attempt by its idempotency key.
+/// Whether a worker recognizes a duplicate of an attempt by its idempotency key.
 fn recognizes(scope: IdempotencyScope, worker: &Worker, attempt: &Attempt) -> bool {
     match scope {
         IdempotencyScope::Everywhere => true,
@@ -70,7 +71,7 @@
     }
 }
 
-/// What a result says of whether the request was executed.
+/// Whether a request may have been executed, judging by the outcome of its attempt.
 fn state_after(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::NotLoaded | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Superseded => {
@@ -85,14 +86,15 @@
 }
 
 impl Control {
-    /// Whether the request may have another attempt at all; [`Control::may_send`] says where.
+    /// Whether the request may have another attempt at all; [`Control::may_send`] decides for a given
+    /// worker.
     pub(super) fn may_retry(&self, request: &Request) -> bool {
         self.now < no_attempt_after(request)
             && request.attempts.len() < self.config.attempt_policy.max_attempts
     }
 
-    /// Whether an attempt of the request may be sent to a worker: it is ready, the request has not just been
-    /// there, and a repetition does no harm there.
+    /// Whether an attempt may be sent to a worker: the worker is ready, the request was not there recently,
+    /// and a duplicate would be harmless there.
     pub(super) fn may_send(&self, request: &Request, id: WorkerId) -> bool {
         let Some(worker) = self.workers.get(&id).filter(|worker| worker.ready) else { return false };
         let rested = |attempt: &Attempt| {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Whether the client may be told that a retry of the request does no harm.
+    /// Whether the client may be told that retrying the request is safe.
     pub(super) fn is_safe_to_reject(&self, request: &Request) -> bool {
         match request.retry_safety {
             RetrySafety::Idempotent => true,
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Takes over that an attempt has ended, and decides what its request does next: it is over, another
-    /// attempt goes on, it waits for a retry, or it is given up.
+    /// Records the end of an attempt and decides how its request continues: it is complete, another attempt
+    /// is still in flight, it is queued for a retry, or it is given up.
     pub(super) fn end_attempt(&mut self, actions: &mut dyn Actions, id: AttemptId, result: &AttemptResult) {
         let Some(request) = self.requests.get_mut(&id.request) else { return };
         let attempt = &mut request.attempts[id.number];
@@ -134,8 +136,8 @@
             self.forget_request(id.request);
             return;
         }
-        // A cancel was paid for when it was ordered, or many at once would end requests that nothing is left
-        // for.
+        // The token for a cancelled attempt was spent when it was cancelled. Charging it again here would
+        // fail requests for lack of tokens when many attempts are cancelled at once.
         let costs_token = attempt.state == AttemptState::MayHaveRun && result.outcome != Outcome::Cancelled;
         if request.response_started || request.in_flight() > 0 {
             return;
