--- a/src/control/load_limiter.rs
+++ b/src/control/load_limiter.rs
@@ -1,45 +1,45 @@
-//! Load limiter: a bound on the loads of functions that this router has in progress.
+//! Load limiter: bounds the number of function loads that this router has in progress.
 //!
-//! Guards against a fleet that orders more loads than the model store and the workers bear: each further one
-//! makes the others late. The bound moves by additive increase and multiplicative decrease.
+//! Guards against starting more loads than the model store and the workers can sustain, where each further
+//! load delays the others. The limit follows additive increase and multiplicative decrease.
 
 use crate::averages::MICROS_PER_SECOND;
 use crate::interface::{FunctionId, Micros, WorkerId};
 use std::collections::BTreeSet;
 
-/// Time assumed for a load where none is configured or measured: the design's hedge delay of two seconds is
-/// twice this.
+/// Load time assumed if none is configured or measured: half of the design's two-second hedge delay.
 pub(super) const DEFAULT_LOAD_TIME: Micros = MICROS_PER_SECOND;
-/// Loads in progress at once to begin with.
+/// Initial limit on concurrent loads.
 const INITIAL_LIMIT: f64 = 12.0;
-/// Loads in progress at once at least.
+/// Minimum limit on concurrent loads.
 const MIN_LIMIT: f64 = 3.0;
-/// Loads in progress at once at most: beyond what a router ever needs.
+/// Maximum limit on concurrent loads: more than a router ever needs.
 const MAX_LIMIT: f64 = 64.0;
-/// What a load that finishes in time adds to the limit.
+/// Increase of the limit per load that finishes in time.
 const INCREASE: f64 = 0.5;
-/// Factor on the limit when loads turn slow or fail: three steps leave a third.
+/// Factor on the limit when loads become slow or fail; three decreases leave a third.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Time between two decreases at least, so that loads that fail together count once.
+/// Minimum time between two decreases, so that loads that fail together count once.
 const DECREASE_INTERVAL: Micros = DEFAULT_LOAD_TIME / 2;
-/// Multiple of the usual load time from which on a load is slow.
+/// Multiple of the usual load time above which a load is slow.
 const SLOW_LOAD_FACTOR: f64 = 2.5;
-/// Loads in progress or queued a worker, on average, from which on the store and the workers are congested.
+/// Mean number of loads in progress or queued per worker above which the store and the workers are
+/// congested.
 const CONGESTED_LOADS: f64 = 1.5;
-/// Weight of a new report in the average of loads a worker.
+/// Weight of a new report in the mean number of loads per worker.
 const REPORT_WEIGHT: f64 = 0.05;
 
-/// The loads that this router has in progress, and how many it may have.
+/// The loads this router has in progress, and the limit on their number.
 pub struct LoadLimiter {
     in_progress: BTreeSet<(FunctionId, WorkerId)>,
     limit: f64,
     next_decrease_at: Micros,
-    /// Average of the loads in progress or queued a worker, as responses report them.
+    /// Moving average of the loads in progress or queued per worker, as reported by responses.
     reported_loads: f64,
 }
 
 impl LoadLimiter {
-    /// A limiter without loads.
+    /// A limiter with no load in progress.
     pub fn new(now: Micros) -> Self {
         LoadLimiter {
             in_progress: BTreeSet::new(),
@@ -49,37 +49,37 @@
         }
     }
 
-    /// Whether one more load may begin.
+    /// Whether another load may start.
     pub fn allows_another(&self) -> bool {
         (self.in_progress.len() as f64) < self.limit
     }
 
-    /// Whether the average over recent results says that loads are congested.
+    /// Whether recent reports show that loads are congested.
     pub fn is_congested(&self) -> bool {
         self.reported_loads > CONGESTED_LOADS
     }
 
-    /// Notes that this router waits for a load.
+    /// Records that a load has started.
     pub fn begin(&mut self, function: FunctionId, worker: WorkerId) {
         self.in_progress.insert((function, worker));
     }
 
-    /// Notes that a load has ended or is no longer waited for.
+    /// Records that a load has ended or is no longer waited for.
     pub fn end(&mut self, function: FunctionId, worker: WorkerId) {
         self.in_progress.remove(&(function, worker));
     }
 
-    /// Notes that no load at this worker is waited for any more.
+    /// Records that no load at this worker is waited for any longer.
     pub fn end_all_at(&mut self, worker: WorkerId) {
         self.in_progress.retain(|(_, at)| *at != worker);
     }
 
-    /// Whether a load of the function at the worker is in progress.
+    /// Whether a load of the function is in progress at the worker.
     pub fn is_loading(&self, function: FunctionId, worker: WorkerId) -> bool {
         self.in_progress.contains(&(function, worker))
     }
 
-    /// The workers at which loads of the function are in progress.
+    /// The workers at which the function is being loaded.
     pub fn workers_loading(&self, function: FunctionId) -> impl Iterator<Item = WorkerId> + '_ {
         let all_workers = (function, WorkerId(0))..=(function, WorkerId(u64::MAX));
         self.in_progress.range(all_workers).map(|(_, worker)| *worker)
@@ -90,14 +90,13 @@
         self.in_progress.iter().copied()
     }
 
-    /// Takes over a worker's report of its loads; a result without a report, timeouts included, counts as no
-    /// load.
+    /// Records a worker's report of its loads. A result without a report, including a timeout, counts as
+    /// zero loads.
     pub fn record_report(&mut self, loads: Option<f64>) {
         self.reported_loads += REPORT_WEIGHT * (loads.unwrap_or(0.0) - self.reported_loads);
     }
 
-    /// Takes over how long a load took, beside what is usual for the function. Returns whether it was in
-    /// time.
+    /// Records the duration of a load against the function's usual one. Returns whether it was in time.
     pub fn record_finished(&mut self, now: Micros, took: Micros, usual: Micros) -> bool {
         if took as f64 > usual as f64 * SLOW_LOAD_FACTOR {
             self.record_slow(now);
@@ -107,7 +106,7 @@
         true
     }
 
-    /// Takes over that a load was slow or failed.
+    /// Records a slow or failed load.
     pub fn record_slow(&mut self, now: Micros) {
         if now >= self.next_decrease_at {
             self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
