--- a/src/control/workloads.rs
+++ b/src/control/workloads.rs
@@ -1,23 +1,22 @@
-//! Workloads: their configuration and what is measured of them.
+//! Workloads: configuration and measurements.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use crate::interface::{Micros, RetrySafety, StartupConfig, WorkloadConfig, WorkloadId};
 use std::ops::Index;
 
-/// Share of the latency objective that a request is taken to need before any has finished.
+/// Assumed service time, as a share of the latency objective, until a request has finished.
 const INITIAL_SERVICE_SHARE: f64 = 0.2;
-/// Weight of a new response in the service time: low, so that a short queue does not change it.
+/// Weight of a new response in the service time: low, so that a short queue does not distort it.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 
-/// One workload.
 pub(super) struct Workload {
     pub retry_safety: RetrySafety,
     pub latency_objective: Micros,
     pub priority_weight: f64,
     pub late_priority_factor: f64,
-    /// Usual response time of a loaded function in microseconds, as a moving average.
+    /// Moving average of the response time with the function loaded, in microseconds.
     service_time: f64,
-    /// The longest time left that a request came with: what clients give a first try.
+    /// Longest remaining time seen on arrival, taken as the clients' timeout for a first try.
     longest_timeout: Micros,
 }
 
@@ -33,25 +32,25 @@
         }
     }
 
-    /// Usual response time of a loaded function, in microseconds.
+    /// Usual response time with the function loaded, in microseconds.
     pub(super) fn service_time(&self) -> f64 {
         self.service_time
     }
 
-    /// Takes over the time left of a request that arrives, and returns how much less it is than the longest:
-    /// time that the client or another router has spent before, where all first tries get the same.
+    /// Records the remaining time of an arriving request. Returns how much less it is than the longest: if
+    /// all first tries get the same timeout, the client or another router has already spent the difference.
     pub(super) fn record_time_left(&mut self, time_left: Micros) -> Micros {
         self.longest_timeout = self.longest_timeout.max(time_left);
         self.longest_timeout - time_left
     }
 }
 
-/// All workloads, by their ids.
+/// All workloads, indexed by [`WorkloadId`].
 pub(super) struct Workloads {
     workloads: Vec<Workload>,
-    /// Mean service time over all requests in microseconds, as a moving average.
+    /// Moving average of the service time over all requests, in microseconds.
     mean_service_time: f64,
-    /// Mean of the latency objectives in microseconds.
+    /// Mean of the latency objectives, in microseconds.
     mean_latency_objective: f64,
 }
 
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Takes over a changed configuration of the same workloads in the same places, new ones after them.
+    /// Applies a changed configuration; existing workloads keep their indexes and new ones are appended.
     pub(super) fn reconfigure(&mut self, config: &StartupConfig) {
         for (index, config) in config.workloads.iter().enumerate() {
             let mut workload = Workload::new(config);
@@ -103,18 +102,18 @@
         self.mean_latency_objective
     }
 
-    /// The usual work of a request, as a multiple of the mean.
+    /// Expected work of a request, relative to the mean over all workloads.
     pub(super) fn relative_work(&self, id: WorkloadId) -> f64 {
         self[id].service_time / self.mean_service_time.max(1.0)
     }
 
-    /// Whether some workload has another retry safety.
+    /// Whether any workload has a different retry safety.
     pub(super) fn any_other_than(&self, retry_safety: RetrySafety) -> bool {
         self.workloads.iter().any(|workload| workload.retry_safety != retry_safety)
     }
 
-    /// Takes a response time of a loaded function into the service times. Where responses are delayed they
-    /// show the queue, and a longer service time would lengthen it.
+    /// Updates the service times from a response time with the function loaded. Delayed responses are
+    /// ignored: they measure the queue, and a longer service time would make the queue grow further.
     pub(super) fn record_response(&mut self, id: WorkloadId, elapsed: Micros, at: &ConcurrencyLimit) {
         if at.is_delayed() {
             return;
