--- a/src/control/hedging.rs
+++ b/src/control/hedging.rs
@@ -1,5 +1,5 @@
-//! Hedged requests: one further attempt at the next worker where the latest does not finish within the hedge
-//! delay.
+//! Hedged requests: one further attempt at the next worker if the latest one does not finish within the
+//! hedge delay.
 //!
 //! Guards against a worker that is slow for one request without being slow for all.
 
@@ -10,18 +10,18 @@
 use crate::interface::{Actions, Micros, RetrySafety};
 use crate::state::request::{AttemptId, AttemptState, Request};
 
-/// Load times in the hedge delay: the design's delay is twice the load time and the latency objective.
+/// Load times in the hedge delay, which is two load times plus the latency objective.
 const DELAY_LOADS: u64 = 2;
-/// Time until a hedged attempt that found no worker is tried again.
+/// Time until a hedge that found no worker is tried again.
 const RETRY_INTERVAL: Micros = 2 * TICK_INTERVAL;
 
-/// Whether an attempt is its request's latest and still in flight.
+/// Whether an attempt is the latest of its request and still in flight.
 fn is_latest_in_flight(request: &Request, id: AttemptId) -> bool {
     request.attempts.len() == id.number + 1 && request.attempts[id.number].state == AttemptState::InFlight
 }
 
 impl Control {
-    /// Sets the timer after which an attempt is hedged, where the request may run twice at once.
+    /// Sets the hedge timer of an attempt, if the request may run twice concurrently.
     pub(super) fn schedule_hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
         let request = &self.requests[&id.request];
         let policy = &self.config.attempt_policy;
@@ -33,9 +33,9 @@
         self.timers.set(actions, delay, Timer::Hedge(id));
     }
 
-    /// Sends the one hedged attempt that follows an attempt which has not finished within the hedge delay,
-    /// or whose worker has been ejected. Where hedging is forbidden and cancelling allowed, the attempt is
-    /// cancelled instead, so that its request is retried.
+    /// Sends a hedged attempt if the given attempt is its request's latest and has not finished within the
+    /// hedge delay, or if its worker has been ejected. If hedging is forbidden but cancelling is allowed,
+    /// cancels the attempt instead, so that its request is retried.
     pub(super) fn hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
         let Some(request) = self.requests.get(&id.request) else { return };
         let in_time = request.deadline > self.now + LAST_CALL;
@@ -50,7 +50,7 @@
                 self.attempt_budget.spend();
                 self.send(actions, id.request, worker);
             } else if self.config.attempt_policy.cancel_allowed {
-                // Where no second attempt may run beside it, the request is retried once this one is
+                // Concurrent attempts are forbidden: the request is retried once this attempt has been
                 // cancelled.
                 self.attempt_budget.spend();
                 actions.cancel(id.request, id.number);
