--- a/src/control/traffic.rs
+++ b/src/control/traffic.rs
@@ -1,13 +1,13 @@
-//! Rates of requests, as this router sees them.
+//! Request rates observed by this router.
 
 use crate::averages::{AVERAGING_WINDOW, DecayingCounter, remaining_weight};
 use crate::interface::Micros;
 
-/// Part of the averaging window's weight that a router which has just started is taken to have seen at
-/// least: before that a few requests would look like a high rate.
+/// Minimum share of the averaging window that counts as observed. Without it, a few requests right after
+/// the start would look like a high rate.
 const MIN_OBSERVED_WEIGHT: f64 = 0.07;
 
-/// Counts of this router's arrivals and completions.
+/// Decaying counts of this router's arrivals and completions.
 pub(super) struct Traffic {
     started_at: Micros,
     arrivals: DecayingCounter,
@@ -15,7 +15,6 @@
 }
 
 impl Traffic {
-    /// Counts of a router that starts at `now`.
     pub(super) fn starting_at(now: Micros) -> Self {
         let counter = DecayingCounter::starting_at(now);
         Traffic { started_at: now, arrivals: counter, completions: counter }
@@ -39,8 +38,8 @@
         self.completions.count()
     }
 
-    /// A decayed count as a rate in events a microsecond; a router that has just started has not observed a
-    /// whole window yet.
+    /// Converts a decayed count to events per microsecond, correcting for a router that has not yet
+    /// observed a whole averaging window.
     pub(super) fn rate(&self, now: Micros, decayed_count: f64) -> f64 {
         let observed = 1.0 - remaining_weight(now - self.started_at);
         decayed_count / AVERAGING_WINDOW / observed.max(MIN_OBSERVED_WEIGHT)
