--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -1,37 +1,36 @@
-//! Customers' quotas: a token bucket a customer with this router's even share.
+//! Customer quotas: a token bucket per customer, filled with this router's even share of the quota.
 //!
-//! Guards against a customer that sends more than agreed on and takes the others' capacity. Requests beyond
-//! the quota are not rejected for it; they only wait behind the others.
+//! Guards against a customer that exceeds its agreed rate at the expense of others. Requests over the quota
+//! are not rejected for that reason; they only get a lower priority.
 
 use crate::interface::{CustomerConfig, CustomerId, Micros};
 
-/// Microseconds of a customer's quota that a bucket holds at most.
+/// Bucket capacity, as microseconds of the customer's quota.
 const BURST_WINDOW: f64 = 2_000_000.0;
-/// Tokens that a bucket can hold at least, however small the quota: one request.
+/// Minimum bucket capacity, however small the quota: one request.
 const MIN_BURST: f64 = 1.0;
 
-/// The bucket of one customer.
 struct TokenBucket {
-    /// Quota over all routers, in requests a second.
+    /// Quota across all routers, in requests per second.
     requests_per_second: f64,
     tokens: f64,
     refilled_at: Micros,
 }
 
-/// The buckets of all customers.
+/// Token buckets of all customers.
 pub struct CustomerQuotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl CustomerQuotas {
-    /// Full buckets of these customers.
+    /// Creates a full bucket for each customer.
     pub fn new(now: Micros, customers: &[CustomerConfig]) -> Self {
         let mut quotas = CustomerQuotas { buckets: Vec::new() };
         quotas.reconfigure(now, customers);
         quotas
     }
 
-    /// Takes over changed quotas; customers that are new come after those that are known.
+    /// Applies changed quotas; existing customers keep their indexes and new ones are appended.
     pub fn reconfigure(&mut self, now: Micros, customers: &[CustomerConfig]) {
         for (index, customer) in customers.iter().enumerate() {
             let requests_per_second = customer.requests_per_second;
@@ -44,14 +43,16 @@
         }
     }
 
-    /// The sum of all quotas, in requests a microsecond.
+    /// Sum of all quotas, in requests per microsecond.
     pub fn total_rate(&self) -> f64 {
         self.buckets.iter().map(|bucket| bucket.requests_per_second).sum::<f64>() / 1e6
     }
 
-    /// Takes a token for a request. Returns whether it is within this router's share of its customer's quota.
+    /// Takes a token for a request. Returns whether the request is within this router's share of the
+    /// customer's quota.
     ///
     /// # Panics
+    ///
     /// Panics if the customer is not configured.
     pub fn try_take(&mut self, now: Micros, customer: CustomerId, router_count: u64) -> bool {
         let bucket = &mut self.buckets[customer.0];
