--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: what a worker that is warming up may be sent (rule 4).
+//! Slow start: limits what a worker that is warming up may be sent (rule 4).
 //!
-//! Guards against a worker that has just started, is sent its full load by all routers at once and
-//! collapses. Each router keeps to its even share of the work that the rules allow within a window of time.
+//! Guards against a newly started worker that receives its full load from all routers at once and
+//! collapses. Each router keeps to its even share of the work that the rules allow within a time window.
 
 use super::Control;
 use crate::hashing::{hash_pair, unit_interval};
@@ -9,13 +9,13 @@
 use crate::state::request::Request;
 use crate::state::worker::{WarmupWork, Worker};
 
-/// Part of the allowed work that a worker is sent while it warms up: figures for its capacity are estimates.
+/// Share of the allowed work that is actually sent, as the capacity figures are estimates.
 const SAFETY_FACTOR: f64 = 0.5;
-/// Multiple of its even share of requests for which a new worker is expected to be wanted: hot functions,
-/// and other workers that are full.
+/// Expected demand for a new worker, as a multiple of its even share of requests: popular functions, and
+/// overflow from workers that are full.
 const EXPECTED_DEMAND_FACTOR: f64 = 2.0;
 
-/// The share of its full capacity that a worker has for certain: it rises linearly from the initial share.
+/// Guaranteed share of a worker's full capacity, rising linearly from the initial share during warm-up.
 pub fn capacity_share(rules: &SlowStartRules, up_since: Micros, now: Micros) -> f64 {
     if up_since == 0 || now >= up_since + rules.warmup_time {
         return 1.0;
@@ -25,17 +25,17 @@
 }
 
 impl Control {
-    /// The share of its full capacity that a worker has now.
+    /// The worker's current share of its full capacity.
     pub(super) fn capacity_share(&self, worker: &Worker) -> f64 {
         capacity_share(&self.config.slow_start, worker.up_since, self.now)
     }
 
-    /// Whether a worker may be sent this request now without going over its warm-up budget.
+    /// Whether the warm-up budget of a worker allows this request now.
     ///
-    /// Where this router's share of the budget is less than a request, chance decides, by how many requests
-    /// the router is expected to have for the worker within the window. Those that wait here count too, or
-    /// what has piled up would fall on the worker at once. A request draws once for a worker however often
-    /// it asks.
+    /// If this router's share of the budget is less than one request, admission is random, with a
+    /// probability based on how many requests the router expects for the worker within the window. Waiting
+    /// requests count as well; otherwise a backlog would reach the worker all at once. Each request makes a
+    /// single draw per worker, however often it is evaluated.
     pub(super) fn warmup_budget_allows(&self, id: WorkerId, worker: &Worker, request: &Request) -> bool {
         let capacity_share = self.capacity_share(worker);
         if capacity_share >= 1.0 {
@@ -52,10 +52,12 @@
         spent == 0.0 && draw < budget / expected_work.max(budget)
     }
 
-    /// This router's share of the work that a worker may be sent within the window, in mean requests.
+    /// This router's share of the work a worker may be sent within the window, in requests of mean service
+    /// time.
     fn warmup_budget(&self, worker: &Worker, capacity_share: f64) -> f64 {
         let rules = &self.config.slow_start;
-        // The list's weights are rough, and may count the cores of a slow kind: none counts above the mean.
+        // Listed weights are rough and may overstate workers with many slow cores, so none counts above the
+        // mean.
         let ready = self.workers.ready().len().max(1) as f64;
         let weight = worker.weight.min(self.fleet.total_weight / ready);
         let rate = self.throughput_per_weight() * weight;
@@ -64,7 +66,7 @@
             / self.config.router_count as f64
     }
 
-    /// Requests that this router is expected to have for a worker within the window.
+    /// Number of requests that this router expects to have for a worker within the window.
     fn expected_demand(&self, worker: &Worker, request: &Request) -> f64 {
         let even_share =
             EXPECTED_DEMAND_FACTOR * self.traffic.arrivals() * worker.weight / self.fleet.total_weight;
@@ -74,7 +76,7 @@
         arriving + self.queue.len().saturating_sub(1) as f64
     }
 
-    /// Counts the work of an attempt that is sent to a worker which is warming up.
+    /// Records the work of an attempt sent to a worker that is warming up.
     pub(super) fn record_warmup_work(&mut self, id: WorkerId, amount: f64) {
         let rules = &self.config.slow_start;
         let Some(worker) = self.workers.get_mut(&id) else { return };
