--- a/src/control/endpoints.rs
+++ b/src/control/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: which workers there are, and in which incarnation.
+//! The endpoint list: which workers exist, and in which incarnation.
 
 use super::Control;
 use super::concurrency_limit::ConcurrencyLimit;
@@ -7,15 +7,15 @@
 use crate::state::worker::Worker;
 use std::collections::BTreeSet;
 
-/// The weight that is used of an endpoint: the list's, where all routers see the same one.
+/// The weight used for an endpoint: the listed one if it is the same for all routers, otherwise 1.
 fn effective_weight(endpoint: &Endpoint, config: &StartupConfig) -> f64 {
     let weight = endpoint.weight;
     if config.weights_shared && weight > 0.0 && weight.is_finite() { weight } else { 1.0 }
 }
 
 impl Control {
-    /// Takes over an endpoint list, or the endpoints that changed (rule 3: what drains or is gone gets
-    /// nothing new).
+    /// Applies an endpoint list or a set of changes. Draining and removed workers get no new requests (rule
+    /// 3).
     pub fn endpoints_updated(
         &mut self,
         actions: &mut dyn Actions,
@@ -43,14 +43,14 @@
         self.dispatch(actions);
     }
 
-    /// The weights that customers' quotas are meant for: workers that drain as this router starts are part
-    /// of them.
+    /// Sum of the weights the customers' quotas are sized for, including workers that are draining when
+    /// this router starts.
     fn initial_total_weight(&self, endpoints: &[Endpoint]) -> f64 {
         let present = endpoints.iter().filter(|endpoint| endpoint.status != WorkerStatus::Gone);
         present.map(|endpoint| effective_weight(endpoint, &self.config)).sum()
     }
 
-    /// Closes the workers that a complete list does not name.
+    /// Marks workers missing from a complete list as not ready.
     fn close_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
         let unlisted = self.workers.iter().filter(|(id, worker)| worker.ready && !listed.contains(id));
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A worker of which nothing is known but its entry in the list.
+    /// A new worker, with no information beyond its list entry.
     fn new_worker(&self, endpoint: &Endpoint) -> Worker {
         Worker {
             ready: endpoint.status == WorkerStatus::Ready,
