--- a/src/control/shedding.rs
+++ b/src/control/shedding.rs
@@ -1,35 +1,35 @@
-//! Load shedding: what waits is served by priority, and rejected with Retry-After once it can no longer be
-//! served in time.
+//! Load shedding: waiting requests are served by priority, and rejected with Retry-After once they can no
+//! longer be served in time.
 //!
-//! Guards against a queue that is served in order of arrival under overload, in which every request is late.
-//! Names as in Envoy's overload manager.
+//! Guards against a queue that under overload is served in order of arrival, so that every request is late.
+//! Terminology follows Envoy's overload manager.
 
 use super::{Control, QueueKey};
 use crate::averages::TICK_INTERVAL;
 use crate::interface::{Actions, FunctionId, Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// Time before its deadline at which a waiting request is ended at the latest: more than one tick. It ends
-/// earlier where its service time is longer.
+/// Minimum time before its deadline at which a waiting request is ended: more than one tick. A request is
+/// ended earlier if its service time is longer.
 pub(super) const LAST_CALL: Micros = 30_000;
-/// Time from its arrival from which on a late request is given up at the next tick, unless this router has a
-/// load of its function in progress.
+/// Time after arrival from which on a late request is given up at the next tick, unless this router is
+/// loading its function.
 const LATE_GRACE: Micros = 2 * TICK_INTERVAL;
-/// The shortest time that a rejection names.
+/// Minimum `Retry-After` of a rejection.
 const MIN_RETRY_AFTER: Micros = 200_000;
 
-/// What becomes of a waiting request.
+/// How to proceed with a waiting request.
 enum Verdict {
-    /// It goes on waiting.
+    /// It continues to wait.
     Waits,
-    /// It can no longer meet its latency objective, and waits behind those that can.
+    /// It can no longer meet its latency objective, and now waits behind requests that can.
     IsLate,
     /// It can no longer be served.
     IsGivenUp,
 }
 
 impl Control {
-    /// Checks the waiting requests for which something may have changed since the last tick.
+    /// Re-evaluates the waiting requests whose state may have changed since the last tick.
     pub(super) fn check_waiting(&mut self, actions: &mut dyn Actions) {
         let loading: BTreeSet<FunctionId> = self.loads.in_progress().map(|(function, _)| function).collect();
         for key in self.due_for_check(&loading) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The requests whose time may have come, in the order of the queue.
+    /// Requests that may need a decision now, in queue order.
     fn due_for_check(&self, loading: &BTreeSet<FunctionId>) -> BTreeSet<QueueKey> {
         let late_since = self.now.saturating_sub(LATE_GRACE);
         let overdue = self.queue.late_until(late_since, |function| !loading.contains(&function));
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Moves a request that has become late behind those that are in time.
+    /// Moves a request that has become late behind those that are still in time.
     fn lower_priority(&mut self, key: &QueueKey) {
         let request = self.requests.get_mut(&key.2).expect("waiting requests are in progress");
         let factor = self.workloads[request.workload].late_priority_factor;
@@ -80,8 +80,7 @@
         self.enqueue(key.2);
     }
 
-    /// Ends a request by this router's own decision: rejected where a retry does no harm, else failed (rule
-    /// 1).
+    /// Ends a request on this router's initiative: rejected if a retry is safe, otherwise failed (rule 1).
     pub(super) fn give_up(&mut self, actions: &mut dyn Actions, id: RequestId) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.response_started) else {
             return;
@@ -97,7 +96,7 @@
         self.forget_request(id);
     }
 
-    /// A time after which to retry, drawn evenly so that clients do not return all at once.
+    /// A uniformly distributed `Retry-After`, so that clients do not return all at once.
     fn draw_retry_after(&mut self) -> Micros {
         let longest = self.config.attempt_policy.max_retry_after.max(MIN_RETRY_AFTER);
         MIN_RETRY_AFTER + self.rng.rand_range(0..(longest - MIN_RETRY_AFTER).max(1))
