--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -1,21 +1,22 @@
-//! The capacity of all workers, as far as a router can know it.
+//! Estimated capacity of the whole fleet.
 
 use super::Control;
 use super::concurrency_limit::Throughput;
 use crate::interface::FunctionId;
 
-/// Weights below it are taken for it, so that a fleet without ready workers divides by no zero.
+/// Lower bound of the total weight, which prevents a division by zero if no worker is ready.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// Sums over the ready workers as of the last refresh, and the highest of them so far.
+/// Totals over the ready workers as of the last refresh, and the highest total weight seen.
 pub(super) struct FleetCapacity {
     /// Sum of the weights of ready workers.
     pub total_weight: f64,
-    /// The smallest of those weights.
+    /// Smallest weight of a ready worker.
     pub least_weight: f64,
-    /// The highest sum of weights so far; it begins with the first list, draining workers included.
+    /// Highest sum of weights seen. The initial value is taken from the first list and includes draining
+    /// workers.
     pub highest_total_weight: f64,
-    /// Requests of all routers for each unit of weight.
+    /// Requests of all routers per unit of weight.
     pub in_flight_per_weight: f64,
     pub throughput: Throughput,
 }
@@ -33,7 +34,7 @@
 }
 
 impl Control {
-    /// Computes the sums anew, and gives workers without a concurrency limit their first one.
+    /// Recomputes the totals, and initializes the concurrency limits of workers that have none.
     pub(super) fn refresh_capacity(&mut self) {
         let ready = self.workers.ready();
         self.fleet.total_weight = ready.total_weight().max(MIN_TOTAL_WEIGHT);
@@ -51,24 +52,24 @@
         }
     }
 
-    /// Requests a microsecond that a unit of weight of warm workers completes, erring low: by the customers'
-    /// quotas, else by what is seen.
+    /// Conservative estimate of the requests per microsecond that one unit of weight of warm workers
+    /// completes: derived from the customers' quotas, or else from observed traffic.
     pub(super) fn throughput_per_weight(&self) -> f64 {
         let quotas = self.quotas.total_rate();
         let all = if quotas > 0.0 { quotas } else { self.observed_throughput() };
         all / self.fleet.highest_total_weight.max(MIN_TOTAL_WEIGHT)
     }
 
-    /// Requests a microsecond that all routers are taken to complete.
+    /// Estimated completions per microsecond, over all routers.
     fn observed_throughput(&self) -> f64 {
-        // What is asked for beyond what is completed is no throughput.
+        // Demand in excess of completions is not throughput.
         let completed = self.traffic.completions() + (self.in_flight.len() + self.queue.len()) as f64;
         let count = self.traffic.arrivals().min(completed);
         self.traffic.rate(self.now, count) * self.config.router_count as f64
     }
 
-    /// Requests a microsecond that the other routers are taken to have of a function: each as many as this
-    /// one had before its latest.
+    /// Estimated requests per microsecond of the other routers for a function. Each is assumed to have the
+    /// rate this router had before its latest request.
     pub(super) fn rate_elsewhere(&self, function: FunctionId) -> f64 {
         let before_latest = (self.functions[&function].calls.count() - 1.0).max(0.0);
         self.traffic.rate(self.now, before_latest) * (self.config.router_count - 1) as f64
