--- a/src/averages.rs
+++ b/src/averages.rs
@@ -1,34 +1,33 @@
-//! Time constants and moving averages that several decisions share.
+//! Time constants and moving averages shared by several mechanisms.
 //!
-//! All averages are exponential: a count loses its weight over [`AVERAGING_WINDOW`].
+//! All averages decay exponentially with [`AVERAGING_WINDOW`] as time constant.
 
 use crate::interface::Micros;
 
-/// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Time between two ticks, at which waiting requests and workers are checked: far below any latency
-/// objective, far above the time of one batch of events.
+/// Interval at which waiting requests and workers are checked: far below any latency objective, and far
+/// above the time needed to handle one batch of events.
 pub(crate) const TICK_INTERVAL: Micros = 20_000;
-/// Time in microseconds over which rates are measured, and after which a report has lost most of its weight.
+/// Time constant of rates and of reported values, in microseconds.
 pub(crate) const AVERAGING_WINDOW: f64 = 15_000_000.0;
-/// Weight of a new sample in moving averages at least: about the last ten samples count.
+/// Minimum weight of a new sample in a moving average, so that roughly the last ten samples count.
 pub(crate) const MIN_SAMPLE_WEIGHT: f64 = 0.15;
-/// Factor on a [`FadingCount`] at each tick.
+/// Factor on a [`FadingCount`] per tick.
 pub(crate) const FADE_PER_TICK: f64 = 1.0 - TICK_INTERVAL as f64 / AVERAGING_WINDOW;
 
-/// What remains of the weight of an observation after `elapsed`, from 1 down to 0.
+/// Remaining weight of an observation after `elapsed`, from 1 down to 0.
 pub(crate) fn remaining_weight(elapsed: Micros) -> f64 {
     (-(elapsed as f64) / AVERAGING_WINDOW).exp()
 }
 
-/// The weight of a new sample `elapsed` after the one before it. Rare samples weigh more each, as the one
-/// before is long past.
+/// Weight of a new sample taken `elapsed` after the previous one. It grows with the interval, because the
+/// previous sample is then more out of date.
 pub(crate) fn sample_weight(elapsed: Micros) -> f64 {
     let age = 1.0 - remaining_weight(elapsed);
     age.max(MIN_SAMPLE_WEIGHT)
 }
 
-/// A count of events that decays with time, as of its last event.
+/// An exponentially decaying count of events, as of the last event.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingCounter {
     count: f64,
@@ -36,12 +35,12 @@
 }
 
 impl DecayingCounter {
-    /// A counter without events whose time begins at `now`.
+    /// An empty counter that starts at `now`.
     pub(crate) fn starting_at(now: Micros) -> Self {
         DecayingCounter { count: 0.0, last_event_at: now }
     }
 
-    /// Counts an event.
+    /// Records one event.
     pub(crate) fn record(&mut self, now: Micros) {
         self.count = self.count * remaining_weight(now - self.last_event_at) + 1.0;
         self.last_event_at = now;
@@ -52,13 +51,13 @@
         self.count
     }
 
-    /// When the last event was.
+    /// Time of the last event.
     pub(crate) fn last_event_at(&self) -> Micros {
         self.last_event_at
     }
 }
 
-/// A count that fades from tick to tick. The fading is computed on access, so that idle counts cost nothing.
+/// An amount that decays with every tick. The decay is computed on access, so idle counts cost nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FadingCount {
     amount: f64,
@@ -66,12 +65,12 @@
 }
 
 impl FadingCount {
-    /// The amount as of `tick`, which must not precede the tick of the last change.
+    /// The amount at `tick`, which must not precede the tick of the last change.
     pub(crate) fn at(self, tick: u64) -> f64 {
         if self.amount == 0.0 { 0.0 } else { self.amount * FADE_PER_TICK.powi((tick - self.tick) as i32) }
     }
 
-    /// The amount as of `tick`, to be changed.
+    /// The amount at `tick`, for modification.
     pub(crate) fn at_mut(&mut self, tick: u64) -> &mut f64 {
         *self = FadingCount { amount: self.at(tick), tick };
         &mut self.amount
