--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -1,33 +1,34 @@
-//! Hashes that every router computes alike: digests of names and the hash order of workers for a function.
+//! Hashes that every router must compute identically: digests of names and the hash order of workers for a
+//! function.
 //!
-//! The values are part of the protocol among routers: two versions that compute others would choose different
-//! home workers. `tests/golden.rs` holds them.
+//! The values are part of the protocol between routers: versions that disagree on them would choose
+//! different home workers. `tests/golden.rs` pins them.
 
 use crate::interface::{FunctionId, WorkerId};
 use applepond_rendezvous::Draw;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Number of values that the upper 53 bits of a hash can have: each is exact as an `f64`.
+/// Number of distinct values of a hash's upper 53 bits, all of which are exactly representable as `f64`.
 const UNIT_STEPS: f64 = (1u64 << 53) as f64;
 
-/// The 64-bit FNV-1a digest of a name.
+/// 64-bit FNV-1a digest of a name.
 pub(crate) fn digest(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     name.bytes().fold(FNV_OFFSET_BASIS, step)
 }
 
-/// The part of a pair's hash that depends on its second id alone.
+/// The part of a pair's hash that depends only on the second id.
 pub(crate) fn digest_of_second(second: u64) -> u64 {
     second.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The hash of a pair of ids.
+/// Hash of a pair of ids.
 pub(crate) fn hash_pair(first: u64, second: u64) -> u64 {
     hash_with_digest(first, digest_of_second(second))
 }
 
-/// The hash of a pair whose second id is given by its digest.
+/// Hash of a pair whose second id is given by its [`digest_of_second`].
 #[inline]
 pub(crate) fn hash_with_digest(first: u64, digest: u64) -> u64 {
     let mut hash = first ^ digest;
@@ -38,13 +39,13 @@
     hash ^ (hash >> 32)
 }
 
-/// Evenly distributed bits as a number in `0.0..1.0`.
+/// Maps uniformly distributed bits to `0.0..1.0`.
 pub(crate) fn unit_interval(bits: u64) -> f64 {
     (bits >> 11) as f64 / UNIT_STEPS
 }
 
-/// Weighted rendezvous hashing of workers for a function (highest random weight): the same order at every
-/// router.
+/// Weighted rendezvous hashing (highest random weight) of workers for a function. All routers compute the
+/// same order.
 pub(crate) struct HashOrder;
 
 impl Draw for HashOrder {
@@ -65,7 +66,7 @@
     }
 
     fn least_hash(cutoff: f64, weight: f64) -> u64 {
-        // Slightly below the hash of that score, so that rounding excludes no worker.
+        // Rounded down slightly so that floating-point error excludes no worker.
         let draw = (-cutoff * weight).exp() * (1.0 - 1e-9);
         ((draw * UNIT_STEPS) as u64).saturating_sub(1) << 11
     }
