--- a/src/state/function.rs
+++ b/src/state/function.rs
@@ -1,4 +1,4 @@
-//! What a router knows of each function, up to a bound.
+//! State of each function known to a router; the number of functions is bounded.
 
 use super::worker::FunctionsAtWorker;
 use crate::averages::DecayingCounter;
@@ -6,22 +6,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// What a router knows of one function.
+/// State of one function.
 #[derive(Default)]
 pub(crate) struct Function {
-    /// Requests of it that a worker is expected to run at once.
+    /// Requests of the function that a worker is expected to run concurrently.
     pub concurrency: u32,
-    /// How long a worker takes to load it, as configured or as first measured.
+    /// Time a worker takes to load it, as configured or as first measured.
     pub load_time: Option<Micros>,
-    /// Calls of it.
+    /// Decaying count of its calls.
     pub calls: DecayingCounter,
-    /// Requests of it in progress; while there is one the function is not forgotten.
+    /// Its requests in progress; a function that has any is not forgotten.
     pub requests_in_progress: u32,
     /// Workers that may have it loaded.
     pub workers: BTreeSet<WorkerId>,
 }
 
-/// The functions that are known.
 #[derive(Default)]
 pub(crate) struct Functions {
     known: BTreeMap<FunctionId, Function>,
@@ -36,7 +35,6 @@
 }
 
 impl Functions {
-    /// Number of functions that are known.
     pub(crate) fn len(&self) -> usize {
         self.known.len()
     }
@@ -53,22 +51,22 @@
         self.known.iter()
     }
 
-    /// The function of a request that begins; it becomes known if it was not.
+    /// Records the start of a request, adding its function if it is unknown.
     pub(crate) fn begin_request(&mut self, id: FunctionId) -> &mut Function {
         let function = self.known.entry(id).or_default();
         function.requests_in_progress += 1;
         function
     }
 
-    /// Ends one of the function's requests.
+    /// Records the end of one of the function's requests.
     pub(crate) fn end_request(&mut self, id: FunctionId) {
         if let Some(function) = self.known.get_mut(&id) {
             function.requests_in_progress -= 1;
         }
     }
 
-    /// Forgets the functions that were not called for `idle_time`, that no worker may have loaded and that
-    /// have no request in progress.
+    /// Forgets functions that were not called for `idle_time`, may not be loaded anywhere and have no
+    /// request in progress.
     pub(crate) fn forget_idle(&mut self, now: Micros, idle_time: Micros) {
         self.known.retain(|_, function| {
             now < function.calls.last_event_at() + idle_time
@@ -77,7 +75,7 @@
         });
     }
 
-    /// Removes up to `number` functions without a request in progress, those called longest ago first; ties
+    /// Removes up to `number` functions without a request in progress, least recently called first; ties
     /// are broken by id.
     pub(crate) fn evict(&mut self, number: usize) -> Vec<(FunctionId, Function)> {
         let idle = self.known.iter().filter(|(_, function)| function.requests_in_progress == 0);
@@ -88,7 +86,7 @@
         oldest.into_iter().filter_map(|(_, id)| Some((id, self.known.remove(&id)?))).collect()
     }
 
-    /// Notes that a worker no longer has these functions.
+    /// Records that a worker no longer has these functions.
     pub(crate) fn remove_worker(&mut self, worker: WorkerId, lost: &FunctionsAtWorker) {
         for id in lost.keys() {
             if let Some(function) = self.known.get_mut(id) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a router knows of workers, functions and requests. Plain state with its indexes: nothing here
-//! decides, and nothing here refers to [`control`](crate::control).
+//! State of workers, functions and requests, with the indexes over it. It makes no decisions and does not
+//! depend on [`control`](crate::control).
 
 pub(crate) mod function;
 pub(crate) mod request;
