--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -1,63 +1,64 @@
-//! What a router knows of one worker.
+//! State of one worker.
 
 use crate::averages::FadingCount;
 use crate::interface::{CustomerId, FunctionId, Micros, RackId, ZoneId};
 use std::collections::BTreeMap;
 
-/// What a router knows of one function at one worker.
+/// State of one function at one worker.
 #[derive(Clone, Default)]
 pub(crate) struct FunctionAtWorker {
-    /// This router's attempts in flight there.
+    /// This router's attempts in flight.
     pub in_flight: u32,
-    /// Requests of other routers for the function there, as reported or as expected from this router's own.
+    /// Other routers' requests for the function, as reported or as estimated from this router's own.
     pub others_in_flight: FadingCount,
-    /// Until when the function is assumed to be loaded.
+    /// Time until which the function is assumed to be loaded.
     pub loaded_until: Micros,
-    /// Since when this router waits for a load that it caused.
+    /// Start of a load that this router triggered and waits for.
     pub loading_since: Option<Micros>,
-    /// Until when the worker counts as overloaded for the function.
+    /// Time until which the worker counts as overloaded for this function.
     pub overloaded_until: Micros,
 }
 
 impl FunctionAtWorker {
-    /// When the entry says nothing more, where no attempt is in flight and no load in progress.
+    /// When the entry becomes obsolete, provided that it is idle.
     pub(crate) fn expires_at(&self) -> Micros {
         self.loaded_until.max(self.overloaded_until)
     }
 
-    /// Whether nothing of this router's is going on there.
+    /// Whether no attempt is in flight and no load in progress.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.loading_since.is_none()
     }
 }
 
-/// What is known of functions at one worker. Boxed, as most workers have one or two and a node of the map
-/// has room for many.
+/// Functions at one worker. Values are boxed because most workers have only one or two functions, while a
+/// map node allocates space for many.
 pub(crate) type FunctionsAtWorker = BTreeMap<FunctionId, Box<FunctionAtWorker>>;
 
-/// The adaptive limit on the requests of all routers at a worker.
+/// Adaptive limit on the requests of all routers at a worker.
 #[derive(Clone, Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// Requests of all routers; 0 until a throughput is known.
+    /// Maximum concurrent requests, over all routers; 0 until the throughput is known.
     pub limit: f64,
-    /// Response times as a multiple of the latency objective, as a moving average.
+    /// Moving average of response times, as a multiple of the latency objective.
     pub queueing_delay: f64,
-    /// When the limit may be decreased again.
+    /// Earliest time of the next decrease.
     pub next_decrease_at: Micros,
 }
 
-/// What outlier ejection knows of a worker.
+/// Outlier ejection state of a worker.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierState {
-    /// Share of errors among responses, as a moving average.
+    /// Moving average of the share of errors among responses.
     pub error_rate: f64,
     /// When a connection was last lost under a request.
     pub last_connection_loss: Micros,
-    /// Until when the worker is ejected.
+    /// End of the current ejection, if any.
     pub ejected_until: Option<Micros>,
-    /// Length of the next ejection.
+    /// Duration of the next ejection.
     pub backoff: Micros,
-    /// Requests at once during the recovery ramp: set from the ejection on, none once the ramp has ended.
+    /// Concurrent requests allowed during the recovery ramp; set by an ejection, `None` once the ramp has
+    /// ended.
     pub recovery_limit: Option<u32>,
 }
 
@@ -68,54 +69,54 @@
     }
 }
 
-/// Work that was sent to a worker while it was warming up.
+/// Work sent to a worker while it was warming up.
 pub(crate) struct WarmupWork {
-    /// When it leaves the window over which work is counted.
+    /// When it drops out of the window over which work is summed.
     pub expires_at: Micros,
-    /// In requests of mean service time.
+    /// In units of the mean service time.
     pub amount: f64,
 }
 
-/// What a router knows of one worker.
+/// State of one worker.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// The endpoint list has it as ready.
+    /// Whether the endpoint list marks it as ready.
     pub ready: bool,
-    /// When it started; identifies the incarnation.
+    /// Start time, which identifies the incarnation.
     pub up_since: Micros,
     pub zone: Option<ZoneId>,
     pub rack: RackId,
     /// Capacity relative to other workers.
     pub weight: f64,
-    /// This router's attempts in flight there.
+    /// This router's attempts in flight.
     pub in_flight: u32,
-    /// Those of them that wait for a load.
+    /// The attempts in flight that wait for a load.
     pub awaiting_load: u32,
-    /// Requests of other routers there.
+    /// Other routers' requests.
     pub others_in_flight: FadingCount,
     pub concurrency: ConcurrencyLimit,
     pub outlier: OutlierState,
-    /// When a response last came; before the first, when this router learned of the incarnation.
+    /// Time of the last response, or of learning about the incarnation if there was none.
     pub last_response_at: Micros,
-    /// When the latest sent of the answered attempts was sent.
+    /// The latest send time of any answered attempt.
     pub last_answered_sent_at: Micros,
-    /// What it was sent while it was warming up, oldest first.
+    /// Work sent during warm-up, oldest first.
     pub warmup_work: Vec<WarmupWork>,
-    /// Customers that it rejects though it has capacity, and until when that is assumed.
+    /// Customers that it rejects although it has capacity, and until when this is assumed.
     pub rejects_customer_until: BTreeMap<CustomerId, Micros>,
     pub functions: FunctionsAtWorker,
-    /// When the next of what expires by itself does; maintained by the worker table.
+    /// Earliest expiry of any of its entries; maintained by the worker table.
     pub next_expiry: Micros,
 }
 
 impl Worker {
-    /// This router's requests there that run or are about to: those that wait for a load use no core.
+    /// This router's requests that are running or about to run. Requests that wait for a load use no core.
     pub(crate) fn running(&self) -> f64 {
         f64::from(self.in_flight.saturating_sub(self.awaiting_load))
     }
 
-    /// Requests of all routers there. With many routers the own ones say little, so reports of the others'
-    /// count.
+    /// Requests of all routers at the worker. With many routers, this router's own requests are a small
+    /// part, so the reported ones are included.
     pub(crate) fn total_in_flight(&self, tick: u64) -> f64 {
         self.running() + self.others_in_flight.at(tick)
     }
@@ -125,8 +126,8 @@
         self.functions.get(&function).is_some_and(|known| known.loaded_until > now)
     }
 
-    /// Replaces an earlier incarnation, of which only the attempts in flight remain. Returns the functions
-    /// that are lost with it.
+    /// Replaces an earlier incarnation; only its attempts in flight are kept. Returns the functions that
+    /// are lost.
     pub(crate) fn replace_incarnation(&mut self, new: Worker) -> FunctionsAtWorker {
         let old = std::mem::replace(self, new);
         self.in_flight = old.in_flight;
@@ -141,7 +142,7 @@
         lost
     }
 
-    /// When the next of what expires by itself does: a function's entry, or work sent while warming up.
+    /// Earliest expiry of a function's entry or of warm-up work.
     pub(crate) fn earliest_expiry(&self) -> Micros {
         let functions = self.functions.values().filter(|known| known.is_idle());
         let functions = functions.map(|known| known.expires_at());
