--- a/src/state/worker_table.rs
+++ b/src/state/worker_table.rs
@@ -1,8 +1,8 @@
-//! All workers that a router knows, with what is kept up beside them: sums over all, the members of the hash
-//! orders, and when something of a worker expires.
+//! Table of all known workers, with derived data: totals, the members of the hash orders, and expiry times.
 //!
-//! What changes by [`Workers::update`], or between [`Workers::in_flight_at`] and [`Workers::account_since`],
-//! keeps the sums true, so that no event and no tick has to visit all workers.
+//! Changes made through [`Workers::update`], or between [`Workers::in_flight_at`] and
+//! [`Workers::account_since`], keep the totals consistent, so that no event or tick has to visit all
+//! workers.
 
 use super::worker::Worker;
 use crate::averages::FADE_PER_TICK;
@@ -12,32 +12,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// Requests in flight at one worker or at all.
+/// Requests in flight, at one worker or in total.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct InFlight {
-    /// This router's requests that run.
+    /// This router's running requests.
     running: f64,
-    /// Requests of other routers.
+    /// Other routers' requests.
     others: f64,
 }
 
-/// All workers that are known.
 #[derive(Default)]
 pub(crate) struct Workers {
     known: BTreeMap<WorkerId, Worker>,
-    /// Those that are ready, by weight.
+    /// Ready workers and their weights.
     ready: Members<HashOrder>,
-    /// Requests at all ready workers, those of other routers as of the last tick.
+    /// Requests at all ready workers; other routers' requests are as of the last tick.
     in_flight: InFlight,
-    /// Workers of which something expires, by when.
+    /// Expiry times of workers that have expiring entries.
     expiries: BTreeSet<(Micros, WorkerId)>,
-    /// Workers that may be ejected or in their recovery ramp: all that are, and some that were.
+    /// Workers that may be ejected or in their recovery ramp; a superset of those that are.
     suspects: BTreeSet<WorkerId>,
     /// Workers that are not ready; each is removed once nothing is in flight there.
     closing: BTreeSet<WorkerId>,
-    /// Workers without a concurrency limit, as no throughput was known.
+    /// Workers without a concurrency limit, because no throughput was known when they were added.
     unlimited: BTreeSet<WorkerId>,
-    /// Ticks so far.
+    /// Number of ticks so far.
     tick: u64,
 }
 
@@ -54,8 +53,8 @@
         self.known.get(id)
     }
 
-    /// For changes that move neither sums nor expiries, or between [`Workers::in_flight_at`] and
-    /// [`Workers::account_since`]; others go through [`Workers::update`].
+    /// For changes that affect neither totals nor expiries, or that are made between
+    /// [`Workers::in_flight_at`] and [`Workers::account_since`]. All others go through [`Workers::update`].
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         self.known.get_mut(id)
     }
@@ -64,17 +63,16 @@
         self.known.iter()
     }
 
-    /// The workers that the endpoint list has as ready.
+    /// The workers that the endpoint list marks as ready.
     pub(crate) fn ready(&self) -> &Members<HashOrder> {
         &self.ready
     }
 
-    /// Ticks so far, by which counts of other routers' requests fade.
+    /// Number of ticks so far, by which counts of other routers' requests decay.
     pub(crate) fn tick(&self) -> u64 {
         self.tick
     }
 
-    /// Counts a tick.
     pub(crate) fn advance_tick(&mut self) {
         self.tick += 1;
         self.in_flight.others *= FADE_PER_TICK;
@@ -85,16 +83,17 @@
         self.in_flight.running + self.in_flight.others.max(0.0)
     }
 
-    /// Adds a worker that is not known yet, with nothing in flight.
+    /// Adds an unknown worker with nothing in flight.
     pub(crate) fn insert(&mut self, id: WorkerId, worker: Worker) {
         self.known.insert(id, worker);
         self.update(id, |_| {});
     }
 
-    /// Changes a worker: its incarnation, its entry in the endpoint list, what is in flight there.
+    /// Modifies a worker: its incarnation, its list entry, or what is in flight there.
     ///
     /// # Panics
-    /// Panics if the worker is not known.
+    ///
+    /// Panics if the worker is unknown.
     pub(crate) fn update<T>(&mut self, id: WorkerId, change: impl FnOnce(&mut Worker) -> T) -> T {
         let before = self.in_flight_at(id);
         let worker = self.known.get_mut(&id).expect("only known workers are updated");
@@ -112,7 +111,7 @@
         result
     }
 
-    /// Requests at one worker as they count for the sums.
+    /// A worker's contribution to the totals.
     pub(crate) fn in_flight_at(&self, id: WorkerId) -> InFlight {
         let Some(worker) = self.known.get(&id).filter(|worker| worker.ready) else {
             return InFlight::default();
@@ -120,7 +119,7 @@
         InFlight { running: worker.running(), others: worker.others_in_flight.at(self.tick) }
     }
 
-    /// Takes over into the sums what has changed at a worker since `before`.
+    /// Applies to the totals what has changed at a worker since `before`.
     pub(crate) fn account_since(&mut self, id: WorkerId, before: InFlight) {
         let after = self.in_flight_at(id);
         self.in_flight.running += after.running - before.running;
@@ -128,7 +127,7 @@
         self.schedule_expiry(id);
     }
 
-    /// Notes when the next of what expires at a worker does.
+    /// Updates the time at which the worker's next entry expires.
     pub(crate) fn schedule_expiry(&mut self, id: WorkerId) {
         let Some(worker) = self.known.get_mut(&id) else { return };
         let next = worker.earliest_expiry();
@@ -142,7 +141,8 @@
         worker.next_expiry = next;
     }
 
-    /// Takes out a worker of which something has expired by `now`; [`Workers::schedule_expiry`] puts it back.
+    /// Removes and returns a worker with an entry that expired by `now`; [`Workers::schedule_expiry`]
+    /// re-adds it.
     pub(crate) fn take_expired(&mut self, now: Micros) -> Option<WorkerId> {
         let (_, id) = self.expiries.first().copied().filter(|(at, _)| *at <= now)?;
         self.expiries.pop_first();
@@ -165,7 +165,7 @@
         Some(worker)
     }
 
-    /// Gives each worker without a concurrency limit the one that `initial_limit` computes.
+    /// Initializes the concurrency limits that are still missing.
     pub(crate) fn initialize_limits(&mut self, initial_limit: impl Fn(&Worker) -> f64) {
         for id in std::mem::take(&mut self.unlimited) {
             if let Some(worker) = self.known.get_mut(&id) {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Notes a worker that is ejected or in its recovery ramp from now on.
+    /// Marks a worker as possibly ejected or recovering.
     pub(crate) fn mark_suspect(&mut self, id: WorkerId) {
         self.suspects.insert(id);
     }
@@ -184,7 +184,7 @@
         self.suspects.contains(id)
     }
 
-    /// Notes which suspects are none any longer.
+    /// Clears the mark of workers that are trusted again.
     pub(crate) fn clear_suspects(&mut self, is_trusted: impl Fn(&Worker) -> bool) {
         let known = &self.known;
         self.suspects.retain(|id| known.get(id).is_some_and(|worker| !is_trusted(worker)));
