--- a/crates/rendezvous/src/cache.rs
+++ b/crates/rendezvous/src/cache.rs
@@ -1,11 +1,11 @@
-//! Prefixes of many keys, up to a bound.
+//! A bounded cache of prefixes by key.
 use crate::{Draw, Members, Prefix};
 use lru::LruCache;
 use std::hash::Hash;
 use std::num::NonZeroUsize;
 
-/// Prefixes of many keys. At the bound the least recently walked one is evicted; it is scanned anew when its
-/// key comes again, so that nothing but time is lost with it.
+/// A bounded LRU cache of prefixes by key. An evicted prefix is rebuilt by a scan when its key is next
+/// used, so eviction costs only time.
 pub struct PrefixCache<D: Draw> {
     prefixes: LruCache<D::Key, Prefix<D::Member>>,
 }
@@ -14,30 +14,30 @@
 where
     D::Key: Hash + Eq,
 {
-    /// A cache of at most so many prefixes.
+    /// Creates a cache of at most `capacity` prefixes.
     pub fn with_most(capacity: NonZeroUsize) -> Self {
         PrefixCache { prefixes: LruCache::new(capacity) }
     }
 
-    /// Prefixes held at present.
+    /// Number of cached prefixes.
     pub fn len(&self) -> usize {
         self.prefixes.len()
     }
 
-    /// Whether none is held.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.prefixes.is_empty()
     }
 
-    /// Takes a key's prefix out, refreshed to the members as they are now, for a walk during which the owner
-    /// of the cache is borrowed. [`PrefixCache::put`] returns it.
+    /// Removes a key's prefix, or creates it, and refreshes it to the current members. Ownership lets the
+    /// caller walk it while the owner of the cache is borrowed; [`PrefixCache::put`] returns it.
     pub fn take(&mut self, members: &Members<D>, key: D::Key) -> Prefix<D::Member> {
         let mut prefix = self.prefixes.pop(&key).unwrap_or_default();
         prefix.refresh(members, key);
         prefix
     }
 
-    /// Returns a prefix that was taken, as the most recently walked one.
+    /// Returns a prefix to the cache as the most recently used one.
     pub fn put(&mut self, key: D::Key, prefix: Prefix<D::Member>) {
         self.prefixes.put(key, prefix);
     }
