--- a/crates/rendezvous/src/change_log.rs
+++ b/crates/rendezvous/src/change_log.rs
@@ -1,11 +1,11 @@
-//! The latest changes of the membership, numbered, so that a prefix can follow them without a scan.
+//! A numbered log of recent membership changes, by which a prefix is updated without a scan.
 use std::collections::VecDeque;
 
-/// Limit of changes in the log. At 10 changes a second a prefix that was walked within the last 400 s can
-/// follow; to apply so many costs a fifth of a scan of 30,000 members.
+/// Capacity of the log. At 10 changes per second it lets a prefix catch up that was last walked within 400
+/// s. Applying this many changes costs a fifth of a scan of 30,000 members.
 const MAX_CHANGES: usize = 4096;
 
-/// One change of one member: its weight before and after, `None` where it was or is no member.
+/// A change of one member: its weight before and after, `None` while it is not a member.
 #[derive(Clone, Copy)]
 pub(crate) struct Change<M> {
     pub(crate) member: M,
@@ -13,11 +13,10 @@
     pub(crate) after: Option<f64>,
 }
 
-/// A bounded log of changes.
 pub(crate) struct ChangeLog<M> {
-    /// The latest changes, the oldest first.
+    /// Recent changes, oldest first.
     changes: VecDeque<Change<M>>,
-    /// The number of changes so far.
+    /// Number of changes so far.
     version: u64,
 }
 
@@ -28,12 +27,12 @@
 }
 
 impl<M> ChangeLog<M> {
-    /// The number of changes so far.
+    /// Number of changes so far.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Appends a change; at the bound the oldest one is dropped.
+    /// Appends a change, dropping the oldest one if the log is full.
     pub(crate) fn push(&mut self, change: Change<M>) {
         if self.changes.len() == MAX_CHANGES {
             self.changes.pop_front();
@@ -42,7 +41,7 @@
         self.version += 1;
     }
 
-    /// The changes after a version, oldest first; `None` where some of them have been dropped.
+    /// The changes since a version, oldest first; `None` if some of them have been dropped.
     pub(crate) fn since(&self, version: u64) -> Option<impl Iterator<Item = &Change<M>>> {
         let missed = usize::try_from(self.version - version).ok()?;
         let first = self.changes.len().checked_sub(missed)?;
