--- a/crates/rendezvous/src/members.rs
+++ b/crates/rendezvous/src/members.rs
@@ -1,30 +1,30 @@
-//! The members and their weights, laid out for scans.
+//! Members and their weights, stored for fast scans.
 use crate::Draw;
 use crate::change_log::{Change, ChangeLog};
 use crate::prefix::Ranked;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// Members whose weights have the same binary exponent, so that one bound on the hash serves all in a scan.
+/// Members whose weights share a binary exponent, so that a scan needs only one hash bound for all of them.
 struct WeightClass<M> {
-    /// Bits of the weights' common exponent.
+    /// The exponent bits of the weights.
     exponent: u64,
-    // One entry a member, at the same index.
+    // Parallel arrays with one entry per member.
     members: Vec<M>,
     digests: Vec<u64>,
     weights: Vec<f64>,
 }
 
 impl<M> WeightClass<M> {
-    /// An upper bound of the weights in the class.
+    /// An upper bound of the weights in this class.
     fn max_weight(&self) -> f64 {
         f64::from_bits((self.exponent + 1) << f64::MANTISSA_DIGITS.saturating_sub(1))
     }
 }
 
 impl<M: Copy> WeightClass<M> {
-    /// Adds a member that a scan has found, if its score is within the cutoff. Few get here, so it stays out
-    /// of the loop.
+    /// Adds a member found by a scan if its score is within the cutoff. Marked cold because few members get
+    /// here, which keeps the code out of the scan loop.
     #[cold]
     fn add_if_within<D: Draw<Member = M>>(
         &self,
@@ -48,13 +48,12 @@
     index: usize,
 }
 
-/// The members that orders are drawn from. Memory: about 50 bytes a member.
+/// The members to be ordered. Uses about 50 bytes of memory per member.
 pub struct Members<D: Draw> {
     classes: Vec<WeightClass<D::Member>>,
-    /// Where each member is stored.
     slots: FxHashMap<D::Member, Slot>,
-    /// How many members have each weight (the bits of positive numbers order as the numbers do), for exact
-    /// sums without drift.
+    /// Number of members per weight, so that the total is computed exactly, without rounding drift. Keyed
+    /// by the bits of the weight, which for positive floats sort like the numbers.
     count_by_weight: BTreeMap<u64, usize>,
     total_weight: f64,
     log: ChangeLog<D::Member>,
@@ -72,36 +71,37 @@
     }
 }
 
-/// Bits of the weight's binary exponent.
+/// Exponent bits of a weight.
 fn exponent(weight: f64) -> u64 {
     weight.to_bits() >> (f64::MANTISSA_DIGITS - 1)
 }
 
 impl<D: Draw> Members<D> {
-    /// The number of members.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// The sum of all weights.
+    /// Sum of all weights.
     pub fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// The smallest weight; `None` without members.
+    /// Smallest weight; `None` without members.
     pub fn least_weight(&self) -> Option<f64> {
         self.count_by_weight.keys().next().map(|bits| f64::from_bits(*bits))
     }
 
-    /// Sets the weight of a member, or removes it where there is none. Costs nothing where nothing changes.
+    /// Sets a member's weight, or removes the member if `weight` is `None`. Cheap if nothing changes.
     ///
     /// # Panics
-    /// If the weight is not a positive finite number.
+    ///
+    /// Panics if the weight is not positive and finite.
     pub fn set(&mut self, member: D::Member, weight: Option<f64>) {
         assert!(
             weight.is_none_or(|weight| weight > 0.0 && weight.is_finite()),
@@ -124,7 +124,7 @@
         self.log.push(Change { member, before, after: weight });
     }
 
-    /// Counts a member of this weight that joins or leaves.
+    /// Updates the number of members of a weight.
     fn count(&mut self, weight: f64, joins: bool) {
         let number = self.count_by_weight.entry(weight.to_bits()).or_default();
         *number = if joins { *number + 1 } else { *number - 1 };
