--- a/crates/rendezvous/src/prefix.rs
+++ b/crates/rendezvous/src/prefix.rs
@@ -1,53 +1,53 @@
-//! The beginning of one key's order.
+//! The first members of one key's order.
 use crate::{Draw, Members};
 use std::cmp::Ordering;
 
-/// Members that a prefix holds to begin with, on average; each extension doubles that.
+/// Expected initial length of a prefix; each extension doubles it.
 pub const PREFIX_FIRST: usize = 8;
-/// A prefix longer than so many times what is walked of it is truncated to half of that.
+/// A prefix longer than this multiple of its walked length is truncated to half of that multiple.
 const MAX_LENGTH_FACTOR: usize = 4;
-/// The number of places walked decays by one part in so many at each refresh.
+/// The walked length decays by 1/n at each refresh.
 const WALKED_DECAY: usize = 16;
 
-/// A member at its place in an order.
+/// A member in an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ranked<M> {
-    /// Its score for the key.
+    /// Score for the key.
     pub score: f64,
-    /// Its weight.
+    /// Weight of the member.
     pub weight: f64,
     /// The member.
     pub member: M,
 }
 
 impl<M: Ord> Ranked<M> {
-    /// Which of two comes first in an order.
+    /// Compares two members by their position in an order.
     pub fn order(&self, other: &Self) -> Ordering {
         self.score.total_cmp(&other.score).then_with(|| self.member.cmp(&other.member))
     }
 }
 
-/// The first members of one key's order: all whose score is at most a cutoff, lowest first.
+/// The first members of one key's order: all with a score up to a cutoff, lowest first.
 ///
-/// It belongs to one key and one [`Members`]; [`Prefix::refresh`] has to come before each walk.
+/// Belongs to one key and one [`Members`]. [`Prefix::refresh`] must be called before each walk.
 pub struct Prefix<M> {
     /// All members whose score is at most `cutoff`, in order.
     entries: Vec<Ranked<M>>,
     cutoff: f64,
-    /// A quick test: members with a hash below `least_hash` and a weight of at most `max_weight` are beyond
+    /// Fast rejection: members with a hash below `least_hash` and a weight up to `max_weight` are beyond
     /// the cutoff.
     least_hash: u64,
     max_weight: f64,
-    /// Version of the members that the entries are valid for.
+    /// Version of the members that the entries reflect.
     version: u64,
-    /// Places walked recently, which decays.
+    /// Decaying maximum of the number of members walked.
     walked: usize,
 }
 
-/// Where a member belongs among the entries.
+/// Result of a search among the entries.
 struct Position<M> {
     ranked: Ranked<M>,
-    /// Its place, or the one at which it would be inserted.
+    /// Index of the member, or the index at which to insert it.
     place: Result<usize, usize>,
 }
 
@@ -58,17 +58,17 @@
 }
 
 impl<M: Copy + Ord> Prefix<M> {
-    /// Members held at present.
+    /// Number of members in the prefix.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is held.
+    /// Whether the prefix is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Updates the prefix to the members as they are now.
+    /// Updates the prefix to the current members.
     pub fn refresh<D: Draw<Member = M>>(&mut self, members: &Members<D>, key: D::Key) {
         self.walked -= self.walked / WALKED_DECAY;
         let log = members.log();
@@ -90,7 +90,7 @@
         self.truncate::<D>();
     }
 
-    /// The member at a place of the order, from 0; `None` past the last one. Extends the prefix on demand.
+    /// The member at a zero-based position of the order; `None` past the end. Extends the prefix on demand.
     pub fn get<D: Draw<Member = M>>(
         &mut self,
         members: &Members<D>,
@@ -104,7 +104,8 @@
         self.entries.get(place).copied()
     }
 
-    /// Doubles the expected length; a prefix that would hold half of all members holds all.
+    /// Doubles the expected length. A prefix expected to hold half of all members is extended to all of
+    /// them.
     fn extend<D: Draw<Member = M>>(&mut self, members: &Members<D>, key: D::Key) {
         let first = PREFIX_FIRST as f64 / members.total_weight();
         let cutoff = first.max(2.0 * self.cutoff);
@@ -120,7 +121,7 @@
         self.least_hash = D::least_hash(self.cutoff, self.max_weight);
     }
 
-    /// Where a member belongs among the entries; `None` where it is beyond the cutoff.
+    /// Searches the entries for a member; `None` if it is beyond the cutoff.
     fn search<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: f64) -> Option<Position<M>> {
         if weight > self.max_weight {
             self.max_weight = weight;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Inserts a member that has this weight.
+    /// Inserts a member with this weight.
     fn join<D: Draw<Member = M>>(&mut self, key: D::Key, member: M, weight: Option<f64>) {
         let found = weight.and_then(|weight| self.search::<D>(key, member, weight));
         if let Some(Position { ranked, place: Err(place) }) = found {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Drops entries that are no longer walked; those that remain are again all up to a cutoff.
+    /// Drops entries that are no longer walked and lowers the cutoff accordingly.
     fn truncate<D: Draw<Member = M>>(&mut self) {
         let wanted = self.walked.max(PREFIX_FIRST);
         if self.entries.len() <= MAX_LENGTH_FACTOR * wanted {
