--- a/crates/rendezvous/tests/order.rs
+++ b/crates/rendezvous/tests/order.rs
@@ -1,9 +1,9 @@
-//! The prefix beside a plain sort of all members.
+//! Compares prefixes with a plain sort of all members.
 use applepond_rendezvous::{Draw, Members, PREFIX_FIRST, Prefix};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Exponential scores of a mixed pair, as weighted rendezvous hashing draws them.
+/// Exponentially distributed scores, as in weighted rendezvous hashing.
 struct Exponential;
 
 impl Draw for Exponential {
@@ -30,7 +30,7 @@
     }
 }
 
-/// A draw that puts everything at one score, so that the members' own order decides.
+/// Equal scores for all pairs, so that only the order of the members counts.
 struct Level;
 
 impl Draw for Level {
@@ -74,12 +74,12 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A member's weight, or that it is none.
+    /// Sets a member's weight; `None` removes the member.
     Set {
         member: u64,
         weight: Option<f64>,
     },
-    /// Many at once: a rack or a zone comes or goes.
+    /// Sets many consecutive members, as when a rack or zone joins or leaves.
     SetMany {
         first: u64,
         number: u64,
@@ -89,7 +89,7 @@
         key: u64,
         places: usize,
     },
-    /// The key is forgotten.
+    /// Drops the key's prefix.
     Evict {
         key: u64,
     },
@@ -153,7 +153,7 @@
     }
 }
 
-/// More changes than the log keeps lie between two walks.
+/// The prefix misses more changes than the log holds.
 #[test]
 fn a_prefix_that_fell_behind_the_log_is_scanned_anew() {
     let mut members = Members::<Exponential>::default();
