--- a/crates/wait_queue/benches/waiting.rs
+++ b/crates/wait_queue/benches/waiting.rs
@@ -1,5 +1,5 @@
-//! One event's look at what waits, in the indexes and in a plain set: the first request of each function,
-//! one in and out.
+//! Cost of one event, with the queue's indexes and with a plain ordered map: insert a request, find the
+//! first request of each function, remove the request.
 use applepond_wait_queue::{Key, Row, Waiting};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::cmp::Reverse;
--- a/crates/wait_queue/src/lib.rs
+++ b/crates/wait_queue/src/lib.rs
@@ -1,46 +1,46 @@
 //! The queue of requests that wait to be sent.
 //!
-//! There is one order over all of them, and there are indexes by what each waits for, so that the cost of an
-//! event depends on what it can change and not on how many wait. This is state only: what to do with a
-//! request is its owner's decision.
+//! All requests have one total order. Indexes by what requests wait for make the cost of an event depend on
+//! what it can affect, not on the length of the queue. This crate only holds state; decisions are left to
+//! its owner.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Place in the order: the highest priority first, then the earliest arrival (µs), then by id.
+/// Position in the queue: highest priority first, then earliest arrival (µs), then id.
 pub type Key<R> = (Reverse<u64>, u64, R);
 
-/// What is known of a request while it waits. To change it, the request is removed and inserted again.
+/// Attributes of a waiting request. To change them, remove the request and insert it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row<F, W> {
-    /// The function that it calls.
+    /// The function to call.
     pub function: F,
-    /// The workload that it belongs to.
+    /// Its workload.
     pub workload: W,
-    /// The moment at which its client leaves, in µs.
+    /// Deadline of the client, in µs.
     pub deadline: u64,
-    /// It has never been sent.
+    /// Whether no attempt of it has been sent.
     pub bare: bool,
-    /// It has missed its latency objective.
+    /// Whether it has missed its latency objective.
     pub late: bool,
 }
 
-/// The requests that wait, by ids `R`, functions `F` and workloads `W`.
+/// The waiting requests, with ids `R`, functions `F` and workloads `W`.
 ///
 /// Each request is in `rows`, in `never_sent` or `sent_before`, in `deadlines`, and in `on_time` or `late`.
 pub struct Waiting<R, F, W> {
     rows: BTreeMap<Key<R>, Row<F, W>>,
-    /// Those that have never been sent, by function.
+    /// Requests without an attempt so far, by function.
     never_sent: BTreeMap<F, BTreeSet<Key<R>>>,
-    /// Those that have been sent before.
+    /// Requests with an earlier attempt.
     sent_before: BTreeSet<Key<R>>,
-    /// By workload, then by deadline.
+    /// All requests, by workload and then deadline.
     deadlines: BTreeMap<W, BTreeSet<(u64, Key<R>)>>,
-    /// Those that have not missed their latency objective, by workload, then by arrival.
+    /// Requests that can still meet their latency objective, by workload and then arrival.
     on_time: BTreeMap<W, BTreeSet<(u64, Key<R>)>>,
-    /// Those that have missed it, by function, then by arrival.
+    /// Requests that have missed their latency objective, by function and then arrival.
     late: BTreeMap<F, BTreeSet<(u64, Key<R>)>>,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Removes a value from a set of an index, and the set with its last value.
+/// Removes a value from one of an index's sets, and the set once it is empty.
 fn remove_from<K: Ord, V: Ord>(index: &mut BTreeMap<K, BTreeSet<V>>, set_key: K, value: &V) {
     if let Some(set) = index.get_mut(&set_key) {
         set.remove(value);
@@ -68,17 +68,17 @@
 }
 
 impl<R: Ord + Copy, F: Ord + Copy, W: Ord + Copy> Waiting<R, F, W> {
-    /// How many wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Adds a request, in place of one with this key.
+    /// Inserts a request, replacing any with the same key.
     pub fn insert(&mut self, key: Key<R>, row: Row<F, W>) {
         self.remove(&key);
         self.rows.insert(key, row);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes a request; none where it does not wait.
+    /// Removes a request; `None` if it was not waiting.
     pub fn remove(&mut self, key: &Key<R>) -> Option<Row<F, W>> {
         let row = self.rows.remove(key)?;
         if row.bare {
@@ -112,25 +112,24 @@
         Some(row)
     }
 
-    /// The highest priority among the function's requests that were never sent.
+    /// The highest priority among the function's requests without an attempt.
     pub fn highest(&self, function: F) -> Option<u64> {
         self.never_sent.get(&function).and_then(|set| set.first()).map(|key| key.0.0)
     }
 
-    /// For each function the first of its requests that were never sent, and every request that was sent
-    /// before, in order.
+    /// The first request without an attempt of each function, and every request with an earlier attempt.
     pub fn heads(&self) -> BTreeSet<Key<R>> {
         let first = self.never_sent.values().filter_map(|set| set.first());
         first.chain(&self.sent_before).copied().collect()
     }
 
-    /// The function's next never-sent request in the order.
+    /// The function's next request without an attempt after `key`.
     pub fn after(&self, function: F, key: &Key<R>) -> Option<Key<R>> {
         let set = self.never_sent.get(&function)?;
         set.range((std::ops::Bound::Excluded(*key), std::ops::Bound::Unbounded)).next().copied()
     }
 
-    /// The workload's requests whose deadline is at or before `until`.
+    /// The workload's requests with a deadline of at most `until`.
     pub fn leaving(&self, workload: W, until: u64) -> impl Iterator<Item = Key<R>> {
         let set = self.deadlines.get(&workload).into_iter().flatten();
         set.take_while(move |(deadline, _)| *deadline <= until).map(|(_, key)| *key)
--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -1,4 +1,4 @@
-//! The indexes beside a plain list of all that waits.
+//! Compares the queue's indexes with a plain ordered map.
 use applepond_wait_queue::{Key, Row, Waiting};
 use proptest::prelude::*;
 use std::cmp::Reverse;
