--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Digests of names and the hash order: routers of two versions that draw others do not share workers'
-//! caches.
+//! Pins name digests and the hash order. Routers of two versions that disagree on them would not share the
+//! workers' caches.
 mod common;
 use applepond::interface::*;
 use common::*;
@@ -21,8 +21,8 @@
     insta::assert_snapshot!("first_workers", lines.join("\n"));
 }
 
-/// The first four workers of a function among twenty of three weights: each is taken off the list once it is
-/// the home.
+/// The first four workers in a function's hash order, among twenty workers of three weights. Each is
+/// removed once it has been found to be the home.
 fn first_workers(function: &str) -> String {
     let weighted =
         |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..endpoint(n, WorkerStatus::Ready, 0) };
