--- a/tests/mechanisms.rs
+++ b/tests/mechanisms.rs
@@ -1,5 +1,5 @@
-//! Each mechanism of the decisions by itself; `routing.rs`, `rules.rs` and `slow_start.rs` have the whole
-//! path.
+//! Unit tests of the individual mechanisms; `routing.rs`, `rules.rs` and `slow_start.rs` test complete
+//! routers.
 use applepond::control::concurrency_limit::{ConcurrencyLimit, Throughput, bounded_load};
 use applepond::control::load_limiter::LoadLimiter;
 use applepond::control::outlier_ejection::OutlierState;
@@ -11,12 +11,12 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// Time long enough for anything to have been learned before.
+/// Start time: late enough for any earlier state to have expired.
 const START: Micros = 100 * S;
 
 // ---- Quotas ----------------------------------------------------------------------------
 
-/// One customer with ten requests a second, over two routers.
+/// One customer with ten requests per second, shared by two routers.
 fn quotas() -> CustomerQuotas {
     CustomerQuotas::new(START, &[CustomerConfig { requests_per_second: 10.0 }])
 }
@@ -65,7 +65,7 @@
     assert!(limiter.workers_loading(FunctionId(2)).eq([WorkerId(2)]));
 }
 
-// Loads that fail together are one sign; the limit never falls below three.
+// Loads that fail together count as one failure. The limit never falls below three.
 #[test]
 fn slow_loads_lower_the_limit_once_in_half_a_second() {
     let mut limiter = LoadLimiter::new(START);
