--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The design's path, and the guards beside it.
+//! Routing, and the mechanisms that protect it.
 mod common;
 use applepond::interface::*;
 use common::*;
@@ -61,7 +61,7 @@
     assert_eq!(cancelled, sent_to == 2, "the loser is cancelled");
 }
 
-// While a load is awaited copies wait, but not for ever: its worker may be dead.
+// Requests wait while a load is pending, but not indefinitely: the loading worker may be dead.
 #[test_case(4900, 1; "the answer is awaited")]
 #[test_case(5200, 2; "no longer")]
 fn hold_ends(ms: Micros, sent_to: usize) {
@@ -71,7 +71,7 @@
     assert_eq!(router.sent_to(1).len(), sent_to);
 }
 
-// A worker that fails, whatever the sign, is left alone for a while and then gets a trickle.
+// A failing worker is ejected for a while, whatever the kind of failure.
 #[test_case(Outcome::ConnectFailed, 1; "one connection refused")]
 #[test_case(Outcome::Error, 2; "two errors close together")]
 fn set_aside(outcome: Outcome, times: u8) {
@@ -86,7 +86,8 @@
     assert_ne!(router.sent_to(9).first(), Some(&home));
 }
 
-// Connections break by themselves: what breaks at one moment is one sign, a second one soon after is two.
+// Connections also break without a worker failure: losses at the same moment count as one error, and a
+// further loss shortly afterwards as a second one.
 #[test_case(0, false; "three at one moment")]
 #[test_case(5, true; "three one after the other")]
 fn broken(gap: Micros, aside: bool) {
@@ -104,7 +105,7 @@
     assert_eq!(router.sent_to(9).first() != Some(&home), aside);
 }
 
-// A worker that owes answers and says nothing is set aside; one slow request is not silence.
+// A worker with several overdue responses is ejected; a single slow request is not enough.
 #[test_case(1, false; "one slow job")]
 #[test_case(2, true; "two answers owed")]
 fn silence(requests: u8, aside: bool) {
@@ -118,7 +119,7 @@
     assert_eq!(router.sent_to(9).first() != Some(&home), aside);
 }
 
-// What cannot finish in time any more waits behind what can; what is given up is told so at once.
+// A request that can no longer meet its objective waits behind those that can, and is rejected early.
 #[test]
 fn late_jobs_go_last_and_are_pushed_back() {
     let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 1);
@@ -133,8 +134,8 @@
     assert_eq!(router.final_responses(3), vec![Action::Reject(request(3))]);
 }
 
-// A worker that was full for a function is left alone by its next requests for a moment.
-// One that takes its time to say so turns away one customer alone: the other one's requests still go there.
+// After a rejection, requests of the same function avoid the worker for a moment. A slow rejection concerns
+// only one customer: requests of other customers still go there.
 #[test_case(5, 100, 0, false; "still resting")]
 #[test_case(5, 400, 0, true; "tried again")]
 #[test_case(60, 400, 0, false; "a customer shut out stays away for longer")]
@@ -154,7 +155,7 @@
     assert_eq!(router.sent_to(2) == [home], again);
 }
 
-// A client's second try has lost its start target: it waits behind a first try that came later.
+// By the time a client retries, the latency objective is lost: the retry waits behind a later first try.
 #[test_case(false, 3; "oldest first")]
 #[test_case(true, 4; "a second try last")]
 fn second_tries(retry: bool, first: u8) {
@@ -169,8 +170,7 @@
     assert_eq!((router.sent_to(3).len(), router.sent_to(4).len()), if first == 3 { (1, 0) } else { (0, 1) });
 }
 
-// Only what a customer asks beyond its share waits last; what is within it keeps its place.
-// In a storm of retries copies and further attempts shrink: only first tries earn them.
+// Only first tries earn attempt tokens, so that a retry storm leaves fewer hedged attempts and retries.
 #[test_case(false, true; "first tries")]
 #[test_case(true, false; "second tries")]
 fn further_attempts_are_earned(retry: bool, earned: bool) {
@@ -211,9 +211,9 @@
     assert_eq!((router.sent_to(3).len(), router.sent_to(4).len()), if first == 3 { (1, 0) } else { (0, 1) });
 }
 
-/// One worker whose room is 10 requests (a share of 40 requests a second for half the start target): twenty
-/// functions are loaded there, then some attempts time out, then one request comes for each function. How
-/// many go out?
+/// One worker with a concurrency limit of 10 (a quota of 40 requests per second over half the latency
+/// objective). Loads twenty functions there, lets some attempts time out, and then sends one request per
+/// function. Returns how many requests are sent.
 fn sent_of_twenty(routers: u64, time_outs: u8, timed_out_ms: Micros, overtaken: bool) -> usize {
     let mut rows = StartupConfig { router_count: routers, ..rows(RetrySafety::Idempotent) };
     rows.customers = vec![CustomerConfig { requests_per_second: 40.0 }];
@@ -237,8 +237,8 @@
     (41..61).filter(|n| !router.sent_to(*n).is_empty()).count()
 }
 
-// Routers together: what this one's own answers let expect of the others takes room at a worker, too. And a
-// time-out tells that a worker is slow as an answer would, or a slowing worker would never seem full.
+// Estimated requests of other routers count towards a worker's limit. A timeout counts as a slow response;
+// otherwise a worker that becomes slow would never appear full.
 #[test_case(1, 0, 0, false, 15..16; "one router fills the room by itself")]
 #[test_case(100, 0, 0, false, 3..12; "one of a hundred leaves room for the others")]
 #[test_case(1, 6, 300, false, 15..16; "attempts that their clients gave up early say nothing")]
@@ -249,8 +249,8 @@
     assert!(sent_to.contains(&sent), "{sent}");
 }
 
-// A function that this router asked for often is asked for by the others as well: its requests spread over
-// several workers before any is full. With one router they stay at home.
+// A function called often at this router is assumed to be called as often at the others: its requests
+// spread over several workers before any is full. With a single router they stay at the home.
 #[test_case(1, 1; "alone")]
 #[test_case(100, 2; "one of a hundred")]
 fn many_routers_spread_a_hot_function(routers: u64, least: usize) {
@@ -266,8 +266,7 @@
     assert!(if least == 1 { used.len() == 1 } else { used.len() >= least });
 }
 
-// While the workers tell of loads jammed everywhere no overflow begins another one; the request waits for
-// its home.
+// While workers report congested loads, overflow starts no further load and requests wait for their home.
 #[test_case(0.5, true; "calm")]
 #[test_case(9.0, false; "jammed")]
 fn jam(loads: f64, spreads: bool) {
@@ -286,8 +285,8 @@
     assert_eq!(router.sent_to(3).len() == 1, spreads);
 }
 
-// An at-most-once request does not try out a worker that was set aside, nor does it wait for it while loads
-// are jammed: it passes it over until a request that can be repeated has found out.
+// An at-most-once request neither probes a worker returning from ejection nor waits for it while loads are
+// congested. It skips the worker until a repeatable request has succeeded there.
 #[test_case(false, false; "on trial")]
 #[test_case(true, true; "proved by another job")]
 fn at_most_once_passes_over(proved: bool, home_takes: bool) {
@@ -334,8 +333,8 @@
     assert_eq!(run(), run());
 }
 
-// Where all clients give a first try the same time, one that comes with less has spent it elsewhere: it goes
-// after those that can keep their start target, and is given up at once where there is no room.
+// If all clients give first tries the same timeout, a shorter one means that time was spent elsewhere: the
+// request goes after those that can still meet their objective, and is given up early without capacity.
 #[test_case(false, [2, 1], 0; "clients name their own limits")]
 #[test_case(true, [1, 2], 1; "limits are shared")]
 fn less_time_left(limits_shared: bool, order: [u8; 2], given_up: usize) {
@@ -361,7 +360,7 @@
     assert_eq!(router.final_responses(2).len(), given_up);
 }
 
-// A client that leaves: what still waits at a worker for its request is taken back.
+// When a client disconnects, its request's attempts in flight are cancelled.
 #[test]
 fn a_client_that_leaves() {
     let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 8);
@@ -370,7 +369,8 @@
     assert_eq!(router.record.did.last(), Some(&Action::Cancel(request(1), 0)));
 }
 
-// Homes that the other routers are taken to keep loaded are no loads: the bound on own ones is not met.
+// Functions that other routers are presumed to keep loaded at their homes do not count towards the load
+// limit.
 #[test_case(1, 12; "alone, the bound on loads holds")]
 #[test_case(20, 14; "one of twenty")]
 fn homes_that_others_keep(routers: u64, sent: usize) {
@@ -386,7 +386,8 @@
     assert_eq!((1..15).filter(|n| !router.sent_to(*n).is_empty()).count(), sent);
 }
 
-// Without shares the pace of the fleet is what it finishes: what is asked beyond that makes no room.
+// Without quotas, the fleet's throughput is estimated from completions; demand beyond them adds no
+// capacity.
 #[test_case(0, 8; "what is asked in vain")]
 #[test_case(200, 20; "what is finished")]
 fn pace_without_shares(finished: u8, most: usize) {
@@ -407,7 +408,7 @@
     assert!(if most == 20 { sent > 8 } else { sent <= most }, "{sent}");
 }
 
-// Names that clients made up once do not stay; a function at work or waited for does.
+// Functions called only once are forgotten; those with a request in progress are kept.
 #[test]
 fn functions_are_forgotten() {
     let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 8);
