--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each with its edge.
+//! The five rules of `applepond::control`, with their edge cases.
 mod common;
 use applepond::interface::*;
 use common::*;
@@ -7,7 +7,7 @@
 const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3000 * MS };
 const ALL: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3000 * MS };
 
-// Rule 2: what follows each way an attempt can end, for each kind of effect.
+// Rule 2: what follows each outcome of an attempt, by retry safety.
 #[test_case(RetrySafety::Idempotent, Outcome::Error, 2, false; "idempotent after an error runs again")]
 #[test_case(RetrySafety::Idempotent, Outcome::Overloaded, 2, false; "idempotent after full moves on")]
 #[test_case(RetrySafety::AtMostOnce, Outcome::Overloaded, 2, false; "at-most-once after full moves on")]
@@ -44,7 +44,7 @@
     assert_eq!(router.final_responses(1), if again { vec![] } else { vec![Action::Fail(request(1))] });
 }
 
-// A zone that the settings do not name is none: two workers of such zones share no group that is known.
+// Workers without a configured zone share no known zone, so a key is not recognized across them.
 #[test_case(Some(ZoneId(1)), true; "a zone that is named")]
 #[test_case(None, false; "zones that are not")]
 fn keyed_by_zone(zone: Option<ZoneId>, again: bool) {
@@ -59,7 +59,7 @@
     assert_eq!(router.sent_to(1).len() == 2, again);
 }
 
-// A further attempt has to have left while its repeat would still be known; a first one has no such time.
+// A retry must be sent while its key is still recognized; a first attempt has no such limit.
 #[test_case(RACK, Some(3000 * MS - 20 * MS); "keyed: to the end of its window, with care")]
 #[test_case(RetrySafety::Idempotent, None; "idempotent")]
 fn begins_in_time(effect: RetrySafety, within: Option<Micros>) {
@@ -74,7 +74,7 @@
     assert_eq!(begin, [Micros::MAX, within.map_or(Micros::MAX, |within| came + within)]);
 }
 
-// Rule 1: every request final_responses once, before its client leaves, and nothing follows.
+// Rule 1: every request gets one final response, before its deadline, and nothing follows.
 #[test_case(RetrySafety::Idempotent, 0, 5000; "held without any worker")]
 #[test_case(RetrySafety::AtMostOnce, 0, 5000; "at-most-once held without any worker")]
 #[test_case(RetrySafety::Idempotent, 0, 5; "client about to leave")]
@@ -104,7 +104,7 @@
     assert_eq!(router.record.did.len(), before);
 }
 
-// Rule 3: nothing new to a worker from the moment of being told, whichever path a request comes by.
+// Rule 3: nothing new is sent to a worker once it is listed as draining or gone, on any path.
 #[test_case(WorkerStatus::Draining; "draining")]
 #[test_case(WorkerStatus::Gone; "gone")]
 fn told(standing: WorkerStatus) {
@@ -124,7 +124,7 @@
     assert_eq!(router.sent_to(1).len(), 2, "it goes elsewhere");
 }
 
-// Rule 4: a worker that has just started gets half of what it may be sent in a span; a warm one gets all.
+// Rule 4: a worker that has just started gets half of what the window allows; a warm one gets everything.
 #[test_case(0, 4; "just started")]
 #[test_case(10_000, 6; "warm")]
 fn cold(age_ms: Micros, sent_to: usize) {
@@ -140,8 +140,8 @@
     assert_eq!((1..7).map(|n| router.sent_to(n).len()).sum::<usize>(), sent_to);
 }
 
-// Rule 4 as a sum: two hundred routers, each with a request for the same fresh worker, together stay within
-// the budget of a span, though each of them alone knows only of its own.
+// Rule 4 as a total: many routers, each aware only of its own requests for the same new worker, together
+// stay within the worker's budget for the window.
 #[test_case(200, 1; "each asks once")]
 #[test_case(200, 5; "each asks five times")]
 #[test_case(3, 60; "three routers ask often")]
@@ -165,13 +165,13 @@
         }
         sent += (0..asks).flat_map(|n| router.sent_to(n)).filter(|s| *s == worker(7)).count();
     }
-    // 20 requests a second for each of the 8 workers, of which a cold one may be sent 2 x 0.2 in a second,
-    // then more.
+    // Each of the 8 workers completes 20 requests per second. One that starts may be sent 2 x 0.2 of that
+    // within the first second, and more later.
     assert!(sent <= 11, "{sent}");
 }
 
-// What piled up at the routers while all others were set aside does not fall on a fresh worker at once: one
-// of 21 workers that do 1600 requests a second together may be sent 2 x 0.2 x 76 in its first second.
+// Requests queued while all other workers were ejected do not hit a new worker all at once. 21 workers
+// complete 1600 requests per second, so each may be sent 2 x 0.2 x 76 in its first second.
 #[test]
 fn cold_after_waiting() {
     let mut sent = 0;
@@ -191,8 +191,8 @@
     assert!(sent > 0 && sent <= 30, "{sent}");
 }
 
-// Rule 2 where no second copy may run: a request at a worker that was set aside is cancelled first and sent
-// on once that is told.
+// Rule 2 without concurrent attempts: if a worker is ejected, its request is cancelled there first and
+// retried once the cancellation is confirmed.
 #[test]
 fn one_attempt_at_a_time() {
     let mut rows = rows(RetrySafety::Idempotent);
@@ -211,7 +211,8 @@
     assert_eq!(router.sent_to(1).len(), 2, "no copy after the hedge delay either");
 }
 
-// No more requests are cancelled at workers that were set aside than can be sent on: the others stay there.
+// Requests at ejected workers are only cancelled while tokens for their retries remain; the others stay
+// there.
 #[test]
 fn a_cancel_is_paid_for_when_it_is_ordered() {
     let mut rows = rows(RetrySafety::Idempotent);
@@ -233,8 +234,7 @@
     assert!(cancelled.iter().all(|n| router.final_responses(*n).is_empty()), "none is given up");
 }
 
-// A switch of the rows: a request keeps its effect, and a copy that is out where none may be any more is
-// taken back.
+// After a reconfiguration a request keeps its retry safety.
 #[test_case(RetrySafety::AtMostOnce, RetrySafety::Idempotent, 1, 1; "at-most-once stays so")]
 #[test_case(RetrySafety::Idempotent, RetrySafety::AtMostOnce, 2, 0; "idempotent stays so")]
 fn switched(taken: RetrySafety, then: RetrySafety, sent_to: usize, kills: usize) {
@@ -259,7 +259,8 @@
     assert_eq!(cancels.collect::<Vec<_>>(), [&Action::Cancel(request(1), 1)]);
 }
 
-// What is recalled of a worker only ever makes more careful, and counts for the life that it was learned of.
+// A restored history only makes a router more careful, and applies only to the incarnation it was measured
+// on.
 #[test_case(0, 1000.0, false, true, true; "no more room than a newcomer has")]
 #[test_case(0, 1.5, false, true, false; "less room")]
 #[test_case(0, 1000.0, true, true, false; "in doubt")]
