--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Rule 4 over the fleet: what all routers together send to a worker that has just come. Each router is an
-//! instance of the module with its own clock of events; workers answer after a time, cold ones later.
+//! Rule 4 for a whole fleet: what all routers together send to a newly started worker. Each router is a
+//! `Control` with its own events; workers respond after a simulated service time, which is longer while
+//! they warm up.
 mod common;
 use applepond::control::Control;
 use applepond::interface::*;
@@ -10,35 +11,36 @@
 
 const STEP: Micros = 5 * MS;
 const WORKERS: u64 = 12;
-/// Work of a request at a warm worker.
+/// Service time of a request at a warm worker.
 const WORK: Micros = 60 * MS;
 
-/// What befalls the fleet beside the worker that comes.
+/// What happens to the fleet while the new worker starts.
 #[derive(Clone, Copy, Default)]
 struct Day {
     routers: u64,
-    /// Jobs a second that one warm worker does.
+    /// Requests per second that one warm worker completes.
     pace: f64,
-    /// Jobs that come, as a part of what all workers do.
+    /// Arriving requests as a fraction of the throughput of all workers.
     load: f64,
-    /// One in so many routers is born together with the worker.
+    /// Every n-th router restarts when the worker starts; 0 for none.
     restarted: u64,
-    /// The list reaches a router up to this much later.
+    /// Maximum delay until a router receives the new endpoint list.
     late: Micros,
-    /// Of ten answers of the fresh worker so many are errors, which lead to further attempts.
+    /// Errors in ten responses of the new worker, which lead to further attempts.
     errors: u64,
-    /// So many of the other workers leave as it comes, draining first or gone at once: what was theirs looks
-    /// for a place.
+    /// Number of other workers that begin to drain, or are gone, when the new one starts; their requests
+    /// move elsewhere.
     drain: usize,
     gone: usize,
-    /// Half of the functions come in a new version as it comes, which nobody has loaded.
+    /// Half of the functions are replaced, when the worker starts, by new versions that no worker has
+    /// loaded.
     versions: bool,
 }
 
 struct Router {
     control: Control,
     record: Record,
-    /// Jobs come here so many times as often as on average.
+    /// Arrival rate relative to the mean over all routers.
     part: f64,
     told: bool,
     born: bool,
@@ -59,7 +61,7 @@
         (control, record)
     }
 
-    /// Carries out what was ordered: when each attempt at the fresh worker began.
+    /// Simulates the attempts sent, and records when each one at the new worker began.
     fn settle(&mut self, fresh: WorkerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
         for did in std::mem::take(&mut self.record.did) {
             let Action::Send(request, to) = did else { continue };
@@ -85,7 +87,8 @@
     }
 }
 
-/// The worst moment of the fresh worker's first seconds: what it got within a span, what was allowed.
+/// The worst window of the new worker's first seconds: work received relative to what was allowed, the
+/// number of attempts received, and the number allowed.
 fn worst(day: Day, seed: u64) -> (f64, usize, f64) {
     let rules = rows(RetrySafety::Idempotent).slow_start;
     let mut rng = Rand64::new(u128::from(seed));
@@ -100,7 +103,7 @@
     let mut routers: Vec<Router> = (0..day.routers)
         .map(|me| {
             let (control, record) = Router::start(&day, me, begin, &old);
-            // Uneven: some have several times the mean.
+            // Uneven: some routers get several times the mean.
             let part = [0.3, 0.5, 0.7, 1.0, 2.5][me as usize % 5];
             let late = rng.rand_range(0..day.late.max(1));
             let (answers, sent) = (BTreeMap::new(), BTreeMap::new());
@@ -152,7 +155,7 @@
                     next += 1;
                     let mut id = [0; 36];
                     id[..8].copy_from_slice(&next.to_le_bytes());
-                    // A few functions have most of the requests.
+                    // A few functions account for most requests.
                     let function = (rng.rand_float().powi(3) * 60.0) as u64;
                     let version = u64::from(day.versions && now >= instance_id && function.is_multiple_of(2));
                     let arrival = RequestArrival {
