--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A recording `Actions`, start-up rows and short ways to make events.
+//! A recording implementation of `Actions`, a default configuration, and helpers to create events.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::control::Control;
 use applepond::interface::*;
 use std::collections::BTreeMap;
 
-/// What the module ordered, in its order.
+/// An action issued by `Control`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send(RequestId, WorkerId),
@@ -17,7 +17,7 @@
 pub struct Record {
     pub did: Vec<Action>,
     pub timers: Vec<(Micros, TimerToken)>,
-    /// From when on each last attempt at a worker may not begin any more.
+    /// The `not_after` time of the latest attempt of a request at a worker.
     pub begin: BTreeMap<(RequestId, WorkerId), Micros>,
     pub now: Micros,
 }
@@ -45,7 +45,7 @@
 
 pub const MS: Micros = 1000;
 
-/// One idempotent workload, no orders to load, one router.
+/// One workload of the given retry safety, one customer, one router.
 pub fn rows(effect: RetrySafety) -> StartupConfig {
     StartupConfig {
         seed: 7,
@@ -107,20 +107,20 @@
     }
 }
 
-/// One instance with its record and its clock.
+/// A router under test, with its recorded actions and its clock.
 pub struct TestRouter {
     pub control: Control,
     pub record: Record,
-    /// Jobs that request_arrives now are second tries.
+    /// Whether arriving requests are marked as retries.
     pub retry: bool,
-    /// The customer that asks now.
+    /// Customer of arriving requests.
     pub customer: Option<usize>,
-    /// The workload that is asked for now.
+    /// Workload of arriving requests.
     pub workload: usize,
 }
 
 impl TestRouter {
-    /// An instance that knows this many warm workers.
+    /// A router with this many warm workers.
     pub fn new(rows: StartupConfig, servers: u64) -> Self {
         let mut record = Record { now: 100_000 * MS, ..Record::default() };
         let mut control = Control::new(record.now, rows, &mut record);
@@ -152,7 +152,7 @@
         self.control.attempt_finished(&mut self.record, request(n), attempt, answer);
     }
 
-    /// Lets time advance, with every timer that falls due.
+    /// Advances the clock and fires every timer that becomes due.
     pub fn advance(&mut self, time: Micros) {
         let end = self.record.now + time;
         while let Some(at) = (0..self.record.timers.len())
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// Sends a request of the function to its home and has it finish there, so that the home serves it.
+    /// Completes one request of the function, so that its home has it loaded. Returns the home.
     pub fn warm(&mut self, function: &str) -> WorkerId {
         self.request_arrives(250, function, 5000 * MS);
         let home = self.sent_to(250)[0];
