--- a/benches/crowd.rs
+++ b/benches/crowd.rs
@@ -1,8 +1,9 @@
-//! What a request costs in the module: workers in the list x requests that wait. `cargo bench --bench crowd`.
+//! CPU time per request, by number of workers and of waiting requests. Run with `cargo bench --bench
+//! crowd`.
 //!
-//! One router, 10 requests a second a worker, answers after 100 ms, a function of its own for every worker;
-//! requests that wait are of functions whose first load is never answered. µs of CPU a request, all events
-//! and beats included.
+//! One router, 10 requests per second and worker, responses after 100 ms, and one function per worker. The
+//! waiting requests call functions whose first load never completes. The reported µs per request include
+//! all events and ticks.
 use applepond::control::Control;
 use applepond::interface::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -10,9 +11,9 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// Functions that the waiting requests are of.
+/// Maximum number of functions called by the waiting requests.
 const WAITING_FUNCTIONS: u64 = 100;
-/// Longest real time that one row may take.
+/// Maximum measuring time per row, in seconds.
 const PATIENCE_S: f64 = 4.0;
 
 #[derive(Default)]
@@ -100,7 +101,7 @@
     }
 }
 
-/// Runs everything that is due until `until`.
+/// Processes all timers and responses that are due by `until`.
 fn pass(control: &mut Control, bench: &mut Bench, until: Micros) {
     loop {
         let timer = bench.timers.first().map(|(at, _)| *at);
@@ -135,7 +136,7 @@
     }
 }
 
-/// µs a request, and how many requests waited at the end.
+/// Returns the µs per request and the number of requests still waiting at the end.
 fn cost(workers: u64, waiting: u64) -> (f64, u64) {
     let mut bench = Bench { now: 1_000 * S, ..Bench::default() };
     let mut control = Control::new(bench.now, rows(), &mut bench);
@@ -158,7 +159,7 @@
         next += 1;
         control.request_arrived(bench, &arrival(next, function, workload));
     };
-    // Every function is served once, a few at a time, as the bound on loads wants it.
+    // Loads every function once, in batches of eight because concurrent loads are limited.
     for n in 0..workers {
         ask(&mut control, &mut bench, &format!("f{n}"), 0);
         if n % 8 == 7 {
