--- a/crates/rendezvous/src/cache.rs
+++ b/crates/rendezvous/src/cache.rs
@@ -1,21 +1,21 @@
 //! A bounded cache of prefixes by key.
-use crate::{Draw, Members, Prefix};
+use crate::{HashScheme, Members, Prefix};
 use lru::LruCache;
 use std::hash::Hash;
 use std::num::NonZeroUsize;
 
 /// A bounded LRU cache of prefixes by key. An evicted prefix is rebuilt by a scan when its key is next
 /// used, so eviction costs only time.
-pub struct PrefixCache<D: Draw> {
+pub struct PrefixCache<D: HashScheme> {
     prefixes: LruCache<D::Key, Prefix<D::Member>>,
 }
 
-impl<D: Draw> PrefixCache<D>
+impl<D: HashScheme> PrefixCache<D>
 where
     D::Key: Hash + Eq,
 {
     /// Creates a cache of at most `capacity` prefixes.
-    pub fn with_most(capacity: NonZeroUsize) -> Self {
+    pub fn with_capacity(capacity: NonZeroUsize) -> Self {
         PrefixCache { prefixes: LruCache::new(capacity) }
     }
 
--- a/crates/rendezvous/src/lib.rs
+++ b/crates/rendezvous/src/lib.rs
@@ -6,7 +6,7 @@
 //! changes of weight through a bounded change log, and is rebuilt by a scan if it has fallen behind that
 //! log. [`PrefixCache`] holds the prefixes of a bounded number of keys.
 //!
-//! The caller supplies hash and score through an implementation of [`Draw`].
+//! The caller supplies hash and score through an implementation of [`HashScheme`].
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
@@ -17,15 +17,15 @@
 
 pub use cache::PrefixCache;
 pub use members::Members;
-pub use prefix::{PREFIX_FIRST, Prefix, Ranked};
+pub use prefix::{INITIAL_PREFIX_LEN, Prefix, Ranked};
 
 use std::hash::Hash;
 
 /// Hash and score functions for pairs of key and member. The order of a key is by ascending
-/// [`Draw::score`], then by member.
+/// [`HashScheme::score`], then by member.
 ///
 /// The score must not increase with the hash or with the weight.
-pub trait Draw {
+pub trait HashScheme {
     /// What an order is computed for.
     type Key: Copy;
     /// What is ordered.
@@ -43,5 +43,5 @@
     /// A hash below which no member of at most this weight has a score of `cutoff` or less. It may be too
     /// low, in which case a scan computes more scores than necessary. An infinite cutoff must exclude no
     /// hash.
-    fn least_hash(cutoff: f64, weight: f64) -> u64;
+    fn min_hash(cutoff: f64, weight: f64) -> u64;
 }
--- a/crates/rendezvous/src/members.rs
+++ b/crates/rendezvous/src/members.rs
@@ -1,5 +1,5 @@
 //! Members and their weights, stored for fast scans.
-use crate::Draw;
+use crate::HashScheme;
 use crate::change_log::{Change, ChangeLog};
 use crate::prefix::Ranked;
 use rustc_hash::FxHashMap;
@@ -26,7 +26,7 @@
     /// Adds a member found by a scan if its score is within the cutoff. Marked cold because few members get
     /// here, which keeps the code out of the scan loop.
     #[cold]
-    fn add_if_within<D: Draw<Member = M>>(
+    fn add_if_within<D: HashScheme<Member = M>>(
         &self,
         found: &mut Vec<Ranked<M>>,
         index: usize,
@@ -49,7 +49,7 @@
 }
 
 /// The members to be ordered. Uses about 50 bytes of memory per member.
-pub struct Members<D: Draw> {
+pub struct Members<D: HashScheme> {
     classes: Vec<WeightClass<D::Member>>,
     slots: FxHashMap<D::Member, Slot>,
     /// Number of members per weight, so that the total is computed exactly, without rounding drift. Keyed
@@ -59,7 +59,7 @@
     log: ChangeLog<D::Member>,
 }
 
-impl<D: Draw> Default for Members<D> {
+impl<D: HashScheme> Default for Members<D> {
     fn default() -> Self {
         Members {
             classes: Vec::new(),
@@ -76,7 +76,7 @@
     weight.to_bits() >> (f64::MANTISSA_DIGITS - 1)
 }
 
-impl<D: Draw> Members<D> {
+impl<D: HashScheme> Members<D> {
     /// Number of members.
     pub fn len(&self) -> usize {
         self.slots.len()
@@ -93,7 +93,7 @@
     }
 
     /// Smallest weight; `None` without members.
-    pub fn least_weight(&self) -> Option<f64> {
+    pub fn min_weight(&self) -> Option<f64> {
         self.count_by_weight.keys().next().map(|bits| f64::from_bits(*bits))
     }
 
@@ -171,15 +171,15 @@
     pub(crate) fn scan(&self, key: D::Key, cutoff: f64) -> Vec<Ranked<D::Member>> {
         let mut found = Vec::new();
         for class in &self.classes {
-            let least_hash = D::least_hash(cutoff, class.max_weight());
+            let min_hash = D::min_hash(cutoff, class.max_weight());
             for (index, digest) in class.digests.iter().enumerate() {
                 let hash = D::hash(key, *digest);
-                if hash >= least_hash {
+                if hash >= min_hash {
                     class.add_if_within::<D>(&mut found, index, hash, cutoff);
                 }
             }
         }
-        found.sort_unstable_by(Ranked::order);
+        found.sort_unstable_by(Ranked::compare);
         found
     }
 }
--- a/crates/rendezvous/tests/order.rs
+++ b/crates/rendezvous/tests/order.rs
@@ -1,12 +1,12 @@
 //! Compares prefixes with a plain sort of all members.
-use applepond_rendezvous::{Draw, Members, PREFIX_FIRST, Prefix};
+use applepond_rendezvous::{HashScheme, INITIAL_PREFIX_LEN, Members, Prefix};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// Exponentially distributed scores, as in weighted rendezvous hashing.
 struct Exponential;
 
-impl Draw for Exponential {
+impl HashScheme for Exponential {
     type Key = u64;
     type Member = u64;
 
@@ -25,15 +25,15 @@
         -(((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64).ln() / weight
     }
 
-    fn least_hash(cutoff: f64, weight: f64) -> u64 {
+    fn min_hash(cutoff: f64, weight: f64) -> u64 {
         (((-cutoff * weight).exp() * (1.0 - 1e-9) * (1u64 << 53) as f64) as u64).saturating_sub(1) << 11
     }
 }
 
 /// Equal scores for all pairs, so that only the order of the members counts.
-struct Level;
+struct ConstantScore;
 
-impl Draw for Level {
+impl HashScheme for ConstantScore {
     type Key = u64;
     type Member = u64;
 
@@ -49,27 +49,28 @@
         0.25
     }
 
-    fn least_hash(_: f64, _: f64) -> u64 {
+    fn min_hash(_: f64, _: f64) -> u64 {
         0
     }
 }
 
-fn sorted<D: Draw<Key = u64, Member = u64>>(plain: &BTreeMap<u64, f64>, key: u64) -> Vec<u64> {
-    let scored =
-        plain.iter().map(|(member, weight)| (D::score(D::hash(key, D::digest(*member)), *weight), *member));
+fn sorted<D: HashScheme<Key = u64, Member = u64>>(reference: &BTreeMap<u64, f64>, key: u64) -> Vec<u64> {
+    let scored = reference
+        .iter()
+        .map(|(member, weight)| (D::score(D::hash(key, D::digest(*member)), *weight), *member));
     let mut scored: Vec<(f64, u64)> = scored.collect();
     scored.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-fn walk<D: Draw<Key = u64, Member = u64>>(
+fn walk<D: HashScheme<Key = u64, Member = u64>>(
     members: &Members<D>,
     prefix: &mut Prefix<u64>,
     key: u64,
-    places: usize,
+    count: usize,
 ) -> Vec<u64> {
     prefix.refresh(members, key);
-    (0..places).map_while(|place| prefix.get(members, key, place)).map(|ranked| ranked.member).collect()
+    (0..count).map_while(|position| prefix.get(members, key, position)).map(|ranked| ranked.member).collect()
 }
 
 #[derive(Clone, Debug)]
@@ -87,7 +88,7 @@
     },
     Walk {
         key: u64,
-        places: usize,
+        count: usize,
     },
     /// Drops the key's prefix.
     Evict {
@@ -104,32 +105,32 @@
         ]
     };
     let set = (0u64..400, weight()).prop_map(|(member, weight)| Step::Set { member, weight });
-    let many = (0u64..400, 1u64..200, weight()).prop_map(|(first, number, weight)| Step::SetMany {
+    let set_many = (0u64..400, 1u64..200, weight()).prop_map(|(first, number, weight)| Step::SetMany {
         first,
         number,
         weight,
     });
     let walk = (0u64..4, prop_oneof![8 => 0usize..12, 2 => 0usize..450])
-        .prop_map(|(key, places)| Step::Walk { key, places });
+        .prop_map(|(key, count)| Step::Walk { key, count });
     let evict = (0u64..4).prop_map(|key| Step::Evict { key });
-    prop::collection::vec(prop_oneof![4 => set, 1 => many, 6 => walk, 1 => evict], 1..120)
+    prop::collection::vec(prop_oneof![4 => set, 1 => set_many, 6 => walk, 1 => evict], 1..120)
 }
 
 proptest! {
     #[test]
     fn prefixes_agree_with_a_plain_sort(steps in steps()) {
         let mut members = Members::<Exponential>::default();
-        let mut plain = BTreeMap::new();
+        let mut reference = BTreeMap::new();
         let mut prefixes: BTreeMap<u64, Prefix<u64>> = BTreeMap::new();
         for step in steps {
             let (first, number, weight) = match step {
                 Step::Set { member, weight } => (member, 1, weight),
                 Step::SetMany { first, number, weight } => (first, number, weight),
-                Step::Walk { key, places } => {
+                Step::Walk { key, count } => {
                     let prefix = prefixes.entry(key).or_default();
-                    let mut expected = sorted::<Exponential>(&plain, key);
-                    expected.truncate(places);
-                    prop_assert_eq!(walk(&members, prefix, key, places), expected);
+                    let mut expected = sorted::<Exponential>(&reference, key);
+                    expected.truncate(count);
+                    prop_assert_eq!(walk(&members, prefix, key, count), expected);
                     continue;
                 }
                 Step::Evict { key } => {
@@ -140,15 +141,15 @@
             for member in first..first + number {
                 members.set(member, weight);
                 match weight {
-                    Some(weight) => _ = plain.insert(member, weight),
-                    None => _ = plain.remove(&member),
+                    Some(weight) => _ = reference.insert(member, weight),
+                    None => _ = reference.remove(&member),
                 }
             }
-            prop_assert_eq!(members.len(), plain.len());
-            let total: f64 = plain.values().sum();
+            prop_assert_eq!(members.len(), reference.len());
+            let total: f64 = reference.values().sum();
             prop_assert!((members.total_weight() - total).abs() <= 1e-9 * total.max(1.0));
-            let least = plain.values().copied().fold(f64::INFINITY, f64::min);
-            prop_assert_eq!(members.least_weight().unwrap_or(f64::INFINITY), least);
+            let least = reference.values().copied().fold(f64::INFINITY, f64::min);
+            prop_assert_eq!(members.min_weight().unwrap_or(f64::INFINITY), least);
         }
     }
 }
@@ -157,22 +158,22 @@
 #[test]
 fn a_prefix_that_fell_behind_the_log_is_scanned_anew() {
     let mut members = Members::<Exponential>::default();
-    let mut plain = BTreeMap::new();
+    let mut reference = BTreeMap::new();
     let mut prefix = Prefix::default();
     for round in 0..4u64 {
         for member in 0..3_000 {
             let weight = 1.0 + ((member + round) % 3) as f64;
             members.set(member * 7 + round, Some(weight));
-            plain.insert(member * 7 + round, weight);
+            reference.insert(member * 7 + round, weight);
         }
-        let expected: Vec<u64> = sorted::<Exponential>(&plain, 9).into_iter().take(40).collect();
+        let expected: Vec<u64> = sorted::<Exponential>(&reference, 9).into_iter().take(40).collect();
         assert_eq!(walk(&members, &mut prefix, 9, 40), expected);
     }
 }
 
 #[test]
 fn equal_scores_go_by_member() {
-    let mut members = Members::<Level>::default();
+    let mut members = Members::<ConstantScore>::default();
     let mut prefix = Prefix::default();
     for member in (0..50).rev() {
         members.set(member, Some(1.0));
@@ -194,14 +195,14 @@
         walk(&members, &mut prefix, key, 2);
         longest = longest.max(prefix.len());
     }
-    assert!(longest <= 4 * PREFIX_FIRST, "{longest} kept for two places");
+    assert!(longest <= 4 * INITIAL_PREFIX_LEN, "{longest} kept for two places");
     let mut prefix = Prefix::default();
     walk(&members, &mut prefix, 3, 3_000);
     assert!(prefix.len() >= 3_000);
     for _ in 0..200 {
         walk(&members, &mut prefix, 3, 2);
     }
-    assert!(prefix.len() <= 8 * PREFIX_FIRST, "{} kept long after a long walk", prefix.len());
+    assert!(prefix.len() <= 8 * INITIAL_PREFIX_LEN, "{} kept long after a long walk", prefix.len());
 }
 
 #[test]
--- a/crates/wait_queue/benches/waiting.rs
+++ b/crates/wait_queue/benches/waiting.rs
@@ -1,6 +1,6 @@
 //! Cost of one event, with the queue's indexes and with a plain ordered map: insert a request, find the
 //! first request of each function, remove the request.
-use applepond_wait_queue::{Key, Row, Waiting};
+use applepond_wait_queue::{Key, QueuedRequest, WaitQueue};
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,30 +12,31 @@
     (Reverse(n % 3), n, n)
 }
 
-fn row(n: u64) -> Row<u64, u64> {
-    Row { function: n % FUNCTIONS, workload: 0, deadline: n + 1_000_000, bare: true, late: false }
+fn entry(n: u64) -> QueuedRequest<u64, u64> {
+    QueuedRequest { function: n % FUNCTIONS, workload: 0, deadline: n + 1_000_000, unsent: true, late: false }
 }
 
 fn benches(c: &mut Criterion) {
     for requests in [10u64, 1_000, 10_000] {
         let mut group = c.benchmark_group(format!("waiting/{requests}"));
-        let mut waiting = Waiting::default();
-        (0..requests).for_each(|n| waiting.insert(key(n), row(n)));
+        let mut waiting = WaitQueue::default();
+        (0..requests).for_each(|n| waiting.insert(key(n), entry(n)));
         group.bench_function("indexes", |b| {
             b.iter(|| {
-                waiting.insert(key(requests), row(requests));
-                black_box(waiting.highest(1));
-                black_box(waiting.heads());
+                waiting.insert(key(requests), entry(requests));
+                black_box(waiting.highest_unsent_priority(1));
+                black_box(waiting.dispatch_candidates());
                 waiting.remove(&key(requests));
             });
         });
-        let mut plain: BTreeMap<Key<u64>, Row<u64, u64>> = (0..requests).map(|n| (key(n), row(n))).collect();
+        let mut plain: BTreeMap<Key<u64>, QueuedRequest<u64, u64>> =
+            (0..requests).map(|n| (key(n), entry(n))).collect();
         group.bench_function("plain", |b| {
             b.iter(|| {
-                plain.insert(key(requests), row(requests));
-                black_box(plain.iter().any(|(_, row)| row.function == FUNCTIONS));
+                plain.insert(key(requests), entry(requests));
+                black_box(plain.iter().any(|(_, entry)| entry.function == FUNCTIONS));
                 let mut seen = BTreeSet::new();
-                black_box(plain.iter().filter(|(_, row)| seen.insert(row.function)).count());
+                black_box(plain.iter().filter(|(_, entry)| seen.insert(entry.function)).count());
                 plain.remove(&key(requests));
             });
         });
--- a/crates/wait_queue/src/lib.rs
+++ b/crates/wait_queue/src/lib.rs
@@ -14,7 +14,7 @@
 
 /// Attributes of a waiting request. To change them, remove the request and insert it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Row<F, W> {
+pub struct QueuedRequest<F, W> {
     /// The function to call.
     pub function: F,
     /// Its workload.
@@ -22,16 +22,17 @@
     /// Deadline of the client, in µs.
     pub deadline: u64,
     /// Whether no attempt of it has been sent.
-    pub bare: bool,
+    pub unsent: bool,
     /// Whether it has missed its latency objective.
     pub late: bool,
 }
 
 /// The waiting requests, with ids `R`, functions `F` and workloads `W`.
 ///
-/// Each request is in `rows`, in `never_sent` or `sent_before`, in `deadlines`, and in `on_time` or `late`.
-pub struct Waiting<R, F, W> {
-    rows: BTreeMap<Key<R>, Row<F, W>>,
+/// Each request is in `requests`, in `never_sent` or `sent_before`, in `deadlines`, and in `on_time` or
+/// `late`.
+pub struct WaitQueue<R, F, W> {
+    requests: BTreeMap<Key<R>, QueuedRequest<F, W>>,
     /// Requests without an attempt so far, by function.
     never_sent: BTreeMap<F, BTreeSet<Key<R>>>,
     /// Requests with an earlier attempt.
@@ -44,10 +45,10 @@
     late: BTreeMap<F, BTreeSet<(u64, Key<R>)>>,
 }
 
-impl<R, F, W> Default for Waiting<R, F, W> {
+impl<R, F, W> Default for WaitQueue<R, F, W> {
     fn default() -> Self {
-        Waiting {
-            rows: BTreeMap::new(),
+        WaitQueue {
+            requests: BTreeMap::new(),
             never_sent: BTreeMap::new(),
             sent_before: BTreeSet::new(),
             deadlines: BTreeMap::new(),
@@ -67,86 +68,86 @@
     }
 }
 
-impl<R: Ord + Copy, F: Ord + Copy, W: Ord + Copy> Waiting<R, F, W> {
+impl<R: Ord + Copy, F: Ord + Copy, W: Ord + Copy> WaitQueue<R, F, W> {
     /// Number of waiting requests.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.requests.len()
     }
 
     /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.requests.is_empty()
     }
 
     /// Inserts a request, replacing any with the same key.
-    pub fn insert(&mut self, key: Key<R>, row: Row<F, W>) {
+    pub fn insert(&mut self, key: Key<R>, queued: QueuedRequest<F, W>) {
         self.remove(&key);
-        self.rows.insert(key, row);
-        if row.bare {
-            self.never_sent.entry(row.function).or_default().insert(key);
+        self.requests.insert(key, queued);
+        if queued.unsent {
+            self.never_sent.entry(queued.function).or_default().insert(key);
         } else {
             self.sent_before.insert(key);
         }
-        self.deadlines.entry(row.workload).or_default().insert((row.deadline, key));
-        if row.late {
-            self.late.entry(row.function).or_default().insert((key.1, key));
+        self.deadlines.entry(queued.workload).or_default().insert((queued.deadline, key));
+        if queued.late {
+            self.late.entry(queued.function).or_default().insert((key.1, key));
         } else {
-            self.on_time.entry(row.workload).or_default().insert((key.1, key));
+            self.on_time.entry(queued.workload).or_default().insert((key.1, key));
         }
     }
 
     /// Removes a request; `None` if it was not waiting.
-    pub fn remove(&mut self, key: &Key<R>) -> Option<Row<F, W>> {
-        let row = self.rows.remove(key)?;
-        if row.bare {
-            remove_from(&mut self.never_sent, row.function, key);
+    pub fn remove(&mut self, key: &Key<R>) -> Option<QueuedRequest<F, W>> {
+        let queued = self.requests.remove(key)?;
+        if queued.unsent {
+            remove_from(&mut self.never_sent, queued.function, key);
         } else {
             self.sent_before.remove(key);
         }
-        remove_from(&mut self.deadlines, row.workload, &(row.deadline, *key));
-        if row.late {
-            remove_from(&mut self.late, row.function, &(key.1, *key));
+        remove_from(&mut self.deadlines, queued.workload, &(queued.deadline, *key));
+        if queued.late {
+            remove_from(&mut self.late, queued.function, &(key.1, *key));
         } else {
-            remove_from(&mut self.on_time, row.workload, &(key.1, *key));
+            remove_from(&mut self.on_time, queued.workload, &(key.1, *key));
         }
-        Some(row)
+        Some(queued)
     }
 
     /// The highest priority among the function's requests without an attempt.
-    pub fn highest(&self, function: F) -> Option<u64> {
+    pub fn highest_unsent_priority(&self, function: F) -> Option<u64> {
         self.never_sent.get(&function).and_then(|set| set.first()).map(|key| key.0.0)
     }
 
     /// The first request without an attempt of each function, and every request with an earlier attempt.
-    pub fn heads(&self) -> BTreeSet<Key<R>> {
+    pub fn dispatch_candidates(&self) -> BTreeSet<Key<R>> {
         let first = self.never_sent.values().filter_map(|set| set.first());
         first.chain(&self.sent_before).copied().collect()
     }
 
     /// The function's next request without an attempt after `key`.
-    pub fn after(&self, function: F, key: &Key<R>) -> Option<Key<R>> {
+    pub fn next_unsent(&self, function: F, key: &Key<R>) -> Option<Key<R>> {
         let set = self.never_sent.get(&function)?;
         set.range((std::ops::Bound::Excluded(*key), std::ops::Bound::Unbounded)).next().copied()
     }
 
     /// The workload's requests with a deadline of at most `until`.
-    pub fn leaving(&self, workload: W, until: u64) -> impl Iterator<Item = Key<R>> {
+    pub fn deadline_until(&self, workload: W, until: u64) -> impl Iterator<Item = Key<R>> {
         let set = self.deadlines.get(&workload).into_iter().flatten();
         set.take_while(move |(deadline, _)| *deadline <= until).map(|(_, key)| *key)
     }
 
-    /// The workload's requests that have not missed their latency objective and arrived before `came`.
-    pub fn fresh_before(&self, workload: W, came: u64) -> impl Iterator<Item = Key<R>> {
+    /// The workload's requests that have not missed their latency objective and arrived before `before`.
+    pub fn on_time_before(&self, workload: W, before: u64) -> impl Iterator<Item = Key<R>> {
         let set = self.on_time.get(&workload).into_iter().flatten();
-        set.take_while(move |(arrival, _)| *arrival < came).map(|(_, key)| *key)
+        set.take_while(move |(arrival, _)| *arrival < before).map(|(_, key)| *key)
     }
 
-    /// The requests that have missed their latency objective and arrived at or before `came`, of the
-    /// functions that `of` selects.
-    pub fn late_until(&self, came: u64, of: impl Fn(F) -> bool) -> impl Iterator<Item = Key<R>> {
-        let sets = self.late.iter().filter(move |(function, _)| of(**function)).map(|(_, set)| set);
+    /// The requests that have missed their latency objective and arrived at or before `until`, of the
+    /// functions that satisfy `in_scope`.
+    pub fn late_until(&self, until: u64, in_scope: impl Fn(F) -> bool) -> impl Iterator<Item = Key<R>> {
+        let sets = self.late.iter().filter(move |(function, _)| in_scope(**function)).map(|(_, set)| set);
         sets.flat_map(move |set| {
-            set.iter().take_while(move |(arrival, _)| *arrival <= came).map(|(_, key)| *key)
+            set.iter().take_while(move |(arrival, _)| *arrival <= until).map(|(_, key)| *key)
         })
     }
 }
--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -1,12 +1,12 @@
 //! Compares the queue's indexes with a plain ordered map.
-use applepond_wait_queue::{Key, Row, Waiting};
+use applepond_wait_queue::{Key, QueuedRequest, WaitQueue};
 use proptest::prelude::*;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-type Plain = BTreeMap<Key<u8>, Row<u8, u8>>;
+type Plain = BTreeMap<Key<u8>, QueuedRequest<u8, u8>>;
 
-fn keys(plain: &Plain, wanted: impl Fn(&Key<u8>, &Row<u8, u8>) -> bool) -> Vec<Key<u8>> {
+fn keys(plain: &Plain, wanted: impl Fn(&Key<u8>, &QueuedRequest<u8, u8>) -> bool) -> Vec<Key<u8>> {
     plain.iter().filter(|(k, r)| wanted(k, r)).map(|(k, _)| *k).collect()
 }
 
@@ -25,38 +25,38 @@
         ),
         at in 0u64..30,
     ) {
-        let mut waiting = Waiting::default();
+        let mut waiting = WaitQueue::default();
         let mut plain = Plain::new();
-        for (add, value, came, request, function, workload, deadline, (bare, late)) in steps {
-            let key = (Reverse(value), came, request);
+        for (add, priority, arrival, request, function, workload, deadline, (unsent, late)) in steps {
+            let key = (Reverse(priority), arrival, request);
             if add {
-                let row = Row { function, workload, deadline, bare, late };
-                waiting.insert(key, row);
-                plain.insert(key, row);
+                let queued = QueuedRequest { function, workload, deadline, unsent, late };
+                waiting.insert(key, queued);
+                plain.insert(key, queued);
             } else {
                 prop_assert_eq!(waiting.remove(&key), plain.remove(&key));
             }
         }
         prop_assert_eq!((waiting.len(), waiting.is_empty()), (plain.len(), plain.is_empty()));
-        let mut heads = keys(&plain, |_, row| !row.bare);
+        let mut candidates = keys(&plain, |_, queued| !queued.unsent);
         for f in 0..4 {
-            let bare = keys(&plain, |_, row| row.bare && row.function == f);
-            prop_assert_eq!(waiting.highest(f), bare.first().map(|k| k.0.0));
-            heads.extend(bare.first());
-            for pair in bare.windows(2) {
-                prop_assert_eq!(waiting.after(f, &pair[0]), Some(pair[1]));
+            let unsent = keys(&plain, |_, queued| queued.unsent && queued.function == f);
+            prop_assert_eq!(waiting.highest_unsent_priority(f), unsent.first().map(|k| k.0.0));
+            candidates.extend(unsent.first());
+            for pair in unsent.windows(2) {
+                prop_assert_eq!(waiting.next_unsent(f, &pair[0]), Some(pair[1]));
             }
-            prop_assert_eq!(bare.last().and_then(|last| waiting.after(f, last)), None);
+            prop_assert_eq!(unsent.last().and_then(|last| waiting.next_unsent(f, last)), None);
         }
-        heads.sort();
-        prop_assert_eq!(waiting.heads().into_iter().collect::<Vec<_>>(), heads);
+        candidates.sort();
+        prop_assert_eq!(waiting.dispatch_candidates().into_iter().collect::<Vec<_>>(), candidates);
         for w in 0..2 {
-            let leaving = keys(&plain, |_, row| row.workload == w && row.deadline <= at);
-            prop_assert_eq!(sorted(waiting.leaving(w, at)), leaving);
-            let fresh = keys(&plain, |k, row| row.workload == w && !row.late && k.1 < at);
-            prop_assert_eq!(sorted(waiting.fresh_before(w, at)), fresh);
+            let due = keys(&plain, |_, queued| queued.workload == w && queued.deadline <= at);
+            prop_assert_eq!(sorted(waiting.deadline_until(w, at)), due);
+            let on_time = keys(&plain, |k, queued| queued.workload == w && !queued.late && k.1 < at);
+            prop_assert_eq!(sorted(waiting.on_time_before(w, at)), on_time);
         }
-        let late = keys(&plain, |k, row| row.late && row.function < 2 && k.1 <= at);
+        let late = keys(&plain, |k, queued| queued.late && queued.function < 2 && k.1 <= at);
         prop_assert_eq!(sorted(waiting.late_until(at, |f| f < 2)), late);
     }
 }
--- a/src/control/capacity.rs
+++ b/src/control/capacity.rs
@@ -12,7 +12,7 @@
     /// Sum of the weights of ready workers.
     pub total_weight: f64,
     /// Smallest weight of a ready worker.
-    pub least_weight: f64,
+    pub min_weight: f64,
     /// Highest sum of weights seen. The initial value is taken from the first list and includes draining
     /// workers.
     pub highest_total_weight: f64,
@@ -25,7 +25,7 @@
     fn default() -> Self {
         FleetCapacity {
             total_weight: MIN_TOTAL_WEIGHT,
-            least_weight: 0.0,
+            min_weight: 0.0,
             highest_total_weight: 0.0,
             in_flight_per_weight: 0.0,
             throughput: Throughput::default(),
@@ -38,7 +38,7 @@
     pub(super) fn refresh_capacity(&mut self) {
         let ready = self.workers.ready();
         self.fleet.total_weight = ready.total_weight().max(MIN_TOTAL_WEIGHT);
-        self.fleet.least_weight = ready.least_weight().unwrap_or(f64::MAX);
+        self.fleet.min_weight = ready.min_weight().unwrap_or(f64::MAX);
         self.fleet.highest_total_weight = self.fleet.highest_total_weight.max(self.fleet.total_weight);
         self.fleet.in_flight_per_weight = self.workers.total_in_flight() / self.fleet.total_weight;
         let throughput = Throughput {
@@ -70,7 +70,7 @@
 
     /// Estimated requests per microsecond of the other routers for a function. Each is assumed to have the
     /// rate this router had before its latest request.
-    pub(super) fn rate_elsewhere(&self, function: FunctionId) -> f64 {
+    pub(super) fn other_routers_rate(&self, function: FunctionId) -> f64 {
         let before_latest = (self.functions[&function].calls.count() - 1.0).max(0.0);
         self.traffic.rate(self.now, before_latest) * (self.config.router_count - 1) as f64
     }
--- a/src/control/concurrency_limit.rs
+++ b/src/control/concurrency_limit.rs
@@ -28,7 +28,7 @@
 const GROWTH_HEADROOM: f64 = 2.0;
 /// Number of requests at a worker, over all routers, that never counts as overload: so few are dominated by
 /// chance.
-const FREE_REQUESTS: f64 = 5.0;
+const MIN_BOUNDED_LOAD: f64 = 5.0;
 /// Multiple of the mean load per unit of weight that counts as overload, as is usual for bounded loads.
 const BOUNDED_LOAD_FACTOR: f64 = 1.5;
 
@@ -58,7 +58,7 @@
 /// Bound of consistent hashing with bounded loads: the maximum number of requests of all routers at a
 /// worker of this weight.
 pub fn bounded_load(mean_per_weight: f64, weight: f64) -> f64 {
-    FREE_REQUESTS + BOUNDED_LOAD_FACTOR * mean_per_weight * weight
+    MIN_BOUNDED_LOAD + BOUNDED_LOAD_FACTOR * mean_per_weight * weight
 }
 
 impl ConcurrencyLimit {
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -4,7 +4,7 @@
 use super::{Control, InFlightAttempt, QueueKey};
 use crate::interface::{Actions, RequestId, WorkerId};
 use crate::state::request::{Attempt, AttemptId, AttemptState};
-use applepond_wait_queue::Row;
+use applepond_wait_queue::QueuedRequest;
 use std::cmp::Reverse;
 
 impl Control {
@@ -17,24 +17,24 @@
     /// Adds a request to the queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        let row = Row {
+        let queued = QueuedRequest {
             function: request.function,
             workload: request.workload,
             deadline: request.deadline,
-            bare: request.attempts.is_empty(),
+            unsent: request.attempts.is_empty(),
             late: request.late,
         };
-        self.queue.insert(self.queue_key(id), row);
+        self.queue.insert(self.queue_key(id), queued);
     }
 
     /// Sends waiting requests while workers have capacity, highest priority first and then oldest first.
     pub(super) fn dispatch(&mut self, actions: &mut dyn Actions) {
-        let mut heads = self.queue.heads();
-        while let Some(key) = heads.pop_first() {
+        let mut candidates = self.queue.dispatch_candidates();
+        while let Some(key) = candidates.pop_first() {
             // If a function's first request finds no worker, its other requests would not either.
             let Some(worker) = self.select_worker(key.2) else { continue };
-            if let Some(row) = self.queue.remove(&key).filter(|row| row.bare) {
-                heads.extend(self.queue.after(row.function, &key));
+            if let Some(queued) = self.queue.remove(&key).filter(|queued| queued.unsent) {
+                candidates.extend(self.queue.next_unsent(queued.function, &key));
             }
             self.send_and_schedule_hedge(actions, key.2, worker);
         }
@@ -80,7 +80,7 @@
         let work = self.workloads.relative_work(workload);
         self.record_warmup_work(to, work);
         actions.send(id, to, timeout, not_after);
-        self.workers.account_since(to, before);
+        self.workers.update_totals(to, before);
 
         let in_flight =
             InFlightAttempt { worker: to, function, workload, customer, sent_at: now, was_loaded };
--- a/src/control/feedback.rs
+++ b/src/control/feedback.rs
@@ -2,7 +2,7 @@
 
 use super::retry::REJECTION_BACKOFF;
 use super::{Control, InFlightAttempt};
-use crate::averages::{AVERAGING_WINDOW, MICROS_PER_SECOND, sample_weight};
+use crate::averages::{AVERAGING_WINDOW_MICROS, MICROS_PER_SECOND, sample_weight};
 use crate::interface::{Actions, AttemptResult, LoadState, Micros, Outcome};
 use crate::state::worker::{FunctionAtWorker, Worker};
 
@@ -62,7 +62,7 @@
             self.record_reports(feedback);
             self.record_outcome(actions, feedback);
         }
-        self.workers.account_since(attempt.worker, before);
+        self.workers.update_totals(attempt.worker, before);
     }
 
     /// The worker of the attempt. Must only be called while the worker is known.
@@ -108,12 +108,12 @@
         let reports_function = matches!(result.outcome, Outcome::Finished | Outcome::Overloaded);
         if self.config.reports_same_function && reports_function {
             let reported = share_of_others(f64::from(result.same_function_in_flight));
-            let known = self.function_at_worker(feedback).others_in_flight.at_mut(tick);
-            *known += REPORT_WEIGHT * (reported - *known);
+            let estimate = self.function_at_worker(feedback).others_in_flight.at_mut(tick);
+            *estimate += REPORT_WEIGHT * (reported - *estimate);
         }
         if let Some(in_flight) = result.reported_in_flight {
-            let known = self.worker_of(feedback).others_in_flight.at_mut(tick);
-            *known += REPORT_WEIGHT * (share_of_others(in_flight) - *known);
+            let estimate = self.worker_of(feedback).others_in_flight.at_mut(tick);
+            *estimate += REPORT_WEIGHT * (share_of_others(in_flight) - *estimate);
         }
         self.loads.record_report(result.reported_loads);
     }
@@ -175,7 +175,7 @@
         let elapsed = feedback.result.elapsed;
         let worker = self.workers.get(&feedback.attempt.worker).expect("looked up before");
         self.workloads.record_response(feedback.attempt.workload, elapsed, &worker.concurrency);
-        self.expect_others(feedback);
+        self.estimate_other_routers(feedback);
         let objective = self.workloads[feedback.attempt.workload].latency_objective;
         let throughput = self.fleet.throughput;
         let worker = self.worker_of(feedback);
@@ -187,9 +187,9 @@
 
     /// If the worker does not report other routers' requests, assumes that each other router has on average
     /// as many requests there as this one.
-    fn expect_others(&mut self, feedback: Feedback<'_>) {
+    fn estimate_other_routers(&mut self, feedback: Feedback<'_>) {
         let tick = self.workers.tick();
-        let expected = self.expected_others(feedback.result.elapsed);
+        let expected = self.estimated_requests_of_others(feedback.result.elapsed);
         let at_function = if self.config.reports_same_function { 0.0 } else { expected };
         let at_worker = if feedback.result.reported_in_flight.is_some() { 0.0 } else { expected };
         *self.function_at_worker(feedback).others_in_flight.at_mut(tick) += at_function;
@@ -198,8 +198,8 @@
 
     /// What a request of duration `elapsed` adds to the estimate of the other routers' requests at a
     /// worker.
-    fn expected_others(&self, elapsed: Micros) -> f64 {
-        self.other_routers() * elapsed as f64 / AVERAGING_WINDOW
+    fn estimated_requests_of_others(&self, elapsed: Micros) -> f64 {
+        self.other_routers() * elapsed as f64 / AVERAGING_WINDOW_MICROS
     }
 
     /// Records the duration of a load that this attempt triggered.
@@ -231,8 +231,8 @@
             return;
         }
         let at_limit = worker.concurrency.limit * others / (others + 1.0);
-        let known = worker.others_in_flight.at_mut(tick);
-        *known = known.max(at_limit);
+        let estimate = worker.others_in_flight.at_mut(tick);
+        *estimate = estimate.max(at_limit);
         let in_flight = worker.total_in_flight(tick);
         let min_limit = throughput.min_limit(worker.weight);
         worker.concurrency.decrease(now, objective / REJECTION_INTERVAL_DIVISOR, in_flight, min_limit);
@@ -247,7 +247,7 @@
         let throughput = self.fleet.throughput;
         let elapsed = feedback.result.elapsed;
         let objective = self.workloads[feedback.attempt.workload].latency_objective;
-        let expected = self.expected_others(elapsed);
+        let expected = self.estimated_requests_of_others(elapsed);
         let worker = self.worker_of(feedback);
         if elapsed <= objective || worker.last_answered_sent_at > feedback.attempt.sent_at {
             return;
--- a/src/control/hedging.rs
+++ b/src/control/hedging.rs
@@ -4,14 +4,14 @@
 //! Guards against a worker that is slow for one request without being slow for all.
 
 use super::Control;
-use super::shedding::LAST_CALL;
+use super::shedding::GIVE_UP_MARGIN;
 use super::timers::Timer;
 use crate::averages::TICK_INTERVAL;
 use crate::interface::{Actions, Micros, RetrySafety};
 use crate::state::request::{AttemptId, AttemptState, Request};
 
 /// Load times in the hedge delay, which is two load times plus the latency objective.
-const DELAY_LOADS: u64 = 2;
+const HEDGE_DELAY_LOAD_TIMES: u64 = 2;
 /// Time until a hedge that found no worker is tried again.
 const RETRY_INTERVAL: Micros = 2 * TICK_INTERVAL;
 
@@ -29,7 +29,7 @@
             return;
         }
         let objective = self.workloads[request.workload].latency_objective;
-        let delay = DELAY_LOADS * self.load_time(request.function) + objective;
+        let delay = HEDGE_DELAY_LOAD_TIMES * self.load_time(request.function) + objective;
         self.timers.set(actions, delay, Timer::Hedge(id));
     }
 
@@ -38,7 +38,7 @@
     /// cancels the attempt instead, so that its request is retried.
     pub(super) fn hedge(&mut self, actions: &mut dyn Actions, id: AttemptId) {
         let Some(request) = self.requests.get(&id.request) else { return };
-        let in_time = request.deadline > self.now + LAST_CALL;
+        let in_time = request.deadline > self.now + GIVE_UP_MARGIN;
         let wanted = is_latest_in_flight(request, id) && !request.response_started;
         if !wanted || !self.may_retry(request) || !in_time {
             return;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -60,13 +60,13 @@
 use crate::state::request::{AttemptId, AttemptState, Request};
 use crate::state::worker_table::Workers;
 use applepond_rendezvous::PrefixCache;
-use applepond_wait_queue::{Key, Waiting};
+use applepond_wait_queue::{Key, WaitQueue};
 use capacity::FleetCapacity;
 use load_limiter::{DEFAULT_LOAD_TIME, LoadLimiter};
 use oorandom::Rand64;
 use quota::CustomerQuotas;
 use retry::AttemptBudget;
-use shedding::LAST_CALL;
+use shedding::GIVE_UP_MARGIN;
 use std::collections::BTreeMap;
 use std::num::NonZeroUsize;
 use timers::{Timer, Timers};
@@ -79,7 +79,7 @@
 /// the number of functions seen within [`FUNCTION_IDLE_TIME`].
 const MAX_FUNCTIONS: usize = 8_192;
 /// Fraction (1/n) of the function table that is evicted at once when it is full.
-const EVICTED_PART: usize = 8;
+const EVICTION_DIVISOR: usize = 8;
 /// Number of functions whose first workers in hash order are cached. It covers several minutes of traffic:
 /// computing an order costs as much as a hundred requests.
 const MAX_CACHED_ORDERS: NonZeroUsize = NonZeroUsize::new(8_192).expect("above zero");
@@ -117,7 +117,7 @@
     /// Requests without a final response.
     requests: BTreeMap<RequestId, Request>,
     /// The requests that wait for a worker.
-    queue: Waiting<RequestId, FunctionId, WorkloadId>,
+    queue: WaitQueue<RequestId, FunctionId, WorkloadId>,
     in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     timers: Timers,
     loads: LoadLimiter,
@@ -139,9 +139,9 @@
             config,
             workers: Workers::default(),
             functions: Functions::default(),
-            hash_orders: PrefixCache::with_most(MAX_CACHED_ORDERS),
+            hash_orders: PrefixCache::with_capacity(MAX_CACHED_ORDERS),
             requests: BTreeMap::new(),
-            queue: Waiting::default(),
+            queue: WaitQueue::default(),
             in_flight: BTreeMap::new(),
             timers: Timers::default(),
             loads: LoadLimiter::new(now),
@@ -183,8 +183,10 @@
         self.traffic.record_arrival(self.now);
         self.record_call(arrival);
         let request = self.new_request(arrival);
-        let must_queue =
-            self.queue.highest(request.function).is_some_and(|priority| priority >= request.priority);
+        let must_queue = self
+            .queue
+            .highest_unsent_priority(request.function)
+            .is_some_and(|priority| priority >= request.priority);
         let id = arrival.request;
         self.forget_request(id);
         self.requests.insert(id, request);
@@ -193,7 +195,7 @@
         if let Some(worker) = worker {
             self.queue.remove(&self.queue_key(id));
             self.send_and_schedule_hedge(actions, id, worker);
-        } else if arrival.time_left <= LAST_CALL + TICK_INTERVAL {
+        } else if arrival.time_left <= GIVE_UP_MARGIN + TICK_INTERVAL {
             // The deadline falls before a tick could end the request.
             self.give_up(actions, id);
         }
@@ -404,7 +406,7 @@
 
     /// Evicts functions from a full table, together with what idle workers hold for them.
     fn evict_functions(&mut self) {
-        for (id, evicted) in self.functions.evict(MAX_FUNCTIONS / EVICTED_PART) {
+        for (id, evicted) in self.functions.evict(MAX_FUNCTIONS / EVICTION_DIVISOR) {
             for worker in &evicted.workers {
                 let Some(worker) = self.workers.get_mut(worker) else { continue };
                 if worker.functions.get(&id).is_some_and(|known| known.in_flight == 0) {
--- a/src/control/outlier_ejection.rs
+++ b/src/control/outlier_ejection.rs
@@ -21,15 +21,15 @@
 /// worker that has not responded for 4.3 s.
 const MAX_ERROR_RATE: f64 = 0.25;
 /// Overdue responses at which a worker counts as silent; a single one may be a slow request.
-const SILENT_RESPONSES: u32 = 2;
+const MIN_OVERDUE_RESPONSES: u32 = 2;
 /// Concurrent requests at the start of the recovery ramp.
 const RECOVERY_START: u32 = 1;
 /// Concurrent requests at which the recovery ramp ends: more than a worker usually has from one router.
 const RECOVERY_END: u32 = 16;
 /// Load times, beyond the latency objective, after which a response is overdue if the function was loaded.
-const OVERDUE_LOADS_IF_LOADED: u64 = 2;
+const OVERDUE_LOAD_TIMES_IF_LOADED: u64 = 2;
 /// The same if the function was not loaded.
-const OVERDUE_LOADS: u64 = 4;
+const OVERDUE_LOAD_TIMES: u64 = 4;
 
 impl OutlierState {
     /// State of a worker without known faults.
@@ -117,7 +117,7 @@
 
     /// Whether a selection skips a worker: it is ejected, or it has just returned and the request may run
     /// only once. Such a request waits until another one has probed the worker.
-    pub(super) fn passes_over(&self, worker: &Worker, request: &Request) -> bool {
+    pub(super) fn skips_worker(&self, worker: &Worker, request: &Request) -> bool {
         worker.outlier.is_ejected(self.now)
             || worker.outlier.recovery_limit == Some(RECOVERY_START) && self.must_not_probe(request)
     }
@@ -138,7 +138,7 @@
             if self.now <= attempt.sent_at + objective {
                 continue;
             }
-            let loads = if attempt.was_loaded { OVERDUE_LOADS_IF_LOADED } else { OVERDUE_LOADS };
+            let loads = if attempt.was_loaded { OVERDUE_LOAD_TIMES_IF_LOADED } else { OVERDUE_LOAD_TIMES };
             let due_at = attempt.sent_at + objective + loads * self.load_time(attempt.function);
             let worker = self.workers.get(&attempt.worker);
             if self.now > due_at && worker.is_some_and(|worker| worker.last_response_at <= attempt.sent_at) {
@@ -146,7 +146,7 @@
             }
         }
         for (worker, responses) in overdue {
-            if responses >= SILENT_RESPONSES {
+            if responses >= MIN_OVERDUE_RESPONSES {
                 self.eject(actions, worker);
             }
         }
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -6,7 +6,7 @@
 use crate::interface::{CustomerConfig, CustomerId, Micros};
 
 /// Bucket capacity, as microseconds of the customer's quota.
-const BURST_WINDOW: f64 = 2_000_000.0;
+const BURST_WINDOW_MICROS: f64 = 2_000_000.0;
 /// Minimum bucket capacity, however small the quota: one request.
 const MIN_BURST: f64 = 1.0;
 
@@ -58,7 +58,7 @@
         let bucket = &mut self.buckets[customer.0];
         let tokens_per_micro = bucket.requests_per_second / 1e6 / router_count.max(1) as f64;
         let refilled = bucket.tokens + (now - bucket.refilled_at) as f64 * tokens_per_micro;
-        bucket.tokens = refilled.min((tokens_per_micro * BURST_WINDOW).max(MIN_BURST));
+        bucket.tokens = refilled.min((tokens_per_micro * BURST_WINDOW_MICROS).max(MIN_BURST));
         bucket.refilled_at = now;
         let within_quota = bucket.tokens >= 1.0;
         if within_quota {
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -5,7 +5,7 @@
 //! the load when workers fail. Every attempt is checked by [`Control::may_send`].
 
 use super::Control;
-use super::shedding::LAST_CALL;
+use super::shedding::GIVE_UP_MARGIN;
 use crate::averages::TICK_INTERVAL;
 use crate::interface::{
     Actions, AttemptResult, IdempotencyScope, Micros, Outcome, RequestId, RetrySafety, WorkerId,
@@ -14,9 +14,9 @@
 use crate::state::worker::Worker;
 
 /// Budget tokens earned per first try, so that hedged attempts and retries cannot double the load.
-const EARNED_PER_REQUEST: f64 = 0.05;
+const TOKENS_PER_REQUEST: f64 = 0.05;
 /// Maximum saved tokens: enough for a short fault.
-const MAX_SAVED: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 /// Time for which a request avoids a worker after an attempt of it there has ended, and for which a
 /// function avoids a worker that has rejected it: about the duration of a few requests.
 pub(super) const REJECTION_BACKOFF: Micros = 300_000;
@@ -29,7 +29,7 @@
 impl Default for AttemptBudget {
     /// A half-full budget.
     fn default() -> Self {
-        AttemptBudget { tokens: MAX_SAVED / 2.0 }
+        AttemptBudget { tokens: MAX_TOKENS / 2.0 }
     }
 }
 
@@ -37,8 +37,8 @@
     /// Earns tokens for an arriving request. A client's retry earns none; otherwise a retry storm would
     /// increase the number of attempts per request.
     pub fn earn(&mut self, is_client_retry: bool) {
-        let earned = if is_client_retry { 0.0 } else { EARNED_PER_REQUEST };
-        self.tokens = (self.tokens + earned).min(MAX_SAVED);
+        let earned = if is_client_retry { 0.0 } else { TOKENS_PER_REQUEST };
+        self.tokens = (self.tokens + earned).min(MAX_TOKENS);
     }
 
     /// Whether a token is available.
@@ -54,8 +54,8 @@
 
 /// The time from which on no further attempt of the request may be sent.
 pub(super) fn no_attempt_after(request: &Request) -> Micros {
-    let first_risk = request.possibly_executed().map(|attempt| attempt.sent_at).min();
-    match (first_risk, request.retry_safety) {
+    let first_sent_at = request.possibly_executed().map(|attempt| attempt.sent_at).min();
+    match (first_sent_at, request.retry_safety) {
         (None, _) | (_, RetrySafety::Idempotent) => Micros::MAX,
         (Some(first), RetrySafety::Keyed { window, .. }) => (first + window).saturating_sub(TICK_INTERVAL),
         (Some(_), RetrySafety::AtMostOnce) => 0,
@@ -72,7 +72,7 @@
 }
 
 /// Whether a request may have been executed, judging by the outcome of its attempt.
-fn state_after(outcome: Outcome) -> AttemptState {
+fn state_after_outcome(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::NotLoaded | Outcome::Overloaded | Outcome::ConnectFailed | Outcome::Superseded => {
             AttemptState::NeverRan
@@ -97,12 +97,12 @@
     /// and a duplicate would be harmless there.
     pub(super) fn may_send(&self, request: &Request, id: WorkerId) -> bool {
         let Some(worker) = self.workers.get(&id).filter(|worker| worker.ready) else { return false };
-        let rested = |attempt: &Attempt| {
+        let backoff_over = |attempt: &Attempt| {
             attempt.worker != id
                 || (attempt.state != AttemptState::InFlight
                     && attempt.ended_at + REJECTION_BACKOFF <= self.now)
         };
-        if !request.attempts.iter().all(rested) || !self.may_retry(request) {
+        if !request.attempts.iter().all(backoff_over) || !self.may_retry(request) {
             return false;
         }
         match request.retry_safety {
@@ -130,7 +130,7 @@
         let Some(request) = self.requests.get_mut(&id.request) else { return };
         let attempt = &mut request.attempts[id.number];
         attempt.ended_at = self.now;
-        attempt.state = state_after(result.outcome);
+        attempt.state = state_after_outcome(result.outcome);
         if result.request_ended {
             self.cancel_attempts(actions, id.request);
             self.forget_request(id.request);
@@ -147,7 +147,7 @@
 
     fn retry_or_give_up(&mut self, actions: &mut dyn Actions, id: RequestId, costs_token: bool) {
         let request = &self.requests[&id];
-        let in_time = request.deadline > self.now + LAST_CALL;
+        let in_time = request.deadline > self.now + GIVE_UP_MARGIN;
         let affordable = !costs_token || self.attempt_budget.has_token();
         if !in_time || !self.may_retry(request) || !affordable {
             self.give_up(actions, id);
--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -13,7 +13,7 @@
 use crate::state::function::Function;
 use crate::state::request::Request;
 use crate::state::worker::{FunctionAtWorker, Worker};
-use applepond_rendezvous::{Draw, Prefix, Ranked};
+use applepond_rendezvous::{HashScheme, Prefix, Ranked};
 use std::vec::IntoIter;
 
 /// Share of a worker's throughput that one function may use, over all routers, before requests are
@@ -28,7 +28,7 @@
 const SMALL_FUNCTION_ALLOWANCE: f64 = 1.5;
 /// Estimated number of other routers' requests for a function below which it counts as having none at a
 /// worker.
-const NO_REQUESTS: f64 = 1.0;
+const NEGLIGIBLE_REQUESTS: f64 = 1.0;
 /// Fraction of the latency objective that overflow waits before starting a load at another worker.
 const OVERFLOW_WAIT_SHARE: f64 = 0.25;
 /// Remaining workers in the hash order, per worker that may have the function loaded, above which the
@@ -79,7 +79,7 @@
     /// Whether the function has no request at the worker. Under overload the busiest functions are
     /// diverted; a small one stays, which saves a load.
     fn is_small(&self) -> bool {
-        self.own == 0 && self.others_of_function < NO_REQUESTS
+        self.own == 0 && self.others_of_function < NEGLIGIBLE_REQUESTS
     }
 }
 
@@ -152,7 +152,7 @@
     fn has_to_wait_for_load(&self, function: FunctionId) -> bool {
         !self.loads.allows_another()
             && self.functions[&function].workers.is_empty()
-            && self.rate_elsewhere(function) * (self.config.cache_lifetime as f64) < KEEP_ALIVE_REQUESTS
+            && self.other_routers_rate(function) * (self.config.cache_lifetime as f64) < KEEP_ALIVE_REQUESTS
     }
 
     /// Presumes that a function is loaded at a worker for one load time, or until a response reports its
@@ -175,8 +175,9 @@
             Ranked { score, weight, member: *id }
         };
         let loaded = self.functions[&function].workers.iter().filter(is_loaded).map(rank);
-        let mut loaded: Vec<Ranked<WorkerId>> = loaded.filter(|ranked| ranked.order(first).is_ge()).collect();
-        loaded.sort_by(Ranked::order);
+        let mut loaded: Vec<Ranked<WorkerId>> =
+            loaded.filter(|ranked| ranked.compare(first).is_ge()).collect();
+        loaded.sort_by(Ranked::compare);
         loaded
     }
 }
@@ -199,7 +200,7 @@
 
     /// Walks the hash order and decides from the result.
     fn choose(&self, order: &mut Prefix<WorkerId>) -> Option<Choice> {
-        let remaining_rate = self.control.rate_elsewhere(self.request.function);
+        let remaining_rate = self.control.other_routers_rate(self.request.function);
         let mut probe = Probe { remaining_rate, ..Probe::default() };
         while probe.loaded.is_none() {
             let loaded_only = self.needs_only_loaded(&probe);
@@ -217,9 +218,9 @@
         if probe.home.is_none() {
             return false;
         }
-        let none_moves_on = probe.remaining_rate <= self.rate_per_weight * self.control.fleet.least_weight;
+        let none_diverted = probe.remaining_rate <= self.rate_per_weight * self.control.fleet.min_weight;
         probe.examined >= MAX_EXAMINED
-            || none_moves_on && (probe.overflow.is_some() || !self.overflow_may_start_load())
+            || none_diverted && (probe.overflow.is_some() || !self.overflow_may_start_load())
     }
 
     fn overflow_may_start_load(&self) -> bool {
@@ -264,11 +265,11 @@
         let control = self.control;
         let id = ranked.member;
         let rate = self.rate_per_weight * ranked.weight;
-        let moves_on = self.moves_on(probe.remaining_rate, rate, position);
-        if control.workers.is_suspect(&id) && control.passes_over(&control.workers[&id], self.request) {
+        let is_diverted = self.is_diverted(probe.remaining_rate, rate, position);
+        if control.workers.is_suspect(&id) && control.skips_worker(&control.workers[&id], self.request) {
             return None;
         }
-        if moves_on {
+        if is_diverted {
             probe.remaining_rate -= rate;
             return None;
         }
@@ -280,7 +281,7 @@
         // that too.
         let is_presumed_loaded = !is_known_loaded
             && probe.home.is_none()
-            && self.others_keep_loaded(probe.remaining_rate.min(rate))
+            && self.other_routers_keep_loaded(probe.remaining_rate.min(rate))
             && control.capacity_share(worker) >= 1.0;
         let is_loaded = is_known_loaded || is_presumed_loaded;
         if !is_loaded && (loaded_only || probe.overflow.is_some()) {
@@ -291,20 +292,20 @@
 
     /// Whether the request skips this worker because the function's rate exceeds its share of the worker.
     /// Requests of all routers are diverted at random in such proportion that the remainder fits.
-    fn moves_on(&self, remaining_rate: f64, rate: f64, position: usize) -> bool {
+    fn is_diverted(&self, remaining_rate: f64, rate: f64, position: usize) -> bool {
         remaining_rate > rate
             && unit_interval(hash_pair(self.request.random_bits, position as u64)) >= rate / remaining_rate
     }
 
     /// Whether this many requests per microsecond keep a function loaded.
-    fn others_keep_loaded(&self, rate: f64) -> bool {
+    fn other_routers_keep_loaded(&self, rate: f64) -> bool {
         rate * self.control.config.cache_lifetime as f64 >= KEEP_ALIVE_REQUESTS
     }
 
     /// Updates the probe with a candidate.
     fn consider(&self, probe: &mut Probe, candidate: &Candidate<'_>) {
         let load = self.load_of(candidate);
-        let has_capacity = !self.is_filled_by_function(&load)
+        let has_capacity = !self.is_full_for_function(&load)
             && !self.is_overloaded(candidate, &load)
             && self.accepts(candidate);
         if probe.home.is_none() {
@@ -348,7 +349,7 @@
     }
 
     /// Whether the function's own requests use all of its expected concurrency at the worker.
-    fn is_filled_by_function(&self, load: &CandidateLoad) -> bool {
+    fn is_full_for_function(&self, load: &CandidateLoad) -> bool {
         f64::from(load.own) + load.visible_share * load.others_of_function >= self.concurrency()
     }
 
--- a/src/control/shedding.rs
+++ b/src/control/shedding.rs
@@ -11,7 +11,7 @@
 
 /// Minimum time before its deadline at which a waiting request is ended: more than one tick. A request is
 /// ended earlier if its service time is longer.
-pub(super) const LAST_CALL: Micros = 30_000;
+pub(super) const GIVE_UP_MARGIN: Micros = 30_000;
 /// Time after arrival from which on a late request is given up at the next tick, unless this router is
 /// loading its function.
 const LATE_GRACE: Micros = 2 * TICK_INTERVAL;
@@ -21,11 +21,11 @@
 /// How to proceed with a waiting request.
 enum Verdict {
     /// It continues to wait.
-    Waits,
+    Wait,
     /// It can no longer meet its latency objective, and now waits behind requests that can.
-    IsLate,
+    Deprioritize,
     /// It can no longer be served.
-    IsGivenUp,
+    GiveUp,
 }
 
 impl Control {
@@ -34,9 +34,9 @@
         let loading: BTreeSet<FunctionId> = self.loads.in_progress().map(|(function, _)| function).collect();
         for key in self.due_for_check(&loading) {
             match self.verdict(&key, &loading) {
-                Verdict::Waits => {}
-                Verdict::IsLate => self.lower_priority(&key),
-                Verdict::IsGivenUp => self.give_up(actions, key.2),
+                Verdict::Wait => {}
+                Verdict::Deprioritize => self.lower_priority(&key),
+                Verdict::GiveUp => self.give_up(actions, key.2),
             }
         }
     }
@@ -48,8 +48,8 @@
         let mut due: BTreeSet<QueueKey> = overdue.collect();
         for (id, workload) in self.workloads.iter() {
             let done_at = self.now + workload.service_time() as Micros;
-            due.extend(self.queue.leaving(id, done_at.max(self.now + LAST_CALL)));
-            due.extend(self.queue.fresh_before(id, done_at.saturating_sub(workload.latency_objective)));
+            due.extend(self.queue.deadline_until(id, done_at.max(self.now + GIVE_UP_MARGIN)));
+            due.extend(self.queue.on_time_before(id, done_at.saturating_sub(workload.latency_objective)));
         }
         due
     }
@@ -59,14 +59,14 @@
         let workload = &self.workloads[request.workload];
         let done_at = self.now + workload.service_time() as Micros;
         let (_, arrived_at, _) = *key;
-        let waited_in_vain =
+        let grace_expired =
             request.late && self.now >= arrived_at + LATE_GRACE && !loading.contains(&request.function);
-        if waited_in_vain || done_at.max(self.now + LAST_CALL) >= request.deadline {
-            Verdict::IsGivenUp
+        if grace_expired || done_at.max(self.now + GIVE_UP_MARGIN) >= request.deadline {
+            Verdict::GiveUp
         } else if !request.late && done_at > arrived_at + workload.latency_objective {
-            Verdict::IsLate
+            Verdict::Deprioritize
         } else {
-            Verdict::Waits
+            Verdict::Wait
         }
     }
 
--- a/src/control/traffic.rs
+++ b/src/control/traffic.rs
@@ -1,6 +1,6 @@
 //! Request rates observed by this router.
 
-use crate::averages::{AVERAGING_WINDOW, DecayingCounter, remaining_weight};
+use crate::averages::{AVERAGING_WINDOW_MICROS, DecayingCounter, remaining_weight};
 use crate::interface::Micros;
 
 /// Minimum share of the averaging window that counts as observed. Without it, a few requests right after
@@ -42,6 +42,6 @@
     /// observed a whole averaging window.
     pub(super) fn rate(&self, now: Micros, decayed_count: f64) -> f64 {
         let observed = 1.0 - remaining_weight(now - self.started_at);
-        decayed_count / AVERAGING_WINDOW / observed.max(MIN_OBSERVED_WEIGHT)
+        decayed_count / AVERAGING_WINDOW_MICROS / observed.max(MIN_OBSERVED_WEIGHT)
     }
 }
--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -5,7 +5,7 @@
 //! different home workers. `tests/golden.rs` pins them.
 
 use crate::interface::{FunctionId, WorkerId};
-use applepond_rendezvous::Draw;
+use applepond_rendezvous::HashScheme;
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -48,7 +48,7 @@
 /// same order.
 pub(crate) struct HashOrder;
 
-impl Draw for HashOrder {
+impl HashScheme for HashOrder {
     type Key = FunctionId;
     type Member = WorkerId;
 
@@ -65,7 +65,7 @@
         -draw.ln() / weight
     }
 
-    fn least_hash(cutoff: f64, weight: f64) -> u64 {
+    fn min_hash(cutoff: f64, weight: f64) -> u64 {
         // Rounded down slightly so that floating-point error excludes no worker.
         let draw = (-cutoff * weight).exp() * (1.0 - 1e-9);
         ((draw * UNIT_STEPS) as u64).saturating_sub(1) << 11
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -1,6 +1,6 @@
 //! State of one worker.
 
-use crate::averages::FadingCount;
+use crate::averages::DecayingAmount;
 use crate::interface::{CustomerId, FunctionId, Micros, RackId, ZoneId};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     /// This router's attempts in flight.
     pub in_flight: u32,
     /// Other routers' requests for the function, as reported or as estimated from this router's own.
-    pub others_in_flight: FadingCount,
+    pub others_in_flight: DecayingAmount,
     /// Time until which the function is assumed to be loaded.
     pub loaded_until: Micros,
     /// Start of a load that this router triggered and waits for.
@@ -93,7 +93,7 @@
     /// The attempts in flight that wait for a load.
     pub awaiting_load: u32,
     /// Other routers' requests.
-    pub others_in_flight: FadingCount,
+    pub others_in_flight: DecayingAmount,
     pub concurrency: ConcurrencyLimit,
     pub outlier: OutlierState,
     /// Time of the last response, or of learning about the incarnation if there was none.
--- a/src/state/worker_table.rs
+++ b/src/state/worker_table.rs
@@ -1,11 +1,11 @@
 //! Table of all known workers, with derived data: totals, the members of the hash orders, and expiry times.
 //!
 //! Changes made through [`Workers::update`], or between [`Workers::in_flight_at`] and
-//! [`Workers::account_since`], keep the totals consistent, so that no event or tick has to visit all
+//! [`Workers::update_totals`], keep the totals consistent, so that no event or tick has to visit all
 //! workers.
 
 use super::worker::Worker;
-use crate::averages::FADE_PER_TICK;
+use crate::averages::DECAY_PER_TICK;
 use crate::hashing::HashOrder;
 use crate::interface::{Micros, WorkerId};
 use applepond_rendezvous::Members;
@@ -54,7 +54,7 @@
     }
 
     /// For changes that affect neither totals nor expiries, or that are made between
-    /// [`Workers::in_flight_at`] and [`Workers::account_since`]. All others go through [`Workers::update`].
+    /// [`Workers::in_flight_at`] and [`Workers::update_totals`]. All others go through [`Workers::update`].
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         self.known.get_mut(id)
     }
@@ -75,7 +75,7 @@
 
     pub(crate) fn advance_tick(&mut self) {
         self.tick += 1;
-        self.in_flight.others *= FADE_PER_TICK;
+        self.in_flight.others *= DECAY_PER_TICK;
     }
 
     /// Requests of all routers at all ready workers.
@@ -107,7 +107,7 @@
         if worker.concurrency.limit == 0.0 {
             self.unlimited.insert(id);
         }
-        self.account_since(id, before);
+        self.update_totals(id, before);
         result
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Applies to the totals what has changed at a worker since `before`.
-    pub(crate) fn account_since(&mut self, id: WorkerId, before: InFlight) {
+    pub(crate) fn update_totals(&mut self, id: WorkerId, before: InFlight) {
         let after = self.in_flight_at(id);
         self.in_flight.running += after.running - before.running;
         self.in_flight.others += after.others - before.others;
