--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -26,15 +26,15 @@
 fn first_workers(function: &str) -> String {
     let weighted =
         |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..endpoint(n, WorkerStatus::Ready, 0) };
-    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 0);
-    router.list(&(0..20).map(weighted).collect::<Vec<_>>());
+    let mut router = TestRouter::new(config(RetrySafety::Idempotent), 0);
+    router.update_endpoints(&(0..20).map(weighted).collect::<Vec<_>>());
     let mut first = Vec::new();
     for n in 0..4 {
         router.request_arrives(n, function, 5000 * MS);
         let home = router.sent_to(n)[0];
-        router.attempt_ends(n, 0, &answer(Outcome::Finished));
+        router.attempt_ends(n, 0, &attempt_result(Outcome::Finished));
         let place = (0..20).find(|n| worker(*n) == home).expect("a listed worker");
-        router.list(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
+        router.update_endpoints(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
         first.push(place.to_string());
     }
     first.join(" ")
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -4,160 +4,187 @@
 mod common;
 use applepond::control::Control;
 use applepond::interface::*;
-use common::{Action, MS, Record, answer, endpoint, rows, worker};
+use common::{Action, ActionRecorder, MS, attempt_result, config, endpoint, worker};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-const STEP: Micros = 5 * MS;
+const TIME_STEP: Micros = 5 * MS;
 const WORKERS: u64 = 12;
 /// Service time of a request at a warm worker.
-const WORK: Micros = 60 * MS;
+const SERVICE_TIME: Micros = 60 * MS;
 
 /// What happens to the fleet while the new worker starts.
 #[derive(Clone, Copy, Default)]
-struct Day {
+struct Scenario {
     routers: u64,
     /// Requests per second that one warm worker completes.
-    pace: f64,
+    worker_rate: f64,
     /// Arriving requests as a fraction of the throughput of all workers.
-    load: f64,
+    utilization: f64,
     /// Every n-th router restarts when the worker starts; 0 for none.
-    restarted: u64,
+    restart_every: u64,
     /// Maximum delay until a router receives the new endpoint list.
-    late: Micros,
+    update_delay: Micros,
     /// Errors in ten responses of the new worker, which lead to further attempts.
-    errors: u64,
+    errors_in_ten: u64,
     /// Number of other workers that begin to drain, or are gone, when the new one starts; their requests
     /// move elsewhere.
-    drain: usize,
+    draining: usize,
     gone: usize,
     /// Half of the functions are replaced, when the worker starts, by new versions that no worker has
     /// loaded.
-    versions: bool,
+    new_versions: bool,
 }
 
 struct Router {
     control: Control,
-    record: Record,
+    recorder: ActionRecorder,
     /// Arrival rate relative to the mean over all routers.
-    part: f64,
-    told: bool,
-    born: bool,
-    late: Micros,
-    answers: BTreeMap<(Micros, RequestId, usize), WorkerId>,
+    traffic_factor: f64,
+    updated: bool,
+    was_restarted: bool,
+    update_delay: Micros,
+    responses: BTreeMap<(Micros, RequestId, usize), WorkerId>,
     sent: BTreeMap<RequestId, usize>,
 }
 
 impl Router {
-    fn start(day: &Day, me: u64, now: Micros, list: &[Endpoint]) -> (Control, Record) {
-        let effect = RetrySafety::Idempotent;
-        let mut rows =
-            StartupConfig { router_index: me, seed: me + 1, router_count: day.routers, ..rows(effect) };
-        rows.customers = vec![CustomerConfig { requests_per_second: day.pace * WORKERS as f64 }];
-        let mut record = Record { now, ..Record::default() };
-        let mut control = Control::new(now, rows, &mut record);
-        control.endpoints_updated(&mut record, EndpointListKind::Full, list);
-        (control, record)
+    fn start(scenario: &Scenario, index: u64, now: Micros, list: &[Endpoint]) -> (Control, ActionRecorder) {
+        let retry_safety = RetrySafety::Idempotent;
+        let mut config = StartupConfig {
+            router_index: index,
+            seed: index + 1,
+            router_count: scenario.routers,
+            ..config(retry_safety)
+        };
+        config.customers =
+            vec![CustomerConfig { requests_per_second: scenario.worker_rate * WORKERS as f64 }];
+        let mut recorder = ActionRecorder { now, ..ActionRecorder::default() };
+        let mut control = Control::new(now, config, &mut recorder);
+        control.endpoints_updated(&mut recorder, EndpointListKind::Full, list);
+        (control, recorder)
     }
 
     /// Simulates the attempts sent, and records when each one at the new worker began.
-    fn settle(&mut self, fresh: WorkerId, warmth: f64, rng: &mut Rand64, began: &mut Vec<Micros>) {
-        for did in std::mem::take(&mut self.record.did) {
-            let Action::Send(request, to) = did else { continue };
+    fn simulate_attempts(
+        &mut self,
+        new_worker: WorkerId,
+        speed: f64,
+        rng: &mut Rand64,
+        started_at: &mut Vec<Micros>,
+    ) {
+        for action in std::mem::take(&mut self.recorder.actions) {
+            let Action::Send(request, to) = action else { continue };
             let n = self.sent.entry(request).or_default();
-            let slow = if to == fresh { warmth } else { 1.0 };
-            let work = -(rng.rand_float().max(1e-9)).ln() * WORK as f64 / slow;
-            self.answers.insert((self.record.now + work as Micros, request, *n), to);
+            let relative_speed = if to == new_worker { speed } else { 1.0 };
+            let service_time = -(rng.rand_float().max(1e-9)).ln() * SERVICE_TIME as f64 / relative_speed;
+            self.responses.insert((self.recorder.now + service_time as Micros, request, *n), to);
             *n += 1;
-            if to == fresh {
-                began.push(self.record.now);
+            if to == new_worker {
+                started_at.push(self.recorder.now);
             }
         }
     }
 
-    fn wake(&mut self, until: Micros) {
-        while let Some(at) = (0..self.record.timers.len())
-            .filter(|i| self.record.timers[*i].0 <= until)
-            .min_by_key(|i| self.record.timers[*i])
+    fn fire_timers(&mut self, until: Micros) {
+        while let Some(at) = (0..self.recorder.timers.len())
+            .filter(|i| self.recorder.timers[*i].0 <= until)
+            .min_by_key(|i| self.recorder.timers[*i])
         {
-            let (_, token) = self.record.timers.swap_remove(at);
-            self.control.timer_fired(&mut self.record, token);
+            let (_, token) = self.recorder.timers.swap_remove(at);
+            self.control.timer_fired(&mut self.recorder, token);
         }
     }
 }
 
 /// The worst window of the new worker's first seconds: work received relative to what was allowed, the
 /// number of attempts received, and the number allowed.
-fn worst(day: Day, seed: u64) -> (f64, usize, f64) {
-    let rules = rows(RetrySafety::Idempotent).slow_start;
+fn worst_window(scenario: Scenario, seed: u64) -> (f64, usize, f64) {
+    let rules = config(RetrySafety::Idempotent).slow_start;
     let mut rng = Rand64::new(u128::from(seed));
-    let begin = 100_000 * MS;
-    let instance_id = begin + 20_000 * MS;
-    let fresh = worker(WORKERS);
-    let old: Vec<Endpoint> = (0..WORKERS).map(|n| endpoint(n, WorkerStatus::Ready, 0)).collect();
-    let mut new = old.clone();
-    new.push(endpoint(WORKERS, WorkerStatus::Ready, instance_id));
-    new[..day.drain].iter_mut().for_each(|entry| entry.status = WorkerStatus::Draining);
-    new.drain(..day.gone);
-    let mut routers: Vec<Router> = (0..day.routers)
-        .map(|me| {
-            let (control, record) = Router::start(&day, me, begin, &old);
+    let start_time = 100_000 * MS;
+    let worker_start = start_time + 20_000 * MS;
+    let new_worker = worker(WORKERS);
+    let initial_list: Vec<Endpoint> = (0..WORKERS).map(|n| endpoint(n, WorkerStatus::Ready, 0)).collect();
+    let mut updated_list = initial_list.clone();
+    updated_list.push(endpoint(WORKERS, WorkerStatus::Ready, worker_start));
+    updated_list[..scenario.draining].iter_mut().for_each(|entry| entry.status = WorkerStatus::Draining);
+    updated_list.drain(..scenario.gone);
+    let mut routers: Vec<Router> = (0..scenario.routers)
+        .map(|index| {
+            let (control, recorder) = Router::start(&scenario, index, start_time, &initial_list);
             // Uneven: some routers get several times the mean.
-            let part = [0.3, 0.5, 0.7, 1.0, 2.5][me as usize % 5];
-            let late = rng.rand_range(0..day.late.max(1));
-            let (answers, sent) = (BTreeMap::new(), BTreeMap::new());
-            Router { control, record, part, told: false, born: false, late, answers, sent }
+            let traffic_factor = [0.3, 0.5, 0.7, 1.0, 2.5][index as usize % 5];
+            let update_delay = rng.rand_range(0..scenario.update_delay.max(1));
+            let (responses, sent) = (BTreeMap::new(), BTreeMap::new());
+            Router {
+                control,
+                recorder,
+                traffic_factor,
+                updated: false,
+                was_restarted: false,
+                update_delay,
+                responses,
+                sent,
+            }
         })
         .collect();
-    let mut began = Vec::new();
-    let mut next = 0u64;
-    let mut now = begin;
-    while now < instance_id + 6_000 * MS {
-        now += STEP;
-        let warm = now.saturating_sub(instance_id) as f64 / rules.warmup_time as f64;
-        let warmth = rules.initial_capacity + (1.0 - rules.initial_capacity) * warm;
-        for (me, r) in routers.iter_mut().enumerate() {
-            if day.restarted > 0 && now >= instance_id && (me as u64).is_multiple_of(day.restarted) && !r.born
+    let mut started_at = Vec::new();
+    let mut next_id = 0u64;
+    let mut now = start_time;
+    while now < worker_start + 6_000 * MS {
+        now += TIME_STEP;
+        let warmup_progress = now.saturating_sub(worker_start) as f64 / rules.warmup_time as f64;
+        let speed = rules.initial_capacity + (1.0 - rules.initial_capacity) * warmup_progress;
+        for (index, router) in routers.iter_mut().enumerate() {
+            if scenario.restart_every > 0
+                && now >= worker_start
+                && (index as u64).is_multiple_of(scenario.restart_every)
+                && !router.was_restarted
             {
-                let (control, record) = Router::start(&day, me as u64, now, &new);
-                (r.control, r.record, r.born, r.told) = (control, record, true, true);
-                r.answers.clear();
-                r.sent.clear();
+                let (control, recorder) = Router::start(&scenario, index as u64, now, &updated_list);
+                (router.control, router.recorder, router.was_restarted, router.updated) =
+                    (control, recorder, true, true);
+                router.responses.clear();
+                router.sent.clear();
             }
-            r.record.now = now;
-            r.control.advance_to(now);
-            if !r.told && now >= instance_id + r.late {
-                r.told = true;
-                r.control.endpoints_updated(&mut r.record, EndpointListKind::Full, &new);
+            router.recorder.now = now;
+            router.control.advance_to(now);
+            if !router.updated && now >= worker_start + router.update_delay {
+                router.updated = true;
+                router.control.endpoints_updated(&mut router.recorder, EndpointListKind::Full, &updated_list);
             }
-            while let Some((&(at, request, n), &from)) = r.answers.first_key_value()
+            while let Some((&(at, request, n), &responder)) = router.responses.first_key_value()
                 && at <= now
             {
-                r.answers.pop_first();
-                let fails = from == fresh && rng.rand_range(0..10) < day.errors;
+                router.responses.pop_first();
+                let fails = responder == new_worker && rng.rand_range(0..10) < scenario.errors_in_ten;
                 let outcome = if fails { Outcome::Error } else { Outcome::Finished };
-                let elapsed = (WORK as f64 / if from == fresh { warmth } else { 1.0 }) as Micros;
-                r.control.attempt_finished(
-                    &mut r.record,
+                let elapsed =
+                    (SERVICE_TIME as f64 / if responder == new_worker { speed } else { 1.0 }) as Micros;
+                router.control.attempt_finished(
+                    &mut router.recorder,
                     request,
                     n,
-                    &AttemptResult { elapsed, ..answer(outcome) },
+                    &AttemptResult { elapsed, ..attempt_result(outcome) },
                 );
-                r.settle(fresh, warmth, &mut rng, &mut began);
+                router.simulate_attempts(new_worker, speed, &mut rng, &mut started_at);
             }
-            r.wake(now);
-            r.settle(fresh, warmth, &mut rng, &mut began);
-            let rate = day.pace * WORKERS as f64 * day.load * r.part / day.routers as f64;
-            let mut due = rate * STEP as f64 / 1e6;
-            while due > 0.0 {
-                if rng.rand_float() < due {
-                    next += 1;
+            router.fire_timers(now);
+            router.simulate_attempts(new_worker, speed, &mut rng, &mut started_at);
+            let rate = scenario.worker_rate * WORKERS as f64 * scenario.utilization * router.traffic_factor
+                / scenario.routers as f64;
+            let mut expected_arrivals = rate * TIME_STEP as f64 / 1e6;
+            while expected_arrivals > 0.0 {
+                if rng.rand_float() < expected_arrivals {
+                    next_id += 1;
                     let mut id = [0; 36];
-                    id[..8].copy_from_slice(&next.to_le_bytes());
+                    id[..8].copy_from_slice(&next_id.to_le_bytes());
                     // A few functions account for most requests.
                     let function = (rng.rand_float().powi(3) * 60.0) as u64;
-                    let version = u64::from(day.versions && now >= instance_id && function.is_multiple_of(2));
+                    let version =
+                        u64::from(scenario.new_versions && now >= worker_start && function.is_multiple_of(2));
                     let arrival = RequestArrival {
                         request: RequestId(id),
                         function: FunctionId::named(&format!("hut-{function}-{version}")),
@@ -169,55 +196,66 @@
                         load_time: Some(200 * MS),
                         priority_factor: 1.0,
                     };
-                    r.control.request_arrived(&mut r.record, &arrival);
-                    r.settle(fresh, warmth, &mut rng, &mut began);
+                    router.control.request_arrived(&mut router.recorder, &arrival);
+                    router.simulate_attempts(new_worker, speed, &mut rng, &mut started_at);
                 }
-                due -= 1.0;
+                expected_arrivals -= 1.0;
             }
         }
     }
     let allowed = |at: Micros| {
-        let warm = at.saturating_sub(rules.overload_window).max(instance_id) - instance_id;
-        let warmth =
-            rules.initial_capacity + (1.0 - rules.initial_capacity) * warm as f64 / rules.warmup_time as f64;
-        let n = rules.overload_factor * warmth * day.pace * rules.overload_window as f64 / 1e6;
+        let warmup_progress = at.saturating_sub(rules.overload_window).max(worker_start) - worker_start;
+        let speed = rules.initial_capacity
+            + (1.0 - rules.initial_capacity) * warmup_progress as f64 / rules.warmup_time as f64;
+        let n = rules.overload_factor * speed * scenario.worker_rate * rules.overload_window as f64 / 1e6;
         n + 2.0 * n.sqrt() + 2.0
     };
-    began.sort_unstable();
-    let within = |at: Micros| began.iter().filter(|b| **b + rules.overload_window > at && **b <= at).count();
-    let moments = began.iter().map(|at| (within(*at), allowed(*at)));
-    let most = moments.map(|(n, most)| (n as f64 / most, n, most));
-    most.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0, 1.0))
+    started_at.sort_unstable();
+    let within = |at: Micros| {
+        started_at.iter().filter(|start| **start + rules.overload_window > at && **start <= at).count()
+    };
+    let moments = started_at.iter().map(|at| (within(*at), allowed(*at)));
+    let windows = moments.map(|(received, allowed)| (received as f64 / allowed, received, allowed));
+    windows.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0, 1.0))
 }
 
-const EVEN: Day = Day {
+const BASE: Scenario = Scenario {
     routers: 0,
-    pace: 0.0,
-    load: 0.9,
-    restarted: 0,
-    late: 0,
-    errors: 0,
-    drain: 0,
+    worker_rate: 0.0,
+    utilization: 0.9,
+    restart_every: 0,
+    update_delay: 0,
+    errors_in_ten: 0,
+    draining: 0,
     gone: 0,
-    versions: false,
+    new_versions: false,
 };
 
-#[test_case(EVEN; "uneven traffic")]
-#[test_case(Day { load: 2.5, ..EVEN }; "two and a half times what fits")]
-#[test_case(Day { restarted: 2, ..EVEN }; "half of the routers restarted with it")]
-#[test_case(Day { restarted: 1, load: 2.5, ..EVEN }; "all of them, and too much work")]
-#[test_case(Day { late: 1_500 * MS, restarted: 3, ..EVEN }; "told up to a second and a half apart")]
-#[test_case(Day { errors: 5, load: 1.5, ..EVEN }; "errors, and further attempts")]
-#[test_case(Day { drain: 9, ..EVEN }; "nine of twelve others leave")]
-#[test_case(Day { drain: 9, load: 2.5, restarted: 1, late: 500 * MS, ..EVEN }; "and all routers restarted")]
-#[test_case(Day { gone: 4, restarted: 1, ..EVEN }; "a third is gone at once, and all restarted")]
-#[test_case(Day { gone: 6, load: 2.5, restarted: 1, ..EVEN }; "half is gone at once, and all restarted")]
-#[test_case(Day { versions: true, ..EVEN }; "new versions on a quiet day")]
-fn the_sum_of_all_routers(day: Day) {
+#[test_case(BASE; "uneven traffic")]
+#[test_case(Scenario { utilization: 2.5, ..BASE }; "two and a half times the capacity")]
+#[test_case(Scenario { restart_every: 2, ..BASE }; "half of the routers restart with the worker")]
+#[test_case(Scenario { restart_every: 1, utilization: 2.5, ..BASE }; "all routers restart, under overload")]
+#[test_case(Scenario { update_delay: 1_500 * MS, restart_every: 3, ..BASE };
+    "endpoint updates up to 1.5 s apart")]
+#[test_case(Scenario { errors_in_ten: 5, utilization: 1.5, ..BASE }; "errors and further attempts")]
+#[test_case(Scenario { draining: 9, ..BASE }; "nine of twelve other workers drain")]
+#[test_case(Scenario { draining: 9, utilization: 2.5, restart_every: 1, update_delay: 500 * MS, ..BASE };
+    "nine drain, all routers restart, overload")]
+#[test_case(Scenario { gone: 4, restart_every: 1, ..BASE };
+    "a third of the workers gone, all routers restart")]
+#[test_case(Scenario { gone: 6, utilization: 2.5, restart_every: 1, ..BASE };
+    "half of the workers gone, all routers restart, overload")]
+#[test_case(Scenario { new_versions: true, ..BASE }; "new function versions")]
+fn all_routers_together_stay_within_the_warmup_budget(scenario: Scenario) {
     for routers in [1, 2, 5, 12, 20, 24, 30, 36, 300] {
-        for pace in [5.0, 7.5, 15.0, 30.0, 75.0, 100.0, 150.0] {
-            let (part, got, most) = worst(Day { routers, pace, ..day }, 7 + routers);
-            assert!(part <= 1.0, "{routers} routers, pace {pace}: {got} within a span, {most:.1} allowed");
+        for worker_rate in [5.0, 7.5, 15.0, 30.0, 75.0, 100.0, 150.0] {
+            let (ratio, received, allowed) =
+                worst_window(Scenario { routers, worker_rate, ..scenario }, 7 + routers);
+            assert!(
+                ratio <= 1.0,
+                "{routers} routers, {worker_rate} requests/s per worker: {received} attempts in a window, \
+                 {allowed:.1} allowed"
+            );
         }
     }
 }
