--- a/benches/crowd.rs
+++ b/benches/crowd.rs
@@ -14,23 +14,23 @@
 /// Maximum number of functions called by the waiting requests.
 const WAITING_FUNCTIONS: u64 = 100;
 /// Maximum measuring time per row, in seconds.
-const PATIENCE_S: f64 = 4.0;
+const MAX_MEASURING_TIME_S: f64 = 4.0;
 
 #[derive(Default)]
-struct Bench {
+struct Simulation {
     now: Micros,
     timers: BTreeSet<(Micros, TimerToken)>,
-    answers: VecDeque<(Micros, RequestId, usize)>,
+    responses: VecDeque<(Micros, RequestId, usize)>,
     attempts: std::collections::HashMap<[u8; 36], usize>,
-    silent: bool,
+    drops_responses: bool,
     ended: u64,
 }
 
-impl Actions for Bench {
+impl Actions for Simulation {
     fn send(&mut self, request: RequestId, _: WorkerId, _: Micros, _: Micros) {
         let n = self.attempts.entry(request.0).or_insert(0);
-        if !self.silent {
-            self.answers.push_back((self.now + 100 * MS, request, *n));
+        if !self.drops_responses {
+            self.responses.push_back((self.now + 100 * MS, request, *n));
         }
         *n += 1;
     }
@@ -54,10 +54,10 @@
     RequestId(id)
 }
 
-fn rows() -> StartupConfig {
-    let row = |start_target| WorkloadConfig {
+fn config() -> StartupConfig {
+    let workload = |latency_objective| WorkloadConfig {
         retry_safety: RetrySafety::Idempotent,
-        latency_objective: start_target,
+        latency_objective,
         priority_weight: 1.0,
         late_priority_factor: 0.2,
     };
@@ -65,7 +65,7 @@
         seed: 1,
         router_index: 0,
         router_count: 1,
-        workloads: vec![row(500 * MS), row(600 * S)],
+        workloads: vec![workload(500 * MS), workload(600 * S)],
         customers: Vec::new(),
         attempt_policy: AttemptPolicy {
             max_attempts: 4,
@@ -89,7 +89,7 @@
     }
 }
 
-fn answer() -> AttemptResult {
+fn attempt_result() -> AttemptResult {
     AttemptResult {
         outcome: Outcome::Finished,
         request_ended: true,
@@ -102,23 +102,23 @@
 }
 
 /// Processes all timers and responses that are due by `until`.
-fn pass(control: &mut Control, bench: &mut Bench, until: Micros) {
+fn run_until(control: &mut Control, simulation: &mut Simulation, until: Micros) {
     loop {
-        let timer = bench.timers.first().map(|(at, _)| *at);
-        let answer_at = bench.answers.front().map(|(at, _, _)| *at);
-        let next = [timer, answer_at].into_iter().flatten().min().filter(|at| *at <= until);
+        let timer = simulation.timers.first().map(|(at, _)| *at);
+        let response_at = simulation.responses.front().map(|(at, _, _)| *at);
+        let next = [timer, response_at].into_iter().flatten().min().filter(|at| *at <= until);
         let Some(at) = next else { break };
-        bench.now = bench.now.max(at);
-        control.advance_to(bench.now);
-        if answer_at == Some(at) {
-            let (_, request, n) = bench.answers.pop_front().expect("there is one");
-            control.attempt_finished(bench, request, n, &answer());
+        simulation.now = simulation.now.max(at);
+        control.advance_to(simulation.now);
+        if response_at == Some(at) {
+            let (_, request, n) = simulation.responses.pop_front().expect("there is one");
+            control.attempt_finished(simulation, request, n, &attempt_result());
         } else {
-            let (_, token) = bench.timers.pop_first().expect("there is one");
-            control.timer_fired(bench, token);
+            let (_, token) = simulation.timers.pop_first().expect("there is one");
+            control.timer_fired(simulation, token);
         }
     }
-    bench.now = until;
+    simulation.now = until;
     control.advance_to(until);
 }
 
@@ -138,9 +138,9 @@
 
 /// Returns the µs per request and the number of requests still waiting at the end.
 fn cost(workers: u64, waiting: u64) -> (f64, u64) {
-    let mut bench = Bench { now: 1_000 * S, ..Bench::default() };
-    let mut control = Control::new(bench.now, rows(), &mut bench);
-    let listed = |n| Endpoint {
+    let mut simulation = Simulation { now: 1_000 * S, ..Simulation::default() };
+    let mut control = Control::new(simulation.now, config(), &mut simulation);
+    let ready_endpoint = |n| Endpoint {
         worker: WorkerId::named(&format!("w{n}")),
         status: WorkerStatus::Ready,
         up_since: 0,
@@ -148,50 +148,50 @@
         rack: RackId(0),
         weight: 1.0,
     };
-    control.advance_to(bench.now);
+    control.advance_to(simulation.now);
     control.endpoints_updated(
-        &mut bench,
+        &mut simulation,
         EndpointListKind::Full,
-        &(0..workers).map(listed).collect::<Vec<_>>(),
+        &(0..workers).map(ready_endpoint).collect::<Vec<_>>(),
     );
     let mut next = 0;
-    let mut ask = |control: &mut Control, bench: &mut Bench, function: &str, workload| {
+    let mut send_request = |control: &mut Control, simulation: &mut Simulation, function: &str, workload| {
         next += 1;
-        control.request_arrived(bench, &arrival(next, function, workload));
+        control.request_arrived(simulation, &arrival(next, function, workload));
     };
     // Loads every function once, in batches of eight because concurrent loads are limited.
     for n in 0..workers {
-        ask(&mut control, &mut bench, &format!("f{n}"), 0);
+        send_request(&mut control, &mut simulation, &format!("f{n}"), 0);
         if n % 8 == 7 {
-            let until = bench.now + 200 * MS;
-            pass(&mut control, &mut bench, until);
+            let until = simulation.now + 200 * MS;
+            run_until(&mut control, &mut simulation, until);
         }
     }
-    let until = bench.now + S;
-    pass(&mut control, &mut bench, until);
-    bench.silent = true;
-    let ended = bench.ended;
+    let until = simulation.now + S;
+    run_until(&mut control, &mut simulation, until);
+    simulation.drops_responses = true;
+    let ended = simulation.ended;
     for n in 0..waiting {
-        ask(&mut control, &mut bench, &format!("held-{}", n % WAITING_FUNCTIONS.min(8)), 1);
+        send_request(&mut control, &mut simulation, &format!("held-{}", n % WAITING_FUNCTIONS.min(8)), 1);
     }
-    bench.silent = false;
+    simulation.drops_responses = false;
     let gap = S / (10 * workers);
-    let (begun, mut requests) = (Instant::now(), 0u64);
-    while requests < 40 * workers && begun.elapsed().as_secs_f64() < PATIENCE_S {
-        ask(&mut control, &mut bench, &format!("f{}", requests * 7 % workers), 0);
+    let (started, mut requests) = (Instant::now(), 0u64);
+    while requests < 40 * workers && started.elapsed().as_secs_f64() < MAX_MEASURING_TIME_S {
+        send_request(&mut control, &mut simulation, &format!("f{}", requests * 7 % workers), 0);
         requests += 1;
-        let until = bench.now + gap;
-        pass(&mut control, &mut bench, until);
+        let until = simulation.now + gap;
+        run_until(&mut control, &mut simulation, until);
     }
-    (begun.elapsed().as_secs_f64() * 1e6 / requests as f64, waiting - (bench.ended - ended))
+    (started.elapsed().as_secs_f64() * 1e6 / requests as f64, waiting - (simulation.ended - ended))
 }
 
 fn main() {
-    println!("{:>8} {:>8} {:>12} {:>14}", "workers", "waiting", "µs a job", "still waiting");
+    println!("{:>8} {:>8} {:>12} {:>14}", "workers", "waiting", "µs a request", "still waiting");
     for workers in [12, 120, 1000] {
         for waiting in [0, 1_000, 10_000] {
-            let (us, still) = cost(workers, waiting);
-            println!("{workers:>8} {waiting:>8} {us:>12.1} {still:>14}");
+            let (us, still_waiting) = cost(workers, waiting);
+            println!("{workers:>8} {waiting:>8} {us:>12.1} {still_waiting:>14}");
         }
     }
 }
