--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// The time from which on no further attempt of the request may be sent.
+/// The time at which the request may no longer start another attempt.
 pub(super) fn no_attempt_after(request: &Request) -> Micros {
     let first_sent_at = request.possibly_executed().map(|attempt| attempt.sent_at).min();
     match (first_sent_at, request.retry_safety) {
--- a/src/control/timers.rs
+++ b/src/control/timers.rs
@@ -1,10 +1,10 @@
-//! The timers of a router's decisions.
+//! Timers set by the decisions of a router.
 
 use crate::interface::{Actions, Micros, TimerToken};
 use crate::state::request::AttemptId;
 use std::collections::BTreeMap;
 
-/// What is due when a timer fires.
+/// What to do when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// The periodic check of workers and of waiting requests.
@@ -13,7 +13,7 @@
     Hedge(AttemptId),
 }
 
-/// The timers that are set.
+/// Pending timers by token.
 #[derive(Default)]
 pub(super) struct Timers {
     pending: BTreeMap<TimerToken, Timer>,
@@ -29,7 +29,7 @@
         actions.set_timer(delay, token);
     }
 
-    /// Takes out the timer that has fired; none for a token that is not known.
+    /// Removes and returns the timer that has fired; `None` for an unknown token.
     pub(super) fn take(&mut self, token: TimerToken) -> Option<Timer> {
         self.pending.remove(&token)
     }
