--- a/crates/wait_queue/benches/waiting.rs
+++ b/crates/wait_queue/benches/waiting.rs
@@ -19,14 +19,14 @@
 fn benches(c: &mut Criterion) {
     for requests in [10u64, 1_000, 10_000] {
         let mut group = c.benchmark_group(format!("waiting/{requests}"));
-        let mut waiting = WaitQueue::default();
-        (0..requests).for_each(|n| waiting.insert(key(n), entry(n)));
+        let mut queue = WaitQueue::default();
+        (0..requests).for_each(|n| queue.insert(key(n), entry(n)));
         group.bench_function("indexes", |b| {
             b.iter(|| {
-                waiting.insert(key(requests), entry(requests));
-                black_box(waiting.highest_unsent_priority(1));
-                black_box(waiting.dispatch_candidates());
-                waiting.remove(&key(requests));
+                queue.insert(key(requests), entry(requests));
+                black_box(queue.highest_unsent_priority(1));
+                black_box(queue.dispatch_candidates());
+                queue.remove(&key(requests));
             });
         });
         let mut plain: BTreeMap<Key<u64>, QueuedRequest<u64, u64>> =
--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -25,38 +25,38 @@
         ),
         at in 0u64..30,
     ) {
-        let mut waiting = WaitQueue::default();
+        let mut queue = WaitQueue::default();
         let mut plain = Plain::new();
         for (add, priority, arrival, request, function, workload, deadline, (unsent, late)) in steps {
             let key = (Reverse(priority), arrival, request);
             if add {
                 let queued = QueuedRequest { function, workload, deadline, unsent, late };
-                waiting.insert(key, queued);
+                queue.insert(key, queued);
                 plain.insert(key, queued);
             } else {
-                prop_assert_eq!(waiting.remove(&key), plain.remove(&key));
+                prop_assert_eq!(queue.remove(&key), plain.remove(&key));
             }
         }
-        prop_assert_eq!((waiting.len(), waiting.is_empty()), (plain.len(), plain.is_empty()));
+        prop_assert_eq!((queue.len(), queue.is_empty()), (plain.len(), plain.is_empty()));
         let mut candidates = keys(&plain, |_, queued| !queued.unsent);
         for f in 0..4 {
             let unsent = keys(&plain, |_, queued| queued.unsent && queued.function == f);
-            prop_assert_eq!(waiting.highest_unsent_priority(f), unsent.first().map(|k| k.0.0));
+            prop_assert_eq!(queue.highest_unsent_priority(f), unsent.first().map(|k| k.0.0));
             candidates.extend(unsent.first());
             for pair in unsent.windows(2) {
-                prop_assert_eq!(waiting.next_unsent(f, &pair[0]), Some(pair[1]));
+                prop_assert_eq!(queue.next_unsent(f, &pair[0]), Some(pair[1]));
             }
-            prop_assert_eq!(unsent.last().and_then(|last| waiting.next_unsent(f, last)), None);
+            prop_assert_eq!(unsent.last().and_then(|last| queue.next_unsent(f, last)), None);
         }
         candidates.sort();
-        prop_assert_eq!(waiting.dispatch_candidates().into_iter().collect::<Vec<_>>(), candidates);
+        prop_assert_eq!(queue.dispatch_candidates().into_iter().collect::<Vec<_>>(), candidates);
         for w in 0..2 {
             let due = keys(&plain, |_, queued| queued.workload == w && queued.deadline <= at);
-            prop_assert_eq!(sorted(waiting.deadline_until(w, at)), due);
+            prop_assert_eq!(sorted(queue.deadline_until(w, at)), due);
             let on_time = keys(&plain, |k, queued| queued.workload == w && !queued.late && k.1 < at);
-            prop_assert_eq!(sorted(waiting.on_time_before(w, at)), on_time);
+            prop_assert_eq!(sorted(queue.on_time_before(w, at)), on_time);
         }
         let late = keys(&plain, |k, queued| queued.late && queued.function < 2 && k.1 <= at);
-        prop_assert_eq!(sorted(waiting.late_until(at, |f| f < 2)), late);
+        prop_assert_eq!(sorted(queue.late_until(at, |f| f < 2)), late);
     }
 }
