--- a/tests/mechanisms.rs
+++ b/tests/mechanisms.rs
@@ -47,17 +47,17 @@
 
 // ---- Loads -----------------------------------------------------------------------------
 
-fn begin(limiter: &mut LoadLimiter, loads: u64) {
+fn begin_loads(limiter: &mut LoadLimiter, loads: u64) {
     (0..loads).for_each(|n| limiter.begin(FunctionId(n), WorkerId(n % 3)));
 }
 
 #[test]
 fn loads_are_limited_and_freed_by_function_or_worker() {
     let mut limiter = LoadLimiter::new(START);
-    begin(&mut limiter, 11);
+    begin_loads(&mut limiter, 11);
     assert!(limiter.allows_another());
-    begin(&mut limiter, 12);
-    assert!(!limiter.allows_another(), "twelve to begin with");
+    begin_loads(&mut limiter, 12);
+    assert!(!limiter.allows_another(), "initially twelve");
     limiter.end(FunctionId(0), WorkerId(0));
     assert!(limiter.allows_another() && !limiter.is_loading(FunctionId(0), WorkerId(0)));
     limiter.end_all_at(WorkerId(1));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn congestion_is_told_from_reports_of_many_responses() {
+fn congestion_needs_reports_of_many_responses() {
     let mut limiter = LoadLimiter::new(START);
     (0..20).for_each(|_| limiter.record_report(Some(2.0)));
     assert!(!limiter.is_congested());
@@ -94,7 +94,7 @@
 
 const THROUGHPUT: Throughput = Throughput { per_weight: 40e-6, mean_service_time: 100e3 };
 
-#[test_case(1.0, 2.0, 10.0; "half of an objective's work, at least half of what keeps it busy")]
+#[test_case(1.0, 2.0, 10.0; "minimum from busy cores, initial from half an objective")]
 #[test_case(0.1, 1.0, 1.0; "a small worker has one")]
 #[test_case(100.0, 64.0, 64.0; "a huge one has 64")]
 fn limits_follow_throughput(weight: f64, least: f64, first: f64) {
@@ -103,21 +103,21 @@
 }
 
 #[test]
-fn a_limit_shrinks_by_delay_once_an_objective_and_grows_where_it_is_used() {
+fn a_limit_shrinks_with_delay_once_per_objective_and_grows_if_used() {
     let mut limit = ConcurrencyLimit { limit: 10.0, ..ConcurrencyLimit::new(START) };
     limit.record_delay(1.0, 0.5);
     limit.adapt(START, S, 10.0, 2.0);
     assert_eq!((limit.limit, limit.queueing_delay), (7.5, 0.2));
     limit.record_delay(1.0, 0.5);
     limit.adapt(START + S / 2, S, 10.0, 2.0);
-    assert_eq!(limit.limit, 7.5, "once in a latency objective");
+    assert_eq!(limit.limit, 7.5, "once per latency objective");
     limit.record_delay(1.0, 0.1);
     limit.adapt(START + 2 * S, S, 5.0, 2.0);
-    assert_eq!(limit.limit, 7.5, "not reached, so it does not grow");
+    assert_eq!(limit.limit, 7.5, "limit not reached, so it does not grow");
     limit.adapt(START + 2 * S, S, 6.0, 2.0);
     assert_eq!(limit.limit, 7.5 + 1.0 / 7.5);
     (0..20).for_each(|n| limit.decrease(START + (3 + n) * S, S, 0.0, 2.0));
-    assert_eq!(limit.limit, 2.0, "never below the least");
+    assert_eq!(limit.limit, 2.0, "never below the minimum");
 }
 
 #[test]
@@ -188,17 +188,17 @@
 // ---- Attempts and slow start -----------------------------------------------------------
 
 #[test]
-fn attempts_are_earned_by_first_tries_alone() {
+fn only_first_tries_earn_attempts() {
     let mut budget = AttemptBudget::default();
     (0..10).for_each(|_| budget.spend());
-    assert!(!budget.has_token(), "half of twenty to begin with");
+    assert!(!budget.has_token(), "initially half of twenty");
     (0..100).for_each(|_| budget.earn(true));
     assert!(!budget.has_token(), "a client's retries earn nothing");
     (0..21).for_each(|_| budget.earn(false));
-    assert!(budget.has_token(), "one for twenty requests");
+    assert!(budget.has_token(), "one token per twenty requests");
 }
 
-#[test_case(0, START, 1.0; "started before anything that matters")]
+#[test_case(0, START, 1.0; "started long ago")]
 #[test_case(START, START, 0.2; "just started")]
 #[test_case(START, START + 5 * S, 0.6; "half way")]
 #[test_case(START, START + 10 * S, 1.0; "warm")]
