--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,47 +1,46 @@
-//! The queue of waiting requests, and sending from it.
+//! The wait queue, and dispatch from it.
 
 use super::retry::no_attempt_after;
 use super::{Control, InFlightAttempt, QueueKey};
 use crate::interface::{Actions, RequestId, WorkerId};
 use crate::state::request::{Attempt, AttemptId, AttemptState};
-use applepond_wait_queue::Row;
+use applepond_wait_queue::QueuedRequest;
 use std::cmp::Reverse;
 
 impl Control {
-    /// Where a request stands in the queue: by priority, then by age.
+    /// The request's key in the queue: by priority, then by age.
     pub(super) fn queue_key(&self, id: RequestId) -> QueueKey {
         let request = &self.requests[&id];
         (Reverse(request.priority), request.arrived_at, id)
     }
 
-    /// Lets a request wait for a worker.
+    /// Adds a request to the queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let request = &self.requests[&id];
-        let row = Row {
+        let queued = QueuedRequest {
             function: request.function,
             workload: request.workload,
             deadline: request.deadline,
-            bare: request.attempts.is_empty(),
+            unsent: request.attempts.is_empty(),
             late: request.late,
         };
-        self.queue.insert(self.queue_key(id), row);
+        self.queue.insert(self.queue_key(id), queued);
     }
 
-    /// Sends waiting requests, those of highest priority and then oldest first, as far as workers have
-    /// capacity.
+    /// Sends waiting requests while workers have capacity, highest priority first and then oldest first.
     pub(super) fn dispatch(&mut self, actions: &mut dyn Actions) {
-        let mut heads = self.queue.heads();
-        while let Some(key) = heads.pop_first() {
-            // Where the first request of a function finds no worker, its others need not look.
+        let mut candidates = self.queue.dispatch_candidates();
+        while let Some(key) = candidates.pop_first() {
+            // If a function's first request finds no worker, its other requests would not either.
             let Some(worker) = self.select_worker(key.2) else { continue };
-            if let Some(row) = self.queue.remove(&key).filter(|row| row.bare) {
-                heads.extend(self.queue.after(row.function, &key));
+            if let Some(queued) = self.queue.remove(&key).filter(|queued| queued.unsent) {
+                candidates.extend(self.queue.next_unsent(queued.function, &key));
             }
             self.send_and_schedule_hedge(actions, key.2, worker);
         }
     }
 
-    /// Sends a first attempt or a retry, and sets the timer after which it is hedged.
+    /// Sends a first attempt or a retry, and schedules its hedge.
     pub(super) fn send_and_schedule_hedge(
         &mut self,
         actions: &mut dyn Actions,
@@ -52,10 +51,11 @@
         self.schedule_hedge(actions, attempt);
     }
 
-    /// Sends the next attempt of a request. The caller has the worker from [`Control::select_worker`].
+    /// Sends the next attempt of a request to a worker chosen by [`Control::select_worker`].
     ///
     /// # Panics
-    /// Panics if the request, its function or the worker is not known.
+    ///
+    /// Panics if the request, its function or the worker is unknown.
     pub(super) fn send(&mut self, actions: &mut dyn Actions, id: RequestId, to: WorkerId) -> AttemptId {
         let now = self.now;
         let request = &self.requests[&id];
@@ -80,7 +80,7 @@
         let work = self.workloads.relative_work(workload);
         self.record_warmup_work(to, work);
         actions.send(id, to, timeout, not_after);
-        self.workers.account_since(to, before);
+        self.workers.update_totals(to, before);
 
         let in_flight =
             InFlightAttempt { worker: to, function, workload, customer, sent_at: now, was_loaded };
@@ -88,7 +88,7 @@
         attempt_id
     }
 
-    /// Counts an attempt at its worker, and the load that it starts where the function is not loaded there.
+    /// Counts an attempt at its worker, and the load it triggers if the function is not loaded there.
     fn count_in_flight(&mut self, to: WorkerId, function: crate::interface::FunctionId, was_loaded: bool) {
         let worker = self.workers.get_mut(&to).expect("selected among known workers");
         let known = worker.functions.entry(function).or_default();
--- a/src/control/feedback.rs
+++ b/src/control/feedback.rs
@@ -1,31 +1,33 @@
-//! What the results of attempts teach about workers, functions and workloads.
+//! Updates the estimates for workers, functions and workloads from the results of attempts.
 
 use super::retry::REJECTION_BACKOFF;
 use super::{Control, InFlightAttempt};
-use crate::averages::{AVERAGING_WINDOW, MICROS_PER_SECOND, sample_weight};
+use crate::averages::{AVERAGING_WINDOW_MICROS, MICROS_PER_SECOND, sample_weight};
 use crate::interface::{Actions, AttemptResult, LoadState, Micros, Outcome};
 use crate::state::worker::{FunctionAtWorker, Worker};
 
-/// Weight of a new report of what is in flight at a worker: a report is nearly the whole truth, but noisy.
+/// Weight of a new in-flight report: reports are nearly complete but noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Share of the latency objective within which a worker without capacity says so: rejecting takes no work.
+/// Share of the latency objective within which a worker without capacity rejects, as a rejection takes no
+/// work.
 const FAST_REJECTION_SHARE: f64 = 0.06;
-/// Time for which a customer's requests keep away from a worker that rejects this customer alone.
+/// Time for which a customer's requests avoid a worker that rejects only that customer.
 const CUSTOMER_REJECTION_BACKOFF: Micros = 8 * MICROS_PER_SECOND;
-/// A rejection blocks the next decrease of the concurrency limit for the latency objective divided by this.
+/// After a rejection, the concurrency limit may not decrease again for the latency objective divided by
+/// this.
 const REJECTION_INTERVAL_DIVISOR: Micros = 4;
 
-/// A result with the attempt that it belongs to.
+/// A result and the attempt it belongs to.
 #[derive(Clone, Copy)]
 struct Feedback<'a> {
     attempt: &'a InFlightAttempt,
     result: &'a AttemptResult,
-    /// Weight of the result in moving averages.
+    /// Weight of this result in moving averages.
     sample_weight: f64,
 }
 
 impl Feedback<'_> {
-    /// The worker has returned something, if only an error.
+    /// Whether the worker responded at all, even with an error.
     fn is_response(&self) -> bool {
         matches!(
             self.result.outcome,
@@ -33,8 +35,8 @@
         )
     }
 
-    /// The function was loaded when the attempt arrived, so that the response time is that of the request
-    /// alone.
+    /// Whether the function was loaded when the attempt arrived, so that the response time excludes
+    /// loading.
     fn ran_loaded(&self) -> bool {
         match self.result.load_state {
             LoadState::Loaded => true,
@@ -45,7 +47,7 @@
 }
 
 impl Control {
-    /// Takes over what a result says, and keeps the sums over workers true.
+    /// Records a result and updates the sums over all workers.
     pub(super) fn record_result(
         &mut self,
         actions: &mut dyn Actions,
@@ -60,10 +62,10 @@
             self.record_reports(feedback);
             self.record_outcome(actions, feedback);
         }
-        self.workers.account_since(attempt.worker, before);
+        self.workers.update_totals(attempt.worker, before);
     }
 
-    /// The worker of an attempt. Only called while it is known.
+    /// The worker of the attempt. Must only be called while the worker is known.
     fn worker_of(&mut self, feedback: Feedback<'_>) -> &mut Worker {
         self.workers.get_mut(&feedback.attempt.worker).expect("looked up before")
     }
@@ -73,7 +75,7 @@
         self.worker_of(feedback).functions.entry(function).or_default()
     }
 
-    /// Counts the attempt off.
+    /// Removes the attempt from the in-flight counts.
     fn end_in_flight(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let attempt = feedback.attempt;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Takes over what the worker reports of other routers' requests and of its loads.
+    /// Records the worker's reports of other routers' requests and of its loads.
     fn record_reports(&mut self, feedback: Feedback<'_>) {
         let tick = self.workers.tick();
         let others = self.other_routers();
@@ -106,12 +108,12 @@
         let reports_function = matches!(result.outcome, Outcome::Finished | Outcome::Overloaded);
         if self.config.reports_same_function && reports_function {
             let reported = share_of_others(f64::from(result.same_function_in_flight));
-            let known = self.function_at_worker(feedback).others_in_flight.at_mut(tick);
-            *known += REPORT_WEIGHT * (reported - *known);
+            let estimate = self.function_at_worker(feedback).others_in_flight.at_mut(tick);
+            *estimate += REPORT_WEIGHT * (reported - *estimate);
         }
         if let Some(in_flight) = result.reported_in_flight {
-            let known = self.worker_of(feedback).others_in_flight.at_mut(tick);
-            *known += REPORT_WEIGHT * (share_of_others(in_flight) - *known);
+            let estimate = self.worker_of(feedback).others_in_flight.at_mut(tick);
+            *estimate += REPORT_WEIGHT * (share_of_others(in_flight) - *estimate);
         }
         self.loads.record_report(result.reported_loads);
     }
@@ -166,14 +168,14 @@
         }
     }
 
-    /// Takes over the response time of a function that was loaded.
+    /// Records the response time of a function that was loaded.
     fn record_response_time(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
         let elapsed = feedback.result.elapsed;
         let worker = self.workers.get(&feedback.attempt.worker).expect("looked up before");
         self.workloads.record_response(feedback.attempt.workload, elapsed, &worker.concurrency);
-        self.expect_others(feedback);
+        self.estimate_other_routers(feedback);
         let objective = self.workloads[feedback.attempt.workload].latency_objective;
         let throughput = self.fleet.throughput;
         let worker = self.worker_of(feedback);
@@ -183,23 +185,24 @@
         worker.concurrency.adapt(now, objective, in_flight, throughput.min_limit(worker.weight));
     }
 
-    /// Where the worker does not report what others have there, each other router is taken to have as many
-    /// requests there on average as this one.
-    fn expect_others(&mut self, feedback: Feedback<'_>) {
+    /// If the worker does not report other routers' requests, assumes that each other router has on average
+    /// as many requests there as this one.
+    fn estimate_other_routers(&mut self, feedback: Feedback<'_>) {
         let tick = self.workers.tick();
-        let expected = self.expected_others(feedback.result.elapsed);
+        let expected = self.estimated_requests_of_others(feedback.result.elapsed);
         let at_function = if self.config.reports_same_function { 0.0 } else { expected };
         let at_worker = if feedback.result.reported_in_flight.is_some() { 0.0 } else { expected };
         *self.function_at_worker(feedback).others_in_flight.at_mut(tick) += at_function;
         *self.worker_of(feedback).others_in_flight.at_mut(tick) += at_worker;
     }
 
-    /// What a request of `elapsed` adds to the estimate of the other routers' requests at a worker.
-    fn expected_others(&self, elapsed: Micros) -> f64 {
-        self.other_routers() * elapsed as f64 / AVERAGING_WINDOW
+    /// What a request of duration `elapsed` adds to the estimate of the other routers' requests at a
+    /// worker.
+    fn estimated_requests_of_others(&self, elapsed: Micros) -> f64 {
+        self.other_routers() * elapsed as f64 / AVERAGING_WINDOW_MICROS
     }
 
-    /// Takes over how long a load took that this attempt started.
+    /// Records the duration of a load that this attempt triggered.
     fn record_load(&mut self, feedback: Feedback<'_>, usual_load_time: Micros) {
         let elapsed = feedback.result.elapsed;
         if !self.loads.record_finished(self.now, elapsed, usual_load_time) {
@@ -212,7 +215,8 @@
         }
     }
 
-    /// A worker without capacity says so at once; one that takes its time rejects this customer alone.
+    /// Records a rejection. A worker without capacity rejects at once; a slow rejection concerns only this
+    /// customer.
     fn record_rejection(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
@@ -227,22 +231,23 @@
             return;
         }
         let at_limit = worker.concurrency.limit * others / (others + 1.0);
-        let known = worker.others_in_flight.at_mut(tick);
-        *known = known.max(at_limit);
+        let estimate = worker.others_in_flight.at_mut(tick);
+        *estimate = estimate.max(at_limit);
         let in_flight = worker.total_in_flight(tick);
         let min_limit = throughput.min_limit(worker.weight);
         worker.concurrency.decrease(now, objective / REJECTION_INTERVAL_DIVISOR, in_flight, min_limit);
     }
 
-    /// No response is one too: the worker took at least this long. Where attempts that were sent later were
-    /// answered meanwhile, the response was lost or the request was long by itself.
+    /// Treats a missing response as a response time of at least `elapsed`. If the worker has meanwhile
+    /// answered attempts that were sent later, the response was lost or the request itself was long, and
+    /// nothing is recorded.
     fn record_missing_response(&mut self, feedback: Feedback<'_>) {
         let now = self.now;
         let tick = self.workers.tick();
         let throughput = self.fleet.throughput;
         let elapsed = feedback.result.elapsed;
         let objective = self.workloads[feedback.attempt.workload].latency_objective;
-        let expected = self.expected_others(elapsed);
+        let expected = self.estimated_requests_of_others(elapsed);
         let worker = self.worker_of(feedback);
         if elapsed <= objective || worker.last_answered_sent_at > feedback.attempt.sent_at {
             return;
@@ -255,7 +260,6 @@
         worker.concurrency.decrease(now, objective, in_flight, min_limit);
     }
 
-    /// Number of the other routers.
     fn other_routers(&self) -> f64 {
         (self.config.router_count - 1) as f64
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Digests of names and the hash order: routers of two versions that draw others do not share workers'
-//! caches.
+//! Pins name digests and the hash order. Routers of two versions that disagree on them would not share the
+//! workers' caches.
 mod common;
 use applepond::interface::*;
 use common::*;
@@ -21,20 +21,20 @@
     insta::assert_snapshot!("first_workers", lines.join("\n"));
 }
 
-/// The first four workers of a function among twenty of three weights: each is taken off the list once it is
-/// the home.
+/// The first four workers in a function's hash order, among twenty workers of three weights. Each is
+/// removed once it has been found to be the home.
 fn first_workers(function: &str) -> String {
     let weighted =
         |n: u64| Endpoint { weight: [1.0, 0.5, 2.25][n as usize % 3], ..endpoint(n, WorkerStatus::Ready, 0) };
-    let mut router = TestRouter::new(rows(RetrySafety::Idempotent), 0);
-    router.list(&(0..20).map(weighted).collect::<Vec<_>>());
+    let mut router = TestRouter::new(config(RetrySafety::Idempotent), 0);
+    router.update_endpoints(&(0..20).map(weighted).collect::<Vec<_>>());
     let mut first = Vec::new();
     for n in 0..4 {
         router.request_arrives(n, function, 5000 * MS);
         let home = router.sent_to(n)[0];
-        router.attempt_ends(n, 0, &answer(Outcome::Finished));
+        router.attempt_ends(n, 0, &attempt_result(Outcome::Finished));
         let place = (0..20).find(|n| worker(*n) == home).expect("a listed worker");
-        router.list(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
+        router.update_endpoints(&[Endpoint { status: WorkerStatus::Gone, ..weighted(place) }]);
         first.push(place.to_string());
     }
     first.join(" ")
