--- a/crates/gateway/src/client/answer.rs
+++ b/crates/gateway/src/client/answer.rs
@@ -1,17 +1,18 @@
-//! The final answer of a request, as all its exchanges get it.
+//! The final answer of a request, which all clients that wait for the request receive.
 use crate::idempotency::FinalOutcome;
 use applepond::interface::Micros;
 use applepond_http::Fault;
 use applepond_http::encode::{self, Lines};
 use std::rc::Rc;
 
-/// A request's one answer: sent to each exchange that waits for it and, where it is kept, to later ones.
+/// The final answer of a request: sent to each waiting client and, if it is cached, replayed to later
+/// duplicates.
 pub(crate) struct Answer {
     pub(crate) outcome: FinalOutcome,
     pub(crate) status: u16,
-    /// Reason code, also of the request's line in the log.
+    /// Reason code, also logged.
     pub(crate) reason: &'static str,
-    /// Header fields beside the generated ones.
+    /// Header fields in addition to the generated ones.
     pub(crate) fields: Lines,
     pub(crate) body: Vec<u8>,
     /// Sent as `Retry-After`, rounded up to seconds.
@@ -19,13 +20,13 @@
 }
 
 impl Answer {
-    /// The answer of a request that finished.
+    /// Creates the answer of a request that finished.
     pub(crate) fn finished(fields: Lines, body: Vec<u8>) -> Self {
         let outcome = FinalOutcome::Finished;
         Answer { outcome, status: 200, reason: "finished", fields, body, retry_after: None }
     }
 
-    /// An answer that carries a problem (RFC 9457); `id` is the event's.
+    /// Creates an answer with problem details (RFC 9457); `id` is the event's.
     pub(crate) fn problem(
         outcome: FinalOutcome,
         fault: &Fault,
@@ -38,7 +39,7 @@
         Rc::new(Answer { outcome, status: fault.status, reason: fault.reason, fields, body, retry_after })
     }
 
-    /// The state page.
+    /// Creates the answer with the state page.
     pub(crate) fn state_page(page: &serde_json::Value) -> Rc<Self> {
         let mut fields = Lines::default();
         fields.field("Content-Type", "application/json");
@@ -47,12 +48,12 @@
         Rc::new(Answer { outcome, status: 200, reason: "state", fields, body, retry_after: None })
     }
 
-    /// Bytes of header fields and body.
+    /// Returns the size of the header fields and the body in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.body.len() + self.fields.len()
     }
 
-    /// The answer as it is written; `keep_alive` where the connection carries further exchanges.
+    /// Encodes the HTTP response; `keep_alive` is whether the connection stays open.
     pub(super) fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let mut head = encode::response(self.status);
         head = head.lines(&self.fields);
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -1,29 +1,29 @@
-//! One client connection: exchanges are read one after the other, each is answered before the next is read,
-//! and a client that is too slow at either is let go.
+//! One client connection: requests are read and answered one at a time. Clients that send a request or read
+//! its answer too slowly are disconnected.
 use super::answer::Answer;
-use super::event::{EventDraft, ExchangeReader};
+use super::event::{ReceivedEvent, RequestReader};
 use applepond::interface::{Micros, RequestId};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
 use applepond_reactor::{Conn, Transport};
 use std::rc::Rc;
 
-/// Bytes of a head at most (431 beyond): four times what event headers take.
+/// Maximum size of a request's head (431 if exceeded): four times the size of typical event headers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Time in which a request must be complete from its first byte on, or 408: a client that sends a byte a
-/// second holds no connection for long.
+/// Time from the first byte of a request until it must be complete (408 if exceeded), so that a client that
+/// trickles bytes cannot occupy a connection.
 const READ_TIMEOUT: Micros = 10_000_000;
-/// Time that a connection may be idle between two exchanges.
+/// Maximum idle time of a connection between two requests.
 const IDLE_TIMEOUT: Micros = 60_000_000;
-/// Time in which a client must take its answer: one that never reads holds no buffer for long.
+/// Time in which a client must read its answer, so that one that never reads cannot occupy a buffer.
 const WRITE_TIMEOUT: Micros = 10_000_000;
-/// Bytes of later requests that may wait behind one that is being answered; then reading pauses.
+/// Size of the pipelined requests buffered behind one in progress; beyond it, reading pauses.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 
-/// What an exchange asks for.
+/// A complete request of a client.
 pub(crate) enum ClientRequest {
     /// An event: a request for a function or a workflow.
-    Event(Box<EventDraft>),
+    Event(Box<ReceivedEvent>),
     /// The state page.
     StatePage,
 }
@@ -31,43 +31,43 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     Reading,
-    /// A request is complete; its answer is awaited.
+    /// A request is complete and has not been answered.
     AwaitingAnswer,
-    /// Nothing more is read; the connection is closed once its answer is out.
+    /// Nothing more is read; the connection is closed once its answer has been sent.
     Closing,
 }
 
-/// What a timeout check says of a connection.
+/// Result of a timeout check.
 #[derive(Debug, PartialEq)]
 pub(crate) enum TimeoutCheck {
-    /// It is to be checked again then.
+    /// The next check is due at this time.
     CheckAt(Micros),
-    /// It has timed out and was cut.
+    /// The connection had timed out and was cut.
     Closed,
 }
 
 /// One client connection.
 pub(crate) struct ClientConnection {
     decoder: Decoder,
-    reader: ExchangeReader,
+    reader: RequestReader,
     phase: Phase,
-    /// The request or workflow whose answer is awaited, where it is not answered at once.
+    /// The request or workflow that the client waits for, if its event was not answered at once.
     pub(crate) request: Option<RequestId>,
-    /// The exchange that is being answered allows a further one.
+    /// The current request allows further ones on the connection.
     keep_alive: bool,
     /// The client has closed its sending side.
     peer_half_closed: bool,
-    /// When the timeout of the current phase is over.
+    /// When the current phase times out.
     timeout_at: Micros,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted now. `attribute_names` are the event attributes that the deployment
-    /// reads by name.
+    /// Creates the state of a connection accepted now. `attribute_names` are the event attributes that the
+    /// deployment reads by name.
     pub(crate) fn new(now: Micros, max_event_bytes: u64, attribute_names: Rc<[String]>) -> Self {
         ClientConnection {
             decoder: Decoder::new(Side::Server, MAX_HEAD_BYTES, max_event_bytes),
-            reader: ExchangeReader::new(attribute_names),
+            reader: RequestReader::new(attribute_names),
             phase: Phase::Reading,
             request: None,
             keep_alive: true,
@@ -76,16 +76,16 @@
         }
     }
 
-    /// Other attributes are read by name from the next exchange on; one that is half read keeps those that it
-    /// started with.
+    /// Sets the attributes read by name from the next request on; one that has been read in part keeps the
+    /// old ones.
     pub(crate) fn set_attribute_names(&mut self, attribute_names: &Rc<[String]>) {
         self.reader.set_attribute_names(attribute_names.clone());
         if self.phase == Phase::AwaitingAnswer || self.decoder.idle() {
-            self.reader = ExchangeReader::new(attribute_names.clone());
+            self.reader = RequestReader::new(attribute_names.clone());
         }
     }
 
-    /// Takes bytes that have arrived.
+    /// Processes received bytes.
     pub(crate) fn feed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if self.phase == Phase::Closing {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The next complete request, if the one before has been answered; a fault where it cannot be read.
+    /// Returns the next complete request, if the one before has been answered, or a fault if it is malformed.
     pub(crate) fn next_request(
         &mut self,
         transport: &mut dyn Transport,
@@ -112,11 +112,11 @@
             Ok(Step::Done) => {
                 self.phase = Phase::AwaitingAnswer;
                 self.keep_alive = self.reader.keep_alive;
-                let exchange = self.reader.take();
-                if exchange.is_state_page {
+                let request = self.reader.take();
+                if request.is_state_page {
                     return Some(Ok(ClientRequest::StatePage));
                 }
-                Some(Ok(ClientRequest::Event(Box::new(exchange.draft))))
+                Some(Ok(ClientRequest::Event(Box::new(request.event))))
             }
             Ok(Step::More) => {
                 if std::mem::take(&mut self.reader.expects_continue) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Answers the exchange that awaits it; what comes after it is read next.
+    /// Sends the answer to the current request; the next one is read after it.
     pub(crate) fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
         if self.phase != Phase::AwaitingAnswer {
             return;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Answers what cannot be read, and closes the connection: where the next request starts is not known.
+    /// Answers a malformed request and closes the connection, as the start of the next request is unknown.
     pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
         transport.write(conn, &encode::problem_answer(fault, None, None, false));
         self.close(now, transport, conn);
@@ -157,7 +157,7 @@
         transport.finish(conn);
     }
 
-    /// The client closed its sending side: it may still read, so what it asked before is answered first.
+    /// Handles a half-close by the client. It may still read, so a complete request is answered first.
     pub(crate) fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peer_half_closed = true;
         if self.phase == Phase::Reading {
@@ -170,15 +170,15 @@
         }
     }
 
-    /// All that was written has left.
+    /// Handles the end of a write: the idle timeout starts.
     pub(crate) fn flushed(&mut self, now: Micros) {
         if self.phase == Phase::Reading {
             self.timeout_at = now + IDLE_TIMEOUT;
         }
     }
 
-    /// Checks the timeouts: 408 for a request that does not become complete, a plain close for an idle
-    /// connection, a cut for a client that does not take its answer.
+    /// Checks the timeouts: answers an incomplete request with 408, closes an idle connection, and cuts the
+    /// connection of a client that does not read its answer.
     pub(crate) fn check_timeout(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/client/event.rs
+++ b/crates/gateway/src/client/event.rs
@@ -1,4 +1,4 @@
-//! One exchange while it comes in: its target, its event and the event's attributes.
+//! Reading of one request of a client: its target, its event and the event's attributes.
 use crate::deadline::RequestedDeadline;
 use applepond_http::Fault;
 use applepond_http::cloudevent::{self, EventSink, Reader};
@@ -6,44 +6,44 @@
 use applepond_http::encode::Lines;
 use std::rc::Rc;
 
-/// What the event of one exchange says, filled in as its attributes come in.
+/// The event of a request, filled in as its attributes are read.
 #[derive(Default)]
-pub(crate) struct EventDraft {
+pub(crate) struct ReceivedEvent {
     pub(crate) id: String,
     pub(crate) source: String,
     pub(crate) event_type: String,
     pub(crate) deadline: RequestedDeadline,
-    /// The client marks it as a retry.
+    /// The client has marked it as a retry.
     pub(crate) is_retry: bool,
-    /// All attributes as header lines for the worker: one buffer instead of a pair of strings for each.
+    /// All attributes as header lines for the worker, in one buffer to avoid two strings for each.
     pub(crate) fields: Lines,
-    /// The attributes that the deployment reads by name.
+    /// Names of the attributes that the deployment reads by name.
     attribute_names: Rc<[String]>,
-    /// Their values, in the same order.
+    /// Values of these attributes, in the same order.
     attribute_values: Vec<Option<String>>,
     pub(crate) media_type: Option<String>,
     pub(crate) data: Vec<u8>,
-    /// Why the event is refused once it is complete.
+    /// Fault for which the event is refused once it is complete.
     fault: Option<Fault>,
 }
 
-impl EventDraft {
+impl ReceivedEvent {
     fn new(attribute_names: &Rc<[String]>) -> Self {
-        EventDraft {
+        ReceivedEvent {
             attribute_names: attribute_names.clone(),
             attribute_values: vec![None; attribute_names.len()],
-            ..EventDraft::default()
+            ..ReceivedEvent::default()
         }
     }
 
-    /// The value of an attribute that the deployment reads by name.
+    /// Returns the value of an attribute that the deployment reads by name.
     pub(crate) fn attribute(&self, name: &str) -> Option<&str> {
         let mut attributes = self.attribute_names.iter().zip(&self.attribute_values);
         attributes.find(|(known, _)| *known == name).and_then(|(_, value)| value.as_deref())
     }
 }
 
-impl EventSink for EventDraft {
+impl EventSink for ReceivedEvent {
     fn attribute(&mut self, name: &str, value: &str) {
         match name {
             "id" => self.id = value.to_owned(),
@@ -67,24 +67,24 @@
     }
 }
 
-/// Collects one exchange from the HTTP decoder.
-pub(super) struct ExchangeReader {
+/// Collects one request from the HTTP decoder.
+pub(super) struct RequestReader {
     attribute_names: Rc<[String]>,
-    pub(super) draft: EventDraft,
-    /// Set where the exchange carries an event.
+    pub(super) event: ReceivedEvent,
+    /// Set if the request carries an event.
     event_reader: Option<Reader>,
     body: Vec<u8>,
     pub(super) is_state_page: bool,
     /// The client waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
-    /// The connection may carry a further exchange.
+    /// The connection may carry further requests.
     pub(super) keep_alive: bool,
 }
 
-impl ExchangeReader {
+impl RequestReader {
     pub(super) fn new(attribute_names: Rc<[String]>) -> Self {
-        ExchangeReader {
-            draft: EventDraft::new(&attribute_names),
+        RequestReader {
+            event: ReceivedEvent::new(&attribute_names),
             attribute_names,
             event_reader: None,
             body: Vec::new(),
@@ -94,25 +94,25 @@
         }
     }
 
-    /// The complete exchange; a new reader takes this one's place.
-    pub(super) fn take(&mut self) -> ExchangeReader {
-        let next = ExchangeReader::new(self.attribute_names.clone());
+    /// Returns the complete request, and starts a new one in its place.
+    pub(super) fn take(&mut self) -> RequestReader {
+        let next = RequestReader::new(self.attribute_names.clone());
         std::mem::replace(self, next)
     }
 
-    /// Other attributes are read by name from the next exchange on.
+    /// Sets the attributes read by name from the next request on.
     pub(super) fn set_attribute_names(&mut self, attribute_names: Rc<[String]>) {
         self.attribute_names = attribute_names;
     }
 }
 
-impl Visitor for ExchangeReader {
+impl Visitor for RequestReader {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
-        *self = ExchangeReader::new(self.attribute_names.clone());
+        *self = RequestReader::new(self.attribute_names.clone());
         let path = target.split('?').next().unwrap_or(target);
         match (method, path) {
             ("GET", "/-/state") => self.is_state_page = true,
-            ("POST", "/" | "/events") => self.event_reader = Some(Reader::head(fields, &mut self.draft)?),
+            ("POST", "/" | "/events") => self.event_reader = Some(Reader::head(fields, &mut self.event)?),
             (_, "/" | "/events" | "/-/state") => {
                 let detail = "events are taken by POST, the state is read by GET";
                 return Err(Fault::new(405, "bad-method", detail));
@@ -142,9 +142,9 @@
         self.keep_alive = keep_alive;
         let body = std::mem::take(&mut self.body);
         if let Some(reader) = self.event_reader.take() {
-            reader.body(body, &mut self.draft)?;
+            reader.body(body, &mut self.event)?;
         }
-        match self.draft.fault.take() {
+        match self.event.fault.take() {
             Some(fault) => Err(fault),
             None => Ok(()),
         }
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,11 +1,11 @@
-//! The client side: reads exchanges, one at a time on a connection, and writes the answer of each.
+//! The client side: reads requests, one at a time per connection, and writes their answers.
 //!
-//! Each [`ClientConnection`] owns the state of one connection; bytes, half-closes, drained writes and the
-//! timeout checks of the gateway enter there. What an exchange means is decided by the gateway.
+//! [`ClientConnection`] is the state of one connection; it handles received bytes, half-closes, completed
+//! writes and timeout checks. The requests themselves are processed by the gateway.
 mod answer;
 mod connection;
 mod event;
 
 pub(crate) use answer::Answer;
 pub(crate) use connection::{ClientConnection, ClientRequest, TimeoutCheck};
-pub(crate) use event::EventDraft;
+pub(crate) use event::ReceivedEvent;
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -1,9 +1,9 @@
-//! Events of clients: each one joins a request in progress, gets a kept answer, is refused, or becomes a
-//! request or a workflow. An `Err` of these methods is the answer that the exchange gets at once.
+//! Events of clients: each one joins a request in progress, gets a cached answer, is refused, or starts a
+//! request or a workflow. An `Err` of these methods is an answer to be sent to the client at once.
 use super::Gateway;
 use super::extensions::PromisedRetry;
 use super::request::{NewRequest, PromptPrefix, RequestContent};
-use crate::client::{Answer, EventDraft};
+use crate::client::{Answer, ReceivedEvent};
 use crate::deadline;
 use crate::deployment::FunctionSource;
 use crate::idempotency::{FinalOutcome, IdempotencyKey, Lookup};
@@ -13,40 +13,41 @@
 use applepond_reactor::Conn;
 use std::rc::Rc;
 
-/// Bytes of a prompt prefix's name at most; a longer one is ignored.
+/// Maximum length of a prompt prefix's name; a longer one is ignored.
 const MAX_PREFIX_NAME_BYTES: usize = 200;
-/// Requests and workflows that have not ended at most; beyond it the gateway itself rejects, at the cost of
-/// one answer.
+/// Maximum number of open requests and workflows; beyond it the gateway rejects events without involving
+/// `Control`, at the cost of one response each.
 const MAX_OPEN_REQUESTS: usize = 20_000;
-/// The wait that a client is told then.
+/// `Retry-After` of those rejections.
 const TOO_MANY_RETRY_AFTER: Micros = 1_000_000;
-/// Characters of an unknown event type that its answer repeats.
+/// Length to which an unknown event type is truncated in the error response.
 const MAX_SHOWN_TYPE_CHARS: usize = 80;
 
-/// What admission says of an event that it lets pass.
+/// What admission determined about an event that it admitted.
 pub(super) struct Admitted {
     /// Digest of the event's `source`.
     pub(super) client_digest: u64,
-    /// Digest of the event's key.
+    /// Digest of the event's idempotency key.
     pub(super) digest: u64,
-    /// The event repeats an earlier one, as its client says or as admission has seen.
+    /// The event is a retry, as marked by its client or detected by admission.
     pub(super) is_retry: bool,
 }
 
-/// The answer to an event that is refused, and its line in the log.
+/// Logs that an event is refused, and returns its answer.
 pub(super) fn refuse(id: &str, fault: &Fault) -> Rc<Answer> {
     tracing::info!(id, reason = fault.reason, status = fault.status, "event refused");
     Answer::problem(FinalOutcome::Rejected, fault, Some(id), None)
 }
 
 impl Gateway {
-    /// Takes one event. Longer than a screen, as the request is put together here field by field. The order
-    /// of the checks decides which refusal an event gets that fails several, so it must stay.
+    /// Processes one event. The order of the checks is part of the interface: it determines which error is
+    /// returned for an event that fails several of them. The function is long because it fills in the request
+    /// field by field.
     pub(super) fn accept_event(
         &mut self,
         now: Micros,
         conn: Conn,
-        event: EventDraft,
+        event: ReceivedEvent,
     ) -> Result<(), Rc<Answer>> {
         let workflows = &self.deployment.workflows;
         if let Some(index) = workflows.iter().position(|row| row.types.contains(&event.event_type)) {
@@ -90,7 +91,7 @@
         Ok(())
     }
 
-    /// Starts a request that a client waits for.
+    /// Starts a request on behalf of a client that waits for its answer.
     fn start_client_request(&mut self, now: Micros, conn: Conn, key: IdempotencyKey, new: NewRequest) {
         let request = self.start_request(now, new);
         self.idempotency.start(key, request);
@@ -99,8 +100,8 @@
         }
     }
 
-    /// The index of the workload that takes the event's type.
-    fn workload_of(&self, event: &EventDraft) -> Result<usize, Rc<Answer>> {
+    /// Returns the index of the workload that the event's type belongs to.
+    fn workload_of(&self, event: &ReceivedEvent) -> Result<usize, Rc<Answer>> {
         let mut workloads = self.deployment.workloads.iter();
         workloads.position(|workload| workload.types.contains(&event.event_type)).ok_or_else(|| {
             let shown: String = event.event_type.escape_default().take(MAX_SHOWN_TYPE_CHARS).collect();
@@ -109,8 +110,8 @@
         })
     }
 
-    /// The name of the function that the event calls.
-    fn function_of(&self, workload: usize, event: &EventDraft) -> Result<String, Rc<Answer>> {
+    /// Returns the name of the function that the event calls.
+    fn function_of(&self, workload: usize, event: &ReceivedEvent) -> Result<String, Rc<Answer>> {
         let source = &self.deployment.workloads[workload].function_source;
         let function = match source {
             FunctionSource::Named(name) => Some(name.as_str()),
@@ -122,8 +123,9 @@
         })
     }
 
-    /// The prompt prefix that the event names. One of unknown size is prepared as any, and never pinned.
-    fn prefix_of(&self, workload: usize, event: &EventDraft) -> Option<PromptPrefix> {
+    /// Returns the prompt prefix that the event names. One of unknown size is prepared like any other, but
+    /// never pinned.
+    fn prefix_of(&self, workload: usize, event: &ReceivedEvent) -> Option<PromptPrefix> {
         let attributes = self.deployment.workloads[workload].prefix_attributes.as_ref()?;
         let name = event.attribute(&attributes.name)?;
         if !(1..=MAX_PREFIX_NAME_BYTES).contains(&name.len()) {
@@ -133,12 +135,12 @@
         Some(PromptPrefix { name: name.to_owned(), size })
     }
 
-    /// The customer that the event names, if it names one.
-    pub(super) fn customer_of(&self, event: &EventDraft) -> Result<Option<CustomerId>, Rc<Answer>> {
+    /// Returns the customer that the event names, if any.
+    pub(super) fn customer_of(&self, event: &ReceivedEvent) -> Result<Option<CustomerId>, Rc<Answer>> {
         let Some(name) = event.attribute(&self.deployment.customer_attribute) else { return Ok(None) };
         let configs = &self.deployment.startup.customers;
         let index = self.deployment.customers.iter().position(|known| known == name);
-        // A reload may have left the name behind, without a share.
+        // A customer that a reload removed keeps its name and index, with a quota of zero.
         match index.filter(|index| configs[*index].requests_per_second > 0.0) {
             Some(index) => Ok(Some(CustomerId(index))),
             None => {
@@ -148,20 +150,20 @@
         }
     }
 
-    /// Time until the event's answer is due.
+    /// Returns the time until the event's answer is due, or a 504 answer if its deadline has passed.
     pub(super) fn time_left_of(
         &self,
         now: Micros,
         limit: Micros,
-        event: &EventDraft,
+        event: &ReceivedEvent,
     ) -> Result<Micros, Rc<Answer>> {
         deadline::time_left(now, limit, event.deadline).ok_or_else(|| {
             refuse(&event.id, &Fault::new(504, "expired", "the event's time was up when it came"))
         })
     }
 
-    /// Has an exchange join the request or workflow in progress with its key, or gives it the kept answer.
-    /// None where the key is new.
+    /// Attaches a client to the request or workflow in progress with the same key, or returns the cached
+    /// answer as `Err`. Returns `None` if the key is new.
     pub(super) fn join_or_replay(
         &mut self,
         now: Micros,
@@ -189,12 +191,12 @@
         }
     }
 
-    /// Whether one more may come in: by the number of open requests, and by admission, which sheds load
+    /// Admits or rejects an event: by the number of open requests, and by admission control, which sheds load
     /// during a retry storm.
     pub(super) fn admit(
         &mut self,
         now: Micros,
-        event: &EventDraft,
+        event: &ReceivedEvent,
         workload: usize,
         time_left: Micros,
     ) -> Result<Admitted, Rc<Answer>> {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Rejects an event before `Control` has seen it, during a retry storm.
+    /// Rejects an event during a retry storm, before it reaches `Control`.
     fn shed(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -1,7 +1,7 @@
-//! Events that start a workflow, or take up one that is in the store.
+//! Events that start a workflow or resume a stored one.
 use super::plan_digest::plan_digest;
 use super::{ActiveWorkflow, StartedWorkflow};
-use crate::client::{Answer, EventDraft};
+use crate::client::{Answer, ReceivedEvent};
 use crate::gateway::Gateway;
 use crate::gateway::intake::{Admitted, refuse};
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
@@ -16,18 +16,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Fields of a workflow's event that its steps' events do not take over.
-const OWN_FIELDS: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
+/// Header fields of a workflow's event that are not copied to the events of its steps.
+const UNCOPIED_FIELDS: [&str; 4] = ["ce-id", "ce-type", "ce-timelimit", "ce-expirytime"];
 
 impl Gateway {
-    /// Takes an event that starts the workflow of this index. An `Err` is the answer that the exchange gets
-    /// at once.
+    /// Processes an event that starts the workflow with this index. An `Err` is an answer to be sent at once.
     pub(in crate::gateway) fn accept_workflow(
         &mut self,
         now: Micros,
         conn: Conn,
         index: usize,
-        event: EventDraft,
+        event: ReceivedEvent,
     ) -> Result<(), Rc<Answer>> {
         let customer = self.customer_of(&event)?;
         let key = IdempotencyKey::new(&event.source, &event.id);
@@ -40,27 +39,27 @@
         let named_function = event.attribute(&config.function_attribute).filter(|name| !name.is_empty());
         let named_function = named_function.map(str::to_owned);
         let digest = plan_digest(&plan, &self.deployment.workloads);
-        let before = self.stored_before(now, &key, &plan, digest, &event)?;
+        let resumed = self.load_stored(now, &key, &plan, digest, &event)?;
         let admitted = self.admit(now, &event, plan.steps[0].workload, time_left)?;
-        if before.as_ref().is_none_or(|stored| stored.steps.is_empty()) {
+        if resumed.as_ref().is_none_or(|stored| stored.steps.is_empty()) {
             self.check_pace(now, &event.id, &admitted, time_left)?;
         }
         self.counters.accepted += 1;
         self.workflows.counters.accepted += 1;
         let request = self.next_request_id();
-        let is_stored = before.is_some();
+        let is_stored = resumed.is_some();
         let stored =
-            before.unwrap_or_else(|| self.new_stored(&plan, digest, named_function, customer, event));
+            resumed.unwrap_or_else(|| self.new_record(&plan, digest, named_function, customer, event));
         let deadline = now + time_left;
-        let until = deadline + self.deployment.answer_retention.time;
-        let stored = WorkflowRecord { deadline, expires_at: until, closed: false, ..stored };
+        let expires_at = deadline + self.deployment.answer_retention.time;
+        let stored = WorkflowRecord { deadline, expires_at, closed: false, ..stored };
         let workflow = ActiveWorkflow {
             clients: vec![conn],
             is_retry: admitted.is_retry,
             client_digest: admitted.client_digest,
             digest: admitted.digest,
             is_stored,
-            ..self.workflow_from_stored(now, key.clone(), plan, stored, customer)
+            ..self.workflow_from_record(now, key.clone(), plan, stored, customer)
         };
         self.idempotency.start(key, request);
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -70,39 +69,40 @@
         Ok(())
     }
 
-    /// What the store has of this workflow, if it may be taken up. A workflow whose steps are all idempotent
-    /// needs no store.
-    fn stored_before(
+    /// Returns the stored record of this workflow, if there is one, or an error answer if it cannot be
+    /// resumed. A store that cannot be read is an error only for workflows with a step that is not
+    /// idempotent.
+    fn load_stored(
         &mut self,
         now: Micros,
         key: &IdempotencyKey,
         plan: &Plan,
         plan_digest: u64,
-        event: &EventDraft,
+        event: &ReceivedEvent,
     ) -> Result<Option<WorkflowRecord>, Rc<Answer>> {
         let refused = |status, reason, detail| Err(refuse(&event.id, &Fault::new(status, reason, detail)));
         let needs_store = plan.steps.iter().any(|step| step.effect != RetrySafety::Idempotent);
         if needs_store && event.data.len() > MAX_STORED_RESPONSE_BYTES {
             return refused(413, "large-chain", "the data of a chain with effects must fit its record");
         }
-        let before = match self.workflows.store.load((&key.source, &key.id)) {
-            Ok(before) => before.filter(|stored| stored.expires_at > now),
+        let stored = match self.workflows.store.load((&key.source, &key.id)) {
+            Ok(stored) => stored.filter(|stored| stored.expires_at > now),
             Err(error) if needs_store => {
-                tracing::error!(%error, reason = "no-record", "the record cannot be read");
+                tracing::error!(%error, reason = "no-record", "cannot read the workflow store");
                 return refused(503, "no-record", "what ran before cannot be known here");
             }
             Err(_) => None,
         };
-        if before
+        if stored
             .as_ref()
             .is_some_and(|stored| (&stored.workflow, stored.plan_digest) != (&plan.name, plan_digest))
         {
             return refused(502, "plan-changed", "it began by another plan; steps of it may have run");
         }
-        Ok(before)
+        Ok(stored)
     }
 
-    /// Rejects a new workflow while more of them start than come to their end.
+    /// Rejects a new workflow while workflows are started faster than they end.
     fn check_pace(
         &mut self,
         now: Micros,
@@ -121,29 +121,29 @@
         Err(Answer::problem(FinalOutcome::Rejected, &fault, Some(id), wait))
     }
 
-    /// The stored form of a workflow that the store does not know.
-    fn new_stored(
+    /// Creates the record of a workflow that is not in the store.
+    fn new_record(
         &self,
         plan: &Plan,
         plan_digest: u64,
         named_function: Option<String>,
         customer: Option<CustomerId>,
-        event: EventDraft,
+        event: ReceivedEvent,
     ) -> WorkflowRecord {
         WorkflowRecord {
             workflow: plan.name.clone(),
             plan_digest,
             function: named_function,
             customer: customer.map(|customer| self.deployment.customers[customer.0].clone()),
-            header_lines: event.fields.without(&OWN_FIELDS).bytes().to_vec(),
+            header_lines: event.fields.without(&UNCOPIED_FIELDS).bytes().to_vec(),
             content_type: event.media_type,
             data: event.data,
             ..WorkflowRecord::default()
         }
     }
 
-    /// A workflow with what the store has of it, that nobody waits for yet.
-    pub(super) fn workflow_from_stored(
+    /// Creates a workflow from its record, without waiting clients.
+    pub(super) fn workflow_from_record(
         &mut self,
         now: Micros,
         key: IdempotencyKey,
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Starts the run. Its first commands are carried out at the end of this turn: a workflow that is refused
-    /// at once is answered like any other.
+    /// Starts the run. Its first commands are executed at the end of this turn of the event loop, so that a
+    /// workflow rejected at once is answered like any other.
     pub(super) fn start_workflow(&mut self, now: Micros, request: RequestId, workflow: ActiveWorkflow) {
         self.workflows.active.insert(request, workflow);
         let commands = self.with_run(now, request, |run, needs| run.begin(now, needs));
--- a/crates/gateway/src/gateway/workflow/recovery.rs
+++ b/crates/gateway/src/gateway/workflow/recovery.rs
@@ -1,5 +1,6 @@
-//! Workflows that a restart cut off: each waits in the store for a client that asks for it again until its
-//! deadline, and then goes on by itself, which undoes what must be undone.
+//! Recovery of workflows interrupted by a restart. Until its deadline, a stored workflow is resumed only by a
+//! retry of its client; after the deadline it is resumed without a client, which undoes the steps that must
+//! not last.
 use super::plan_digest::plan_digest;
 use crate::gateway::Gateway;
 use crate::idempotency::{IdempotencyKey, Lookup};
@@ -7,16 +8,16 @@
 use applepond_reactor::Transport;
 use applepond_storage::WorkflowRecord;
 
-/// Time between two rounds in which expired workflows are removed from the store.
+/// Interval between removals of expired workflows from the store.
 const CLEAR_INTERVAL: Micros = 5_000_000;
 
 impl Gateway {
-    /// Schedules the workflows in the store that have not come to their end.
+    /// Schedules the resumption of the stored workflows that have not ended.
     pub(in crate::gateway) fn resume_workflows(&mut self, now: Micros, transport: &mut dyn Transport) {
         let open = match self.workflows.store.unfinished() {
             Ok(open) => open,
             Err(error) => {
-                return tracing::error!(%error, reason = "no-record", "the record cannot be read");
+                return tracing::error!(%error, reason = "no-record", "cannot read the workflow store");
             }
         };
         for (source, id) in open {
@@ -24,7 +25,7 @@
             let stored = self.workflows.store.load((&key.source, &key.id));
             let Ok(Some(stored)) = stored else { continue };
             let wait = stored.deadline.saturating_sub(now);
-            tracing::info!(%id, %source, reason = "open-chain", wait_us = wait, "a chain was cut off");
+            tracing::info!(%id, %source, reason = "open-chain", wait_us = wait, "workflow interrupted");
             let resume = move |gateway: &mut Gateway, now, _: &mut dyn Transport| {
                 gateway.resume_without_client(now, key);
             };
@@ -35,7 +36,7 @@
 
     fn clear_store_periodically(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Err(error) = self.workflows.store.remove_expired(now) {
-            tracing::error!(%error, reason = "no-record", "the record cannot be cleared");
+            tracing::error!(%error, reason = "no-record", "cannot remove expired workflows from the store");
         }
         let clear = |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
             gateway.clear_store_periodically(now, transport);
@@ -43,8 +44,7 @@
         self.schedule(now, transport, CLEAR_INTERVAL, Box::new(clear));
     }
 
-    /// Takes up a workflow for which no client has asked again. One whose plan has changed stays in the
-    /// store.
+    /// Resumes a workflow that no client has retried. One whose plan has changed stays in the store instead.
     fn resume_without_client(&mut self, now: Micros, key: IdempotencyKey) {
         if !matches!(self.idempotency.look_up(now, &key), Lookup::New) {
             return;
@@ -61,7 +61,7 @@
         let customer = customer.and_then(|name| customers.iter().position(|known| known == name));
         let request = self.next_request_id();
         let stored = WorkflowRecord { expires_at: now + self.deployment.answer_retention.time, ..stored };
-        let workflow = self.workflow_from_stored(now, key.clone(), plan, stored, customer.map(CustomerId));
+        let workflow = self.workflow_from_record(now, key.clone(), plan, stored, customer.map(CustomerId));
         self.idempotency.start(key, request);
         self.start_workflow(now, request, workflow);
     }
