--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -1,8 +1,8 @@
-//! The watch on the endpoint list: the connection to the list's server, the lines that arrive on it, and how
-//! their entries reach `Control`. Without the list the last one holds.
+//! The watch on the endpoint list: the connection to the list's server, the lines received on it, and how
+//! their entries are passed to `Control`. While the server is unreachable, the last list stays in force.
 //!
-//! Owned here: the watch's connection and its backoff. Enters here: that connection's events, and workers of
-//! the settings after a start or a reload.
+//! State: the watch's connection and its backoff. Entry points: events of that connection, and the static
+//! workers of the settings after a start or a reload.
 use super::Gateway;
 use crate::deployment::StaticWorker;
 use crate::endpoint_list::{EndpointEntry, EndpointUpdate, NamedEndpoint};
@@ -13,19 +13,20 @@
 use applepond_reactor::{Conn, Transport};
 use std::collections::VecDeque;
 
-/// Backoff between two attempts to reach the endpoint list: at first, doubled after each, and at most.
+/// Backoff before the first reconnection to the endpoint list; it doubles with each further one.
 const MIN_BACKOFF: Micros = 100_000;
+/// Limit of that backoff.
 const MAX_BACKOFF: Micros = 3_000_000;
-/// Bytes of the response's head, and of one line of the list, at most.
+/// Maximum size of the response head, and of one line of the list.
 const MAX_LINE_BYTES: usize = 8 * 1024 * 1024;
 
 /// The connection to the endpoint list's server.
 pub(super) struct EndpointWatch {
-    /// None while it waits to connect again, and without an endpoint list.
+    /// `None` during the backoff before a reconnection, and without an endpoint list.
     conn: Option<Conn>,
     decoder: Option<Decoder>,
     lines: ListLines,
-    /// The wait after the next loss of the connection.
+    /// Delay of the reconnection after the next loss of the connection.
     backoff: Micros,
 }
 
@@ -36,32 +37,36 @@
 }
 
 impl EndpointWatch {
-    /// Whether this connection is the watch's.
-    pub(super) fn is(&self, conn: Conn) -> bool {
+    /// Whether `conn` is the connection of this watch.
+    pub(super) fn uses(&self, conn: Conn) -> bool {
         self.conn == Some(conn)
     }
 
-    /// Whether a connection is open or is being opened.
+    /// Whether a connection is established or being established.
     pub(super) fn is_open(&self) -> bool {
         self.conn.is_some()
     }
 }
 
-/// Lines of the list's body as they come in.
+/// Splits the body of the list's response into lines.
 #[derive(Default)]
 struct ListLines {
-    /// The line that is not complete yet.
+    /// The line that has not been received completely.
     partial: Vec<u8>,
     complete: VecDeque<Vec<u8>>,
 }
 
 impl Visitor for ListLines {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
-        Err(Fault::new(400, "bad-head", "an answer is wanted"))
+        Err(Fault::new(400, "bad-head", "expected a response, got a request"))
     }
 
     fn response(&mut self, status: u16, _: &Fields<'_>) -> Result<(), Fault> {
-        if status == 200 { Ok(()) } else { Err(Fault::new(status, "no-list", "the host list was not given")) }
+        if status == 200 {
+            Ok(())
+        } else {
+            Err(Fault::new(status, "no-list", "the endpoint list was not sent"))
+        }
     }
 
     fn body(&mut self, bytes: &[u8]) -> Result<(), Fault> {
@@ -71,7 +76,7 @@
             } else if self.partial.len() < MAX_LINE_BYTES {
                 self.partial.push(*byte);
             } else {
-                return Err(Fault::new(413, "long-line", "a line of the host list is too long"));
+                return Err(Fault::new(413, "long-line", "a line of the endpoint list is too long"));
             }
         }
         Ok(())
@@ -83,7 +88,7 @@
 }
 
 impl Gateway {
-    /// Connects to the endpoint list's server, where there is one.
+    /// Connects to the endpoint list's server, if one is configured.
     pub(super) fn connect_endpoint_watch(&mut self, transport: &mut dyn Transport) {
         let Some(address) = self.deployment.endpoint_list else { return };
         let conn = transport.connect(address, self.deployment.connect_timeout);
@@ -92,26 +97,26 @@
         self.endpoint_watch.lines = ListLines::default();
     }
 
-    /// Asks for the list on a connection that has been established.
+    /// Requests the list on an established connection.
     pub(super) fn request_endpoint_list(&self, transport: &mut dyn Transport, conn: Conn) {
         let host = self.deployment.endpoint_list.map(|address| address.to_string()).unwrap_or_default();
         let path = format!("/watch?router={}", self.deployment.startup.router_index);
         transport.write(conn, &encode::request("GET", &path, &host).empty());
     }
 
-    /// The connection is gone; it is opened again after a backoff.
+    /// Handles the loss of the connection: schedules a reconnection after the backoff.
     pub(super) fn endpoint_watch_lost(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.endpoint_watch.conn = None;
         let backoff = self.endpoint_watch.backoff;
         self.endpoint_watch.backoff = (backoff * 2).min(MAX_BACKOFF);
-        tracing::warn!(retry_in_us = backoff, "the host list is out of reach; the last one holds");
+        tracing::warn!(retry_in_us = backoff, "endpoint list unreachable; keeping the last one");
         let connect = |gateway: &mut Gateway, _, transport: &mut dyn Transport| {
             gateway.connect_endpoint_watch(transport);
         };
         self.schedule(now, transport, backoff, Box::new(connect));
     }
 
-    /// Bytes of the list have arrived.
+    /// Processes bytes received from the endpoint list's server.
     pub(super) fn endpoint_watch_bytes(
         &mut self,
         now: Micros,
@@ -129,7 +134,7 @@
                     self.apply_endpoint_update(now, transport, update);
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "a line of the host list cannot be read; the last one holds");
+                    tracing::warn!(%error, "invalid line in the endpoint list; keeping the last valid list");
                 }
             }
         }
@@ -139,22 +144,22 @@
         }
     }
 
-    /// Takes the workers of the settings as a full list.
+    /// Applies the static workers of the settings as a full list.
     pub(super) fn apply_static_workers(&mut self, now: Micros, transport: &mut dyn Transport) {
         let named = self.deployment.workers.iter().map(static_endpoint).collect();
         let update = self.workers.endpoints.apply(EndpointListKind::Full, named);
         self.apply_endpoint_update(now, transport, update);
     }
 
-    /// Cuts connections that lead nowhere any more, and tells `Control` of the new entries. History may give
-    /// a worker another status than the list does.
+    /// Cuts connections to workers that were removed, replaced or are draining, and passes the new entries to
+    /// `Control`. History may override the status in the list.
     fn apply_endpoint_update(&mut self, now: Micros, transport: &mut dyn Transport, update: EndpointUpdate) {
         for conn in &update.disconnect {
             self.workers.cut(transport, *conn);
         }
         let mut entries = update.entries;
         if update.kind != EndpointListKind::Changes {
-            // A worker that a full list does not name is gone: what was said of it before does not hold.
+            // A worker missing from a full list is gone, so earlier entries of it no longer apply.
             self.listed_ready.clear();
             let named: Vec<_> = entries.iter().map(|entry| (entry.worker, entry.up_since)).collect();
             if let Some(history) = &mut self.history {
@@ -169,8 +174,8 @@
         self.control.endpoints_updated(&mut self.actions, update.kind, &entries);
     }
 
-    /// Gives an entry the status that history knows. Guards against a drain that was known before a restart
-    /// and that a late list takes back.
+    /// Replaces the status of an entry by the one in history. Otherwise an outdated list would mark a worker
+    /// ready whose drain was known before a restart.
     fn apply_known_status(&mut self, now: Micros, entry: &mut EndpointEntry) {
         let Some(history) = &mut self.history else { return };
         let status = history.effective_status(now, entry.worker, entry.up_since, entry.status);
@@ -187,7 +192,7 @@
     }
 }
 
-/// A worker of the settings as an entry of a list.
+/// Converts a worker of the settings to an entry of a list.
 fn static_endpoint(worker: &StaticWorker) -> NamedEndpoint {
     let entry = EndpointEntry {
         worker: WorkerId::named(&worker.name),
--- a/crates/gateway/src/gateway/history.rs
+++ b/crates/gateway/src/gateway/history.rs
@@ -1,7 +1,8 @@
-//! The exchange with [`HistoryStore`](super::HistoryStore): what this router has learned is stored, and what
-//! is known from before a restart or from other routers is taken up.
+//! Synchronisation with [`HistoryStore`](super::HistoryStore): stores the measurements of this router, and
+//! restores those from before a restart or from other routers.
 //!
-//! Enters here: a timer, each second and more often just after the start, when history is worth most.
+//! Entry point: a timer that fires once a second, and more often just after the start, when restored history
+//! matters most.
 use super::Gateway;
 use super::extensions::TrafficBaseline;
 use super::maintenance::MAINTENANCE_INTERVAL;
@@ -9,29 +10,30 @@
 use applepond::interface::{Endpoint, EndpointListKind, Micros, WorkerStatus};
 use applepond_reactor::Transport;
 
-/// Time after the start in which history is exchanged more often, and how often.
+/// Time after the start during which history is synchronised more often.
 const EARLY_PERIOD: Micros = 6_000_000;
+/// Interval of synchronisation during that time.
 const EARLY_INTERVAL: Micros = 20_000;
 
 impl Gateway {
-    /// Exchanges history now and from now on.
-    pub(super) fn exchange_history_periodically(&mut self, now: Micros, transport: &mut dyn Transport) {
-        self.exchange_history(now, transport);
+    /// Synchronises history now and schedules the next time.
+    pub(super) fn sync_history_periodically(&mut self, now: Micros, transport: &mut dyn Transport) {
+        self.sync_history(now, transport);
         let is_early = now < self.started_at + EARLY_PERIOD;
         let interval = if is_early { EARLY_INTERVAL } else { MAINTENANCE_INTERVAL };
-        let exchange = |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
-            gateway.exchange_history_periodically(now, transport);
+        let sync = |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
+            gateway.sync_history_periodically(now, transport);
         };
-        self.schedule(now, transport, interval, Box::new(exchange));
+        self.schedule(now, transport, interval, Box::new(sync));
     }
 
-    fn exchange_history(&mut self, now: Micros, transport: &mut dyn Transport) {
+    fn sync_history(&mut self, now: Micros, transport: &mut dyn Transport) {
         if self.history.is_none() {
             return;
         }
         self.control.advance_to(now);
-        self.exchange_traffic(now);
-        self.exchange_workers(now);
+        self.sync_traffic(now);
+        self.sync_workers(now);
         self.store_load_times(now);
         let changed = self.recheck_ready_workers(now);
         if !changed.is_empty() {
@@ -41,8 +43,9 @@
         }
     }
 
-    /// Takes up what traffic was usual before the restart, and stores what is usual now.
-    fn exchange_traffic(&mut self, now: Micros) {
+    /// Restores the traffic baseline and the scheduled retries from before the restart, and stores the
+    /// current baseline.
+    fn sync_traffic(&mut self, now: Micros) {
         let Some(history) = &mut self.history else { return };
         if let Some(restored) = history.take_restored_traffic(now) {
             if let Some(usual) = restored.baseline {
@@ -63,8 +66,9 @@
         }
     }
 
-    /// Hands workers' history to `Control`, and stores what it has measured of workers that answered here.
-    fn exchange_workers(&mut self, now: Micros) {
+    /// Passes restored history of workers to `Control`, and stores its measurements of workers that have
+    /// responded to this router.
+    fn sync_workers(&mut self, now: Micros) {
         let Some(history) = &mut self.history else { return };
         for restored in history.pending_workers(now) {
             let (worker, up_since) = (restored.worker, restored.up_since);
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Stores load times that the history does not have. Guards against hearsay that stays young: what is
-    /// stored already was taken up from there, or stored before.
+    /// Stores the load times missing in history. One that is present may have come from another router;
+    /// storing it again would renew its age without a measurement.
     fn store_load_times(&mut self, now: Micros) {
         let Some(history) = &mut self.history else { return };
         for (function, load_time) in self.control.load_times() {
@@ -91,8 +95,8 @@
         }
     }
 
-    /// Looks up again the status of each worker that the list gives as ready: a drain may have become known
-    /// after the list came, and may be over. Gives the entries that changed.
+    /// Re-evaluates the status of each worker that the list reports as ready: a drain may have become known,
+    /// or expired, since the list was received. Returns the changed entries.
     fn recheck_ready_workers(&mut self, now: Micros) -> Vec<EndpointEntry> {
         let mut changed = Vec::new();
         let Some(history) = &mut self.history else { return changed };
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,17 +1,17 @@
-//! One router instance, as a machine without I/O: connections, bytes and timers come in through [`Machine`],
-//! and what is to be written or connected goes out through [`Transport`].
+//! One router instance, as a state machine without I/O: connections, bytes and timers arrive through
+//! [`Machine`]; writes and new connections leave through [`Transport`].
 //!
-//! Every event runs the same way: the event's method updates this machine's state and calls `Control`, which
-//! queues actions; [`Gateway::settle`] then carries out actions, and what follows from them, until nothing is
-//! left to do. No method that is called from there may call `settle` again.
+//! Every event is processed in the same way: its handler updates the state and calls `Control`, which queues
+//! actions; [`Gateway::settle`] then executes actions and their consequences until no work is left. No method
+//! called by `settle` may call `settle` again.
 //!
-//! Where to look, by event:
-//! - a client connects, sends, or leaves: `clients`, then `intake` for what the event asks for;
-//! - `Control` orders an attempt, or its timeout is over: `attempts`;
+//! Modules by event:
+//! - a client connects, sends data or disconnects: `clients`, then `intake` to process the event received;
+//! - `Control` starts an attempt, or an attempt times out: `attempts`;
 //! - a worker responds or its connection ends: `responses`, with the connections in `worker_pool`;
 //! - a request ends: `completion`;
-//! - the endpoint list sends a line or is lost: `endpoint_watch`;
-//! - a timer of the gateway's own fires: `maintenance` (idle connections, reloads) and `history`;
+//! - the endpoint list sends a line or its connection is lost: `endpoint_watch`;
+//! - one of the gateway's own timers fires: `maintenance` (idle connections, reloads) and `history`;
 //! - a workflow's event arrives or one of its steps ends: `workflow`.
 use crate::client::{Answer, ClientConnection};
 use crate::deferred::{DeferredCall, DeferredCalls, FiredTimer};
@@ -59,33 +59,33 @@
 pub struct Gateway {
     /// The configuration in force.
     deployment: Deployment,
-    /// Event attributes that are read by name: those of functions, prefixes and customers.
+    /// Names of the event attributes that carry functions, prefixes and customers.
     attribute_names: Rc<[String]>,
-    /// Every routing decision.
+    /// Makes every routing decision.
     control: Control,
-    /// What `Control` has ordered and is not carried out yet.
+    /// Actions of `Control` that have not been executed yet.
     actions: ActionQueue,
     clients: FxHashMap<Conn, ClientConnection>,
-    /// Clients whose answer has gone out and whose next request may have arrived already.
+    /// Clients that have been answered and whose next pipelined request may already be buffered.
     answered_clients: VecDeque<Conn>,
     workers: WorkerPool,
     endpoint_watch: EndpointWatch,
-    /// The entries that the list gives as ready, where `history` may give another status.
+    /// Entries that the endpoint list reports as ready; `history` may override their status.
     listed_ready: BTreeMap<WorkerId, EndpointEntry>,
     requests: RequestTable<RequestData>,
-    /// Requests and workflows started so far; the next one's id is made of it.
+    /// Requests and workflows started so far; part of the next id.
     started_requests: u64,
     idempotency: IdempotencyTable<Answer>,
-    /// Detects retry storms, and sheds load before `Control` while one lasts.
+    /// Detects retry storms, and sheds load ahead of `Control` during one.
     admission: Gate,
-    /// The traffic state that the log was last told.
+    /// The traffic state that was last logged.
     logged_traffic: Called,
     workflows: Workflows,
-    /// Calls that wait for a timer.
+    /// Calls scheduled for a later time.
     deferred: DeferredCalls<Gateway>,
     counters: Counters,
     started_at: Micros,
-    /// Called with the address once the instance listens.
+    /// Called with the bound address once the instance listens.
     on_listening: Box<dyn FnMut(SocketAddr)>,
     config_source: ConfigSource,
     history: Option<Box<dyn HistoryStore>>,
@@ -94,8 +94,8 @@
 }
 
 impl Gateway {
-    /// An instance that has not started; the reactor starts it. `now` is the reactor's clock. `on_listening`
-    /// is called with the address that it listens at, which matters for port 0.
+    /// Creates an instance; the reactor starts it. `now` is the reactor's clock. `on_listening` is called
+    /// with the bound address, which differs from the configured one for port 0.
     pub fn new(now: Micros, deployment: Deployment, on_listening: Box<dyn FnMut(SocketAddr)>) -> Self {
         let mut actions = ActionQueue::default();
         let control = Control::new(now, deployment.startup.clone(), &mut actions);
@@ -126,19 +126,20 @@
         }
     }
 
-    /// Polls this source for new configurations, which are applied without a restart.
+    /// Sets the source that is polled for new configurations, which are applied without a restart.
     pub fn with_config_source(mut self, config_source: ConfigSource) -> Self {
         self.config_source = config_source;
         self
     }
 
-    /// Stores what is learned here, and takes up what was known before or elsewhere.
+    /// Sets the store for measurements of this router, from which earlier ones and those of other routers are
+    /// restored.
     pub fn with_history(mut self, history: Box<dyn HistoryStore>) -> Self {
         self.history = Some(history);
         self
     }
 
-    /// Counts prompt prefixes with the fleet, and sends the leases of pinned ones.
+    /// Sets the tracker that counts uses of prompt prefixes fleet-wide and grants leases for pinned ones.
     pub fn with_prefix_tracker(mut self, prefix_tracker: Box<dyn PrefixTracker>) -> Self {
         self.prefix_tracker = Some(prefix_tracker);
         self
@@ -150,13 +151,13 @@
         self
     }
 
-    /// Stores workflows here; without it they are known only as long as this instance lives.
+    /// Sets the store of workflows; without one, workflows are lost when this instance ends.
     pub fn with_workflow_store(mut self, store: Box<dyn WorkflowStore>) -> Self {
         self.workflows.store = store;
         self
     }
 
-    /// Has `call` made after `delay`.
+    /// Schedules `call` to run after `delay`.
     fn schedule(
         &mut self,
         now: Micros,
@@ -167,7 +168,7 @@
         self.deferred.schedule(now, transport, delay, call);
     }
 
-    /// The id of the next request or workflow.
+    /// Returns a new id for a request or workflow.
     fn next_request_id(&mut self) -> RequestId {
         self.started_requests += 1;
         let text = format!("{:016x}-{:019}", self.deployment.startup.seed, self.started_requests);
@@ -176,13 +177,12 @@
         RequestId(id)
     }
 
-    /// Carries out what `Control` ordered and what follows from it, until nothing is left. A client whose
-    /// answer went out may have sent its next request already: such clients are read here one after the
-    /// other and not from within each other, or a long pipeline would overflow the stack. The same holds for
-    /// workflows.
+    /// Executes queued actions and their consequences until no work is left. The next pipelined request of an
+    /// answered client is read here, in a loop and not recursively, as a long pipeline would overflow the
+    /// stack otherwise. The same applies to workflows.
     fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
-            self.carry_out_actions(now, transport);
+            self.execute_actions(now, transport);
             if let Some(started) = self.workflows.started.pop_front() {
                 self.run_commands(now, transport, started.request, started.commands);
                 continue;
@@ -200,7 +200,7 @@
         }
     }
 
-    fn carry_out_actions(&mut self, now: Micros, transport: &mut dyn Transport) {
+    fn execute_actions(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some(action) = self.actions.pop() {
             match action {
                 Action::Send(dispatch) => self.start_attempt(now, transport, &dispatch),
@@ -213,14 +213,14 @@
                     DeferredCalls::<Gateway>::schedule_control(now, transport, delay, token);
                 }
                 Action::Log(text) => tracing::info!(target: "module", "{text}"),
-                // The list is pushed to whoever is connected to it, so there is nothing to ask for.
+                // The server pushes the list to every connected router; no request is needed.
                 Action::WatchEndpoints => {}
             }
         }
     }
 }
 
-/// The event attributes that functions, prefixes and customers are named by.
+/// Names of the event attributes that carry functions, prefixes and customers.
 fn attribute_names(deployment: &Deployment) -> Rc<[String]> {
     let function_attribute = |workload: &WorkloadEvents| match &workload.function_source {
         FunctionSource::Attribute(name) => Some(name.clone()),
@@ -245,7 +245,7 @@
         self.connect_endpoint_watch(transport);
         self.maintain(now, transport);
         if self.history.is_some() {
-            self.exchange_history_periodically(now, transport);
+            self.sync_history_periodically(now, transport);
         }
         self.settle(now, transport);
     }
@@ -255,7 +255,7 @@
     }
 
     fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        if self.endpoint_watch.is(conn) {
+        if self.endpoint_watch.uses(conn) {
             self.request_endpoint_list(transport, conn);
         } else if let Some(connection) = self.workers.connections.get_mut(&conn) {
             connection.connected = true;
@@ -268,7 +268,7 @@
         if let Some(client) = self.clients.get_mut(&conn) {
             client.feed(now, transport, conn, bytes);
             self.read_requests(now, transport, conn);
-        } else if self.endpoint_watch.is(conn) {
+        } else if self.endpoint_watch.uses(conn) {
             self.endpoint_watch_bytes(now, transport, conn, bytes);
         } else {
             self.worker_bytes(now, transport, conn, bytes);
@@ -279,7 +279,7 @@
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.half_closed(now, transport, conn);
-        } else if self.endpoint_watch.is(conn) {
+        } else if self.endpoint_watch.uses(conn) {
             transport.cut(conn);
             self.endpoint_watch_lost(now, transport);
         } else if self.workers.connections.contains_key(&conn) {
@@ -293,7 +293,7 @@
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
         if self.clients.contains_key(&conn) {
             self.client_closed(now, conn);
-        } else if self.endpoint_watch.is(conn) {
+        } else if self.endpoint_watch.uses(conn) {
             self.endpoint_watch_lost(now, transport);
         } else {
             self.worker_disconnected(now, transport, conn, why, sent);
