--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,12 +1,12 @@
-//! The endpoint list: one record a worker, and what each message of the list does to it.
+//! The endpoint list: one record per worker, and how messages of the list change it.
 //!
 //! A message is one line of JSON: `{"kind":"full","workers":[{"name":"w1","address":"127.0.0.1:9000",
 //! "standing":"ready","started":1764600000000,"zone":"hall-a","rack":0,"weight":4}]}`. `kind` is `full` or
-//! `changes`; `standing` is `ready`, `draining` or `gone`; `started` is ms since the Unix epoch, 0 or absent
-//! where unknown.
+//! `changes`; `standing` is `ready`, `draining` or `gone`; `started` is in ms since the Unix epoch, and 0 or
+//! absent if unknown.
 //!
-//! Owned here: the workers' records with their idle connections. Messages of the list enter through
-//! [`EndpointList::read_line`], workers of the settings through [`EndpointList::apply`].
+//! State: the workers' records with their idle connections. Messages of the list are processed by
+//! [`EndpointList::read_line`], static workers of the settings by [`EndpointList::apply`].
 use crate::errors::EndpointListError;
 use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
 use applepond_reactor::Conn;
@@ -14,11 +14,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Workers that one list may name: beyond this it is taken for broken rather than for a fleet. Twice the
-/// 30,000 of the fleet that decides the design (docs/CAPACITY.md).
+/// Maximum number of workers in one list; a longer one is considered corrupt. Twice the 30,000 workers of the
+/// largest fleet the design is sized for (docs/CAPACITY.md).
 pub const MAX_WORKERS: usize = 60_000;
 
-/// A connection that is established and carries nothing.
+/// An established connection without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleConnection {
     /// The connection.
@@ -27,21 +27,21 @@
     pub since: Micros,
 }
 
-/// The one record of a worker.
+/// The record of a worker.
 pub struct WorkerRecord {
     /// Its name.
     pub name: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub status: WorkerStatus,
-    /// When its process started, as the list says; 0 where unknown. Another value is another process.
+    /// When its process started, according to the list; 0 if unknown. Identifies its incarnation.
     pub up_since: Micros,
-    /// Its idle connections; the one that became idle last is last.
+    /// Its idle connections, in the order in which they became idle.
     pub idle: Vec<IdleConnection>,
     /// Attempts in flight.
     pub in_flight: usize,
-    /// This process of it has answered this router.
+    /// Whether its current incarnation has responded to this router.
     pub has_answered: bool,
 }
 
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Takes a new entry. Gives the idle connections that are of no more use: those to a process that was
-    /// replaced, moved, or is to stop.
+    /// Applies a new entry. Returns the idle connections to be cut: all of them if the process was replaced,
+    /// has moved to another address, or is no longer ready.
     fn update(&mut self, address: SocketAddr, entry: &EndpointEntry) -> Vec<IdleConnection> {
         let is_other_process = self.address != address || self.up_since != entry.up_since;
-        let useless = if is_other_process || entry.status != WorkerStatus::Ready {
+        let obsolete = if is_other_process || entry.status != WorkerStatus::Ready {
             std::mem::take(&mut self.idle)
         } else {
             Vec::new()
@@ -73,22 +73,22 @@
             self.has_answered &= self.up_since == entry.up_since;
             self.up_since = entry.up_since;
         }
-        useless
+        obsolete
     }
 }
 
-/// All workers that the list or the settings name.
+/// All workers named by the list or the settings.
 #[derive(Default)]
 pub struct EndpointList {
     workers: BTreeMap<WorkerId, WorkerRecord>,
-    /// Workers that are gone and had attempts in flight when that was last looked at.
+    /// Workers that are gone but had attempts in flight at the last check.
     gone: BTreeSet<WorkerId>,
 }
 
-/// What a message leaves to do.
+/// The effects of a message, to be carried out by the caller.
 #[derive(Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether the message names all workers.
+    /// Whether the message is a full list or names changes only.
     pub kind: EndpointListKind,
     /// The entries for `Control`.
     pub entries: Vec<EndpointEntry>,
@@ -96,18 +96,18 @@
     pub disconnect: Vec<Conn>,
 }
 
-/// An entry for `Control`. [`Endpoint`], which it is turned into, has no comparison of its own.
+/// An entry for `Control`. It is converted to [`Endpoint`], which does not implement `PartialEq`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// The worker: the digest of its name.
+    /// The worker's id, a digest of its name.
     pub worker: WorkerId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub status: WorkerStatus,
-    /// When its process started; 0 where unknown.
+    /// When its process started; 0 if unknown.
     pub up_since: Micros,
-    /// Its zone, where the settings know it.
+    /// Its zone, if the zone is in the settings.
     pub zone: Option<ZoneId>,
-    /// Its rack; one of its own where the list names none.
+    /// Its rack; a unique one if the list names none.
     pub rack: RackId,
     /// Relative capacity.
     pub weight: f64,
@@ -126,48 +126,48 @@
     }
 }
 
-/// A worker as a message names it.
+/// A worker with its name and address, as in a message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NamedEndpoint {
     /// Its name.
     pub name: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// What `Control` is told of it.
+    /// Its entry for `Control`.
     pub entry: EndpointEntry,
 }
 
 impl EndpointList {
-    /// The record of a worker.
+    /// Returns the record of a worker.
     pub fn get(&self, worker: WorkerId) -> Option<&WorkerRecord> {
         self.workers.get(&worker)
     }
 
-    /// The record of a worker.
+    /// Returns the record of a worker.
     pub fn get_mut(&mut self, worker: WorkerId) -> Option<&mut WorkerRecord> {
         self.workers.get_mut(&worker)
     }
 
-    /// All records.
+    /// Iterates over all records.
     pub fn iter(&self) -> impl Iterator<Item = (&WorkerId, &WorkerRecord)> {
         self.workers.iter()
     }
 
-    /// All records.
+    /// Iterates over all records.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&WorkerId, &mut WorkerRecord)> {
         self.workers.iter_mut()
     }
 
-    /// How many workers have this status.
+    /// Returns the number of workers with this status.
     pub(crate) fn count(&self, status: WorkerStatus) -> usize {
         self.workers.values().filter(|worker| worker.status == status).count()
     }
 
-    /// Takes one line of the list.
+    /// Parses and applies one line of the list.
     ///
     /// # Errors
     ///
-    /// The line cannot be read; it changes nothing, and the list known so far holds.
+    /// Returns an error if the line is invalid; the current list is then unchanged.
     pub fn read_line(&mut self, line: &[u8], zones: &[String]) -> Result<EndpointUpdate, EndpointListError> {
         let message: Value =
             serde_json::from_slice(line).map_err(|error| EndpointListError::NotJson(error.to_string()))?;
@@ -175,12 +175,12 @@
             Some("full") => EndpointListKind::Full,
             Some("changes") => EndpointListKind::Changes,
             other => {
-                let expected = format!("{other:?}; \"full\" or \"changes\" is wanted");
-                return Err(EndpointListError::field("kind", expected));
+                let problem = format!("expected \"full\" or \"changes\", found {other:?}");
+                return Err(EndpointListError::field("kind", problem));
             }
         };
-        let no_array = || EndpointListError::field("workers", "no array");
-        let workers = message["workers"].as_array().ok_or_else(no_array)?;
+        let not_an_array = || EndpointListError::field("workers", "not an array");
+        let workers = message["workers"].as_array().ok_or_else(not_an_array)?;
         if workers.len() > MAX_WORKERS {
             return Err(EndpointListError::TooMany { found: workers.len(), max: MAX_WORKERS });
         }
@@ -192,42 +192,42 @@
         Ok(self.apply(kind, named?))
     }
 
-    /// Takes a list that has been read.
+    /// Applies a list that has been parsed.
     pub fn apply(&mut self, kind: EndpointListKind, named: Vec<NamedEndpoint>) -> EndpointUpdate {
-        let mut useless = Vec::new();
+        let mut obsolete = Vec::new();
         if kind == EndpointListKind::Full {
-            useless = self.remove_unnamed(&named);
+            obsolete = self.mark_unnamed_gone(&named);
         }
         let mut entries = Vec::new();
         for endpoint in named {
             let id = endpoint.entry.worker;
             let worker = self.workers.entry(id).or_insert_with(|| WorkerRecord::new(&endpoint));
-            useless.extend(worker.update(endpoint.address, &endpoint.entry));
+            obsolete.extend(worker.update(endpoint.address, &endpoint.entry));
             if endpoint.entry.status == WorkerStatus::Gone {
                 self.gone.insert(id);
             }
             entries.push(endpoint.entry);
         }
-        self.forget_gone();
-        let disconnect = useless.into_iter().map(|idle| idle.conn).collect();
+        self.drop_gone();
+        let disconnect = obsolete.into_iter().map(|idle| idle.conn).collect();
         EndpointUpdate { kind, entries, disconnect }
     }
 
-    /// Marks the workers that a full list does not name as gone; gives their idle connections.
-    fn remove_unnamed(&mut self, named: &[NamedEndpoint]) -> Vec<IdleConnection> {
-        let mut useless = Vec::new();
+    /// Marks the workers missing from a full list as gone, and returns their idle connections.
+    fn mark_unnamed_gone(&mut self, named: &[NamedEndpoint]) -> Vec<IdleConnection> {
+        let mut obsolete = Vec::new();
         let named: BTreeSet<WorkerId> = named.iter().map(|endpoint| endpoint.entry.worker).collect();
         for (id, worker) in self.workers.iter_mut().filter(|(id, _)| !named.contains(id)) {
             worker.status = WorkerStatus::Gone;
-            useless.append(&mut worker.idle);
+            obsolete.append(&mut worker.idle);
             self.gone.insert(*id);
         }
-        useless
+        obsolete
     }
 
-    /// Forgets the workers that are gone and have nothing in flight. Only those that are gone are looked at,
-    /// not the whole list.
-    fn forget_gone(&mut self) {
+    /// Drops the workers that are gone and have nothing in flight. Checks only the workers in `gone` and not
+    /// the whole list.
+    fn drop_gone(&mut self) {
         self.gone.retain(|id| {
             let Some(worker) = self.workers.get(id) else { return false };
             if worker.status == WorkerStatus::Gone && worker.in_flight == 0 {
@@ -239,18 +239,19 @@
     }
 }
 
-/// Reads one element of `workers`.
+/// Parses one element of `workers`.
 fn read_worker(worker: &Value, zones: &[String]) -> Result<NamedEndpoint, EndpointListError> {
     let name = worker["name"].as_str().filter(|name| !name.is_empty());
-    let name = name.ok_or_else(|| EndpointListError::field("name", "no text"))?;
+    let name = name.ok_or_else(|| EndpointListError::field("name", "missing or empty"))?;
     let address = worker["address"].as_str().and_then(|address| address.parse().ok());
-    let no_address = || EndpointListError::field("address", format!("{name} has no address with a port"));
+    let no_address =
+        || EndpointListError::field("address", format!("worker {name} has no IP address with a port"));
     let address = address.ok_or_else(no_address)?;
     let status = match worker["standing"].as_str() {
         Some("ready") => WorkerStatus::Ready,
         Some("draining") => WorkerStatus::Draining,
         Some("gone") => WorkerStatus::Gone,
-        other => return Err(EndpointListError::field("standing", format!("{name} is {other:?}"))),
+        other => return Err(EndpointListError::field("standing", format!("worker {name} is {other:?}"))),
     };
     let zone = worker["zone"].as_str().and_then(|zone| zones.iter().position(|known| known == zone));
     let id = WorkerId::named(name);
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -1,17 +1,17 @@
-//! Errors of the endpoint list and of configuration reloads, each with a stable code and what an operator can
-//! do about it. In both cases the last good list or configuration stays in force.
+//! Errors of the endpoint list and of configuration reloads, each with a stable code and advice for the
+//! operator. In both cases the last valid list or configuration stays in force.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a message of the endpoint list is ignored.
+/// A message of the endpoint list that is ignored because it is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum EndpointListError {
-    /// The line is not JSON.
-    #[error("no JSON: {0}")]
+    /// The line is not valid JSON.
+    #[error("invalid JSON: {0}")]
     #[diagnostic(code(list::no_json), help("look whether the address of 'hosts' is the host list's"))]
     NotJson(String),
-    /// A field is absent or has a value that is not allowed.
-    #[error("'{field}': {expected}")]
+    /// A field is missing or has an invalid value.
+    #[error("'{field}': {problem}")]
     #[diagnostic(
         code(list::field),
         help("the host list's writer is at fault, or of another version; the last good list holds")
@@ -19,11 +19,11 @@
     Field {
         /// The path of the field.
         field: String,
-        /// What was found, or what was expected instead.
-        expected: String,
+        /// What is wrong with the field.
+        problem: String,
     },
-    /// The list names more workers than one instance is built for.
-    #[error("{found} workers; {max} at most are wanted")]
+    /// The list names more workers than one instance supports.
+    #[error("too many workers: {found}, limit is {max}")]
     #[diagnostic(
         code(list::too_many),
         help("look whether the list repeats itself; a fleet this large needs parts of its own")
@@ -37,11 +37,11 @@
 }
 
 impl EndpointListError {
-    pub(crate) fn field(field: impl Into<String>, expected: impl Into<String>) -> Self {
-        EndpointListError::Field { field: field.into(), expected: expected.into() }
+    pub(crate) fn field(field: impl Into<String>, problem: impl Into<String>) -> Self {
+        EndpointListError::Field { field: field.into(), problem: problem.into() }
     }
 
-    /// One value of each variant, for the table of error codes in the documentation.
+    /// Returns one value of each variant, for the table of error codes in the documentation.
     pub fn each() -> Vec<EndpointListError> {
         vec![
             EndpointListError::NotJson(String::new()),
@@ -51,17 +51,17 @@
     }
 }
 
-/// Why a new configuration is not applied; the old one stays in force as a whole.
+/// A new configuration that is not applied; the current one stays in force unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum ReloadError {
-    /// The settings file cannot be read or has faults, which were printed before.
-    #[error("the file has faults")]
+    /// The settings file cannot be read or is invalid; details were printed before.
+    #[error("the settings file is invalid")]
     #[diagnostic(
         code(settings::faults),
         help("the lines before say which, by line and column; 'applepond check FILE' says them again")
     )]
     InvalidFile,
-    /// A key file of the fleet cannot be used.
+    /// A key file of the fleet is unusable.
     #[error("{file}: {reason}")]
     #[diagnostic(
         code(settings::key_file),
@@ -75,12 +75,12 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// The kernel gives no random numbers.
-    #[error("no random numbers: {0}")]
+    /// The kernel's random number generator failed.
+    #[error("cannot get random numbers: {0}")]
     #[diagnostic(code(settings::no_random), help("look at the machine: its kernel gives no random numbers"))]
     NoRandomNumbers(String),
-    /// Settings differ that only a restart can change; their keys, separated by commas.
-    #[error("only a restart can change: {0}")]
+    /// Settings were changed that require a restart; their keys, separated by commas.
+    #[error("changing these settings requires a restart: {0}")]
     #[diagnostic(
         code(settings::restart),
         help("restart this router with the file, or put those keys back as they were")
@@ -89,7 +89,7 @@
 }
 
 impl ReloadError {
-    /// One value of each variant, for the table of error codes in the documentation.
+    /// Returns one value of each variant, for the table of error codes in the documentation.
     pub fn each() -> Vec<ReloadError> {
         let empty = String::new;
         vec![
