--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: they are sent on worker connections, ended by a cancel or a timeout, and closed exactly once
-//! towards `Control`.
+//! Attempts: sent on worker connections, ended early by a cancel or a timeout, and reported to `Control`
+//! exactly once.
 //!
-//! Enters here: `Control`'s orders to send and to cancel, the timer of attempts' timeouts, and each worker
-//! connection that is established.
+//! Entry points: `Control`'s send and cancel actions, the timer of attempt timeouts, and each worker
+//! connection that becomes established.
 use super::Gateway;
 use crate::request_table::{AttemptId, Dispatch, Started, attempt_result};
 use applepond::interface::{AttemptResult, Micros, Outcome, WorkerStatus};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Gateway {
-    /// Starts an attempt that `Control` ordered.
+    /// Starts an attempt requested by `Control`.
     pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let max_attempts = self.deployment.startup.attempt_policy.max_attempts;
         match self.requests.start_attempt(now, dispatch, max_attempts) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sets the timer for the attempt that times out first, unless one fires early enough anyway.
+    /// Sets a timer for the attempt that times out first, unless an earlier timer is already set.
     fn set_timeout_timer(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some(at) = self.requests.next_timer() {
             let delay = at.saturating_sub(now);
@@ -48,8 +48,8 @@
         self.set_timeout_timer(now, transport);
     }
 
-    /// Puts an attempt on a connection: an idle one, on which it is sent at once, else a new one, on which
-    /// it is sent as soon as that is established.
+    /// Assigns an attempt to a connection: to an idle one, on which it is sent at once, or else to a new one,
+    /// on which it is sent once the connection is established.
     pub(super) fn connect_attempt(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         let retry_safety = request.data.retry_safety;
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Writes the request of the attempt that a connection carries.
+    /// Writes the request of the attempt assigned to a connection.
     pub(super) fn send_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(connection) = self.workers.connections.get(&conn) else { return };
         let Some(attempt) = connection.attempt else { return };
         let Some(worker) = self.workers.endpoints.get(connection.worker) else { return };
-        // Its clients have left while the connection was made, or it is a repeat that the worker would not
-        // recognise any more.
+        // While the connection was being established, the request has ended, or the window has passed within
+        // which the worker would recognise this attempt as a duplicate.
         if !self.requests.get(attempt.request).is_some_and(|request| request.may_start(now, attempt.index)) {
             self.end_attempt(now, transport, attempt, Outcome::Superseded);
             return;
         }
-        // The worker has started to drain meanwhile: nothing new goes there.
+        // The worker has started to drain in the meantime, so it gets no new requests.
         if worker.status != WorkerStatus::Ready {
             self.end_attempt(now, transport, attempt, Outcome::ConnectFailed);
             return;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// An attempt's request as a worker gets it.
+    /// Encodes the HTTP request of an attempt.
     fn encode_request(&self, now: Micros, attempt: AttemptId, address: SocketAddr) -> Option<Vec<u8>> {
         let request = self.requests.get(attempt.request)?;
         let content = &request.data.content;
@@ -114,7 +114,7 @@
             head = head
                 .field("applepond-opening", &prefix.name)
                 .number("applepond-opening-size", u64::from(prefix.size));
-            // Looked up as the request is written: a list of pins that has expired pins nothing.
+            // Looked up when the request is written, so that no lease is sent from an expired list of pins.
             let lease = self.prefix_tracker.as_ref().and_then(|tracker| tracker.pin_lease(now, &prefix.name));
             if let Some(lease) = lease {
                 head = head.number("applepond-opening-lease-ms", lease / 1000);
@@ -123,8 +123,8 @@
         Some(head.body(&content.data))
     }
 
-    /// Ends an attempt from this side, by a cancel or because it has timed out: the worker learns it from the
-    /// end of its connection, and whatever it answers after that is never read.
+    /// Ends an attempt from this side, by a cancel or a timeout. Closing the connection is the only signal to
+    /// the worker; a later response is never read.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -143,7 +143,7 @@
         self.close_attempt(now, attempt, attempt_result(outcome));
     }
 
-    /// Reports the end of an attempt to `Control`, the first time only.
+    /// Closes an attempt and reports its result to `Control`; has no effect if it is closed already.
     pub(super) fn close_attempt(&mut self, now: Micros, attempt: AttemptId, result: AttemptResult) {
         let request = self.requests.get(attempt.request);
         let worker = request.map(|request| request.attempts[attempt.index].worker);
