--- a/crates/gateway/src/gateway/completion.rs
+++ b/crates/gateway/src/gateway/completion.rs
@@ -1,7 +1,7 @@
-//! The end of a request: the one place where its answer is given to the clients that wait, to the idempotency
-//! table, and to the log.
+//! The end of a request: the only place where its answer is sent to the waiting clients, stored in the
+//! idempotency table, and logged.
 //!
-//! Enters here: `Control`'s orders to reject and to fail a request, and the first finished attempt of each.
+//! Entry points: `Control`'s reject and fail actions, and the first attempt of a request that finishes.
 use super::Gateway;
 use super::extensions::PromisedRetry;
 use super::request::RequestData;
@@ -15,7 +15,8 @@
 use std::rc::Rc;
 
 impl Gateway {
-    /// `Control` rejects a request, which has never run; `retry_after` is the wait that it advises.
+    /// Handles the rejection of a request by `Control`. The request has never run; `retry_after` is the delay
+    /// suggested by `Control`.
     pub(super) fn reject_request(
         &mut self,
         now: Micros,
@@ -34,8 +35,8 @@
         self.finish_request(now, transport, request, answer);
     }
 
-    /// The wait that a rejected client is told. While load is shed it is spread over the time that the client
-    /// has left, as all of `Control`'s waits together would make a second wave of retries.
+    /// Returns the `Retry-After` of a rejected request. While load is shed, retries are spread over the time
+    /// that the client has left, as the delays suggested by `Control` would cause a second wave of retries.
     fn spread_retry(&mut self, now: Micros, request: RequestId, wait: Micros) -> Option<Micros> {
         let is_shedding = self.is_shedding();
         let Some(state) = self.requests.get(request) else { return Some(wait) };
@@ -48,7 +49,7 @@
         Some(wait)
     }
 
-    /// `Control` gives a request up that may have run.
+    /// Handles the failure of a request that `Control` gives up although it may have run.
     pub(super) fn fail_request(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         let Some(state) = self.requests.get(request) else { return };
         let is_late = state.timed_out || now >= state.deadline;
@@ -62,8 +63,8 @@
         self.finish_request(now, transport, request, answer);
     }
 
-    /// Ends a request, the first time only. The end of a workflow's step goes to its workflow instead of to
-    /// clients; it is handled when the current event has been.
+    /// Ends a request with its answer; has no effect if it has ended already. The end of a workflow step is
+    /// queued for its workflow, which handles it after the current event.
     pub(super) fn finish_request(
         &mut self,
         now: Micros,
@@ -89,8 +90,8 @@
         self.answer_clients(now, transport, clients, &answer);
     }
 
-    /// Records the end of a request or a workflow in the counters, with admission and in the idempotency
-    /// table.
+    /// Records the end of a request or a workflow in the counters, in admission control and in the
+    /// idempotency table.
     pub(super) fn record_end(
         &mut self,
         now: Micros,
@@ -111,8 +112,8 @@
         self.idempotency.complete(now, key, completion);
     }
 
-    /// Answers the clients that waited for a request or a workflow; their next requests are read when the
-    /// current event has been handled.
+    /// Answers the clients that wait for a request or a workflow. Their next requests are read after the
+    /// current event.
     pub(super) fn answer_clients(
         &mut self,
         now: Micros,
@@ -129,7 +130,7 @@
     }
 }
 
-/// The request's line in the log.
+/// Logs the end of a request.
 fn log_end(now: Micros, state: &RequestState<RequestData>, workload: &str, answer: &Answer) {
     let content = &state.data.content;
     tracing::info!(
