--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -1,6 +1,6 @@
-//! Responses of workers, and the ends of worker connections: what each means for the attempt on it.
+//! Responses of workers and losses of worker connections, and their effect on the attempt in flight.
 //!
-//! Enters here: bytes, half-closes and closes of worker connections.
+//! Entry points: data, half-close and close events of worker connections.
 use super::Gateway;
 use crate::attempt_outcome;
 use crate::client::Answer;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 impl Gateway {
-    /// Bytes of a worker have arrived.
+    /// Processes bytes received from a worker.
     pub(super) fn worker_bytes(
         &mut self,
         now: Micros,
@@ -22,7 +22,7 @@
     ) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let Some(attempt) = connection.attempt else {
-            // Nothing was asked: a second response, or garbage. What it belongs to cannot be told.
+            // Data on an idle connection: a second response or garbage, which belongs to no request.
             self.workers.cut_idle(transport, conn);
             return;
         };
@@ -31,21 +31,21 @@
             Ok(Step::More) => {}
             Ok(Step::Done) => self.response_complete(now, transport, conn),
             Err(fault) => {
-                tracing::warn!(reason = fault.reason, "a worker's answer cannot be read");
+                tracing::warn!(reason = fault.reason, "invalid response from a worker");
                 self.end_attempt(now, transport, attempt, Outcome::ConnectionLost);
             }
         }
     }
 
-    /// A response is complete: its connection is free for another attempt, and its attempt closes.
+    /// Handles a complete response: releases its connection for other attempts, and closes its attempt.
     fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let mut response = std::mem::take(&mut connection.response);
         let Some(attempt) = connection.attempt.take() else { return };
         connection.reused = true;
         let worker = connection.worker;
-        // Bytes after the response are a second one to the same request: that connection is not trusted
-        // further.
+        // Bytes after the response are a second response to the same request; such a connection is not
+        // reused.
         let reusable = response.keep_alive == Some(true) && connection.decoder.idle();
         if let Some(record) = self.workers.endpoints.get_mut(worker) {
             record.has_answered = true;
@@ -53,7 +53,7 @@
         self.workers.release(now, transport, conn, worker, reusable);
         let verdict = response.verdict.as_deref();
         let outcome = attempt_outcome::from_response(response.status, verdict, response.is_event);
-        self.take_result(now, transport, attempt, outcome, &mut response);
+        self.finish_with_response(now, transport, attempt, outcome, &mut response);
         let result = AttemptResult {
             load_state: response.load_state,
             same_function_in_flight: response.same_function_in_flight,
@@ -64,8 +64,8 @@
         self.close_attempt(now, attempt, result);
     }
 
-    /// Ends the request with the response of an attempt that finished, unless it has ended already.
-    fn take_result(
+    /// Ends the request with the response of a finished attempt, unless the request has ended already.
+    fn finish_with_response(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
@@ -86,8 +86,8 @@
         self.finish_request(now, transport, attempt.request, answer);
     }
 
-    /// A connection to a worker is gone, or its worker has closed its side. `sent` counts the bytes that the
-    /// kernel took on it.
+    /// Handles the loss of a connection to a worker, or its half-close by the worker. `sent` is the number of
+    /// bytes that the kernel accepted for sending on it.
     pub(super) fn worker_disconnected(
         &mut self,
         now: Micros,
@@ -101,7 +101,7 @@
             self.workers.forget_idle(connection.worker, conn);
             return;
         };
-        // A response without a length ends with its connection.
+        // A response without a length is delimited by the end of its connection.
         if connection.decoder.in_body() && connection.decoder.finish(&mut connection.response).is_ok() {
             self.workers.connections.insert(conn, connection);
             self.response_complete(now, transport, conn);
