--- a/crates/gateway/src/gateway/overload.rs
+++ b/crates/gateway/src/gateway/overload.rs
@@ -1,17 +1,17 @@
-//! Retry storms as this gateway sees them: whether load is shed before `Control`, and what the log and the
-//! state page show of it. The detector itself is in `applepond-admission`.
+//! Retry storms: whether load is shed ahead of `Control`, and how the traffic state is logged and shown on
+//! the state page. The detector itself is in `applepond-admission`.
 use super::Gateway;
 use applepond::interface::Micros;
 use applepond_admission::watch::Called;
 
 impl Gateway {
-    /// Whether a retry storm, or the loop of one client, is under way and load is shed.
+    /// Whether load is being shed, because of a retry storm or of a single client that retries in a loop.
     pub(super) fn is_shedding(&self) -> bool {
         let traffic = self.admission.watch().called();
         self.deployment.storm_shedding && matches!(traffic, Called::Storm | Called::Loop)
     }
 
-    /// Writes a line to the log when the traffic's state changes.
+    /// Logs the traffic state if it has changed.
     pub(super) fn log_traffic_change(&mut self, now: Micros) {
         let traffic = self.admission.watch().called();
         if std::mem::replace(&mut self.logged_traffic, traffic) != traffic {
@@ -21,18 +21,18 @@
         }
     }
 
-    /// The part of the state page about retry storms: the traffic's state and since when, the rates that it
-    /// comes from, what is admitted and advised.
+    /// The state page's section on retry storms: the traffic state and when it began, the rates that it is
+    /// derived from, admission counts, and compliance with `Retry-After`.
     pub(super) fn storm_state(&self, now: Micros) -> serde_json::Value {
         let watch = self.admission.watch();
         let (first_attempts, retries) = watch.rates(now);
-        let (admitted, shed, line) = self.admission.sums(now);
+        let (admitted, shed, queue_time) = self.admission.sums(now);
         let (too_many_opened, too_many_early) = watch.speaks(now);
         serde_json::json!({
             "called": format!("{:?}", watch.called()).to_lowercase(), "since-us": watch.since(),
             "damped": self.is_shedding(), "first-tries-per-s": first_attempts, "retries-per-s": retries,
             "usual-per-s": watch.usual(now).map(|usual| usual.0), "pace-per-s": self.admission.pace(now),
-            "let-in": admitted, "would-send-back": shed, "line-us": line,
+            "let-in": admitted, "would-send-back": shed, "line-us": queue_time,
             "connections": {"opened-per-s": watch.opened.per_s(now),
                 "usual-per-s": watch.usual(now).map(|usual| usual.1), "speak-for-a-storm": too_many_opened,
                 "door-closed": self.admission.doors().closings()},
--- a/crates/gateway/src/gateway/state_page.rs
+++ b/crates/gateway/src/gateway/state_page.rs
@@ -1,36 +1,37 @@
-//! The state page, `/-/state`: what this instance is doing now and has done since its start, as JSON.
+//! The state page, `/-/state`: current state and counters of this instance, as JSON.
 use super::Gateway;
 use crate::client::Answer;
 use crate::idempotency::FinalOutcome;
 use applepond::interface::{Micros, WorkerStatus};
 use std::rc::Rc;
 
-/// Counts since the start.
+/// Counters since the start of the instance.
 #[derive(Default)]
 pub(super) struct Counters {
     /// Requests and workflows accepted.
     pub(super) accepted: u64,
-    /// Exchanges that joined a request in progress.
+    /// Duplicate events that joined a request or workflow in progress.
     pub(super) joined: u64,
-    /// Exchanges that got a kept answer.
+    /// Duplicate events that were given a cached answer.
     pub(super) replayed: u64,
-    /// Requests and workflows by their end; those of steps are not among them.
+    /// Requests and workflows by final outcome; the requests of workflow steps are not counted.
     finished: u64,
     rejected: u64,
     failed: u64,
     /// Attempts started.
     pub(super) attempts: u64,
-    /// Exchanges that could not be read.
+    /// Malformed client requests.
     pub(super) unreadable: u64,
     /// Events rejected before `Control` during a retry storm.
     pub(super) shed: u64,
-    /// New configurations applied, and refused.
+    /// New configurations applied.
     pub(super) reloads: u64,
+    /// New configurations refused.
     pub(super) refused_reloads: u64,
 }
 
 impl Counters {
-    /// Counts the end of a request or a workflow.
+    /// Counts a request or a workflow that has ended.
     pub(super) fn count_end(&mut self, outcome: FinalOutcome) {
         match outcome {
             FinalOutcome::Finished => self.finished += 1,
