--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -1,17 +1,16 @@
-//! Client connections: accepted, read, answered at once where that is possible, timed out and closed.
+//! Client connections: accepting, reading, immediate answers, timeouts and closing.
 //!
-//! Enters here: the reactor's events of client connections. What a complete event asks for is decided in
-//! `intake`.
+//! Entry points: the reactor's events of client connections. Complete events are processed in `intake`.
 use super::Gateway;
 use crate::client::{Answer, ClientConnection, ClientRequest, TimeoutCheck};
 use applepond::interface::Micros;
 use applepond_reactor::{Conn, Listener, Transport};
 
-/// Longest time between two timeout checks of a client: a new request may have started meanwhile.
+/// Maximum interval between two timeout checks of a client, as a new request may have started in between.
 const MAX_TIMEOUT_CHECK_INTERVAL: Micros = 5_000_000;
 
 impl Gateway {
-    /// A client has connected. While too many connect at once, the listener pauses.
+    /// Handles a new client connection. Accepting pauses while connections arrive too fast.
     pub(super) fn client_accepted(
         &mut self,
         now: Micros,
@@ -32,7 +31,8 @@
         self.check_client_timeout(now, transport, conn);
     }
 
-    /// Takes the requests that are complete, as far as answers allow.
+    /// Processes the requests received completely. The next request on a connection is processed only after
+    /// the one before it has been answered.
     pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(client) = self.clients.get_mut(&conn)
             && let Some(request) = client.next_request(transport, conn)
@@ -62,9 +62,9 @@
         }
     }
 
-    /// A client has gone. A request that was never sent to a worker ends with the last client that waited for
-    /// it; one that was sent goes on, for the client may come back for its answer and must not make it run
-    /// twice. A workflow goes on in any case.
+    /// Handles the end of a client connection. A request that was never sent to a worker ends with its last
+    /// waiting client. One that was sent continues: the client may reconnect for the answer, and its retry
+    /// must not run the request again. A workflow always continues.
     pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
         let Some(request) = self.clients.remove(&conn).and_then(|client| client.request) else { return };
         if let Some(workflow) = self.workflows.active.get_mut(&request) {
@@ -83,7 +83,7 @@
         self.control.client_disconnected(&mut self.actions, request);
     }
 
-    /// Checks a client's timeouts, and again when the next one could be over.
+    /// Checks a client's timeouts, and schedules the next check.
     fn check_client_timeout(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         match client.check_timeout(now, transport, conn) {
