--- a/crates/gateway/src/gateway/maintenance.rs
+++ b/crates/gateway/src/gateway/maintenance.rs
@@ -1,4 +1,4 @@
-//! What a gateway does once a second: expired idle connections are cut, and a new configuration is applied.
+//! Periodic work, once a second: cuts expired idle connections, and applies a new configuration.
 use super::{Gateway, attribute_names};
 use crate::deployment::Deployment;
 use crate::errors::ReloadError;
@@ -6,11 +6,11 @@
 use applepond::interface::{Micros, WorkerStatus};
 use applepond_reactor::Transport;
 
-/// Time between two rounds.
+/// Interval of maintenance, and of the synchronisation of history.
 pub(super) const MAINTENANCE_INTERVAL: Micros = 1_000_000;
 
 impl Gateway {
-    /// One round, and the next one after [`MAINTENANCE_INTERVAL`].
+    /// Does the periodic work and schedules the next run after [`MAINTENANCE_INTERVAL`].
     pub(super) fn maintain(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.workers.cut_expired_idle(now, transport);
         if let Some(new) = (self.config_source)() {
@@ -25,20 +25,20 @@
         self.schedule(now, transport, MAINTENANCE_INTERVAL, Box::new(maintain));
     }
 
-    /// Applies a new configuration, or keeps the old one as a whole. Requests that were accepted before go on
-    /// under the configuration that they were accepted under.
+    /// Applies a new configuration, or rejects it as a whole and keeps the current one. Requests in progress
+    /// continue under the configuration under which they were accepted.
     fn reload(&mut self, now: Micros, transport: &mut dyn Transport, new: Result<Deployment, ReloadError>) {
         let refused = |keys: reload::RestartOnlyKeys| ReloadError::RestartRequired(keys.join(", "));
         let merged = match new.and_then(|new| reload::merge(&self.deployment, new).map_err(refused)) {
             Ok(merged) => merged,
             Err(error) => {
                 self.counters.refused_reloads += 1;
-                tracing::warn!(reason = "settings-kept", %error, "the old settings hold");
+                tracing::warn!(reason = "settings-kept", %error, "settings not reloaded");
                 return;
             }
         };
         self.counters.reloads += 1;
-        tracing::info!(reason = "settings-switched", reloads = self.counters.reloads, "new settings hold");
+        tracing::info!(reason = "settings-switched", reloads = self.counters.reloads, "settings reloaded");
         self.deployment = merged;
         self.attribute_names = attribute_names(&self.deployment);
         for client in self.clients.values_mut() {
