--- a/crates/gateway/src/gateway/extensions.rs
+++ b/crates/gateway/src/gateway/extensions.rs
@@ -1,74 +1,75 @@
-//! What the process around a gateway may provide to it: new configurations, history that outlasts the process
-//! or comes from other routers, the fleet's prompt prefixes, and further sections of the state page.
+//! Extension points that the host process may implement: a source of new configurations, a store of history
+//! that survives restarts or comes from other routers, fleet-wide prompt prefixes, and further sections of
+//! the state page.
 use crate::deployment::Deployment;
 use crate::errors::ReloadError;
 use applepond::interface::{FunctionId, Micros, WorkerHistory, WorkerId, WorkerStatus};
 
-/// Polled once a second for a new configuration. An error says why one that there is cannot be used.
+/// Polled once a second; returns a new configuration if there is one, or why it cannot be used.
 pub type ConfigSource = Box<dyn FnMut() -> Option<Result<Deployment, ReloadError>>>;
 
-/// A section of the state page, made when the page is asked for.
+/// Renders a section of the state page; called for each request of the page.
 pub type StatusSection = Box<dyn Fn(Micros) -> serde_json::Value>;
 
-/// What traffic is usual for this router; the retry-storm detector starts from it after a restart.
+/// The usual traffic of this router, from which the retry-storm detector starts after a restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrafficBaseline {
-    /// First attempts of clients a second.
+    /// Requests per second that are first attempts of clients.
     pub first_attempts_per_second: f64,
-    /// Connections that clients open a second.
+    /// New client connections per second.
     pub connections_per_second: f64,
-    /// Requests that finish a second.
+    /// Requests finished per second.
     pub pace: f64,
 }
 
-/// A retry that was promised to a client before the restart.
+/// A rejected request whose client was told when to retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromisedRetry {
     /// Digest of the request.
     pub request: u64,
-    /// Time from now after which the client may retry.
+    /// Time until the client may retry.
     pub wait: Micros,
 }
 
-/// What this router knew before its restart, apart from workers.
+/// State of this router from before a restart, apart from that of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestoredTraffic {
-    /// The usual traffic, where it was known.
+    /// The usual traffic, if it was known.
     pub baseline: Option<TrafficBaseline>,
-    /// Retries that clients were promised and that are still to come.
+    /// Promised retries that are still due.
     pub promised_retries: Vec<PromisedRetry>,
 }
 
-/// What is known of one process of a worker from before the restart, or from other routers.
+/// Known history of one incarnation of a worker, from before a restart or from other routers.
 #[derive(Clone, Copy, Debug)]
 pub struct RestoredWorker {
     /// The worker.
     pub worker: WorkerId,
-    /// When its process started; another value is another process.
+    /// When its process started; identifies the incarnation.
     pub up_since: Micros,
-    /// What is known of it.
+    /// Its history.
     pub history: WorkerHistory,
 }
 
-/// History that outlasts this process or comes from other routers. What it holds makes a gateway more
-/// careful, and never permits anything: a router without it works, and learns again.
+/// History that survives restarts or comes from other routers. It only ever makes a gateway more cautious and
+/// never permits anything; a router without it works and measures anew.
 pub trait HistoryStore {
-    /// Stores what this router has measured of a worker that has answered it.
+    /// Stores this router's measurements of a worker that has responded to it.
     fn record_worker(&mut self, now: Micros, worker: WorkerId, up_since: Micros, history: &WorkerHistory);
-    /// Stores how long a load of a function took here.
+    /// Stores the load time of a function as measured by this router.
     fn record_load_time(&mut self, now: Micros, function: FunctionId, load_time: Micros);
-    /// Stores what traffic is usual here.
+    /// Stores the usual traffic of this router.
     fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline);
-    /// Stores that a client was told to retry a request after a wait.
+    /// Stores that a client was told to retry a request after a delay.
     fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry);
-    /// What was known before the restart; given once.
+    /// Returns the state from before the restart, on the first call only.
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic>;
-    /// Workers' history that `Control` has not taken up yet.
+    /// Returns the history of workers that `Control` has not restored yet.
     fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker>;
-    /// `Control` has taken up the history of this process of a worker.
+    /// Notes that `Control` has restored the history of this incarnation of a worker.
     fn worker_restored(&mut self, worker: WorkerId, up_since: Micros);
-    /// The status that counts for a worker which the endpoint list gives with status `listed`: one that is
-    /// known to drain stays out, also where the list is late.
+    /// Returns the status to use for a worker that the endpoint list reports as `listed`. A worker known to
+    /// drain remains excluded even if the list is outdated.
     fn effective_status(
         &mut self,
         now: Micros,
@@ -76,19 +77,19 @@
         up_since: Micros,
         listed: WorkerStatus,
     ) -> WorkerStatus;
-    /// A full list names these processes of workers, and no others.
+    /// Notes that a full list was received, with exactly these workers and start times.
     fn full_list_received(&mut self, named: &[(WorkerId, Micros)]);
-    /// How long a function takes to load, where the settings do not say.
+    /// Returns the known load time of a function, for functions whose settings have none.
     fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros>;
 }
 
-/// The prompt prefixes that the fleet counts together and pins at workers.
+/// Tracks the use of prompt prefixes fleet-wide, and which of them are pinned at workers.
 pub trait PrefixTracker {
-    /// A request with this prefix was accepted; `size` is in the workload's units.
+    /// Records that a request with this prefix was accepted; `size` is in the workload's units.
     fn record_use(&mut self, name: &str, size: u32);
-    /// For how long the worker of a request that is sent now may keep this prefix pinned; none where it is
+    /// Returns how long the worker of a request sent now may keep this prefix pinned; `None` if the prefix is
     /// not pinned.
     fn pin_lease(&self, now: Micros, name: &str) -> Option<Micros>;
-    /// How many workers are ready.
+    /// Sets the number of ready workers.
     fn set_ready_workers(&mut self, ready: usize);
 }
