--- a/crates/gateway/src/gateway/request.rs
+++ b/crates/gateway/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What the gateway keeps of a request beside its state machine, and how a request is started.
+//! The gateway's data of a request beside its state machine, and how a request is started.
 use super::Gateway;
 use super::workflow::OnStepEnd;
 use crate::deployment::FunctionConfig;
@@ -10,63 +10,63 @@
 use applepond_reactor::Conn;
 use std::rc::Rc;
 
-/// The prompt prefix that a request starts with; a worker that has it cached answers sooner.
+/// The prompt prefix that a request starts with; a worker that has it cached responds sooner.
 #[derive(Clone)]
 pub(super) struct PromptPrefix {
     pub(super) name: String,
-    /// In the workload's units; 0 where the event does not say.
+    /// In the workload's units; 0 if the event does not specify it.
     pub(super) size: u32,
 }
 
-/// What a request consists of.
+/// The content of a request, as sent to workers.
 pub(super) struct RequestContent {
     pub(super) key: IdempotencyKey,
-    /// Digest of the client that sent it first.
+    /// Digest of the `source` of the event that started it.
     pub(super) client_digest: u64,
-    /// Digest of its key.
+    /// Digest of its idempotency key.
     pub(super) digest: u64,
     /// Index into the deployment's workloads.
     pub(super) workload: usize,
     pub(super) function: String,
-    /// Header fields that every attempt sends after its own.
+    /// Header fields of the event, sent with every attempt.
     pub(super) fields: Lines,
     pub(super) media_type: Option<String>,
     pub(super) data: Rc<Vec<u8>>,
     pub(super) prefix: Option<PromptPrefix>,
 }
 
-/// A request as it is started, by a client or by a workflow.
+/// Parameters of a request to be started, for a client or for a workflow.
 pub(super) struct NewRequest {
     pub(super) content: RequestContent,
     pub(super) customer: Option<CustomerId>,
     /// Time until its answer is due.
     pub(super) time_left: Micros,
-    /// The client has tried before.
+    /// The event is a retry by its client.
     pub(super) is_retry: bool,
-    /// Multiplies the workload's priority weight: 1 but for steps of a workflow.
+    /// Multiplies the workload's priority weight; 1 except for steps of a workflow.
     pub(super) priority_factor: f64,
-    /// Clients that wait for it.
+    /// Clients that wait for its answer.
     pub(super) clients: Vec<Conn>,
-    /// Set for a step of a workflow: no client waits for it.
+    /// Called at its end if it is a step of a workflow, for which no client waits.
     pub(super) on_end: Option<OnStepEnd>,
 }
 
-/// What the request table keeps of a request for the gateway.
+/// The gateway's data of a request in the request table.
 pub(super) struct RequestData {
     pub(super) content: RequestContent,
     pub(super) function_config: FunctionConfig,
-    /// By the configuration under which the request was accepted.
+    /// As configured when the request was accepted; a reload does not change it.
     pub(super) retry_safety: RetrySafety,
     /// Clients that wait for its answer.
     pub(super) clients: Vec<Conn>,
-    /// The copy that answered was loaded when the request came to it.
+    /// The function was already loaded when the request arrived at the worker that answered.
     pub(super) was_loaded: bool,
-    /// What to do with its end, where it is a step of a workflow.
+    /// Called at its end if it is a step of a workflow.
     pub(super) on_end: Option<OnStepEnd>,
 }
 
 impl Gateway {
-    /// Starts a request and hands it to `Control`.
+    /// Starts a request and passes it to `Control`.
     pub(super) fn start_request(&mut self, now: Micros, new: NewRequest) -> RequestId {
         let NewRequest { content, customer, time_left, is_retry, priority_factor, clients, on_end } = new;
         let defaults = &self.deployment.workloads[content.workload].default_function;
--- a/crates/gateway/src/gateway/worker_pool.rs
+++ b/crates/gateway/src/gateway/worker_pool.rs
@@ -1,7 +1,7 @@
-//! The workers and the connections to them. An idle connection is in two places, in the record of its worker
-//! and among all connections; the methods here keep the two in step.
+//! The workers and the connections to them. An idle connection is stored twice, in its worker's record and
+//! among all connections; the methods here keep both consistent.
 //!
-//! Owned here: the endpoint list's records and all worker connections, idle or with an attempt.
+//! State: the endpoint list's records and all worker connections, idle or with an attempt.
 use crate::endpoint_list::{EndpointList, IdleConnection, WorkerRecord};
 use crate::request_table::AttemptId;
 use crate::worker_connection::WorkerConnection;
@@ -9,31 +9,31 @@
 use applepond_reactor::{Conn, Transport};
 use rustc_hash::FxHashMap;
 
-/// Idle connections kept for one worker: a router seldom has more requests there at the same time.
+/// Maximum number of idle connections per worker; a router seldom has more concurrent requests at one worker.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// Idle time after which a connection is not used any more: shorter than a worker keeps it, so that the
-/// worker's closing does not meet a request on its way.
+/// Idle time after which a connection is not reused. Shorter than the workers' own timeout, so that a worker
+/// does not close a connection on which a request is being sent.
 const IDLE_TIMEOUT: Micros = 4_000_000;
-/// Idle time after which a connection carries no at-most-once request: should the worker have closed it after
-/// all, the request would count as one that may have run.
+/// Idle time after which a connection is not reused for at-most-once requests. If the worker closes it
+/// anyway, such a request counts as one that may have run and cannot be retried.
 const AT_MOST_ONCE_IDLE_TIMEOUT: Micros = 500_000;
 
 /// All workers and connections to them.
 #[derive(Default)]
 pub(super) struct WorkerPool {
     pub(super) endpoints: EndpointList,
-    /// By connection; those that are idle are in their worker's record too.
+    /// All connections; idle ones are in their worker's record as well.
     pub(super) connections: FxHashMap<Conn, WorkerConnection>,
 }
 
 impl WorkerPool {
-    /// The record of a worker that takes new requests.
+    /// Returns the record of a worker if it accepts new requests.
     pub(super) fn ready(&mut self, worker: WorkerId) -> Option<&mut WorkerRecord> {
         self.endpoints.get_mut(worker).filter(|record| record.status == WorkerStatus::Ready)
     }
 
-    /// Gives an attempt the worker's idle connection that was used last, if it may be used for it. Where that
-    /// one has been idle too long, all have.
+    /// Assigns the worker's most recently used idle connection to an attempt, if it has not been idle too
+    /// long; all others have been idle for longer.
     pub(super) fn assign_idle(
         &mut self,
         now: Micros,
@@ -55,7 +55,7 @@
         Some(conn)
     }
 
-    /// Opens a connection to a worker for an attempt; none where the worker is not known.
+    /// Opens a connection to a worker for an attempt; returns `None` for an unknown worker.
     pub(super) fn connect(
         &mut self,
         transport: &mut dyn Transport,
@@ -68,8 +68,8 @@
         Some(conn)
     }
 
-    /// A connection carries nothing any more: it is kept idle if it is `reusable`, its worker takes requests,
-    /// and there are not too many already; else it is cut.
+    /// Releases a connection whose attempt has ended. It is kept idle if it is `reusable`, its worker accepts
+    /// requests, and the worker has fewer than [`MAX_IDLE_CONNECTIONS`] idle ones; otherwise it is cut.
     pub(super) fn release(
         &mut self,
         now: Micros,
@@ -99,14 +99,14 @@
         }
     }
 
-    /// An idle connection is not to be used any more.
+    /// Removes an idle connection from its worker's record.
     pub(super) fn forget_idle(&mut self, worker: WorkerId, conn: Conn) {
         if let Some(record) = self.endpoints.get_mut(worker) {
             record.idle.retain(|idle| idle.conn != conn);
         }
     }
 
-    /// Cuts connections that have been idle too long.
+    /// Cuts the connections idle for longer than [`IDLE_TIMEOUT`].
     pub(super) fn cut_expired_idle(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, record) in self.endpoints.iter_mut() {
             let expired = record.idle.iter().take_while(|idle| now >= idle.since + IDLE_TIMEOUT).count();
