--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -1,5 +1,5 @@
-//! The end of a workflow: the one place where its answer is given to the clients that wait, to the
-//! idempotency table, and to the log.
+//! The end of a workflow: the only place where its answer is sent to the waiting clients, stored in the
+//! idempotency table, and logged.
 use super::ActiveWorkflow;
 use super::steps::UNDO_PERIOD;
 use crate::client::Answer;
@@ -11,12 +11,12 @@
 use applepond_workflow::{Ended, StepId, Why};
 use std::rc::Rc;
 
-/// The wait that a client is told whose workflow had too little time: a function that was not loaded may be
-/// then.
+/// `Retry-After` of a workflow with too little time left: by then, a function that was not loaded may be
+/// loaded.
 const TOO_LITTLE_TIME_RETRY_AFTER: Micros = 1_000_000;
 
 impl ActiveWorkflow {
-    /// The answer of a workflow that finished with this step.
+    /// Returns the answer of a workflow that finished with this step.
     fn finished_answer(&self, step: StepId) -> Rc<Answer> {
         match self.answer_of(step) {
             Some((mut fields, body)) => {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The answer of a workflow of which nothing can have had a lasting effect.
+    /// Returns the answer of a rejected workflow: no step of it can have had a lasting effect.
     fn rejected_answer(&self, step: StepId, why: Why, retry_after_allowed: bool) -> Rc<Answer> {
         let (reason, detail) = self.failure(step, why);
         let wait = self.retry_after.or(Some(TOO_LITTLE_TIME_RETRY_AFTER));
@@ -40,7 +40,7 @@
         Answer::problem(FinalOutcome::Rejected, &fault, id, wait.filter(|_| retry_after_allowed))
     }
 
-    /// The answer of a workflow of which something may have had a lasting effect.
+    /// Returns the answer of a failed workflow: some step of it may have had a lasting effect.
     fn failed_answer(&self, step: StepId, why: Why) -> Rc<Answer> {
         let (reason, detail) = self.failure(step, why);
         let status = if why == Why::NoTime { 504 } else { 502 };
@@ -48,7 +48,7 @@
         Answer::problem(FinalOutcome::Failed, &fault, Some(&self.key.id), None)
     }
 
-    /// Why the workflow did not finish: the reason code and a text for its answer.
+    /// Returns the reason code and the detail for the answer of a workflow that did not finish.
     fn failure(&self, step: StepId, why: Why) -> (&'static str, String) {
         let name = &self.run.plan().step(step).name;
         match why {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The workflow's line in the log.
+    /// Logs the end of the workflow.
     fn log_end(&self, now: Micros, last_step: StepId, answer: &Answer) {
         tracing::info!(
             id = %self.key.id,
@@ -78,7 +78,7 @@
 }
 
 impl Gateway {
-    /// Answers a workflow. Undos of its steps may still follow.
+    /// Ends a workflow with its answer. Undos of its steps may still follow.
     pub(super) fn end_workflow(
         &mut self,
         now: Micros,
@@ -90,14 +90,14 @@
         let (last_step, answer) = match ended {
             Ended::Finished(step) => (step, workflow.finished_answer(step)),
             Ended::PushedBack(step, why) => {
-                // A retry starts from the first step.
+                // A retry starts again from the first step.
                 workflow.stored.steps.clear();
                 let retry_after_allowed = self.deployment.startup.attempt_policy.retry_after_allowed;
                 (step, workflow.rejected_answer(step, why, retry_after_allowed))
             }
             Ended::Failed(step, why) => {
                 workflow.stored.failed = true;
-                // In the store for as long as it may be undone.
+                // Its record must outlast its undos.
                 workflow.stored.expires_at = now + UNDO_PERIOD + self.deployment.answer_retention.time;
                 (step, workflow.failed_answer(step, why))
             }
@@ -110,7 +110,8 @@
         workflow.is_answered = true;
         let clients = std::mem::take(&mut workflow.clients);
         let key = workflow.key.clone();
-        // What may have run must not run again here, whatever the effect of the step that failed.
+        // At-most-once regardless of the failed step's retry safety: earlier steps may have run, so the
+        // answer is always cached and replayed.
         self.record_end(now, &key, RetrySafety::AtMostOnce, &answer);
         self.answer_clients(now, transport, clients, &answer);
     }
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,15 +1,15 @@
-//! Workflows in progress. Each step is a request of its own that no client waits for; its end is handed to
-//! the workflow, whose [`Run`] decides what comes next and gives it as commands ([`Do`]).
+//! Workflows in progress. Each step is a separate request without a waiting client. Its end is passed to the
+//! workflow's [`Run`], which decides what to do next and returns it as commands ([`Do`]).
 //!
-//! A workflow with steps that are not idempotent is stored before such a step is sent and before it is
-//! answered as finished, so that a restart neither repeats nor forgets what may have run.
+//! A workflow with a step that is not idempotent is stored before that step is sent, and again before the
+//! workflow is answered as finished, so that a restart neither repeats nor forgets steps that may have run.
 //!
-//! Owned here: the active workflows, what waits to be stored, and the estimates that admit new ones. Where to
-//! look, by event:
+//! State: the active workflows, those waiting to be written to the store, and the estimates used to admit new
+//! ones. Modules by event:
 //! - an event starts a workflow: `intake`; the instance starts: `recovery`;
 //! - a step or an undo ends: `steps`;
-//! - a turn ends with something to store, or the store's timer fires: `store`;
-//! - the run says how the workflow ended: `completion`.
+//! - a turn of the event loop ends with unwritten changes, or the store's timer fires: `store`;
+//! - the run ends: `completion`.
 use super::Gateway;
 use crate::client::Answer;
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
@@ -34,69 +34,69 @@
     pub(super) answer: Rc<Answer>,
     /// Time from its start to its end.
     pub(super) duration: Micros,
-    /// The copy that answered was loaded when the request came to it.
+    /// The function was already loaded when the request arrived at the worker that answered.
     pub(super) was_loaded: bool,
 }
 
-/// What to do when the request of a step has ended.
+/// Called when the request of a step has ended.
 pub(super) type OnStepEnd = Box<dyn FnOnce(&mut Gateway, Micros, &mut dyn Transport, StepEnd)>;
 
-/// A step whose request has ended, until its workflow takes it up.
+/// A step whose request has ended and whose workflow has not processed that yet.
 pub(super) struct EndedStep {
     pub(super) on_end: OnStepEnd,
     pub(super) end: StepEnd,
 }
 
-/// A workflow that was accepted in this turn, with its first commands.
+/// A workflow started in this turn of the event loop, with its first commands.
 pub(super) struct StartedWorkflow {
     pub(super) request: RequestId,
     pub(super) commands: Vec<Do>,
 }
 
-/// The step that finished last, with what it answered.
+/// The step that finished last, with its answer.
 struct FinishedStep {
     step: StepId,
     answer: Rc<Answer>,
 }
 
-/// One workflow, until its last step and its last undo have ended.
+/// A workflow whose steps and undos have not all ended.
 pub(super) struct ActiveWorkflow {
     key: IdempotencyKey,
-    /// Digest of the client that sent it first; 0 where nobody waits since a restart.
+    /// Digest of the `source` of its event; 0 if it was resumed without a client.
     client_digest: u64,
-    /// Digest of its key; 0 where nobody waits since a restart.
+    /// Digest of its idempotency key; 0 if it was resumed without a client.
     digest: u64,
     customer: Option<CustomerId>,
     arrived_at: Micros,
-    /// The client has tried before.
+    /// The event is a retry by its client.
     is_retry: bool,
-    /// The state machine of its plan.
+    /// The state machine that executes its plan.
     run: Run,
     /// Clients that wait for its answer.
     pub(super) clients: Vec<Conn>,
     /// Requests of the steps in flight.
     in_flight: BTreeMap<StepId, RequestId>,
-    /// What other steps answered is in `stored`.
+    /// The answers of earlier steps are in `stored`.
     last_finished: Option<FinishedStep>,
-    /// The wait that the last rejected step was told.
+    /// `Retry-After` of the step that ended last, if it has one.
     retry_after: Option<Micros>,
-    /// Header fields, media type and data that each step's event takes over.
+    /// Header fields, media type and data of its event, copied to the event of each step.
     fields: Lines,
     media_type: Option<String>,
     data: Rc<Vec<u8>>,
     /// Undos that have not finished.
     pending_undos: usize,
-    /// Steps sent since the workflow was started here.
+    /// Steps sent by this instance.
     sent_steps: u64,
-    /// What the store has of it, or will have after the next write.
+    /// Its stored form, as of the next write.
     stored: WorkflowRecord,
-    /// A step with an effect was sent: from then on it is in the store.
+    /// It is in the store, which it enters before its first step that is not idempotent.
     is_stored: bool,
     is_answered: bool,
 }
 
 impl ActiveWorkflow {
-    /// What a step that finished answered: as it came, or as it is stored.
+    /// Returns the answer of a finished step, from memory or from its stored form.
     fn answer_of(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
         if let Some(finished) = self.last_finished.as_ref().filter(|finished| finished.step == step) {
             return Some((finished.answer.fields.clone(), finished.answer.body.clone()));
@@ -105,13 +105,13 @@
         end.response.as_ref().map(|answer| (Lines::of(answer.header_lines.clone()), answer.body.clone()))
     }
 
-    /// Its run has ended, nothing of it is in flight, and nothing is left to undo.
+    /// Whether its run has ended, no step is in flight, and no undo is pending.
     fn is_done(&self) -> bool {
         self.run.has_ended().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
     }
 }
 
-/// A step with an effect that waits to be stored before it is sent.
+/// A step that is not idempotent and must be stored before it is sent.
 struct UnsentStep {
     request: RequestId,
     step: StepId,
@@ -120,26 +120,26 @@
     deadline: Micros,
 }
 
-/// A workflow that has finished and waits to be stored before it is answered.
+/// A finished workflow that must be stored before it is answered.
 struct UnansweredWorkflow {
     request: RequestId,
     ended: Ended,
 }
 
-/// Counts since the start.
+/// Counters since the start of the instance.
 #[derive(Default)]
 struct Counters {
     accepted: u64,
     finished: u64,
     rejected: u64,
     failed: u64,
-    /// Rejected as their steps cannot finish in the time left.
+    /// Rejected because their steps cannot finish in the time left.
     rejected_for_time: u64,
-    /// Rejected as more were accepted than come to their end.
+    /// Rejected because workflows were started faster than they end.
     rejected_for_pace: u64,
     steps: u64,
     undos: u64,
-    /// Taken up from the store with steps that may have run.
+    /// Resumed from the store with steps that may have run.
     recorded_steps: u64,
     writes: u64,
     failed_writes: u64,
@@ -160,30 +160,30 @@
 
 /// All workflows of a gateway.
 pub(super) struct Workflows {
-    /// By the id that stands for a workflow where a request's id does.
+    /// By workflow id, which is drawn from the same sequence as request ids.
     pub(super) active: BTreeMap<RequestId, ActiveWorkflow>,
-    /// Steps that have ended; taken up one after the other, not from within each other.
+    /// Ended steps to be processed one at a time, without recursion.
     pub(super) ended_steps: VecDeque<EndedStep>,
-    /// Workflows that were accepted in this turn.
+    /// Workflows started in this turn of the event loop.
     pub(super) started: VecDeque<StartedWorkflow>,
-    /// How long functions take, for deciding whether a step can finish in time.
+    /// Estimated durations of functions, to decide whether a step can finish in time.
     times: Times,
-    /// How many new workflows may start.
+    /// Limits the rate of new workflows.
     pace: Pace,
     counters: Counters,
     pub(super) store: Box<dyn WorkflowStore>,
-    /// Steps that are sent after the next write.
+    /// Steps to be sent after the next write.
     unsent: Vec<UnsentStep>,
-    /// Workflows that are answered after the next write.
+    /// Workflows to be answered after the next write.
     unanswered: Vec<UnansweredWorkflow>,
-    /// Workflows whose stored form is out of date; a timer is set for them.
+    /// Workflows with changes that are not in the store.
     unwritten: BTreeSet<RequestId>,
-    /// That timer is set.
+    /// A timer is set that writes them.
     write_scheduled: bool,
 }
 
 impl Workflows {
-    /// No workflows yet. `cache_lifetime` is how long a worker keeps an idle function loaded.
+    /// Creates an empty set. `cache_lifetime` is how long a worker keeps an idle function loaded.
     pub(super) fn new(cache_lifetime: Micros) -> Self {
         Workflows {
             active: BTreeMap::new(),
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Drops those of the workflows that are answered and whose stored form is closed.
+    /// Drops those of the given workflows that are answered and closed.
     fn drop_closed(&mut self, requests: &BTreeSet<RequestId>) {
         for request in requests {
             let workflow = self.active.get(request);
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The part of the state page about workflows.
+    /// Returns the state page's section on workflows.
     pub(super) fn state(&self) -> serde_json::Value {
         let counters = &self.counters;
         serde_json::json!({"open": self.active.len(), "taken": counters.accepted,
@@ -223,7 +223,7 @@
     }
 }
 
-/// What the end of a step's request means for its workflow.
+/// Maps the final outcome of a step's request to the step's outcome in its run.
 fn step_outcome(outcome: FinalOutcome) -> How {
     match outcome {
         FinalOutcome::Finished => How::Finished,
@@ -232,21 +232,21 @@
     }
 }
 
-/// A field of a step's result as text, if the result is a JSON object that has it as a string, a number or a
-/// boolean.
+/// Returns a field of a step's result as text, if the result is a JSON object in which the field is a string,
+/// a number or a boolean.
 fn result_field(body: &[u8], name: &str) -> Option<String> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     match value.get(name)? {
         serde_json::Value::String(text) => Some(text.clone()),
         serde_json::Value::Number(number) => Some(number.to_string()),
-        serde_json::Value::Bool(mark) => Some(mark.to_string()),
+        serde_json::Value::Bool(flag) => Some(flag.to_string()),
         _ => None,
     }
 }
 
 impl Gateway {
-    /// Lets a workflow's run decide, with the time that its steps need as it is estimated now. Gives the
-    /// default where the workflow is not active any more.
+    /// Calls `decide` with a workflow's run and the current estimate of the time that a step needs. Returns
+    /// the default value if the workflow is no longer active.
     fn with_run<T: Default>(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/gateway/workflow/plan_digest.rs
+++ b/crates/gateway/src/gateway/workflow/plan_digest.rs
@@ -1,15 +1,14 @@
-//! The digest by which a stored workflow is known to belong to a plan.
+//! The digest that identifies the plan of a stored workflow.
 //!
-//! It is stored with each workflow record, so the text that is hashed is part of the stored form: it keeps
-//! the words with which it was first written, whatever the types are called today. `tests/golden.rs` holds
-//! it.
+//! It is part of each workflow record, so the hashed text is part of the storage format: it keeps the
+//! original names of types and fields when these are renamed in the code. `tests/golden.rs` guards it.
 
 use crate::deployment::WorkloadEvents;
 use applepond::interface::{FunctionId, IdempotencyScope, RetrySafety};
 use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
 
-/// Tells a changed plan from the one under which a workflow was stored. Workloads count by their names: a
-/// reload may have moved their indices, and a restart puts them back.
+/// Returns the digest of a plan, which differs once the plan has been changed. Workloads enter it by name, as
+/// their indices may differ after a reload and after a restart.
 pub(super) fn plan_digest(plan: &Plan, workloads: &[WorkloadEvents]) -> u64 {
     let steps = list(&plan.steps, step_text);
     let names: Vec<&str> = plan.steps.iter().map(|step| workloads[step.workload].name.as_str()).collect();
@@ -17,19 +16,19 @@
     FunctionId::named(&text).0
 }
 
-/// A list of texts in brackets.
+/// Formats a list in brackets.
 fn list<T>(items: &[T], text: impl Fn(&T) -> String) -> String {
     let items: Vec<String> = items.iter().map(text).collect();
     format!("[{}]", items.join(", "))
 }
 
-/// A text that may be missing.
+/// Formats an optional item.
 fn optional<T>(item: Option<&T>, text: impl Fn(&T) -> String) -> String {
     item.map_or("None".to_owned(), |item| format!("Some({})", text(item)))
 }
 
 fn step_text(step: &Step) -> String {
-    // The index of the workload is not hashed: its name is.
+    // A constant takes the place of the workload's index; `plan_digest` hashes its name.
     let fields = [
         format!("name: {:?}", step.name),
         "workload: 0".to_owned(),
