--- a/crates/gateway/src/gateway/workflow/steps.rs
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of workflows: a run's commands are carried out, each step's request is started and its end
-//! handed back to the run, and steps that must not last are undone.
+//! Execution of workflow steps: carries out a run's commands, starts the request of each step and reports its
+//! end to the run, and undoes steps whose effects must not last.
 use super::{ActiveWorkflow, FinishedStep, OnStepEnd, StepEnd, UnansweredWorkflow, UnsentStep};
 use super::{result_field, step_outcome};
 use crate::gateway::Gateway;
@@ -13,25 +13,24 @@
 use applepond_workflow::{Do, Ended, How, StepId};
 use std::rc::Rc;
 
-/// Time after which an undo that did not finish is tried again, at least.
+/// Minimum delay before a failed undo is retried.
 const UNDO_RETRY_DELAY: Micros = 1_000_000;
-/// Time for which undos are tried: longer than a rollout takes.
+/// Time during which an undo is retried; longer than a rollout takes.
 pub(super) const UNDO_PERIOD: Micros = 300_000_000;
 
 /// The undo of one step.
 #[derive(Clone)]
 struct Undo {
     request: RequestId,
-    /// The step that does it.
+    /// The step of the plan that performs the undo.
     step: StepId,
     function: String,
-    /// When it is not tried any more.
+    /// When it is no longer retried.
     give_up_at: Micros,
 }
 
 impl Gateway {
-    /// Carries out what a workflow's run wants, in its order; then drops or closes the workflow, if it is
-    /// done.
+    /// Executes the commands of a workflow's run in order; then closes the workflow if it is done.
     pub(in crate::gateway) fn run_commands(
         &mut self,
         now: Micros,
@@ -54,14 +53,14 @@
         if let Some(workflow) = workflow.filter(|workflow| workflow.is_done()) {
             workflow.stored.closed = true;
             if workflow.is_stored {
-                // It stays active until that is written.
+                // It stays active until the closed record is written.
                 return self.mark_unwritten(now, transport, request);
             }
             self.workflows.active.remove(&request);
         }
     }
 
-    /// Sends a step at once if it is idempotent, else after it has been stored.
+    /// Sends a step at once if it is idempotent, otherwise after it has been stored.
     fn begin_or_queue_step(
         &mut self,
         now: Micros,
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Lets the run decide on a step again at `until`.
+    /// Has the run decide on a step again at `until`.
     fn wait_for_step(
         &mut self,
         now: Micros,
@@ -96,16 +95,16 @@
     }
 
     fn cancel_step(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId, step: StepId) {
-        // It may not have been sent yet.
-        self.workflows.unsent.retain(|waiting| (waiting.request, waiting.step) != (request, step));
+        // It may still be queued for the next write.
+        self.workflows.unsent.retain(|unsent| (unsent.request, unsent.step) != (request, step));
         let workflow = self.workflows.active.get_mut(&request);
         if let Some(step_request) = workflow.and_then(|workflow| workflow.in_flight.remove(&step)) {
             self.abandon_step(now, transport, step_request);
         }
     }
 
-    /// Answers a workflow. One that is stored and has finished is stored as such first: once its client knows
-    /// that it finished nothing may undo it, also not after a restart.
+    /// Ends a workflow, at once or after the next write. A stored workflow that has finished is first written
+    /// as closed: once its client knows that it finished, it must not be undone, even after a restart.
     fn end_or_queue_workflow(
         &mut self,
         now: Micros,
@@ -122,7 +121,7 @@
         }
     }
 
-    /// The request of a step: a key of its own, the workflow's fields and data.
+    /// Returns the request of a step, with its own key and the workflow's header fields and data.
     fn step_request(
         &self,
         workflow: &ActiveWorkflow,
@@ -188,7 +187,7 @@
         }
     }
 
-    /// The request of a step has ended: the run decides what comes next.
+    /// Handles the end of a step's request: the run decides what to do next.
     fn step_ended(
         &mut self,
         now: Micros,
@@ -208,17 +207,18 @@
         if is_finished {
             workflow.last_finished = Some(FinishedStep { step, answer: end.answer.clone() });
         }
-        let how = step_outcome(end.answer.outcome);
-        self.record_step_end(now, transport, request, step, how, &end.answer);
+        let outcome = step_outcome(end.answer.outcome);
+        self.record_step_end(now, transport, request, step, outcome, &end.answer);
         let retry_after = end.answer.retry_after;
         let answer = end.answer.clone();
         let read_field = move |name: &str| result_field(&answer.body, name);
-        let commands = self
-            .with_run(now, request, |run, needs| run.ended(now, step, how, retry_after, &read_field, needs));
+        let commands = self.with_run(now, request, |run, needs| {
+            run.ended(now, step, outcome, retry_after, &read_field, needs)
+        });
         self.run_commands(now, transport, request, commands);
     }
 
-    /// Ends a step's request from this side: nobody waits for it any more.
+    /// Cancels the request of a step whose result is no longer needed.
     fn abandon_step(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         let Some(state) = self.requests.get_mut(request) else { return };
         state.ended = true;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Starts to undo a step, unless the undo has finished before.
+    /// Starts to undo a step, unless its record shows that the undo has finished already.
     fn begin_undo(&mut self, now: Micros, request: RequestId, step: StepId, function: String) {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         let stored = workflow.stored.steps.get(&(step.0 as u32));
@@ -261,7 +261,7 @@
         self.start_request(now, new);
     }
 
-    /// The request of an undo has ended: one that did not finish is tried again until it is given up.
+    /// Handles the end of an undo's request; an undo that did not finish is retried until it is given up.
     fn undo_ended(&mut self, now: Micros, transport: &mut dyn Transport, undo: Undo, end: &StepEnd) {
         let Undo { request, step, give_up_at, .. } = undo;
         let is_finished = end.answer.outcome == FinalOutcome::Finished;
@@ -274,12 +274,12 @@
         if let Some(workflow) = self.workflows.active.get_mut(&request) {
             if !is_finished {
                 let (id, name) = (&workflow.key.id, &workflow.run.plan().step(step).name);
-                tracing::error!(%id, step = %name, reason = "undo-given-up", "a step was not taken back");
+                tracing::error!(%id, step = %name, reason = "undo-given-up", "undo of a step given up");
             }
             workflow.pending_undos -= 1;
         }
-        let how = step_outcome(end.answer.outcome);
-        self.record_step_end(now, transport, request, step, how, &end.answer);
+        let outcome = step_outcome(end.answer.outcome);
+        self.record_step_end(now, transport, request, step, outcome, &end.answer);
         self.run_commands(now, transport, request, Vec::new());
     }
 }
--- a/crates/gateway/src/gateway/workflow/store.rs
+++ b/crates/gateway/src/gateway/workflow/store.rs
@@ -1,5 +1,6 @@
-//! The store of workflows: what must be on disk before a step is sent or a workflow is answered is written at
-//! the end of a turn, in one transaction for all workflows; ends of steps are written soon after.
+//! Writes to the workflow store. Records that must be on disk before a step is sent or a workflow is answered
+//! are written at the end of a turn of the event loop, in one transaction for all workflows; the ends of
+//! steps are written after a short delay.
 use super::result_field;
 use crate::client::Answer;
 use crate::gateway::Gateway;
@@ -10,44 +11,44 @@
 use applepond_workflow::{How, StepId};
 use std::collections::BTreeSet;
 
-/// Time after which ends of steps are written that no other write took along.
+/// Delay of the write of ended steps; an earlier write includes them.
 const WRITE_DELAY: Micros = 20_000;
-/// Time after which a write that failed is tried again: a disk is not repaired within a moment.
+/// Delay before a failed write is retried; disk faults seldom clear up faster.
 const WRITE_RETRY_DELAY: Micros = 1_000_000;
 
 impl Gateway {
-    /// Writes what waits for it; then sends the steps and answers the workflows that waited. Where the write
-    /// fails nothing is sent: those steps end as ones that never ran. Says whether there was anything to do.
+    /// Writes the pending records, then sends the steps and answers the workflows that depend on them. If the
+    /// write fails, the steps are not sent and end as never run. Returns whether anything was pending.
     pub(in crate::gateway) fn write_pending(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
         let unsent = std::mem::take(&mut self.workflows.unsent);
         let unanswered = std::mem::take(&mut self.workflows.unanswered);
         if unsent.is_empty() && unanswered.is_empty() {
             return false;
         }
-        for waiting in &unsent {
-            if let Some(workflow) = self.workflows.active.get_mut(&waiting.request) {
+        for pending in &unsent {
+            if let Some(workflow) = self.workflows.active.get_mut(&pending.request) {
                 workflow.is_stored = true;
                 let step = StepRecord { sent_at: now, outcome: None };
-                workflow.stored.steps.insert(waiting.step.0 as u32, step);
+                workflow.stored.steps.insert(pending.step.0 as u32, step);
             }
         }
-        let requests = unsent.iter().map(|waiting| waiting.request);
-        let requests = requests.chain(unanswered.iter().map(|waiting| waiting.request)).collect();
+        let requests = unsent.iter().map(|pending| pending.request);
+        let requests = requests.chain(unanswered.iter().map(|pending| pending.request)).collect();
         let is_written = self.write_workflows(now, transport, requests);
-        // Their work is done, whether that could be written or not.
-        for waiting in unanswered {
-            let request = waiting.request;
-            self.end_workflow(now, transport, request, waiting.ended);
+        // These have finished, so they are answered as finished even if the write failed.
+        for pending in unanswered {
+            let request = pending.request;
+            self.end_workflow(now, transport, request, pending.ended);
             if is_written {
                 self.workflows.drop_closed(&BTreeSet::from([request]));
             }
-            // Where it was not, the workflow stays until a later write succeeds.
+            // If the write failed, the workflow stays active until a later one succeeds.
             self.run_commands(now, transport, request, Vec::new());
         }
-        for waiting in unsent {
-            let (request, step) = (waiting.request, waiting.step);
+        for pending in unsent {
+            let (request, step) = (pending.request, pending.step);
             if is_written {
-                self.begin_step(now, request, step, waiting.function, waiting.deadline);
+                self.begin_step(now, request, step, pending.function, pending.deadline);
                 continue;
             }
             if let Some(workflow) = self.workflows.active.get_mut(&request) {
@@ -59,7 +60,7 @@
         true
     }
 
-    /// Writes these workflows and all whose stored form is out of date.
+    /// Writes the given workflows and all others with unwritten changes. Returns whether the write succeeded.
     fn write_workflows(
         &mut self,
         now: Micros,
@@ -74,7 +75,7 @@
         let written = self.workflows.store.save(&rows);
         if let Err(error) = &written {
             self.workflows.counters.failed_writes += 1;
-            tracing::error!(%error, reason = "no-record", "chains were not written down");
+            tracing::error!(%error, reason = "no-record", "cannot write workflows to the store");
             self.workflows.unwritten.extend(requests);
             self.schedule_write(now, transport, WRITE_RETRY_DELAY);
         } else {
@@ -83,32 +84,32 @@
         written.is_ok()
     }
 
-    /// Puts the end of a step into the stored form, which is written soon. A result that is too long to be
-    /// stored is left out.
+    /// Adds the end of a step to its workflow's record and schedules a write. A result too long to be stored
+    /// is omitted.
     pub(super) fn record_step_end(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
         step: StepId,
-        how: How,
+        outcome: How,
         answer: &Answer,
     ) {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         let fields = workflow.run.asked(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), result_field(&answer.body, name)?)));
-        let fits = how == How::Finished && answer.body.len() <= MAX_STORED_RESPONSE_BYTES;
-        let kept = fits.then(|| StoredResponse {
+        let fits = outcome == How::Finished && answer.body.len() <= MAX_STORED_RESPONSE_BYTES;
+        let response = fits.then(|| StoredResponse {
             header_lines: answer.fields.bytes().to_vec(),
             body: answer.body.clone(),
         });
-        let end = StepOutcome { code: outcome_code(how), fields: fields.collect(), response: kept };
+        let end = StepOutcome { code: outcome_code(outcome), fields: fields.collect(), response };
         workflow.stored.steps.entry(step.0 as u32).or_default().outcome = Some(end);
         self.mark_unwritten(now, transport, request);
     }
 
-    /// The stored form of a workflow is out of date; it is written soon. One that is not stored needs no
-    /// write.
+    /// Marks the record of a workflow as changed and schedules a write; has no effect for a workflow that is
+    /// not stored.
     pub(super) fn mark_unwritten(&mut self, now: Micros, transport: &mut dyn Transport, request: RequestId) {
         if self.workflows.active.get(&request).is_none_or(|workflow| !workflow.is_stored) {
             return;
@@ -117,7 +118,7 @@
         self.schedule_write(now, transport, WRITE_DELAY);
     }
 
-    /// Has what is out of date written after a while, unless that is scheduled already.
+    /// Schedules a write of all changed records, unless one is scheduled already.
     fn schedule_write(&mut self, now: Micros, transport: &mut dyn Transport, delay: Micros) {
         if std::mem::replace(&mut self.workflows.write_scheduled, true) {
             return;
