--- a/crates/gateway/src/deployment.rs
+++ b/crates/gateway/src/deployment.rs
@@ -1,6 +1,6 @@
-//! The configuration that one gateway instance runs with: what `Control` is started with, and the names,
-//! addresses and limits around it. A [`Deployment`] is plain data, made by `applepond-settings` from the
-//! settings file; `reload` decides which parts of it may change while the instance runs.
+//! The configuration of one gateway instance: the startup configuration of `Control`, and names, addresses
+//! and limits. A [`Deployment`] is plain data that `applepond-settings` creates from the settings file;
+//! `reload` decides which parts of it may change while the instance runs.
 use applepond::interface::{Micros, RackId, StartupConfig};
 use applepond_workflow::Plan;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Where the name of a request's function comes from.
+/// Source of the name of a request's function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FunctionSource {
     /// An attribute of the event: `subject` or an extension attribute.
@@ -17,14 +17,14 @@
     Named(String),
 }
 
-/// What is known of one function before any request for it has run.
+/// Configured properties of one function.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionConfig {
-    /// Requests that one loaded copy runs at the same time.
+    /// Maximum number of requests that one loaded copy runs concurrently.
     pub concurrency: u32,
     /// Memory of one loaded copy, in MB.
     pub memory_mb: u32,
-    /// The usual duration of a load, where the settings give one.
+    /// The usual duration of a load, if the settings specify it.
     pub load_time: Option<Micros>,
 }
 
@@ -33,50 +33,50 @@
 pub struct PrefixAttributes {
     /// The attribute with the prefix's name.
     pub name: String,
-    /// The attribute with the prefix's size, in units of the workload's choice.
+    /// The attribute with the prefix's size, in a unit chosen by the workload.
     pub size: String,
 }
 
-/// How the events of one workload are recognised, and the defaults of its requests. Its retry safety, latency
-/// objective and priority are in the entry of the same index in [`StartupConfig::workloads`].
+/// How events are mapped to one workload, and the defaults of its requests. Its retry safety, latency
+/// objective and priority are in the entry with the same index in [`StartupConfig::workloads`].
 #[derive(Clone, Debug)]
 pub struct WorkloadEvents {
     /// The workload's name in the settings.
     pub name: String,
-    /// Values of the event attribute `type` that belong to this workload. Empty for a workload that a reload
-    /// has left out: it takes no new requests.
+    /// Values of the event attribute `type` that belong to this workload. Empty for a workload removed by a
+    /// reload: it accepts no new requests.
     pub types: Vec<String>,
-    /// Where the function's name comes from.
+    /// Source of the function's name.
     pub function_source: FunctionSource,
-    /// The attributes of the prompt prefix, where the workload's requests have one.
+    /// The attributes of the prompt prefix, if the workload's requests have one.
     pub prefix_attributes: Option<PrefixAttributes>,
-    /// Time from the arrival of a request to its final answer.
+    /// Maximum time from the arrival of a request to its final answer.
     pub deadline: Micros,
-    /// What holds for functions without an entry in [`Deployment::functions`].
+    /// Defaults for functions without an entry in [`Deployment::functions`].
     pub default_function: FunctionConfig,
 }
 
-/// A workflow: which events start it, and its plan.
+/// A workflow: the events that start it, and its plan.
 #[derive(Clone, Debug)]
 pub struct WorkflowConfig {
     /// Values of the event attribute `type` that start this workflow.
     pub types: Vec<String>,
-    /// The event attribute with the function of steps that do not name their own.
+    /// The event attribute that names the function of steps without one of their own.
     pub function_attribute: String,
-    /// The validated plan: `Plan::check` finds no fault in it.
+    /// The plan, validated by `Plan::check`.
     pub plan: Arc<Plan>,
 }
 
-/// One worker that the settings name, for deployments without an endpoint list.
+/// A worker configured in the settings, for deployments without an endpoint list.
 #[derive(Clone, Debug)]
 pub struct StaticWorker {
-    /// The worker's name; its id is the digest of it.
+    /// The worker's name; its id is a digest of the name.
     pub name: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// Index into [`Deployment::zones`].
     pub zone: Option<usize>,
-    /// The rack, within which idempotency keys may be shared.
+    /// The rack; a workload's idempotency keys may be shared within it.
     pub rack: RackId,
     /// Relative capacity.
     pub weight: f64,
@@ -87,11 +87,11 @@
 pub struct PrefixCacheConfig {
     /// Time to prepare one unit of a prefix.
     pub prepare_time: Micros,
-    /// Units that pinned prefixes may take at one worker.
+    /// Maximum number of units of pinned prefixes at one worker.
     pub pinned_units: u64,
-    /// µs of preparation a second that a unit pinned at a worker must save to be worth it.
+    /// Preparation time that one unit pinned at a worker must save to be worth its memory, in µs per second.
     pub price: f64,
-    /// For how long a worker caches a prefix by itself after its last use.
+    /// How long a worker caches a prefix that is not pinned after its last use.
     pub retention: Micros,
 }
 
@@ -100,27 +100,28 @@
 pub struct FleetConfig {
     /// This router's name, unique in the fleet.
     pub name: String,
-    /// The zone that it runs in.
+    /// The zone in which it runs.
     pub zone: String,
-    /// Where it receives datagrams; the other routers reach it there.
+    /// The address at which it receives datagrams from other routers.
     pub listen: SocketAddr,
-    /// Addresses of routers to join through.
+    /// Addresses of routers through which it joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Files with the fleet's secret keys: the first one seals datagrams, all of them open them.
+    /// Files with the fleet's secret keys: datagrams are sealed with the first key and opened with any of
+    /// them.
     pub key_files: Vec<PathBuf>,
-    /// Names of the routers that vote in consensus; empty where the fleet runs without it.
+    /// Names of the routers that vote in consensus; empty if the fleet runs without consensus.
     pub voters: Vec<String>,
-    /// Where this router's votes are stored, if it is a voter.
+    /// The file of this router's votes, if it is a voter.
     pub votes_file: Option<PathBuf>,
-    /// Which bootstrap of the agreed state this is; only an operator raises it.
+    /// Number of the bootstrap of the agreed state; raised only by an operator.
     pub bootstrap_epoch: u64,
-    /// Where this router stores its snapshot; without one it starts from what its peers know.
+    /// The file of this router's snapshot; without one it starts from the state of its peers.
     pub snapshot_file: Option<PathBuf>,
-    /// Costs of pinning prefixes; without them none is pinned.
+    /// Costs of pinning prefixes; if `None`, no prefix is pinned.
     pub prefix_cache: Option<PrefixCacheConfig>,
 }
 
-/// The parts of a [`FleetConfig`] by which the other routers know this process: a reload cannot change them.
+/// The parts of a [`FleetConfig`] that identify this process to other routers; a reload cannot change them.
 #[derive(Debug, PartialEq)]
 pub(crate) struct FleetIdentity<'a> {
     name: &'a str,
@@ -133,7 +134,7 @@
 }
 
 impl FleetConfig {
-    /// What only a restart can change.
+    /// Returns the parts that only a restart can change.
     pub(crate) fn identity(&self) -> FleetIdentity<'_> {
         FleetIdentity {
             name: &self.name,
@@ -147,29 +148,29 @@
     }
 }
 
-/// How many final answers are kept for exchanges that repeat a request after its end.
+/// Limits of the cache of final answers, which are replayed to duplicates of a request after its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerRetention {
-    /// How long an answer is kept.
+    /// How long an answer is cached.
     pub time: Micros,
-    /// Answers kept at most.
+    /// Maximum number of cached answers.
     pub max_answers: usize,
-    /// Bytes of answers and keys kept at most.
+    /// Maximum total size of cached answers and their keys.
     pub max_bytes: usize,
 }
 
-/// All that one instance runs with.
+/// The configuration of one gateway instance.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// What `Control` is started with.
+    /// The startup configuration of `Control`.
     pub startup: StartupConfig,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// In the order of `startup.workloads`.
+    /// The workloads, in the order of `startup.workloads`.
     pub workloads: Vec<WorkloadEvents>,
-    /// The workflows; the settings call them chains.
+    /// The workflows, named `chain` in the settings.
     pub workflows: Vec<WorkflowConfig>,
-    /// The file in which workflows are stored; without one they are known only as long as the instance lives.
+    /// The file in which workflows are stored; without one they are lost when the instance ends.
     pub workflow_store: Option<PathBuf>,
     /// Customers' names, in the order of `startup.customers`.
     pub customers: Vec<String>,
@@ -177,23 +178,23 @@
     pub customer_attribute: String,
     /// The zones' names; `ZoneId` is an index into them.
     pub zones: Vec<String>,
-    /// Functions with settings of their own, by name.
+    /// Functions with their own configuration, by name.
     pub functions: BTreeMap<String, FunctionConfig>,
-    /// Workers that the settings name.
+    /// Workers configured in the settings.
     pub workers: Vec<StaticWorker>,
-    /// The server of the endpoint list, which names workers beside or instead of `workers`.
+    /// The server of the endpoint list, which names workers in addition to or instead of `workers`.
     pub endpoint_list: Option<SocketAddr>,
-    /// Timeout of a connection attempt to a worker or to the endpoint list.
+    /// Timeout of connecting to a worker or to the endpoint list's server.
     pub connect_timeout: Micros,
     /// This router's fleet; without one no datagram is sent and `startup.router_count` is fixed.
     pub fleet: Option<FleetConfig>,
-    /// Whether requests are shed before `Control` during a retry storm. Storms are detected and shown either
-    /// way.
+    /// Whether requests are shed ahead of `Control` during a retry storm. Retry storms are detected and
+    /// reported in either case.
     pub storm_shedding: bool,
-    /// Client connections at the same time.
+    /// Maximum number of concurrent client connections.
     pub max_clients: usize,
-    /// Bytes of one event's body at most.
+    /// Maximum size of one event's body.
     pub max_event_bytes: u64,
-    /// Which final answers are kept for repeated requests.
+    /// Limits of the cache of final answers.
     pub answer_retention: AnswerRetention,
 }
