--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -1,69 +1,69 @@
-//! The request table: the state machine of each request and its attempts, whatever protocol they travel by. A
-//! request starts once, each attempt closes once, a request ends once, and it is dropped with the last
-//! attempt in flight. Shared by the gateway and the platform's node, each with data of its own beside a
-//! request.
+//! The request table: the state machine of each request and its attempts, independent of the protocol.
+//! Invariants: each attempt is closed once, each request ends once, and an ended request is dropped with its
+//! last attempt in flight. Shared by the gateway and the platform's node, each of which attaches its own data
+//! to a request.
 //!
-//! Owned here: all requests that have not ended or have attempts in flight, and the queue of attempts by
-//! timeout. Events: `Control`'s actions, which arrive through [`ActionQueue`], and the ends of attempts,
-//! which the machine reports with [`RequestTable::close_attempt`].
+//! State: all requests that have not ended or have attempts in flight, and the attempts in flight ordered by
+//! timeout. Inputs: `Control`'s actions, which arrive through [`ActionQueue`], and ends of attempts, which
+//! the caller reports with [`RequestTable::close_attempt`].
 use applepond::interface::{
     Actions, AttemptResult, LoadState, Micros, Outcome, RequestId, TimerToken, WorkerId,
 };
 use applepond_reactor::Conn;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Index into the request's attempts, in the order in which `Control` ordered them.
+    /// Index into the request's attempts, in the order in which `Control` requested them.
     pub index: usize,
 }
 
-/// An attempt that `Control` orders.
+/// An attempt requested by `Control`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dispatch {
     /// The request to send.
     pub request: RequestId,
-    /// Where to send it.
+    /// The worker to send it to.
     pub worker: WorkerId,
-    /// Time from now after which the attempt has timed out.
+    /// Timeout of the attempt, from now.
     pub timeout: Micros,
-    /// The moment from which on no first byte of it may be sent any more.
+    /// The time from which on the attempt must not be started.
     pub start_deadline: Micros,
 }
 
-/// One action that `Control` ordered, to be carried out when its call has returned.
+/// An action of `Control`, executed after the call to `Control` that queued it has returned.
 #[derive(Debug)]
 pub enum Action {
     /// Send an attempt.
     Send(Dispatch),
     /// End an attempt from this side.
     Cancel(AttemptId),
-    /// Answer a request that has never run; with the time after which a retry is welcome, where one is given.
+    /// Reject a request that has never run, with the delay before a retry, if one is suggested.
     Reject(RequestId, Option<Micros>),
-    /// Answer a request that may have run.
+    /// Fail a request that may have run.
     Fail(RequestId),
     /// Call `Control::timer_fired` after the delay.
     SetTimer(Micros, TimerToken),
     /// Write a line to the log.
     Log(String),
-    /// Ask for the endpoint list.
+    /// Request the endpoint list.
     WatchEndpoints,
 }
 
-/// `Control`'s actions in their order.
+/// Queue of `Control`'s actions, in order.
 #[derive(Default)]
 pub struct ActionQueue(VecDeque<Action>);
 
 impl ActionQueue {
-    /// Takes the oldest action.
+    /// Removes and returns the oldest action.
     pub fn pop(&mut self) -> Option<Action> {
         self.0.pop_front()
     }
 
-    /// Whether there is nothing to carry out.
+    /// Whether no action is queued.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -95,15 +95,15 @@
 
 /// The state of one attempt.
 pub struct Attempt {
-    /// The worker that it was sent to.
+    /// The worker that it is sent to.
     pub worker: WorkerId,
-    /// When `Control` ordered it.
+    /// When `Control` requested it.
     pub sent_at: Micros,
-    /// When its timeout is over.
+    /// When it times out.
     times_out_at: Micros,
-    /// The moment from which on no first byte of it may be sent any more.
+    /// The time from which on it must not be started.
     start_deadline: Micros,
-    /// The connection that it is on, or was on last.
+    /// Its current or last connection.
     pub connection: Option<Conn>,
     /// Its end has been reported to `Control`.
     pub closed: bool,
@@ -115,30 +115,31 @@
     pub arrived_at: Micros,
     /// When its final answer is due.
     pub deadline: Micros,
-    /// All its attempts, in the order in which they were ordered.
+    /// All its attempts, in the order in which `Control` requested them.
     pub attempts: Vec<Attempt>,
-    /// It has had its final answer, or nobody waits for one.
+    /// It has been answered, or its answer is no longer needed.
     pub ended: bool,
     /// One of its attempts has timed out.
     pub timed_out: bool,
-    /// What the protocol keeps of it.
+    /// Data of the protocol.
     pub data: T,
 }
 
 impl<T> RequestState<T> {
-    /// Whether an attempt of which nothing has been sent may still start: somebody waits for its request, and
-    /// where it repeats an earlier attempt, the worker would still recognise it as a repeat.
+    /// Whether an attempt of which nothing has been sent may still be started: its request has not ended, and
+    /// its start deadline has not passed. After that, a worker might no longer recognise a retry as a
+    /// duplicate of an earlier attempt.
     pub fn may_start(&self, now: Micros, index: usize) -> bool {
         !self.ended && now < self.attempts[index].start_deadline
     }
 
-    /// Attempts that have not closed.
+    /// Returns the number of attempts that are not closed.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| !attempt.closed).count()
     }
 }
 
-/// Counts of a table, for the state page.
+/// Sizes of a request table, for the state page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenCounts {
     /// Requests that have not ended.
@@ -147,23 +148,23 @@
     pub attempts: usize,
 }
 
-/// What became of an attempt that `Control` ordered.
+/// Result of [`RequestTable::start_attempt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Started {
-    /// It is in flight, and is to be sent.
+    /// The attempt is in flight; the caller must send it.
     InFlight(AttemptId),
-    /// It must not be sent, as its request has ended or has had as many attempts as it may; it is to be
-    /// closed.
+    /// The request has ended or has reached its limit of attempts; the caller must close the attempt without
+    /// sending it.
     Refused(AttemptId),
 }
 
 /// All requests of one router.
 pub struct RequestTable<T> {
     requests: BTreeMap<RequestId, RequestState<T>>,
-    /// Attempts in flight by the end of their timeout. One timer serves all of them: a timer for each would
-    /// outlive most attempts by seconds.
+    /// Attempts in flight, ordered by timeout. All share one timer, as most attempts end seconds before their
+    /// timeout and individual timers would accumulate.
     by_timeout: BTreeSet<(Micros, AttemptId)>,
-    /// When that timer fires, where one is set.
+    /// When that timer fires, if it is set.
     timer_at: Option<Micros>,
 }
 
@@ -174,17 +175,17 @@
 }
 
 impl<T> RequestTable<T> {
-    /// Requests in the table: those that have not ended, and those with attempts in flight.
+    /// Returns the number of requests that have not ended or have attempts in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request is open and no attempt is in flight.
+    /// Whether no request is in the table.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Counts what is open.
+    /// Counts the requests that have not ended and the attempts in flight.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             requests: self.requests.values().filter(|request| !request.ended).count(),
@@ -192,24 +193,24 @@
         }
     }
 
-    /// The state of a request.
+    /// Returns the state of a request.
     pub fn get(&self, request: RequestId) -> Option<&RequestState<T>> {
         self.requests.get(&request)
     }
 
-    /// The state of a request.
+    /// Returns the state of a request.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut RequestState<T>> {
         self.requests.get_mut(&request)
     }
 
-    /// Adds a request that has just arrived.
+    /// Adds a request.
     pub fn insert(&mut self, request: RequestId, arrived_at: Micros, deadline: Micros, data: T) {
         let state =
             RequestState { arrived_at, deadline, attempts: Vec::new(), ended: false, timed_out: false, data };
         self.requests.insert(request, state);
     }
 
-    /// Adds an attempt that `Control` orders; none where the request is not in the table.
+    /// Adds an attempt requested by `Control`; returns `None` if the request is not in the table.
     pub fn start_attempt(
         &mut self,
         now: Micros,
@@ -234,15 +235,15 @@
         Some(Started::InFlight(id))
     }
 
-    /// The moment for which the caller is to set a timer that leads to [`Self::pop_timed_out`]; none where
-    /// one that is set already fires early enough.
+    /// Returns the time at which the caller must call [`Self::pop_timed_out`], or `None` if a timer returned
+    /// earlier fires soon enough.
     pub fn next_timer(&mut self) -> Option<Micros> {
         let first = self.by_timeout.first().map(|(times_out_at, _)| *times_out_at)?;
         let is_earlier = self.timer_at.is_none_or(|at| first < at);
         is_earlier.then(|| *self.timer_at.insert(first))
     }
 
-    /// An attempt whose timeout is over; each is handed out once.
+    /// Removes and returns an attempt that has timed out, if any.
     pub fn pop_timed_out(&mut self, now: Micros) -> Option<AttemptId> {
         self.timer_at = self.timer_at.filter(|at| *at > now);
         let (_, id) = *self.by_timeout.first().filter(|(times_out_at, _)| *times_out_at <= now)?;
@@ -250,8 +251,8 @@
         Some(id)
     }
 
-    /// Closes an attempt. Gives what `Control` is to be told of it, the first time only. A request that has
-    /// ended is dropped with its last attempt in flight.
+    /// Closes an attempt and returns the result to be reported to `Control`, or `None` if the attempt is
+    /// closed already. An ended request is dropped with its last attempt in flight.
     pub fn close_attempt(
         &mut self,
         now: Micros,
@@ -268,19 +269,19 @@
         Some(result)
     }
 
-    /// Marks a request as ended: its state the first time, none after that.
+    /// Marks a request as ended and returns its state, or `None` if it has ended already.
     pub fn end(&mut self, request: RequestId) -> Option<&mut RequestState<T>> {
         let state = self.requests.get_mut(&request).filter(|state| !state.ended)?;
         state.ended = true;
         Some(state)
     }
 
-    /// Drops a request that nobody waits for and of which nothing was ever sent.
+    /// Drops a request that was never sent and whose clients have all disconnected.
     pub fn remove(&mut self, request: RequestId) {
         self.requests.remove(&request);
     }
 
-    /// Drops a request that has ended and has no attempt in flight.
+    /// Drops a request if it has ended and has no attempt in flight.
     pub fn remove_if_done(&mut self, request: RequestId) {
         if self.requests.get(&request).is_some_and(|state| state.ended && state.in_flight() == 0) {
             self.requests.remove(&request);
@@ -288,7 +289,7 @@
     }
 }
 
-/// The result of an attempt of which no response tells more than its outcome.
+/// Returns an attempt result with an outcome only, for attempts without a response.
 pub fn attempt_result(outcome: Outcome) -> AttemptResult {
     AttemptResult {
         outcome,
