--- a/crates/gateway/src/deferred.rs
+++ b/crates/gateway/src/deferred.rs
@@ -1,26 +1,27 @@
-//! Timers of a machine around `Control`. Two kinds of timer share the reactor's [`Wake`] numbers: those that
-//! `Control` sets carry its token as an even number, and calls that the machine defers have odd numbers.
+//! Timers of a state machine that contains `Control`. Two kinds of timers share the reactor's [`Wake`]
+//! numbers: timers of `Control` have even numbers, which encode its token, and deferred calls of the machine
+//! have odd numbers.
 //!
-//! Owned here: the deferred calls that have not been made yet.
+//! State: the deferred calls that have not been made yet.
 use applepond::interface::{Micros, TimerToken};
 use applepond_reactor::{Transport, Wake};
 use std::collections::BTreeMap;
 
-/// A call on the machine `M` that is made when its timer fires.
+/// A call on the state machine `M`, made when its timer fires.
 pub type DeferredCall<M> = Box<dyn FnOnce(&mut M, Micros, &mut dyn Transport)>;
 
-/// What a fired timer stands for.
+/// The purpose of a timer that has fired.
 pub enum FiredTimer<M> {
-    /// A timer that `Control` set.
+    /// A timer set by `Control`.
     Control(TimerToken),
-    /// A deferred call, to be made now.
+    /// A deferred call that is due.
     Call(DeferredCall<M>),
 }
 
-/// The calls that a machine has deferred.
+/// The deferred calls of a state machine.
 pub struct DeferredCalls<M> {
     calls: BTreeMap<u64, DeferredCall<M>>,
-    /// Odd.
+    /// Wake number of the last deferred call; always odd.
     last_number: u64,
 }
 
@@ -31,7 +32,7 @@
 }
 
 impl<M> DeferredCalls<M> {
-    /// Has `call` made after `delay`.
+    /// Schedules `call` to be made after `delay`.
     pub fn schedule(
         &mut self,
         now: Micros,
@@ -44,17 +45,17 @@
         transport.wake_at(now + delay, Wake(self.last_number));
     }
 
-    /// Sets a timer of `Control`. They are many, so nothing is stored for them.
+    /// Sets a timer of `Control`. There are many of these, so no state is kept for them.
     pub fn schedule_control(now: Micros, transport: &mut dyn Transport, delay: Micros, token: TimerToken) {
         transport.wake_at(now + delay, Wake(token.0 << 1));
     }
 
-    /// Whether a timer is one that `Control` set.
+    /// Whether a timer was set by `Control`.
     pub fn is_control(wake: Wake) -> bool {
         wake.0 & 1 == 0
     }
 
-    /// What a timer that has fired stands for; each deferred call is handed out once.
+    /// Returns the purpose of a timer that has fired; each deferred call is returned once.
     pub fn fired(&mut self, wake: Wake) -> Option<FiredTimer<M>> {
         if Self::is_control(wake) {
             return Some(FiredTimer::Control(TimerToken(wake.0 >> 1)));
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -1,10 +1,10 @@
-//! The worker side: one connection to a worker, and how a response on it is read.
+//! A connection to a worker, and the reading of responses on it.
 //!
-//! A connection carries one attempt at a time. Closing it is the cancel: HTTP/1.1 has no other one that the
-//! worker sees on the same connection, and it reaches a worker that still reads the request as well as one
-//! that runs it.
+//! A connection carries one attempt at a time. Closing it cancels the attempt: HTTP/1.1 has no other signal
+//! on the same connection, and the close reaches a worker that is still reading the request as well as one
+//! that is running it.
 //!
-//! Owned here: which attempt a connection carries and the part of its response that has arrived.
+//! State: the attempt of a connection and the part of its response received so far.
 use crate::request_table::AttemptId;
 use applepond::interface::{LoadState, WorkerId};
 use applepond_http::Fault;
@@ -12,34 +12,35 @@
 use applepond_http::decode::{Decoder, Fields, Side, Visitor};
 use applepond_http::encode::Lines;
 
-/// Bytes of a response's head and body at most: a response beyond it counts as broken.
+/// Maximum size of a response's head; a larger response is invalid.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of a response's body; a larger response is invalid.
 const MAX_BODY_BYTES: u64 = 8 * 1024 * 1024;
 
-/// Header fields with this prefix are the worker's own, about the request or about itself.
+/// Prefix of the header fields in which a worker reports on the request or on itself.
 const WORKER_FIELD_PREFIX: &str = "applepond-";
-/// Header fields with this prefix are attributes of the result event.
+/// Prefix of the header fields that are attributes of the result event.
 const EVENT_FIELD_PREFIX: &str = "ce-";
 
-/// A response while it comes in.
+/// A response as far as it has been received.
 pub(crate) struct WorkerResponse {
     pub(crate) status: u16,
-    /// The worker's own verdict on the request: `full` or `missing`, which prove that it has not run.
+    /// The worker's verdict on the request, `full` or `missing`; either proves that the request has not run.
     pub(crate) verdict: Option<String>,
-    /// The state of the function's copy when the request came.
+    /// Whether the function was loaded at the worker when the request arrived.
     pub(crate) load_state: LoadState,
-    /// Requests of the same function that the worker had when this one arrived; 0 where not reported.
+    /// Requests for the same function that the worker had when this one arrived; 0 if not reported.
     pub(crate) same_function_in_flight: u32,
-    /// Requests of all functions that the worker has in flight, where it reports them.
+    /// Requests for all functions that the worker has in flight, if reported.
     pub(crate) reported_in_flight: Option<f64>,
-    /// Loads in progress or queued at the worker, where it reports them.
+    /// Loads in progress or queued at the worker, if reported.
     pub(crate) reported_loads: Option<f64>,
-    /// Fields for the client: the result event's attributes and its media type.
+    /// Header fields for the client: the result event's attributes and its media type.
     pub(crate) fields: Lines,
     pub(crate) body: Vec<u8>,
     /// The response is a CloudEvent.
     pub(crate) is_event: bool,
-    /// Set once the response is complete: whether the connection may carry another request.
+    /// Whether the connection may carry another request; set once the response is complete.
     pub(crate) keep_alive: Option<bool>,
 }
 
@@ -61,7 +62,7 @@
 }
 
 impl WorkerResponse {
-    /// Reads one of the worker's own header fields, by its name without the prefix.
+    /// Reads a header field with [`WORKER_FIELD_PREFIX`], given by its name without the prefix.
     fn read_worker_field(&mut self, name: &str, value: &str) {
         let number = || value.parse::<f64>().ok().filter(|number| number.is_finite());
         match name.to_ascii_lowercase().as_str() {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The copy that answered was loaded when the request came.
+    /// Whether the function was already loaded when the request arrived.
     pub(crate) fn was_loaded(&self) -> bool {
         self.load_state != LoadState::LoadStarted && self.load_state != LoadState::LoadPending
     }
@@ -93,19 +94,19 @@
     fn data(&mut self, _: Option<&str>, _: Vec<u8>) {}
 }
 
-/// Whether a header field's name starts with a prefix, in any case.
+/// Whether a header field's name starts with a prefix, ignoring ASCII case.
 fn has_prefix(name: &str, prefix: &str) -> bool {
     name.get(..prefix.len()).is_some_and(|start| start.eq_ignore_ascii_case(prefix))
 }
 
 impl Visitor for WorkerResponse {
     fn request(&mut self, _: &str, _: &str, _: &Fields<'_>) -> Result<(), Fault> {
-        Err(Fault::new(400, "bad-head", "an answer is wanted"))
+        Err(Fault::new(400, "bad-head", "expected a response, got a request"))
     }
 
     fn response(&mut self, status: u16, fields: &Fields<'_>) -> Result<(), Fault> {
         self.status = status;
-        // One pass over the fields: a response has a dozen, and looking each name up would be a dozen passes.
+        // A single pass: a response has about a dozen fields, and each lookup by name would be a pass.
         for (name, value) in fields.iter() {
             let Ok(value) = std::str::from_utf8(value) else { continue };
             if has_prefix(name, WORKER_FIELD_PREFIX) {
@@ -133,20 +134,20 @@
 /// One connection to a worker.
 pub(crate) struct WorkerConnection {
     pub(crate) worker: WorkerId,
-    /// It is established.
+    /// The connection is established.
     pub(crate) connected: bool,
-    /// It has carried a complete response before.
+    /// A complete response has been received on it before.
     pub(crate) reused: bool,
-    /// The attempt that it carries; none while it is idle.
+    /// Its attempt; `None` while it is idle.
     pub(crate) attempt: Option<AttemptId>,
-    /// Bytes that the kernel had taken before this attempt's request.
+    /// Bytes that the kernel had accepted for sending before the current attempt.
     pub(crate) sent_before: u64,
     pub(crate) decoder: Decoder,
     pub(crate) response: WorkerResponse,
 }
 
 impl WorkerConnection {
-    /// A connection that is being established for an attempt.
+    /// Creates the state of a connection that is being established for an attempt.
     pub(crate) fn new(worker: WorkerId, attempt: AttemptId) -> Self {
         WorkerConnection {
             worker,
