--- a/crates/gateway/src/idempotency.rs
+++ b/crates/gateway/src/idempotency.rs
@@ -1,18 +1,18 @@
-//! The idempotency table: which exchanges share a request, and which get a cached answer after its end.
+//! The idempotency table: deduplicates events of clients, and caches final answers for replay.
 //!
-//! CloudEvents makes two events with the same `source` and `id` the same event, so this pair is the key. An
-//! exchange whose key belongs to a request in progress joins it. After the end, the answer is replayed where
-//! running the request again could do harm, or would only repeat work. Answers are cached for a time, up to a
-//! number and a sum of bytes.
+//! By the CloudEvents specification, two events with the same `source` and `id` are duplicates, so this pair
+//! is the key. An event whose key belongs to a request in progress joins that request. After its end, the
+//! answer is replayed if running the request again could do harm or would only repeat work. The cache of
+//! answers is bounded by age, number and total size.
 //!
-//! Owned here: the keys in progress and the cached answers. Written by the gateway when a request or a
-//! workflow starts, ends, or is dropped because its last client left before anything was sent.
+//! State: the keys in progress and the cached answers. Updated by the gateway when a request or a workflow
+//! starts or ends, or is dropped because its last client disconnected before anything was sent.
 use crate::deployment::AnswerRetention;
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// `source` and `id` of an event: two events with the same key are the same request.
+/// `source` and `id` of an event; events with the same key belong to the same request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct IdempotencyKey {
     pub(crate) source: Rc<str>,
@@ -24,38 +24,38 @@
         IdempotencyKey { source: Rc::from(source), id: Rc::from(id) }
     }
 
-    /// Bytes that the key itself takes.
+    /// Size of the key in bytes.
     fn len(&self) -> usize {
         self.source.len() + self.id.len()
     }
 }
 
-/// How a request ended for its clients.
+/// How a request ended, as reported to its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalOutcome {
-    /// A worker ran it and answered.
+    /// A worker ran it and responded.
     Finished,
-    /// It never ran; a retry does no harm.
+    /// It never ran; it is safe to retry.
     Rejected,
-    /// It did not finish; it may have run.
+    /// It did not finish, but may have run.
     Failed,
 }
 
-/// What to do with an exchange that carries a key.
+/// Result of looking up the key of an event.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Lookup<A> {
-    /// The key is unknown: the exchange starts a request of its own.
+    /// The key is unknown: the event starts a new request.
     New,
-    /// A request with this key is in progress; the exchange waits for its answer.
+    /// A request with this key is in progress; the event joins it.
     InProgress(RequestId),
-    /// A request with this key has ended; the exchange gets its answer.
+    /// A request with this key has ended; its answer is replayed.
     Completed(Rc<A>),
 }
 
-/// The end of a request, as the table needs to know it.
+/// The end of a request.
 pub(crate) struct Completion<A> {
     pub(crate) outcome: FinalOutcome,
-    /// Whether the request may run again, by the configuration under which it was accepted.
+    /// Retry safety as configured when the request was accepted.
     pub(crate) retry_safety: RetrySafety,
     pub(crate) answer: Rc<A>,
     /// Size of the answer.
@@ -65,28 +65,27 @@
 /// An answer that is replayed until it expires.
 struct CachedAnswer<A> {
     expires_at: Micros,
-    /// Number of the completion: tells apart answers that expire at the same time.
+    /// Sequence number of the completion; distinguishes answers that expire at the same time.
     sequence: u64,
-    /// Size of answer and key.
+    /// Size of the answer and its key.
     bytes: usize,
     answer: Rc<A>,
 }
 
-/// Keys in progress and cached answers; `A` is the answer.
+/// Keys in progress and cached answers of type `A`.
 pub(crate) struct IdempotencyTable<A> {
     in_progress: HashMap<IdempotencyKey, RequestId>,
     cached: HashMap<IdempotencyKey, CachedAnswer<A>>,
-    /// Expiry, sequence number and key of each cached answer; the first expires first.
+    /// Expiry, sequence number and key of each cached answer, in the order of expiry.
     by_expiry: BTreeSet<(Micros, u64, IdempotencyKey)>,
     last_sequence: u64,
-    /// Sum of the cached answers' bytes.
+    /// Total size of the cached answers and their keys.
     cached_bytes: usize,
     retention: AnswerRetention,
 }
 
-/// Whether a request's answer is replayed after its end. A rejection invites a retry, so that must be a new
-/// request. A failure says nothing of whether it ran, and what may have run must not run again unless it is
-/// idempotent.
+/// Whether a request's answer is replayed after its end. A rejection invites a retry, which must start a new
+/// request. After a failure the request may have run, so only an idempotent one may run again.
 fn is_replayed(outcome: FinalOutcome, retry_safety: RetrySafety) -> bool {
     match outcome {
         FinalOutcome::Finished => true,
@@ -96,7 +95,7 @@
 }
 
 impl<A> IdempotencyTable<A> {
-    /// An empty table.
+    /// Creates an empty table.
     pub(crate) fn new(retention: AnswerRetention) -> Self {
         IdempotencyTable {
             in_progress: HashMap::new(),
@@ -108,12 +107,12 @@
         }
     }
 
-    /// Answers cached now.
+    /// Returns the number of cached answers.
     pub(crate) fn cached_answers(&self) -> usize {
         self.cached.len()
     }
 
-    /// Says what an exchange with this key is.
+    /// Looks up the key of an event, after dropping expired answers.
     pub(crate) fn look_up(&mut self, now: Micros, key: &IdempotencyKey) -> Lookup<A> {
         self.drop_expired(now);
         if let Some(request) = self.in_progress.get(key) {
@@ -122,17 +121,17 @@
         self.cached.get(key).map_or(Lookup::New, |cached| Lookup::Completed(cached.answer.clone()))
     }
 
-    /// A request or workflow with this key has started.
+    /// Records that a request or workflow with this key has started.
     pub(crate) fn start(&mut self, key: IdempotencyKey, request: RequestId) {
         self.in_progress.insert(key, request);
     }
 
-    /// A request that was never sent is dropped, as no exchange waits for it any more.
+    /// Removes the key of a request that is dropped before it was sent, as no client waits for it.
     pub(crate) fn abandon(&mut self, key: &IdempotencyKey) {
         self.in_progress.remove(key);
     }
 
-    /// A request has ended; its answer is cached where it is to be replayed.
+    /// Records the end of a request, and caches its answer if it is to be replayed.
     pub(crate) fn complete(&mut self, now: Micros, key: &IdempotencyKey, completion: Completion<A>) {
         self.in_progress.remove(key);
         let replayed = is_replayed(completion.outcome, completion.retry_safety);
@@ -153,7 +152,7 @@
         self.drop_expired(now);
     }
 
-    /// Drops what has expired, and the oldest answers until the bounds are met.
+    /// Drops expired answers, and then the oldest ones until the limits are met.
     fn drop_expired(&mut self, now: Micros) {
         while let Some((expires_at, _, _)) = self.by_expiry.first()
             && (*expires_at <= now
--- a/crates/gateway/src/idempotency/tests.rs
+++ b/crates/gateway/src/idempotency/tests.rs
@@ -1,4 +1,4 @@
-//! What an exchange gets whose key is known, and the table's bounds.
+//! Replay of cached answers, and the limits of the cache.
 use super::{Completion, FinalOutcome, IdempotencyKey, IdempotencyTable, Lookup};
 use crate::deployment::AnswerRetention;
 use applepond::interface::{IdempotencyScope, Micros, RequestId, RetrySafety};
@@ -19,9 +19,9 @@
     IdempotencyTable::new(AnswerRetention { time, max_answers, max_bytes })
 }
 
-#[test_case(FinalOutcome::Finished, RetrySafety::Idempotent, true; "finished: the work is done")]
+#[test_case(FinalOutcome::Finished, RetrySafety::Idempotent, true; "finished idempotent")]
 #[test_case(FinalOutcome::Finished, RetrySafety::AtMostOnce, true; "finished at-most-once")]
-#[test_case(FinalOutcome::Rejected, RetrySafety::AtMostOnce, false; "rejected: a retry is invited")]
+#[test_case(FinalOutcome::Rejected, RetrySafety::AtMostOnce, false; "rejected may be retried")]
 #[test_case(FinalOutcome::Failed, RetrySafety::Idempotent, false; "failed idempotent may run again")]
 #[test_case(FinalOutcome::Failed, KEYED, true; "failed keyed may have run")]
 #[test_case(FinalOutcome::Failed, RetrySafety::AtMostOnce, true; "failed at-most-once may have run")]
@@ -35,9 +35,9 @@
     table.start(key(1), request(1));
     assert_eq!(table.look_up(5, &key(1)), Lookup::InProgress(request(1)), "while it runs");
     table.complete(10, &key(1), Completion { outcome, retry_safety, answer: Rc::new("answer"), bytes: 6 });
-    let want = if replayed { Lookup::Completed(Rc::new("answer")) } else { Lookup::New };
-    assert_eq!(table.look_up(1009, &key(1)), want);
-    assert_eq!(table.look_up(1010, &key(1)), Lookup::New, "after its time");
+    let expected = if replayed { Lookup::Completed(Rc::new("answer")) } else { Lookup::New };
+    assert_eq!(table.look_up(1009, &key(1)), expected);
+    assert_eq!(table.look_up(1010, &key(1)), Lookup::New, "expired");
 }
 
 #[test_case(4, 100_000; "by number")]
