--- a/crates/gateway/src/attempt_outcome.rs
+++ b/crates/gateway/src/attempt_outcome.rs
@@ -1,24 +1,24 @@
-//! Retry safety at the connection: whether an attempt may have run, judged only by what happened on its
-//! connection. `Control` decides from the [`Outcome`] given here whether the request may run again, so an
-//! attempt of which any byte has left must never be reported as one that did not run.
+//! Classification of attempts: whether an attempt may have run, judged only by the events on its connection.
+//! From the [`Outcome`] determined here, `Control` decides whether the request may run again. An attempt of
+//! which any byte has been sent must therefore never be reported as one that did not run.
 //!
-//! Pure functions without state, shared by the gateway and the platform's node.
+//! Pure functions, shared by the gateway and the platform's node.
 use applepond::interface::Outcome;
 use applepond_reactor::Closed;
 
-/// How far a request had been sent when its connection ended.
+/// How much of a request had been sent when its connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendProgress {
     /// The connection was never established.
     NotConnected,
-    /// It was established, and the kernel has taken no byte of the request.
+    /// The connection was established, but the kernel has accepted no byte of the request for sending.
     NothingSent,
-    /// The kernel has taken some of it: the worker may have read any part of it, or all.
+    /// The kernel has accepted some bytes of the request; the worker may have read any part of it, or all.
     Sent,
 }
 
-/// The progress of a request on a connection that is, or is not, established. `sent_before` and `sent` count
-/// the bytes that the kernel had taken on it before the request, and has taken now.
+/// Returns the progress of a request. `connected` is whether its connection was established; `sent_before`
+/// and `sent` are the bytes that the kernel had accepted on the connection before the request, and until now.
 pub fn send_progress(connected: bool, sent_before: u64, sent: u64) -> SendProgress {
     match (connected, sent > sent_before) {
         (false, _) => SendProgress::NotConnected,
@@ -27,9 +27,8 @@
     }
 }
 
-/// What the end of its connection means for an attempt. A request of which no byte has left has never run,
-/// however the connection ended; one of which any byte has left may have run, though the peer may never have
-/// read it.
+/// Returns the outcome of an attempt whose connection has ended. If no byte was sent, the request has not
+/// run, however the connection ended. If any byte was sent, it may have run, even if the peer never read it.
 pub fn on_disconnect(progress: SendProgress) -> Outcome {
     match progress {
         SendProgress::NotConnected | SendProgress::NothingSent => Outcome::ConnectFailed,
@@ -37,21 +36,22 @@
     }
 }
 
-/// What it means that this side ends an attempt of which nothing has been sent: it never ran. A connection
-/// that took nothing until the attempt's timeout counts as one that was never established.
+/// Returns the outcome of an attempt that this side ends, with `outcome` as the cause, before anything was
+/// sent: it never ran. A connection that accepted no byte until the attempt's timeout counts as never
+/// established.
 pub fn on_local_end_unsent(outcome: Outcome) -> Outcome {
     if outcome == Outcome::TimedOut { Outcome::ConnectFailed } else { Outcome::Superseded }
 }
 
-/// Whether the same attempt may be sent on a new connection without reporting the first failure to `Control`:
-/// only where a reused connection had been closed by the worker while it was idle, and nothing of the request
-/// has been sent.
+/// Whether an attempt may be sent again on a new connection without reporting the failure to `Control`: only
+/// if the worker had closed a reused connection while it was idle, and nothing of the request was sent.
 pub fn may_resend(progress: SendProgress, reused: bool, closed: Closed) -> bool {
     progress == SendProgress::NothingSent && reused && closed != Closed::Overflow
 }
 
-/// What a complete response means. Only the worker's own verdict, from its `applepond-outcome` header, proves
-/// that the request has not run: a proxy on the way may answer 503 or 404 to a request that has run.
+/// Returns the outcome of an attempt with a complete response. Only the worker's verdict, from its header
+/// `applepond-outcome`, proves that the request has not run: an intermediate proxy may respond with 503 or
+/// 404 to a request that has run.
 pub fn from_response(status: u16, verdict: Option<&str>, is_event: bool) -> Outcome {
     match (status, verdict) {
         (200, None) if is_event => Outcome::Finished,
--- a/crates/gateway/src/deadline.rs
+++ b/crates/gateway/src/deadline.rs
@@ -1,30 +1,31 @@
-//! How long a request has until its final answer, from its workload's limit and from what its event asks for.
+//! The time a request has until its final answer, from its workload's limit and the deadline in its event.
 use applepond::interface::Micros;
 use applepond_http::Fault;
 
-/// Time kept back for the answer's way to the client: it must have arrived by the deadline, not just left.
+/// Time reserved for the transmission of the answer, which must arrive at the client by the deadline.
 pub const RESPONSE_MARGIN: Micros = 10_000;
 
-/// What an event says of its own deadline.
+/// The deadline requested by an event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestedDeadline {
-    /// `expirytime` of the published CloudEvents extensions: µs since the Unix epoch.
+    /// `expirytime` of the published CloudEvents extensions, in µs since the Unix epoch.
     pub expires_at: Option<Micros>,
-    /// `timelimit`, an extension of this project: time from the event's arrival here.
+    /// `timelimit`, an extension of this project: time from the event's arrival at the router.
     pub time_limit: Option<Micros>,
 }
 
-/// The answer to an event whose deadline cannot be read.
+/// Returns the 400 error for an event with an invalid deadline.
 fn bad_time(detail: String) -> Fault {
     Fault::new(400, "bad-time", detail)
 }
 
 impl RequestedDeadline {
-    /// Reads one attribute of the event; attributes that say nothing of its deadline are ignored.
+    /// Reads one attribute of the event; attributes unrelated to the deadline are ignored.
     ///
     /// # Errors
     ///
-    /// A 400 answer, where `expirytime` is no RFC 3339 time or `timelimit` no whole number of milliseconds.
+    /// Returns a 400 error if `expirytime` is not an RFC 3339 time or `timelimit` is not a whole number of
+    /// milliseconds.
     pub fn read_attribute(&mut self, name: &str, value: &str) -> Result<(), Fault> {
         match name {
             "expirytime" => {
@@ -45,9 +46,9 @@
     }
 }
 
-/// Time left for a request that arrived now; none where it is already too late to answer it. The nearest of
-/// the workload's limit, `time_limit` and `expires_at` counts: a client may shorten its request's time, not
-/// stretch it, and of two limits of its own the nearer one is when it stops waiting.
+/// Returns the time left for a request that arrived now, or `None` if it is too late to answer it. The
+/// earliest of the workload's limit, `time_limit` and `expires_at` applies: a client may shorten the time of
+/// its request but not extend it, and it stops waiting at the earlier of its own two limits.
 pub fn time_left(now: Micros, workload_limit: Micros, requested: RequestedDeadline) -> Option<Micros> {
     let until_expiry = requested.expires_at.map(|at| at.saturating_sub(now));
     let limits = [Some(workload_limit), requested.time_limit, until_expiry];
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,23 +1,24 @@
-//! Merges a new configuration into the running one: which settings may change without a restart, and how the
-//! indices of the old and the new configuration fit together.
+//! Merges a new configuration into the running one: checks which settings may change without a restart, and
+//! maps the indices of the new configuration to those of the old one.
 //!
-//! Requests in flight hold indices of workloads, customers and zones, so an entry never moves. One that the
-//! new configuration leaves out stays, without event types or without a share, and gets its place back when a
-//! later configuration names it again.
+//! Requests in flight refer to workloads, customers and zones by index, so an entry never moves. An entry
+//! that the new configuration omits remains, without event types (workloads) or with a quota of zero
+//! (customers), and is reused if a later configuration names it again.
 use crate::deployment::{Deployment, FleetConfig, WorkloadEvents};
 use applepond::interface::{CustomerConfig, WorkloadConfig};
 
-/// Names that workloads, customers or zones may come to over all reloads. Reloading to and fro adds none; far
-/// more than any deployment has, so beyond it the settings are a mistake.
+/// Maximum number of names of workloads, customers or zones, each accumulated over all reloads. Switching
+/// back to an earlier configuration adds none. Far more than any deployment has, so more indicate a mistake.
 const MAX_NAMES: usize = 10_000;
 
-/// Keys of the settings file that differ and that only a restart can change.
+/// Changed keys of the settings file that require a restart.
 pub type RestartOnlyKeys = Vec<&'static str>;
 
-/// Old names with the new ones appended, and the index of each new name among them.
+/// The names of both configurations.
 struct MergedNames {
+    /// The old names in order, followed by those that are only in the new configuration.
     all: Vec<String>,
-    /// By the index in the new configuration.
+    /// Index into `all` of each name of the new configuration, in its order.
     indices: Vec<usize>,
 }
 
@@ -39,7 +40,8 @@
 ///
 /// # Errors
 ///
-/// The keys of the settings file that only a restart can change; nothing of `new` is to be applied then.
+/// Returns the changed keys of the settings file that require a restart; no part of `new` may be applied
+/// then.
 pub fn merge(old: &Deployment, new: Deployment) -> Result<Deployment, RestartOnlyKeys> {
     let mut refused = changed_restart_only_keys(old, &new);
     let name = |workload: &WorkloadEvents| workload.name.clone();
@@ -78,7 +80,7 @@
     })
 }
 
-/// The settings that are compared as a whole: they hold from the start of a process to its end.
+/// Returns the keys of the settings that differ but are fixed for the lifetime of a process.
 fn changed_restart_only_keys(old: &Deployment, new: &Deployment) -> RestartOnlyKeys {
     let (old_answers, new_answers) = (&old.answer_retention, &new.answer_retention);
     let same_fleet =
@@ -99,8 +101,8 @@
     compared.iter().filter(|(_, same)| !same).map(|(key, _)| *key).collect()
 }
 
-/// Puts each new workload in its merged place; workloads that the new configuration leaves out keep their
-/// entry and lose their event types.
+/// Merges workloads by index. Those omitted from the new configuration keep their entry but lose their event
+/// types.
 fn merge_workloads(
     old: &Deployment,
     indices: &[usize],
@@ -121,8 +123,8 @@
     (workloads, configs)
 }
 
-/// Customers that the new configuration leaves out keep their index and get a share of zero: requests that
-/// name them are refused.
+/// Merges customers by index. Those omitted from the new configuration keep their index with a quota of zero,
+/// so that requests of theirs are refused.
 fn merge_customers(names: &MergedNames, new_configs: Vec<CustomerConfig>) -> Vec<CustomerConfig> {
     let mut customers = vec![CustomerConfig { requests_per_second: 0.0 }; names.all.len()];
     for (index, config) in names.indices.iter().zip(new_configs) {
