--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,17 +1,17 @@
-//! One router instance as a machine without I/O. It reads the exchanges of clients, asks `Control` of the
-//! root package for every routing decision, carries its actions out on connections to workers, and gives
-//! each request exactly one final answer.
+//! One router instance as a state machine without I/O. It reads client requests, delegates every routing
+//! decision to `Control` (root package), executes the resulting actions on connections to workers, and sends
+//! exactly one final response per request.
 //!
-//! The shell around it (`applepond serve`) provides connections, time and configuration; tests provide
-//! simulated ones. Decisions that are made here and not in `Control`:
+//! The host process (`applepond serve`) provides connections, time and configuration; tests provide
+//! simulated ones. Decisions made here rather than in `Control`:
 //!
-//! - `attempt_outcome`: whether an attempt may have run, from what happened on its connection;
-//! - `idempotency`: which exchanges share a request, and whose answer is replayed after its end;
-//! - `deadline`: how long a request has;
-//! - `endpoint_list`: what a message of the endpoint list does to the record of a worker;
+//! - `attempt_outcome`: whether an attempt may have run, judged by the events on its connection;
+//! - `idempotency`: which events are duplicates of one request, and which responses are replayed to them;
+//! - `deadline`: the time limit of a request;
+//! - `endpoint_list`: how a message of the endpoint list changes a worker's record;
 //! - `reload`: what a new configuration may change in a running instance.
 //!
-//! Everything else is in [`Gateway`]; its module says which file handles which event. `request_table`,
+//! Everything else is in [`Gateway`]; its module lists which file handles which event. `request_table`,
 //! `attempt_outcome` and `deferred` also serve the platform's router, `applepond-node`.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
