--- a/crates/cli/src/fleet/adapters.rs
+++ b/crates/cli/src/fleet/adapters.rs
@@ -2,7 +2,7 @@
 use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_fleet::FleetView;
 use applepond_gateway::{
-    HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker, TrafficBaseline,
+    HistoryStore, PrefixTracker, RestoredTraffic, RestoredWorker, ScheduledRetry, TrafficBaseline,
 };
 use applepond_reactor::Micros;
 use applepond_recovery::ObservationStore;
@@ -47,7 +47,7 @@
         let baseline = [first_attempts_per_second, connections_per_second, pace];
         self.observations.borrow_mut().record_baseline(now, baseline);
     }
-    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry) {
+    fn record_scheduled_retry(&mut self, now: Micros, retry: ScheduledRetry) {
         self.observations.borrow_mut().record_scheduled_retry(now, retry.request, retry.wait);
     }
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
@@ -55,8 +55,8 @@
         let baseline = baseline.map(|[first_attempts_per_second, connections_per_second, pace]| {
             TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
         });
-        let promised = retries.into_iter().map(|(request, wait)| PromisedRetry { request, wait });
-        Some(RestoredTraffic { baseline, promised_retries: promised.collect() })
+        let promised = retries.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
+        Some(RestoredTraffic { baseline, scheduled_retries: promised.collect() })
     }
     fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
         let pending = self.observations.borrow_mut().pending_worker_history(now).into_iter();
--- a/crates/gateway/src/gateway/completion.rs
+++ b/crates/gateway/src/gateway/completion.rs
@@ -3,7 +3,7 @@
 //!
 //! Entry points: `Control`'s reject and fail actions, and the first attempt of a request that finishes.
 use super::Gateway;
-use super::extensions::PromisedRetry;
+use super::extensions::ScheduledRetry;
 use super::request::RequestData;
 use super::workflow::{EndedStep, StepEnd};
 use crate::client::Answer;
@@ -27,7 +27,7 @@
         let retry_after = retry_after.and_then(|wait| self.spread_retry(now, request, wait));
         let content = self.requests.get(request).map(|state| &state.data.content);
         if let (Some(history), Some(content), Some(wait)) = (&mut self.history, content, retry_after) {
-            history.record_promised_retry(now, PromisedRetry { request: content.digest, wait });
+            history.record_scheduled_retry(now, ScheduledRetry { request: content.digest, wait });
         }
         let fault = Fault::new(503, "pushed-back", "there is no room in time; a retry does no harm");
         let id = content.map(|content| content.key.id.clone());
--- a/crates/gateway/src/gateway/extensions.rs
+++ b/crates/gateway/src/gateway/extensions.rs
@@ -22,9 +22,9 @@
     pub pace: f64,
 }
 
-/// A rejected request whose client was told when to retry it.
+/// The retry of a rejected request, whose client was told when to send it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromisedRetry {
+pub struct ScheduledRetry {
     /// Digest of the request.
     pub request: u64,
     /// Time until the client may retry.
@@ -36,8 +36,8 @@
 pub struct RestoredTraffic {
     /// The usual traffic, if it was known.
     pub baseline: Option<TrafficBaseline>,
-    /// Promised retries that are still due.
-    pub promised_retries: Vec<PromisedRetry>,
+    /// Scheduled retries that are still due.
+    pub scheduled_retries: Vec<ScheduledRetry>,
 }
 
 /// Known history of one incarnation of a worker, from before a restart or from other routers.
@@ -61,7 +61,7 @@
     /// Stores the usual traffic of this router.
     fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline);
     /// Stores that a client was told to retry a request after a delay.
-    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry);
+    fn record_scheduled_retry(&mut self, now: Micros, retry: ScheduledRetry);
     /// Returns the state from before the restart, on the first call only.
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic>;
     /// Returns the history of workers that `Control` has not restored yet.
--- a/crates/gateway/src/gateway/history.rs
+++ b/crates/gateway/src/gateway/history.rs
@@ -52,7 +52,7 @@
                 let rates = (usual.first_attempts_per_second, usual.connections_per_second);
                 self.admission.recall(now, rates, usual.pace);
             }
-            for retry in restored.promised_retries {
+            for retry in restored.scheduled_retries {
                 self.admission.told(retry.request, now + retry.wait);
             }
         }
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -1,7 +1,7 @@
 //! Events of clients: each one joins a request in progress, gets a cached answer, is refused, or starts a
 //! request or a workflow. An `Err` of these methods is an answer to be sent to the client at once.
 use super::Gateway;
-use super::extensions::PromisedRetry;
+use super::extensions::ScheduledRetry;
 use super::request::{NewRequest, PromptPrefix, RequestContent};
 use crate::client::{Answer, ReceivedEvent};
 use crate::deadline;
@@ -236,7 +236,7 @@
     ) -> Rc<Answer> {
         self.counters.shed += 1;
         if let (Some(history), Some(wait)) = (&mut self.history, retry_after) {
-            history.record_promised_retry(now, PromisedRetry { request: digest, wait });
+            history.record_scheduled_retry(now, ScheduledRetry { request: digest, wait });
         }
         tracing::debug!(id, reason, "load shed");
         let status = if reason == "retry-budget" { 429 } else { 503 };
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -51,8 +51,8 @@
 mod workflow;
 
 pub use extensions::{
-    ConfigSource, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker, StatusSection,
-    TrafficBaseline,
+    ConfigSource, HistoryStore, PrefixTracker, RestoredTraffic, RestoredWorker, ScheduledRetry,
+    StatusSection, TrafficBaseline,
 };
 
 /// One router instance.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -31,6 +31,6 @@
 
 pub use deployment::Deployment;
 pub use gateway::{
-    ConfigSource, Gateway, HistoryStore, PrefixTracker, PromisedRetry, RestoredTraffic, RestoredWorker,
+    ConfigSource, Gateway, HistoryStore, PrefixTracker, RestoredTraffic, RestoredWorker, ScheduledRetry,
     StatusSection, TrafficBaseline,
 };
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -4,7 +4,7 @@
 use applepond::interface::{FunctionId, Micros, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_gateway::{
-    Gateway, HistoryStore, PromisedRetry, RestoredTraffic, RestoredWorker, TrafficBaseline,
+    Gateway, HistoryStore, RestoredTraffic, RestoredWorker, ScheduledRetry, TrafficBaseline,
 };
 use applepond_reactor::Machine;
 use applepond_recovery::{Fact, FactKey, FactKind, ObservationStore};
@@ -25,7 +25,7 @@
         let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
         self.0.borrow_mut().record_baseline(now, [first_attempts_per_second, connections_per_second, pace]);
     }
-    fn record_promised_retry(&mut self, now: Micros, retry: PromisedRetry) {
+    fn record_scheduled_retry(&mut self, now: Micros, retry: ScheduledRetry) {
         self.0.borrow_mut().record_scheduled_retry(now, retry.request, retry.wait);
     }
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
@@ -33,8 +33,8 @@
         let baseline = usual.map(|[first_attempts_per_second, connections_per_second, pace]| {
             TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
         });
-        let promised = promises.into_iter().map(|(request, wait)| PromisedRetry { request, wait });
-        Some(RestoredTraffic { baseline, promised_retries: promised.collect() })
+        let promised = promises.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
+        Some(RestoredTraffic { baseline, scheduled_retries: promised.collect() })
     }
     fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
         let recalled = self.0.borrow_mut().pending_worker_history(now).into_iter();
