--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -4,7 +4,7 @@
 //! Entry points: `Control`'s send and cancel actions, the timer of attempt timeouts, and each worker
 //! connection that becomes established.
 use super::Gateway;
-use crate::request_table::{AttemptId, Dispatch, Started, attempt_result};
+use crate::request_table::{AttemptId, AttemptStart, Dispatch, attempt_result};
 use applepond::interface::{AttemptResult, Micros, Outcome, WorkerStatus};
 use applepond_http::encode;
 use applepond_reactor::{Conn, Transport};
@@ -15,7 +15,7 @@
     pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let max_attempts = self.deployment.startup.attempt_policy.max_attempts;
         match self.requests.start_attempt(now, dispatch, max_attempts) {
-            Some(Started::InFlight(attempt)) => {
+            Some(AttemptStart::InFlight(attempt)) => {
                 self.counters.attempts += 1;
                 if let Some(worker) = self.workers.endpoints.get_mut(dispatch.worker) {
                     worker.in_flight += 1;
@@ -23,7 +23,7 @@
                 self.set_timeout_timer(now, transport);
                 self.connect_attempt(now, transport, attempt);
             }
-            Some(Started::Refused(attempt)) => {
+            Some(AttemptStart::Refused(attempt)) => {
                 self.close_attempt(now, attempt, attempt_result(Outcome::Superseded));
             }
             None => {}
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -150,7 +150,7 @@
 
 /// Result of [`RequestTable::start_attempt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Started {
+pub enum AttemptStart {
     /// The attempt is in flight; the caller must send it.
     InFlight(AttemptId),
     /// The request has ended or has reached its limit of attempts; the caller must close the attempt without
@@ -216,7 +216,7 @@
         now: Micros,
         dispatch: &Dispatch,
         max_attempts: usize,
-    ) -> Option<Started> {
+    ) -> Option<AttemptStart> {
         let request = self.requests.get_mut(&dispatch.request)?;
         let id = AttemptId { request: dispatch.request, index: request.attempts.len() };
         let times_out_at = now + dispatch.timeout;
@@ -229,10 +229,10 @@
             closed: false,
         });
         if request.ended || id.index >= max_attempts {
-            return Some(Started::Refused(id));
+            return Some(AttemptStart::Refused(id));
         }
         self.by_timeout.insert((times_out_at, id));
-        Some(Started::InFlight(id))
+        Some(AttemptStart::InFlight(id))
     }
 
     /// Returns the time at which the caller must call [`Self::pop_timed_out`], or `None` if a timer returned
--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -7,7 +7,7 @@
 use crate::worker_connection::{QueuedWrite, WorkerConnection};
 use applepond::interface::{AttemptResult, Micros, Outcome, WorkerId};
 use applepond_gateway::attempt_outcome;
-use applepond_gateway::request_table::{AttemptId, Dispatch, Started, attempt_result};
+use applepond_gateway::request_table::{AttemptId, AttemptStart, Dispatch, attempt_result};
 use applepond_platform::call::id_text;
 use applepond_platform::line;
 use applepond_reactor::{Conn, Transport};
@@ -23,11 +23,11 @@
     pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let max_attempts = self.config.rows.attempt_policy.max_attempts;
         match self.requests.start_attempt(now, dispatch, max_attempts) {
-            Some(Started::InFlight(attempt)) => {
+            Some(AttemptStart::InFlight(attempt)) => {
                 self.set_timeout_timer(now, transport);
                 self.place_attempt(now, transport, attempt);
             }
-            Some(Started::Refused(attempt)) => self.close_with(now, attempt, Outcome::Superseded),
+            Some(AttemptStart::Refused(attempt)) => self.close_with(now, attempt, Outcome::Superseded),
             None => {}
         }
     }
