--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -50,7 +50,8 @@
         event: ReceivedEvent,
     ) -> Result<(), Rc<Answer>> {
         let workflows = &self.deployment.workflows;
-        if let Some(index) = workflows.iter().position(|row| row.types.contains(&event.event_type)) {
+        if let Some(index) = workflows.iter().position(|workflow| workflow.types.contains(&event.event_type))
+        {
             return self.accept_workflow(now, conn, index, event);
         }
         let workload = self.workload_of(&event)?;
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -290,13 +290,13 @@
         self.settle(now, transport);
     }
 
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64) {
         if self.clients.contains_key(&conn) {
             self.client_closed(now, conn);
         } else if self.endpoint_watch.uses(conn) {
             self.endpoint_watch_lost(now, transport);
         } else {
-            self.worker_disconnected(now, transport, conn, why, sent);
+            self.worker_disconnected(now, transport, conn, reason, sent);
         }
         self.settle(now, transport);
     }
--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -93,7 +93,7 @@
         now: Micros,
         transport: &mut dyn Transport,
         conn: Conn,
-        why: Closed,
+        reason: Closed,
         sent: u64,
     ) {
         let Some(mut connection) = self.workers.connections.remove(&conn) else { return };
@@ -110,7 +110,7 @@
         let progress = attempt_outcome::send_progress(connection.connected, connection.sent_before, sent);
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.attempts[attempt.index].connection = None;
-            if attempt_outcome::may_resend(progress, connection.reused, why) && !request.ended {
+            if attempt_outcome::may_resend(progress, connection.reused, reason) && !request.ended {
                 self.connect_attempt(now, transport, attempt);
                 return;
             }
--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -32,8 +32,8 @@
     }
 
     /// Returns the answer of a rejected workflow: no step of it can have had a lasting effect.
-    fn rejected_answer(&self, step: StepId, why: Why, retry_after_allowed: bool) -> Rc<Answer> {
-        let (reason, detail) = self.failure(step, why);
+    fn rejected_answer(&self, step: StepId, cause: Why, retry_after_allowed: bool) -> Rc<Answer> {
+        let (reason, detail) = self.failure(step, cause);
         let wait = self.retry_after.or(Some(TOO_LITTLE_TIME_RETRY_AFTER));
         let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
         let id = Some(&*self.key.id);
@@ -41,17 +41,17 @@
     }
 
     /// Returns the answer of a failed workflow: some step of it may have had a lasting effect.
-    fn failed_answer(&self, step: StepId, why: Why) -> Rc<Answer> {
-        let (reason, detail) = self.failure(step, why);
-        let status = if why == Why::NoTime { 504 } else { 502 };
+    fn failed_answer(&self, step: StepId, cause: Why) -> Rc<Answer> {
+        let (reason, detail) = self.failure(step, cause);
+        let status = if cause == Why::NoTime { 504 } else { 502 };
         let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
         Answer::problem(FinalOutcome::Failed, &fault, Some(&self.key.id), None)
     }
 
     /// Returns the reason code and the detail for the answer of a workflow that did not finish.
-    fn failure(&self, step: StepId, why: Why) -> (&'static str, String) {
+    fn failure(&self, step: StepId, cause: Why) -> (&'static str, String) {
         let name = &self.run.plan().step(step).name;
-        match why {
+        match cause {
             Why::NoTime => ("no-time", format!("step '{name}' cannot finish in the time left")),
             Why::NoFunction => ("no-function", format!("no result names the function of step '{name}'")),
             Why::NotWritten => ("no-record", format!("step '{name}' could not be written down")),
@@ -89,17 +89,17 @@
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         let (last_step, answer) = match ended {
             Ended::Finished(step) => (step, workflow.finished_answer(step)),
-            Ended::PushedBack(step, why) => {
+            Ended::PushedBack(step, cause) => {
                 // A retry starts again from the first step.
                 workflow.stored.steps.clear();
                 let retry_after_allowed = self.deployment.startup.attempt_policy.retry_after_allowed;
-                (step, workflow.rejected_answer(step, why, retry_after_allowed))
+                (step, workflow.rejected_answer(step, cause, retry_after_allowed))
             }
-            Ended::Failed(step, why) => {
+            Ended::Failed(step, cause) => {
                 workflow.stored.failed = true;
                 // Its record must outlast its undos.
                 workflow.stored.expires_at = now + UNDO_PERIOD + self.deployment.answer_retention.time;
-                (step, workflow.failed_answer(step, why))
+                (step, workflow.failed_answer(step, cause))
             }
         };
         self.workflows.counters.count_end(ended);
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -149,9 +149,9 @@
     fn count_end(&mut self, ended: Ended) {
         match ended {
             Ended::Finished(_) => self.finished += 1,
-            Ended::PushedBack(_, why) => {
+            Ended::PushedBack(_, cause) => {
                 self.rejected += 1;
-                self.rejected_for_time += u64::from(why == Why::NoTime);
+                self.rejected_for_time += u64::from(cause == Why::NoTime);
             }
             Ended::Failed(..) => self.failed += 1,
         }
