--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network: what the gateway wrote, opened and cut, with time moved by hand.
-#![allow(dead_code)] // each table of cases uses its own part
+//! A gateway on a simulated network that records writes, new connections and cuts, with a simulated clock.
+#![allow(dead_code)] // each test file uses a part of it
 use applepond::interface::{
     AttemptPolicy, CustomerConfig, IdempotencyScope, Micros, RackId, RetrySafety, SlowStartRules,
     StartupConfig, WorkloadConfig,
@@ -24,14 +24,15 @@
     pub gateway: Gateway,
     pub transport: SimulatedTransport,
     pub now: Micros,
-    /// Settings that the gateway finds when it next polls.
+    /// New settings, returned by the gateway's next poll of its configuration source.
     pub new_config: Rc<RefCell<Option<Deployment>>>,
 }
 
-/// `workers` static workers; workloads `quote` (idempotent), `hold` (keyed) and `confirm`
-/// (at-most-once), started within 500 ms, given up after 4 s, a load takes 100 ms.
+/// A deployment with `workers` static workers and the workloads `quote` (idempotent), `hold` (keyed) and
+/// `confirm` (at-most-once), each with a latency objective of 500 ms, a deadline of 4 s and a load time of
+/// 100 ms.
 pub fn deployment(workers: u16) -> Deployment {
-    let effects = [
+    let retry_safety = [
         ("quote", RetrySafety::Idempotent),
         ("hold", RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S }),
         ("confirm", RetrySafety::AtMostOnce),
@@ -42,10 +43,10 @@
             seed: 7,
             router_index: 0,
             router_count: 1,
-            workloads: effects
+            workloads: retry_safety
                 .iter()
-                .map(|(_, effect)| WorkloadConfig {
-                    retry_safety: *effect,
+                .map(|(_, retry_safety)| WorkloadConfig {
+                    retry_safety: *retry_safety,
                     latency_objective: 500 * MS,
                     priority_weight: 1.0,
                     late_priority_factor: 0.2,
@@ -73,7 +74,7 @@
             watches_endpoints: false,
         },
         listen: address(0),
-        workloads: effects
+        workloads: retry_safety
             .iter()
             .map(|(name, _)| WorkloadEvents {
                 name: name.to_string(),
@@ -114,21 +115,21 @@
 
 impl SimulatedGateway {
     pub fn new(deployment: Deployment) -> Self {
-        Self::with(deployment, 1_000 * S, Box::new(MemoryStore::default()))
+        Self::with_store(deployment, 1_000 * S, Box::new(MemoryStore::default()))
     }
 
-    /// One that finds this record when it starts.
-    pub fn with(deployment: Deployment, now: Micros, record: Box<dyn WorkflowStore>) -> Self {
+    /// Starts a gateway with this workflow store.
+    pub fn with_store(deployment: Deployment, now: Micros, store: Box<dyn WorkflowStore>) -> Self {
         let new_config = Rc::new(RefCell::new(None));
-        let found = new_config.clone();
-        let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_workflow_store(record);
-        let gateway = gateway.with_config_source(Box::new(move || found.borrow_mut().take().map(Ok)));
-        let mut bench =
-            SimulatedGateway { gateway, transport: SimulatedTransport::default(), now, new_config };
-        bench.gateway.start(now, &mut bench.transport);
-        bench
+        let polled_config = new_config.clone();
+        let gateway = Gateway::new(now, deployment, Box::new(|_| ())).with_workflow_store(store);
+        let gateway = gateway.with_config_source(Box::new(move || polled_config.borrow_mut().take().map(Ok)));
+        let mut sim = SimulatedGateway { gateway, transport: SimulatedTransport::default(), now, new_config };
+        sim.gateway.start(now, &mut sim.transport);
+        sim
     }
 
+    /// Advances the clock, firing the timers that are due.
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some((at, wake)) = self.transport.due(until) {
@@ -138,11 +139,11 @@
         self.now = until;
     }
 
-    /// Has it take new settings.
+    /// Has the gateway reload these settings.
     pub fn reload(&mut self, deployment: Deployment) {
         *self.new_config.borrow_mut() = Some(deployment);
         self.advance(S);
-        assert!(self.new_config.borrow().is_none(), "it asks once a second");
+        assert!(self.new_config.borrow().is_none(), "the source is polled once a second");
     }
 
     pub fn connect_client(&mut self) -> Conn {
@@ -155,6 +156,7 @@
         self.gateway.bytes(self.now, &mut self.transport, conn, bytes);
     }
 
+    /// Connects a client that sends one event.
     pub fn send_event(&mut self, kind: &str, id: &str) -> Conn {
         let conn = self.connect_client();
         self.receive(conn, event(kind, id).as_bytes());
@@ -165,7 +167,7 @@
         self.gateway.connected(self.now, &mut self.transport, conn);
     }
 
-    /// All connections to workers that were opened so far; each is let stand.
+    /// Establishes all pending connections to workers, and returns all that were opened so far.
     pub fn worker_connections(&mut self) -> Vec<Conn> {
         let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
         let new =
@@ -176,12 +178,14 @@
         all
     }
 
-    pub fn disconnect(&mut self, conn: Conn, why: Closed) {
+    /// Closes a connection from the peer's side.
+    pub fn disconnect(&mut self, conn: Conn, reason: Closed) {
         let sent = self.transport.sent(conn);
-        self.gateway.closed(self.now, &mut self.transport, conn, why, sent);
+        self.gateway.closed(self.now, &mut self.transport, conn, reason, sent);
     }
 
-    pub fn told(&self, conn: Conn) -> String {
+    /// Everything that the gateway wrote on a connection.
+    pub fn output(&self, conn: Conn) -> String {
         self.transport.told(conn)
     }
 
@@ -189,15 +193,18 @@
         self.transport.statuses(conn)
     }
 
-    /// Requests that a connection carried, and when the last of them was written, as a count of all writes.
+    /// Returns the number of requests sent on a connection, and the sequence number of its last write.
     pub fn requests_at(&self, conn: Conn) -> (usize, u64) {
-        (self.told(conn).matches("POST /run").count(), self.transport.wrote.get(&conn).copied().unwrap_or(0))
+        (
+            self.output(conn).matches("POST /run").count(),
+            self.transport.wrote.get(&conn).copied().unwrap_or(0),
+        )
     }
 
-    /// Requests that workers were sent, over all connections.
+    /// Returns the number of requests sent to workers, on all connections.
     pub fn requests(&self) -> usize {
         let worker_connections: BTreeSet<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
-        worker_connections.iter().map(|c| self.told(*c).matches("POST /run").count()).sum()
+        worker_connections.iter().map(|c| self.output(*c).matches("POST /run").count()).sum()
     }
 }
 
@@ -208,19 +215,19 @@
     )
 }
 
-/// A worker's finished answer.
+/// A worker's response to a finished request.
 pub const FINISHED_RESPONSE: &str = "HTTP/1.1 200 OK\r\nce-specversion: 1.0\r\nce-id: r1\r\nce-source: /w\r\n\
     ce-type: result\r\napplepond-copy: stood\r\napplepond-company: 0\r\n\
     Content-Type: application/json\r\nContent-Length: 9\r\n\r\n{\"ok\": 1}";
 
-/// A worker's finished answer with this result.
+/// A worker's response to a finished request, with this result.
 pub fn result(body: &str) -> String {
     FINISHED_RESPONSE
         .replace("Content-Length: 9", &format!("Content-Length: {}", body.len()))
         .replace("{\"ok\": 1}", body)
 }
 
-/// A record that outlives its instance; the write of this number fails, where one is named.
+/// A workflow store that outlives the gateway; the write with the number in `fails`, if any, fails.
 #[derive(Clone, Default)]
 pub struct SharedStore {
     pub inner: Rc<RefCell<MemoryStore>>,
@@ -231,20 +238,20 @@
 impl WorkflowStore for SharedStore {
     fn save(
         &mut self,
-        chains: &[(WorkflowKey<'_>, &WorkflowRecord)],
+        workflows: &[(WorkflowKey<'_>, &WorkflowRecord)],
     ) -> Result<(), applepond_storage::StorageError> {
         *self.writes.borrow_mut() += 1;
         if self.fails == Some(*self.writes.borrow()) {
             let (file, why) = ("record".into(), "no space left".to_owned());
             return Err(applepond_storage::StorageError::WriteFailed { file, why });
         }
-        self.inner.borrow_mut().save(chains)
+        self.inner.borrow_mut().save(workflows)
     }
     fn load(
         &mut self,
-        name: WorkflowKey<'_>,
+        key: WorkflowKey<'_>,
     ) -> Result<Option<WorkflowRecord>, applepond_storage::StorageError> {
-        self.inner.borrow_mut().load(name)
+        self.inner.borrow_mut().load(key)
     }
     fn unfinished(&mut self) -> Result<Vec<(String, String)>, applepond_storage::StorageError> {
         self.inner.borrow_mut().unfinished()
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The instance on a simulated network: hard cases, each by the outcome that its peers see.
+//! A gateway on a simulated network: failures and edge cases, checked by what its peers observe.
 mod common;
 use applepond::interface::Micros;
 use applepond_gateway::Deployment;
@@ -12,18 +12,18 @@
     let mut sim = SimulatedGateway::new(deployment(2));
     let client = sim.send_event("quote", "1");
     let connection = sim.worker_connections()[0];
-    let request = sim.told(connection);
+    let request = sim.output(connection);
     for wanted in ["POST /run", "ce-id: 1\r\n", "applepond-function: hut\r\n", "applepond-time-left-ms: 3990"]
     {
         assert!(request.contains(wanted), "{wanted} in {request}");
     }
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     assert_eq!(sim.statuses(client), [200]);
-    assert!(sim.told(client).ends_with("{\"ok\": 1}") && sim.told(client).contains("ce-type: result"));
+    assert!(sim.output(client).ends_with("{\"ok\": 1}") && sim.output(client).contains("ce-type: result"));
 }
 
-// A client's retry joins the running request: one attempt, one answer to each exchange; after the end it is
-// told again.
+// A client's retry joins the request in progress: one attempt, and one answer to each client. After the end,
+// the cached answer is replayed.
 #[test_case("quote"; "idempotent")]
 #[test_case("confirm"; "at-most-once")]
 fn retries_join_the_request_in_progress(kind: &str) {
@@ -39,7 +39,7 @@
     sim.advance(61 * S);
     sim.send_event(kind, "1");
     sim.worker_connections();
-    assert_eq!(sim.requests(), 2, "after its time the answer is forgotten");
+    assert_eq!(sim.requests(), 2, "the cached answer has expired");
 }
 
 #[test]
@@ -48,49 +48,56 @@
     let first = sim.send_event("confirm", "1");
     sim.advance(4 * S);
     assert_eq!(sim.statuses(first), [503]);
-    let told = sim.told(first);
+    let output = sim.output(first);
     assert!(
-        told.contains("Retry-After: ") && told.contains("retry-after-ms") && told.contains("pushed-back")
+        output.contains("Retry-After: ")
+            && output.contains("retry-after-ms")
+            && output.contains("pushed-back")
     );
     let again = sim.send_event("confirm", "1");
     sim.advance(4 * S);
     assert_eq!((sim.statuses(first), sim.statuses(again)), (vec![503], vec![503]));
 }
 
-// At-most-once, by what had left when the connection ended.
-#[test_case(false, Closed::Never, 2, None; "never open: sent elsewhere")]
-#[test_case(true, Closed::Reset, 1, Some(502); "open and written: may have run")]
-#[test_case(true, Closed::Ended, 1, Some(502); "closed by the worker after it was written")]
+// An at-most-once request must not be sent to another worker once a byte of it has been sent.
+#[test_case(false, Closed::Never, 2, None; "never connected: sent elsewhere")]
+#[test_case(true, Closed::Reset, 1, Some(502); "connected and sent: may have run")]
+#[test_case(true, Closed::Ended, 1, Some(502); "closed by the worker after it was sent")]
 fn an_at_most_once_request_is_resent_only_if_nothing_was_sent(
-    open: bool,
-    why: Closed,
-    requests: usize,
+    connected: bool,
+    reason: Closed,
+    connections: usize,
     status: Option<u16>,
 ) {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("confirm", "1");
     let (connection, _) = sim.transport.connects[0];
-    if open {
+    if connected {
         sim.connected(connection);
     }
-    sim.disconnect(connection, why);
+    sim.disconnect(connection, reason);
     sim.advance(S);
     sim.worker_connections();
-    assert_eq!(sim.requests(), 1, "written once: here, or elsewhere where the first never stood");
-    assert_eq!(sim.transport.connects.len(), if open { 1 } else { requests });
+    assert_eq!(sim.requests(), 1, "sent once, to another worker if the first connection failed");
+    assert_eq!(sim.transport.connects.len(), if connected { 1 } else { connections });
     assert_eq!(sim.statuses(client).first().copied(), status);
     let again = sim.send_event("confirm", "1");
     if status.is_some() {
-        assert_eq!(sim.statuses(again).first().copied(), status, "a retry is told the same and runs nothing");
+        assert_eq!(
+            sim.statuses(again).first().copied(),
+            status,
+            "a retry gets the cached answer and runs nothing"
+        );
     }
 }
 
-// A kept connection that the worker closed at that moment: once more if no byte left, else it may have run.
-#[test_case(0, 2, None; "nothing written: a new connection, the same worker")]
-#[test_case(1, 1, Some(502); "one byte written")]
+// A worker may close an idle connection while a request is being sent on it. The request is sent again if no
+// byte had been sent; otherwise it may have run.
+#[test_case(0, 2, None; "nothing sent: a new connection to the same worker")]
+#[test_case(1, 1, Some(502); "one byte sent")]
 fn a_request_on_a_closed_idle_connection_is_resent_if_nothing_was_sent(
     bytes: u64,
-    requests: usize,
+    connections: usize,
     status: Option<u16>,
 ) {
     let mut sim = SimulatedGateway::new(deployment(1));
@@ -99,11 +106,11 @@
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     sim.transport.stuck.insert(connection);
     let client = sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.len(), 1, "the kept connection is used");
+    assert_eq!(sim.transport.connects.len(), 1, "the idle connection is reused");
     *sim.transport.sent.get_mut(&connection).expect("used before") += bytes;
     sim.disconnect(connection, Closed::Reset);
     sim.worker_connections();
-    assert_eq!((sim.transport.connects.len(), sim.statuses(client).first().copied()), (requests, status));
+    assert_eq!((sim.transport.connects.len(), sim.statuses(client).first().copied()), (connections, status));
 }
 
 #[test]
@@ -116,12 +123,13 @@
     sim.send_event("confirm", "2");
     assert_eq!(sim.transport.connects.len(), 2);
     sim.send_event("quote", "3");
-    assert_eq!(sim.transport.connects.len(), 2, "an idempotent one goes there still");
+    assert_eq!(sim.transport.connects.len(), 2, "an idempotent request still reuses it");
     sim.advance(6 * S);
-    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "what hangs past the limit is cut");
+    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "cut after the idle timeout");
 }
 
-// The hedge: the loser is told by the end of its connection, and what it still sends is not read.
+// When a hedged attempt has finished, the other attempt is cancelled by closing its connection, and data that
+// still arrives on it is ignored.
 #[test]
 fn a_cancel_cuts_the_connection_and_late_answers_are_dropped() {
     let mut sim = SimulatedGateway::new(deployment(3));
@@ -129,15 +137,15 @@
     let first = sim.worker_connections()[0];
     sim.advance(800 * MS);
     let worker_connections = sim.worker_connections();
-    assert_eq!(worker_connections.len(), 2, "one copy after the hedge delay");
+    assert_eq!(worker_connections.len(), 2, "one hedged attempt after the hedge delay");
     sim.receive(worker_connections[1], FINISHED_RESPONSE.as_bytes());
     assert!(sim.transport.cut.contains(&first));
     sim.receive(first, FINISHED_RESPONSE.as_bytes());
     assert_eq!(sim.statuses(client), [200]);
 }
 
-#[test_case("quote", 503; "idempotent is pushed back")]
-#[test_case("confirm", 504; "at-most-once is killed")]
+#[test_case("quote", 503; "idempotent is rejected")]
+#[test_case("confirm", 504; "at-most-once is failed")]
 fn an_answer_after_the_deadline_is_not_returned(kind: &str, status: u16) {
     let mut sim = SimulatedGateway::new(deployment(1));
     let client = sim.send_event(kind, "1");
@@ -156,21 +164,21 @@
     let connection = sim.worker_connections()[0];
     sim.receive(connection, format!("{FINISHED_RESPONSE}{FINISHED_RESPONSE}").as_bytes());
     assert_eq!(sim.statuses(client), [200]);
-    assert!(sim.transport.cut.contains(&connection), "that connection is not trusted further");
+    assert!(sim.transport.cut.contains(&connection), "the connection is not reused");
     let next = sim.send_event("quote", "2");
-    assert!(sim.statuses(next).is_empty(), "the second answer is not the next job's");
+    assert!(sim.statuses(next).is_empty(), "the second answer is not that of the next request");
 }
 
-// What a worker sends that is no answer: the request is not answered by it.
-#[test_case("\x16\x03\x01 no HTTP\r\n\r\n", 502; "no HTTP")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 502; "no event")]
+// A malformed response counts as a failure after which the request may have run, and is not passed on.
+#[test_case("\x16\x03\x01 no HTTP\r\n\r\n", 502; "not HTTP")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 502; "not an event")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 502; "two lengths")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without the worker's mark")]
-fn an_unreadable_answer_counts_as_one_that_may_have_run(receive: &str, status: u16) {
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without the worker's verdict")]
+fn an_at_most_once_request_fails_on_a_malformed_response(response: &str, status: u16) {
     let mut sim = SimulatedGateway::new(deployment(1));
     let client = sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
-    sim.receive(connection, receive.as_bytes());
+    sim.receive(connection, response.as_bytes());
     assert_eq!(sim.statuses(client), [status]);
 }
 
@@ -185,9 +193,9 @@
     assert_eq!(sim.statuses(client), [200]);
 }
 
-// A worker's answer cut at every byte, then broken off: never half an answer to the client.
+// A connection lost after any byte of the worker's response: the client never gets a partial answer.
 #[test]
-fn an_answer_is_read_however_it_is_split() {
+fn a_truncated_response_is_never_returned() {
     for n in 0..FINISHED_RESPONSE.len() {
         let mut sim = SimulatedGateway::new(deployment(1));
         let client = sim.send_event("confirm", "1");
@@ -220,12 +228,12 @@
     let connection = sim.transport.connects[1].0;
     sim.receive(list, line("draining").as_bytes());
     sim.connected(connection);
-    assert_eq!(sim.requests(), 0, "nothing new after the notice");
+    assert_eq!(sim.requests(), 0, "no new request after the drain notice");
     sim.advance(4 * S);
     assert_eq!((sim.requests(), sim.statuses(client)), (0, vec![503]));
 }
 
-// The list cut in two pieces at every byte reads the same.
+// The list is parsed in the same way wherever it is split into two reads.
 #[test]
 fn an_endpoint_list_is_read_however_it_is_split() {
     let worker = "{\"name\":\"w\",\"address\":\"127.0.0.1:9\",\"standing\":\"ready\"}";
@@ -244,20 +252,20 @@
     }
 }
 
-// The list breaks off or talks nonsense: what was known holds, and it is asked for again.
+// After an invalid or truncated list, the last valid one stays in force, and the list is requested again.
 #[test_case("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"; "refused")]
-#[test_case("\x00\x01\r\n\r\n"; "no HTTP")]
-#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{...\n"; "no JSON, then its end")]
-fn the_last_endpoint_list_holds_when_the_next_is_broken(receive: &str) {
+#[test_case("\x00\x01\r\n\r\n"; "not HTTP")]
+#[test_case("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{...\n"; "invalid JSON, then the end")]
+fn the_last_endpoint_list_stays_in_force_when_the_next_is_invalid(response: &str) {
     let mut deployment = deployment(1);
     deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
     let mut sim = SimulatedGateway::new(deployment);
     let list = sim.worker_connections()[0];
-    sim.receive(list, receive.as_bytes());
+    sim.receive(list, response.as_bytes());
     sim.advance(S);
-    assert!(sim.transport.cut.contains(&list) && sim.transport.connects.len() >= 2, "asked again");
+    assert!(sim.transport.cut.contains(&list) && sim.transport.connects.len() >= 2, "reconnected");
     let client = sim.send_event("quote", "1");
-    let connection = *sim.worker_connections().last().expect("a link");
+    let connection = *sim.worker_connections().last().expect("a connection");
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     assert_eq!(sim.statuses(client), [200]);
 }
@@ -270,18 +278,21 @@
     sim.disconnect(gone, Closed::Reset);
     let back = sim.send_event("confirm", "1");
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
-    assert_eq!((sim.statuses(back), sim.requests()), (vec![200], 1), "it joins what it left");
+    assert_eq!((sim.statuses(back), sim.requests()), (vec![200], 1), "it joins the request in progress");
     let mut sim = SimulatedGateway::new(deployment(0));
     let gone = sim.send_event("confirm", "1");
     sim.disconnect(gone, Closed::Reset);
     sim.send_event("confirm", "1");
     let page = sim.connect_client();
     sim.receive(page, b"GET /-/state HTTP/1.1\r\nHost: a\r\n\r\n");
-    let state = sim.told(page);
-    assert!(state.contains("\"taken\":2") && state.contains("\"open\":1"), "never sent, it ended: {state}");
+    let state = sim.output(page);
+    assert!(
+        state.contains("\"taken\":2") && state.contains("\"open\":1"),
+        "the unsent request has ended: {state}"
+    );
 }
 
-// Answers go out one by one and in the order of the requests, though the second request ends first.
+// Pipelined requests are answered one at a time, in order.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let mut sim = SimulatedGateway::new(deployment(2));
@@ -314,7 +325,7 @@
     let event = event("quote", "1").replace("Host: a", "Host: a\r\nExpect: 100-continue");
     let (head, body) = event.split_at(event.len() - 2);
     sim.receive(client, head.as_bytes());
-    assert_eq!(sim.told(client), "HTTP/1.1 100 Continue\r\n\r\n");
+    assert_eq!(sim.output(client), "HTTP/1.1 100 Continue\r\n\r\n");
     sim.receive(client, body.as_bytes());
     sim.worker_connections();
     assert_eq!(sim.requests(), 1);
@@ -329,16 +340,16 @@
         sim.advance(S);
     }
     assert_eq!(sim.statuses(slow), [408]);
-    let deaf = sim.connect_client();
-    sim.transport.stuck.insert(deaf);
-    sim.receive(deaf, event("quote", "2").as_bytes());
+    let not_reading = sim.connect_client();
+    sim.transport.stuck.insert(not_reading);
+    sim.receive(not_reading, event("quote", "2").as_bytes());
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     sim.advance(16 * S);
-    assert!(sim.transport.cut.contains(&deaf), "its buffer is given up");
+    assert!(sim.transport.cut.contains(&not_reading), "its buffer is released");
 }
 
-// While one waits, the pipeline behind it stays bounded: reading pauses, and goes on with the answer.
+// The pipelined requests behind one in progress are bounded: reading pauses, and resumes after the answer.
 #[test]
 fn a_long_pipeline_pauses_reading() {
     let mut sim = SimulatedGateway::new(deployment(1));
@@ -352,11 +363,12 @@
     assert!(!sim.transport.paused.contains(&client));
 }
 
-fn bad(field: &str, with: &str) -> String {
-    event("quote", "1").replacen(field, with, 1)
+/// An event in which `text` is replaced.
+fn bad(text: &str, replacement: &str) -> String {
+    event("quote", "1").replacen(text, replacement, 1)
 }
 
-// Each is told what is wrong, its connection ends or goes on as it should, and the neighbour notices nothing.
+// Each invalid request is answered with its status and reason, and other clients are not affected.
 #[test_case(&bad("ce-type: quote", "ce-type: tea"), 422, "unknown-workload"; "unknown workload")]
 #[test_case(&bad("ce-subject: hut", "ce-customer: nobody\r\nce-subject: hut"), 422, "unknown-customer";
     "unknown customer")]
@@ -376,29 +388,29 @@
 #[test_case(&bad("Host: a", "Host: a\r\nContent-Type: application/cloudevents-batch+json"), 415, "batch-mode";
     "batch")]
 #[test_case(&bad("Host: a", "Host: a\r\nExpect: tea"), 417, "bad-expectation"; "expectation")]
-fn unreadable_requests_are_refused_with_their_reason(request: &str, status: u16, reason: &str) {
+fn invalid_requests_are_refused_with_their_reason(request: &str, status: u16, reason: &str) {
     let mut sim = SimulatedGateway::new(deployment(1));
-    let neighbour = sim.send_event("quote", "n");
+    let other_client = sim.send_event("quote", "n");
     let client = sim.connect_client();
     sim.receive(client, request.as_bytes());
     assert_eq!(sim.statuses(client), [status]);
-    let told = sim.told(client);
+    let output = sim.output(client);
     assert!(
-        told.contains(&format!("\"reason\":\"{reason}\"")) && told.contains("application/problem+json"),
-        "{told}"
+        output.contains(&format!("\"reason\":\"{reason}\"")) && output.contains("application/problem+json"),
+        "{output}"
     );
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
-    assert_eq!((sim.statuses(neighbour), sim.requests()), (vec![200], 1));
+    assert_eq!((sim.statuses(other_client), sim.requests()), (vec![200], 1));
 }
 
-// Two thousand retries of different clients within four seconds, to an instance that has seen nothing before:
-// told from work, most are rejected before Control, each with a time of its own; the state page says why.
-// Undamped all go in.
-#[test_case(true; "damped")]
-#[test_case(false; "not damped")]
-fn retries_are_shed_in_a_storm(damping: bool) {
-    let mut sim = SimulatedGateway::new(Deployment { storm_shedding: damping, ..deployment(0) });
+// Two thousand retries of different clients within four seconds reach an instance without a traffic baseline.
+// With shedding, most are rejected ahead of `Control`, at different times to retry; without it, all are
+// admitted. The state page shows the retry storm in both cases.
+#[test_case(true; "shedding")]
+#[test_case(false; "no shedding")]
+fn retries_are_shed_in_a_storm(storm_shedding: bool) {
+    let mut sim = SimulatedGateway::new(Deployment { storm_shedding, ..deployment(0) });
     let mut clients = Vec::new();
     for n in 0..2_000 {
         let client = sim.connect_client();
@@ -409,60 +421,60 @@
     }
     let page = sim.connect_client();
     sim.receive(page, b"GET /-/state HTTP/1.1\r\nHost: a\r\n\r\n");
-    let state = sim.told(page);
+    let state = sim.output(page);
     assert!(
-        state.contains("\"called\":\"storm\"") && state.contains(&format!("\"damped\":{damping}")),
+        state.contains("\"called\":\"storm\"") && state.contains(&format!("\"damped\":{storm_shedding}")),
         "{state}"
     );
     let reasons = |sim: &SimulatedGateway, reason: &str| {
-        clients.iter().filter(|c| sim.told(**c).contains(reason)).count()
+        clients.iter().filter(|c| sim.output(**c).contains(reason)).count()
     };
-    assert_eq!(reasons(&sim, "\"reason\":\"storm\"") > 1_000, damping);
+    assert_eq!(reasons(&sim, "\"reason\":\"storm\"") > 1_000, storm_shedding);
     sim.advance(5 * S);
-    assert!(clients.iter().all(|c| sim.statuses(*c).len() == 1), "one answer each in any case");
+    assert!(clients.iter().all(|c| sim.statuses(*c).len() == 1), "one answer each");
     let waits: std::collections::BTreeSet<String> = clients
         .iter()
-        .filter_map(|c| sim.told(*c).split("retry-after-ms\":").nth(1).map(|w| w[..4].to_owned()))
+        .filter_map(|c| sim.output(*c).split("retry-after-ms\":").nth(1).map(|w| w[..4].to_owned()))
         .collect();
     assert!(waits.len() > 200, "{} different times", waits.len());
 }
 
-// A crowd at the door: all of it is taken, at a pace, and the door is open again soon after.
-#[test_case(true; "damped")]
-#[test_case(false; "not damped")]
-fn accepting_pauses_when_too_many_connect(damping: bool) {
-    let mut sim = SimulatedGateway::new(Deployment { storm_shedding: damping, ..deployment(1) });
-    let (begun, mut closings) = (sim.now, 0);
+// When many clients connect at once, all are accepted, but at a limited rate and with short pauses.
+#[test_case(true; "shedding")]
+#[test_case(false; "no shedding")]
+fn accepting_pauses_when_too_many_connect(storm_shedding: bool) {
+    let mut sim = SimulatedGateway::new(Deployment { storm_shedding, ..deployment(1) });
+    let (begin, mut pauses) = (sim.now, 0);
     for _ in 0..4_000 {
         sim.connect_client();
         while !sim.transport.deaf.is_empty() {
-            closings += 1;
+            pauses += 1;
             sim.advance(5 * MS);
-            assert!(sim.now < begun + 3 * S, "the door stays closed");
+            assert!(sim.now < begin + 3 * S, "accepting is not resumed");
         }
     }
-    assert_eq!(closings > 0, damping);
-    assert_eq!(sim.now > begun + S, damping, "4,000 do not come in at once");
+    assert_eq!(pauses > 0, storm_shedding);
+    assert_eq!(sim.now > begin + S, storm_shedding, "4,000 are not accepted at once");
 }
 
-// A time that Control named while all was calm is remembered: whoever comes before it did not follow.
+// Retry times suggested by `Control` under normal traffic are recorded too: an earlier retry counts as early.
 #[test]
 fn retry_after_is_followed_or_not() {
     let mut sim = SimulatedGateway::new(deployment(0));
-    let ask = |sim: &mut SimulatedGateway, n: u32| {
+    let send = |sim: &mut SimulatedGateway, n: u32| {
         let client = sim.send_event("quote", &n.to_string());
         sim.advance(MS);
         client
     };
-    let first: Vec<_> = (0..40).map(|n| ask(&mut sim, n)).collect();
+    let first: Vec<_> = (0..40).map(|n| send(&mut sim, n)).collect();
     sim.advance(S);
-    assert!(first.iter().all(|c| sim.told(*c).contains("retry-after-ms")), "{}", sim.told(first[0]));
-    (0..40).for_each(|n| _ = ask(&mut sim, n));
+    assert!(first.iter().all(|c| sim.output(*c).contains("retry-after-ms")), "{}", sim.output(first[0]));
+    (0..40).for_each(|n| _ = send(&mut sim, n));
     let page = sim.connect_client();
     sim.receive(page, b"GET /-/state HTTP/1.1\r\nHost: a\r\n\r\n");
-    let told = sim.told(page);
+    let output = sim.output(page);
     let page: serde_json::Value =
-        serde_json::from_str(told.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
+        serde_json::from_str(output.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
     let advice = &page["storm"]["advice"];
     let rates = ["followed-per-s", "not-kept-per-s"].map(|n| advice[n].as_f64().expect("a rate"));
     assert!(rates[0] + rates[1] > 10.0, "{advice}");
@@ -474,40 +486,41 @@
     sim.send_event("quote", "1");
     let client = sim.connect_client();
     sim.receive(client, b"GET /-/state HTTP/1.1\r\nHost: a\r\n\r\n");
-    let told = sim.told(client);
+    let output = sim.output(client);
     let page: serde_json::Value =
-        serde_json::from_str(told.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
+        serde_json::from_str(output.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
     assert_eq!((&page["jobs"]["open"], &page["workers"]["ready"]), (&1.into(), &2.into()));
 }
 
 proptest! {
-    // Random bytes from client, worker and list, in random pieces: no panic, and the neighbour is answered.
+    // Random bytes from a client, a worker and the endpoint list, split at random: no panic, and another
+    // client still gets its answer.
     #[test]
     fn random_bytes_from_any_peer_leave_the_client_one_answer(
         noise in prop::collection::vec(any::<u8>(), 0..300),
-        cut in 0usize..300,
+        split in 0usize..300,
     ) {
         let mut deployment = deployment(1);
         deployment.endpoint_list = Some("127.0.0.1:8999".parse().expect("an address"));
         let mut sim = SimulatedGateway::new(deployment);
-        let cut = cut.min(noise.len());
+        let split = split.min(noise.len());
         let list = sim.worker_connections()[0];
         let client = sim.send_event("quote", "1");
         sim.worker_connections();
-        let (connection, wild) = (sim.transport.connects[1].0, sim.connect_client());
-        for conn in [wild, list, connection] {
-            sim.receive(conn, &noise[..cut]);
-            sim.receive(conn, &noise[cut..]);
+        let (connection, faulty_client) = (sim.transport.connects[1].0, sim.connect_client());
+        for conn in [faulty_client, list, connection] {
+            sim.receive(conn, &noise[..split]);
+            sim.receive(conn, &noise[split..]);
         }
         sim.advance(5 * S);
         prop_assert_eq!(sim.statuses(client).len(), 1);
     }
 }
 
-/// Leases by name, until a time.
-struct Leases(&'static str, Micros, std::rc::Rc<std::cell::RefCell<Vec<(String, u32)>>>);
+/// A tracker with one pinned prefix, the end of its lease, and the recorded uses.
+struct FakeTracker(&'static str, Micros, std::rc::Rc<std::cell::RefCell<Vec<(String, u32)>>>);
 
-impl applepond_gateway::PrefixTracker for Leases {
+impl applepond_gateway::PrefixTracker for FakeTracker {
     fn record_use(&mut self, name: &str, size: u32) {
         self.2.borrow_mut().push((name.to_owned(), size));
     }
@@ -517,34 +530,34 @@
     fn set_ready_workers(&mut self, _: usize) {}
 }
 
-// A request's opening goes to its worker, with a lease while the list has it; a request is counted when it
-// is taken.
+// A request's prefix is sent to its worker, with a lease if it is pinned, and its use is recorded when the
+// request is accepted.
 #[test_case("opening: long", "size: 7", Some("applepond-opening-lease-ms: 2000"), &[("long", 7)]; "pinned")]
-#[test_case("opening: other", "size: 7", None, &[("other", 7)]; "not in the list")]
-#[test_case("opening: long", "size: seven", Some("lease-ms: 2000"), &[("long", 0)]; "of unknown size")]
-#[test_case("other: long", "size: 7", None, &[]; "without one")]
+#[test_case("opening: other", "size: 7", None, &[("other", 7)]; "not pinned")]
+#[test_case("opening: long", "size: seven", Some("lease-ms: 2000"), &[("long", 0)]; "unknown size")]
+#[test_case("other: long", "size: 7", None, &[]; "no prefix")]
 fn a_requests_prefix_is_sent_with_its_lease(
-    by: &str,
+    name: &str,
     size: &str,
     lease: Option<&str>,
-    counted: &[(&str, u32)],
+    recorded: &[(&str, u32)],
 ) {
     let mut sim = SimulatedGateway::new(deployment(1));
     let uses = std::rc::Rc::default();
     let gateway = applepond_gateway::Gateway::new(sim.now, deployment(1), Box::new(|_| ()));
-    let leases = Leases("long", sim.now + 2 * S, std::rc::Rc::clone(&uses));
-    sim.gateway = gateway.with_prefix_tracker(Box::new(leases));
+    let tracker = FakeTracker("long", sim.now + 2 * S, std::rc::Rc::clone(&uses));
+    sim.gateway = gateway.with_prefix_tracker(Box::new(tracker));
     sim.transport = Default::default();
     sim.gateway.start(sim.now, &mut sim.transport);
     let client = sim.connect_client();
-    let more = format!("ce-type: quote\r\nce-{by}\r\nce-opening{size}\r\n");
-    sim.receive(client, event("quote", "1").replace("ce-type: quote\r\n", &more).as_bytes());
+    let attributes = format!("ce-type: quote\r\nce-{name}\r\nce-opening{size}\r\n");
+    sim.receive(client, event("quote", "1").replace("ce-type: quote\r\n", &attributes).as_bytes());
     let connection = sim.worker_connections()[0];
-    let told = sim.told(connection);
-    assert_eq!(told.contains("applepond-opening: "), !counted.is_empty(), "{told}");
-    assert_eq!(told.contains("applepond-opening-lease-ms"), lease.is_some(), "{told}");
-    assert!(lease.is_none_or(|l| told.contains(l)), "{told}");
-    let counted: Vec<(String, u32)> = counted.iter().map(|(n, s)| ((*n).to_owned(), *s)).collect();
-    assert_eq!(*uses.borrow(), counted);
-    assert!(told.contains("ce-type: quote"));
+    let output = sim.output(connection);
+    assert_eq!(output.contains("applepond-opening: "), !recorded.is_empty(), "{output}");
+    assert_eq!(output.contains("applepond-opening-lease-ms"), lease.is_some(), "{output}");
+    assert!(lease.is_none_or(|l| output.contains(l)), "{output}");
+    let recorded: Vec<(String, u32)> = recorded.iter().map(|(n, s)| ((*n).to_owned(), *s)).collect();
+    assert_eq!(*uses.borrow(), recorded);
+    assert!(output.contains("ce-type: quote"));
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Header lines of both HTTP sides, which clients, workers and operators' tools read by name, and the digest
-//! of a plan, by which a stored workflow is known to belong to it.
+//! Outputs that must not change: header lines on both HTTP sides, which clients, workers and operators' tools
+//! read by name, and the digest that identifies the plan of a stored workflow.
 mod common;
 use applepond::interface::{IdempotencyScope, RetrySafety};
 use applepond_gateway::Deployment;
@@ -9,7 +9,7 @@
 use common::*;
 use std::sync::Arc;
 
-/// What went to the worker and back to the client, with what differs from run to run left out.
+/// The request sent to the worker and the response to the client.
 #[test]
 fn header_lines_of_a_finished_request() {
     let mut sim = SimulatedGateway::new(deployment(1));
@@ -24,7 +24,7 @@
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     insta::assert_snapshot!(
         "finished",
-        format!("{}\n\n----\n{}", sim.told(connection), sim.told(client)).replace("\r\n", "\n")
+        format!("{}\n\n----\n{}", sim.output(connection), sim.output(client)).replace("\r\n", "\n")
     );
 }
 
@@ -34,9 +34,9 @@
     let unknown = sim.send_event("nothing-known", "1");
     let rejected = sim.send_event("confirm", "2");
     sim.advance(4 * S);
-    let cut = sim.connect_client();
-    sim.receive(cut, b"POST /events HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}");
-    let all = [unknown, rejected, cut].map(|conn| sim.told(conn));
+    let malformed = sim.connect_client();
+    sim.receive(malformed, b"POST /events HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}");
+    let all = [unknown, rejected, malformed].map(|conn| sim.output(conn));
     insta::assert_snapshot!("refusals", all.join("\n----\n").replace("\r\n", "\n"));
 }
 
@@ -72,18 +72,19 @@
     Plan { name: "book".into(), limit: 4 * S, steps }
 }
 
-// The value is that of the version before the types were renamed; a workflow that it stored goes on.
+// A workflow stored by an earlier version must still be resumed, so the digest keeps the value that it had
+// before the types of plans were renamed.
 #[test]
 fn a_stored_workflow_keeps_the_digest_of_its_plan() {
-    let row = WorkflowConfig {
+    let workflow = WorkflowConfig {
         types: vec!["book".into()],
         function_attribute: "subject".into(),
         plan: Arc::new(plan()),
     };
     let mut store = SharedStore::default();
-    let deployment = Deployment { workflows: vec![row], ..deployment(2) };
-    let mut sim = SimulatedGateway::with(deployment, 1_000 * S, Box::new(store.clone()));
+    let deployment = Deployment { workflows: vec![workflow], ..deployment(2) };
+    let mut sim = SimulatedGateway::with_store(deployment, 1_000 * S, Box::new(store.clone()));
     sim.send_event("book", "1");
-    let stored = store.load(("/desk", "1")).expect("read").expect("stored before its first step");
+    let stored = store.load(("/desk", "1")).expect("readable").expect("stored before its first step");
     assert_eq!(format!("{:016x}", stored.plan_digest), "61c8deb1cf86e7c0");
 }
--- a/crates/gateway/tests/workflows.rs
+++ b/crates/gateway/tests/workflows.rs
@@ -1,4 +1,4 @@
-//! Chains through the gateway on a simulated network: what workers are sent, what clients are told.
+//! Workflows on a simulated network: the requests sent to workers and the responses to clients.
 mod common;
 
 use applepond_gateway::Deployment;
@@ -27,8 +27,8 @@
     Branch { test: None, go: Go::One(StepId(n)) }
 }
 
-/// Price; beds at the hut that the price names, released when it fails later; if they are not free, the
-/// second hut; then confirm, once.
+/// Gets a price, then reserves beds at the hut named by its result, which `release` undoes if a later step
+/// fails. If no beds are free, reserves them at a second hut. Confirms at the end, at most once.
 fn booking() -> Plan {
     let free = Test { field: "free".into(), is: "true".into() };
     let steps = vec![
@@ -46,118 +46,119 @@
     Plan { name: "book".into(), limit: 4 * S, steps }
 }
 
-fn bench() -> SimulatedGateway {
+fn gateway_with_booking() -> SimulatedGateway {
     let plan = booking();
     assert_eq!(plan.check(), Vec::new());
-    let row = WorkflowConfig {
+    let workflow = WorkflowConfig {
         types: vec!["book".into()],
         function_attribute: "subject".into(),
         plan: Arc::new(plan),
     };
-    SimulatedGateway::new(Deployment { workflows: vec![row], ..deployment(2) })
+    SimulatedGateway::new(Deployment { workflows: vec![workflow], ..deployment(2) })
 }
 
-/// The latest request that a worker was sent, with its connection.
-fn latest(sim: &mut SimulatedGateway) -> (Conn, String) {
+/// Returns the latest request sent to a worker, with its connection.
+fn latest_request(sim: &mut SimulatedGateway) -> (Conn, String) {
     sim.worker_connections();
-    let sent = |c: &Conn| sim.told(*c).split("POST /run").last().unwrap_or_default().to_owned();
+    let last_request = |c: &Conn| sim.output(*c).split("POST /run").last().unwrap_or_default().to_owned();
     let open: Vec<Conn> =
         sim.transport.connects.iter().map(|(c, _)| *c).filter(|c| !sim.transport.cut.contains(c)).collect();
     let newest =
         open.into_iter().max_by_key(|c| (sim.requests_at(*c).1, *c)).expect("a worker was sent something");
-    (newest, sent(&newest))
+    (newest, last_request(&newest))
 }
 
-/// A worker answers the latest request; what the next one is about.
-fn answers(sim: &mut SimulatedGateway, body: &str) -> String {
-    let (conn, _) = latest(sim);
+/// Has a worker respond to the latest request, and returns the request that follows.
+fn respond(sim: &mut SimulatedGateway, body: &str) -> String {
+    let (conn, _) = latest_request(sim);
     sim.advance(20 * MS);
     sim.receive(conn, result(body).as_bytes());
-    latest(sim).1
+    latest_request(sim).1
 }
 
 #[test]
 fn a_workflow_runs_its_steps_to_the_end() {
-    let mut sim = bench();
+    let mut sim = gateway_with_booking();
     let client = sim.send_event("book", "7");
-    let (_, price) = latest(&mut sim);
+    let (_, price) = latest_request(&mut sim);
     assert!(price.contains("applepond-function: hut\r\n") && price.contains("ce-id: 7/price"), "{price}");
     assert!(price.contains("ce-type: quote\r\n") && !price.contains("ce-type: book"), "{price}");
-    let beds = answers(&mut sim, "{\"hut\":\"lucni\"}");
+    let beds = respond(&mut sim, "{\"hut\":\"lucni\"}");
     assert!(beds.contains("applepond-function: lucni\r\n") && beds.contains("ce-id: 7/beds"), "{beds}");
-    let confirm = answers(&mut sim, "{\"free\":true}");
+    let confirm = respond(&mut sim, "{\"free\":true}");
     assert!(confirm.contains("applepond-function: confirm-fn\r\n"), "{confirm}");
-    assert_eq!(sim.told(client), "", "one answer, at the end");
-    answers(&mut sim, "{\"booked\":4711}");
-    let told = sim.told(client);
-    assert!(told.starts_with("HTTP/1.1 200") && told.contains("4711"), "{told}");
-    assert!(told.contains("applepond-steps: 3"), "{told}");
+    assert_eq!(sim.output(client), "", "one answer, at the end");
+    respond(&mut sim, "{\"booked\":4711}");
+    let output = sim.output(client);
+    assert!(output.starts_with("HTTP/1.1 200") && output.contains("4711"), "{output}");
+    assert!(output.contains("applepond-steps: 3"), "{output}");
     assert_eq!(sim.requests(), 3);
 }
 
-// A retry joins the chain that runs, and is told its answer afterwards: one run, counted at the workers.
+// A client's retry joins the workflow in progress; one after its end gets the cached answer. The steps run
+// once.
 #[test]
 fn a_retried_workflow_joins_the_one_in_progress() {
-    let mut sim = bench();
+    let mut sim = gateway_with_booking();
     let client = sim.send_event("book", "7");
-    answers(&mut sim, "{\"hut\":\"lucni\"}");
+    respond(&mut sim, "{\"hut\":\"lucni\"}");
     sim.disconnect(client, applepond_reactor::Closed::Reset);
     let again = sim.send_event("book", "7");
-    answers(&mut sim, "{\"free\":true}");
-    answers(&mut sim, "{\"booked\":4711}");
+    respond(&mut sim, "{\"free\":true}");
+    respond(&mut sim, "{\"booked\":4711}");
     let later = sim.send_event("book", "7");
     for client in [again, later] {
-        assert!(sim.told(client).contains("4711"), "{}", sim.told(client));
+        assert!(sim.output(client).contains("4711"), "{}", sim.output(client));
     }
     assert_eq!(sim.requests(), 3);
 }
 
 #[test_case("{\"free\":false}"; "no beds")]
 #[test_case("no JSON at all"; "garbage")]
-#[test_case("{\"free\":{}}"; "a field that is no word")]
+#[test_case("{\"free\":{}}"; "a field that is an object")]
 fn an_alternative_step_runs_where_the_first_has_no_result(beds: &str) {
-    let mut sim = bench();
+    let mut sim = gateway_with_booking();
     sim.send_event("book", "7");
-    answers(&mut sim, "{\"hut\":\"lucni\"}");
-    assert!(answers(&mut sim, beds).contains("applepond-function: second-fn"));
+    respond(&mut sim, "{\"hut\":\"lucni\"}");
+    assert!(respond(&mut sim, beds).contains("applepond-function: second-fn"));
 }
 
-// The confirmation may have run: the client is told so and no more, and the beds are released, until that has
-// finished.
+// The confirmation may have run: the client gets a failure, and the release of the beds is retried until it
+// finishes.
 #[test]
 fn the_steps_of_a_failed_workflow_are_undone() {
-    let mut sim = bench();
+    let mut sim = gateway_with_booking();
     let client = sim.send_event("book", "7");
-    answers(&mut sim, "{\"hut\":\"lucni\"}");
-    answers(&mut sim, "{\"free\":true}");
-    let (conn, _) = latest(&mut sim);
+    respond(&mut sim, "{\"hut\":\"lucni\"}");
+    respond(&mut sim, "{\"free\":true}");
+    let (conn, _) = latest_request(&mut sim);
     sim.disconnect(conn, applepond_reactor::Closed::Reset);
     sim.advance(MS);
-    let told = sim.told(client);
-    assert!(told.starts_with("HTTP/1.1 502") && told.contains("step-failed"), "{told}");
-    let (conn, release) = latest(&mut sim);
+    let output = sim.output(client);
+    assert!(output.starts_with("HTTP/1.1 502") && output.contains("step-failed"), "{output}");
+    let (conn, release) = latest_request(&mut sim);
     assert!(
         release.contains("ce-id: 7/release") && release.contains("applepond-function: lucni"),
         "{release}"
     );
     sim.receive(conn, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     sim.advance(8 * S);
-    let (conn, again) = latest(&mut sim);
+    let (conn, again) = latest_request(&mut sim);
     assert!(again.contains("ce-id: 7/release"), "{again}");
     sim.receive(conn, result("{}").as_bytes());
     sim.advance(20 * S);
     let page = sim.connect_client();
     sim.receive(page, b"GET /-/state HTTP/1.1\r\nHost: a\r\n\r\n");
     assert!(
-        sim.told(page).contains("\"failed\":1") && sim.told(page).contains("\"open\":0"),
+        sim.output(page).contains("\"failed\":1") && sim.output(page).contains("\"open\":0"),
         "{}",
-        sim.told(page)
+        sim.output(page)
     );
     let again = sim.send_event("book", "7");
-    assert!(sim.told(again).starts_with("HTTP/1.1 502"), "it is told again, not run again");
+    assert!(sim.output(again).starts_with("HTTP/1.1 502"), "replayed, not run again");
 }
 
-// Nothing has had an effect: the client is told when to come back, and may.
+// No step has had an effect, so the client gets a rejection with a time to retry.
 #[test]
 fn a_workflow_without_capacity_is_rejected() {
     let mut sim = SimulatedGateway::new(Deployment {
@@ -170,73 +171,75 @@
     });
     let client = sim.send_event("book", "7");
     sim.advance(5 * S);
-    let told = sim.told(client);
-    assert!(told.starts_with("HTTP/1.1 503") && told.contains("retry-after-ms"), "{told}");
+    let output = sim.output(client);
+    assert!(output.starts_with("HTTP/1.1 503") && output.contains("retry-after-ms"), "{output}");
     assert_eq!(sim.statuses(client).len(), 1);
 }
 
 #[test]
 fn a_workflow_that_cannot_finish_in_time_is_refused_at_once() {
-    let mut sim = bench();
+    let mut sim = gateway_with_booking();
     let event = event("book", "7").replace("ce-id", "ce-timelimit: 60\r\nce-id");
     let client = sim.connect_client();
     sim.receive(client, event.as_bytes());
-    let told = sim.told(client);
-    assert!(told.starts_with("HTTP/1.1 503") && told.contains("no-time"), "{told}");
+    let output = sim.output(client);
+    assert!(output.starts_with("HTTP/1.1 503") && output.contains("no-time"), "{output}");
     assert_eq!(sim.requests(), 0);
 }
 
-// ---- Over a kill ---------------------------------------------------------------------------------------
+// ---- Restarts ------------------------------------------------------------------------------------------
 
-/// One instance after the other on the same record, and how often each step was sent by all of them.
+/// Successive gateway instances with the same store, and how often they sent each step in total.
 struct Restarts {
-    shared: SharedStore,
-    bench: SimulatedGateway,
+    store: SharedStore,
+    sim: SimulatedGateway,
     sent: std::collections::BTreeMap<String, usize>,
 }
 
 impl Restarts {
     fn new(fails: Option<usize>) -> Self {
-        let shared = SharedStore { fails, ..SharedStore::default() };
-        let bench = SimulatedGateway::with(with_chain(), 1_000 * S, Box::new(shared.clone()));
-        Restarts { shared, bench, sent: Default::default() }
+        let store = SharedStore { fails, ..SharedStore::default() };
+        let sim = SimulatedGateway::with_store(deployment_with_booking(), 1_000 * S, Box::new(store.clone()));
+        Restarts { store, sim, sent: Default::default() }
     }
 
-    /// Counts what this instance sent, and starts another one.
-    fn kill(&mut self) {
-        let worker_connections: Vec<Conn> = self.bench.transport.connects.iter().map(|(c, _)| *c).collect();
-        for told in worker_connections.iter().map(|c| self.bench.told(*c)) {
-            for id in told.split("ce-id: ").skip(1) {
+    /// Counts the steps sent by this instance, and replaces it by a new one.
+    fn restart(&mut self) {
+        let worker_connections: Vec<Conn> = self.sim.transport.connects.iter().map(|(c, _)| *c).collect();
+        for output in worker_connections.iter().map(|c| self.sim.output(*c)) {
+            for id in output.split("ce-id: ").skip(1) {
                 *self.sent.entry(id.split("\r\n").next().unwrap_or_default().to_owned()).or_default() += 1;
             }
         }
-        let now = self.bench.now + MS;
-        self.bench = SimulatedGateway::with(with_chain(), now, Box::new(self.shared.clone()));
+        let now = self.sim.now + MS;
+        self.sim = SimulatedGateway::with_store(deployment_with_booking(), now, Box::new(self.store.clone()));
     }
 
-    /// Asks, and has workers answer what the steps want to hear, for so many steps; the status that was told.
-    fn ask(&mut self, steps: usize) -> Option<u16> {
-        let client = self.bench.send_event("book", "7");
-        self.go_on(steps);
-        self.bench.statuses(client).first().copied()
+    /// Sends the event, has workers complete up to `steps` steps, and returns the status of the answer, if
+    /// any.
+    fn send_event(&mut self, steps: usize) -> Option<u16> {
+        let client = self.sim.send_event("book", "7");
+        self.complete_steps(steps);
+        self.sim.statuses(client).first().copied()
     }
 
-    fn go_on(&mut self, steps: usize) {
-        let sim = &mut self.bench;
+    /// Has workers respond to up to `steps` requests, with results that let the workflow continue.
+    fn complete_steps(&mut self, steps: usize) {
+        let sim = &mut self.sim;
         for _ in 0..steps {
             sim.worker_connections();
             if sim.requests() == 0 {
                 return;
             }
-            let (conn, sent) = latest(sim);
+            let (conn, request) = latest_request(sim);
             if sim.transport.answered.contains(&sim.requests_at(conn).1) {
                 return;
             }
             sim.transport.answered.insert(sim.requests_at(conn).1);
             sim.advance(25 * MS);
-            let body = match sent {
-                _ if sent.contains("/price") => "{\"hut\":\"lucni\"}",
-                _ if sent.contains("/beds") => "{\"free\":true}",
+            let body = match request {
+                _ if request.contains("/price") => "{\"hut\":\"lucni\"}",
+                _ if request.contains("/beds") => "{\"free\":true}",
                 _ => "{\"booked\":4711}",
             };
             sim.receive(conn, result(body).as_bytes());
@@ -245,89 +248,90 @@
     }
 }
 
-fn with_chain() -> Deployment {
-    let row = WorkflowConfig {
+fn deployment_with_booking() -> Deployment {
+    let workflow = WorkflowConfig {
         types: vec!["book".into()],
         function_attribute: "subject".into(),
         plan: Arc::new(booking()),
     };
-    Deployment { workflows: vec![row], ..deployment(2) }
+    Deployment { workflows: vec![workflow], ..deployment(2) }
 }
 
-// Killed after so many steps were answered, with the next one out; the client asks again at the next
-// instance.
-#[test_case(0, 200, &[("7/price", 2), ("7/beds", 1), ("7/confirm", 1)]; "the price is out: asked again")]
-#[test_case(1, 502, &[("7/price", 1), ("7/beds", 1), ("7/release", 1)]; "beds are out: they may be taken")]
+// The instance is restarted after `steps` steps have finished, with the next one in flight; the client
+// retries at the next instance.
+#[test_case(0, 200, &[("7/price", 2), ("7/beds", 1), ("7/confirm", 1)]; "price in flight: sent again")]
+#[test_case(1, 502, &[("7/price", 1), ("7/beds", 1), ("7/release", 1)]; "beds in flight: may have run")]
 #[test_case(2, 502, &[("7/price", 1), ("7/beds", 1), ("7/confirm", 1), ("7/release", 1)];
-    "the confirmation is out")]
-#[test_case(3, 200, &[("7/price", 1), ("7/beds", 1), ("7/confirm", 1)]; "the answer was lost")]
+    "confirmation in flight")]
+#[test_case(3, 200, &[("7/price", 1), ("7/beds", 1), ("7/confirm", 1)]; "answer lost")]
 fn a_restart_after_any_step_repeats_no_effect(steps: usize, status: u16, sent: &[(&str, usize)]) {
     let mut restarts = Restarts::new(None);
-    restarts.ask(steps);
-    restarts.bench.worker_connections();
-    restarts.kill();
-    let told = restarts.ask(9);
-    restarts.go_on(9);
-    restarts.kill();
-    assert_eq!(told, Some(status));
-    let want: std::collections::BTreeMap<String, usize> =
+    restarts.send_event(steps);
+    restarts.sim.worker_connections();
+    restarts.restart();
+    let retry_status = restarts.send_event(9);
+    restarts.complete_steps(9);
+    restarts.restart();
+    assert_eq!(retry_status, Some(status));
+    let expected: std::collections::BTreeMap<String, usize> =
         sent.iter().map(|(id, n)| ((*id).to_owned(), *n)).collect();
-    assert_eq!(restarts.sent, want);
+    assert_eq!(restarts.sent, expected);
 }
 
-// Nobody asks again: once the chain's time is up, what was done is taken back.
+// Without a retry by its client, an interrupted workflow is undone after its deadline.
 #[test]
 fn a_workflow_that_no_client_repeats_after_a_restart_is_undone() {
     let mut restarts = Restarts::new(None);
-    restarts.ask(2);
-    restarts.bench.worker_connections();
-    restarts.kill();
-    restarts.bench.advance(3 * S);
-    assert_eq!(restarts.bench.requests(), 0, "its client may still come");
-    restarts.bench.advance(S);
-    restarts.go_on(1);
-    restarts.kill();
+    restarts.send_event(2);
+    restarts.sim.worker_connections();
+    restarts.restart();
+    restarts.sim.advance(3 * S);
+    assert_eq!(restarts.sim.requests(), 0, "its client may still retry");
+    restarts.sim.advance(S);
+    restarts.complete_steps(1);
+    restarts.restart();
     assert_eq!(restarts.sent.get("7/release"), Some(&1));
-    restarts.bench.advance(9 * S);
-    assert_eq!(restarts.bench.requests(), 0, "once is enough");
+    restarts.sim.advance(9 * S);
+    assert_eq!(restarts.sim.requests(), 0, "undone once only");
 }
 
-// Taken after a switch of the settings that moved the rows of its workloads; a restart has them in their
-// file's order, and knows the chain on record all the same.
+// A reload keeps the indices of workloads, while a restart takes their order from the settings file. A
+// workflow stored after a reload that changed the order must still be recognised after the restart.
 #[test]
 fn a_workflow_survives_a_reload_and_a_restart() {
     let mut restarts = Restarts::new(None);
     let mut old = deployment(2);
     old.workloads.reverse();
     old.startup.workloads.reverse();
-    restarts.bench = SimulatedGateway::with(old, 1_000 * S, Box::new(restarts.shared.clone()));
-    restarts.bench.reload(with_chain());
-    restarts.ask(2);
-    restarts.bench.worker_connections();
-    restarts.kill();
-    restarts.bench.advance(4 * S);
-    restarts.go_on(1);
-    restarts.kill();
+    restarts.sim = SimulatedGateway::with_store(old, 1_000 * S, Box::new(restarts.store.clone()));
+    restarts.sim.reload(deployment_with_booking());
+    restarts.send_event(2);
+    restarts.sim.worker_connections();
+    restarts.restart();
+    restarts.sim.advance(4 * S);
+    restarts.complete_steps(1);
+    restarts.restart();
     assert_eq!((restarts.sent.get("7/confirm"), restarts.sent.get("7/release")), (Some(&1), Some(&1)));
 }
 
-// Told as finished, it is never taken back: that is on record before the answer goes out.
+// A workflow is stored as finished before it is answered, so that it is not undone after a restart.
 #[test]
 fn a_workflow_answered_as_finished_is_never_undone() {
     let mut restarts = Restarts::new(None);
-    let client = restarts.bench.send_event("book", "7");
-    restarts.go_on(2);
-    let (conn, _) = latest(&mut restarts.bench);
-    restarts.bench.receive(conn, result("{\"booked\":4711}").as_bytes());
-    assert_eq!(restarts.bench.statuses(client), [200], "in the same turn");
-    restarts.kill();
-    restarts.bench.advance(9 * S);
-    assert_eq!(restarts.bench.requests(), 0, "nothing is taken back");
-    restarts.kill();
+    let client = restarts.sim.send_event("book", "7");
+    restarts.complete_steps(2);
+    let (conn, _) = latest_request(&mut restarts.sim);
+    restarts.sim.receive(conn, result("{\"booked\":4711}").as_bytes());
+    assert_eq!(restarts.sim.statuses(client), [200], "answered in the same turn");
+    restarts.restart();
+    restarts.sim.advance(9 * S);
+    assert_eq!(restarts.sim.requests(), 0, "nothing is undone");
+    restarts.restart();
     assert_eq!(restarts.sent.get("7/release"), None);
 }
 
-// One of two arms waits to be written down when the other fails at once: it is not sent.
+// Of two parallel steps, one is waiting to be stored when the other one fails immediately: it must not be
+// sent.
 #[test]
 fn a_branch_cancelled_before_it_was_stored_is_not_sent() {
     let fork = Branch { test: None, go: Go::All(vec![StepId(1), StepId(2)], None) };
@@ -338,67 +342,70 @@
     ];
     let plan = Plan { name: "book".into(), limit: 4 * S, steps };
     assert_eq!(plan.check(), Vec::new());
-    let row = WorkflowConfig {
+    let workflow = WorkflowConfig {
         types: vec!["book".into()],
         function_attribute: "subject".into(),
         plan: Arc::new(plan),
     };
-    let mut sim = SimulatedGateway::new(Deployment { workflows: vec![row], ..deployment(2) });
+    let mut sim = SimulatedGateway::new(Deployment { workflows: vec![workflow], ..deployment(2) });
     let client = sim.send_event("book", "7");
-    let (conn, _) = latest(&mut sim);
+    let (conn, _) = latest_request(&mut sim);
     sim.receive(conn, result("{}").as_bytes());
     sim.advance(S);
     assert_eq!((sim.requests(), sim.statuses(client)), (1, vec![502]));
 }
 
-// Whichever write fails, and wherever the instance is killed after that: no step with an effect is sent
-// twice, and each exchange gets one answer.
+// Whichever write fails, and after whichever step the instance is restarted: no step that is not idempotent
+// is sent twice, and the client gets a final answer.
 #[test]
 fn no_failed_write_and_no_restart_repeats_an_effect() {
-    let mut outcomes = std::collections::BTreeSet::new();
+    let mut statuses = std::collections::BTreeSet::new();
     for fails in 1..=8 {
         for steps in 0..=4 {
             let mut restarts = Restarts::new(Some(fails));
-            restarts.ask(steps);
-            restarts.bench.worker_connections();
-            restarts.kill();
-            let mut told = restarts.ask(9);
-            restarts.go_on(9);
-            if told == Some(503) {
-                restarts.bench.advance(2 * S);
-                told = restarts.ask(9);
+            restarts.send_event(steps);
+            restarts.sim.worker_connections();
+            restarts.restart();
+            let mut status = restarts.send_event(9);
+            restarts.complete_steps(9);
+            if status == Some(503) {
+                restarts.sim.advance(2 * S);
+                status = restarts.send_event(9);
             }
-            restarts.kill();
-            outcomes.insert(told);
-            assert!(matches!(told, Some(200 | 502)), "write {fails}, {steps} steps: {told:?}");
+            restarts.restart();
+            statuses.insert(status);
+            assert!(matches!(status, Some(200 | 502)), "write {fails}, {steps} steps: {status:?}");
             for (id, n) in &restarts.sent {
-                let once = ["7/beds", "7/confirm"].contains(&id.as_str());
-                assert!(!once || *n == 1, "write {fails}, {steps} steps: {id} was sent {n} times");
+                let has_effect = ["7/beds", "7/confirm"].contains(&id.as_str());
+                assert!(!has_effect || *n == 1, "write {fails}, {steps} steps: {id} was sent {n} times");
             }
         }
     }
-    assert_eq!(outcomes.len(), 2, "some went on, some could not");
+    assert_eq!(statuses.len(), 2, "both outcomes occur");
 }
 
-// The disk is full: the step is not sent, and the client is told that another try does no harm.
+// If the disk is full, the step is not sent, and the client gets a rejection, which is safe to retry.
 #[test]
 fn a_step_that_cannot_be_stored_is_not_sent() {
     let mut restarts = Restarts::new(Some(1));
-    assert_eq!(restarts.ask(9), Some(503));
-    restarts.kill();
+    assert_eq!(restarts.send_event(9), Some(503));
+    restarts.restart();
     assert_eq!(restarts.sent.keys().collect::<Vec<_>>(), ["7/price"]);
 }
 
-// Chains count among what a router holds.
+// Open workflows count towards the limit of open requests.
 #[test]
 fn workflows_and_requests_share_one_bound() {
-    let row = WorkflowConfig {
+    let workflow = WorkflowConfig {
         types: vec!["book".into()],
         function_attribute: "subject".into(),
         plan: Arc::new(booking()),
     };
-    let mut sim =
-        SimulatedGateway::new(Deployment { workflows: vec![row], max_clients: 100_000, ..deployment(0) });
-    let told: Vec<Conn> = (0..20_001).map(|n| sim.send_event("book", &n.to_string())).collect();
-    assert!(sim.told(told[20_000]).contains("too-many-jobs"), "{}", sim.told(told[20_000]));
+    let mut sim = SimulatedGateway::new(Deployment {
+        workflows: vec![workflow],
+        max_clients: 100_000,
+        ..deployment(0)
+    });
+    let clients: Vec<Conn> = (0..20_001).map(|n| sim.send_event("book", &n.to_string())).collect();
+    assert!(sim.output(clients[20_000]).contains("too-many-jobs"), "{}", sim.output(clients[20_000]));
 }
