--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -1,4 +1,4 @@
-//! New settings in a running instance, there and back: nothing taken in is lost or sent twice.
+//! Reloads of a running instance, to new settings and back: no accepted request is lost or sent twice.
 mod common;
 use applepond::interface::{CustomerConfig, RetrySafety, WorkloadConfig};
 use applepond_gateway::Deployment;
@@ -8,22 +8,24 @@
 use common::*;
 use test_case::test_case;
 
-/// Another shape of deployment: no second copies, clients' limits shared, one workload instead of three,
-/// other terms for it.
-fn other() -> Deployment {
-    let mut d = deployment(3);
-    d.startup.attempt_policy.hedging_allowed = false;
-    d.startup.timeouts_shared = true;
-    d.startup.workloads =
-        vec![WorkloadConfig { retry_safety: RetrySafety::Idempotent, ..d.startup.workloads[2].clone() }];
-    d.workloads = vec![d.workloads[2].clone()];
-    (d.customers, d.startup.customers) =
+/// Different settings: no hedging, shared timeouts, another customer, and only the third workload, as an
+/// idempotent one.
+fn other_deployment() -> Deployment {
+    let mut deployment = deployment(3);
+    deployment.startup.attempt_policy.hedging_allowed = false;
+    deployment.startup.timeouts_shared = true;
+    deployment.startup.workloads = vec![WorkloadConfig {
+        retry_safety: RetrySafety::Idempotent,
+        ..deployment.startup.workloads[2].clone()
+    }];
+    deployment.workloads = vec![deployment.workloads[2].clone()];
+    (deployment.customers, deployment.startup.customers) =
         (vec!["towers".into()], vec![CustomerConfig { requests_per_second: 500.0 }]);
-    d
+    deployment
 }
 
-/// The connection that was sent a request last.
-fn latest(sim: &mut SimulatedGateway) -> Conn {
+/// Returns the connection on which a request was sent last.
+fn latest_connection(sim: &mut SimulatedGateway) -> Conn {
     let worker_connections = sim.worker_connections();
     worker_connections.into_iter().max_by_key(|connection| sim.requests_at(*connection).1).expect("sent")
 }
@@ -40,63 +42,64 @@
 #[test_case(|d| d.answer_retention.max_bytes = 1, "bounds.remember_bytes")]
 #[test_case(|d| d.zones = (0..10_000).map(|n| format!("z{n}")).collect(), "zones")]
 fn settings_of_the_process_need_a_restart(change: fn(&mut Deployment), key: &str) {
-    let mut new = other();
+    let mut new = other_deployment();
     change(&mut new);
     assert_eq!(merge(&deployment(3), new).err(), Some(vec![key]));
 }
 
 #[test]
-fn indices_stay_over_reloads_to_and_fro() {
-    let (first, second) = (deployment(3), other());
-    let there = merge(&first, second.clone()).expect("it fits");
-    let effects: Vec<RetrySafety> = there.startup.workloads.iter().map(|w| w.retry_safety).collect();
-    assert_eq!(effects[2], RetrySafety::Idempotent);
+fn indices_are_stable_over_reloads_back_and_forth() {
+    let (first, second) = (deployment(3), other_deployment());
+    let changed = merge(&first, second.clone()).expect("mergeable");
+    let retry_safety: Vec<RetrySafety> = changed.startup.workloads.iter().map(|w| w.retry_safety).collect();
+    assert_eq!(retry_safety[2], RetrySafety::Idempotent);
     assert_eq!(
-        effects[..2],
+        retry_safety[..2],
         [first.startup.workloads[0].retry_safety, first.startup.workloads[1].retry_safety]
     );
-    let types: Vec<usize> = there.workloads.iter().map(|w| w.types.len()).collect();
-    assert_eq!((types, there.customers.len()), (vec![0, 0, 1], 2));
+    let types: Vec<usize> = changed.workloads.iter().map(|w| w.types.len()).collect();
+    assert_eq!((types, changed.customers.len()), (vec![0, 0, 1], 2));
     assert_eq!(
-        there.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
+        changed.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
         [0.0, 500.0]
     );
-    let back = merge(&there, first.clone()).expect("it fits");
+    let restored = merge(&changed, first.clone()).expect("mergeable");
     assert_eq!(
-        back.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
+        restored.startup.customers.iter().map(|c| c.requests_per_second).collect::<Vec<_>>(),
         [1000.0, 0.0]
     );
-    assert_eq!(format!("{:?}", back.startup.workloads), format!("{:?}", first.startup.workloads));
-    let again = merge(&back, second).expect("it fits");
-    assert_eq!((again.workloads.len(), again.customers.len()), (3, 2), "a switch to and fro adds nothing");
+    assert_eq!(format!("{:?}", restored.startup.workloads), format!("{:?}", first.startup.workloads));
+    let again = merge(&restored, second).expect("mergeable");
+    assert_eq!((again.workloads.len(), again.customers.len()), (3, 2), "repeated reloads add no entries");
 }
 
-// An at-most-once request that was out at the switch stays one, though its workload may be repeated now; the
-// next may.
+// A request in flight during a reload stays at-most-once although its workload has become idempotent; only
+// the next request may be retried.
 #[test]
 fn a_request_keeps_the_retry_safety_it_was_accepted_under() {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
-    sim.reload(other());
+    sim.reload(other_deployment());
     sim.disconnect(connection, Closed::Reset);
     sim.advance(S);
     assert_eq!((sim.statuses(client), sim.requests()), (vec![502], 1));
     let again = sim.send_event("confirm", "1");
-    assert_eq!((sim.statuses(again), sim.requests()), (vec![502], 1), "and its answer is told again");
+    assert_eq!((sim.statuses(again), sim.requests()), (vec![502], 1), "its answer is replayed");
     let client = sim.send_event("confirm", "2");
-    let connection = latest(&mut sim);
+    let connection = latest_connection(&mut sim);
     sim.disconnect(connection, Closed::Reset);
     sim.advance(S);
     sim.worker_connections();
-    assert_eq!((sim.statuses(client), sim.requests()), (vec![], 3), "repeated by the new terms");
+    assert_eq!((sim.statuses(client), sim.requests()), (vec![], 3), "retried under the new settings");
     sim.reload(deployment(3));
-    let connection = latest(&mut sim);
+    let connection = latest_connection(&mut sim);
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     assert_eq!((sim.statuses(client), sim.requests()), (vec![200], 3));
 }
 
-// Two attempts are out when second copies are forbidden: one is taken back, and no request gets another.
+// When a reload forbids hedging while a hedged attempt is in flight, one of the two attempts is cancelled,
+// and no request is hedged afterwards.
 #[test]
 fn hedged_requests_end_when_hedging_is_forbidden() {
     let mut sim = SimulatedGateway::new(deployment(3));
@@ -116,7 +119,7 @@
         .worker_connections()
         .into_iter()
         .filter(|l| !sim.transport.cut.contains(l) && sim.requests_at(*l).0 > 0);
-    assert_eq!(sent.count(), 2, "one out a job");
+    assert_eq!(sent.count(), 2, "one attempt per request");
     for connection in sim.worker_connections() {
         if !sim.transport.cut.contains(&connection) {
             sim.receive(connection, FINISHED_RESPONSE.as_bytes());
@@ -125,14 +128,14 @@
     assert_eq!((sim.statuses(client), sim.statuses(second)), (vec![200], vec![200]));
 }
 
-// A workload or customer that the new settings leave out: what runs is answered, new ones are refused, until
-// the way back.
+// When new settings omit a workload or a customer, its requests in flight are answered and new ones are
+// refused, until a later reload restores it.
 #[test]
-fn a_workload_that_is_left_out_finishes_and_returns() {
+fn requests_of_an_omitted_workload_finish_and_new_ones_are_refused() {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("quote", "1");
     let connection = sim.worker_connections()[0];
-    sim.reload(other());
+    sim.reload(other_deployment());
     let refused = sim.send_event("quote", "2");
     let unknown = sim.connect_client();
     sim.receive(
@@ -144,13 +147,13 @@
     assert_eq!(sim.statuses(client), [200]);
     sim.reload(deployment(3));
     let again = sim.send_event("quote", "2");
-    let connection = latest(&mut sim);
+    let connection = latest_connection(&mut sim);
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     assert_eq!((sim.statuses(again), sim.requests()), (vec![200], 2));
 }
 
-// Held requests are not lost: the workers that the new settings name get them; those left out get nothing
-// new.
+// Requests that wait for a worker are sent to the workers of the new settings; omitted workers get no new
+// requests.
 #[test]
 fn waiting_requests_go_to_the_workers_of_a_reload() {
     let mut sim = SimulatedGateway::new(deployment(0));
@@ -161,11 +164,11 @@
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     assert_eq!((sim.statuses(client), sim.requests()), (vec![200], 1));
-    let mut moved = deployment(1);
+    let mut replaced = deployment(1);
     let address = ([127, 0, 0, 1], 9100).into();
-    moved.workers = vec![StaticWorker { name: "v1".into(), address, ..moved.workers[0].clone() }];
-    sim.reload(moved);
+    replaced.workers = vec![StaticWorker { name: "v1".into(), address, ..replaced.workers[0].clone() }];
+    sim.reload(replaced);
     sim.send_event("confirm", "2");
     assert_eq!(sim.transport.connects.last().map(|(_, to)| *to), Some(address));
-    assert!(sim.transport.cut.contains(&connection), "an idle connection to a worker that was left out");
+    assert!(sim.transport.cut.contains(&connection), "the idle connection to the omitted worker");
 }
