--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The instance on real loopback sockets, with stand-ins for workers and clients in the same reactor.
+//! A gateway on loopback sockets, with fake workers and clients in the same reactor.
 mod common;
 
 use applepond_fakes::client::{Client, Got, Planned, Results};
@@ -15,16 +15,16 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Turns at most, of at most 10 ms each: an end for a test that waits for what never comes.
-const TURNS: usize = 3_000;
+/// Limit of reactor turns, of at most 10 ms each, after which a test that waits for a condition fails.
+const MAX_TURNS: usize = 3_000;
 
 struct Fleet {
     reactor: Reactor,
-    front: SocketAddr,
+    gateway: SocketAddr,
     ledger: Ledger,
 }
 
-fn build(n: u16, listen: SocketAddr) -> Build {
+fn worker_config(n: u16, listen: SocketAddr) -> Build {
     Build {
         name: Rc::from(format!("w{n}")),
         listen,
@@ -46,6 +46,7 @@
     }
 }
 
+/// Starts a gateway and fake workers, each of which follows the script `turns`.
 fn fleet(workers: u16, turns: &[(Micros, Turn)]) -> Fleet {
     let mut reactor = Reactor::new().expect("epoll");
     let ledger = Ledger::default();
@@ -56,36 +57,38 @@
     deployment.workloads.iter_mut().for_each(|w| w.default_function.concurrency = 64);
     let begin = reactor.now();
     for (n, worker) in deployment.workers.iter_mut().enumerate() {
-        let probe = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
-        worker.address = probe.expect("a free port");
+        let free_address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
+        worker.address = free_address.expect("a free port");
         let script = turns.iter().map(|(at, turn)| (begin + at, *turn)).collect();
-        let build = build(n as u16, worker.address);
-        reactor.add(Box::new(Worker::new(build, script, ledger.clone(), Rc::default())));
+        let config = worker_config(n as u16, worker.address);
+        reactor.add(Box::new(Worker::new(config, script, ledger.clone(), Rc::default())));
     }
-    let at = Rc::new(Cell::new(None));
-    let told = at.clone();
-    let gateway = Gateway::new(reactor.now(), deployment, Box::new(move |a| told.set(Some(a))));
+    let address = Rc::new(Cell::new(None));
+    let bound_address = address.clone();
+    let gateway = Gateway::new(reactor.now(), deployment, Box::new(move |a| bound_address.set(Some(a))));
     reactor.add(Box::new(gateway));
-    Fleet { reactor, front: at.get().expect("it listens"), ledger }
+    Fleet { reactor, gateway: address.get().expect("it listens"), ledger }
 }
 
-fn until(reactor: &mut Reactor, mut done: impl FnMut() -> bool) {
-    for _ in 0..TURNS {
+/// Runs the reactor until `done` returns true.
+fn run_until(reactor: &mut Reactor, mut done: impl FnMut() -> bool) {
+    for _ in 0..MAX_TURNS {
         if done() {
             return;
         }
         reactor.turn(Duration::from_millis(10)).expect("a turn");
     }
-    panic!("what the test waits for did not come");
+    panic!("the condition was not met within {MAX_TURNS} turns");
 }
 
-fn ends(results: &Results) -> BTreeMap<Got, usize> {
-    let mut ends = BTreeMap::new();
-    results.got.iter().for_each(|(got, _)| *ends.entry(*got).or_default() += 1);
-    ends
+/// Counts requests by their outcome.
+fn outcomes(results: &Results) -> BTreeMap<Got, usize> {
+    let mut outcomes = BTreeMap::new();
+    results.got.iter().for_each(|(got, _)| *outcomes.entry(*got).or_default() += 1);
+    outcomes
 }
 
-fn planned(at: Micros, n: usize, kind: &'static str) -> Planned {
+fn planned_request(at: Micros, n: usize, kind: &'static str) -> Planned {
     Planned {
         at,
         source: "/desk".into(),
@@ -110,42 +113,43 @@
     }
 }
 
-// A thousand connections at the same moment, one request each: each gets exactly one answer, and none is left
-// over.
+// A thousand clients connect at the same time and send one request each: each gets exactly one answer.
 #[test]
 fn a_thousand_clients_at_once_are_answered() {
     let mut fleet = fleet(8, &[]);
     let at = fleet.reactor.now() + 50 * MS;
-    let plan = (0..1_000).map(|n| planned(at, n, "quote")).collect();
-    let routers = Rc::new(RefCell::new(vec![fleet.front]));
+    let plan = (0..1_000).map(|n| planned_request(at, n, "quote")).collect();
+    let routers = Rc::new(RefCell::new(vec![fleet.gateway]));
     let (client, results) = Client::new(plan, routers, fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
-    until(&mut fleet.reactor, || results.borrow().done == 1_000);
+    run_until(&mut fleet.reactor, || results.borrow().done == 1_000);
     fleet.ledger.read(|seen| {
         let count = |what: fn(&Saw) -> bool| seen.iter().filter(|(_, saw)| what(saw)).count();
         assert_eq!(count(|s| matches!(s, Saw::Asked { .. })), 1_000);
         assert_eq!(count(|s| matches!(s, Saw::Answered { .. })), 1_000);
         assert_eq!(count(|s| matches!(s, Saw::Stray { .. } | Saw::Cut { .. } | Saw::GaveUp { .. })), 0);
     });
-    let ends = ends(&results.borrow());
-    let ok = ends.get(&Got::Finished).unwrap_or(&0) + ends.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 500 && ok + ends.get(&Got::PushedBack).unwrap_or(&0) == 1_000, "{ends:?}");
+    let outcomes = outcomes(&results.borrow());
+    let ok = outcomes.get(&Got::Finished).unwrap_or(&0) + outcomes.get(&Got::Late).unwrap_or(&0);
+    assert!(ok >= 500 && ok + outcomes.get(&Got::PushedBack).unwrap_or(&0) == 1_000, "{outcomes:?}");
 }
 
-// Workers that break off, hang, talk nonsense: an at-most-once request begins once and has its one answer.
+// Whether workers cut responses, hang, fail or send garbage, an at-most-once request is begun at most once
+// and gets one answer.
 #[test_case(Mood::CutAnswers, &[Got::Killed, Got::PushedBack]; "cut")]
 #[test_case(Mood::Garbage, &[Got::Killed, Got::PushedBack]; "garbage")]
 #[test_case(Mood::FailFast(1.0), &[Got::Killed, Got::PushedBack]; "fail")]
 #[test_case(Mood::Hang, &[Got::Killed, Got::PushedBack]; "hang")]
 #[test_case(Mood::TwoAnswers, &[Got::Finished, Got::PushedBack]; "two answers")]
 #[test_case(Mood::RefuseAll, &[Got::PushedBack, Got::PushedBack]; "full")]
-fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, wanted: &[Got]) {
+fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, allowed: &[Got]) {
     let mut fleet = fleet(3, &[(0, Turn::Mood(mood))]);
     let at = fleet.reactor.now() + 50 * MS;
-    let plan = (0..40).map(|n| planned(at + n as Micros * 5 * MS, n, "confirm")).collect();
-    let (client, results) = Client::new(plan, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
+    let plan = (0..40).map(|n| planned_request(at + n as Micros * 5 * MS, n, "confirm")).collect();
+    let (client, results) =
+        Client::new(plan, Rc::new(RefCell::new(vec![fleet.gateway])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
-    until(&mut fleet.reactor, || results.borrow().done == 40);
+    run_until(&mut fleet.reactor, || results.borrow().done == 40);
     fleet.ledger.read(|seen| {
         for n in 0..40 {
             let event = format!("/desk {n}");
@@ -156,67 +160,67 @@
             assert!(began <= 1, "{event} began {began} times");
         }
     });
-    let ends = ends(&results.borrow());
-    assert!(ends.keys().all(|got| wanted.contains(got)), "{ends:?}");
+    let outcomes = outcomes(&results.borrow());
+    assert!(outcomes.keys().all(|got| allowed.contains(got)), "{outcomes:?}");
 }
 
-// A worker dies while it runs requests, and comes back: idempotent ones are answered by another.
+// A worker dies while it runs idempotent requests: they are retried on the other worker.
 #[test]
 fn idempotent_requests_of_a_dead_worker_are_answered_by_another() {
     let mut fleet = fleet(2, &[]);
     let at = fleet.reactor.now() + 50 * MS;
-    let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned(at, n, "quote") }).collect();
+    let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned_request(at, n, "quote") }).collect();
     let (client, results) =
-        Client::new(requests, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
+        Client::new(requests, Rc::new(RefCell::new(vec![fleet.gateway])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
     let ledger = fleet.ledger.clone();
-    until(&mut fleet.reactor, || ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Saw::Began { .. }))));
+    run_until(&mut fleet.reactor, || ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Saw::Began { .. }))));
     // The first machine added is the first worker.
     fleet.reactor.remove(0);
-    until(&mut fleet.reactor, || results.borrow().done == 20);
-    let ends = ends(&results.borrow());
-    let ok = ends.get(&Got::Finished).unwrap_or(&0) + ends.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 15 && !ends.contains_key(&Got::Broken), "{ends:?}");
+    run_until(&mut fleet.reactor, || results.borrow().done == 20);
+    let outcomes = outcomes(&results.borrow());
+    let ok = outcomes.get(&Got::Finished).unwrap_or(&0) + outcomes.get(&Got::Late).unwrap_or(&0);
+    assert!(ok >= 15 && !outcomes.contains_key(&Got::Broken), "{outcomes:?}");
 }
 
-// Clients that send a byte at a time and clients that never read: the others are served as if they were not
-// there.
+// Clients that send one byte at a time, and clients that never read, do not affect other clients.
 #[test]
-fn slow_clients_delay_nobody_else() {
+fn slow_clients_do_not_delay_others() {
     let mut fleet = fleet(2, &[]);
     let mut slow: Vec<TcpStream> =
-        (0..50).map(|_| TcpStream::connect(fleet.front).expect("connects")).collect();
-    let mut deaf: Vec<TcpStream> =
-        (0..50).map(|_| TcpStream::connect(fleet.front).expect("connects")).collect();
-    for (n, stream) in deaf.iter_mut().enumerate() {
-        stream.write_all(common::event("quote", &format!("deaf-{n}")).as_bytes()).expect("written");
+        (0..50).map(|_| TcpStream::connect(fleet.gateway).expect("connects")).collect();
+    let mut not_reading: Vec<TcpStream> =
+        (0..50).map(|_| TcpStream::connect(fleet.gateway).expect("connects")).collect();
+    for (n, stream) in not_reading.iter_mut().enumerate() {
+        stream.write_all(common::event("quote", &format!("not-reading-{n}")).as_bytes()).expect("written");
     }
     let at = fleet.reactor.now() + 50 * MS;
-    let plan = (0..100).map(|n| planned(at + n as Micros * 5 * MS, n, "quote")).collect();
-    let (client, results) = Client::new(plan, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
+    let plan = (0..100).map(|n| planned_request(at + n as Micros * 5 * MS, n, "quote")).collect();
+    let (client, results) =
+        Client::new(plan, Rc::new(RefCell::new(vec![fleet.gateway])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
     let event = common::event("quote", "slow");
     let mut bytes = event.bytes();
-    until(&mut fleet.reactor, || {
+    run_until(&mut fleet.reactor, || {
         if let Some(byte) = bytes.next() {
             slow.iter_mut().for_each(|s| s.write_all(&[byte]).expect("written"));
         }
         results.borrow().done == 100
     });
-    assert_eq!(ends(&results.borrow()), [(Got::Finished, 100)].into());
+    assert_eq!(outcomes(&results.borrow()), [(Got::Finished, 100)].into());
 }
 
 #[test]
 fn an_event_is_answered_over_real_sockets() {
     let mut fleet = fleet(1, &[]);
-    let mut stream = TcpStream::connect(fleet.front).expect("connects");
+    let mut stream = TcpStream::connect(fleet.gateway).expect("connects");
     stream.set_nonblocking(true).expect("set");
     stream
         .write_all(common::event("quote", "1").replace("Host: a", "Host: a\r\nConnection: close").as_bytes())
         .expect("written");
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
-    until(&mut fleet.reactor, || match stream.read(&mut buffer) {
+    run_until(&mut fleet.reactor, || match stream.read(&mut buffer) {
         Ok(0) => true,
         Ok(n) => {
             answer.extend_from_slice(&buffer[..n]);
