--- a/crates/gateway/benches/pushback.rs
+++ b/crates/gateway/benches/pushback.rs
@@ -1,9 +1,8 @@
-//! What the rejection of a request costs in a retry storm: `cargo bench -p applepond-gateway --bench
-//! pushback`.
+//! Cost of a rejection in a retry storm: `cargo bench -p applepond-gateway --bench pushback`.
 //!
-//! First the gateway alone, without sockets; then one instance on loopback whose only worker hangs, and
-//! clients that all ask again: over connections that stand, and over a new one each time. CPU is that of the
-//! gateway's thread alone, the kernel's part with it.
+//! First the state machine alone, without sockets; then an instance on loopback whose only worker hangs, with
+//! clients that only send retries, over persistent connections and over a new one for each retry. CPU time is
+//! that of the gateway's thread, including time in the kernel.
 #[path = "../tests/common/mod.rs"]
 mod common;
 
@@ -16,14 +15,14 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Answers of the machine alone.
-const ALONE: u64 = 200_000;
-/// Clients by name: far more than budgets are kept for one by one.
+/// Events measured without sockets.
+const MEASURED_EVENTS: u64 = 200_000;
+/// Distinct clients: far more than have individual retry budgets.
 const CLIENTS: u64 = 5_000;
-/// Threads that ask, each on one connection at a time.
-const ASKING: u64 = 3;
-const MOMENT: Duration = Duration::from_millis(20);
-const RUN: Duration = Duration::from_secs(4);
+/// Client threads, each with one connection at a time.
+const CLIENT_THREADS: u64 = 3;
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+const RUN_TIME: Duration = Duration::from_secs(4);
 
 fn event(n: u64) -> String {
     let client = n * 7919 % CLIENTS;
@@ -34,109 +33,115 @@
     )
 }
 
-fn alone() -> (f64, f64) {
-    let mut bench = common::SimulatedGateway::new(common::deployment(1));
-    let mut conn = bench.connect_client();
-    let mut back = 0u64;
-    let mut one = |bench: &mut common::SimulatedGateway, n: u64| {
-        bench.now += 100;
-        bench.receive(conn, event(n).as_bytes());
-        match bench.transport.written.get(&conn) {
-            Some(told) => {
-                back += u64::from(told.starts_with(b"HTTP/1.1 429") || told.starts_with(b"HTTP/1.1 503"))
+/// Returns the µs per event, and the rejected fraction.
+fn measure_without_sockets() -> (f64, f64) {
+    let mut sim = common::SimulatedGateway::new(common::deployment(1));
+    let mut conn = sim.connect_client();
+    let mut rejected = 0u64;
+    let mut send = |sim: &mut common::SimulatedGateway, n: u64| {
+        sim.now += 100;
+        sim.receive(conn, event(n).as_bytes());
+        match sim.transport.written.get(&conn) {
+            Some(answer) => {
+                rejected +=
+                    u64::from(answer.starts_with(b"HTTP/1.1 429") || answer.starts_with(b"HTTP/1.1 503"))
             }
-            // It went in, and waits for a worker that says nothing.
-            None => conn = bench.connect_client(),
+            // The event was admitted and waits for a worker that never responds.
+            None => conn = sim.connect_client(),
         }
-        bench.transport.written.clear();
+        sim.transport.written.clear();
     };
-    (0..20_000).for_each(|n| one(&mut bench, n));
-    let begun = Instant::now();
-    (0..ALONE).for_each(|n| one(&mut bench, n));
-    let each = begun.elapsed().as_micros() as f64 / ALONE as f64;
-    (each, back as f64 / (ALONE + 20_000) as f64)
+    (0..20_000).for_each(|n| send(&mut sim, n));
+    let begin = Instant::now();
+    (0..MEASURED_EVENTS).for_each(|n| send(&mut sim, n));
+    let time_per_event = begin.elapsed().as_micros() as f64 / MEASURED_EVENTS as f64;
+    (time_per_event, rejected as f64 / (MEASURED_EVENTS + 20_000) as f64)
 }
 
-fn cpu() -> u64 {
+/// Returns the CPU time of this thread in µs.
+fn cpu_time() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000
 }
 
-/// One exchange; its status, or 0 where none came in a moment.
-fn ask(stream: &mut TcpStream, n: u64) -> u16 {
+/// Sends an event; returns the status of its answer, or 0 if there is none within the timeout.
+fn send(stream: &mut TcpStream, n: u64) -> u16 {
     stream.write_all(event(n).as_bytes()).expect("writes");
     let mut buffer = [0; 4096];
-    let got = stream.read(&mut buffer).unwrap_or(0);
-    std::str::from_utf8(&buffer[..got]).ok().and_then(|t| t.get(9..12)?.parse().ok()).unwrap_or(0)
+    let length = stream.read(&mut buffer).unwrap_or(0);
+    std::str::from_utf8(&buffer[..length]).ok().and_then(|t| t.get(9..12)?.parse().ok()).unwrap_or(0)
 }
 
-/// (answers a second, µs of CPU each, share rejected)
-fn sockets(anew: bool) -> (f64, f64, f64) {
-    let hangs = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Returns the answers per second, the CPU time of each in µs, and the rejected fraction.
+fn measure_over_sockets(reconnect: bool) -> (f64, f64, f64) {
+    let hanging_worker = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut deployment = common::deployment(1);
     deployment.listen = "127.0.0.1:0".parse().expect("an address");
-    deployment.workers[0].address = hangs.local_addr().expect("bound");
+    deployment.workers[0].address = hanging_worker.local_addr().expect("bound");
     deployment.max_clients = 100_000;
     deployment.customers.clear();
     deployment.startup.customers.clear();
     let stop = Arc::new(AtomicBool::new(false));
-    let (tell, told) = mpsc::channel::<SocketAddr>();
+    let (address_sender, address_receiver) = mpsc::channel::<SocketAddr>();
     let run = {
         let stop = stop.clone();
         move || {
             let mut reactor = Reactor::new().expect("epoll");
-            let told = Box::new(move |at| tell.send(at).expect("the main thread waits"));
-            reactor.add(Box::new(Gateway::new(reactor.now(), deployment, told)));
+            let on_listening = Box::new(move |at| address_sender.send(at).expect("the main thread waits"));
+            reactor.add(Box::new(Gateway::new(reactor.now(), deployment, on_listening)));
             while !stop.load(Ordering::Relaxed) {
                 reactor.turn(Duration::from_millis(50)).expect("a turn");
             }
-            cpu()
+            cpu_time()
         }
     };
     let gateway = std::thread::spawn(run);
-    let at = told.recv().expect("it listens");
-    let begun = Instant::now();
+    let address = address_receiver.recv().expect("it listens");
+    let begin = Instant::now();
     let client = |thread: u64| {
         std::thread::spawn(move || {
-            let (mut all, mut back) = (0u64, 0u64);
+            let (mut sent, mut rejected) = (0u64, 0u64);
             let mut n = thread * 1_000_000;
             let connect = || {
-                let stream = TcpStream::connect(at).expect("connects");
-                stream.set_read_timeout(Some(MOMENT)).expect("a time");
+                let stream = TcpStream::connect(address).expect("connects");
+                stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a valid timeout");
                 stream
             };
             let mut stream = connect();
-            while begun.elapsed() < RUN {
+            while begin.elapsed() < RUN_TIME {
                 n += 1;
-                let status = ask(&mut stream, n);
-                // What goes in waits for a worker that hangs: others go on.
-                if anew || status == 0 {
+                let status = send(&mut stream, n);
+                // An admitted event waits for the hanging worker; the client continues on a new connection.
+                if reconnect || status == 0 {
                     stream = connect();
                 }
-                all += 1;
-                back += u64::from(status == 429 || status == 503);
+                sent += 1;
+                rejected += u64::from(status == 429 || status == 503);
             }
-            (all, back)
+            (sent, rejected)
         })
     };
-    let clients: Vec<_> = (0..ASKING).map(client).collect();
-    let (mut all, mut back) = (0, 0);
+    let clients: Vec<_> = (0..CLIENT_THREADS).map(client).collect();
+    let (mut sent, mut rejected) = (0, 0);
     for client in clients {
-        let (a, sim) = client.join().expect("a client ends");
-        all += a;
-        back += sim;
+        let (client_sent, client_rejected) = client.join().expect("a client ends");
+        sent += client_sent;
+        rejected += client_rejected;
     }
-    let took = begun.elapsed().as_secs_f64();
+    let duration = begin.elapsed().as_secs_f64();
     stop.store(true, Ordering::Relaxed);
-    let cpu = gateway.join().expect("the gateway ends");
-    (all as f64 / took, cpu as f64 / all.max(1) as f64, back as f64 / all.max(1) as f64)
+    let cpu_time = gateway.join().expect("the gateway ends");
+    (sent as f64 / duration, cpu_time as f64 / sent.max(1) as f64, rejected as f64 / sent.max(1) as f64)
 }
 
 fn main() {
-    let (each, back) = alone();
-    println!("gateway alone: {each:.1} µs an answer, {:.1} % pushed back", 100.0 * back);
-    for (name, anew) in [("connections that stand", false), ("a new connection each", true)] {
-        let (rate, each, back) = sockets(anew);
-        println!("{name}: {rate:.0} a second, {each:.1} µs of CPU each, {:.1} % pushed back", 100.0 * back);
+    let (time, rejected) = measure_without_sockets();
+    println!("gateway without sockets: {time:.1} µs per answer, {:.1} % rejected", 100.0 * rejected);
+    for (name, reconnect) in [("persistent connections", false), ("new connection per event", true)] {
+        let (rate, time, rejected) = measure_over_sockets(reconnect);
+        println!(
+            "{name}: {rate:.0} per second, {time:.1} µs of CPU each, {:.1} % rejected",
+            100.0 * rejected
+        );
     }
 }
