--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,48 +1,48 @@
-//! The acceptor: what it has promised and accepted, durable before anybody is told.
+//! The acceptor: its promise and accepted value are made durable before it answers a request.
 use crate::Ballot;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// All that an acceptor must never forget. The order of the fields is part of its file.
+/// The durable state of an acceptor. The order of the fields is part of the file format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorState<V> {
-    /// The fleet that it belongs to. The disk of another fleet is refused.
+    /// The fleet that the acceptor belongs to. A file of another fleet is rejected.
     pub fleet: u64,
-    /// The highest promised ballot: nothing below it is accepted any more.
+    /// The highest promised ballot. Lower ballots are rejected.
     pub promised: Ballot,
-    /// The latest accepted value, under its ballot.
+    /// The latest accepted value and the ballot under which it was accepted.
     pub accepted: Option<(Ballot, V)>,
 }
 
 impl<V> AcceptorState<V> {
-    /// The state of an acceptor that has never promised anything.
+    /// The initial state: no promise and no accepted value.
     pub fn empty(fleet: u64) -> Self {
         AcceptorState { fleet, promised: Ballot::default(), accepted: None }
     }
 }
 
-/// Why an acceptor takes no part any more, until its process is started again on a sound disk.
+/// Why an acceptor abstains. The error is permanent until the process is restarted with an intact file.
 ///
-/// What an operator does is said by [`Unavailable::AcceptorFailed`](crate::Unavailable::AcceptorFailed). The
-/// order of the variants is part of the messages.
+/// [`Unavailable::AcceptorFailed`](crate::Unavailable::AcceptorFailed) tells operators how to recover. The
+/// order of the variants is part of the message format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Error)]
 pub enum AcceptorError {
-    /// The disk took no more, or failed.
-    #[error("the acceptor's state could not be written")]
+    /// Writing the state failed, for example because the disk is full.
+    #[error("failed to write the acceptor state")]
     WriteFailed,
-    /// What is on the disk cannot be read.
-    #[error("the acceptor's file cannot be read")]
+    /// The file cannot be read or decoded.
+    #[error("the acceptor file is unreadable or corrupt")]
     Corrupt,
-    /// The disk is of another fleet.
-    #[error("the acceptor's file is of another fleet")]
+    /// The file belongs to another fleet.
+    #[error("the acceptor file belongs to another fleet")]
     WrongFleet,
-    /// The disk holds less than it was known to have promised: it was put back from a copy.
-    #[error("the acceptor's file is older than a promise of it")]
+    /// The file holds a lower promise than this acceptor has given: it was restored from an old copy.
+    #[error("the acceptor file was rolled back: it holds a lower promise than the acceptor has given")]
     RolledBack,
 }
 
 impl AcceptorError {
-    /// The word for it in messages to operators, which never changes.
+    /// A stable label for messages to operators.
     pub fn label(self) -> &'static str {
         match self {
             AcceptorError::WriteFailed => "not-written",
@@ -55,81 +55,81 @@
 
 /// Durable storage of an acceptor's state.
 pub trait AcceptorStorage<V> {
-    /// Replaces the state, and returns once it would outlast a power cut.
+    /// Replaces the state and returns once the new one would survive a power failure.
     ///
     /// # Errors
-    /// The disk's failure. Nothing is known then of what is on the disk.
+    /// The write failed. The content of the file is unknown afterwards.
     fn persist(&mut self, state: &AcceptorState<V>) -> Result<(), AcceptorError>;
 }
 
-/// The answer of an acceptor that has promised a ballot.
+/// An acceptor's promise, the positive response to phase 1.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Promise<V> {
-    /// The ballot that is promised.
+    /// The promised ballot.
     pub ballot: Ballot,
-    /// What the acceptor had promised before.
+    /// The highest ballot promised before this one.
     pub previous: Ballot,
-    /// The latest value that it has accepted, under its ballot.
+    /// The latest accepted value and the ballot under which it was accepted.
     pub accepted: Option<(Ballot, V)>,
 }
 
-/// Why an acceptor does not do what it was asked for.
+/// Why an acceptor rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// It has promised a higher ballot.
-    #[error("a higher ballot is promised: {promised:?}")]
+    /// The acceptor has promised a higher ballot.
+    #[error("superseded by the higher promised ballot {promised:?}")]
     Superseded {
-        /// The ballot that it has promised.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// It takes no part.
-    #[error("the acceptor takes no part: {0}")]
+    /// The acceptor has failed and abstains.
+    #[error("the acceptor abstains: {0}")]
     Abstained(#[from] AcceptorError),
 }
 
-/// One acceptor. It answers requests one by one and remembers nothing but its state.
+/// An acceptor. It handles one request at a time and keeps no state besides the durable one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor<V> {
-    /// As it is on the disk.
+    /// The state as last persisted.
     state: AcceptorState<V>,
-    /// Why it takes no part. It is never cleared.
+    /// Why the acceptor abstains. Never cleared once set.
     error: Option<AcceptorError>,
 }
 
 impl<V: Clone> Acceptor<V> {
-    /// An acceptor on what was found on its disk: no state where the disk is new, or why it cannot be read.
-    /// One with an error answers nothing.
-    pub fn new(fleet: u64, found: Result<Option<AcceptorState<V>>, AcceptorError>) -> Self {
-        let (state, error) = match found {
+    /// Creates an acceptor from the loaded state: `None` for a new file, an error for an unreadable one.
+    /// An acceptor with an error abstains from every request.
+    pub fn new(fleet: u64, loaded: Result<Option<AcceptorState<V>>, AcceptorError>) -> Self {
+        let (state, error) = match loaded {
             Ok(Some(state)) if state.fleet != fleet => {
                 (AcceptorState::empty(fleet), Some(AcceptorError::WrongFleet))
             }
-            Ok(found) => (found.unwrap_or(AcceptorState::empty(fleet)), None),
+            Ok(state) => (state.unwrap_or(AcceptorState::empty(fleet)), None),
             Err(error) => (AcceptorState::empty(fleet), Some(error)),
         };
         Acceptor { state, error }
     }
 
-    /// Why it takes no part, if so. Only a new start on a sound disk ends that.
+    /// Why the acceptor abstains, if it does. Only a restart with an intact file clears the error.
     pub fn error(&self) -> Option<AcceptorError> {
         self.error
     }
 
-    /// What it has promised and accepted.
+    /// The promised ballot and accepted value.
     pub fn state(&self) -> &AcceptorState<V> {
         &self.state
     }
 
-    /// Notes a promise that somebody has heard from this disk. A disk that holds less was rolled back, and
-    /// the acceptor takes no part from then on.
+    /// Compares the state with a promise that another process has received from this disk. If the stored
+    /// promise is lower, the file was rolled back and the acceptor abstains from then on.
     pub fn observe_promise(&mut self, known: Option<Ballot>) {
         if known.is_some_and(|ballot| ballot > self.state.promised) {
             self.error = self.error.or(Some(AcceptorError::RolledBack));
         }
     }
 
-    /// Writes the state before anybody is told. A failed write leaves the disk unknown, so that it was the
-    /// last one.
+    /// Persists the state before it is answered for. After a failed write the content of the file is unknown,
+    /// so the acceptor abstains from then on.
     fn persist(
         &mut self,
         state: AcceptorState<V>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Fails where the acceptor takes no part.
+    /// Fails if the acceptor abstains.
     fn check(&self) -> Result<(), AcceptorError> {
         self.error.map_or(Ok(()), Err)
     }
@@ -155,8 +155,8 @@
     /// Promises to accept nothing below this ballot (phase 1).
     ///
     /// # Errors
-    /// [`Rejection::Superseded`] where a higher ballot is promised, [`Rejection::Abstained`] where the
-    /// acceptor takes no part or its disk fails now.
+    /// [`Rejection::Superseded`] if a higher ballot is promised, [`Rejection::Abstained`] if the acceptor
+    /// abstains or the write fails.
     pub fn prepare(
         &mut self,
         ballot: Ballot,
@@ -167,7 +167,7 @@
         if ballot < previous {
             return Err(Rejection::Superseded { promised: previous });
         }
-        // A repeated request is the network's: its answer is the same, and nothing has to be written.
+        // A duplicate of the request gets the same response; there is nothing to write.
         if ballot > previous {
             self.persist(AcceptorState { promised: ballot, ..self.state.clone() }, storage)?;
         }
@@ -177,8 +177,8 @@
     /// Accepts a value under this ballot (phase 2).
     ///
     /// # Errors
-    /// [`Rejection::Superseded`] where a higher ballot is promised, [`Rejection::Abstained`] where the
-    /// acceptor takes no part or its disk fails now.
+    /// [`Rejection::Superseded`] if a higher ballot is promised, [`Rejection::Abstained`] if the acceptor
+    /// abstains or the write fails.
     pub fn accept(
         &mut self,
         ballot: Ballot,
