--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,5 +1,5 @@
-//! A replica's acceptor together with its disk: it answers requests as messages and does nothing else, so
-//! that it can wait for its disk on a thread of its own while the router goes on.
+//! A replica: an acceptor bound to a disk. It only answers requests, so it can block on disk writes in a
+//! separate thread without delaying the router.
 use crate::{
     Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, KnownPromise, RegisterActions,
     RegisterState, Rejection,
@@ -13,28 +13,28 @@
 }
 
 impl<V: Clone> Replica<V> {
-    /// `disk` is the number that was drawn when the replica's file was made; `found` is what the file holds,
-    /// none where it is new, or why it cannot be read.
+    /// `disk` is the id that was drawn when the replica's file was created; `loaded` is the content of the
+    /// file: `None` for a new file, an error for an unreadable one.
     pub fn new(
         fleet: u64,
         disk: InstanceId,
-        found: Result<Option<AcceptorState<RegisterState<V>>>, AcceptorError>,
+        loaded: Result<Option<AcceptorState<RegisterState<V>>>, AcceptorError>,
     ) -> Self {
-        Replica { disk, acceptor: Acceptor::new(fleet, found) }
+        Replica { disk, acceptor: Acceptor::new(fleet, loaded) }
     }
 
-    /// Why it takes no part, if so.
+    /// Why the acceptor abstains, if it does.
     pub fn error(&self) -> Option<AcceptorError> {
         self.acceptor.error()
     }
 
-    /// Notes what somebody has heard from a disk, if it is this one.
-    fn observe(&mut self, known: Option<KnownPromise>) {
+    /// Checks a promise known to another process against this disk; promises of other disks are ignored.
+    fn check_rollback(&mut self, known: Option<KnownPromise>) {
         let of_this_disk = known.filter(|promise| promise.disk == self.disk);
         self.acceptor.observe_promise(of_this_disk.map(|promise| promise.ballot));
     }
 
-    /// Answers a request of phase 1.
+    /// Handles a phase 1 request.
     pub(crate) fn prepare(
         &mut self,
         from: RouterId,
@@ -43,14 +43,14 @@
         storage: &mut dyn AcceptorStorage<RegisterState<V>>,
         actions: &mut dyn RegisterActions<V>,
     ) {
-        self.observe(known);
+        self.check_rollback(known);
         match self.acceptor.prepare(ballot, storage) {
             Ok(promise) => actions.promised(from, self.disk, &promise),
             Err(rejection) => reject(from, ballot, rejection, actions),
         }
     }
 
-    /// Answers a request of phase 2.
+    /// Handles a phase 2 request.
     pub(crate) fn accept(
         &mut self,
         from: RouterId,
@@ -59,7 +59,7 @@
         storage: &mut dyn AcceptorStorage<RegisterState<V>>,
         actions: &mut dyn RegisterActions<V>,
     ) {
-        self.observe(known);
+        self.check_rollback(known);
         match self.acceptor.accept(ballot, state, storage) {
             Ok(()) => actions.accepted(from, ballot, self.disk),
             Err(rejection) => reject(from, ballot, rejection, actions),
