--- a/crates/consensus/src/unavailable.rs
+++ b/crates/consensus/src/unavailable.rs
@@ -1,77 +1,81 @@
-//! Why nothing is agreed on at present, in words for an operator.
+//! Reasons why the register is unavailable, with instructions for operators.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why nothing is agreed on at present. Shared limits go on at their floors meanwhile.
+/// Why the register is unavailable. Shared limits fall back to their floors meanwhile.
 ///
-/// Operators know these by their codes, which never change.
+/// The diagnostic codes are stable: operators match on them.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum Unavailable {
-    /// Less than a majority of the replicas answers.
-    #[error("{responding} of {total} keepers answer; more than half have to")]
+    /// Fewer than a majority of the replicas respond.
+    #[error("no quorum: {responding} of {total} replicas respond, a majority is required")]
     #[diagnostic(
         code(accord::too_few),
-        help("start the routers named in 'keepers' or mend the way to them; nothing is lost meanwhile")
+        help(
+            "start the routers named in 'keepers' or restore the network to them; no data is lost meanwhile"
+        )
     )]
     NoQuorum {
-        /// Replicas that have answered.
+        /// The number of replicas that responded.
         responding: usize,
-        /// All replicas.
+        /// The number of replicas.
         total: usize,
     },
-    /// Half of the replicas or more have other disks than those that the state was written to.
-    #[error("{lost} of {total} keepers have lost what they had agreed on")]
+    /// At least half of the replicas no longer have the disks to which the state was written.
+    #[error("{lost} of {total} replicas have lost their state")]
     #[diagnostic(
         code(accord::majority_lost),
         help(
-            "bring back the disks of those keepers; if they are lost for good, stop all keepers, remove \
-             their 'votes' files, raise 'founding' in the fleet block of all routers and start them again"
+            "restore the disks of those replicas; if they are lost for good, stop the routers named in \
+             'keepers', remove their 'votes' files, increase 'founding' in the fleet block of all routers \
+             and start them again"
         )
     )]
     MajorityLost {
-        /// Replicas that have lost their disks.
+        /// The number of replicas that have lost their disks.
         lost: usize,
-        /// All replicas.
+        /// The number of replicas.
         total: usize,
     },
-    /// All replicas are empty, and other routers have seen something agreed on.
-    #[error("all keepers are empty, and others remember that something was agreed on")]
+    /// All replicas are empty, but other routers have seen a committed state.
+    #[error("all replicas are empty, but other routers have seen a committed state")]
     #[diagnostic(
         code(accord::remembered),
         help(
-            "bring back the keepers' 'votes' files; if they are lost for good, raise 'founding' in the \
-             fleet block of all routers"
+            "restore the 'votes' files of the routers named in 'keepers'; if they are lost for good, \
+             increase 'founding' in the fleet block of all routers"
         )
     )]
     StateForgotten,
-    /// The replicas agree on an older state than others have seen, or on another register.
-    #[error("the keepers' disks agree on less than others have seen, or on something of another life")]
+    /// The replicas hold an older state than other routers have seen, or another register.
+    #[error("the replicas hold an older state than other routers have seen, or another register")]
     #[diagnostic(
         code(accord::past),
         help(
-            "somebody has put back copies of the keepers' disks: stop all keepers, remove their 'votes' \
-             files, raise 'founding' in the fleet block of all routers and start them again"
+            "the 'votes' files were restored from old copies: stop the routers named in 'keepers', remove \
+             their 'votes' files, increase 'founding' in the fleet block of all routers and start them again"
         )
     )]
     StateRolledBack,
-    /// The acceptor of this router takes no part: the label of its [`AcceptorError`](crate::AcceptorError).
-    #[error("this router's vote cannot be relied on ({0}), so it does not vote")]
+    /// This router's acceptor abstains. The field is the label of its
+    /// [`AcceptorError`](crate::AcceptorError).
+    #[error("the acceptor of this router has failed ({0}) and abstains")]
     #[diagnostic(
         code(accord::keeper_in_doubt),
         help(
-            "not-written: make room or mend the disk and start this router again. Others: stop it, remove \
-             its 'votes' file and start it again; the others take it in as a new keeper"
+            "not-written: free space or repair the disk, then restart this router. Otherwise: stop it, \
+             remove its 'votes' file and start it again; the other replicas admit it as a new replica"
         )
     )]
     AcceptorFailed(&'static str),
-    /// The register was bootstrapped a moment ago: leases of an earlier one have to end first.
-    #[error("what is agreed on was founded a moment ago; leases of a life before have to end first")]
-    #[diagnostic(code(accord::ripens), help("nothing: it passes within seconds"))]
+    /// The register was just bootstrapped, and leases on an earlier one may not have expired yet.
+    #[error("the register was just bootstrapped; waiting for leases on an earlier one to expire")]
+    #[diagnostic(code(accord::ripens), help("no action is needed: this resolves within seconds"))]
     BootstrapPending,
 }
 
 impl Unavailable {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of diagnostic codes.
     pub fn each() -> Vec<Unavailable> {
         vec![
             Unavailable::NoQuorum { responding: 0, total: 0 },
