--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,7 +1,8 @@
-//! Messages of the register: a tag, a kind, then the sender and the contents in postcard's format.
+//! The register's wire messages: a protocol tag, a message kind, then the sender and the contents in
+//! postcard encoding.
 //!
-//! A message is decoded as a whole before any of it counts. The order of the parts of each message is its
-//! format between versions of the router.
+//! A message is decoded completely before it takes effect. The order of its parts is the wire format, which
+//! routers of different versions share.
 use crate::{
     AcceptorError, AcceptorStorage, Ballot, KnownPromise, MAX_REPLICAS, Promise, Register, RegisterActions,
     RegisterState, Replica, ReplicaId, ReplicaRequests,
@@ -13,7 +14,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// The first byte of each message here. Those of membership begin with a small number.
+/// The first byte of each register message. Membership messages start with a small number instead.
 pub const PROTOCOL_TAG: u8 = 0xb2;
 
 const PREPARE: u8 = 1;
@@ -25,33 +26,33 @@
 const STATE_REQUEST: u8 = 7;
 const STATE_RESPONSE: u8 = 8;
 
-/// No version is higher: nobody gives it out.
+/// The exclusive upper bound of valid versions.
 const MAX_VERSION: u64 = 1 << 62;
 
-/// A message that is not used. It changes nothing.
+/// The error for a message that cannot be decoded or is invalid. The message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
-#[error("a message that ends early, goes on after its end or holds what no message holds")]
+#[error("malformed message: truncated, followed by trailing bytes, or with invalid contents")]
 #[diagnostic(
     code(accord::unreadable),
-    help("a router of another version, or a broken path: compare the versions of the routers")
+    help("the sender runs another version, or the network corrupts messages: compare the routers' versions")
 )]
 pub struct MalformedMessage;
 
-/// Actions as messages of this router.
+/// Encodes actions as messages of this router.
 pub struct MessageWriter {
     sender: RouterId,
-    /// The messages so far, each with its receiver.
+    /// The encoded messages, each with its receiver.
     pub messages: Vec<(RouterId, Vec<u8>)>,
 }
 
 impl MessageWriter {
-    /// A writer without messages.
+    /// Creates a writer without messages.
     pub fn new(sender: RouterId) -> Self {
         MessageWriter { sender, messages: Vec::new() }
     }
 
     fn write(&mut self, to: RouterId, kind: u8, contents: &impl Serialize) {
-        // Numbers and ids can always be written; the caller bounds the length of a message.
+        // Encoding cannot fail for these types; the caller bounds the message length.
         if let Ok(bytes) = postcard::to_extend(&(self.sender, contents), vec![PROTOCOL_TAG, kind]) {
             self.messages.push((to, bytes));
         }
@@ -95,7 +96,7 @@
     }
 }
 
-/// Decodes the sender and the contents, with nothing after them.
+/// Decodes the sender and the contents, and rejects trailing bytes.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<(RouterId, T), MalformedMessage> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
@@ -103,15 +104,15 @@
     }
 }
 
-/// Whether a message is for the acceptor of its receiver, and not for its register.
+/// Whether a message is for the receiver's acceptor rather than its register.
 pub fn is_acceptor_request(message: &[u8]) -> bool {
     matches!(message, [PROTOCOL_TAG, PREPARE | ACCEPT, ..])
 }
 
-/// Hands a request to a replica, which answers by `actions`.
+/// Decodes a request and passes it to a replica, which responds through `actions`.
 ///
 /// # Errors
-/// The message cannot be decoded; nothing has changed.
+/// The message is malformed; nothing has changed.
 pub fn handle_acceptor_request<V: Clone + Serialize + DeserializeOwned>(
     message: &[u8],
     replica: &mut Replica<V>,
@@ -134,11 +135,11 @@
     Ok(())
 }
 
-/// Hands a message to a register, which answers by `actions`. `remembered` is as in
+/// Decodes a message and passes it to a register, which responds through `actions`. For `remembered` see
 /// [`Register::on_promised`].
 ///
 /// # Errors
-/// The message cannot be decoded; nothing has changed.
+/// The message is malformed; nothing has changed.
 pub fn handle_register_message<V: Clone + Default + Serialize + DeserializeOwned>(
     message: &[u8],
     register: &mut Register<V>,
@@ -189,7 +190,7 @@
     Ok((ReplicaId { router, disk }, Promise { ballot, previous, accepted }))
 }
 
-/// More replicas than there may be, or a version that nobody gives out, was never agreed on.
+/// Rejects states that cannot have been committed: no replicas, too many, or a version out of range.
 fn validate<V>(state: &RegisterState<V>) -> Result<(), MalformedMessage> {
     let is_bounded = |replicas: &[ReplicaId]| replicas.len() <= MAX_REPLICAS;
     let are_replicas_valid =
