--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -1,5 +1,5 @@
-//! A proposer over a fixed set of acceptors: it reads what is agreed on and has the next value written, one
-//! round at a time.
+//! A proposer over a fixed set of acceptors: it reads the latest value and proposes the next one, one round
+//! at a time.
 use crate::{
     Ballot, MAX_REPLICAS, Promise, RESPONSE_TIMEOUT, RETRY_BACKOFF, RETRY_BACKOFF_MAX_DOUBLINGS, ReplicaIndex,
 };
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests to acceptors. Each may be lost, delayed or repeated, and so may its answer.
+/// Requests to acceptors. Requests and responses may be lost, delayed or duplicated.
 pub trait ProposerActions<V> {
     /// Asks an acceptor to promise a ballot (phase 1).
     fn prepare(&mut self, to: ReplicaIndex, ballot: Ballot);
@@ -16,60 +16,59 @@
     fn accept(&mut self, to: ReplicaIndex, ballot: Ballot, value: &V);
 }
 
-/// What has come of a round.
+/// The outcome of a round, or of one of its phases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome<V> {
-    /// A majority has promised. This is the latest value, and `propose` may follow it with the next.
+    /// A majority has promised. This is the latest value; `propose` may now replace it.
     Read(Option<V>),
     /// A majority has accepted the value: it is in the history of every later one.
     Committed(V),
-    /// The disk of this acceptor holds less than it has promised before, as a copy that was put back. It does
-    /// not count any more here.
+    /// The acceptor has a lower promise than it has given before, as after restoring an old copy of its
+    /// file. This proposer ignores it from now on.
     StaleReplica(ReplicaIndex),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase<V> {
     Idle,
-    /// Overtaken or not answered: the next round begins at `deadline`.
+    /// Superseded or timed out: the next round starts at `deadline`.
     Backoff,
-    /// Phase 1: who has promised, and the latest value that any of them has accepted.
+    /// Phase 1: the acceptors that have promised, and the latest value that any of them has accepted.
     Preparing {
         promised: BTreeSet<ReplicaIndex>,
         latest: Option<(Ballot, V)>,
     },
-    /// Read; the caller has not said what is next.
+    /// The value is read; waiting for the caller to propose the next one.
     Prepared,
-    /// Phase 2: the value, and who has accepted it.
+    /// Phase 2: the proposed value and the acceptors that have accepted it.
     Accepting {
         value: V,
         accepted: BTreeSet<ReplicaIndex>,
     },
 }
 
-/// A proposer. It never acts by itself: [`wake`](Proposer::wake) has to be called in time.
+/// A proposer. It has no timer of its own: the caller calls [`wake`](Proposer::wake) when it is due.
 #[derive(Clone, Debug)]
 pub struct Proposer<V> {
     replicas: BTreeSet<ReplicaIndex>,
     ballot: Ballot,
     phase: Phase<V>,
-    /// When the phase ends: it was not answered, or the backoff is over.
+    /// When the phase times out or the backoff ends.
     deadline: Micros,
-    /// Rounds since the last success, for the backoff.
+    /// The number of failed rounds since the last success, for the backoff.
     failed_rounds: u32,
     /// The highest ballot that each acceptor is known to have promised.
     known_promises: BTreeMap<ReplicaIndex, Ballot>,
-    /// Acceptors whose disks were found to hold less than they had promised.
+    /// Acceptors whose state was found to be rolled back.
     stale: BTreeSet<ReplicaIndex>,
     rng: Rand64,
 }
 
 impl<V: Clone> Proposer<V> {
-    /// A proposer of the process with this instance id, which is drawn at its start. `seed` is of the random
-    /// backoff.
+    /// Creates a proposer for the process with this instance id. `seed` seeds the random backoff.
     ///
     /// # Panics
-    /// Where there is no replica, an even number, or more than [`MAX_REPLICAS`].
+    /// If the number of replicas is zero, even or above [`MAX_REPLICAS`].
     pub fn new(instance_id: InstanceId, replicas: &[ReplicaIndex], seed: u64) -> Self {
         let replicas: BTreeSet<ReplicaIndex> = replicas.iter().copied().collect();
         assert!(replicas.len() % 2 == 1 && replicas.len() <= MAX_REPLICAS, "one, three or five replicas");
@@ -85,7 +84,7 @@
         }
     }
 
-    /// No round is under way.
+    /// Whether no round is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle)
     }
@@ -95,12 +94,12 @@
         self.ballot
     }
 
-    /// When `wake` has to be called at the latest.
+    /// The latest time at which `wake` must be called next.
     pub fn next_wakeup(&self) -> Micros {
         self.deadline
     }
 
-    /// All but time, chance and what is known of each acceptor, for comparing states in tests.
+    /// The state without time, randomness and per-acceptor data, for comparing states in tests.
     pub fn state(&self) -> impl std::hash::Hash + '_
     where
         V: std::hash::Hash,
@@ -113,7 +112,7 @@
         (self.ballot, std::mem::discriminant(&self.phase), latest, value)
     }
 
-    /// What is known of one acceptor: whether it has answered, its highest promise, whether it is stale. For
+    /// The per-acceptor data: whether it has responded, its highest promise, and whether it is stale. For
     /// comparing states in tests.
     pub fn state_of(&self, replica: ReplicaIndex) -> impl std::hash::Hash + use<V> {
         let has_answered = match &self.phase {
@@ -124,28 +123,28 @@
         (has_answered, self.known_promises.get(&replica).copied(), self.stale.contains(&replica))
     }
 
-    /// Whether an answer under this ballot, to a request of phase 1 or (`is_accept`) of phase 2, can still
-    /// change anything.
+    /// Whether a response under this ballot to a phase 1 request, or with `is_accept` to a phase 2 request,
+    /// can still have an effect.
     pub fn awaits(&self, ballot: Ballot, is_accept: bool) -> bool {
-        let is_of_phase = match self.phase {
+        let is_current_phase = match self.phase {
             Phase::Preparing { .. } => !is_accept,
             Phase::Accepting { .. } => is_accept,
             Phase::Idle | Phase::Backoff | Phase::Prepared => false,
         };
-        ballot == self.ballot && is_of_phase
+        ballot == self.ballot && is_current_phase
     }
 
     fn majority(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
 
-    /// Whether an answer of this acceptor counts.
+    /// Whether responses of this acceptor count towards a majority.
     fn counts(&self, replica: ReplicaIndex) -> bool {
         self.replicas.contains(&replica) && !self.stale.contains(&replica)
     }
 
-    /// Starts a round under a new ballot, which reads the value. A round under way is given up, and may yet
-    /// be committed.
+    /// Starts a round under a new ballot, which reads the value. A round in progress is abandoned, though its
+    /// value may still be committed.
     pub fn prepare(&mut self, now: Micros, actions: &mut dyn ProposerActions<V>) {
         self.ballot.round += 1;
         self.phase = Phase::Preparing { promised: BTreeSet::new(), latest: None };
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Has this value written in place of the one just read. Without a read before it nothing happens.
+    /// Proposes this value in place of the one just read. Does nothing unless a read has completed.
     pub fn propose(&mut self, now: Micros, value: V, actions: &mut dyn ProposerActions<V>) {
         if !matches!(self.phase, Phase::Prepared) {
             return;
@@ -167,14 +166,14 @@
         self.phase = Phase::Accepting { value, accepted: BTreeSet::new() };
     }
 
-    /// Ends the round and leaves what was read as it is.
+    /// Ends the round without proposing a value.
     pub fn abandon(&mut self) {
         self.phase = Phase::Idle;
         self.deadline = Micros::MAX;
         self.failed_rounds = 0;
     }
 
-    /// Starts the next round where the backoff is over, and a backoff where nobody has answered in time.
+    /// Starts the next round after a backoff, or a backoff after a timeout.
     pub fn wake(&mut self, now: Micros, actions: &mut dyn ProposerActions<V>) {
         if now < self.deadline || self.is_idle() {
             return;
@@ -192,12 +191,13 @@
         self.deadline = now + RETRY_BACKOFF + self.rng.rand_range(0..range);
     }
 
-    /// Takes a promise. Returns what has come of the round, if it decides that.
+    /// Handles a promise. Returns an outcome if this response completes the phase.
     pub fn on_promised(&mut self, replica: ReplicaIndex, promise: Promise<V>) -> Option<ProposalOutcome<V>> {
         if !self.awaits(promise.ballot, false) || !self.counts(replica) {
             return None;
         }
-        // Guards against a disk that was put back: it would count for a majority that it has left.
+        // A rolled-back acceptor must not count: it has forgotten values that a majority including it
+        // accepted.
         match self.known_promises.get(&replica) {
             Some(known) if *known == promise.ballot => return None,
             Some(known) if promise.previous < *known => {
@@ -221,8 +221,7 @@
         Some(ProposalOutcome::Read(value))
     }
 
-    /// Takes the word of an acceptor that it has accepted the proposed value. Returns what has come of the
-    /// round, if that decides it.
+    /// Handles an acceptance of the proposed value. Returns an outcome if this response completes the phase.
     pub fn on_accepted(&mut self, replica: ReplicaIndex, ballot: Ballot) -> Option<ProposalOutcome<V>> {
         let majority = self.majority();
         if !self.awaits(ballot, true) || !self.counts(replica) {
@@ -239,7 +238,8 @@
         Some(ProposalOutcome::Committed(value))
     }
 
-    /// An acceptor has promised a higher ballot: the round is over, and the next one goes above it.
+    /// Handles a rejection by an acceptor that has promised a higher ballot: the round ends, and the next one
+    /// uses a still higher ballot.
     pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.ballot && promised > ballot && !self.is_idle() {
             self.ballot.round = self.ballot.round.max(promised.round);
--- a/crates/consensus/src/reconfigurable_proposer.rs
+++ b/crates/consensus/src/reconfigurable_proposer.rs
@@ -1,8 +1,10 @@
-//! A proposer whose replicas are part of what is agreed on: it learns from the answers who has to answer.
+//! A proposer for a reconfigurable replica set: the replicated state itself names the replicas whose
+//! responses form a quorum.
 //!
-//! Each state names its replicas by router and disk. While they change it names the previous ones as well,
-//! and a majority of both sets has to promise and accept (joint consensus). So replicas change by agreement
-//! like anything else, a lost disk is another replica, and nobody votes because the settings name it.
+//! Each state identifies its replicas by router and disk. During a reconfiguration it also names the previous
+//! replicas, and a majority of both sets has to promise and accept (joint consensus). Reconfigurations are
+//! therefore committed like any other change, a router with a new disk is a new replica, and being named in
+//! the settings alone gives no vote.
 use crate::{
     Ballot, KnownPromise, MAX_KNOWN_PROMISES, Promise, RESPONSE_TIMEOUT, RETRY_BACKOFF,
     RETRY_BACKOFF_MAX_DOUBLINGS, RegisterState, ReplicaId,
@@ -12,76 +14,77 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests to replicas. Each may be lost, delayed or repeated, and so may its answer. `known` is the highest
-/// promise that this process has heard of from a disk of theirs, so that they notice a rollback.
+/// Requests to replicas. Requests and responses may be lost, delayed or duplicated. `known` is the highest
+/// promise that this process has received from a disk of the replica, which lets it detect a rollback.
 pub trait ReplicaRequests<V> {
-    /// Asks for a promise (phase 1).
+    /// Asks a replica to promise a ballot (phase 1).
     fn prepare(&mut self, to: RouterId, ballot: Ballot, known: Option<KnownPromise>);
-    /// Asks to accept a state (phase 2).
+    /// Asks a replica to accept a state (phase 2).
     fn accept(&mut self, to: RouterId, ballot: Ballot, state: &RegisterState<V>, known: Option<KnownPromise>);
 }
 
-/// What has come of a round.
+/// The outcome of a round, or of one of its phases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundOutcome<V> {
-    /// Enough replicas have promised: this is the latest state, and who has answered.
+    /// A quorum has promised: the latest state, and the replicas that have responded.
     Read(RegisterState<V>, Vec<ReplicaId>),
-    /// All configured routers have answered, and none has ever accepted anything: these may bootstrap the
-    /// register.
+    /// All configured routers have responded and none has ever accepted a state: the replicas with which the
+    /// register may be bootstrapped.
     Uninitialized(Vec<ReplicaId>),
-    /// Enough replicas have accepted the state: it is in the history of every later one.
+    /// A quorum has accepted the state: it is in the history of every later one.
     Committed(RegisterState<V>),
-    /// The disk of this replica holds less than it has promised before, as a copy that was put back. It does
-    /// not count any more here.
+    /// The replica has a lower promise than it has given before, as after restoring an old copy of its file.
+    /// This proposer ignores it from now on.
     StaleReplica(ReplicaId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase<V> {
     Idle,
-    /// Overtaken or not answered: the next round begins at `deadline`.
+    /// Superseded or timed out: the next round starts at `deadline`.
     Backoff,
     /// Phase 1.
     Preparing {
-        /// Who has promised, with which disk.
+        /// The routers that have promised, with their disks.
         promised: BTreeMap<RouterId, InstanceId>,
         /// The latest state that any of them has accepted.
         latest: Option<(Ballot, RegisterState<V>)>,
-        /// Who was asked.
+        /// The routers that were sent a request.
         asked: BTreeSet<RouterId>,
     },
-    /// Read; the caller has not said what is next.
+    /// The state is read; waiting for the caller to propose the next one.
     Prepared {
-        /// The sets of which a majority each has to accept what is next.
+        /// The replica sets that must accept the next state, each by a majority.
         quorum_sets: Vec<Vec<ReplicaId>>,
-        /// All of them have to: a first state may have been accepted by some only.
+        /// Whether all replicas must accept it, because the first state may have reached only some of them.
         is_bootstrap: bool,
     },
     /// Phase 2.
     Accepting {
         state: RegisterState<V>,
         quorum_sets: Vec<Vec<ReplicaId>>,
-        /// All of them, not a majority: it is the first state, and whoever is left later has to know of it.
+        /// Whether all replicas must accept, not just a majority: it is the first state, and every replica
+        /// that remains later has to know of it.
         needs_all: bool,
         accepted: BTreeSet<ReplicaId>,
     },
 }
 
-/// Guards that tests and fault-injection scenarios take out one by one. In service all are in place.
+/// Safety checks that tests and fault-injection scenarios disable one at a time. Production code enables all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A register is bootstrapped only where all configured routers have answered and are empty.
+    /// A register is bootstrapped only after all configured routers have responded without a state.
     pub bootstrap_reads_all: bool,
-    /// The first state is accepted by all replicas.
+    /// The first state must be accepted by all replicas.
     pub bootstrap_writes_all: bool,
-    /// While replicas change, a majority of both sets has to answer.
+    /// During a reconfiguration a majority of both replica sets is required.
     pub joint_quorums: bool,
-    /// A new disk is another replica.
+    /// A router with a new disk counts as a new replica.
     pub disk_identity: bool,
 }
 
 impl Guards {
-    /// All guards are in place.
+    /// All checks enabled.
     pub const ALL: Guards = Guards {
         bootstrap_reads_all: true,
         bootstrap_writes_all: true,
@@ -90,29 +93,29 @@
     };
 }
 
-/// A proposer of states that name their own replicas. It never acts by itself: [`wake`](Self::wake) has to be
-/// called in time.
+/// A proposer of states that name their own replicas. It has no timer of its own: the caller calls
+/// [`wake`](Self::wake) when it is due.
 #[derive(Clone, Debug)]
 pub struct ReconfigurableProposer<V> {
-    /// The routers that the settings name: whom it asks first, and nothing more.
+    /// The replicas according to the settings. They are asked first, but gain no vote by it.
     configured: Vec<RouterId>,
     ballot: Ballot,
     phase: Phase<V>,
-    /// When the phase ends: it was not answered, or the backoff is over.
+    /// When the phase times out or the backoff ends.
     deadline: Micros,
-    /// Rounds since the last success, for the backoff.
+    /// The number of failed rounds since the last success, for the backoff.
     failed_rounds: u32,
     /// The highest ballot that each disk is known to have promised.
     known_promises: BTreeMap<ReplicaId, Ballot>,
-    /// Replicas whose disks were found to hold less than they had promised.
+    /// Replicas whose state was found to be rolled back.
     stale: BTreeSet<ReplicaId>,
     rng: Rand64,
     guards: Guards,
 }
 
 impl<V: Clone> ReconfigurableProposer<V> {
-    /// A proposer of the process with this instance id, which is drawn at its start. `configured` are the
-    /// replicas by the settings, whom it asks first.
+    /// Creates a proposer for the process with this instance id. `configured` are the replicas according to
+    /// the settings, which are asked first.
     pub fn new(instance_id: InstanceId, configured: &[RouterId], seed: u64) -> Self {
         ReconfigurableProposer {
             configured: configured.to_vec(),
@@ -127,18 +130,18 @@
         }
     }
 
-    /// The same with these guards alone, for tests.
+    /// Replaces the set of enabled checks, for tests.
     pub fn with_guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
 
-    /// Other replicas by the settings, from the next round on.
+    /// Replaces the configured replicas from the next round on.
     pub(crate) fn set_configured_replicas(&mut self, configured: &[RouterId]) {
         self.configured = configured.to_vec();
     }
 
-    /// No round is under way.
+    /// Whether no round is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle)
     }
@@ -148,17 +151,17 @@
         self.ballot
     }
 
-    /// When `wake` has to be called at the latest.
+    /// The latest time at which `wake` must be called next.
     pub(crate) fn next_wakeup(&self) -> Micros {
         self.deadline
     }
 
-    /// Whether an answer under this ballot can still change anything.
+    /// Whether a response under this ballot can still have an effect.
     pub fn awaits(&self, ballot: Ballot) -> bool {
         ballot == self.ballot && matches!(self.phase, Phase::Preparing { .. } | Phase::Accepting { .. })
     }
 
-    /// Who has answered in the phase under way.
+    /// The routers that have responded in the current phase.
     pub(crate) fn responders(&self) -> Vec<RouterId> {
         match &self.phase {
             Phase::Preparing { promised, .. } => promised.keys().copied().collect(),
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Of the set of replicas that has lost most disks: how many have answered with another one, and the size
-    /// of the set.
+    /// The replica set that has lost the most disks: how many of its routers responded with another disk, and
+    /// the size of the set.
     pub(crate) fn lost_replicas(&self) -> Option<(usize, usize)> {
         let Phase::Preparing { promised, latest: Some((_, state)), .. } = &self.phase else { return None };
         let is_lost =
@@ -176,7 +179,7 @@
         state.quorum_sets().map(|set| (set.iter().filter(is_lost).count(), set.len())).max()
     }
 
-    /// All but time and chance, for comparing states in tests.
+    /// The state without time and randomness, for comparing states in tests.
     pub fn state(&self) -> impl std::hash::Hash + '_
     where
         V: std::hash::Hash,
@@ -184,7 +187,7 @@
         (self.ballot, &self.phase, &self.known_promises, &self.stale)
     }
 
-    /// The highest promise that is known from a disk of this router.
+    /// The highest known promise from any disk of this router.
     fn known_promise(&self, router: RouterId) -> Option<KnownPromise> {
         let of_router = self.known_promises.iter().filter(|(replica, _)| replica.router == router);
         of_router
@@ -192,8 +195,8 @@
             .map(|(replica, ballot)| KnownPromise { disk: replica.disk, ballot: *ballot })
     }
 
-    /// Starts a round under a new ballot, which reads the state. A round under way is given up, and may yet
-    /// be committed.
+    /// Starts a round under a new ballot, which reads the state. A round in progress is abandoned, though its
+    /// state may still be committed.
     pub fn prepare(&mut self, now: Micros, requests: &mut dyn ReplicaRequests<V>) {
         self.ballot.round += 1;
         self.deadline = now + RESPONSE_TIMEOUT;
@@ -204,8 +207,8 @@
         self.phase = Phase::Preparing { promised: BTreeMap::new(), latest: None, asked };
     }
 
-    /// Has this state written in place of what was just read, or as the first one. Without a read before it
-    /// nothing happens.
+    /// Proposes this state in place of the one just read, or as the first one. Does nothing unless a read has
+    /// completed.
     pub fn propose(&mut self, now: Micros, state: RegisterState<V>, requests: &mut dyn ReplicaRequests<V>) {
         let Phase::Prepared { quorum_sets: read_sets, is_bootstrap } = &mut self.phase else { return };
         let mut quorum_sets = std::mem::take(read_sets);
@@ -213,7 +216,7 @@
         let new_sets: Vec<_> =
             state.quorum_sets().filter(|set| !quorum_sets.contains(set)).cloned().collect();
         quorum_sets.extend(new_sets);
-        // Guards against a change that is accepted by most of the one set and unknown to the other.
+        // With joint quorums a change cannot be accepted by a majority of one set and unknown to the other.
         if !self.guards.joint_quorums {
             quorum_sets = vec![state.replicas.clone()];
         }
@@ -226,15 +229,15 @@
         self.phase = Phase::Accepting { state, quorum_sets, needs_all, accepted: BTreeSet::new() };
     }
 
-    /// Ends the round and leaves what was read as it is.
+    /// Ends the round without proposing a state.
     pub(crate) fn abandon(&mut self) {
         self.phase = Phase::Idle;
         self.deadline = Micros::MAX;
         self.failed_rounds = 0;
     }
 
-    /// Starts the next round where the backoff is over, and a backoff where nobody has answered in time.
-    /// Returns whether a round was started.
+    /// Starts the next round after a backoff, or a backoff after a timeout. Returns whether a round was
+    /// started.
     pub(crate) fn wake(&mut self, now: Micros, requests: &mut dyn ReplicaRequests<V>) -> bool {
         if now < self.deadline || self.is_idle() {
             return false;
@@ -254,7 +257,7 @@
         self.deadline = now + RETRY_BACKOFF + self.rng.rand_range(0..range);
     }
 
-    /// Takes a promise. Returns what has come of the round, if it decides that.
+    /// Handles a promise. Returns an outcome if this response completes the phase.
     pub fn on_promised(
         &mut self,
         replica: ReplicaId,
@@ -265,7 +268,7 @@
         if promise.ballot != self.ballot || !is_preparing || self.stale.contains(&replica) {
             return None;
         }
-        // Guards against a disk that was put back: it would count for a majority that it has left.
+        // A rolled-back replica must not count: it has forgotten states that a quorum including it accepted.
         match self.known_promises.get(&replica) {
             Some(known) if *known == promise.ballot => return None,
             Some(known) if promise.previous < *known => {
@@ -289,15 +292,16 @@
 
     fn remember_promise(&mut self, replica: ReplicaId, ballot: Ballot) {
         self.known_promises.insert(replica, ballot);
-        // Guards against a liar that makes disks up: a promise that is forgotten is known to others.
+        // Bounds the memory if a faulty router reports ever new disks. Other processes still know the
+        // promises that are forgotten here.
         if self.known_promises.len() > MAX_KNOWN_PROMISES {
             self.known_promises.pop_first();
         }
     }
 
-    /// Nobody that has promised knows of a state: whether the register may be bootstrapped.
+    /// No promise so far carries a state: checks whether the register may be bootstrapped.
     fn check_uninitialized(&mut self, promised: &BTreeMap<RouterId, InstanceId>) -> Option<RoundOutcome<V>> {
-        // Guards against an empty past that is none: one of them may know better.
+        // A router that has not responded yet may hold a state, so all of them have to respond.
         let needed = match self.guards.bootstrap_reads_all {
             true => self.configured.len(),
             false => self.configured.len() / 2 + 1,
@@ -309,7 +313,7 @@
         Some(RoundOutcome::Uninitialized(replicas_of(promised)))
     }
 
-    /// The latest state is known of those that have promised: whether these are a majority of its replicas.
+    /// Checks whether the routers that have promised form a quorum of the latest state among their promises.
     fn check_read(
         &mut self,
         state: RegisterState<V>,
@@ -330,7 +334,7 @@
         Some(RoundOutcome::Read(state, replicas_of(promised)))
     }
 
-    /// The latest state names its replicas: those that were not asked yet may be needed too.
+    /// Sends requests to replicas of the latest state that were not asked yet.
     fn ask_replicas_of(&mut self, state: &RegisterState<V>, requests: &mut dyn ReplicaRequests<V>) {
         let Phase::Preparing { asked, .. } = &mut self.phase else { return };
         let routers = state.quorum_sets().flatten().map(|replica| replica.router);
@@ -340,8 +344,7 @@
         }
     }
 
-    /// Takes the word of a replica that it has accepted the proposed state. Returns what has come of the
-    /// round, if that decides it.
+    /// Handles an acceptance of the proposed state. Returns an outcome if this response completes the phase.
     pub fn on_accepted(&mut self, replica: ReplicaId, ballot: Ballot) -> Option<RoundOutcome<V>> {
         if ballot != self.ballot || self.stale.contains(&replica) {
             return None;
@@ -368,7 +371,8 @@
         Some(RoundOutcome::Committed(state))
     }
 
-    /// A replica has promised a higher ballot: the round is over, and the next one goes above it.
+    /// Handles a rejection by a replica that has promised a higher ballot: the round ends, and the next one
+    /// uses a still higher ballot.
     pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.ballot && promised > ballot && !self.is_idle() {
             self.ballot.round = self.ballot.round.max(promised.round);
