--- a/crates/consensus/src/register/leader.rs
+++ b/crates/consensus/src/register/leader.rs
@@ -1,4 +1,4 @@
-//! The rounds that a router starts: bootstrap, lease renewal, changes of the value and of the replicas.
+//! The rounds that a router starts: bootstrap, lease renewal, value changes and reconfiguration.
 use super::{Register, RegisterActions, RegisterLease, Requests};
 use crate::{
     BOOTSTRAP_DELAY, BOOTSTRAP_LEASE_WAIT, Ballot, CLOCK_DRIFT_DIVISOR, LEADER_TIMEOUT, LEASE_DURATION,
@@ -8,13 +8,13 @@
 use applepond::interface::Micros;
 use applepond_membership::{InstanceId, RouterId};
 
-/// What was heard in the round under way, for its lease and for naming why it failed.
+/// The progress of the current round, which determines its lease and the reason if it fails.
 pub(super) struct RoundProgress {
-    /// The lease that the round confirms counts from here.
+    /// The start of the lease that the round confirms.
     started_at: Micros,
-    /// Replicas whose acceptors take no part.
+    /// Replicas whose acceptors abstain.
     abstained: Vec<RouterId>,
-    /// Replicas that have never accepted anything.
+    /// Replicas that have never accepted a state.
     empty: Vec<RouterId>,
 }
 
@@ -25,25 +25,26 @@
 }
 
 impl<V: Clone + Default> Register<V> {
-    /// Why a round was not answered by a majority in time.
-    pub(super) fn reason_of_timeout(&self) -> Unavailable {
+    /// Why a round got no quorum in time.
+    pub(super) fn timeout_reason(&self) -> Unavailable {
         let responding = self.proposer.responders().len();
         let total = self.configured.len();
         if responding == 0 && self.round.abstained.is_empty() {
             return Unavailable::NoQuorum { responding: 0, total };
         }
         let empty = self.round.empty.len();
-        // On a first start some have not come up yet; who knows of a past knows that it was lost.
-        let has_past = self.is_remembered || self.highest_seen.is_some();
+        // On the first start of a fleet empty replicas are normal. They have lost their state only if some
+        // router has seen one.
+        let was_initialized = self.is_remembered || self.highest_seen.is_some();
         match self.proposer.lost_replicas() {
             Some((lost, total)) if 2 * lost >= total => Unavailable::MajorityLost { lost, total },
-            _ if 2 * empty > total && has_past => Unavailable::MajorityLost { lost: empty, total },
+            _ if 2 * empty > total && was_initialized => Unavailable::MajorityLost { lost: empty, total },
             _ => Unavailable::NoQuorum { responding, total },
         }
     }
 
-    /// A replica has promised. `remembered` are registers and versions that others say they have seen; they
-    /// only ever forbid.
+    /// Handles a promise of a replica. `remembered` are the registers and versions that other routers report
+    /// to have seen; they can only prevent a bootstrap or write, never allow one.
     pub fn on_promised(
         &mut self,
         now: Micros,
@@ -53,9 +54,9 @@
         actions: &mut dyn RegisterActions<V>,
     ) {
         self.is_remembered = !remembered.is_empty();
-        let is_of_round = promise.ballot == self.proposer.ballot();
+        let is_current_round = promise.ballot == self.proposer.ballot();
         let is_empty = promise.accepted.is_none();
-        if is_of_round && is_empty && !self.round.empty.contains(&replica.router) {
+        if is_current_round && is_empty && !self.round.empty.contains(&replica.router) {
             self.round.empty.push(replica.router);
         }
         match self.proposer.on_promised(replica, promise, &mut Requests(actions)) {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Ends the round; the next one begins after this wait and a random part of a renewal interval.
+    /// Ends the round; the next one starts after this wait and a random part of a renewal interval.
     fn abandon_round(&mut self, now: Micros, wait: Micros) {
         self.proposer.abandon();
         self.next_round_at = now + wait + self.rng.rand_range(0..LEASE_RENEWAL_INTERVAL);
     }
 
-    /// All configured replicas are empty: bootstraps the register, unless somebody remembers one.
+    /// All configured replicas are empty: bootstraps the register, unless a router has seen an earlier one.
     fn on_uninitialized(
         &mut self,
         now: Micros,
@@ -81,7 +82,7 @@
         actions: &mut dyn RegisterActions<V>,
     ) {
         if self.is_remembered || self.highest_seen.is_some() {
-            // Guards against an empty past that is none: all have lost what they had agreed on.
+            // There was a register and every replica has lost it: bootstrapping would discard its state.
             self.unavailable = Some(Unavailable::StateForgotten);
         } else if now >= self.started_at + BOOTSTRAP_DELAY {
             let round = self.proposer.ballot().round;
@@ -98,7 +99,7 @@
         self.abandon_round(now, LEASE_RENEWAL_INTERVAL);
     }
 
-    /// The latest state was read: writes the next one, which may be the same again to renew the lease.
+    /// The latest state was read: writes the next one, which is the same state if only the lease is renewed.
     fn on_read(
         &mut self,
         now: Micros,
@@ -107,8 +108,8 @@
         remembered: &[(InstanceId, u64)],
         actions: &mut dyn RegisterActions<V>,
     ) {
-        // Guards against disks that were all put back: what they agree on is older than what was known, or of
-        // another register.
+        // If all disks were rolled back, a quorum agrees on an older state than other routers have seen, or
+        // on another register. It must not be used.
         let is_newer = |(register_id, version): &(InstanceId, u64)| {
             *register_id != state.register_id || *version > state.version
         };
@@ -124,8 +125,8 @@
         self.proposer.propose(now, next, &mut Requests(actions));
     }
 
-    /// Guards against leases of an earlier register of the fleet: routers that are cut off still use them.
-    /// Returns whether the round was ended for that.
+    /// Waits until leases on an earlier register of the fleet have expired: partitioned routers may still use
+    /// them. Returns whether the round was abandoned for that reason.
     fn awaits_earlier_leases(&mut self, now: Micros, register_id: InstanceId) -> bool {
         let since = match self.bootstrapped {
             Some((known, since)) if known == register_id => since,
@@ -141,7 +142,7 @@
         true
     }
 
-    /// One change to the state that was read, the most urgent first; without one it is written again.
+    /// The next state: the one that was read with the most urgent pending change, or unchanged.
     fn next_state(&mut self, state: RegisterState<V>, responders: &[ReplicaId]) -> RegisterState<V> {
         let mut next = state.clone();
         let proposal = self.proposal.take().filter(|(version, _)| *version == state.version);
@@ -161,7 +162,7 @@
         next
     }
 
-    /// A replica has accepted the proposed state. Once enough have, this router leads.
+    /// Handles an acceptance of the proposed state. Once a quorum has accepted, this router is the leader.
     pub fn on_accepted(&mut self, now: Micros, replica: ReplicaId, ballot: Ballot) {
         let Some(RoundOutcome::Committed(state)) = self.proposer.on_accepted(replica, ballot) else { return };
         self.highest_seen = Some((state.register_id, state.version));
@@ -171,7 +172,7 @@
             self.next_round_at = now + BOOTSTRAP_LEASE_WAIT;
             return;
         }
-        // A change of replicas that is under way goes on at once.
+        // A reconfiguration in progress continues without delay.
         let pause = if state.previous_replicas.is_empty() { LEASE_RENEWAL_INTERVAL } else { 0 };
         self.is_latest_leader = true;
         self.next_round_at = now + pause;
@@ -181,10 +182,10 @@
         self.lease = Some(RegisterLease { state, expires_at });
     }
 
-    /// A replica has promised a higher ballot.
+    /// Handles a rejection by a replica that has promised a higher ballot.
     pub fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if ballot == self.proposer.ballot() && promised > ballot && !self.proposer.is_idle() {
-            // Another router leads. It is left to do so for a while, or both would go on overtaking.
+            // Another router leads. Backing off keeps the two from superseding each other repeatedly.
             self.is_latest_leader = false;
             self.proposer.on_rejected(now, ballot, promised);
             let wait = if self.lease(now).is_some() { LEADER_TIMEOUT } else { RETRY_BACKOFF };
@@ -192,7 +193,7 @@
         }
     }
 
-    /// A replica takes no part.
+    /// Handles the response of a replica that abstains.
     pub fn on_abstained(&mut self, from: RouterId, ballot: Ballot) {
         if ballot == self.proposer.ballot() && !self.round.abstained.contains(&from) {
             self.round.abstained.push(from);
@@ -200,8 +201,9 @@
     }
 }
 
-/// One step from the current replicas to the configured ones, if there is one: a lost disk is replaced first,
-/// then a router that is not configured makes room for one that is and answers.
+/// One step of a reconfiguration from the current replicas to the configured ones, if any is left. A lost
+/// disk is replaced first; after that a configured router that responds takes the place of one that is no
+/// longer configured.
 fn changed_replicas(
     current: &[ReplicaId],
     configured: &[RouterId],
--- a/crates/consensus/src/register/lease.rs
+++ b/crates/consensus/src/register/lease.rs
@@ -1,4 +1,4 @@
-//! Leases on the state: asking others for it, and answering them.
+//! Leases on the state: requesting one from other routers, and serving their requests.
 use super::{Register, RegisterActions, RegisterLease};
 use crate::{CLOCK_DRIFT_DIVISOR, LEASE_DURATION, LEASE_REQUEST_INTERVAL, RegisterState};
 use applepond::interface::Micros;
@@ -8,10 +8,10 @@
 /// The requests for the state that this router sends.
 pub(super) struct LeaseRequests {
     pub(super) next_at: Micros,
-    /// How many were sent, which is the number of the latest one.
+    /// The number of the latest request. Requests are numbered from 1.
     latest_number: u64,
     latest_sent_at: Micros,
-    /// The router whose answer was used last.
+    /// The router whose response was used last.
     pub(super) source: Option<RouterId>,
 }
 
@@ -27,7 +27,8 @@
 }
 
 impl<V: Clone + Default> Register<V> {
-    /// Asks the router that answered last, or one of the configured replicas in turn.
+    /// Requests the state from the router whose response was used last, else from the configured replicas in
+    /// rotation.
     pub(super) fn request_state(
         &mut self,
         now: Micros,
@@ -49,7 +50,7 @@
         actions.request_state(self.requests.source.filter(is_useful).unwrap_or(in_turn), number);
     }
 
-    /// Another router asks for the state.
+    /// Handles another router's request for the state.
     pub fn on_state_request(
         &mut self,
         now: Micros,
@@ -62,8 +63,8 @@
         }
     }
 
-    /// An answer to this router's request. The lease counts from when the request was sent, not from when the
-    /// answer came.
+    /// Handles the response to this router's request. The lease starts when the request was sent, not when
+    /// the response arrived.
     pub fn on_state_response(
         &mut self,
         now: Micros,
@@ -72,7 +73,7 @@
         state: RegisterState<V>,
         remaining: Micros,
     ) {
-        // Guards against an answer to a request of long ago, and one that claims more than there is.
+        // Ignores responses to earlier requests, and leases longer than any router can hold.
         if number != self.requests.latest_number || remaining > LEASE_DURATION {
             return;
         }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whether it is of another register than the one seen last, or of an earlier version.
+    /// Whether the state belongs to another register than the one seen last, or has an earlier version.
     fn is_outdated(&self, state: &RegisterState<V>) -> bool {
         self.highest_seen
             .is_some_and(|(register_id, version)| register_id != state.register_id || version > state.version)
--- a/crates/consensus/src/register/mod.rs
+++ b/crates/consensus/src/register/mod.rs
@@ -1,11 +1,11 @@
-//! One router's part in the register: it leads where it may, and holds a lease on the latest state.
+//! One router's view of the register: it holds a lease on the latest state, and may become the leader.
 //!
-//! Which router leads is decided by who proposes first. That nobody acts on an outdated state is ensured by
-//! the lease, which each router counts by its own clock from before it asked. The acceptor itself is a
-//! [`Replica`](crate::Replica) beside the register, so that its disk may take its time.
+//! The router that proposes first becomes the leader. Leases keep routers from acting on an outdated state:
+//! each router measures its lease by its own clock, from before it sent the request. The acceptor is a
+//! separate [`Replica`](crate::Replica), so slow disk writes do not block the register.
 //!
-//! - `leader`: the rounds that this router starts, from bootstrap to a change of replicas
-//! - `lease`: asking others for the state, and answering them
+//! - `leader`: the rounds that this router starts, from bootstrap to reconfiguration
+//! - `lease`: requesting the state from other routers, and serving their requests
 mod leader;
 mod lease;
 
@@ -19,59 +19,59 @@
 use lease::LeaseRequests;
 use oorandom::Rand64;
 
-/// Messages to other routers. Each may be lost, delayed or repeated.
+/// Messages to other routers. Each may be lost, delayed or duplicated.
 pub trait RegisterActions<V>: ReplicaRequests<V> {
-    /// Answers a request of phase 1 with a promise, from this disk.
+    /// Responds to a phase 1 request with a promise that is durable on this disk.
     fn promised(&mut self, to: RouterId, disk: InstanceId, promise: &Promise<RegisterState<V>>);
-    /// Answers a request of phase 2: the state is accepted.
+    /// Responds to a phase 2 request: the state is accepted.
     fn accepted(&mut self, to: RouterId, ballot: Ballot, disk: InstanceId);
-    /// Answers a request: a higher ballot is promised.
+    /// Rejects a request: a higher ballot is promised.
     fn rejected(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
-    /// Answers a request: this acceptor takes no part, and why.
+    /// Responds to a request: this acceptor abstains because of `error`.
     fn abstained(&mut self, to: RouterId, ballot: Ballot, error: AcceptorError);
-    /// Asks for the state. `number` comes back with the answer.
+    /// Requests the state. The response repeats `number`.
     fn request_state(&mut self, to: RouterId, number: u64);
-    /// Answers with the state, which may be used for `remaining` µs from when the request was sent.
+    /// Responds with the state, which may be used for `remaining` µs from when the request was sent.
     fn send_state(&mut self, to: RouterId, number: u64, state: &RegisterState<V>, remaining: Micros);
 }
 
-/// The state that was agreed on, as it may be used here.
+/// A committed state that this router may use until the lease expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegisterLease<V> {
     /// The state.
     pub state: RegisterState<V>,
-    /// When it must not be used any more, by this process' clock.
+    /// When the lease expires, by this process's clock.
     pub expires_at: Micros,
 }
 
-/// What a register does while another router leads or nobody does, and what it does as the leader.
+/// One router's register, as the leader or a follower.
 ///
-/// It never acts by itself: [`wake`](Register::wake) has to be called in time.
+/// It has no timer of its own: the caller calls [`wake`](Register::wake) when it is due.
 pub struct Register<V> {
     router: RouterId,
     instance_id: InstanceId,
-    /// The replicas by the settings.
+    /// The replicas according to the settings.
     configured: Vec<RouterId>,
-    /// A replica stands beside it on this router.
+    /// Whether this router runs a replica.
     has_replica: bool,
-    /// Why that replica takes no part, if so.
+    /// Why that replica abstains, if it does.
     acceptor_error: Option<AcceptorError>,
     started_at: Micros,
     proposer: ReconfigurableProposer<V>,
-    /// The round under way, or the latest one.
+    /// The current round, or the latest one.
     round: RoundProgress,
-    /// Others say that something was agreed on, as last heard.
+    /// Whether other routers, by their latest reports, have seen a committed state.
     is_remembered: bool,
-    /// The latest committed round was this router's, as far as it knows.
+    /// Whether the latest committed round known here was started by this router.
     is_latest_leader: bool,
-    /// When the next round may begin.
+    /// When the next round may start.
     next_round_at: Micros,
     requests: LeaseRequests,
     lease: Option<RegisterLease<V>>,
-    /// The highest register and version that this process has heard of. It never permits anything; it only
-    /// says what is older.
+    /// The register and highest version that this process has seen. It is only used to reject older states,
+    /// never to accept one.
     highest_seen: Option<(InstanceId, u64)>,
-    /// The next value, in place of the one of this version.
+    /// The proposed value, and the version that it replaces.
     proposal: Option<(u64, V)>,
     /// A register that was just bootstrapped, and when this process first read it.
     bootstrapped: Option<(InstanceId, Micros)>,
@@ -81,8 +81,8 @@
 }
 
 impl<V: Clone + Default> Register<V> {
-    /// A register without a lease. `has_replica`: a [`Replica`](crate::Replica) stands beside it on this
-    /// router. `configured` are the replicas by the settings.
+    /// Creates a register without a lease. `has_replica` tells whether this router runs a
+    /// [`Replica`](crate::Replica); `configured` are the replicas according to the settings.
     pub fn new(
         now: Micros,
         (router, instance_id): (RouterId, InstanceId),
@@ -91,7 +91,7 @@
         seed: u64,
     ) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
-        // All replicas start at once with their fleet; the first to try is mostly alone.
+        // Replicas of a fleet often start together; the random delay keeps their first rounds from colliding.
         let next_round_at = now + crate::BOOTSTRAP_DELAY + rng.rand_range(0..LEADER_TIMEOUT);
         Register {
             router,
@@ -115,22 +115,22 @@
         }
     }
 
-    /// The process that this register belongs to.
+    /// The instance id of this process.
     pub fn instance_id(&self) -> InstanceId {
         self.instance_id
     }
 
-    /// The state, if it may still be used. Look again wherever it is acted on.
+    /// The lease, unless it has expired. Callers check it each time before they act on the state.
     pub fn lease(&self, now: Micros) -> Option<&RegisterLease<V>> {
         self.lease.as_ref().filter(|lease| now < lease.expires_at)
     }
 
-    /// The register and version last heard of, also where they may not be used any more.
+    /// The register and version last seen, even if the lease on them has expired.
     pub fn highest_seen(&self) -> Option<(InstanceId, u64)> {
         self.highest_seen
     }
 
-    /// Why nothing is agreed on, where there is no lease, or that this router's acceptor takes no part.
+    /// Why there is no lease, or why this router's acceptor abstains.
     pub fn unavailable_reason(&self, now: Micros) -> Option<Unavailable> {
         if let Some(error) = self.acceptor_error {
             return Some(Unavailable::AcceptorFailed(error.label()));
@@ -138,13 +138,13 @@
         self.unavailable.clone().filter(|_| self.lease(now).is_none())
     }
 
-    /// Whether this router leads: it is the one to propose changes.
+    /// Whether this router is the leader, which proposes changes.
     pub fn is_leader(&self, now: Micros) -> bool {
         self.is_latest_leader && self.lease(now).is_some()
     }
 
-    /// Proposes a value in place of the one of this version. Only the leader can have it written. Whether it
-    /// was is seen in the lease.
+    /// Proposes a value to replace the one of this version. Ignored unless this router is the leader. A later
+    /// lease shows whether the value was committed.
     pub fn propose(&mut self, now: Micros, version: u64, value: V) {
         if self.is_leader(now) {
             self.proposal = Some((version, value));
@@ -152,18 +152,18 @@
         }
     }
 
-    /// The state of the acceptor beside it: why it takes no part, if so.
+    /// Sets why this router's acceptor abstains, if it does.
     pub fn set_acceptor_error(&mut self, error: Option<AcceptorError>) {
         self.acceptor_error = error;
     }
 
-    /// Other replicas by the settings. They are changed one by one, by agreement.
+    /// Replaces the configured replicas. The register is reconfigured towards them one replica at a time.
     pub fn set_configured_replicas(&mut self, configured: &[RouterId]) {
         self.configured = configured.to_vec();
         self.proposer.set_configured_replicas(configured);
     }
 
-    /// When `wake` has to be called at the latest.
+    /// The latest time at which `wake` must be called next.
     pub fn next_wakeup(&self) -> Micros {
         let next_round = match (self.may_lead(), self.proposer.is_idle()) {
             (false, _) => Micros::MAX,
@@ -177,7 +177,8 @@
         self.has_replica || self.configured.contains(&self.router)
     }
 
-    /// Does what is due. `is_alive` tells whether a router seems to be there; only whom to ask depends on it.
+    /// Performs the actions that are due. `is_alive` tells whether a router seems to be alive, which only
+    /// affects whom this router asks for the state.
     pub fn wake(
         &mut self,
         now: Micros,
@@ -197,20 +198,20 @@
         }
     }
 
-    /// The round under way was not answered in time, or its backoff is over.
+    /// Continues the current round after a timeout or backoff.
     fn continue_round(&mut self, now: Micros, actions: &mut dyn RegisterActions<V>) {
         if now < self.proposer.next_wakeup() {
             return;
         }
         if self.proposer.awaits(self.proposer.ballot()) {
-            self.unavailable = Some(self.reason_of_timeout());
+            self.unavailable = Some(self.timeout_reason());
         }
         if self.proposer.wake(now, &mut Requests(actions)) {
             self.round = RoundProgress::new(now);
         }
     }
 
-    /// Starts a round as the leader, or where the leader was not heard of lately.
+    /// Starts a round if this router is the leader or there is no recent news of one.
     fn start_round(&mut self, now: Micros, actions: &mut dyn RegisterActions<V>) {
         let is_recent = |lease: &RegisterLease<V>| lease.expires_at > now + LEASE_DURATION - LEADER_TIMEOUT;
         let has_recent_lease = self.lease(now).is_some_and(is_recent);
@@ -226,7 +227,7 @@
     }
 }
 
-/// The part of the actions that a round needs.
+/// Adapts register actions to the requests of a proposer.
 struct Requests<'a, V>(&'a mut dyn RegisterActions<V>);
 
 impl<V> ReplicaRequests<V> for Requests<'_, V> {
