--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -1,22 +1,22 @@
-//! What is shared.
+//! Budgets and their unit.
 
-/// Units a second, in millionths.
+/// A rate in millionths of a unit per second.
 pub type Amount = u64;
 
-/// A unit, in millionths.
+/// One unit, in millionths.
 pub const UNIT: u64 = 1_000_000;
 
-/// One budget. Both amounts follow the settings.
+/// One budget, as set in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// What all routers share.
+    /// The limit for all routers together.
     pub total: Amount,
-    /// What is always each router's own.
+    /// The part that each router may always use.
     pub floor: Amount,
 }
 
 impl Budget {
-    /// What is left to divide once each router that could ever be there has its floor.
+    /// The amount left to divide after the floors of the maximum number of routers.
     pub(crate) fn above_floors(&self, routers: u64) -> Amount {
         self.total.saturating_sub(self.floor.saturating_mul(routers))
     }
--- a/crates/quota/src/guards.rs
+++ b/crates/quota/src/guards.rs
@@ -1,24 +1,24 @@
-//! Guards that tests take out.
+//! Safety checks that tests can disable.
 
-/// What keeps the sum below the total. Each guard can be taken out, to prove that the tests would find it
-/// missing. In service all are in place.
+/// The checks that keep the sum of shares within the total. Tests disable them one at a time, to show that a
+/// missing check is detected. Production code enables all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A share rises only by what others have let go of, or whose leases have expired.
+    /// A share grows only by amounts that others have released or whose leases have expired.
     pub shrinks_before_raise: bool,
-    /// A lease counts from when it was asked for.
+    /// A lease starts when it was requested, not when it was received.
     pub lease_from_request: bool,
-    /// A lease is checked where it is spent.
+    /// Expiry of the lease is checked whenever the share is spent.
     pub checks_at_spend: bool,
-    /// A share that moves brings no tokens along.
+    /// A newly granted share starts without tokens.
     pub moves_no_tokens: bool,
-    /// An allocator grants only while its term was confirmed lately; a new one waits for the leases before
-    /// it.
+    /// An allocator grants only within the authority of a confirmed term, and a new one first waits until
+    /// the leases of its predecessor have expired.
     pub single_allocator: bool,
 }
 
 impl Guards {
-    /// All guards are in place.
+    /// All checks enabled.
     pub const ALL: Guards = Guards {
         shrinks_before_raise: true,
         lease_from_request: true,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,13 +1,13 @@
-//! Budgets that all routers share, divided among them by need.
+//! Fleet-wide budgets, divided among the routers according to their needs.
 //!
-//! Each router has a floor of each budget that is always its own, and a share above it as a lease. The sum of
-//! all shares in force is never above the total, however many messages are lost or delayed and whichever
-//! processes are paused or killed: the lessee counts its lease from before it asked, the allocator from after
-//! it granted, and a share is checked where it is spent. Only monotonic clocks count, and two of them drift
-//! apart by [`CLOCK_DRIFT`] at most. Which routers are alive and what they need decides how the total is
-//! divided, never whether the sum holds.
+//! Of each budget every router owns a floor, and leases a share above it. The sum of all shares in force
+//! never exceeds the total, even if messages are lost or delayed and processes are paused or killed: the
+//! lessee measures its lease from before it sent the request, the allocator from after it granted, and the
+//! lease is checked whenever the share is spent. Only monotonic clocks are used, which drift apart by
+//! [`CLOCK_DRIFT`] at most. Liveness and need decide how the total is divided, but never affect whether the
+//! limit holds.
 //!
-//! All types are state machines without I/O. `docs/quota.md` explains why the sum holds.
+//! All types are state machines without I/O. `docs/quota.md` explains why the limit holds.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 mod allocator;
@@ -26,35 +26,36 @@
 
 use applepond::interface::Micros;
 
-/// How long a lease lasts, in µs: some renewals may be lost, and a dead router's share is back soon.
+/// The duration of a lease, in µs. It tolerates some lost renewals, yet frees a dead router's share soon.
 pub const LEASE_DURATION: Micros = 2_000_000;
-/// Time between two requests of a lessee, in µs.
+/// The interval between a lessee's requests, in µs.
 pub const LEASE_RENEWAL_INTERVAL: Micros = 400_000;
-/// How long an allocator may grant after it began to have its term confirmed, in µs.
+/// How long an allocator may grant leases, in µs from the start of the round that confirmed its term.
 pub const TERM_AUTHORITY: Micros = 2_000_000;
-/// Time between two confirmations of a term, in µs: three may fail within its authority.
+/// The interval between confirmations of a term, in µs. Three may fail before its authority ends.
 pub const TERM_CONFIRMATION_INTERVAL: Micros = 500_000;
-/// How long nothing is heard of an allocator before a replica takes over, in µs, and the size of the random
-/// range on top of it.
+/// How long an allocator may be silent before a replica takes over, in µs; also the size of the random range
+/// that is added.
 pub const ALLOCATOR_TIMEOUT: Micros = 1_500_000;
-/// The part by which a µs of one machine may be longer than that of another: ten times what quartz does.
+/// The maximum relative drift between the clocks of two machines, ten times that of a quartz clock.
 pub const CLOCK_DRIFT: f64 = 0.001;
-/// The most requests of which a lessee remembers when it sent them: more than can be under way in a lease.
+/// The maximum number of requests whose send times a lessee remembers, more than fit into one lease.
 pub const MAX_REMEMBERED_REQUESTS: usize = 16;
-/// The most leases of one lessee that an allocator remembers. Beyond it nothing is granted until some expire.
+/// The maximum number of unexpired leases per lessee. At the limit nothing is granted until some expire.
 pub const MAX_LEASES_PER_LESSEE: usize = 32;
-/// The most lessees that an allocator knows. A further one keeps to its floor.
+/// The maximum number of lessees of an allocator. Further routers are limited to their floors.
 pub const MAX_LESSEES: usize = 8_192;
-/// A need is stated above the demand by one part in this number: what is spare is lost to others.
+/// The stated need exceeds the demand by this fraction (as a divisor). A small one, since it is taken from
+/// the other lessees.
 pub const NEED_MARGIN_DIVISOR: u64 = 32;
-/// How much of its share a token bucket may hold, in µs. The burst of all routers is so much of the total,
-/// and [`MIN_BURST`] a router.
+/// The capacity of a token bucket, as the time in µs in which the share fills it. The burst of all routers
+/// together is this much of the total, plus [`MIN_BURST`] for each router.
 pub const BURST_DURATION: Micros = 100_000;
-/// What a token bucket may hold at least, in millionths of a unit: with one unit a small share would lose
-/// what comes between two requests.
+/// The minimum capacity of a token bucket, in millionths of a unit. With a single unit, a small share would
+/// lose the tokens that accrue between two requests.
 pub const MIN_BURST: u64 = 2 * UNIT;
 
-/// A time as another machine may count it, at the longest, in µs.
+/// The longest that a duration measured on another machine may take by this machine's clock, in µs.
 pub fn with_clock_drift(time: Micros) -> Micros {
     time + (time as f64 * CLOCK_DRIFT).ceil() as Micros
 }
