--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,4 +1,4 @@
-//! The allocator: which leases each lessee may still count on, and who gets what.
+//! The allocator: tracks the unexpired leases of each lessee and grants new shares.
 use crate::{
     Amount, Budget, Guards, LEASE_DURATION, MAX_LEASES_PER_LESSEE, MAX_LESSEES, TERM_AUTHORITY,
     with_clock_drift,
@@ -7,7 +7,7 @@
 use applepond_membership::InstanceId;
 use std::collections::BTreeMap;
 
-/// A lease that its lessee may still count on, as far as is known here.
+/// A lease that its lessee may still be using.
 #[derive(Clone, Debug)]
 struct GrantedLease {
     /// The number of the request.
@@ -17,13 +17,13 @@
     extra: Vec<Amount>,
 }
 
-/// What is known of a lessee.
+/// A known lessee.
 #[derive(Clone, Debug)]
 struct LesseeRecord {
     /// The number of its latest request.
     latest_request: u64,
     last_request_at: Micros,
-    /// By budget.
+    /// The stated need, by budget.
     need: Vec<Amount>,
     leases: Vec<GrantedLease>,
 }
@@ -33,51 +33,52 @@
         LesseeRecord { latest_request: 0, last_request_at: now, need: Vec::new(), leases: Vec::new() }
     }
 
-    /// The most that it may have in force of a budget.
+    /// The largest share of a budget in any of its recorded leases.
     fn outstanding(&self, budget: usize) -> Amount {
         self.leases.iter().map(|lease| lease.extra[budget]).max().unwrap_or(0)
     }
 
-    /// The most that it may have in force of a budget now.
+    /// The largest share of a budget in any of its leases that are unexpired at `now`.
     fn outstanding_at(&self, now: Micros, budget: usize) -> Amount {
         let in_force = self.leases.iter().filter(|lease| now < lease.expires_at);
         in_force.map(|lease| lease.extra[budget]).max().unwrap_or(0)
     }
 }
 
-/// Divides budgets while its term holds. Who has the term is agreed on elsewhere; the allocator is told when
-/// the term was written and when it was last confirmed.
+/// Divides the budgets while its term is confirmed. The term itself is decided by consensus elsewhere; the
+/// allocator only learns when it was committed and when it was last confirmed.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     budgets: Vec<Budget>,
-    /// Routers that could ever be there: each has its floors without being asked.
+    /// The maximum number of routers. Each has its floor without a lease.
     routers: u64,
-    /// By process and not by router, or a replaced process would share the leases of the one before.
+    /// Keyed by process rather than by router: a restarted process must not inherit the leases of its
+    /// predecessor.
     lessees: BTreeMap<InstanceId, LesseeRecord>,
-    /// Nothing is granted before.
+    /// Nothing is granted before this time.
     active_from: Micros,
-    /// Nothing is granted from then on.
+    /// Nothing is granted from this time on.
     active_until: Micros,
     guards: Guards,
 }
 
-/// The max-min fair shares of a total: nobody gets more than it needs, and nobody less than another that gets
-/// more than it needs.
+/// The max-min fair shares of a total: no share exceeds its need, and a share below its need is at least as
+/// large as every other share, up to rounding.
 pub fn max_min_fair_shares(total: Amount, needs: &[Amount]) -> Vec<Amount> {
     let mut by_need: Vec<usize> = (0..needs.len()).collect();
-    by_need.sort_by_key(|place| (needs[*place], *place));
+    by_need.sort_by_key(|index| (needs[*index], *index));
     let mut remaining = total;
     let mut shares = vec![0; needs.len()];
-    for (served, place) in by_need.into_iter().enumerate() {
-        shares[place] = needs[place].min(remaining / (needs.len() - served) as u64);
-        remaining -= shares[place];
+    for (served, index) in by_need.into_iter().enumerate() {
+        shares[index] = needs[index].min(remaining / (needs.len() - served) as u64);
+        remaining -= shares[index];
     }
     shares
 }
 
 impl Allocator {
-    /// The allocator of a term that a majority was known to have written at `written_at`. Leases of the
-    /// allocator before may be in force until its authority and they have expired.
+    /// Creates the allocator of a term that was known to be committed at `written_at`. It starts granting
+    /// once the previous allocator's authority and the leases it granted must have expired.
     pub fn new(written_at: Micros, budgets: &[Budget], routers: u64) -> Self {
         let active_from = written_at + with_clock_drift(TERM_AUTHORITY) + with_clock_drift(LEASE_DURATION);
         Allocator {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The same with these guards alone, for tests.
+    /// Replaces the set of enabled checks, for tests.
     #[must_use]
     pub fn with_guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
@@ -101,19 +102,19 @@
         self
     }
 
-    /// A majority has confirmed the term in a round that was started at `round_started_at`.
+    /// Records that a majority confirmed the term in a round that started at `round_started_at`.
     pub fn on_confirmed(&mut self, round_started_at: Micros) {
         self.active_until = self.active_until.max(round_started_at + TERM_AUTHORITY);
     }
 
-    /// Whether it may grant now.
+    /// Whether the allocator may grant leases now.
     pub fn is_active(&self, now: Micros) -> bool {
         (self.active_from..self.active_until).contains(&now)
     }
 
-    /// Answers a request with the lessee's share of each budget above its floor. `number` is of the request,
-    /// `in_force` that of the request whose answer the lessee uses. None: this allocator does not grant now,
-    /// or the request is an old one.
+    /// Grants the lessee a share of each budget above its floor. `number` is the number of the request,
+    /// `in_force` that of the request whose grant the lessee is using. Returns `None` if the allocator may
+    /// not grant now, or if the request is outdated or not admitted.
     pub fn allocate(
         &mut self,
         now: Micros,
@@ -133,7 +134,7 @@
         record.latest_request = number;
         record.last_request_at = now;
         record.need = need.to_vec();
-        // It has the answer to `in_force`, and will not go back to one before.
+        // The lessee uses the grant of `in_force` and never returns to an earlier one.
         record.leases.retain(|lease| lease.number >= in_force);
         let extra: Vec<Amount> = (0..self.budgets.len()).map(|budget| self.share(lessee, budget)).collect();
         let expires_at = now + with_clock_drift(LEASE_DURATION);
@@ -142,13 +143,15 @@
         Some(extra)
     }
 
-    /// Forgets leases that have expired, and lessees that have none and have not asked for a lease's time.
-    fn remove_expired(&mut self, now: Micros, asking: InstanceId) {
+    /// Removes expired leases, and lessees without leases whose last request is older than a lease duration.
+    fn remove_expired(&mut self, now: Micros, requesting: InstanceId) {
         for record in self.lessees.values_mut() {
             record.leases.retain(|lease| now < lease.expires_at);
         }
         self.lessees.retain(|lessee, record| {
-            *lessee == asking || !record.leases.is_empty() || now < record.last_request_at + LEASE_DURATION
+            *lessee == requesting
+                || !record.leases.is_empty()
+                || now < record.last_request_at + LEASE_DURATION
         });
     }
 
@@ -158,31 +161,30 @@
         let divisible = self.budgets[budget].above_floors(self.routers);
         let above_floor = |record: &LesseeRecord| record.need[budget].saturating_sub(floor);
         let needs: Vec<Amount> = self.lessees.values().map(above_floor).collect();
-        let place = self.lessees.range(..lessee).count();
-        let fair = max_min_fair_shares(divisible, &needs)[place];
+        let index = self.lessees.range(..lessee).count();
+        let fair = max_min_fair_shares(divisible, &needs)[index];
         if !self.guards.shrinks_before_raise {
             return fair;
         }
-        // Guards against a share that rises before another has shrunk: what others may have in force is
-        // theirs.
+        // A share must not grow before others have shrunk: amounts that others may still be using are
+        // unavailable.
         let others = self.lessees.iter().filter(|(other, _)| **other != lessee);
         let outstanding: Amount = others.map(|(_, record)| record.outstanding(budget)).sum();
         fair.min(divisible.saturating_sub(outstanding))
     }
 
-    /// Takes new settings. A total that shrinks is granted less from now on; one that rises rises at the next
-    /// requests.
+    /// Applies new settings. Both smaller and larger totals take effect with the next grants.
     pub fn reconfigure(&mut self, budgets: &[Budget], routers: u64) {
         if budgets.len() == self.budgets.len() {
             self.budgets = budgets.to_vec();
             self.routers = routers;
-            // Guards against a division that most replicas know nothing of: it grants once they vote anew.
+            // A majority has not confirmed these settings yet; granting resumes once it has.
             self.active_until = 0;
         }
     }
 
-    /// How many lessees have asked within a lease's time, and what all may have in force of a budget, above
-    /// the floors.
+    /// The number of lessees with a request in the last lease duration, and the amount of a budget above the
+    /// floors that all lessees may be using.
     pub fn outstanding(&self, now: Micros, budget: usize) -> (usize, Amount) {
         let is_recent = |record: &&LesseeRecord| now < record.last_request_at + LEASE_DURATION;
         let lessees = self.lessees.values().filter(is_recent).count();
