--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,7 +1,8 @@
-//! Messages of the quota service: a tag, a kind, then the sender and the contents in postcard's format.
+//! The quota service's wire messages: a protocol tag, a message kind, then the sender and the contents in
+//! postcard encoding.
 //!
-//! A message is decoded as a whole before any of it counts. The order of the parts of each message is its
-//! format between versions of the router.
+//! A message is decoded completely before it takes effect. The order of its parts is the wire format, which
+//! routers of different versions share.
 use crate::{Amount, QuotaActions, QuotaService, Term};
 use applepond::interface::Micros;
 use applepond_consensus::{AcceptorStorage, Ballot, Promise};
@@ -10,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::{Display, Formatter};
 
-/// The first byte of each message here. Those of membership begin with a small number.
+/// The first byte of each quota message. Membership messages start with a small number instead.
 pub const PROTOCOL_TAG: u8 = 0xb0;
-/// The most budgets: what is said of all of them has to fit into one message.
+/// The maximum number of budgets. The amounts of all of them have to fit into one message.
 pub const MAX_BUDGETS: usize = 64;
 
 const PREPARE: u8 = 1;
@@ -24,25 +25,25 @@
 const LEASE_GRANT: u8 = 7;
 const REDIRECT: u8 = 8;
 
-/// A lessee's request for the next leases. The order of the fields is the format of the message.
+/// A lessee's request for new leases. The order of the fields is the message format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The process that asks.
+    /// The requesting process.
     pub lessee: InstanceId,
-    /// Its settings, as [`ServiceConfig::digest`](crate::ServiceConfig::digest) has them.
+    /// The digest of its settings, see [`ServiceConfig::digest`](crate::ServiceConfig::digest).
     pub settings_digest: u64,
-    /// The number of the request, which only rises.
+    /// The number of the request. Numbers only increase.
     pub number: u64,
-    /// The number of the request whose answer is in force.
+    /// The number of the request whose grant is in force.
     pub in_force: u64,
     /// The need of each budget.
     pub need: Vec<Amount>,
 }
 
-/// The answer to a request for leases. The order of the fields is the format of the message.
+/// The response to a lease request. The order of the fields is the message format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The process that asked.
+    /// The requesting process.
     pub lessee: InstanceId,
     /// The number of its request.
     pub number: u64,
@@ -50,33 +51,34 @@
     pub extra: Vec<Amount>,
 }
 
-/// A message that is not used. It changes nothing.
+/// The error for a message that cannot be decoded. The message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedMessage;
 
 impl Display for MalformedMessage {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("a message that ends early, goes on after its end or holds what no message holds")
+        formatter
+            .write_str("malformed message: truncated, followed by trailing bytes, or with invalid contents")
     }
 }
 
 impl std::error::Error for MalformedMessage {}
 
-/// Actions as messages of this router.
+/// Encodes actions as messages of this router.
 pub struct MessageWriter {
     sender: RouterId,
-    /// The messages so far, each with its receiver.
+    /// The encoded messages, each with its receiver.
     pub messages: Vec<(RouterId, Vec<u8>)>,
 }
 
 impl MessageWriter {
-    /// A writer without messages.
+    /// Creates a writer without messages.
     pub fn new(sender: RouterId) -> Self {
         MessageWriter { sender, messages: Vec::new() }
     }
 
     fn write(&mut self, to: RouterId, kind: u8, contents: &impl Serialize) {
-        // Numbers and ids can always be written.
+        // Encoding cannot fail for these types.
         if let Ok(bytes) = postcard::to_extend(&(self.sender, contents), vec![PROTOCOL_TAG, kind]) {
             self.messages.push((to, bytes));
         }
@@ -111,7 +113,7 @@
     }
 }
 
-/// Decodes the sender and the contents, with nothing after them.
+/// Decodes the sender and the contents, and rejects trailing bytes.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<(RouterId, T), MalformedMessage> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
@@ -119,11 +121,11 @@
     }
 }
 
-/// Hands a message to the service, which answers by `actions`. The message has to be known to be of its
-/// fleet.
+/// Decodes a message and passes it to the service, which responds through `actions`. The caller has verified
+/// that the message is from the same fleet.
 ///
 /// # Errors
-/// The message cannot be decoded; nothing has changed.
+/// The message is malformed; nothing has changed.
 pub fn handle_message(
     message: &[u8],
     now: Micros,
