--- a/crates/quota/src/service/election.rs
+++ b/crates/quota/src/service/election.rs
@@ -1,4 +1,4 @@
-//! Agreement on the term: which process allocates.
+//! Election of the allocator, by consensus on the term.
 use super::{QuotaActions, QuotaService, ReplicaRequests, Term};
 use crate::{ALLOCATOR_TIMEOUT, Allocator, LEASE_DURATION, TERM_CONFIRMATION_INTERVAL};
 use applepond::interface::Micros;
@@ -6,7 +6,7 @@
 use applepond_membership::RouterId;
 
 impl QuotaService {
-    /// Starts a round to confirm the own term, or to take over from an allocator that is not heard.
+    /// Starts a round to confirm this process's term, or to take over from a silent allocator.
     pub(super) fn wake_proposer(
         &mut self,
         now: Micros,
@@ -17,7 +17,7 @@
         let mut requests = ReplicaRequests { replicas: &self.config.replicas, actions };
         if !proposer.is_idle() {
             if now >= proposer.next_wakeup() {
-                // A round that begins anew: what it confirms counts from here.
+                // `wake` may start a new round, whose confirmation is valid from this time.
                 self.round_started_at = now;
                 proposer.wake(now, &mut requests);
             }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Answers a request of phase 1, if this router is a replica.
+    /// Handles a phase 1 request, if this router is a replica.
     pub(crate) fn on_prepare(
         &mut self,
         from: RouterId,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Answers a request of phase 2, if this router is a replica.
+    /// Handles a phase 2 request, if this router is a replica.
     pub fn on_accept(
         &mut self,
         now: Micros,
@@ -62,7 +62,7 @@
         storage: &mut dyn AcceptorStorage<Term>,
         actions: &mut dyn QuotaActions,
     ) {
-        // Guards against a division by other settings: a replica that has others does not vote for it.
+        // A replica does not vote for a term with other settings, so they cannot be used without a majority.
         if term.settings_digest != self.config.digest() {
             self.mismatch = Some((from, now));
             return;
@@ -75,12 +75,12 @@
     }
 
     fn replica_of(&self, router: RouterId) -> Option<ReplicaIndex> {
-        let place = self.config.replicas.iter().position(|replica| *replica == router)?;
-        Some(ReplicaIndex(place as u8))
+        let index = self.config.replicas.iter().position(|replica| *replica == router)?;
+        Some(ReplicaIndex(index as u8))
     }
 
-    /// A replica has promised. Once a majority has, this router writes its own term, unless another
-    /// allocates.
+    /// Handles a promise of a replica. Once a majority has promised, this router proposes its own term,
+    /// unless another allocator seems to be alive.
     pub(crate) fn on_promised(
         &mut self,
         now: Micros,
@@ -94,7 +94,7 @@
         let Some(ProposalOutcome::Read(term)) = proposer.on_promised(replica, promise) else { return };
         let own = self.config.instance_id;
         let is_own = term.as_ref().is_some_and(|term| term.instance_id == own);
-        // Of a process before this one on this router nobody else is left to speak.
+        // A term of an earlier process on this router is over, since that process has been replaced.
         let router = self.config.router;
         let is_gone = term.as_ref().is_none_or(|term| term.router == router || !is_alive(term.router));
         if !is_own && !is_gone {
@@ -105,7 +105,8 @@
             return;
         }
         if !is_own {
-            // Guards against what it noted in an earlier term: others have granted since, and it waits again.
+            // The records of an earlier term are outdated, as others have granted leases since. The new
+            // allocator waits for those to expire.
             self.allocator = None;
         }
         let next = Term {
@@ -117,25 +118,25 @@
         proposer.propose(now, next, &mut ReplicaRequests { replicas: &self.config.replicas, actions });
     }
 
-    /// A replica has accepted this router's term. Once a majority has, it allocates.
+    /// Handles an acceptance of this router's term. Once a majority has accepted, this router allocates.
     pub(crate) fn on_accepted(&mut self, now: Micros, from: RouterId, ballot: Ballot) {
         let Some(replica) = self.replica_of(from) else { return };
         let Some(proposer) = &mut self.proposer else { return };
         let Some(ProposalOutcome::Committed(term)) = proposer.on_accepted(replica, ballot) else { return };
-        // Guards against settings that came since: most replicas have not voted for them.
+        // The settings have changed since the proposal, and a majority has not voted for the new ones.
         if term.settings_digest != self.config.digest() {
             return;
         }
         self.next_round_at = now + TERM_CONFIRMATION_INTERVAL;
         self.known_allocator = Some(self.config.router);
         self.allocator_seen_at = now;
-        // The term is its own since the first time that it was known to be written.
+        // The allocator is created once per term, when the term is first known to be committed.
         let config = &self.config;
         let new = || Allocator::new(now, &config.budgets, config.routers).with_guards(self.guards);
         self.allocator.get_or_insert_with(new).on_confirmed(self.round_started_at);
     }
 
-    /// A replica has promised a higher ballot.
+    /// Handles a rejection by a replica that has promised a higher ballot.
     pub(crate) fn on_rejected(&mut self, now: Micros, ballot: Ballot, promised: Ballot) {
         if let Some(proposer) = &mut self.proposer {
             proposer.on_rejected(now, ballot, promised);
--- a/crates/quota/src/service/leases.rs
+++ b/crates/quota/src/service/leases.rs
@@ -1,11 +1,11 @@
-//! Leases: asking for shares, and granting them.
+//! Leases: requesting and granting shares.
 use super::{QuotaActions, QuotaService};
 use crate::{LEASE_DURATION, LeaseGrant, LeaseRequest};
 use applepond::interface::Micros;
 use applepond_membership::RouterId;
 
 impl QuotaService {
-    /// Asks the allocator, or the replicas in turn where none is known.
+    /// Sends a request to the known allocator, else to the replicas in rotation.
     pub(super) fn request_leases(
         &mut self,
         now: Micros,
@@ -27,7 +27,7 @@
         actions.request_leases(to, &request);
     }
 
-    /// Another router asks for leases: grants them, or names the allocator.
+    /// Handles a lease request of another router: grants it, or redirects to the known allocator.
     pub(crate) fn on_lease_request(
         &mut self,
         now: Micros,
@@ -35,7 +35,7 @@
         request: &LeaseRequest,
         actions: &mut dyn QuotaActions,
     ) {
-        // Guards against a share of another total: who has other settings keeps to its floor.
+        // A router with other settings computes shares of another total, so it is limited to its floor.
         if request.settings_digest != self.config.digest() {
             self.mismatch = Some((from, now));
             return;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes leases that were granted to this process.
+    /// Handles a grant. One addressed to an earlier process on this router is ignored.
     pub(crate) fn on_grant(&mut self, now: Micros, from: RouterId, grant: &LeaseGrant) {
         if grant.lessee == self.config.instance_id {
             self.lessee.on_grant(now, grant.number, &grant.extra);
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Another router says who allocates: it is asked next. That is no sign of life of it, or two routers
-    /// could keep a dead one alive.
+    /// Handles a redirect: the named allocator is asked next. A redirect is no evidence that the allocator is
+    /// alive, or two routers could keep redirecting each other to a dead one.
     pub(crate) fn on_redirect(
         &mut self,
         now: Micros,
--- a/crates/quota/src/service/mod.rs
+++ b/crates/quota/src/service/mod.rs
@@ -1,11 +1,11 @@
-//! One router's part in dividing the budgets: it holds leases, stores the term if it is a replica, and
-//! allocates if the term is its own.
+//! One router's quota service: it holds leases, stores the term if this router is a replica, and allocates
+//! if this process was elected.
 //!
-//! Which routers seem to be alive only decides when a replica takes over. That two never grant at once is
-//! ensured by the agreed term and by the leases.
+//! Liveness information only decides when a replica takes over. Consensus on the term, together with the
+//! expiry of leases, ensures that two allocators never grant at the same time.
 //!
-//! - `election`: agreement on the term, by consensus
-//! - `leases`: asking for shares, and granting them
+//! - `election`: election of the allocator, by consensus on the term
+//! - `leases`: requesting and granting shares
 mod election;
 mod leases;
 
@@ -21,38 +21,39 @@
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
-/// Who allocates, as agreed on. The order of the fields is part of the messages and of the acceptors' files.
+/// The term of an allocator, decided by consensus. The order of the fields is part of the message and
+/// acceptor file formats.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Term {
-    /// Rises by one with each router that takes over.
+    /// Incremented with each takeover.
     pub number: u64,
     /// The router that allocates.
     pub router: RouterId,
-    /// Its process: one that was restarted has no term of its life before.
+    /// The process that allocates. A restarted process does not inherit the term.
     pub instance_id: InstanceId,
-    /// What it divides and among how many, as [`ServiceConfig::digest`] has it. Who has other settings has no
-    /// part in it.
+    /// The digest of the allocator's settings, see [`ServiceConfig::digest`]. Routers with other settings
+    /// neither vote for the term nor get leases from it.
     pub settings_digest: u64,
 }
 
-/// A router's place among the others, and what they share.
+/// The identity of a router and the settings that all routers share.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
     /// This router.
     pub router: RouterId,
     /// This process.
     pub instance_id: InstanceId,
-    /// The routers that store the term, by their places, the same in all routers' settings.
+    /// The routers that store the term, in the same order in the settings of all routers.
     pub replicas: Vec<RouterId>,
-    /// How many routers could ever be there.
+    /// The maximum number of routers.
     pub routers: u64,
-    /// What is shared.
+    /// The shared budgets.
     pub budgets: Vec<Budget>,
 }
 
 impl ServiceConfig {
-    /// One number for the settings that all routers have to share: replicas by place, totals, floors, how
-    /// many.
+    /// A digest of the settings that must be equal on all routers: the replicas in order, the number of
+    /// routers, the number of budgets, and their totals and floors.
     pub fn digest(&self) -> u64 {
         let replicas = self.replicas.iter().map(|replica| replica.0);
         let amounts = self.budgets.iter().flat_map(|budget| [budget.total, budget.floor]);
@@ -64,27 +65,27 @@
     }
 }
 
-/// Messages to other routers. Each may be lost, delayed or repeated.
+/// Messages to other routers. Each may be lost, delayed or duplicated.
 pub trait QuotaActions {
     /// Asks a replica to promise a ballot (phase 1).
     fn prepare(&mut self, to: RouterId, ballot: Ballot);
     /// Asks a replica to accept a term (phase 2).
     fn accept(&mut self, to: RouterId, ballot: Ballot, term: &Term);
-    /// Answers a request of phase 1 with a promise.
+    /// Responds to a phase 1 request with a promise.
     fn promised(&mut self, to: RouterId, promise: &Promise<Term>);
-    /// Answers a request of phase 2: the term is accepted.
+    /// Responds to a phase 2 request: the term is accepted.
     fn accepted(&mut self, to: RouterId, ballot: Ballot);
-    /// Answers a request: a higher ballot is promised.
+    /// Rejects a request: a higher ballot is promised.
     fn rejected(&mut self, to: RouterId, ballot: Ballot, promised: Ballot);
-    /// Asks for the next leases.
+    /// Requests leases.
     fn request_leases(&mut self, to: RouterId, request: &LeaseRequest);
     /// Grants leases.
     fn grant_leases(&mut self, to: RouterId, grant: &LeaseGrant);
-    /// Answers a request for leases: another router allocates, or seems to.
+    /// Responds to a lease request with the router that seems to be the allocator.
     fn redirect(&mut self, to: RouterId, allocator: RouterId);
 }
 
-/// The requests of the proposer, sent to the replicas by their routers.
+/// Sends the proposer's requests to the routers of the replicas.
 struct ReplicaRequests<'a> {
     replicas: &'a [RouterId],
     actions: &'a mut dyn QuotaActions,
@@ -99,42 +100,43 @@
     }
 }
 
-/// The quota service of one router. It never acts by itself: [`wake`](QuotaService::wake) has to be called in
-/// time.
+/// The quota service of one router. It has no timer of its own: the caller calls
+/// [`wake`](QuotaService::wake) when it is due.
 pub struct QuotaService {
     config: ServiceConfig,
-    /// What this router may spend.
+    /// The shares that this router may spend.
     pub lessee: Lessee,
-    /// While the term is this process' own, as far as it knows.
+    /// Present while this process holds the term, as far as it knows.
     allocator: Option<Allocator>,
-    /// Where this router is a replica and has a file for its acceptor.
+    /// Present if this router is a replica and has an acceptor file.
     acceptor: Option<Acceptor<Term>>,
-    /// Where this router is a replica.
+    /// Present if this router is a replica.
     proposer: Option<Proposer<Term>>,
-    /// When the round under way was started.
+    /// When the current round was started.
     round_started_at: Micros,
     next_round_at: Micros,
     next_request_at: Micros,
-    /// The router that allocates, as last heard.
+    /// The last known allocator.
     known_allocator: Option<RouterId>,
-    /// When that was last known.
+    /// When there was last news of the allocator.
     allocator_seen_at: Micros,
     rng: Rand64,
     guards: Guards,
-    /// The router that was last found to have other settings, and when.
+    /// The last router that was found to have other settings, and when.
     mismatch: Option<(RouterId, Micros)>,
 }
 
 impl QuotaService {
-    /// A service without leases. `acceptor` is on what its disk holds, where this router is a replica.
+    /// Creates a service without leases. If this router is a replica, `acceptor` holds the state loaded from
+    /// its file.
     ///
     /// # Panics
-    /// Where this router is a replica, and there are more than five or an even number of them.
+    /// If this router is a replica and the number of replicas is even or above five.
     pub fn new(now: Micros, config: ServiceConfig, acceptor: Option<Acceptor<Term>>, seed: u64) -> Self {
         let replicas: Vec<ReplicaIndex> = (0..config.replicas.len() as u8).map(ReplicaIndex).collect();
         let is_replica = config.replicas.contains(&config.router);
         let mut rng = Rand64::new(u128::from(seed));
-        // All replicas start at once with their fleet; the first to try is mostly alone.
+        // Replicas of a fleet often start together; the random delay keeps their first rounds from colliding.
         let next_round_at = now + rng.rand_range(0..ALLOCATOR_TIMEOUT);
         let next_request_at = now + rng.rand_range(0..LEASE_RENEWAL_INTERVAL);
         QuotaService {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// The same with these guards alone, for tests.
+    /// Replaces the set of enabled checks, for tests.
     #[must_use]
     pub fn with_guards(mut self, guards: Guards) -> Self {
         self.lessee = self.lessee.with_guards(guards);
@@ -167,28 +169,28 @@
         self.allocator.as_ref().is_some_and(|allocator| allocator.is_active(now))
     }
 
-    /// The router that allocates, as far as is known here.
+    /// The last known allocator.
     pub fn known_allocator(&self) -> Option<RouterId> {
         self.known_allocator
     }
 
-    /// The allocator, while the term is this process' own.
+    /// The allocator, while this process holds the term.
     pub fn allocator(&self) -> Option<&Allocator> {
         self.allocator.as_ref()
     }
 
-    /// The router that was found to have other settings, for a lease's time.
+    /// A router that was found to have other settings within the last lease duration.
     pub fn mismatched_router(&self, now: Micros) -> Option<RouterId> {
         self.mismatch.filter(|(_, at)| now < at + LEASE_DURATION).map(|(router, _)| router)
     }
 
-    /// What the acceptor of this router holds; for the state page.
+    /// The state of this router's acceptor, for the state page.
     pub fn acceptor_state(&self) -> Option<&AcceptorState<Term>> {
         self.acceptor.as_ref().map(Acceptor::state)
     }
 
-    /// Takes new settings, of as many budgets as before. A total or floor that shrinks does so here at once,
-    /// and is granted less if this router allocates.
+    /// Applies new settings with the same number of budgets. A smaller total or floor takes effect at once
+    /// for this router's shares, and with the next grants if it allocates.
     pub fn reconfigure(&mut self, now: Micros, budgets: &[Budget], routers: u64) {
         self.config.budgets = budgets.to_vec();
         self.config.routers = routers;
@@ -198,7 +200,7 @@
         }
     }
 
-    /// When `wake` has to be called at the latest.
+    /// The latest time at which `wake` must be called next.
     pub fn next_wakeup(&self) -> Micros {
         let next_round = match &self.proposer {
             None => Micros::MAX,
@@ -208,7 +210,7 @@
         next_round.min(self.next_request_at)
     }
 
-    /// Does what is due. `is_alive` tells whether a router seems to be there.
+    /// Performs the actions that are due. `is_alive` tells whether a router seems to be alive.
     pub fn wake(&mut self, now: Micros, is_alive: &dyn Fn(RouterId) -> bool, actions: &mut dyn QuotaActions) {
         if now >= self.next_request_at {
             self.next_request_at = now + LEASE_RENEWAL_INTERVAL;
