--- a/crates/storage/src/acceptor_file.rs
+++ b/crates/storage/src/acceptor_file.rs
@@ -1,4 +1,4 @@
-//! The state of a consensus acceptor on disk, in a `redb` file of its own.
+//! The state of a consensus acceptor, stored in a separate `redb` file.
 use applepond_consensus::{AcceptorError, AcceptorState, AcceptorStorage};
 use applepond_membership::InstanceId;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -6,23 +6,24 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// The one state, by the number of its format; and the number of the disk.
+/// The acceptor state under the key [`FORMAT`], and the disk id under the key [`DISK`].
 const STATES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("vote");
-/// The format of the state. Another one is not read.
+/// The key of the state, which is its format version. Other versions are not read.
 const FORMAT: u64 = 1;
-/// The key of the disk's number: it is drawn once, so that a file that was lost is known to be another disk.
+/// The key of the disk id. The id is random and assigned once, so that a file created in place of a lost one
+/// is recognized as another disk.
 const DISK: u64 = 0;
 
 /// The file of an acceptor.
 pub struct AcceptorFile(Database);
 
-/// A file that was opened, and what it holds.
+/// An opened file and its contents.
 pub struct OpenedAcceptor<V> {
     /// The file.
     pub file: AcceptorFile,
-    /// The number that was drawn when the file was made.
+    /// The disk id, assigned when the file was created.
     pub disk: InstanceId,
-    /// The acceptor's state, none where the file is new.
+    /// The acceptor's state, or `None` if the file is new.
     pub state: Option<AcceptorState<V>>,
 }
 
@@ -31,10 +32,10 @@
 }
 
 impl AcceptorFile {
-    /// Opens the file, or makes it under the number `new_disk`, and reads what it holds.
+    /// Opens the file and reads its contents, or creates it with `new_disk` as the disk id.
     ///
     /// # Errors
-    /// [`AcceptorError::Corrupt`] where it is no file of an acceptor, was truncated or overwritten.
+    /// [`AcceptorError::Corrupt`] if the file is not an acceptor file, is damaged, or cannot be opened.
     pub fn open<V: DeserializeOwned>(
         file: &Path,
         new_disk: InstanceId,
@@ -59,8 +60,8 @@
         let transaction = database.begin_write().map_err(corrupt)?;
         let disk = {
             let mut table = transaction.open_table(STATES).map_err(corrupt)?;
-            let known = table.get(DISK).map_err(corrupt)?.map(|bytes| bytes.value().to_vec());
-            match known {
+            let stored = table.get(DISK).map_err(corrupt)?.map(|bytes| bytes.value().to_vec());
+            match stored {
                 Some(bytes) => {
                     let bytes = bytes.try_into().map_err(|_| AcceptorError::Corrupt)?;
                     InstanceId(u64::from_le_bytes(bytes))
@@ -78,7 +79,7 @@
     fn write(&self, bytes: &[u8]) -> Result<(), redb::Error> {
         let transaction = self.0.begin_write()?;
         transaction.open_table(STATES)?.insert(FORMAT, bytes)?;
-        // Immediate durability is the library's default: it returns after the disk has it.
+        // With redb's default durability, `commit` returns after the data has been synced to disk.
         transaction.commit()?;
         Ok(())
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,12 @@
-//! Durable storage of a router: workflow records, the state of its consensus acceptor, and its snapshot.
+//! A router's durable storage: workflow records, the state of its consensus acceptor, and its snapshot.
 //!
-//! Each has a `redb` file of its own, in which a transaction is there as a whole or not at all; a file that
-//! was truncated or overwritten is noticed when it is opened or read.
+//! Each is kept in a separate `redb` file with atomic transactions. A truncated or overwritten file is
+//! detected when it is opened or read.
 //!
-//! A step with an effect is recorded before it is sent, in the same transaction as what is known of the steps
-//! before it; outcomes are recorded with the next such step, or a moment later. So a recorded step without an
-//! outcome may have run, and a step without a record has not. `docs/workflow.md` weighs the alternatives.
+//! A step with an effect is recorded before it is sent, in one transaction with the known outcomes of earlier
+//! steps. Outcomes are written together with the next such step, or shortly afterwards. A recorded step
+//! without an outcome may therefore have run, and a step without a record has not. `docs/workflow.md`
+//! discusses the alternatives.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 mod acceptor_file;
@@ -26,9 +27,9 @@
 pub use snapshot_file::SnapshotFile;
 pub use store::{WorkflowKey, WorkflowStore};
 
-/// The most workflows that are recorded. Beyond it no workflow with an effect is begun. At 2 kB each it is
-/// 400 MB.
+/// The maximum number of recorded workflows. At the limit no workflow with an effect is started. At 2 kB per
+/// record this is 400 MB.
 pub const MAX_WORKFLOWS: u64 = 200_000;
 
-/// Whole microseconds.
+/// A time in microseconds.
 pub type Micros = u64;
