--- a/crates/storage/src/disk_store.rs
+++ b/crates/storage/src/disk_store.rs
@@ -1,17 +1,17 @@
-//! Workflow records on disk, in one `redb` file.
+//! Workflow records in a `redb` file.
 use crate::{MAX_WORKFLOWS, Micros, StorageError, WorkflowKey, WorkflowRecord, WorkflowStore};
 use redb::{Database, ReadableDatabase, ReadableTable, ReadableTableMetadata, Table, TableDefinition};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 
-/// Records by `source`, a zero byte and `id`.
+/// Records, keyed by `source`, a zero byte and `id`.
 const RECORDS: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("chains");
-/// The same keys by when the records expire.
+/// An index of the record keys by expiry time.
 const EXPIRIES: TableDefinition<'_, (u64, &[u8]), ()> = TableDefinition::new("until");
-/// The most records that are removed in one transaction, so that it does not hold up a step.
+/// The maximum number of records removed in one transaction, so that steps are not delayed by it.
 const MAX_EXPIRED_PER_TRANSACTION: usize = 1_000;
 
-/// Workflow records in a file.
+/// A store of workflow records in a file.
 pub struct DiskStore {
     file: PathBuf,
     database: Database,
@@ -26,10 +26,10 @@
 }
 
 impl DiskStore {
-    /// Opens the file, or makes it.
+    /// Opens the file, or creates it.
     ///
     /// # Errors
-    /// The file can't be read or written, is no file of records, or was damaged.
+    /// The file cannot be read or written, is not a record file, or is damaged.
     pub fn open(file: &Path) -> Result<Self, StorageError> {
         let database = Database::create(file).map_err(|error| open_failed(file, &error))?;
         Self::with_database(file, database)
@@ -56,7 +56,7 @@
         postcard::from_bytes(bytes).map_err(|error| self.read_failed(&error))
     }
 
-    /// Puts one record in place of an earlier one, and moves its expiry.
+    /// Inserts or replaces a record and updates its entry in the expiry index.
     fn insert(
         &self,
         records: &mut Table<'_, &[u8], &[u8]>,
@@ -114,7 +114,7 @@
                 continue;
             }
             let text = String::from_utf8_lossy(key.value()).into_owned();
-            let (source, id) = text.split_once('\0').ok_or_else(|| failed(&"a name without its parts"))?;
+            let (source, id) = text.split_once('\0').ok_or_else(|| failed(&"malformed record key"))?;
             keys.push((source.to_owned(), id.to_owned()));
         }
         Ok(keys)
--- a/crates/storage/src/failing_backend.rs
+++ b/crates/storage/src/failing_backend.rs
@@ -1,11 +1,11 @@
-//! A backend that is full from some write on, for tests.
+//! A database backend for tests that runs out of space.
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Fails from its Nth write on, and keeps what was written before.
+/// Fails every write after the first `writes_left`, and keeps the data written before.
 #[derive(Debug)]
 pub(crate) struct FailingBackend {
     pub(crate) inner: Arc<InMemoryBackend>,
--- a/crates/storage/src/memory_store.rs
+++ b/crates/storage/src/memory_store.rs
@@ -1,9 +1,9 @@
-//! A store in memory, for routers without a file: its records end with the process.
+//! An in-memory store for routers without a record file. Its records are lost when the process ends.
 use crate::{MAX_WORKFLOWS, Micros, StorageError, WorkflowKey, WorkflowRecord, WorkflowStore};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Workflow records of a router that has no file for them.
+/// An in-memory store of workflow records.
 #[derive(Default)]
 pub struct MemoryStore(BTreeMap<(String, String), WorkflowRecord>);
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,17 +1,17 @@
-//! The interface of a store of workflow records.
+//! The interface of workflow record stores.
 use crate::{Micros, StorageError, WorkflowRecord};
 
-/// The name of a workflow: `source` and `id` of its event.
+/// The key of a workflow: the `source` and `id` of its event.
 pub type WorkflowKey<'a> = (&'a str, &'a str);
 
 /// A store of workflow records.
 ///
-/// After an error nothing of the request is stored, and nothing that was stored before is lost.
+/// Operations are atomic: after an error none of their changes are stored, and earlier data is intact.
 pub trait WorkflowStore {
-    /// Stores these records in place of earlier ones of the same workflows, durably, all or none of them.
+    /// Durably stores all of these records or none, replacing earlier ones of the same workflows.
     ///
     /// # Errors
-    /// The store cannot be written, or has as many workflows as may be.
+    /// The store cannot be written, or the maximum number of workflows is recorded.
     fn save(&mut self, records: &[(WorkflowKey<'_>, &WorkflowRecord)]) -> Result<(), StorageError>;
 
     /// The record of a workflow, if there is one.
@@ -20,19 +20,19 @@
     /// The store cannot be read.
     fn load(&mut self, key: WorkflowKey<'_>) -> Result<Option<WorkflowRecord>, StorageError>;
 
-    /// The names of the workflows that had not ended when they were last stored.
+    /// The keys of the workflows that had not ended when they were last stored.
     ///
     /// # Errors
     /// The store cannot be read.
     fn unfinished(&mut self) -> Result<Vec<(String, String)>, StorageError>;
 
-    /// Removes records whose time is over, perhaps not all at once. Returns how many.
+    /// Removes expired records, possibly only some of them per call. Returns the number removed.
     ///
     /// # Errors
     /// The store cannot be written.
     fn remove_expired(&mut self, now: Micros) -> Result<usize, StorageError>;
 
-    /// How many workflows are recorded.
+    /// The number of recorded workflows.
     ///
     /// # Errors
     /// The store cannot be read.
