--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,18 +1,18 @@
-//! Why a file cannot be used, and what an operator can do about it.
+//! Storage errors, with instructions for operators.
 use miette::Diagnostic;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A file that cannot be used. `why` is the reason that the library or the system gives.
+/// An error of a storage file. `why` is the reason reported by the database or the operating system.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum StorageError {
-    /// The file cannot be opened or made.
-    #[error("{}: {why}", file.display())]
+    /// The file cannot be opened or created.
+    #[error("{}: failed to open: {why}", file.display())]
     #[diagnostic(
         code(record::unopened),
         help(
-            "look whether the folder is there and may be written, and whether the file is of this program; a \
-              snapshot that is spoilt is put beside as .spoilt and begun anew, a record of chains is not"
+            "check that the directory exists and is writable, and that the file belongs to this program; a \
+              damaged snapshot is renamed to .spoilt and created again, a damaged workflow record file is not"
         )
     )]
     OpenFailed {
@@ -21,11 +21,11 @@
         /// The reason.
         why: String,
     },
-    /// The file cannot be read, or what is in it cannot be decoded.
-    #[error("{}: it cannot be read: {why}", file.display())]
+    /// The file cannot be read or decoded.
+    #[error("{}: failed to read: {why}", file.display())]
     #[diagnostic(
         code(record::unread),
-        help("the disk or the file is damaged: replace the disk, or put the file aside and start again")
+        help("the disk or the file is damaged: replace the disk, or move the file away and restart")
     )]
     ReadFailed {
         /// The file.
@@ -34,10 +34,10 @@
         why: String,
     },
     /// The file cannot be written.
-    #[error("{}: it cannot be written: {why}", file.display())]
+    #[error("{}: failed to write: {why}", file.display())]
     #[diagnostic(
         code(record::not_written),
-        help("make room on the disk, or mend it; what was written before is still there")
+        help("free space on the disk or repair it; data that was written earlier is intact")
     )]
     WriteFailed {
         /// The file.
@@ -45,25 +45,25 @@
         /// The reason.
         why: String,
     },
-    /// As many workflows are recorded as may be.
-    #[error("{}: {most} chains are on record, as many as may be", file.display())]
+    /// The maximum number of workflows is recorded.
+    #[error("{}: the limit of {most} recorded workflows is reached", file.display())]
     #[diagnostic(
         code(record::full),
         help(
-            "chains that have come to their end are dropped after their time; until then raise the pace at \
-              which they end, or take fewer"
+            "records of finished workflows are removed once they expire; until then let workflows finish \
+              faster, or accept fewer"
         )
     )]
     Full {
         /// The file.
         file: PathBuf,
-        /// How many may be recorded.
+        /// The maximum number of recorded workflows.
         most: u64,
     },
 }
 
 impl StorageError {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of diagnostic codes.
     pub fn each() -> Vec<StorageError> {
         let (file, why) = (PathBuf::new(), String::new());
         vec![
