--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,6 +1,6 @@
-//! What is recorded of a workflow, and what that means for one that is resumed after its router was killed.
+//! Workflow records, and how a workflow is resumed from its record after its router was killed.
 //!
-//! The order of the fields of each type is the format of the files.
+//! The order of the fields of each type is the file format.
 use crate::Micros;
 use applepond::interface::{IdempotencyScope, RetrySafety};
 use applepond_workflow::run::Recorded;
@@ -8,60 +8,60 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most bytes of a step's response, and of an event's data, that are recorded. A workflow whose last step
-/// answered with more cannot repeat its answer after the router was killed.
+/// The maximum size of a recorded step response, and of recorded event data, in bytes. A workflow whose last
+/// step responded with more cannot repeat its response after the router was killed.
 pub const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// What is recorded of a workflow.
+/// The record of a workflow.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkflowRecord {
-    /// The name of its plan.
+    /// The name of the plan.
     pub workflow: String,
-    /// A digest of the plan: after a change of the plan nothing is resumed by it.
+    /// The digest of the plan. Workflows recorded under another version of their plan are not resumed.
     pub plan_digest: u64,
-    /// The function that the event named, if any.
+    /// The function named by the event, if any.
     pub function: Option<String>,
     /// The customer of the event, if any.
     pub customer: Option<String>,
-    /// The header lines of the event that its steps take over.
+    /// The header lines of the event that are passed on to its steps.
     pub header_lines: Vec<u8>,
     /// The media type of the data, if any.
     pub content_type: Option<String>,
     /// The data of the event.
     pub data: Vec<u8>,
-    /// When the workflow has to have ended.
+    /// The deadline of the workflow.
     pub deadline: Micros,
     /// When the record may be removed.
     pub expires_at: Micros,
-    /// The workflow failed, and the steps before are compensated: it must not be resumed, whoever asks.
+    /// Whether the workflow failed, so that its earlier steps are compensated. It must never be resumed.
     pub failed: bool,
-    /// The workflow has ended, with all compensations.
+    /// Whether the workflow has ended, including all compensations.
     pub closed: bool,
-    /// The steps that were sent, by their place in the plan.
+    /// The steps that were sent, by their index in the plan.
     pub steps: BTreeMap<u32, StepRecord>,
 }
 
-/// What is recorded of one step.
+/// The record of one step.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// When it was sent, or was about to be.
+    /// When the step was sent, or was about to be sent.
     pub sent_at: Micros,
-    /// How it ended, if that is known.
+    /// The outcome, if it is known.
     pub outcome: Option<StepOutcome>,
 }
 
-/// How a step ended.
+/// The outcome of a step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepOutcome {
-    /// The outcome as [`outcome_code`] has it.
+    /// The code of the outcome, see [`outcome_code`].
     pub code: u8,
-    /// The fields of its result that the plan asks for.
+    /// The fields of the step's result that the plan uses.
     pub fields: BTreeMap<String, String>,
-    /// Its response, if that may be the response of the workflow.
+    /// The step's response, if it may become the response of the workflow.
     pub response: Option<StoredResponse>,
 }
 
-/// A step's response, as the client would get it.
+/// A step's response, as it would be sent to the client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// The header lines.
@@ -70,7 +70,7 @@
     pub body: Vec<u8>,
 }
 
-/// The number of an outcome in the files. These never change their meaning.
+/// The code of an outcome in the file format. Codes must not be reassigned.
 pub fn outcome_code(outcome: How) -> u8 {
     match outcome {
         How::Finished => 0,
@@ -83,14 +83,14 @@
     match code {
         0 => How::Finished,
         1 => How::NeverRan,
-        // Also what a later version wrote: the cautious reading.
+        // Unknown codes, written by a later version, are treated conservatively.
         _ => How::MayHaveRun,
     }
 }
 
-/// Whether a step that was sent, and whose outcome is not known, may be sent once more. An idempotency key
-/// helps only where the repetition is recognized by whoever gets it: after a crash nobody here knows which
-/// rack or zone got the first.
+/// Whether a step that was sent, and whose outcome is unknown, may be sent again. An idempotency key with a
+/// narrower scope than everywhere does not help: after a crash it is unknown which rack or zone received the
+/// first attempt.
 fn may_send_again(safety: RetrySafety, sent_at: Micros, now: Micros) -> bool {
     match safety {
         RetrySafety::Idempotent => true,
@@ -99,19 +99,19 @@
     }
 }
 
-/// What a workflow that is resumed has to know of its steps: those that ended, and those that may have run.
+/// The steps that a resumed workflow must not send again: those that ended, and those that may have run.
 pub fn recorded_steps(record: &WorkflowRecord, plan: &Plan, now: Micros) -> Recorded {
     let mut recorded = Recorded::new();
-    for (place, step) in &record.steps {
-        let Some(planned) = plan.steps.get(*place as usize) else { continue };
-        let known = match &step.outcome {
-            // Another attempt is welcome to run it, unless the steps before it have been compensated.
-            Some(end) if outcome_from_code(end.code) == How::NeverRan && !record.failed => continue,
-            Some(end) => (outcome_from_code(end.code), end.fields.clone()),
+    for (index, step) in &record.steps {
+        let Some(planned) = plan.steps.get(*index as usize) else { continue };
+        let outcome = match &step.outcome {
+            // A step that never ran may be sent again, unless the steps before it are compensated.
+            Some(outcome) if outcome_from_code(outcome.code) == How::NeverRan && !record.failed => continue,
+            Some(outcome) => (outcome_from_code(outcome.code), outcome.fields.clone()),
             None if may_send_again(planned.effect, step.sent_at, now) => continue,
             None => (How::MayHaveRun, BTreeMap::new()),
         };
-        recorded.insert(StepId(*place as usize), known);
+        recorded.insert(StepId(*index as usize), outcome);
     }
     recorded
 }
