--- a/crates/storage/src/snapshot_file.rs
+++ b/crates/storage/src/snapshot_file.rs
@@ -1,34 +1,34 @@
-//! A router's snapshot on disk, in a `redb` file of its own: the last one that was written as a whole.
+//! A router's snapshot, stored in a separate `redb` file. The file holds the last completely written one.
 use crate::StorageError;
 use redb::{Database, ReadableDatabase, TableDefinition};
 use std::path::{Path, PathBuf};
 
-/// The one snapshot, by the number of its format.
+/// The snapshot, keyed by its format version.
 const SNAPSHOTS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("snapshot");
 const FORMAT: u64 = 1;
-/// The ending of a file that could not be used.
+/// The suffix that is added to the name of a damaged file.
 const DAMAGED_SUFFIX: &str = ".spoilt";
 
-/// The file of a snapshot. What it says is checked by whoever decodes it.
+/// The file of a snapshot. The contents are opaque here and validated by their decoder.
 pub struct SnapshotFile {
     file: PathBuf,
     database: Database,
 }
 
 impl SnapshotFile {
-    /// Opens the file, or makes it. One that is damaged is renamed to end in `.spoilt`, in place of an
-    /// earlier one, and a new one is made: the second value says why.
+    /// Opens the file, or creates it. A damaged file is renamed with the suffix `.spoilt`, replacing an
+    /// earlier one, and a new file is created; the second value is then the error of the damaged file.
     ///
     /// # Errors
-    /// The file can't be opened, and cannot be put aside or made either.
+    /// The file cannot be opened, and renaming it or creating a new one fails as well.
     pub fn open(file: &Path) -> Result<(Self, Option<StorageError>), StorageError> {
         let damage = match Self::create(file) {
             Ok(opened) => return Ok((opened, None)),
             Err(damage) => damage,
         };
-        let mut aside = file.as_os_str().to_owned();
-        aside.push(DAMAGED_SUFFIX);
-        if std::fs::rename(file, aside).is_err() {
+        let mut damaged_name = file.as_os_str().to_owned();
+        damaged_name.push(DAMAGED_SUFFIX);
+        if std::fs::rename(file, damaged_name).is_err() {
             return Err(damage);
         }
         Ok((Self::create(file)?, Some(damage)))
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The snapshot that was written last, if there is one.
+    /// The last written snapshot, if there is one.
     ///
     /// # Errors
     /// The file cannot be read.
@@ -60,11 +60,11 @@
         read().map_err(|error| StorageError::ReadFailed { file: self.file.clone(), why: error.to_string() })
     }
 
-    /// Writes a snapshot in place of the one before. Returns once it would outlast a power cut, as far as the
-    /// disk says.
+    /// Replaces the snapshot. Returns once the new one would survive a power failure, provided that the disk
+    /// honours syncs.
     ///
     /// # Errors
-    /// The file cannot be written. The snapshot before is still there.
+    /// The file cannot be written. The previous snapshot is kept.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         let write = || -> Result<(), redb::Error> {
             let transaction = self.database.begin_write()?;
