--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,8 @@
-//! Recovery of a router after a restart: facts that took time to learn, a snapshot of them, and peers that
-//! are asked for theirs.
+//! Recovery of a router after a restart: it restores learned facts from its own snapshot and from its peers.
 //!
-//! **No fact is a permission.** A fact only ever makes a router more careful: a lower concurrency limit, a
-//! worker that is tried by one request first, a drain that is kept. What may be spent is agreed on anew.
-//! Facts whose age nobody can know count as the oldest.
+//! **A fact is never a permission.** It can only make a router more cautious: a lower concurrency limit, a
+//! worker that is probed with a single request first, a drain that stays in effect. Quota is never restored
+//! but leased anew. A fact of unknown age is treated as old as it can be.
 //!
 //! All types are state machines without I/O: the caller passes in the time, messages and bytes of files.
 //! `docs/recovery.md` explains the choices.
@@ -26,32 +25,32 @@
 
 use applepond::interface::Micros;
 
-/// The most facts that are known: four each of five hundred workers, and the load times of two thousand
+/// The maximum number of facts: four each for five hundred workers, and the load times of two thousand
 /// functions.
 pub const MAX_FACTS: usize = 4_096;
-/// The most bytes of a snapshot: as many facts with all around them.
+/// The maximum size of a snapshot, enough for [`MAX_FACTS`] facts and the header.
 pub const MAX_SNAPSHOT_BYTES: usize = 256 * 1024;
-/// The least time between two snapshots, in µs. A slow disk has seconds for each.
+/// The minimum interval between snapshots, in µs. It leaves a slow disk seconds for each.
 pub const SNAPSHOT_INTERVAL: Micros = 2_000_000;
-/// Peers that are asked at a time. The median of three tolerates one that is wrong.
+/// The number of peers asked in parallel. The median of three tolerates one with wrong values.
 pub const PARALLEL_PEERS: usize = 3;
-/// How long an answer is awaited before another peer is asked, in µs.
+/// How long to wait for a response before another peer is asked, in µs.
 pub const RESPONSE_TIMEOUT: Micros = 400_000;
-/// The time before a peer that said it is empty is asked again, in µs. It may have recovered by then.
+/// The time before a peer that reported itself empty is asked again, in µs. It may have recovered by then.
 pub const EMPTY_PEER_BACKOFF: Micros = 1_000_000;
-/// The time from the start after which nobody is asked any more, in µs: what the router has observed itself
-/// says more then.
+/// The time from the start after which peers are no longer asked, in µs: by then the router's own
+/// observations are better.
 pub const RECOVERY_WINDOW: Micros = 4_000_000;
-/// The most requests that a router sends, whoever answers: where nearly all restart at once most of them are
-/// empty.
+/// The maximum number of requests that a router sends. If nearly all routers restart at the same time, most
+/// responses are empty, and retries must not go on without bound.
 pub const MAX_REQUESTS: u32 = 200;
-/// The most bytes that a router gives to its peers in a second: routing goes first.
+/// The maximum rate at which a router sends facts to its peers, so that routing takes precedence.
 pub const SEND_BYTES_PER_SECOND: u64 = 128 * 1024;
-/// The most bytes that a router gives to its peers at once.
+/// The maximum burst of facts that a router sends to its peers.
 pub const SEND_BURST_BYTES: u64 = 32 * 1024;
-/// The least time after which a peer is told to ask again, in µs.
+/// The minimum retry delay that a deferred peer is given, in µs.
 pub const MIN_RETRY_DELAY: Micros = 100_000;
-/// The longest time after which a peer is told to ask again, in µs.
+/// The maximum retry delay that a deferred peer is given, in µs.
 pub const MAX_RETRY_DELAY: Micros = 1_000_000;
-/// The most facts in one message: 32 bytes each at most, and the message's own parts.
+/// The maximum number of facts in one message. A fact takes up to 32 bytes, in addition to the header.
 pub const FACTS_PER_PAGE: usize = 32;
