--- a/crates/recovery/src/error.rs
+++ b/crates/recovery/src/error.rs
@@ -1,42 +1,43 @@
-//! Why a snapshot or a message is not used, and what an operator can do about it. The router routes requests
-//! all the same.
+//! Errors of snapshots and messages, with instructions for operators. None of them stops the routing of
+//! requests.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a snapshot is not used. Nothing else depends on it: the router starts from its peers, or from nothing.
+/// Why a snapshot is rejected. The router then recovers from its peers, or starts without facts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum SnapshotError {
-    /// It is damaged: truncated, changed or overwritten.
-    #[error("the snapshot's checksum does not fit: torn, bent or written over")]
+    /// The snapshot is damaged: truncated, altered or overwritten.
+    #[error("the snapshot is corrupt: it was truncated, altered or overwritten")]
     #[diagnostic(
         code(comeback::spoilt),
-        help("nothing at once: it is written anew within seconds; if it happens again, replace the disk")
+        help("no immediate action: it is rewritten within seconds; if it happens again, replace the disk")
     )]
     Corrupt,
-    /// It has the format of this number, which is not read.
-    #[error("the snapshot has form {0}, which this version does not read")]
+    /// The snapshot has this format version, which is not supported.
+    #[error("the snapshot has format version {0}, which is not supported")]
     #[diagnostic(
         code(comeback::other_form),
-        help("nothing: a newer version wrote it, and it is written anew within seconds")
+        help("no action is needed: a newer version wrote it, and it is rewritten within seconds")
     )]
     UnsupportedFormat(u16),
-    /// It is of another router or fleet.
-    #[error("the snapshot is of another router or fleet")]
+    /// The snapshot belongs to another router or fleet.
+    #[error("the snapshot belongs to another router or fleet")]
     #[diagnostic(
         code(comeback::foreign),
         help(
-            "look which file 'snapshot' in the fleet block names: two routers may share it, or it was copied"
+            "check the file that 'snapshot' in the fleet block names: two routers may share it, or it was \
+             copied"
         )
     )]
     WrongRouter,
-    /// It has so many bytes, more than any has.
-    #[error("the snapshot has {0} bytes, more than any has")]
-    #[diagnostic(code(comeback::long), help("look which file 'snapshot' in the fleet block names"))]
+    /// The size of the snapshot in bytes, which exceeds the maximum.
+    #[error("the snapshot has {0} bytes, more than the maximum")]
+    #[diagnostic(code(comeback::long), help("check the file that 'snapshot' in the fleet block names"))]
     TooLarge(usize),
 }
 
 impl SnapshotError {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of diagnostic codes.
     pub const EACH: [SnapshotError; 4] = [
         SnapshotError::Corrupt,
         SnapshotError::UnsupportedFormat(0),
@@ -45,11 +46,11 @@
     ];
 }
 
-/// A message that is not used. It changes nothing.
+/// The error for a message that cannot be decoded or is invalid. The message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
-#[error("a message that ends early, goes on after its end or holds what no message holds")]
+#[error("malformed message: truncated, followed by trailing bytes, or with invalid contents")]
 #[diagnostic(
     code(comeback::unreadable),
-    help("a router of another version, or a broken path: compare the versions of the routers")
+    help("the sender runs another version, or the network corrupts messages: compare the routers' versions")
 )]
 pub struct MalformedMessage;
