--- a/crates/recovery/src/fact.rs
+++ b/crates/recovery/src/fact.rs
@@ -1,38 +1,38 @@
-//! Facts that took time to learn: what each is about, how old it is, and how much it still says.
+//! Learned facts: their subject, age and weight.
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a drain of unknown age is kept, in µs: endpoint lists that come late are there by then.
+/// How long a drain of unknown age is kept, in µs. Even late endpoint lists have arrived by then.
 const UNKNOWN_AGE_DRAIN_RETENTION: Micros = 40_000_000;
 
-/// What a fact says. It is stored and sent by its number, which never changes its meaning.
+/// The kind of a fact. It is encoded by its index, so variants must not be reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FactKind {
-    /// How many requests a worker could take at a time.
+    /// The number of requests that a worker could process concurrently.
     ConcurrencyLimit,
-    /// The queueing delay of a worker, as part of the target for starting.
+    /// The queueing delay of a worker, as a fraction of the start target.
     QueueingDelay,
-    /// The part of a worker's answers that were errors.
+    /// The fraction of a worker's responses that were errors.
     ErrorRate,
-    /// A worker was ejected, or in its recovery ramp after that.
+    /// The worker was ejected, or was in the recovery ramp after an ejection.
     Ejected,
-    /// A worker was told to drain. There is no fact of the contrary.
+    /// The worker was draining. The absence of a drain is not recorded as a fact.
     Draining,
-    /// The time that a function takes to load, in µs.
+    /// The load time of a function, in µs.
     LoadTime,
-    /// What is usual at this router, by subject: first attempts and connections a second, and its pace. It is
-    /// never shared.
+    /// The normal traffic of this router, by subject: first attempts per second, connections per second, and
+    /// the pace of the fleet. Never shared.
     TrafficBaseline,
-    /// A request, by its digest, was told to come back after so many ms. It is never shared.
+    /// A request, identified by its digest, was told to retry after this many ms. Never shared.
     ScheduledRetry,
 }
 
-/// How long a fact counts, by its age in µs.
+/// The weight of a fact by its age, in µs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifetime {
-    /// Up to this age it counts in full, then evenly less.
+    /// Up to this age a fact has full weight. After that its weight decreases linearly.
     pub full_weight: Micros,
-    /// From this age on it counts nothing.
+    /// From this age on a fact has no weight.
     pub expiry: Micros,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl FactKind {
-    /// All kinds, by their numbers.
+    /// All kinds, in the order of their indexes.
     pub const EACH: [FactKind; 8] = [
         FactKind::ConcurrencyLimit,
         FactKind::QueueingDelay,
@@ -53,52 +53,52 @@
         FactKind::ScheduledRetry,
     ];
 
-    /// How long a fact of this kind counts.
+    /// The lifetime of facts of this kind.
     pub fn lifetime(self) -> Lifetime {
         match self {
-            // What a worker can take follows its load of the moment.
+            // A worker's capacity changes quickly with its current load.
             FactKind::ConcurrencyLimit | FactKind::QueueingDelay => lifetime(5, 30),
             FactKind::ErrorRate | FactKind::Ejected => lifetime(10, 60),
-            // In full to its end: the endpoint list says it anew, and lists that come late are there by then.
+            // Full weight until expiry: the endpoint list repeats the drain, and even late lists have arrived
+            // by then.
             FactKind::Draining => lifetime(60, 60),
             FactKind::LoadTime => lifetime(600, 3_600),
             FactKind::TrafficBaseline => lifetime(60, 600),
-            // Longer than any time to come back.
+            // Longer than any retry delay.
             FactKind::ScheduledRetry => lifetime(30, 30),
         }
     }
 
-    /// Whether other routers may say it too.
+    /// Whether facts of this kind are exchanged with other routers.
     pub fn is_shared(self) -> bool {
         !matches!(self, FactKind::TrafficBaseline | FactKind::ScheduledRetry)
     }
 }
 
-/// What a fact is about. The order of the fields is part of snapshots and messages.
+/// The key of a fact. The order of the fields is part of the snapshot and message formats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FactKey {
-    /// What the fact says.
+    /// The kind of the fact.
     pub kind: FactKind,
-    /// The worker, function or request, by its number.
+    /// The id of the worker, function or request that the fact is about.
     pub subject: u64,
-    /// Of a worker: when this life of it began. Else 0.
+    /// The start time of the worker's process if the subject is a worker, else 0.
     pub incarnation: u64,
 }
 
-/// One fact, as old as it is when it is handed over. The order of the fields is part of snapshots and
-/// messages.
+/// A fact with its current age. The order of the fields is part of the snapshot and message formats.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What it is about.
+    /// The key.
     pub key: FactKey,
-    /// The value, in the unit of its kind.
+    /// The value, in the unit of the kind.
     pub value: f32,
-    /// How long ago it was observed, in µs.
+    /// The time since the observation, in µs.
     pub age: Micros,
 }
 
 impl Fact {
-    /// 1 while it counts in full, then evenly less, 0 when it says nothing any more.
+    /// The weight by age: 1 at first, then linearly decreasing to 0 at expiry.
     pub fn weight(&self) -> f64 {
         let Lifetime { full_weight, expiry } = self.key.kind.lifetime();
         if self.age >= expiry {
@@ -110,8 +110,8 @@
         1.0 - (self.age - full_weight) as f64 / (expiry - full_weight) as f64
     }
 
-    /// The same fact as old as it may be while it still counts, since its age cannot be known. A drain stays
-    /// for as long as it takes to hear of it again.
+    /// The fact with the highest age at which it still has weight, for facts of unknown age. A drain is kept
+    /// long enough for the endpoint list to repeat it.
     #[must_use]
     pub(crate) fn with_unknown_age(mut self) -> Self {
         let remaining = if self.key.kind == FactKind::Draining { UNKNOWN_AGE_DRAIN_RETENTION } else { 1 };
--- a/crates/recovery/src/fact_table.rs
+++ b/crates/recovery/src/fact_table.rs
@@ -1,11 +1,11 @@
-//! The facts that a router knows, by what they are about.
+//! The facts that a router knows, by key.
 use crate::{Fact, FactKey, MAX_FACTS, Micros};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy)]
 struct Entry {
     value: f32,
-    /// How old the fact was when it was inserted.
+    /// The age of the fact when it was inserted.
     age_at_insertion: Micros,
     inserted_at: Micros,
 }
@@ -20,16 +20,16 @@
     }
 }
 
-/// The facts that a router knows, at most [`MAX_FACTS`].
+/// A bounded table of facts with at most [`MAX_FACTS`] entries.
 #[derive(Clone, Default)]
 pub struct Facts(BTreeMap<FactKey, Entry>);
 
 impl Facts {
-    /// Takes a fact in place of an older one. A fact that does not count, or is of an earlier incarnation
-    /// than one that is known, is left out. Where there are as many as may be, the oldest makes room.
+    /// Inserts a fact, replacing an older one with the same key. Facts without weight, and facts of an
+    /// earlier incarnation than a known one, are ignored. If the table is full, the oldest fact is evicted.
     pub fn insert(&mut self, now: Micros, fact: Fact) {
-        let is_known = self.0.get(&fact.key).is_some_and(|entry| entry.age(now) <= fact.age);
-        if fact.weight() == 0.0 || !fact.value.is_finite() || is_known {
+        let is_outdated = self.0.get(&fact.key).is_some_and(|entry| entry.age(now) <= fact.age);
+        if fact.weight() == 0.0 || !fact.value.is_finite() || is_outdated {
             return;
         }
         if self.0.len() >= MAX_FACTS && !self.0.contains_key(&fact.key) {
@@ -39,7 +39,7 @@
         if others.iter().any(|other| other.incarnation > fact.key.incarnation) {
             return;
         }
-        // A worker that has restarted leaves nothing of its life before.
+        // Facts about the process of a worker before its restart are obsolete.
         for other in others {
             self.0.remove(&other);
         }
@@ -47,7 +47,7 @@
         self.0.insert(fact.key, entry);
     }
 
-    /// Removes what does not count any more, or else the oldest fact.
+    /// Removes the facts without weight, or the oldest fact if there are none.
     fn evict_oldest(&mut self, now: Micros) {
         self.remove_expired(now);
         if self.0.len() < MAX_FACTS {
@@ -66,34 +66,34 @@
         known.filter(|known| known.incarnation != key.incarnation).collect()
     }
 
-    /// Removes a fact that does not hold any more.
+    /// Removes a fact.
     pub fn remove(&mut self, key: &FactKey) {
         self.0.remove(key);
     }
 
-    /// All facts that still count, as old as they are now.
+    /// All facts with weight, at their current age.
     pub fn iter(&self, now: Micros) -> impl Iterator<Item = Fact> + '_ {
         let facts = self.0.iter().map(move |(key, entry)| entry.as_fact(now, *key));
         facts.filter(|fact| fact.weight() > 0.0)
     }
 
-    /// A fact that still counts, as old as it is now.
+    /// The fact with this key at its current age, if it has weight.
     pub fn get(&self, now: Micros, key: &FactKey) -> Option<Fact> {
         let entry = self.0.get(key)?;
         Some(entry.as_fact(now, *key)).filter(|fact| fact.weight() > 0.0)
     }
 
-    /// Removes what does not count any more.
+    /// Removes the facts without weight.
     pub fn remove_expired(&mut self, now: Micros) {
         self.0.retain(|key, entry| entry.as_fact(now, *key).weight() > 0.0);
     }
 
-    /// How many facts are known, also those that do not count any more.
+    /// The number of facts, including those without weight that were not removed yet.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Nothing is known.
+    /// Whether the table has no facts.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
