--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,28 +1,28 @@
-//! Snapshots: facts as bytes for a disk that may lose, tear, damage or put back what it was given.
+//! Encoding of snapshots. The disk may lose, truncate, corrupt or roll back what was written.
 //!
-//! A snapshot is `APS1`, the number of its format, the router's digest, the boot that it was written in, when
-//! by that boot's clock, then the facts; last a checksum over all of it. It is used as a whole or not at all.
+//! A snapshot consists of the magic `APS1`, the format version, the router's digest, the boot id, the time by
+//! the clock of that boot, the facts, and a checksum over all of it. It is used completely or not at all.
 use crate::{Fact, Facts, MAX_SNAPSHOT_BYTES, Micros, SnapshotError};
 use serde::{Deserialize, Serialize};
 
 const MAGIC: &[u8; 4] = b"APS1";
 const FORMAT: u16 = 1;
-/// The bytes before the contents: the magic and the format.
+/// The size of the magic and the format version, which precede the contents.
 const PREFIX_BYTES: usize = 6;
-/// The bytes of the checksum: against a disk, not against somebody who forges.
+/// The size of the checksum. It detects disk errors, not tampering.
 const CHECKSUM_BYTES: usize = 16;
 
-/// One run of the machine's kernel. Its clock counts on within it and says nothing beyond.
+/// Identifies one boot of the machine. Times of the boot clock can only be compared within the same boot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootId(pub u128);
 
-/// The order of the fields is part of the format.
+/// The order of the fields is part of the snapshot format.
 #[derive(Serialize, Deserialize)]
 struct Header {
     router: u64,
-    /// None where the kernel does not tell.
+    /// `None` if the kernel does not provide a boot id.
     boot: Option<BootId>,
-    /// By the clock of that boot, in µs.
+    /// The time by the boot clock, in µs.
     written_at: Micros,
 }
 
@@ -32,8 +32,8 @@
     sum
 }
 
-/// A snapshot of the facts that count now, by the router of this digest. `boot_time` is the clock of the
-/// boot, in µs, as for [`decode_snapshot`].
+/// Encodes a snapshot of the facts with weight. `router` is the digest of this router; `boot_time` is the
+/// current time of the boot clock in µs, as for [`decode_snapshot`].
 pub fn encode_snapshot(
     router: u64,
     boot: Option<BootId>,
@@ -45,19 +45,19 @@
     let header = Header { router, boot, written_at: boot_time };
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
-    // Numbers can always be written.
+    // Encoding cannot fail for these types.
     bytes = postcard::to_extend(&(header, all), bytes).unwrap_or_default();
     let sum = checksum(&bytes);
     bytes.extend_from_slice(&sum);
     bytes
 }
 
-/// The facts of a snapshot that still count. Their ages have grown by the boot's clock since it was written.
-/// Of another boot, or where that clock went back, no age can be known, and each fact counts as the oldest
-/// that it may be.
+/// Decodes the facts of a snapshot that still have weight. Their ages are advanced by the time since the
+/// snapshot was written. If it was written in another boot, or the boot clock went backwards, the ages are
+/// unknown and each fact is treated as old as it can be.
 ///
 /// # Errors
-/// The snapshot is damaged, too large, of another format or of another router; nothing of it is used.
+/// The snapshot is damaged, too large, or of another format or router. Nothing of it is used.
 pub fn decode_snapshot(
     router: u64,
     boot: Option<BootId>,
@@ -71,7 +71,8 @@
     if header.router != router {
         return Err(SnapshotError::WrongRouter);
     }
-    // Guards against a file that was put back in another boot, or written by a clock that is not this one's.
+    // The elapsed time is only known within one boot: the file may have been restored after a reboot, or
+    // written under another clock.
     let elapsed = match (header.boot, boot) {
         (Some(then), Some(now)) if then == now => boot_time.checked_sub(header.written_at),
         _ => None,
