--- a/crates/recovery/src/observation_store.rs
+++ b/crates/recovery/src/observation_store.rs
@@ -1,41 +1,42 @@
-//! What a router keeps in mind of workers and functions: its own observations as facts, and facts from before
-//! its start or of its peers, which are handed to the router once.
+//! A router's observations of workers and functions as facts. Facts imported from a snapshot or from peers
+//! are handed to the router once.
 use crate::{Fact, FactKey, FactKind, Facts, Micros};
 use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use std::collections::{BTreeSet, VecDeque};
 
-/// A worker whose ejection weighs as much is tried by one request first.
+/// A worker counts as ejected while the weight of its ejection is at least this. It is then probed with a
+/// single request first.
 const EJECTION_WEIGHT_THRESHOLD: f64 = 0.5;
 
-/// The most scheduled retries that are remembered: those of the last moments, as older ones are over.
+/// The maximum number of scheduled retries that are kept. The oldest, which are mostly past, go first.
 const MAX_SCHEDULED_RETRIES: usize = 1_024;
 
-/// The facts of a worker that are handed to the router together.
+/// The kinds of facts that make up a worker's history.
 const WORKER_HISTORY_KINDS: [FactKind; 4] =
     [FactKind::ConcurrencyLimit, FactKind::QueueingDelay, FactKind::ErrorRate, FactKind::Ejected];
 
-/// What is usual at a router: first attempts a second, connections opened a second, and the pace of the fleet
-/// as it sees it.
+/// The normal traffic of a router: first attempts per second, connections opened per second, and the pace of
+/// the fleet as observed by this router.
 pub type TrafficBaseline = [f64; 3];
 
-/// What was usual at this router before its start, and the requests whose scheduled retries are still to
-/// come, with the µs that are left.
+/// This router's state from before its restart: its traffic baseline, and the requests with pending retries
+/// with the remaining time in µs.
 pub type RouterHistory = (Option<TrafficBaseline>, Vec<(u64, Micros)>);
 
-/// A worker, and when this life of it began.
+/// A worker and the start time of its process.
 pub type WorkerIncarnation = (WorkerId, Micros);
 
-/// The observations of a router. What it has only heard never counts as its own.
+/// The observations of a router. Facts reported by others never count as its own observations.
 #[derive(Default)]
 pub struct ObservationStore {
     facts: Facts,
     /// Workers whose history is still to be handed to the router.
     pending_workers: BTreeSet<WorkerIncarnation>,
-    /// This router's own history is still to be handed to it.
+    /// Whether this router's own history is still to be handed to it.
     has_pending_router_history: bool,
-    /// The scheduled retries of this life of the router, the oldest first.
+    /// The retries scheduled since this process started, the oldest first.
     scheduled_retries: VecDeque<u64>,
-    /// Drains that the endpoint list has told in this life of the router: it may take them back.
+    /// Drains that the endpoint list has reported since this process started, and may therefore end.
     listed_drains: BTreeSet<WorkerIncarnation>,
 }
 
@@ -48,12 +49,12 @@
 }
 
 impl ObservationStore {
-    /// The facts that are known.
+    /// The known facts.
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
 
-    /// Takes facts of a snapshot or of peers.
+    /// Adds facts from a snapshot or from peers.
     pub fn import(&mut self, now: Micros, facts: &[Fact]) {
         for fact in facts {
             self.facts.insert(now, *fact);
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Records what this router has observed of a worker that has answered it. Nothing that it was only told
-    /// may come here, or hearsay would be young for ever.
+    /// Records this router's own observations of a worker that has responded to it. Facts reported by others
+    /// must not be recorded here, or they would be renewed forever.
     pub fn record_worker(
         &mut self,
         now: Micros,
@@ -88,21 +89,21 @@
         }
     }
 
-    /// Records the time that a function took to load, in µs.
+    /// Records the load time of a function, in µs.
     pub fn record_load_time(&mut self, now: Micros, function: FunctionId, took: Micros) {
         let key = key_of(FactKind::LoadTime, function.0);
         self.facts.insert(now, Fact { key, value: took as f32, age: 0 });
     }
 
-    /// Records what is usual at this router, as it has observed itself.
+    /// Records the traffic baseline that this router has observed.
     pub fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
-        for (place, value) in baseline.into_iter().enumerate() {
-            let key = key_of(FactKind::TrafficBaseline, place as u64);
+        for (index, value) in baseline.into_iter().enumerate() {
+            let key = key_of(FactKind::TrafficBaseline, index as u64);
             self.facts.insert(now, Fact { key, value: value as f32, age: 0 });
         }
     }
 
-    /// Records that a request was told to come back in so many µs.
+    /// Records that a request was told to retry after `wait` µs.
     pub fn record_scheduled_retry(&mut self, now: Micros, request: u64, wait: Micros) {
         let key = key_of(FactKind::ScheduledRetry, request);
         self.facts.remove(&key);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// This router's own history from before its start, once.
+    /// Takes this router's own history from before its restart. Returns it once only.
     pub fn take_router_history(&mut self, now: Micros) -> Option<RouterHistory> {
         if !std::mem::take(&mut self.has_pending_router_history) {
             return None;
@@ -126,22 +127,22 @@
     }
 
     fn baseline(&self, now: Micros) -> Option<TrafficBaseline> {
-        let value = |place| {
-            let fact = self.facts.get(now, &key_of(FactKind::TrafficBaseline, place));
+        let value = |index| {
+            let fact = self.facts.get(now, &key_of(FactKind::TrafficBaseline, index));
             fact.map(|fact| f64::from(fact.value))
         };
         Some([value(0)?, value(1)?, value(2)?])
     }
 
-    /// The time that a function takes to load, in µs, if it is known. It is meant for functions of which the
-    /// settings name none.
+    /// The load time of a function in µs, if it is known. Meant for functions without a load time in the
+    /// settings.
     pub fn load_time(&self, now: Micros, function: FunctionId) -> Option<Micros> {
         let fact = self.facts.get(now, &key_of(FactKind::LoadTime, function.0));
         fact.map(|fact| fact.value.max(0.0) as Micros)
     }
 
-    /// The workers whose history is still to be taken up, and the history as far as it counts by now. Each
-    /// stays until `mark_restored`.
+    /// The workers whose history is still to be restored, with the history weighted by its current age. A
+    /// worker stays pending until `mark_restored`.
     pub fn pending_worker_history(&mut self, now: Micros) -> Vec<(WorkerId, Micros, WorkerHistory)> {
         let facts = &self.facts;
         self.pending_workers.retain(|worker| {
@@ -151,11 +152,12 @@
         workers.map(|worker| (worker.0, worker.1, self.worker_history(now, *worker))).collect()
     }
 
-    /// What is known of a worker, closer to its healthy values the less the facts count.
+    /// The history of a worker. The lower the weight of a fact, the closer its value is to that of a healthy
+    /// worker.
     fn worker_history(&self, now: Micros, worker: WorkerIncarnation) -> WorkerHistory {
         let get = |kind| self.facts.get(now, &worker_key(kind, worker));
         let weighted = |kind| get(kind).map_or(0.0, |fact| f64::from(fact.value) * fact.weight());
-        // Half the weight is twice the limit.
+        // Inversely proportional to the weight: half the weight gives twice the limit.
         let limit = |fact: Fact| f64::from(fact.value) / fact.weight();
         let is_ejected = |fact: Fact| fact.weight() >= EJECTION_WEIGHT_THRESHOLD;
         WorkerHistory {
@@ -166,14 +168,14 @@
         }
     }
 
-    /// The router has taken up the history of this worker.
+    /// Records that the router has restored the history of this worker.
     pub fn mark_restored(&mut self, worker: WorkerId, started: Micros) {
         self.pending_workers.remove(&(worker, started));
     }
 
-    /// Takes the status of a worker by the endpoint list, and returns the status to act on. A drain from
-    /// before the start is kept until the list has told it and taken it back in this life of the router, or
-    /// the worker has restarted, or the drain has expired.
+    /// Applies a worker's status from the endpoint list, and returns the effective status. A drain from
+    /// before the restart stays in effect until the list has reported it and then ended it, the worker has
+    /// left or restarted, or the drain has expired.
     pub fn apply_listed_status(
         &mut self,
         now: Micros,
@@ -203,8 +205,8 @@
         status
     }
 
-    /// A complete endpoint list names these workers and nobody else: drains of others are over, and are not
-    /// kept young for ever.
+    /// Applies a complete endpoint list. Drains of workers that it does not name have ended; without this
+    /// they would be renewed forever.
     pub fn apply_complete_list(&mut self, listed: &[WorkerIncarnation]) {
         let drains = self.listed_drains.iter().copied();
         let gone: Vec<WorkerIncarnation> = drains.filter(|worker| !listed.contains(worker)).collect();
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Keeps young the drains that the endpoint list tells now, and removes what has expired. It is called as
-    /// often as snapshots are written.
+    /// Renews the drains that the endpoint list currently reports, and removes expired facts. Called at the
+    /// rate at which snapshots are written.
     pub fn refresh(&mut self, now: Micros) {
         for worker in &self.listed_drains {
             let key = worker_key(FactKind::Draining, *worker);
@@ -225,7 +227,7 @@
     }
 }
 
-/// The request of a scheduled retry, and the µs that are left, if any are.
+/// The request of a scheduled retry and the remaining time in µs, unless that has passed.
 fn remaining_wait(fact: Fact) -> Option<(u64, Micros)> {
     let wait = (fact.value.max(0.0) * 1e3) as Micros;
     let left = wait.checked_sub(fact.age).filter(|left| *left > 0)?;
