--- a/crates/recovery/src/peer_recovery/merge.rs
+++ b/crates/recovery/src/peer_recovery/merge.rs
@@ -1,15 +1,15 @@
-//! The answers of several peers, merged by the median.
+//! Merges the facts of several peers by the median.
 use crate::{Fact, FactKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The median value of each fact, as old as the oldest of those that have it. Without `uses_median`, which
-/// only tests leave out, it is the lowest.
+/// Merges the responses: each fact gets the median value and the highest age among the peers that reported
+/// it. Without `uses_median`, which only tests disable, it is the fact with the lowest value.
 pub(super) fn merge(answers: &[Vec<Fact>], uses_median: bool) -> Vec<Fact> {
     let by_key = group_by_key(answers).into_iter();
     by_key.filter_map(|(key, facts)| merge_one(key, facts, answers.len(), uses_median)).collect()
 }
 
-/// The facts of all answers by their key, one of each answer.
+/// Groups the facts of all responses by key, at most one per response and key.
 fn group_by_key(answers: &[Vec<Fact>]) -> BTreeMap<FactKey, Vec<Fact>> {
     let mut by_key: BTreeMap<FactKey, Vec<Fact>> = BTreeMap::new();
     for facts in answers {
@@ -26,8 +26,8 @@
     if !uses_median {
         return facts.first().copied();
     }
-    // Guards against the word of one peer: what a majority has not observed is left out, and the facts of a
-    // lone survivor are half expired already.
+    // A single peer is not trusted: facts that a majority has not reported are dropped, and if only one peer
+    // responded, its facts count as half expired.
     if facts.len() < answers / 2 + 1 {
         return None;
     }
--- a/crates/recovery/src/peer_recovery/mod.rs
+++ b/crates/recovery/src/peer_recovery/mod.rs
@@ -1,12 +1,12 @@
-//! Asking a few peers for facts after a start, and giving facts to peers that ask.
+//! Recovery of facts from a few peers after a restart, and serving the facts to recovering peers.
 //!
-//! A router that has just started itself says that it is empty, which does not count as an answer. What is
-//! used is the median over the peers that answered. Where only one answered by the end of the window, its
-//! facts count as half expired already.
+//! A router that is itself recovering reports that it is empty, which does not count as a response. Facts are
+//! merged by the median over the peers that responded. If only one has responded by the end of the recovery
+//! window, its facts count as half expired.
 //!
-//! - `requester`: this router asks
-//! - `responder`: this router answers, within its bounds on bytes
-//! - `merge`: the median of the answers
+//! - `requester`: requests facts from peers
+//! - `responder`: serves facts to peers, within a bandwidth limit
+//! - `merge`: merges the facts of several peers
 mod merge;
 mod requester;
 mod responder;
@@ -18,66 +18,66 @@
 use responder::SendBudget;
 use std::collections::BTreeMap;
 
-/// Messages to peers. Each may be lost, delayed or repeated.
+/// Messages to peers. Each may be lost, delayed or duplicated.
 pub trait Actions {
     /// Sends a message.
     fn send(&mut self, to: RouterId, message: Vec<u8>);
 }
 
-/// How far the recovery of a router is.
+/// The stage of a router's recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It asks its peers, and serves meanwhile.
+    /// Requesting facts from peers. The router serves requests meanwhile.
     Requesting,
-    /// Facts of so many peers were taken.
+    /// Facts of this many peers were merged.
     Recovered(usize),
-    /// No peer had any facts in time.
+    /// No peer returned facts in time.
     Exhausted,
 }
 
-/// Guards that tests and fault-injection scenarios take out one by one. In service all are in place.
+/// Safety checks that tests and fault-injection scenarios disable one at a time. Production code enables all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// A router that is itself recovering says so, instead of giving the nothing that it knows.
+    /// A router that is itself recovering reports that it is empty, instead of sending its incomplete facts.
     pub reports_empty: bool,
-    /// Peers beyond the bound on bytes are told a time of their own to ask again.
+    /// Peers beyond the bandwidth limit are each given a different retry time.
     pub spreads_retries: bool,
-    /// The peers to ask are drawn at random, and not the same for all.
+    /// The peers to ask are chosen at random, so that not all routers ask the same ones.
     pub random_peers: bool,
-    /// The median is used, and not the answer of one peer.
+    /// Facts are merged by the median instead of taken from a single peer.
     pub median: bool,
 }
 
 impl Guards {
-    /// All guards are in place.
+    /// All checks enabled.
     pub const ALL: Guards =
         Guards { reports_empty: true, spreads_retries: true, random_peers: true, median: true };
 }
 
-/// The recovery of one router, and its answers to those that recover.
+/// The recovery of one router, and its responses to recovering peers.
 ///
-/// It never acts by itself: [`wake`](PeerRecovery::wake) has to be called in time.
+/// It has no timer of its own: the caller calls [`wake`](PeerRecovery::wake) when it is due.
 pub struct PeerRecovery {
     router: RouterId,
     started_at: Micros,
     stage: Stage,
-    /// The peers that were asked, and what they have given so far.
+    /// The requests in progress, by peer.
     requests: BTreeMap<RouterId, PeerRequest>,
-    /// Peers that are not asked for now, and from when on they may be.
+    /// Peers that must not be asked before the given time.
     backoff_until: BTreeMap<RouterId, Micros>,
     requests_sent: u32,
-    /// When to look after the requests.
-    next_look_at: Micros,
-    /// The bytes that may be given to peers.
+    /// When to check the requests next.
+    next_check_at: Micros,
+    /// The bandwidth limit for responses to peers.
     budget: SendBudget,
-    /// From when on this router's own observations are as good as what it could be told.
+    /// When this router's facts are complete enough to be served to peers.
     can_serve_from: Micros,
     rng: Rand64,
     guards: Guards,
 }
 
 impl PeerRecovery {
-    /// The recovery of a router that starts at `now`.
+    /// Creates the recovery of a router that starts at `now`.
     pub fn new(now: Micros, router: RouterId, seed: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
         PeerRecovery {
@@ -87,8 +87,8 @@
             requests: BTreeMap::new(),
             backoff_until: BTreeMap::new(),
             requests_sent: 0,
-            // Routers that start at once need not ask at once.
-            next_look_at: now + rng.rand_range(0..MIN_RETRY_DELAY),
+            // Spreads the requests of routers that start at the same time.
+            next_check_at: now + rng.rand_range(0..MIN_RETRY_DELAY),
             budget: SendBudget::new(now),
             can_serve_from: now + RECOVERY_WINDOW,
             rng,
@@ -96,41 +96,42 @@
         }
     }
 
-    /// The same with these guards alone, for tests and fault-injection scenarios.
+    /// Replaces the set of enabled checks, for tests and fault-injection scenarios.
     #[must_use]
     pub fn with_guards(mut self, guards: Guards) -> Self {
         self.guards = guards;
         self
     }
 
-    /// The same without asking anybody.
+    /// Disables requests to peers.
     #[must_use]
     pub fn without_peers(mut self) -> Self {
         self.stage = Stage::Exhausted;
         self
     }
 
-    /// How far it is.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How many requests were sent. Further pages of an answer are not counted.
+    /// The number of requests sent, not counting requests for further pages.
     pub fn requests_sent(&self) -> u32 {
         self.requests_sent
     }
 
-    /// When `wake` has to be called at the latest.
+    /// The latest time at which `wake` must be called next.
     pub fn next_wakeup(&self) -> Micros {
-        if self.stage == Stage::Requesting { self.next_look_at } else { Micros::MAX }
+        if self.stage == Stage::Requesting { self.next_check_at } else { Micros::MAX }
     }
 
-    /// A snapshot had facts: they are as good as a peer's to those that ask. This router goes on asking.
+    /// Records that facts were loaded from a snapshot, which may be served to peers at once. This router
+    /// continues to request facts itself.
     pub fn snapshot_loaded(&mut self, now: Micros) {
         self.can_serve_from = now;
     }
 
-    /// Whether this router's facts are worth giving.
+    /// Whether this router's facts are complete enough to be served.
     pub fn can_serve(&self, now: Micros) -> bool {
         now >= self.can_serve_from
     }
--- a/crates/recovery/src/peer_recovery/requester.rs
+++ b/crates/recovery/src/peer_recovery/requester.rs
@@ -1,4 +1,4 @@
-//! The requests of a router that recovers.
+//! The requests of a recovering router.
 use super::{Actions, PeerRecovery, Stage, merge};
 use crate::{
     EMPTY_PEER_BACKOFF, Fact, MAX_FACTS, MAX_REQUESTS, MAX_RETRY_DELAY, MIN_RETRY_DELAY, Micros,
@@ -6,12 +6,12 @@
 };
 use applepond_membership::RouterId;
 
-/// The request to one peer, and what it has given so far.
+/// The request to one peer, and the facts received so far.
 pub(super) struct PeerRequest {
-    /// The number of the latest request, which comes back with its answer.
+    /// The number of the latest request, which the response repeats.
     number: u64,
     page: u16,
-    /// When to ask again, or another peer.
+    /// When the request times out.
     deadline: Micros,
     facts: Vec<Fact>,
     is_complete: bool,
@@ -24,9 +24,9 @@
 }
 
 impl PeerRecovery {
-    /// Asks peers of those that are alive. Returns what was learned, once it is all there is to be.
+    /// Sends requests to alive peers. Returns the merged facts once the recovery is finished.
     pub fn wake(&mut self, now: Micros, alive: &[RouterId], actions: &mut dyn Actions) -> Vec<Fact> {
-        if self.stage != Stage::Requesting || now < self.next_look_at {
+        if self.stage != Stage::Requesting || now < self.next_check_at {
             return Vec::new();
         }
         let complete = self.requests.values().filter(|request| request.is_complete).count();
@@ -37,12 +37,12 @@
         self.backoff_until.retain(|_, until| now < *until);
         self.retry_unanswered(now, alive, actions);
         self.ask_further_peers(now, alive, actions);
-        self.schedule_next_look(now);
+        self.schedule_next_check(now);
         Vec::new()
     }
 
-    /// A peer that has given a page is asked for the next one again: it is the message that was lost. Others
-    /// that did not answer in time are given up for now.
+    /// Handles timeouts. If a peer has already sent a page, only a message was lost, and the next page is
+    /// requested again. Other peers are dropped and may be asked again after a backoff.
     fn retry_unanswered(&mut self, now: Micros, alive: &[RouterId], actions: &mut dyn Actions) {
         let is_late = |request: &PeerRequest| !request.is_complete && now >= request.deadline;
         let late = self.requests.iter().filter(|(_, request)| is_late(request));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Asks other peers until as many as wanted are asked.
+    /// Sends requests to further peers until [`PARALLEL_PEERS`] are in progress.
     fn ask_further_peers(&mut self, now: Micros, alive: &[RouterId], actions: &mut dyn Actions) {
         let may_be_asked = |peer: &RouterId| {
             *peer != self.router
@@ -68,19 +68,19 @@
         while self.requests.len() < PARALLEL_PEERS && !others.is_empty() && self.requests_sent < MAX_REQUESTS
         {
             let random = self.rng.rand_range(0..others.len() as u64) as usize;
-            let lowest = (0..others.len()).min_by_key(|place| others[*place]).unwrap_or(0);
+            let lowest = (0..others.len()).min_by_key(|index| others[*index]).unwrap_or(0);
             let peer = others.swap_remove(if self.guards.random_peers { random } else { lowest });
             self.request_page(now, peer, 0, actions);
         }
     }
 
-    fn schedule_next_look(&mut self, now: Micros) {
+    fn schedule_next_check(&mut self, now: Micros) {
         let unanswered = self.requests.values().filter(|request| !request.is_complete);
         let deadlines = unanswered.map(|request| request.deadline);
         let backoffs = self.backoff_until.values().copied();
         let earliest = deadlines.chain(backoffs).min().unwrap_or(now + MIN_RETRY_DELAY);
         let bounded = earliest.clamp(now + MIN_RETRY_DELAY / 10, now + RESPONSE_TIMEOUT);
-        self.next_look_at = bounded.min(self.started_at + RECOVERY_WINDOW);
+        self.next_check_at = bounded.min(self.started_at + RECOVERY_WINDOW);
     }
 
     fn request_page(&mut self, now: Micros, peer: RouterId, page: u16, actions: &mut dyn Actions) {
@@ -111,7 +111,7 @@
         merge::merge(&answers, self.guards.median)
     }
 
-    /// Takes a page of a peer's facts, and asks for the next one.
+    /// Handles a page of a peer's facts, and requests the next one.
     #[allow(clippy::too_many_arguments)] // the parts of the message, in its order
     pub fn on_page(
         &mut self,
@@ -123,7 +123,7 @@
         facts: Vec<Fact>,
         actions: &mut dyn Actions,
     ) {
-        // Guards against an answer to another request, or of a peer that nobody asked.
+        // Ignores responses to other requests, and responses of peers that were not asked.
         let Some(request) = self.requests.get_mut(&from) else { return };
         if !request.awaits(number) || request.page != page || self.stage != Stage::Requesting {
             return;
@@ -131,29 +131,29 @@
         request.facts.extend(facts);
         request.is_complete = last || request.facts.len() >= MAX_FACTS;
         if !request.is_complete {
-            // A further page is no request of its own.
+            // Requests for further pages are not counted.
             self.request_page(now, from, page + 1, actions);
             self.requests_sent -= 1;
         }
-        self.next_look_at = self.next_look_at.min(now);
+        self.next_check_at = self.next_check_at.min(now);
     }
 
-    /// A peer says to ask again after so many µs.
+    /// Handles a peer's response to retry after `wait` µs.
     pub fn on_retry_later(&mut self, now: Micros, from: RouterId, number: u64, wait: Micros) {
         if self.requests.get(&from).is_some_and(|request| request.awaits(number)) {
             self.requests.remove(&from);
             self.backoff_until.insert(from, now + wait.min(MAX_RETRY_DELAY));
-            self.schedule_next_look(now);
+            self.schedule_next_check(now);
         }
     }
 
-    /// A peer says that it is itself recovering.
+    /// Handles a peer's response that it is itself recovering.
     pub fn on_empty(&mut self, now: Micros, from: RouterId, number: u64) {
         if self.requests.get(&from).is_some_and(|request| request.awaits(number)) {
             self.requests.remove(&from);
-            // It may have recovered by then.
+            // The peer may have recovered by then.
             self.backoff_until.insert(from, now + EMPTY_PEER_BACKOFF);
-            self.next_look_at = self.next_look_at.min(now);
+            self.next_check_at = self.next_check_at.min(now);
         }
     }
 }
--- a/crates/recovery/src/peer_recovery/responder.rs
+++ b/crates/recovery/src/peer_recovery/responder.rs
@@ -1,4 +1,4 @@
-//! The answers to peers that recover, within bounds on bytes: routing goes first.
+//! Responses to recovering peers, within a bandwidth limit so that routing takes precedence.
 use super::{Actions, PeerRecovery};
 use crate::{
     FACTS_PER_PAGE, Fact, Facts, MAX_RETRY_DELAY, MIN_RETRY_DELAY, Micros, SEND_BURST_BYTES,
@@ -6,15 +6,15 @@
 };
 use applepond_membership::RouterId;
 
-/// The most peers that count as deferred, which bounds the time that a further one is told.
+/// The maximum number of peers that count as deferred, which bounds the retry delay of further ones.
 const MAX_DEFERRED_PEERS: u32 = 1_000;
 
 /// A token bucket of bytes.
 pub(super) struct SendBudget {
-    /// The bytes that may be given, as of `refilled_at`.
+    /// The bytes that may be sent, as of `refilled_at`.
     tokens: f64,
     refilled_at: Micros,
-    /// How many peers were deferred lately: the next one is told a later time.
+    /// The number of recently deferred peers. Each further one is given a later retry time.
     deferred: u32,
 }
 
@@ -39,7 +39,8 @@
         self.tokens -= bytes as f64;
     }
 
-    /// Notes a peer that is deferred. Returns the time in µs until those before it have been served.
+    /// Records a deferred peer. Returns the time in µs until it and the peers deferred before it can be
+    /// served.
     fn defer(&mut self, bytes: usize) -> Micros {
         self.deferred = (self.deferred + 1).min(MAX_DEFERRED_PEERS);
         u64::from(self.deferred) * bytes as u64 * 1_000_000 / SEND_BYTES_PER_SECOND
@@ -47,7 +48,7 @@
 }
 
 impl PeerRecovery {
-    /// Answers a peer's request with a page, with a time to ask again, or that this router is empty.
+    /// Responds to a peer's request with a page of facts, with a retry time, or that this router is empty.
     pub fn on_request(
         &mut self,
         now: Micros,
@@ -56,7 +57,8 @@
         facts: &Facts,
         actions: &mut dyn Actions,
     ) {
-        // Guards against emptiness that is taken for an answer: nothing known is not zero.
+        // A recovering router must not send its incomplete facts: the peer would take missing facts for
+        // information.
         if self.guards.reports_empty && !self.can_serve(now) {
             actions.send(from, message::encode_empty(self.router, number));
             return;
@@ -64,7 +66,7 @@
         self.budget.refill(now);
         let answer = self.encode_page(now, number, page, facts);
         if !self.budget.allows(answer.len()) && self.guards.spreads_retries {
-            // Each peer is told a time behind those before it, and a random part on top.
+            // Each deferred peer is given a time after the ones before it, plus a random part.
             let queue = self.budget.defer(answer.len());
             let wait = MIN_RETRY_DELAY + queue + self.rng.rand_range(0..MIN_RETRY_DELAY);
             let wait = wait.min(MAX_RETRY_DELAY);
