--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas and proposers whose network, disks and deaths are steps to choose from.
+//! A model of acceptors and proposers in which message delivery, loss and crashes are explicit steps.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_consensus::{
     Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Promise, ProposalOutcome, Proposer,
@@ -10,16 +10,16 @@
 use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
-/// Two hashes of a state: among some millions of states two that are alike by both are not to be expected.
+/// Two independent hashes of a state, which make a collision among a few million states negligible.
 fn key(world: &impl Explorable) -> (u64, u64) {
     (world.hash_with::<FxHasher>(), world.hash_with::<std::hash::DefaultHasher>())
 }
 
-/// A world whose steps can be taken in any order.
+/// A model whose steps can be taken in any order.
 pub trait Explorable: Clone {
     type Step: Clone + std::fmt::Debug;
     fn steps(&self) -> Vec<Self::Step>;
-    /// An error says which promise is broken.
+    /// Takes a step. An error describes the violated safety property.
     fn step(&mut self, step: &Self::Step) -> Result<(), String>;
     fn hash_with<H: Hasher + Default>(&self) -> u64;
 }
@@ -27,36 +27,36 @@
 pub struct Explored<S> {
     pub states: usize,
     pub depth: usize,
-    /// The shortest history that breaks a promise, and which.
+    /// The shortest history that violates safety, and the violation.
     pub broken: Option<(Vec<S>, String)>,
 }
 
-/// Every order of steps up to this depth, each state once.
+/// Explores all orders of steps up to this depth, visiting each state once.
 pub fn explore<W: Explorable>(begin: W, depth: usize) -> Explored<W::Step> {
     let mut seen = FxHashSet::default();
     seen.insert(key(&begin));
-    // Each state by the step that led to it and the place of the one before.
-    let mut came: Vec<(usize, Option<W::Step>)> = vec![(0, None)];
+    // For each state, the index of its predecessor and the step that led to it.
+    let mut predecessors: Vec<(usize, Option<W::Step>)> = vec![(0, None)];
     let mut level = vec![(0, begin)];
     for at in 0..depth {
         let mut next = Vec::new();
-        for (place, world) in &level {
+        for (index, world) in &level {
             for step in world.steps() {
                 let mut new = world.clone();
                 let broken = new.step(&step).err();
                 if broken.is_none() && !seen.insert(key(&new)) {
                     continue;
                 }
-                came.push((*place, Some(step)));
+                predecessors.push((*index, Some(step)));
                 if let Some(why) = broken {
-                    let (mut history, mut place) = (Vec::new(), came.len() - 1);
-                    while let (before, Some(step)) = &came[place] {
+                    let (mut history, mut index) = (Vec::new(), predecessors.len() - 1);
+                    while let (before, Some(step)) = &predecessors[index] {
                         history.insert(0, step.clone());
-                        place = *before;
+                        index = *before;
                     }
                     return Explored { states: seen.len(), depth: at + 1, broken: Some((history, why)) };
                 }
-                next.push((came.len() - 1, new));
+                next.push((predecessors.len() - 1, new));
             }
         }
         if next.is_empty() {
@@ -67,28 +67,28 @@
     Explored { states: seen.len(), depth, broken: None }
 }
 
-pub fn report<S: std::fmt::Debug>(name: &str, found: &Explored<S>, begun: Instant) {
-    println!("{name}: {} states, depth {}, {:?}", found.states, found.depth, begun.elapsed());
+pub fn report<S: std::fmt::Debug>(name: &str, found: &Explored<S>, started: Instant) {
+    println!("{name}: {} states, depth {}, {:?}", found.states, found.depth, started.elapsed());
     if let Some((history, why)) = &found.broken {
         println!("  {why}");
         history.iter().for_each(|step| println!("  {step:?}"));
     }
 }
 
-/// The value: marks of those who added to it, in order.
+/// The value of the register: the marks of the proposers that appended to it, in order.
 pub type Marks = Vec<u8>;
 
-/// What is built in wrongly, to prove the explorer.
+/// Bugs that are built into the model, to show that the exploration finds them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
     Sound,
-    /// An acceptor that restarts knows nothing.
+    /// A restarted acceptor has lost its state.
     ForgetsState,
-    /// An acceptor answers before its disk has the state.
+    /// An acceptor responds without having persisted its state.
     AnswersBeforeWrite,
-    /// An acknowledgement that comes twice counts as two.
+    /// A duplicated acceptance counts as two.
     CountsTwice,
-    /// A proposer that restarts goes by the ballots of its life before.
+    /// A restarted proposer reuses the ballots of its previous process.
     ReusesBallot,
 }
 
@@ -102,15 +102,15 @@
 }
 
 impl Message {
-    fn keeper(&self) -> usize {
+    fn acceptor(&self) -> usize {
         match self {
             Message::Prepare(_, k, _) | Message::Accept(_, k, ..) => *k,
             Message::Promised(k, ..) | Message::Accepted(k, ..) | Message::Rejected(k, ..) => *k,
         }
     }
 
-    /// The same of any replica.
-    fn without(&self) -> Message {
+    /// The message with the acceptor's index cleared, so that acceptors can be compared.
+    fn without_acceptor(&self) -> Message {
         let mut message = self.clone();
         match &mut message {
             Message::Prepare(_, k, _) | Message::Accept(_, k, ..) => *k = 0,
@@ -124,7 +124,7 @@
 pub enum Step {
     Begin(usize),
     Take(Message),
-    /// It stays on its way, to come again.
+    /// Delivers a message and keeps it in the network, so that it is delivered again.
     TakeAndKeep(Message),
     Lose(Message),
     CrashAcceptor(usize),
@@ -133,29 +133,29 @@
 
 #[derive(Clone)]
 pub struct World {
-    plant: SeededBug,
+    bug: SeededBug,
     pub acceptors: Vec<Acceptor<Marks>>,
     disks: Vec<Option<AcceptorState<Marks>>>,
     pub proposers: Vec<Proposer<Marks>>,
     instance_ids: Vec<u64>,
-    /// What each adds to the value: another one in each of its lives.
+    /// The mark that each proposer appends. A restarted proposer gets a new mark.
     marks: Vec<u8>,
     next_instance_id: u64,
     pub net: BTreeMap<Message, u8>,
-    /// How often each of these may still happen: rounds, repeats, crashes.
-    pub left: [u8; 3],
-    /// Who accepted which value under each ballot: what nobody in the fleet sees whole.
+    /// How many more rounds, duplicated messages and crashes may happen.
+    pub remaining: [u8; 3],
+    /// The value accepted under each ballot and its acceptors, as seen by an omniscient observer.
     accepted: BTreeMap<Ballot, (Marks, BTreeSet<usize>)>,
     pub written: usize,
 }
 
-/// A disk in memory; `sound` keeps, else it does so in name only.
+/// An in-memory disk. Unless the flag is set, it reports success without storing anything.
 struct Disk<'a>(&'a mut Option<AcceptorState<Marks>>, bool);
 
 impl AcceptorStorage<Marks> for Disk<'_> {
-    fn persist(&mut self, vote: &AcceptorState<Marks>) -> Result<(), AcceptorError> {
+    fn persist(&mut self, state: &AcceptorState<Marks>) -> Result<(), AcceptorError> {
         if self.1 {
-            *self.0 = Some(vote.clone());
+            *self.0 = Some(state.clone());
         }
         Ok(())
     }
@@ -179,10 +179,10 @@
 }
 
 impl World {
-    pub fn new(plant: SeededBug, acceptors: usize, proposers: usize, left: [u8; 3]) -> Self {
+    pub fn new(bug: SeededBug, acceptors: usize, proposers: usize, remaining: [u8; 3]) -> Self {
         let instance_ids: Vec<u64> = (1..=proposers as u64).collect();
         World {
-            plant,
+            bug,
             acceptors: (0..acceptors).map(|_| Acceptor::new(FLEET, Ok(None))).collect(),
             disks: vec![None; acceptors],
             proposers: instance_ids
@@ -193,21 +193,21 @@
             marks: instance_ids.iter().map(|b| *b as u8).collect(),
             instance_ids,
             net: BTreeMap::new(),
-            left,
+            remaining,
             accepted: BTreeMap::new(),
             written: 0,
         }
     }
 
-    /// The state, the same for two that differ in the replicas' places alone: each replica by all that has to
-    /// do with it, in order, and the rest.
+    /// Hashes the state such that states that only differ by a permutation of the acceptors are equal: the
+    /// hashes of the acceptors with their messages are sorted, then combined with the rest.
     fn hash_all<H: Hasher + Default>(&self) -> u64 {
         let mut each: Vec<u64> = (0..self.acceptors.len())
             .map(|k| {
                 let mut hasher = H::default();
                 (&self.acceptors[k], &self.disks[k]).hash(&mut hasher);
-                for (message, count) in self.net.iter().filter(|(message, _)| message.keeper() == k) {
-                    (message.without(), count).hash(&mut hasher);
+                for (message, count) in self.net.iter().filter(|(message, _)| message.acceptor() == k) {
+                    (message.without_acceptor(), count).hash(&mut hasher);
                 }
                 self.proposers.iter().for_each(|p| p.state_of(ReplicaIndex(k as u8)).hash(&mut hasher));
                 self.accepted.values().for_each(|(_, by)| by.contains(&k).hash(&mut hasher));
@@ -216,15 +216,15 @@
             .collect();
         each.sort_unstable();
         let mut hasher = H::default();
-        (each, &self.instance_ids, &self.marks, self.left).hash(&mut hasher);
+        (each, &self.instance_ids, &self.marks, self.remaining).hash(&mut hasher);
         self.accepted.iter().for_each(|(ballot, (value, _))| (ballot, value).hash(&mut hasher));
         self.proposers.iter().for_each(|p| p.state().hash(&mut hasher));
         hasher.finish()
     }
 
-    /// Answers that can change nothing any more are as good as lost.
+    /// Drops responses that can no longer have an effect.
     fn prune(&mut self) {
-        if self.plant == SeededBug::ReusesBallot {
+        if self.bug == SeededBug::ReusesBallot {
             return;
         }
         let proposers = &self.proposers;
@@ -238,16 +238,16 @@
         });
     }
 
-    /// All steps that can be next. Whatever is not taken is lost or late, so that loss needs no step here.
+    /// All possible next steps. A message that is never delivered is lost, so loss needs no step of its own.
     fn all_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        let [tries, repeats, crashes] = self.left;
+        let [tries, repeats, crashes] = self.remaining;
         steps.extend((0..self.proposers.len()).filter(|_| tries > 0).map(Step::Begin));
         steps.extend(self.net.keys().cloned().map(Step::Take));
         steps.extend(self.net.keys().filter(|_| repeats > 0).cloned().map(Step::TakeAndKeep));
         if crashes > 0 {
-            // A sound replica that restarts is the same again.
-            let lossy = matches!(self.plant, SeededBug::ForgetsState | SeededBug::AnswersBeforeWrite);
+            // A correct acceptor is unchanged by a restart.
+            let lossy = matches!(self.bug, SeededBug::ForgetsState | SeededBug::AnswersBeforeWrite);
             steps.extend((0..self.acceptors.len()).filter(|_| lossy).map(Step::CrashAcceptor));
             steps.extend((0..self.proposers.len()).map(Step::CrashProposer));
         }
@@ -260,10 +260,10 @@
         }
     }
 
-    fn steps_on(&mut self, step: &Step) -> Result<(), String> {
+    fn apply_step(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Begin(p) => {
-                self.left[0] -= 1;
+                self.remaining[0] -= 1;
                 let mut out = Out(*p, Vec::new());
                 self.proposers[*p].prepare(0, &mut out);
                 self.send(out.1);
@@ -274,17 +274,17 @@
                 self.take(message, false)?;
             }
             Step::TakeAndKeep(message) => {
-                self.left[1] -= 1;
+                self.remaining[1] -= 1;
                 self.take(message, true)?;
             }
             Step::CrashAcceptor(k) => {
-                self.left[2] -= 1;
-                let found = if self.plant == SeededBug::ForgetsState { None } else { self.disks[*k].clone() };
+                self.remaining[2] -= 1;
+                let found = if self.bug == SeededBug::ForgetsState { None } else { self.disks[*k].clone() };
                 self.acceptors[*k] = Acceptor::new(FLEET, Ok(found));
             }
             Step::CrashProposer(p) => {
-                self.left[2] -= 1;
-                if self.plant != SeededBug::ReusesBallot {
+                self.remaining[2] -= 1;
+                if self.bug != SeededBug::ReusesBallot {
                     self.instance_ids[*p] = self.next_instance_id;
                 }
                 self.marks[*p] = self.next_instance_id as u8;
@@ -324,7 +324,7 @@
             Message::Accepted(acceptor, proposer, ballot) => {
                 let replica = ReplicaIndex(acceptor as u8);
                 let mut outcome = self.proposers[proposer].on_accepted(replica, ballot);
-                if again && self.plant == SeededBug::CountsTwice {
+                if again && self.bug == SeededBug::CountsTwice {
                     let other = ReplicaIndex(((acceptor + 1) % self.acceptors.len()) as u8);
                     outcome = outcome.or(self.proposers[proposer].on_accepted(other, ballot));
                 }
@@ -337,9 +337,9 @@
         Ok(())
     }
 
-    /// An acceptor's answer in phase 1.
+    /// An acceptor's response in phase 1.
     fn prepare(&mut self, proposer: usize, acceptor: usize, ballot: Ballot) -> Option<Message> {
-        let is_durable = self.plant != SeededBug::AnswersBeforeWrite;
+        let is_durable = self.bug != SeededBug::AnswersBeforeWrite;
         let mut disk = Disk(&mut self.disks[acceptor], is_durable);
         match self.acceptors[acceptor].prepare(ballot, &mut disk) {
             Ok(promise) => Some(Message::Promised(acceptor, proposer, promise)),
@@ -350,7 +350,7 @@
         }
     }
 
-    /// An acceptor's answer in phase 2.
+    /// An acceptor's response in phase 2.
     fn accept(
         &mut self,
         proposer: usize,
@@ -358,11 +358,11 @@
         ballot: Ballot,
         value: Marks,
     ) -> Result<Option<Message>, String> {
-        let is_durable = self.plant != SeededBug::AnswersBeforeWrite;
+        let is_durable = self.bug != SeededBug::AnswersBeforeWrite;
         let mut disk = Disk(&mut self.disks[acceptor], is_durable);
         match self.acceptors[acceptor].accept(ballot, value.clone(), &mut disk) {
             Ok(()) => {
-                self.note(acceptor, ballot, value)?;
+                self.check_accepted(acceptor, ballot, value)?;
                 Ok(Some(Message::Accepted(acceptor, proposer, ballot)))
             }
             Err(Rejection::Superseded { promised }) => {
@@ -372,12 +372,12 @@
         }
     }
 
-    /// What a proposer does next, and whether what it says of its round is true.
+    /// Continues a proposer after an outcome, and checks that the outcome is correct.
     fn conclude(&mut self, proposer: usize, outcome: Option<ProposalOutcome<Marks>>) -> Result<(), String> {
         match outcome {
             Some(ProposalOutcome::Read(value)) => {
                 let (mut value, mark) = (value.unwrap_or_default(), self.marks[proposer]);
-                // An earlier round may have been committed without this proposer knowing.
+                // An earlier round of this proposer may have been committed without its knowledge.
                 if !value.contains(&mark) {
                     value.push(mark);
                 }
@@ -388,28 +388,31 @@
             Some(ProposalOutcome::Committed(value)) => {
                 self.written += 1;
                 let ballot = self.proposers[proposer].ballot();
-                let most = self.acceptors.len() / 2 + 1;
-                if self.accepted.get(&ballot).is_none_or(|(v, by)| *v != value || by.len() < most) {
-                    return Err(format!("{value:?} committed under {ballot:?}, and too few have it"));
+                let majority = self.acceptors.len() / 2 + 1;
+                if self.accepted.get(&ballot).is_none_or(|(v, by)| *v != value || by.len() < majority) {
+                    return Err(format!(
+                        "{value:?} reported as committed under {ballot:?} without a majority"
+                    ));
                 }
             }
-            Some(ProposalOutcome::StaleReplica(replica)) if self.plant == SeededBug::Sound => {
-                return Err(format!("{replica:?} is sound and taken for stale"));
+            Some(ProposalOutcome::StaleReplica(replica)) if self.bug == SeededBug::Sound => {
+                return Err(format!("{replica:?} is intact but reported as stale"));
             }
             Some(ProposalOutcome::StaleReplica(_)) | None => {}
         }
         Ok(())
     }
 
-    /// Each value that most have accepted is in the past of every one accepted by most under a higher ballot.
-    fn note(&mut self, k: usize, ballot: Ballot, value: Marks) -> Result<(), String> {
-        let row = self.accepted.entry(ballot).or_insert_with(|| (value.clone(), BTreeSet::new()));
-        if row.0 != value {
-            return Err(format!("{:?} and {value:?} under one ballot {ballot:?}", row.0));
+    /// Records an acceptance, and checks that each value accepted by a majority is a prefix of every value
+    /// accepted by a majority under a higher ballot.
+    fn check_accepted(&mut self, k: usize, ballot: Ballot, value: Marks) -> Result<(), String> {
+        let entry = self.accepted.entry(ballot).or_insert_with(|| (value.clone(), BTreeSet::new()));
+        if entry.0 != value {
+            return Err(format!("two values, {:?} and {value:?}, under ballot {ballot:?}", entry.0));
         }
-        row.1.insert(k);
-        let most = self.acceptors.len() / 2 + 1;
-        let chosen: Vec<_> = self.accepted.iter().filter(|(_, (_, by))| by.len() >= most).collect();
+        entry.1.insert(k);
+        let majority = self.acceptors.len() / 2 + 1;
+        let chosen: Vec<_> = self.accepted.iter().filter(|(_, (_, by))| by.len() >= majority).collect();
         for pair in chosen.windows(2) {
             let ((a, (earlier, _)), (b, (later, _))) = (pair[0], pair[1]);
             if !later.starts_with(earlier) {
@@ -426,9 +429,9 @@
         self.all_steps()
     }
     fn step(&mut self, step: &Step) -> Result<(), String> {
-        let done = self.steps_on(step);
+        let result = self.apply_step(step);
         self.prune();
-        done
+        result
     }
     fn hash_with<H: Hasher + Default>(&self) -> u64 {
         self.hash_all::<H>()
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -1,35 +1,36 @@
-//! All orders of a small fleet's steps, breadth first, and long runs at random of a larger one.
+//! Model checking of the proposer and acceptor: exhaustive breadth-first exploration of a small fleet, and
+//! long random runs of a larger one.
 mod common;
 use common::*;
 use oorandom::Rand64;
 use std::time::Instant;
 use test_case::test_case;
 
-// Three replicas, two proposers; rounds, repeats and crashes that may happen.
+// Three acceptors and two proposers. The array bounds the rounds, duplicated messages and crashes.
 #[test_case([2, 0, 0], 99; "two tries, all there is")]
 #[test_case([2, 1, 0], 13; "two tries, a repeat")]
 #[test_case([2, 0, 1], 14; "two tries, a crash of a proposer")]
 #[test_case([3, 1, 1], 9; "three tries, a repeat, a crash")]
-fn no_order_of_steps_breaks_safety(left: [u8; 3], depth: usize) {
-    let begun = Instant::now();
-    let found = explore(World::new(SeededBug::Sound, 3, 2, left), depth);
-    report("sound", &found, begun);
+fn no_order_of_steps_breaks_safety(remaining: [u8; 3], depth: usize) {
+    let started = Instant::now();
+    let found = explore(World::new(SeededBug::Sound, 3, 2, remaining), depth);
+    report("sound", &found, started);
     assert!(found.broken.is_none());
-    assert!(found.depth == depth || depth == 99, "to the stated depth");
+    assert!(found.depth == depth || depth == 99, "the exploration reaches its depth");
 }
 
 #[test_case(SeededBug::ForgetsState, [2, 0, 1], 16)]
 #[test_case(SeededBug::AnswersBeforeWrite, [2, 0, 1], 16)]
 #[test_case(SeededBug::CountsTwice, [1, 1, 0], 10)]
 #[test_case(SeededBug::ReusesBallot, [2, 0, 1], 14)]
-fn each_seeded_bug_is_found(plant: SeededBug, left: [u8; 3], depth: usize) {
-    let begun = Instant::now();
-    let found = explore(World::new(plant, 3, 2, left), depth);
-    report(&format!("{plant:?}"), &found, begun);
+fn each_seeded_bug_is_found(bug: SeededBug, remaining: [u8; 3], depth: usize) {
+    let started = Instant::now();
+    let found = explore(World::new(bug, 3, 2, remaining), depth);
+    report(&format!("{bug:?}"), &found, started);
     assert!(found.broken.is_some());
 }
 
-// Five replicas, three proposers that try again and again, losses, repeats and crashes of all.
+// Random runs with lost and duplicated messages and crashes of acceptors and proposers.
 #[test_case(3, 2)]
 #[test_case(5, 3)]
 fn long_random_runs_stay_safe(acceptors: usize, proposers: usize) {
@@ -37,7 +38,7 @@
         let mut world = World::new(SeededBug::Sound, acceptors, proposers, [u8::MAX; 3]);
         let mut rng = Rand64::new(seed);
         for _ in 0..4_000 {
-            world.left = [u8::MAX; 3];
+            world.remaining = [u8::MAX; 3];
             let idle = (0..proposers).filter(|p| world.proposers[*p].is_idle()).count();
             let messages = world.net.len() as u64;
             let chance = rng.rand_float();
