--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Bytes of votes and of messages between processes: a version that writes or reads others cannot run beside
-//! the one before, nor read its disk.
+//! The encoding of acceptor states and messages. A version that changes it cannot run alongside the previous
+//! one, nor read its files.
 use applepond_consensus::message::{self, MessageWriter};
 use applepond_consensus::{
     AcceptorError, AcceptorState, AcceptorStorage, Ballot, KnownPromise, Promise, Register, RegisterActions,
@@ -12,7 +12,7 @@
 const FLEET: u64 = 0x1122_3344_5566_7788;
 const ME: RouterId = RouterId(0xaabb_ccdd_0011_2233);
 
-fn seat(n: u64) -> ReplicaId {
+fn replica(n: u64) -> ReplicaId {
     ReplicaId { router: RouterId(n * 1_000_003), disk: InstanceId(n * 77_777_777_777) }
 }
 
@@ -20,8 +20,8 @@
     RegisterState {
         register_id: InstanceId(987_654_321),
         version: 300,
-        replicas: vec![seat(1), seat(2), seat(3)],
-        previous_replicas: vec![seat(4)],
+        replicas: vec![replica(1), replica(2), replica(3)],
+        previous_replicas: vec![replica(4)],
         value: b"agreed value".to_vec(),
     }
 }
@@ -30,14 +30,14 @@
     Ballot { round, proposer: 0xfeed_f00d }
 }
 
-/// All questions and answers there are, in the order of their kinds.
+/// One or more messages of each kind, in the order of the kinds.
 fn messages() -> Vec<Vec<u8>> {
     let mut written = MessageWriter::new(ME);
     let to = RouterId(5);
-    let word = Some(KnownPromise { disk: InstanceId(9), ballot: ballot(3) });
-    ReplicaRequests::<Value>::prepare(&mut written, to, ballot(7), word);
+    let known = Some(KnownPromise { disk: InstanceId(9), ballot: ballot(3) });
+    ReplicaRequests::<Value>::prepare(&mut written, to, ballot(7), known);
     ReplicaRequests::<Value>::prepare(&mut written, to, ballot(7), None);
-    ReplicaRequests::accept(&mut written, to, ballot(8), &agreed(), word);
+    ReplicaRequests::accept(&mut written, to, ballot(8), &agreed(), known);
     let accepted = Some((ballot(2), agreed()));
     let full = Promise { ballot: ballot(7), previous: ballot(2), accepted };
     let empty = Promise { accepted: None, ..full.clone() };
@@ -45,8 +45,8 @@
     RegisterActions::promised(&mut written, to, InstanceId(66), &empty);
     RegisterActions::<Value>::accepted(&mut written, to, ballot(8), InstanceId(66));
     RegisterActions::<Value>::rejected(&mut written, to, ballot(8), ballot(9));
-    for trouble in [AcceptorError::WriteFailed, AcceptorError::Corrupt, AcceptorError::WrongFleet] {
-        RegisterActions::<Value>::abstained(&mut written, to, ballot(8), trouble);
+    for error in [AcceptorError::WriteFailed, AcceptorError::Corrupt, AcceptorError::WrongFleet] {
+        RegisterActions::<Value>::abstained(&mut written, to, ballot(8), error);
     }
     RegisterActions::<Value>::request_state(&mut written, to, 40_000);
     RegisterActions::<Value>::send_state(&mut written, to, 40_000, &agreed(), 2_500_000);
@@ -86,11 +86,11 @@
 fn votes_keep_their_bytes() {
     let empty = AcceptorState::<RegisterState<Value>>::empty(FLEET);
     let full = AcceptorState { fleet: FLEET, promised: ballot(9), accepted: Some((ballot(8), agreed())) };
-    let lines = [&empty, &full].map(|vote| {
-        let bytes = postcard::to_stdvec(vote).expect("votes can be written");
+    let lines = [&empty, &full].map(|state| {
+        let bytes = postcard::to_stdvec(state).expect("acceptor states can be encoded");
         let read: AcceptorState<RegisterState<Value>> =
-            postcard::from_bytes(&bytes).expect("votes can be read");
-        assert_eq!(&read, vote);
+            postcard::from_bytes(&bytes).expect("acceptor states can be decoded");
+        assert_eq!(&read, state);
         hex::encode(bytes)
     });
     insta::assert_snapshot!("votes", lines.join("\n"));
