--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Replicas that change and lose their disks, in all orders of steps: breadth first, and long runs at random.
+//! Model checking of reconfiguration and lost disks: exhaustive breadth-first exploration of a small fleet,
+//! and long random runs.
 mod common;
 use applepond_consensus::{
     Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Guards, KnownPromise, Promise,
@@ -23,7 +24,7 @@
     Rejected(usize, Ballot, Ballot),
 }
 
-/// A value in an order, for keeping messages apart.
+/// A register state with an ordering, so that messages can be map keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Ordered(InstanceId, u64, Vec<ReplicaId>, Vec<ReplicaId>, Marks);
 
@@ -42,7 +43,7 @@
     Keep(Message),
     Lose(Message),
     Crash(usize),
-    /// A replica's disk is lost: it starts with a new one, empty.
+    /// Replaces a replica's disk with a new, empty one.
     Wipe(usize),
 }
 
@@ -55,30 +56,30 @@
     marks: Vec<u8>,
     instance_ids: u64,
     net: BTreeMap<Message, u8>,
-    /// Rounds, repeats, crashes, wipes that may still happen.
-    left: [u8; 4],
+    /// How many more rounds, duplicated messages, crashes and lost disks may happen.
+    remaining: [u8; 4],
     written: BTreeMap<Ballot, Value>,
     changes: usize,
-    /// Replicas stay who they are, lost or not.
+    /// Disables reconfiguration, even if disks are lost.
     fixed: bool,
 }
 
 struct Out(usize, Vec<Message>);
 
 impl ReplicaRequests<Marks> for Out {
-    fn prepare(&mut self, to: RouterId, ballot: Ballot, word: Option<KnownPromise>) {
-        self.1.push(Message::Promise(self.0, to.0 as usize, ballot, word));
+    fn prepare(&mut self, to: RouterId, ballot: Ballot, known: Option<KnownPromise>) {
+        self.1.push(Message::Promise(self.0, to.0 as usize, ballot, known));
     }
-    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, word: Option<KnownPromise>) {
-        self.1.push(Message::Accept(self.0, to.0 as usize, ballot, ordered(v), word));
+    fn accept(&mut self, to: RouterId, ballot: Ballot, v: &Value, known: Option<KnownPromise>) {
+        self.1.push(Message::Accept(self.0, to.0 as usize, ballot, ordered(v), known));
     }
 }
 
 struct Disk<'a>(&'a mut Option<AcceptorState<Value>>);
 
 impl AcceptorStorage<Value> for Disk<'_> {
-    fn persist(&mut self, vote: &AcceptorState<Value>) -> Result<(), AcceptorError> {
-        *self.0 = Some(vote.clone());
+    fn persist(&mut self, state: &AcceptorState<Value>) -> Result<(), AcceptorError> {
+        *self.0 = Some(state.clone());
         Ok(())
     }
 }
@@ -88,34 +89,34 @@
 }
 
 impl World {
-    fn new(guards: Guards, acceptors: usize, proposers: usize, left: [u8; 4]) -> Self {
+    fn new(guards: Guards, acceptors: usize, proposers: usize, remaining: [u8; 4]) -> Self {
         let names = configured(acceptors.min(3));
         let of = |b: u64| ReconfigurableProposer::new(InstanceId(b), &names, b).with_guards(guards);
-        let keeper = |k: usize| (InstanceId(900 + k as u64), Acceptor::new(7, Ok(None)));
+        let new_acceptor = |k: usize| (InstanceId(900 + k as u64), Acceptor::new(7, Ok(None)));
         World {
-            acceptors: (0..acceptors).map(keeper).collect(),
+            acceptors: (0..acceptors).map(new_acceptor).collect(),
             disks: vec![None; acceptors],
             proposers: (1..=proposers as u64).map(of).collect(),
             guards,
             marks: (1..=proposers as u8).collect(),
             instance_ids: proposers as u64 + 1,
             net: BTreeMap::new(),
-            left,
+            remaining,
             written: BTreeMap::new(),
             changes: 0,
             fixed: false,
         }
     }
 
-    /// The same with a value bootstrapped and written by the first of them.
-    fn bootstrapped(guards: Guards, acceptors: usize, proposers: usize, left: [u8; 4]) -> Self {
+    /// A world in which the first proposer has bootstrapped the register.
+    fn bootstrapped(guards: Guards, acceptors: usize, proposers: usize, remaining: [u8; 4]) -> Self {
         let mut world = World::new(guards, acceptors, proposers, [9; 4]);
         world.step(&Step::Begin(0)).expect("sound");
         while let Some(message) = world.net.keys().next().cloned() {
             world.step(&Step::Take(message)).expect("sound");
         }
         assert_eq!(world.written.len(), 1);
-        world.left = left;
+        world.remaining = remaining;
         world
     }
 
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The next value after one that was read: the mark of who writes, and one change of replicas.
+    /// The next state after the one that was read: appends the proposer's mark and reconfigures one replica.
     fn next(&mut self, c: usize, read: Value) -> Value {
         let mut next = RegisterState { version: read.version + 1, ..read.clone() };
         if !next.value.contains(&self.marks[c]) {
@@ -151,7 +152,7 @@
             next.replicas[n].disk = self.acceptors[read.replicas[n].router.0 as usize].0;
             self.changes += 1;
         } else if self.acceptors.len() > 3 && read.version.is_multiple_of(3) {
-            // One of them makes room for the router that keeps nothing.
+            // Replaces one replica by the router that is not a replica.
             let spare = (0..4).find(|k| read.replicas.iter().all(|s| s.router.0 != *k)).expect("one of four");
             next.previous_replicas = read.replicas.clone();
             let place = &mut next.replicas[(read.version / 3) as usize % 3];
@@ -190,7 +191,7 @@
         Ok(())
     }
 
-    /// The replica of a router, which has heard of a promise of it.
+    /// The replica of a router, after checking it for a rollback.
     fn replica(&mut self, router: usize, known: Option<KnownPromise>) -> ReplicaId {
         let (disk, acceptor) = &mut self.acceptors[router];
         let of_this_disk = known.filter(|known| known.disk == *disk);
@@ -198,7 +199,7 @@
         ReplicaId { router: RouterId(router as u64), disk: *disk }
     }
 
-    /// A replica's answer in phase 1.
+    /// A replica's response in phase 1.
     fn prepare(
         &mut self,
         proposer: usize,
@@ -218,7 +219,7 @@
         }
     }
 
-    /// A replica's answer in phase 2.
+    /// A replica's response in phase 2.
     fn accept(
         &mut self,
         proposer: usize,
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Answers that can change nothing any more are as good as lost.
+    /// Drops responses that can no longer have an effect.
     fn prune(&mut self) {
         let proposers = &self.proposers;
         self.net.retain(|message, _| match message {
@@ -246,7 +247,7 @@
         });
     }
 
-    /// What a proposer does next, and whether what it says of its round is true.
+    /// Continues a proposer after an outcome, and checks that the outcome is correct.
     fn conclude(&mut self, proposer: usize, outcome: RoundOutcome<Marks>) -> Result<(), String> {
         let next = match outcome {
             RoundOutcome::Read(state, _) => self.next(proposer, state),
@@ -257,9 +258,11 @@
                 previous_replicas: Vec::new(),
                 value: vec![self.marks[proposer]],
             },
-            RoundOutcome::Committed(state) => return self.note(self.proposers[proposer].ballot(), state),
+            RoundOutcome::Committed(state) => {
+                return self.check_committed(self.proposers[proposer].ballot(), state);
+            }
             RoundOutcome::StaleReplica(replica) => {
-                return Err(format!("{replica:?} is sound and taken for stale"));
+                return Err(format!("{replica:?} is intact but reported as stale"));
             }
         };
         let mut out = Out(proposer, Vec::new());
@@ -268,8 +271,9 @@
         Ok(())
     }
 
-    /// Whatever was written is in the past of all that is written under higher ballots.
-    fn note(&mut self, ballot: Ballot, v: Value) -> Result<(), String> {
+    /// Records a committed state, and checks that its value is a prefix of all values committed under higher
+    /// ballots, in the same register.
+    fn check_committed(&mut self, ballot: Ballot, v: Value) -> Result<(), String> {
         self.written.insert(ballot, v);
         let all: Vec<_> = self.written.iter().collect();
         for pair in all.windows(2) {
@@ -286,7 +290,7 @@
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
-        let [tries, repeats, crashes, wipes] = self.left;
+        let [tries, repeats, crashes, wipes] = self.remaining;
         let mut steps: Vec<Step> = Vec::new();
         steps.extend((0..self.proposers.len()).filter(|_| tries > 0).map(Step::Begin));
         steps.extend(self.net.keys().cloned().map(Step::Take));
@@ -299,7 +303,7 @@
     fn step(&mut self, step: &Step) -> Result<(), String> {
         match step {
             Step::Begin(c) => {
-                self.left[0] -= 1;
+                self.remaining[0] -= 1;
                 let mut out = Out(*c, Vec::new());
                 self.proposers[*c].prepare(0, &mut out);
                 self.send(out.1);
@@ -309,12 +313,12 @@
                 self.take(message)?;
             }
             Step::Keep(message) => {
-                self.left[1] -= 1;
+                self.remaining[1] -= 1;
                 self.take(message)?;
             }
             Step::Lose(message) => self.remove(message),
             Step::Crash(c) => {
-                self.left[2] -= 1;
+                self.remaining[2] -= 1;
                 let instance_id = self.instance_ids;
                 self.instance_ids += 1;
                 self.marks[*c] = instance_id as u8;
@@ -323,7 +327,7 @@
                         .with_guards(self.guards);
             }
             Step::Wipe(k) => {
-                self.left[3] -= 1;
+                self.remaining[3] -= 1;
                 self.instance_ids += 1;
                 self.disks[*k] = None;
                 self.acceptors[*k] = (InstanceId(900 + self.instance_ids), Acceptor::new(7, Ok(None)));
@@ -335,27 +339,27 @@
 
     fn hash_with<H: Hasher + Default>(&self) -> u64 {
         let mut hasher = H::default();
-        (&self.acceptors, &self.net, self.left, &self.marks, &self.written).hash(&mut hasher);
+        (&self.acceptors, &self.net, self.remaining, &self.marks, &self.written).hash(&mut hasher);
         self.proposers.iter().for_each(|c| c.state().hash(&mut hasher));
         hasher.finish()
     }
 }
 
-// Three replicas, two who write; rounds, repeats, crashes and disks lost that may happen.
+// Three replicas and two proposers. The array bounds the rounds, duplicated messages, crashes and lost disks.
 #[test_case(false, [2, 0, 0, 0], 11; "bootstrapped by two at once")]
 #[test_case(false, [2, 0, 0, 1], 9; "bootstrapped while a disk is lost")]
 #[test_case(true, [2, 0, 0, 1], 10; "a disk is lost and comes back as another replica")]
 #[test_case(true, [2, 0, 1, 1], 8; "the same, and one who writes dies")]
-fn no_order_of_steps_breaks_safety(bootstrapped: bool, left: [u8; 4], depth: usize) {
-    let begun = Instant::now();
+fn no_order_of_steps_breaks_safety(bootstrapped: bool, remaining: [u8; 4], depth: usize) {
+    let started = Instant::now();
     let begin = if bootstrapped { World::bootstrapped } else { World::new };
-    let found = explore(begin(Guards::ALL, 3, 2, left), depth);
-    report("sound", &found, begun);
+    let found = explore(begin(Guards::ALL, 3, 2, remaining), depth);
+    report("sound", &found, started);
     assert!(found.broken.is_none() && found.depth == depth);
 }
 
-/// Any step that can be next. None: it would take what is not to be taken.
-fn random_step(world: &World, rng: &mut Rand64, (wipes, most): (f64, bool)) -> Option<Step> {
+/// A random next step. `None` if the step would lose a disk that must not be lost.
+fn random_step(world: &World, rng: &mut Rand64, (wipes, lose_majority): (f64, bool)) -> Option<Step> {
     let idle = world.proposers.iter().filter(|c| c.is_idle()).count();
     let messages = world.net.len() as u64;
     let chance = rng.rand_float();
@@ -363,11 +367,13 @@
     let step = if messages == 0 || chance < 0.03 + 0.05 * idle as f64 {
         Step::Begin(any(rng, 2))
     } else if chance > 1.0 - wipes && !world.written.is_empty() {
-        // Never most of those who keep it, unless that is looked at: one is left then.
+        // A majority of the replicas keeps its disks, or with `lose_majority` at least one replica.
         let last = world.written.values().next_back().expect("some");
-        let whole = |s: &&ReplicaId| world.acceptors[s.router.0 as usize].0 == s.disk;
-        let left = last.replicas.iter().filter(whole).count();
-        if most && left < 2 || !most && (!last.previous_replicas.is_empty() || left < 3) {
+        let has_disk = |s: &&ReplicaId| world.acceptors[s.router.0 as usize].0 == s.disk;
+        let remaining = last.replicas.iter().filter(has_disk).count();
+        if lose_majority && remaining < 2
+            || !lose_majority && (!last.previous_replicas.is_empty() || remaining < 3)
+        {
             return None;
         }
         Step::Wipe(any(rng, world.acceptors.len()))
@@ -383,21 +389,21 @@
     Some(step)
 }
 
-/// Long runs at random; the first promise that was broken, and what was written and changed.
-fn long(
+/// Long random runs. Returns the first violation, and the numbers of committed states and reconfigurations.
+fn run_random(
     guards: Guards,
     routers: usize,
     seeds: u64,
-    (wipes, most): (f64, bool),
+    (wipes, lose_majority): (f64, bool),
 ) -> (Option<String>, usize, usize) {
     let (mut written, mut changes) = (0, 0);
     for seed in 0..seeds {
         let mut rng = Rand64::new(u128::from(seed));
         let mut world = World::new(guards, routers, 2, [u8::MAX; 4]);
-        world.fixed = most;
+        world.fixed = lose_majority;
         for _ in 0..3_000 {
-            world.left = [u8::MAX; 4];
-            let Some(step) = random_step(&world, &mut rng, (wipes, most)) else { continue };
+            world.remaining = [u8::MAX; 4];
+            let Some(step) = random_step(&world, &mut rng, (wipes, lose_majority)) else { continue };
             if let Err(why) = world.step(&step) {
                 return (Some(format!("seed {seed}: {why}")), written, changes);
             }
@@ -415,28 +421,29 @@
 #[test_case(4, 0.0, 100; "replicas are moved")]
 #[test_case(4, 0.002, 100; "both")]
 fn long_random_runs_stay_safe(routers: usize, wipes: f64, least: usize) {
-    let (broken, written, changes) = long(Guards::ALL, routers, 100, (wipes, false));
-    println!("{written} written, {changes} changes of replicas begun");
+    let (broken, written, changes) = run_random(Guards::ALL, routers, 100, (wipes, false));
+    println!("{written} committed, {changes} reconfigurations started");
     assert_eq!(broken, None);
     assert!(written > 1_000 && changes > least, "{written} written, {changes} changes");
 }
 
-// Each guard taken out is found, with the seed that shows it.
+// With any one of the checks disabled, some seed shows a violation.
 #[test_case(Guards { bootstrap_reads_all: false, ..Guards::ALL }, 3; "bootstrapped without all")]
 #[test_case(Guards { bootstrap_writes_all: false, ..Guards::ALL }, 3; "bootstrapped, not accepted by all")]
 #[test_case(Guards { joint_quorums: false, ..Guards::ALL }, 4; "one set of two")]
 #[test_case(Guards { disk_identity: false, ..Guards::ALL }, 3; "a new disk votes for the lost one")]
 fn each_missing_guard_is_found(guards: Guards, routers: usize) {
-    let most = !guards.bootstrap_reads_all || !guards.bootstrap_writes_all;
-    let (broken, ..) = long(guards, routers, 3_000, (if most { 0.2 } else { 0.01 }, most));
+    let lose_majority = !guards.bootstrap_reads_all || !guards.bootstrap_writes_all;
+    let (broken, ..) =
+        run_random(guards, routers, 3_000, (if lose_majority { 0.2 } else { 0.01 }, lose_majority));
     println!("{broken:?}");
     assert!(broken.is_some());
 }
 
-// Most disks are lost and one is left that knows: nothing is bootstrapped again.
+// A majority of the disks is lost, but one replica still has its state: no second bootstrap.
 #[test]
 fn a_lost_majority_is_not_bootstrapped_again() {
-    let (broken, written, _) = long(Guards::ALL, 3, 3_000, (0.2, true));
+    let (broken, written, _) = run_random(Guards::ALL, 3, 3_000, (0.2, true));
     assert_eq!(broken, None);
     assert!(written > 300, "{written}");
 }
