--- a/crates/consensus/tests/fault_points/main.rs
+++ b/crates/consensus/tests/fault_points/main.rs
@@ -1,109 +1,109 @@
-//! Faults at numbered points: whatever an instance does with its disk and its socket is a point; a run counts
-//! them, then is played again for each of them with each kind of fault there. One that fails prints the line
-//! that plays it again.
+//! Fault injection at every I/O operation: each disk or network operation of a router is a numbered fault
+//! point. A fault-free run counts them; then the run is repeated with each kind of fault at each point. A
+//! failure prints the command that reproduces it.
 mod simulation;
 use applepond_consensus::Unavailable;
 use simulation::*;
 
 const SEED: u64 = 11;
 
-/// What an operator had to do: replicas in doubt, and all of it bootstrapped again.
+/// The number of operator interventions: repaired replicas, and bootstraps of the whole register.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Done {
     mended: usize,
     bootstrapped: usize,
 }
 
-/// Whether all come to hold this.
-fn settles(network: &mut SimulatedNetwork, text: &str) -> bool {
+/// Whether all routers come to hold this value.
+fn converges_on(network: &mut SimulatedNetwork, text: &str) -> bool {
     (0..12).any(|_| {
         network.propose(text);
-        network.until(2 * S, |p| p.all_hold(text))
+        network.run_until(2 * S, |p| p.all_hold(text))
     })
 }
 
-/// What the help of a replica in doubt says.
-fn mend(network: &mut SimulatedNetwork) -> usize {
-    let doubt = |p: &SimulatedNetwork, n: usize| match p.unavailable_reason(n) {
+/// Follows the help text of each replica that abstains. Returns how many there were.
+fn follow_help(network: &mut SimulatedNetwork) -> usize {
+    let failure_of = |p: &SimulatedNetwork, n: usize| match p.unavailable_reason(n) {
         Some(Unavailable::AcceptorFailed(why)) => Some(why),
         _ => None,
     };
-    let doubts: Vec<_> = (0..3).filter_map(|n| Some((n, doubt(network, n)?))).collect();
-    for (n, why) in &doubts {
+    let failures: Vec<_> = (0..3).filter_map(|n| Some((n, failure_of(network, n)?))).collect();
+    for (n, why) in &failures {
         network.kill(*n);
         if *why != "not-written" {
-            network.lose(*n);
+            network.replace_disk(*n);
         }
         network.start(*n);
     }
-    doubts.len()
+    failures.len()
 }
 
-/// Has a text agreed on, with what an operator has to do for it, which is noted.
-fn reach(network: &mut SimulatedNetwork, text: &str, done: &mut Done) -> Result<(), String> {
-    let mut agreed = settles(network, text);
+/// Commits a value, with the operator interventions that are necessary, which are counted.
+fn reach_agreement(network: &mut SimulatedNetwork, text: &str, done: &mut Done) -> Result<(), String> {
+    let mut agreed = converges_on(network, text);
     if !agreed {
-        let many = mend(network);
+        let many = follow_help(network);
         done.mended += many;
-        agreed = many > 0 && settles(network, text);
+        agreed = many > 0 && converges_on(network, text);
     }
     let reasons = (0..3).filter_map(|n| network.unavailable_reason(n)).collect::<Vec<_>>();
     let lost = |s: &Unavailable| matches!(s, Unavailable::MajorityLost { .. });
     if !agreed && reasons.iter().any(lost) {
         (0..5).for_each(|n| network.kill(n));
-        (0..3).for_each(|n| network.lose(n));
+        (0..3).for_each(|n| network.replace_disk(n));
         network.fleet += 1;
         (0..5).for_each(|n| network.start(n));
         done.bootstrapped += 1;
-        agreed = settles(network, text);
+        agreed = converges_on(network, text);
     }
-    match (&network.broken, agreed) {
+    match (&network.violation, agreed) {
         (Some(why), _) => Err(why.clone()),
         (None, false) => Err(format!("{text:?} is not agreed on; {reasons:?}")),
         _ => Ok(()),
     }
 }
 
-/// A register's life: bootstrapped, changed, its leader killed, a disk lost, changed again. Where nothing is
-/// agreed on, an operator does what the router's own words say, and nothing else.
-fn life(network: &mut SimulatedNetwork) -> Result<Done, String> {
+/// The life cycle of a register: bootstrap, changes, a killed leader, a lost disk, another change. If the
+/// register is unavailable, the operator does exactly what the router's help text says.
+fn run_lifecycle(network: &mut SimulatedNetwork) -> Result<Done, String> {
     let mut done = Done::default();
-    reach(network, "a", &mut done)?;
-    reach(network, "b", &mut done)?;
+    reach_agreement(network, "a", &mut done)?;
+    reach_agreement(network, "b", &mut done)?;
     if let Some(n) = network.leader() {
         network.kill(n);
-        network.pass(2 * S);
+        network.advance(2 * S);
         network.start(n);
     }
-    reach(network, "c", &mut done)?;
-    // The process of a lost disk dies with it. Where a fault has taken another one, most are lost.
+    reach_agreement(network, "c", &mut done)?;
+    // The process crashes with its disk. If a fault has destroyed another disk, a majority is lost.
     let lost = (0..3).find(|n| Some(*n) != network.leader()).unwrap_or(0);
     network.kill(lost);
-    network.lose(lost);
+    network.replace_disk(lost);
     network.start(lost);
-    reach(network, "d", &mut done)?;
+    reach_agreement(network, "d", &mut done)?;
     Ok(done)
 }
 
-fn play(at: Option<(u64, Fault)>) -> (SimulatedNetwork, Result<Done, String>) {
+fn run(at: Option<(u64, Fault)>) -> (SimulatedNetwork, Result<Done, String>) {
     let mut network = SimulatedNetwork::new(SEED, 5, 3);
     network.points.at = at;
-    let done = life(&mut network);
+    let done = run_lifecycle(&mut network);
     (network, done)
 }
 
-/// Which of a point's kinds can fall there at all: a write does not come twice.
+// Some kinds of faults have no effect at some points: a write, for example, cannot be duplicated.
 #[test]
 fn a_fault_at_each_point_loses_nothing() {
-    // One alone: POINT=17 KIND=Late cargo test -p applepond-consensus --test fault_points
+    // To run a single fault: POINT=17 KIND=Late cargo test -p applepond-consensus --test fault_points
     let (one, kind) = (std::env::var("POINT").ok(), std::env::var("KIND").ok());
-    let (network, done) = play(None);
-    assert_eq!(done, Ok(Done::default()), "without a fault nobody has to do anything");
+    let (network, done) = run(None);
+    assert_eq!(done, Ok(Done::default()), "without a fault no intervention is necessary");
     let points = network.points.count;
     let (mut plays, mut mended, mut bootstrapped, mut failed) = (0, 0, 0, Vec::new());
     for point in (1..=points).filter(|p| one.as_ref().is_none_or(|one| *one == p.to_string())) {
         for fault in FAULTS.into_iter().filter(|f| kind.as_ref().is_none_or(|k| *k == format!("{f:?}"))) {
-            let (network, done) = play(Some((point, fault)));
+            let (network, done) = run(Some((point, fault)));
             plays += 1;
             let what = network.points.hit.unwrap_or_default();
             let line = format!("POINT={point} KIND={fault:?} (seed {SEED}, {what})");
@@ -111,7 +111,7 @@
                 Ok(done) => {
                     mended += usize::from(done.mended > 0);
                     bootstrapped += usize::from(done.bootstrapped > 0);
-                    // Only what a replica's disk did ever wants an operator.
+                    // Only faults of a replica's disk may require an operator.
                     if done != Done::default() && !what.contains("writes its state") {
                         failed.push(format!("{line}: {done:?}"));
                     }
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -1,5 +1,4 @@
-//! Registers of several routers on a simulated network: clocks that drift, disks that lie, replicas that are
-//! lost.
+//! Registers of several routers on a simulated network, with drifting clocks, faulty disks and lost replicas.
 #[path = "fault_points/simulation.rs"]
 mod simulation;
 use applepond_consensus::{
@@ -10,24 +9,28 @@
 use simulation::*;
 use test_case::test_case;
 
-/// A fleet that has agreed on a text; three of its routers keep it.
+/// A fleet with three replicas that has committed the value "a".
 fn agreed(seed: u64, routers: usize) -> SimulatedNetwork {
     let mut network = SimulatedNetwork::new(seed, routers, 3);
-    assert!(network.until(12 * S, |p| p.all_hold("")), "bootstrapped: {:?}", network.unavailable_reason(0));
+    assert!(
+        network.run_until(12 * S, |p| p.all_hold("")),
+        "bootstrapped: {:?}",
+        network.unavailable_reason(0)
+    );
     assert!(agree_on(&mut network, "a"), "written and copied");
     network
 }
 
-/// Proposes it until all hold it: the leader may change, and a proposal is lost with it.
+/// Proposes a value until all routers hold it. Proposals are lost if the leader changes.
 fn agree_on(network: &mut SimulatedNetwork, text: &str) -> bool {
     (0..8).any(|_| {
         network.propose(text);
-        network.until(3 * S, |p| p.all_hold(text))
+        network.run_until(3 * S, |p| p.all_hold(text))
     })
 }
 
-fn sound(network: &SimulatedNetwork) {
-    assert_eq!(network.broken, None);
+fn assert_safe(network: &SimulatedNetwork) {
+    assert_eq!(network.violation, None);
 }
 
 #[test_case(5)]
@@ -35,9 +38,9 @@
 fn bootstrap_reaches_all_routers(routers: usize) {
     for seed in 1..=10 {
         let mut network = agreed(seed, routers);
-        network.pass(10 * S);
+        network.advance(10 * S);
         assert!(network.all_hold("a"));
-        sound(&network);
+        assert_safe(&network);
     }
 }
 
@@ -49,101 +52,102 @@
     network.link = link;
     for n in 0..20 {
         network.propose(&format!("{n}"));
-        network.pass(3 * S);
+        network.advance(3 * S);
     }
     network.link = lossy(0.0);
     assert!(agree_on(&mut network, "last"));
-    sound(&network);
+    assert_safe(&network);
 }
 
-// The leader dies: another does, and nothing that was written is lost.
+// When the leader dies, another replica takes over and no committed value is lost.
 #[test]
 fn another_replica_takes_over_from_a_dead_leader() {
     for seed in 1..=20 {
         let mut network = agreed(seed, 8);
         let first = network.leader().expect("one of them");
         network.kill(first);
-        let begun = network.now;
-        assert!(network.until(12 * S, |p| p.leader().is_some() && p.all_hold("a")), "seed {seed}");
-        assert!(network.now - begun < 5 * S, "seed {seed}: after {} ms", (network.now - begun) / MS);
-        sound(&network);
+        let started = network.now;
+        assert!(network.run_until(12 * S, |p| p.leader().is_some() && p.all_hold("a")), "seed {seed}");
+        assert!(network.now - started < 5 * S, "seed {seed}: after {} ms", (network.now - started) / MS);
+        assert_safe(&network);
     }
 }
 
-// A process that was paused uses no expired lease, and a leader that was paused does not lead any more.
+// A process that was paused does not use its expired lease, and a paused leader loses its leadership.
 #[test]
 fn a_paused_process_uses_no_expired_lease() {
     for seed in 1..=10 {
         let mut network = agreed(seed, 8);
         let first = network.leader().expect("one of them");
-        network.stop(first, 20 * S);
-        network.stop(7, 20 * S);
-        network.pass(6 * S);
+        network.pause(first, 20 * S);
+        network.pause(7, 20 * S);
+        network.advance(6 * S);
         assert!(network.propose("b"));
-        network.pass(4 * S);
+        network.advance(4 * S);
         assert!(network.state_of(7).is_none(), "it stands still, and its copy is over");
-        assert!(network.until(20 * S, |p| p.all_hold("b")));
-        sound(&network);
+        assert!(network.run_until(20 * S, |p| p.all_hold("b")));
+        assert_safe(&network);
     }
 }
 
-// A router whose disk is lost is taken in as another replica, and its old promise counts for nothing.
+// A router with a new disk is admitted as a new replica; the promises of the lost disk do not count.
 #[test]
 fn a_new_disk_is_another_replica() {
     let mut network = agreed(2, 5);
     let other = (0..3).find(|n| Some(*n) != network.leader()).expect("one of three");
     network.kill(other);
-    network.lose(other);
-    network.pass(S);
+    network.replace_disk(other);
+    network.advance(S);
     network.start(other);
     let new = network.disks[other].id;
     let taken_in = |p: &SimulatedNetwork| {
         p.state_of(4)
             .is_some_and(|a| a.previous_replicas.is_empty() && a.replicas.iter().any(|s| s.disk == new))
     };
-    assert!(network.until(8 * S, taken_in));
+    assert!(network.run_until(8 * S, taken_in));
     assert!(network.all_hold("a"));
-    sound(&network);
+    assert_safe(&network);
 }
 
-// Most replicas lose their disks: nothing is agreed on, an old or empty past least of all, and it is named.
+// If a majority of the disks is lost, the register becomes unavailable with the matching reason, instead of
+// continuing with an old or empty state.
 #[test_case(false; "one of them has its own")]
 #[test_case(true; "all of them are lost")]
 fn a_lost_majority_of_disks_is_named(all: bool) {
     let mut network = agreed(3, 6);
     let lost = if all { 3 } else { 2 };
     (0..3).for_each(|n| network.kill(n));
-    (0..lost).for_each(|n| network.lose(n));
-    network.pass(S);
+    (0..lost).for_each(|n| network.replace_disk(n));
+    network.advance(S);
     (0..3).for_each(|n| network.start(n));
-    network.pass(20 * S);
+    network.advance(20 * S);
     assert!((0..6).all(|n| network.state_of(n).is_none()), "at their floors");
     let reasons: Vec<Unavailable> = (0..3).filter_map(|n| network.unavailable_reason(n)).collect();
     let wanted =
         if all { Unavailable::StateForgotten } else { Unavailable::MajorityLost { lost: 2, total: 3 } };
     assert!(reasons.contains(&wanted), "{reasons:?}");
-    sound(&network);
-    // What the help says: all replicas stopped, their files removed, `founding` raised.
+    assert_safe(&network);
+    // The help text's instructions: stop all replicas, remove their files, increase `founding`.
     (0..6).for_each(|n| network.kill(n));
-    (0..3).for_each(|n| network.lose(n));
+    (0..3).for_each(|n| network.replace_disk(n));
     network.fleet += 1;
     (0..6).for_each(|n| network.start(n));
-    assert!(network.until(12 * S, |p| p.all_hold("")));
+    assert!(network.run_until(12 * S, |p| p.all_hold("")));
 }
 
-// No lease is given before those of an earlier register have ended, however it was bootstrapped.
+// After a bootstrap no lease is granted before those on an earlier register have expired.
 #[test]
 fn a_bootstrap_waits_for_earlier_leases() {
     let mut network = SimulatedNetwork::new(5, 5, 3);
-    assert!(network.until(9 * S, |p| p.unavailable_reason(0) == Some(Unavailable::BootstrapPending)
+    assert!(network.run_until(9 * S, |p| p.unavailable_reason(0) == Some(Unavailable::BootstrapPending)
         || p.unavailable_reason(1) == Some(Unavailable::BootstrapPending)
         || p.unavailable_reason(2) == Some(Unavailable::BootstrapPending)));
-    let ripens = network.now;
-    assert!(network.until(9 * S, |p| (0..5).any(|n| p.state_of(n).is_some())));
-    assert!(network.now - ripens >= LEASE_DURATION, "{} ms", (network.now - ripens) / MS);
+    let pending_since = network.now;
+    assert!(network.run_until(9 * S, |p| (0..5).any(|n| p.state_of(n).is_some())));
+    assert!(network.now - pending_since >= LEASE_DURATION, "{} ms", (network.now - pending_since) / MS);
 }
 
-// An older file is put back: whoever heard a later promise of the replica says so, and it abstains.
+// If an old copy of a replica's file is restored, requests carry a later promise and the replica abstains.
 #[test]
 fn a_rolled_back_file_is_noticed() {
     let mut network = agreed(6, 5);
@@ -154,65 +158,66 @@
     network.disks[other] = old;
     network.start(other);
     let doubt = Unavailable::AcceptorFailed("older");
-    assert!(network.until(4 * S, |p| p.unavailable_reason(other) == Some(doubt.clone())));
-    assert!(network.until(4 * S, |p| p.all_hold("b")));
-    sound(&network);
+    assert!(network.run_until(4 * S, |p| p.unavailable_reason(other) == Some(doubt.clone())));
+    assert!(network.run_until(4 * S, |p| p.all_hold("b")));
+    assert_safe(&network);
 }
 
-// All disks are from before the last bootstrap, and agree with each other: nobody who knows goes by them.
+// A majority of the disks is restored from before the last bootstrap. Routers that have seen the current
+// register must not use the earlier one.
 #[test]
 fn disks_of_an_earlier_register_are_refused() {
     let mut network = agreed(7, 6);
     let old: Vec<SimulatedDisk> = network.disks.clone();
     (0..6).for_each(|n| network.kill(n));
-    (0..3).for_each(|n| network.lose(n));
-    network.pass(S);
-    // Nobody who remembers is left: it is bootstrapped again, under another register id.
+    (0..3).for_each(|n| network.replace_disk(n));
+    network.advance(S);
+    // No router that has seen the register is left, so a new one is bootstrapped under another id.
     network.register_ids.clear();
     (0..6).for_each(|n| network.start(n));
-    assert!(network.until(12 * S, |p| p.all_hold("")));
-    let line = network.state_of(5).expect("agreed").register_id;
+    assert!(network.run_until(12 * S, |p| p.all_hold("")));
+    let register_id = network.state_of(5).expect("agreed").register_id;
     let leader = network.leader().expect("one of them");
     for n in (0..3).filter(|n| *n != leader) {
         network.kill(n);
         network.disks[n] = old[n].clone();
         network.start(n);
     }
-    network.pass(20 * S);
-    assert!((0..6).all(|n| network.state_of(n).is_none_or(|a| a.register_id == line)));
+    network.advance(20 * S);
+    assert!((0..6).all(|n| network.state_of(n).is_none_or(|a| a.register_id == register_id)));
     assert!((0..3).any(|n| network.unavailable_reason(n) == Some(Unavailable::StateRolledBack)));
-    sound(&network);
+    assert_safe(&network);
 }
 
-// Disks that fail or lie, one at a time and at any replica.
+// Disks that fail or lose writes, one at a time, at each replica.
 #[test_case(DiskBehavior::Fails)]
 #[test_case(DiskBehavior::Lies)]
-fn a_failing_or_lying_disk_loses_nothing(does: DiskBehavior) {
+fn a_failing_or_lying_disk_loses_nothing(behavior: DiskBehavior) {
     for seed in 1..=10 {
         let mut network = agreed(seed, 5);
         let bad = seed as usize % 3;
-        network.disks[bad].does = does;
+        network.disks[bad].behavior = behavior;
         for n in 0..6 {
             network.propose(&format!("{n}"));
-            network.pass(3 * S);
+            network.advance(3 * S);
         }
-        if does == DiskBehavior::Fails {
+        if behavior == DiskBehavior::Fails {
             assert_eq!(
                 network.unavailable_reason(bad),
                 Some(Unavailable::AcceptorFailed("not-written")),
                 "seed {seed}"
             );
         }
-        // The process dies: what the disk only said it had is gone.
+        // The process crashes, which loses the writes that the disk only pretended to store.
         network.kill(bad);
         network.start(bad);
-        network.pass(8 * S);
+        network.advance(8 * S);
         assert!(agree_on(&mut network, "last"), "seed {seed}");
-        sound(&network);
+        assert_safe(&network);
     }
 }
 
-// Replicas move to other routers by the settings of all, one after the other, while it is used.
+// A change of the settings moves the replicas to other routers one at a time, while the register is in use.
 #[test]
 fn replicas_move_one_by_one() {
     let mut network = agreed(8, 8);
@@ -222,9 +227,9 @@
             // A rolling change of the settings: each router restarts with them.
             network.kill(n);
             network.start(n);
-            network.pass(1500 * MS);
+            network.advance(1500 * MS);
         }
-        network.pass(10 * S);
+        network.advance(10 * S);
         let configured = network.configured.clone();
         let moved = |p: &SimulatedNetwork| {
             p.state_of(7).is_some_and(|a| {
@@ -233,9 +238,9 @@
                     && a.replicas.iter().all(|s| configured.contains(&s.router))
             })
         };
-        assert!(network.until(20 * S, moved), "step {step}: {:?}", network.state_of(7));
+        assert!(network.run_until(20 * S, moved), "step {step}: {:?}", network.state_of(7));
         assert!(network.all_hold("a"));
-        sound(&network);
+        assert_safe(&network);
     }
 }
 
@@ -248,7 +253,7 @@
             let (what, n) = (network.rng.rand_range(0..6), network.rng.rand_range(0..7) as usize);
             match what {
                 0 => network.kill(n),
-                1 => network.stop(n, 5 * S),
+                1 => network.pause(n, 5 * S),
                 2 if network.all[n].is_none() => network.start(n),
                 3 => {
                     network.link = Box::new(move |_, a, b, rng| {
@@ -262,9 +267,9 @@
                     network.propose(&text);
                 }
             }
-            network.pass(2 * S);
+            network.advance(2 * S);
         }
-        sound(&network);
+        assert_safe(&network);
         network.link = lossy(0.0);
         (0..7).for_each(|n| {
             if network.all[n].is_none() {
@@ -272,46 +277,58 @@
             }
         });
         assert!(
-            network.until(20 * S, |p| p.leader().is_some()),
+            network.run_until(20 * S, |p| p.leader().is_some()),
             "seed {seed}: {:?}",
             network.unavailable_reason(1)
         );
         assert!(agree_on(&mut network, "last"), "seed {seed}");
-        sound(&network);
+        assert_safe(&network);
     }
 }
 
-// A copy counts from its ask, for no longer than a lease, and never in place of what is newer.
-#[test_case(1, 0, 7, 2 * S, false; "an answer to an ask before")]
+// A lease starts with its request, lasts no longer than the maximum, and never replaces a newer state.
+#[test_case(1, 0, 7, 2 * S, false; "response to an earlier request")]
 #[test_case(0, 0, 7, LEASE_DURATION + 1, false; "more than a lease")]
 #[test_case(0, 1, 7, 2 * S, false; "another register")]
 #[test_case(0, 0, 4, 2 * S, false; "less than was seen")]
 #[test_case(0, 0, 6, 2 * S, true; "newer")]
-fn a_lease_counts_from_its_request(ask_back: u64, line: u64, number: u64, left: u64, taken: bool) {
+fn a_lease_counts_from_its_request(
+    request_offset: u64,
+    register_offset: u64,
+    number: u64,
+    remaining: u64,
+    is_applied: bool,
+) {
     let configured: Vec<_> = (0..3).map(router).collect();
-    let mut one: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &configured, false, 1);
-    let mut asked = 0;
-    let mut ask = |one: &mut Register<Text>, now: u64| {
+    let mut register: Register<Text> = Register::new(0, (router(9), InstanceId(1)), &configured, false, 1);
+    let mut requested = 0;
+    let mut request = |register: &mut Register<Text>, now: u64| {
         let mut out = message::MessageWriter::new(router(9));
-        one.wake(now, &|_| true, &mut out);
-        asked += out.messages.len() as u64;
-        asked
+        register.wake(now, &|_| true, &mut out);
+        requested += out.messages.len() as u64;
+        requested
     };
-    let agreed = |line, number| RegisterState {
-        register_id: InstanceId(line),
+    let agreed = |register_id, number| RegisterState {
+        register_id: InstanceId(register_id),
         version: number,
         replicas: vec![ReplicaId { router: router(0), disk: InstanceId(5) }],
         previous_replicas: Vec::new(),
         value: "x".to_owned(),
     };
-    let first = ask(&mut one, 2 * S);
-    one.on_state_response(2 * S, router(0), first, agreed(3, 5), 2 * S);
-    assert_eq!(one.lease(2 * S).map(|h| h.expires_at), Some(4 * S - 2 * S / CLOCK_DRIFT_DIVISOR));
-    let second = ask(&mut one, 3 * S);
-    one.on_state_response(3 * S, router(0), second - ask_back, agreed(3 + line, number), left);
-    let version = one.lease(3 * S).map(|h| h.state.version);
-    assert_eq!(version == Some(number), taken, "{version:?}");
-    assert!(one.lease(6 * S).is_none(), "and ends");
+    let first = request(&mut register, 2 * S);
+    register.on_state_response(2 * S, router(0), first, agreed(3, 5), 2 * S);
+    assert_eq!(register.lease(2 * S).map(|h| h.expires_at), Some(4 * S - 2 * S / CLOCK_DRIFT_DIVISOR));
+    let second = request(&mut register, 3 * S);
+    register.on_state_response(
+        3 * S,
+        router(0),
+        second - request_offset,
+        agreed(3 + register_offset, number),
+        remaining,
+    );
+    let version = register.lease(3 * S).map(|h| h.state.version);
+    assert_eq!(version == Some(number), is_applied, "{version:?}");
+    assert!(register.lease(6 * S).is_none(), "and ends");
 }
 
 #[test]
@@ -330,7 +347,8 @@
     let far = RegisterState { version: u64::MAX, ..agreed };
     out.send_state(router(0), 3, &far, 500);
     let m = network.all[3].as_mut().expect("there");
-    let mut disk = SimulatedDisk { id: InstanceId(1), vote: None, torn: false, does: DiskBehavior::Works };
+    let mut disk =
+        SimulatedDisk { id: InstanceId(1), state: None, torn: false, behavior: DiskBehavior::Works };
     let mut replica: Replica<Text> = Replica::new(FLEET, InstanceId(1), Ok(None));
     let mut sent = message::MessageWriter::new(router(3));
     let mut refused = 0;
