--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Bytes of messages between processes: a version that writes others cannot run beside the one before.
+//! The encoding of messages and terms. A version that changes it cannot run alongside the previous one.
 use applepond_consensus::{Acceptor, AcceptorError, AcceptorState, AcceptorStorage, Ballot, Promise};
 use applepond_membership::{InstanceId, RouterId};
 use applepond_quota::message::{self, MessageWriter};
