--- a/crates/storage/src/acceptor_file/tests.rs
+++ b/crates/storage/src/acceptor_file/tests.rs
@@ -1,4 +1,4 @@
-//! A backend whose writes fail, which only this module can put under a file.
+//! Tests with a failing backend, which needs access to private constructors.
 use super::{AcceptorFile, OpenedAcceptor};
 use crate::failing_backend::FailingBackend;
 use applepond_consensus::{Acceptor, AcceptorError, Ballot};
@@ -14,7 +14,7 @@
     Ballot { round, proposer: 1 }
 }
 
-// Whichever write fails: what was answered for is there afterwards, and the acceptor says why it stopped.
+// Whichever write fails, the acknowledged state is there after reopening, and the acceptor reports the error.
 #[test]
 fn whichever_write_fails_answered_rounds_stay() {
     let mut stopped = 0;
@@ -29,19 +29,22 @@
         let OpenedAcceptor { mut file, .. } = on(&writes_left);
         let mut acceptor = Acceptor::new(FLEET, Ok(None));
         writes_left.store(n, Ordering::Relaxed);
-        let answered =
+        let acknowledged =
             (1..=5).take_while(|round| acceptor.accept(ballot(*round), round.to_string(), &mut file).is_ok());
-        let answered = answered.count() as u64;
-        let error = (answered < 5).then_some(AcceptorError::WriteFailed);
+        let acknowledged = acknowledged.count() as u64;
+        let error = (acknowledged < 5).then_some(AcceptorError::WriteFailed);
         assert_eq!(acceptor.error(), error, "write {n}");
         writes_left.store(0, Ordering::Relaxed);
         drop(file);
         let OpenedAcceptor { state, .. } = on(&Arc::new(AtomicU64::new(u64::MAX)));
         let round = state.map_or(0, |state| state.promised.round);
-        // A state whose writing failed may be there: nobody was told of it.
-        assert!((answered..=answered + 1).contains(&round), "write {n}: {answered} answered, {round} found");
-        stopped += usize::from(answered < 5);
-        if answered == 5 {
+        // The state of the failed write may be there, though it was not acknowledged.
+        assert!(
+            (acknowledged..=acknowledged + 1).contains(&round),
+            "write {n}: {acknowledged} acknowledged, {round} found"
+        );
+        stopped += usize::from(acknowledged < 5);
+        if acknowledged == 5 {
             break;
         }
     }
--- a/crates/storage/src/disk_store/tests.rs
+++ b/crates/storage/src/disk_store/tests.rs
@@ -1,4 +1,4 @@
-//! A backend whose writes fail, which only this module can put under a store.
+//! Tests with a failing backend, which needs access to private constructors.
 use super::DiskStore;
 use crate::failing_backend::FailingBackend;
 use crate::{Micros, StepOutcome, StepRecord, WorkflowRecord, WorkflowStore};
@@ -16,8 +16,8 @@
     WorkflowRecord { expires_at, steps: (0..steps).map(step).collect(), ..WorkflowRecord::default() }
 }
 
-// Whichever write fails: what was said to be saved is there afterwards, and what was not is there
-// wholly or not at all.
+// Whichever write fails, acknowledged records are there after reopening, and the others completely or not at
+// all.
 #[test]
 fn whichever_write_fails_saved_records_stay() {
     let (mut failed, mut n) = (0, 0);
@@ -34,21 +34,27 @@
         let mut store = on(&writes_left).expect("a new one");
         store.save(&[(("/a", "1"), &record(100, 4))]).expect("kept");
         writes_left.store(n, Ordering::Relaxed);
-        let said: Vec<bool> = (2..6u32)
+        let acknowledged: Vec<bool> = (2..6u32)
             .map(|n| store.save(&[(("/a", n.to_string().as_str()), &record(100, 4))]).is_ok())
             .collect();
-        // As after a kill: nothing more is written by the old one.
+        // Like a killed process, the old store writes nothing more.
         writes_left.store(0, Ordering::Relaxed);
         drop(store);
-        let mut again = on(&Arc::new(AtomicU64::new(u64::MAX))).expect("opened again");
-        assert!(again.load(("/a", "1")).expect("read").is_some());
-        for (workflow, said) in (2..6).zip(&said) {
-            let found = again.load(("/a", &workflow.to_string())).expect("read");
-            assert!(found.is_some() || !said, "write {n}: workflow {workflow} was said to be saved");
-            assert!(found.is_none_or(|k| k == record(100, 4)), "write {n}: half of workflow {workflow}");
+        let mut reopened = on(&Arc::new(AtomicU64::new(u64::MAX))).expect("opened again");
+        assert!(reopened.load(("/a", "1")).expect("read").is_some());
+        for (workflow, acknowledged) in (2..6).zip(&acknowledged) {
+            let found = reopened.load(("/a", &workflow.to_string())).expect("read");
+            assert!(
+                found.is_some() || !acknowledged,
+                "write {n}: workflow {workflow} was acknowledged and lost"
+            );
+            assert!(
+                found.is_none_or(|k| k == record(100, 4)),
+                "write {n}: workflow {workflow} is incomplete"
+            );
         }
-        failed += usize::from(said.contains(&false));
-        if said.iter().all(|s| *s) {
+        failed += usize::from(acknowledged.contains(&false));
+        if acknowledged.iter().all(|s| *s) {
             break;
         }
         n += 1;
