--- a/crates/storage/benches/record.rs
+++ b/crates/storage/benches/record.rs
@@ -1,12 +1,12 @@
-//! What it costs to record workflows durably: one a transaction, and ten: `cargo bench -p
-//! applepond-storage`.
+//! The cost of durable workflow records, with one and with ten records per transaction:
+//! `cargo bench -p applepond-storage`.
 use applepond_storage::{
     DiskStore, MemoryStore, StepOutcome, StepRecord, StoredResponse, WorkflowRecord, WorkflowStore,
 };
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 
-/// A workflow of three steps as in the scenarios: some 600 bytes.
+/// The record of a workflow with three steps as in the scenarios, about 600 bytes.
 fn record() -> WorkflowRecord {
     let answer = StoredResponse { header_lines: vec![b'x'; 100], body: vec![b'y'; 100] };
     let fields = BTreeMap::from([("hut".to_owned(), "hold-hut-7".to_owned())]);
@@ -24,9 +24,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store_on_disk = DiskStore::open(&folder.path().join("record")).expect("a new file");
     let (example, mut n) = (record(), 0u64);
-    let mut save = |store: &mut dyn WorkflowStore, chains: u64| {
-        let names: Vec<String> = (0..chains).map(|i| ((n + i) % 10_000).to_string()).collect();
-        n += chains;
+    let mut save = |store: &mut dyn WorkflowStore, workflows: u64| {
+        let names: Vec<String> = (0..workflows).map(|i| ((n + i) % 10_000).to_string()).collect();
+        n += workflows;
         let rows: Vec<_> = names.iter().map(|id| (("/desk", id.as_str()), &example)).collect();
         store.save(&rows).expect("kept");
     };
--- a/crates/storage/tests/acceptor_file.rs
+++ b/crates/storage/tests/acceptor_file.rs
@@ -1,4 +1,4 @@
-//! An acceptor's state on disk: what is there after a restart, and files that are not whole.
+//! An acceptor's state on disk: restarts and damaged files.
 use applepond_consensus::{Acceptor, AcceptorError, Ballot, Rejection};
 use applepond_membership::InstanceId;
 use applepond_storage::{AcceptorFile, OpenedAcceptor};
@@ -26,12 +26,12 @@
     assert_eq!(
         acceptor.prepare(ballot(3), &mut file),
         Err(Rejection::Superseded { promised: ballot(4) }),
-        "it knows its promise"
+        "the promise is durable"
     );
     assert_eq!(Acceptor::new(FLEET + 1, Ok(state)).error(), Some(AcceptorError::WrongFleet));
 }
 
-// Cut anywhere, the file is corrupt, or holds the last state: an earlier one would break a promise.
+// A truncated file is reported as corrupt or has the last state: an earlier state would break a promise.
 #[test]
 fn a_truncated_file_is_corrupt_or_has_the_last_state() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/storage/tests/disk_store.rs
+++ b/crates/storage/tests/disk_store.rs
@@ -1,4 +1,4 @@
-//! Workflow records on disk: what is there after a restart, and files that are not whole.
+//! Workflow records on disk: restarts and damaged files.
 use applepond_storage::{DiskStore, Micros, StepOutcome, StepRecord, WorkflowRecord, WorkflowStore};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     assert_eq!(
         (store.remove_expired(250), store.count()),
         (Ok(1), Ok(1)),
-        "one is kept for longer than at first"
+        "the expiry of one record was extended"
     );
     assert_eq!((store.remove_expired(300), store.count()), (Ok(1), Ok(0)));
 }
@@ -40,8 +40,8 @@
     assert!(nowhere.to_string().contains("no/such/folder"), "{nowhere}");
 }
 
-// Cut anywhere, the file is refused, or all that was saved is there: nothing is lost in silence, or a step
-// that was sent would be sent again.
+// A truncated file is either rejected or has all records. A silently lost record would let a step be sent
+// twice.
 #[test]
 fn a_truncated_file_loses_nothing_in_silence() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -59,7 +59,7 @@
             (0..40).map(|n| store.load(("/a", &n.to_string()))).collect::<Result<Vec<_>, _>>()
         });
         match read {
-            Ok(all) => assert!(all.iter().all(Option::is_some), "lost in silence, cut at {at}"),
+            Ok(all) => assert!(all.iter().all(Option::is_some), "silently lost, cut at {at}"),
             Err(_) => refused += 1,
         }
     }
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Names of tables and bytes of what is stored: a version that writes or reads others cannot go on from the
-//! disk of the one before.
+//! The table names and encoding of stored data. A version that changes them cannot read the files of the
+//! previous one.
 use applepond::interface::Micros;
 use applepond_consensus::{AcceptorState, AcceptorStorage, Ballot, RegisterState, ReplicaId};
 use applepond_membership::{InstanceId, RouterId};
--- a/crates/storage/tests/record.rs
+++ b/crates/storage/tests/record.rs
@@ -1,4 +1,4 @@
-//! Which steps of a resumed workflow count as done or as perhaps done.
+//! Which recorded steps of a resumed workflow must not be sent again.
 use applepond::interface::{IdempotencyScope, RetrySafety};
 use applepond_storage::{Micros, StepRecord, WorkflowRecord, recorded_steps};
 use applepond_workflow::{Function, How, Plan, Step, StepId};
--- a/crates/storage/tests/snapshot_file.rs
+++ b/crates/storage/tests/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshots on disk: what is there after a restart, and files that are damaged.
+//! Snapshots on disk: restarts and damaged files.
 use applepond_storage::{SnapshotFile, StorageError};
 
 #[test]
@@ -14,8 +14,8 @@
     assert_eq!(opened.read().expect("read").as_deref(), Some(&b"two"[..]));
 }
 
-// Cut anywhere or written over: the last one, or a new file with the old one beside it. Never an
-// older one.
+// A truncated or overwritten file either has the last snapshot, or is renamed and replaced by a new file. It
+// never yields an older snapshot.
 #[test]
 fn a_damaged_file_is_put_aside() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -24,15 +24,15 @@
     (0..20u8).for_each(|n| opened.write(&[n; 3_000]).expect("room"));
     drop(opened);
     let whole = std::fs::read(&file).expect("read");
-    let mut anew = 0;
+    let mut recreated = 0;
     for at in (0..whole.len()).step_by(4_096) {
         std::fs::write(&damaged, &whole[..at]).expect("written");
         let (opened, fault) = SnapshotFile::open(&damaged).expect("opened or begun anew");
         let read = opened.read().expect("read");
         assert!(read.is_none() || read.as_deref() == Some(&[19; 3_000][..]), "cut at {at}");
-        anew += usize::from(fault.is_some());
+        recreated += usize::from(fault.is_some());
     }
-    assert!(anew > 3, "{anew}");
+    assert!(recreated > 3, "{recreated}");
     std::fs::write(&damaged, "no store at all ".repeat(2_000)).expect("written");
     let (mut opened, fault) = SnapshotFile::open(&damaged).expect("begun anew");
     assert!(matches!(fault, Some(StorageError::OpenFailed { .. })));
