--- a/crates/recovery/tests/fault_points/simulation.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -1,4 +1,4 @@
-//! Routers that recover, on a simulated network with disks that lie. One seed gives one run.
+//! A deterministic simulation of recovering routers with faulty disks. A run is determined by its seed.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond_membership::RouterId;
 use applepond_recovery::message::MessageVisitor;
@@ -11,13 +11,13 @@
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
-/// Workers of the simulated world; the first drains, the second is ejected.
+/// The number of workers. The first is draining, the second is ejected.
 pub const WORKERS: u64 = 60;
 
-/// What becomes of a message: lost, or there after so many µs.
+/// The latency of a message in µs, or `None` if it is lost.
 pub type Link = Box<dyn FnMut(u64, usize, usize, &mut Rand64) -> Option<u64>>;
 
-/// A network that loses this part and takes 0.2 to 1 ms.
+/// A network that loses this fraction of the messages and has a latency of 0.2 to 1 ms.
 pub fn lossy(part: f64) -> Link {
     Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
 }
@@ -26,8 +26,8 @@
     FactKey { kind, subject: key, incarnation: 1 }
 }
 
-/// What holds in the simulated world, which every router that lives has seen.
-pub fn truth(key: u64) -> Vec<Fact> {
+/// The actual facts about a worker, as every running router observes them.
+pub fn expected_facts(key: u64) -> Vec<Fact> {
     let mut facts = vec![
         Fact { key: key_of(FactKind::ConcurrencyLimit, key), value: 4.0 + key as f32, age: 0 },
         Fact { key: key_of(FactKind::QueueingDelay, key), value: 0.1, age: 0 },
@@ -61,7 +61,7 @@
     Fault::Twice,
 ];
 
-/// All that an instance does with the outside, counted through a run.
+/// Counts the I/O operations of a run and injects a fault at one of them.
 #[derive(Default)]
 pub struct FaultPoints {
     pub count: u64,
@@ -70,7 +70,7 @@
 }
 
 impl FaultPoints {
-    fn pass(&mut self, kind: impl FnOnce() -> String) -> Option<Fault> {
+    fn next_fault(&mut self, kind: impl FnOnce() -> String) -> Option<Fault> {
         self.count += 1;
         let (at, fault) = self.at?;
         if at != self.count {
@@ -84,13 +84,13 @@
 pub struct Process {
     pub peers: PeerRecovery,
     pub facts: Facts,
-    /// What its snapshot could not be used for.
+    /// Why its snapshot was rejected.
     pub unusable: Option<SnapshotError>,
     pub merged: Vec<Fact>,
-    life: u64,
-    born: u64,
-    /// It has seen the workers itself.
-    pub seen: bool,
+    instance: u64,
+    started_at: u64,
+    /// Whether it has observed the workers itself.
+    pub has_observed: bool,
 }
 
 enum Event {
@@ -110,14 +110,14 @@
     pub rng: Rand64,
     pub points: FaultPoints,
     pub guards: Guards,
-    /// One that says other concurrency limits than it observes.
-    pub liar: Option<usize>,
+    /// A router that reports wrong concurrency limits.
+    pub faulty_peer: Option<usize>,
     events: BTreeMap<(u64, u64), Event>,
     next: u64,
-    lives: u64,
-    /// Requests that came to each, and bytes that each gave, by tenth of a second.
-    pub asked: BTreeMap<(usize, u64), u64>,
-    pub gave: BTreeMap<(usize, u64), u64>,
+    instances_started: u64,
+    /// The requests that each router received and the bytes of facts that it sent, per tenth of a second.
+    pub requests_received: BTreeMap<(usize, u64), u64>,
+    pub bytes_sent: BTreeMap<(usize, u64), u64>,
 }
 
 pub fn router(n: usize) -> RouterId {
@@ -133,10 +133,10 @@
     }
 }
 
-/// Takes a message at one process.
-struct At<'a>(u64, &'a mut Process, &'a mut Out);
+/// Handles a message at one process: the time, the process and its outgoing messages.
+struct MessageHandler<'a>(u64, &'a mut Process, &'a mut Out);
 
-impl MessageVisitor for At<'_> {
+impl MessageVisitor for MessageHandler<'_> {
     fn on_request(&mut self, from: RouterId, number: u64, page: u16) {
         self.1.peers.on_request(self.0, from, (number, page), &self.1.facts, self.2);
     }
@@ -162,24 +162,24 @@
             rng: Rand64::new(u128::from(seed)),
             points: FaultPoints::default(),
             guards: Guards::ALL,
-            liar: None,
+            faulty_peer: None,
             events: BTreeMap::new(),
             next: 0,
-            lives: 0,
-            asked: BTreeMap::new(),
-            gave: BTreeMap::new(),
+            instances_started: 0,
+            requests_received: BTreeMap::new(),
+            bytes_sent: BTreeMap::new(),
         };
         (0..routers).for_each(|n| network.start(n));
         network
     }
 
-    /// A fleet that has been there for a while: each has seen all workers itself.
+    /// A fleet in a steady state: each router has observed all workers itself.
     pub fn settled(seed: u64, routers: usize) -> Self {
         let mut network = SimulatedNetwork::new(seed, routers);
-        network.pass(12 * S);
-        assert!(network.all.iter().flatten().all(|p| p.seen && p.facts.len() > WORKERS as usize));
-        network.asked.clear();
-        network.gave.clear();
+        network.advance(12 * S);
+        assert!(network.all.iter().flatten().all(|p| p.has_observed && p.facts.len() > WORKERS as usize));
+        network.requests_received.clear();
+        network.bytes_sent.clear();
         network
     }
 
@@ -188,7 +188,7 @@
         self.events.insert((at.max(self.now), self.next), event);
     }
 
-    fn die(&mut self, n: usize) {
+    fn crash_and_restart(&mut self, n: usize) {
         self.kill(n);
         self.push(self.now + S, Event::Start(n));
     }
@@ -198,14 +198,14 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        self.lives += 1;
-        let (life, now) = (self.lives, self.now);
+        self.instances_started += 1;
+        let (instance, now) = (self.instances_started, self.now);
         let mut peers = PeerRecovery::new(now, router(n), self.rng.rand_u64()).with_guards(self.guards);
         let (mut facts, mut unusable) = (Facts::default(), None);
         let mut late = 0;
-        let fault = self.points.pass(|| format!("r{n} reads its snapshot"));
+        let fault = self.points.next_fault(|| format!("r{n} reads its snapshot"));
         match fault {
-            Some(Fault::KilledBefore) => return self.die(n),
+            Some(Fault::KilledBefore) => return self.crash_and_restart(n),
             Some(Fault::Late) => late = 5 * S,
             _ => {}
         }
@@ -225,40 +225,48 @@
             Some(Err(why)) => unusable = Some(why),
             None => {}
         }
-        let process = Process { peers, facts, unusable, merged: Vec::new(), life, born: now, seen: false };
+        let process = Process {
+            peers,
+            facts,
+            unusable,
+            merged: Vec::new(),
+            instance,
+            started_at: now,
+            has_observed: false,
+        };
         self.all[n] = Some(process);
         if fault == Some(Fault::KilledAfter) {
-            return self.die(n);
+            return self.crash_and_restart(n);
         }
-        self.push(now + late, Event::Wake(n, life));
-        // What it sees itself takes time.
-        self.push(now + 8 * S, Event::See(n, life));
-        self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, life));
+        self.push(now + late, Event::Wake(n, instance));
+        // Own observations take time.
+        self.push(now + 8 * S, Event::See(n, instance));
+        self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, instance));
     }
 
-    fn snap(&mut self, n: usize) {
+    fn write_snapshot(&mut self, n: usize) {
         let Some(p) = self.all[n].as_ref() else { return };
         let bytes = encode_snapshot(n as u64, self.boots[n], self.now, self.now, &p.facts);
         assert!(bytes.len() <= MAX_SNAPSHOT_BYTES);
-        let fault = self.points.pass(|| format!("r{n} writes its snapshot"));
+        let fault = self.points.next_fault(|| format!("r{n} writes its snapshot"));
         match fault {
-            Some(Fault::KilledBefore) => return self.die(n),
+            Some(Fault::KilledBefore) => return self.crash_and_restart(n),
             Some(Fault::Error | Fault::SaidDone) => {}
             Some(Fault::Half) => self.disks[n] = Some(bytes[..bytes.len() / 2].to_vec()),
             _ => self.disks[n] = Some(bytes),
         }
         if fault == Some(Fault::KilledAfter) {
-            self.die(n);
+            self.crash_and_restart(n);
         }
     }
 
     fn post(&mut self, from: usize, to: RouterId, message: Vec<u8>, late: u64) {
         let to = (to.0 - 1_000) as usize;
         if message[1] == 1 {
-            *self.asked.entry((to, self.now / (100 * MS))).or_default() += 1;
+            *self.requests_received.entry((to, self.now / (100 * MS))).or_default() += 1;
         }
         if message[1] == 2 {
-            *self.gave.entry((from, self.now / (100 * MS))).or_default() += message.len() as u64;
+            *self.bytes_sent.entry((from, self.now / (100 * MS))).or_default() += message.len() as u64;
         }
         if let Some(took) = (self.link)(self.now, from, to, &mut self.rng) {
             self.push(self.now + late + took, Event::Message(from, to, message));
@@ -268,9 +276,9 @@
     fn send(&mut self, n: usize, messages: Vec<(RouterId, Vec<u8>)>) {
         for (to, mut message) in messages {
             let (mut times, mut late) = (1, 0);
-            let fault = self.points.pass(|| format!("r{n} sends kind {}", message[1]));
+            let fault = self.points.next_fault(|| format!("r{n} sends kind {}", message[1]));
             match fault {
-                Some(Fault::KilledBefore) => return self.die(n),
+                Some(Fault::KilledBefore) => return self.crash_and_restart(n),
                 Some(Fault::Error | Fault::SaidDone) => times = 0,
                 Some(Fault::Half) => message.truncate(message.len() / 2),
                 Some(Fault::Late) => late = 2 * S,
@@ -279,7 +287,7 @@
             }
             (0..times).for_each(|_| self.post(n, to, message.clone(), late));
             if fault == Some(Fault::KilledAfter) {
-                return self.die(n);
+                return self.crash_and_restart(n);
             }
         }
     }
@@ -288,33 +296,34 @@
         (0..self.all.len()).filter(|n| self.all[*n].is_some()).map(router).collect()
     }
 
-    fn play(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let (now, live) = (self.now, self.live());
         let mut out = Out(Vec::new());
-        let is =
-            |p: &SimulatedNetwork, n: usize, life: u64| p.all[n].as_ref().is_some_and(|p| p.life == life);
+        let is = |p: &SimulatedNetwork, n: usize, instance: u64| {
+            p.all[n].as_ref().is_some_and(|p| p.instance == instance)
+        };
         let n = match event {
             Event::Start(n) if self.all[n].is_none() => return self.start(n),
             Event::Start(_) => return,
-            Event::Wake(n, life) if is(self, n, life) => {
+            Event::Wake(n, instance) if is(self, n, instance) => {
                 let p = self.all[n].as_mut().expect("there");
                 let merged = p.peers.wake(now, &live, &mut out);
                 merged.iter().for_each(|f| p.facts.insert(now, *f));
                 p.merged.extend(merged);
                 let next = p.peers.next_wakeup();
                 if next != u64::MAX {
-                    self.push(next.max(now + 1), Event::Wake(n, life));
+                    self.push(next.max(now + 1), Event::Wake(n, instance));
                 }
                 n
             }
-            Event::See(n, life) if is(self, n, life) => {
-                self.see(n);
-                self.push(now + 2 * S, Event::See(n, life));
+            Event::See(n, instance) if is(self, n, instance) => {
+                self.observe_workers(n);
+                self.push(now + 2 * S, Event::See(n, instance));
                 n
             }
-            Event::Snap(n, life) if is(self, n, life) => {
-                self.snap(n);
-                self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, life));
+            Event::Snap(n, instance) if is(self, n, instance) => {
+                self.write_snapshot(n);
+                self.push(now + SNAPSHOT_INTERVAL, Event::Snap(n, instance));
                 return;
             }
             Event::Message(from, n, message) => return self.receive(from, n, message),
@@ -324,11 +333,11 @@
     }
 
     /// A router observes all workers itself.
-    fn see(&mut self, n: usize) {
-        let lies = self.liar == Some(n);
+    fn observe_workers(&mut self, n: usize) {
+        let lies = self.faulty_peer == Some(n);
         let process = self.all[n].as_mut().expect("there");
-        process.seen = true;
-        for mut fact in (0..WORKERS).flat_map(truth) {
+        process.has_observed = true;
+        for mut fact in (0..WORKERS).flat_map(expected_facts) {
             if lies && fact.key.kind == FactKind::ConcurrencyLimit {
                 fact.value = 0.01;
             }
@@ -341,9 +350,9 @@
             return;
         }
         let (now, mut times) = (self.now, 1);
-        let fault = self.points.pass(|| format!("r{n} receives kind {}", message[1]));
+        let fault = self.points.next_fault(|| format!("r{n} receives kind {}", message[1]));
         match fault {
-            Some(Fault::KilledBefore) => return self.die(n),
+            Some(Fault::KilledBefore) => return self.crash_and_restart(n),
             Some(Fault::Error | Fault::SaidDone) => return,
             Some(Fault::Half) => message.truncate(message.len() / 2),
             Some(Fault::Late) => return self.push(now + 2 * S, Event::Message(from, n, message)),
@@ -353,20 +362,20 @@
         let mut out = Out(Vec::new());
         for _ in 0..times {
             let process = self.all[n].as_mut().expect("there");
-            let _ = message::decode(&message, &mut At(now, process, &mut out));
+            let _ = message::decode(&message, &mut MessageHandler(now, process, &mut out));
         }
         if fault == Some(Fault::KilledAfter) {
-            return self.die(n);
+            return self.crash_and_restart(n);
         }
         let process = self.all[n].as_ref().expect("there");
-        let (next, life) = (process.peers.next_wakeup(), process.life);
+        let (next, instance) = (process.peers.next_wakeup(), process.instance);
         if next != u64::MAX {
-            self.push(next.max(now + 1), Event::Wake(n, life));
+            self.push(next.max(now + 1), Event::Wake(n, instance));
         }
         self.send(n, out.0);
     }
 
-    pub fn until(&mut self, by: u64, value_of: impl Fn(&SimulatedNetwork) -> bool) -> bool {
+    pub fn run_until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         let by = self.now + by;
         while let Some((&(at, k), _)) = self.events.iter().next() {
             if at > by {
@@ -374,17 +383,17 @@
             }
             let event = self.events.remove(&(at, k)).expect("just seen");
             self.now = at;
-            self.play(event);
-            if value_of(self) {
+            self.process(event);
+            if holds(self) {
                 return true;
             }
         }
         self.now = by;
-        value_of(self)
+        holds(self)
     }
 
-    pub fn pass(&mut self, time: u64) {
-        self.until(time, |_| false);
+    pub fn advance(&mut self, time: u64) {
+        self.run_until(time, |_| false);
     }
 
     pub fn at(&self, n: usize) -> &Process {
@@ -395,12 +404,12 @@
         self.at(n).facts.get(self.now, &key_of(kind, key)).map(|f| f.value)
     }
 
-    /// Whatever a router holds for true is, or was by what it could know.
+    /// Checks that the facts of all routers have their actual values.
     pub fn check(&self) -> Result<(), String> {
         for (n, p) in self.all.iter().enumerate() {
             for fact in p.iter().flat_map(|p| p.facts.iter(self.now)) {
-                let want = truth(fact.key.subject).into_iter().find(|t| t.key == fact.key);
-                if want.is_none_or(|w| w.value != fact.value) && self.liar.is_none() {
+                let want = expected_facts(fact.key.subject).into_iter().find(|t| t.key == fact.key);
+                if want.is_none_or(|w| w.value != fact.value) && self.faulty_peer.is_none() {
                     return Err(format!("r{n} holds {fact:?}"));
                 }
             }
@@ -408,8 +417,8 @@
         Ok(())
     }
 
-    /// How long ago this process started.
+    /// The time since this process started.
     pub fn age(&self, n: usize) -> u64 {
-        self.now - self.at(n).born
+        self.now - self.at(n).started_at
     }
 }
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,15 +1,15 @@
-//! Routers that restart: one, most, all at once; with disks that were lost, damaged or put back.
+//! Recovery of restarted routers: one, most or all of a fleet, with lost, damaged or rolled-back snapshots.
 #[path = "fault_points/simulation.rs"]
-mod world;
+mod simulation;
 use applepond_recovery::{
     Actions, BootId, FACTS_PER_PAGE, Fact, FactKey, FactKind, Facts, Guards, MAX_FACTS, MAX_REQUESTS,
     MAX_SNAPSHOT_BYTES, MalformedMessage, PeerRecovery, RECOVERY_WINDOW, SEND_BURST_BYTES,
     SEND_BYTES_PER_SECOND, SnapshotError, Stage, decode_snapshot, encode_snapshot, message,
 };
+use simulation::*;
 use test_case::test_case;
-use world::*;
 
-/// Kills these at once and starts them 1 s later; their disks kept or lost.
+/// Kills these routers at once and restarts them 1 s later, with or without their disks.
 fn restart(network: &mut SimulatedNetwork, who: std::ops::Range<usize>, disks: bool) {
     for n in who.clone() {
         network.kill(n);
@@ -17,7 +17,7 @@
             network.disks[n] = None;
         }
     }
-    network.pass(S);
+    network.advance(S);
     who.for_each(|n| network.start(n));
 }
 
@@ -27,7 +27,7 @@
         let mut network = SimulatedNetwork::settled(seed, 20);
         restart(&mut network, 3..4, false);
         let back = |p: &SimulatedNetwork| p.at(3).peers.stage() == Stage::Recovered(3);
-        assert!(network.until(2 * S, back), "seed {seed}: {:?}", network.at(3).peers.stage());
+        assert!(network.run_until(2 * S, back), "seed {seed}: {:?}", network.at(3).peers.stage());
         assert_eq!(network.value_of(3, FactKind::ConcurrencyLimit, 9), Some(13.0));
         assert_eq!(
             (network.value_of(3, FactKind::Draining, 0), network.value_of(3, FactKind::Ejected, 1)),
@@ -37,23 +37,24 @@
     }
 }
 
-// One of three peers says other than it observes: the median holds.
+// One of three peers reports wrong values, which the median discards.
 #[test]
 fn one_wrong_peer_of_three_is_outvoted() {
     let mut wrong = 0;
     for seed in 1..=20 {
         let mut network = SimulatedNetwork::settled(seed, 4);
-        network.liar = Some(1);
-        network.pass(3 * S);
+        network.faulty_peer = Some(1);
+        network.advance(3 * S);
         restart(&mut network, 3..4, false);
-        assert!(network.until(5 * S, |p| p.at(3).peers.stage() != Stage::Requesting));
+        assert!(network.run_until(5 * S, |p| p.at(3).peers.stage() != Stage::Requesting));
         wrong +=
-            usize::from(network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0));
+            usize::from(network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|limit| limit < 1.0));
     }
     assert_eq!(wrong, 0);
 }
 
-// A lone survivor is not taken for all of them, is not overrun, and nobody believes the others' emptiness.
+// A single survivor among restarted routers is not overloaded with requests, and its facts are used, since
+// empty peers do not count as responses.
 #[test_case(0.0)]
 #[test_case(0.1; "a tenth is lost")]
 fn a_lone_survivor_is_neither_overrun_nor_believed_alone(lost: f64) {
@@ -63,14 +64,14 @@
         restart(&mut network, 1..20, false);
         let all =
             |p: &SimulatedNetwork| (1..20).all(|n| matches!(p.at(n).peers.stage(), Stage::Recovered(_)));
-        assert!(network.until(RECOVERY_WINDOW + S, all), "seed {seed}");
+        assert!(network.run_until(RECOVERY_WINDOW + S, all), "seed {seed}");
         assert!((1..20).all(|n| network.value_of(n, FactKind::Draining, 0) == Some(1.0)), "seed {seed}");
         let most = |of: &std::collections::BTreeMap<(usize, u64), u64>| {
             of.iter().filter(|((n, _), _)| *n == 0).map(|(_, k)| *k).max().unwrap_or(0)
         };
-        let (asks, bytes) = (most(&network.asked), most(&network.gave));
-        // A page each and four that follow.
-        assert!(asks <= 5 * 19, "seed {seed}: {asks} asks in a tenth of a second");
+        let (asks, bytes) = (most(&network.requests_received), most(&network.bytes_sent));
+        // One request and four further pages from each router.
+        assert!(asks <= 5 * 19, "seed {seed}: {asks} requests in a tenth of a second");
         assert!(
             bytes <= SEND_BURST_BYTES + SEND_BYTES_PER_SECOND / 10 + 2_000,
             "seed {seed}: {bytes} bytes in a tenth of a second"
@@ -79,38 +80,42 @@
     }
 }
 
-// All at once and nobody knows anything: nothing is made up, and it is known that nothing is known.
+// If all routers restart without disks, there are no facts, and they report that they are empty.
 #[test]
 fn all_at_once_without_disks_make_nothing_up() {
     let mut network = SimulatedNetwork::settled(3, 20);
     restart(&mut network, 0..20, false);
-    network.pass(RECOVERY_WINDOW + S);
+    network.advance(RECOVERY_WINDOW + S);
     for n in 0..20 {
         assert_eq!((network.at(n).peers.stage(), network.at(n).facts.len()), (Stage::Exhausted, 0));
         assert!(network.at(n).peers.requests_sent() <= MAX_REQUESTS);
     }
-    assert!(!network.at(0).peers.can_serve(network.now - 2 * S), "and it says so to others");
-    network.pass(4 * S);
-    assert_eq!(network.value_of(7, FactKind::ConcurrencyLimit, 9), Some(13.0), "what it sees itself");
+    assert!(!network.at(0).peers.can_serve(network.now - 2 * S), "it reports itself empty");
+    network.advance(4 * S);
+    assert_eq!(network.value_of(7, FactKind::ConcurrencyLimit, 9), Some(13.0), "its own observation");
 }
 
-// All at once with their disks: each has what it knew, as old as it is.
+// If all routers restart with their disks, each has its facts at their actual ages.
 #[test]
 fn all_at_once_with_disks_have_what_they_knew() {
     let mut network = SimulatedNetwork::settled(4, 20);
     restart(&mut network, 0..20, true);
     for n in 0..20 {
-        assert_eq!(network.value_of(n, FactKind::Draining, 0), Some(1.0), "before anybody is asked");
-        let room =
+        assert_eq!(
+            network.value_of(n, FactKind::Draining, 0),
+            Some(1.0),
+            "restored before any peer is asked"
+        );
+        let limit =
             network.at(n).facts.get(network.now, &key_of(FactKind::ConcurrencyLimit, 9)).expect("kept");
-        assert!((S..4 * S).contains(&room.age), "{room:?}");
+        assert!((S..4 * S).contains(&limit.age), "{limit:?}");
     }
-    network.pass(2 * S);
+    network.advance(2 * S);
     assert_eq!(network.check(), Ok(()));
 }
 
-/// A file as it may be found.
-fn disk(kind: &str, whole: &[u8]) -> Vec<u8> {
+/// A snapshot with this kind of damage.
+fn damaged_snapshot(kind: &str, whole: &[u8]) -> Vec<u8> {
     match kind {
         "cut" => whole[..whole.len() - 9].to_vec(),
         "a bit" => {
@@ -143,15 +148,18 @@
     let mut network = SimulatedNetwork::settled(5, 6);
     network.kill(2);
     let whole = network.disks[2].clone().expect("written");
-    network.disks[2] = Some(disk(kind, &whole));
+    network.disks[2] = Some(damaged_snapshot(kind, &whole));
     network.start(2);
     assert_eq!((network.at(2).unusable, network.at(2).facts.len()), (Some(why), 0));
-    assert!(network.until(2 * S, |p| matches!(p.at(2).peers.stage(), Stage::Recovered(_))), "from its peers");
+    assert!(
+        network.run_until(2 * S, |p| matches!(p.at(2).peers.stage(), Stage::Recovered(_))),
+        "from its peers"
+    );
     assert_eq!(network.value_of(2, FactKind::ConcurrencyLimit, 9), Some(13.0));
-    network.pass(3 * S);
+    network.advance(3 * S);
     network.kill(2);
     network.start(2);
-    assert_eq!(network.at(2).unusable, None, "written anew");
+    assert_eq!(network.at(2).unusable, None, "the snapshot was rewritten");
 }
 
 #[test]
@@ -161,24 +169,25 @@
     for at in 0..whole.len() {
         assert!(decode_snapshot(1, Some(BootId(7)), network.now, &whole[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
-            let mut bent = whole.clone();
-            bent[at] ^= 1 << bit;
+            let mut altered = whole.clone();
+            altered[at] ^= 1 << bit;
             assert!(
-                decode_snapshot(1, Some(BootId(7)), network.now, &bent).is_err(),
+                decode_snapshot(1, Some(BootId(7)), network.now, &altered).is_err(),
                 "bit {bit} of byte {at}"
             );
         }
     }
 }
 
-// Another boot, no known boot, or a clock that went back: each fact is as old as it may be.
+// After a reboot, without a boot id, or if the boot clock went backwards, the age of a fact is unknown and it
+// is treated as old as it can be.
 #[test_case(Some(BootId(7)), Some(BootId(8)), 0; "another boot")]
 #[test_case(None, Some(BootId(7)), 0; "written without one")]
 #[test_case(Some(BootId(7)), None, 0; "read without one")]
 #[test_case(Some(BootId(7)), Some(BootId(7)), S; "the clock went back")]
 fn a_fact_of_unknown_age_counts_as_the_oldest(then: Option<BootId>, now: Option<BootId>, back: u64) {
     let mut facts = Facts::default();
-    (0..2).flat_map(truth).for_each(|f| facts.insert(5 * S, f));
+    (0..2).flat_map(expected_facts).for_each(|f| facts.insert(5 * S, f));
     let bytes = encode_snapshot(1, then, 5 * S, 5 * S, &facts);
     let read = decode_snapshot(1, now, 5 * S - back, &bytes).expect("whole");
     let weight =
@@ -187,47 +196,55 @@
     assert_eq!(weight(FactKind::Draining, 0), 1.0, "a drain is kept");
     let mut facts = Facts::default();
     read.iter().for_each(|f| facts.insert(S, *f));
-    assert_eq!(facts.iter(30 * S).filter(|f| f.key.kind == FactKind::Draining).count(), 1, "for a while");
+    assert_eq!(
+        facts.iter(30 * S).filter(|f| f.key.kind == FactKind::Draining).count(),
+        1,
+        "kept for a while"
+    );
 }
 
 #[test]
 fn an_older_snapshot_counts_by_its_age() {
     let mut network = SimulatedNetwork::settled(7, 4);
     let old = network.disks[1].clone();
-    network.pass(40 * S);
+    network.advance(40 * S);
     network.kill(1);
     network.disks[1] = old;
     network.start(1);
-    assert_eq!(network.value_of(1, FactKind::ConcurrencyLimit, 9), None, "older than it counts");
+    assert_eq!(network.value_of(1, FactKind::ConcurrencyLimit, 9), None, "expired");
     assert_eq!(network.value_of(1, FactKind::Draining, 0), Some(1.0));
-    assert!(network.value_of(1, FactKind::Ejected, 1).is_some(), "counts less");
+    assert!(network.value_of(1, FactKind::Ejected, 1).is_some(), "still has weight");
 }
 
-// Facts have a bound, age, and end with the incarnation of their worker.
+// The number of facts is bounded, and facts expire with age and with the incarnation of their worker.
 #[test]
 fn facts_age_end_and_make_room() {
     let mut facts = Facts::default();
-    let fact = |key, life, age| Fact {
-        key: FactKey { kind: FactKind::ConcurrencyLimit, subject: key, incarnation: life },
+    let fact = |key, incarnation, age| Fact {
+        key: FactKey { kind: FactKind::ConcurrencyLimit, subject: key, incarnation },
         value: 1.0,
         age,
     };
     facts.insert(0, fact(1, 5, 0));
     facts.insert(0, fact(1, 4, 0));
-    assert_eq!(facts.iter(0).map(|f| f.key.incarnation).collect::<Vec<_>>(), [5], "not of a life before");
+    assert_eq!(
+        facts.iter(0).map(|f| f.key.incarnation).collect::<Vec<_>>(),
+        [5],
+        "an earlier incarnation is ignored"
+    );
     facts.insert(0, fact(1, 6, 0));
     assert_eq!(
         facts.iter(0).map(|f| f.key.incarnation).collect::<Vec<_>>(),
         [6],
-        "the next one has nothing of it"
+        "a later incarnation replaces the fact"
     );
     facts.insert(S, fact(1, 6, 3 * S));
-    assert_eq!(facts.iter(S).map(|f| f.age).collect::<Vec<_>>(), [S], "the younger word holds");
+    assert_eq!(facts.iter(S).map(|f| f.age).collect::<Vec<_>>(), [S], "the more recent fact is kept");
     let half = fact(1, 6, (5 * S + 30 * S) / 2).weight();
     assert!((half - 0.5).abs() < 1e-6, "{half}");
     facts.insert(S, Fact { value: f32::NAN, ..fact(7, 1, 0) });
     facts.insert(S, fact(8, 1, 30 * S));
-    assert_eq!(facts.len(), 1, "no number, and nothing that is over");
+    assert_eq!(facts.len(), 1, "non-finite values and expired facts are ignored");
     for key in 0..MAX_FACTS as u64 + 10 {
         facts.insert(2 * S, fact(key, 7, 100 - key.min(100)));
     }
@@ -236,11 +253,11 @@
     assert!(facts.is_empty());
 }
 
-// Cut anywhere a message is refused, and what nobody asked for changes nothing.
+// A message truncated at any byte is rejected, and a response without a request has no effect.
 #[test]
 fn malformed_and_unrequested_messages_change_nothing() {
     let mut network = SimulatedNetwork::settled(8, 3);
-    let some: Vec<Fact> = truth(3);
+    let some: Vec<Fact> = expected_facts(3);
     let messages = [
         message::encode_request(router(1), 5, 0),
         message::encode_page(router(1), 5, 0, true, &some),
@@ -266,23 +283,27 @@
     let p = network.all[2].as_mut().expect("there");
     p.peers.on_page(now, router(1), 5, 0, true, some, &mut Messages::default());
     assert_eq!(p.peers.stage(), Stage::Requesting);
-    assert!(p.peers.wake(now + RECOVERY_WINDOW, &[], &mut Messages::default()).is_empty(), "nobody asked it");
+    assert!(
+        p.peers.wake(now + RECOVERY_WINDOW, &[], &mut Messages::default()).is_empty(),
+        "it was not asked"
+    );
     assert_eq!(p.peers.stage(), Stage::Exhausted);
 }
 
-// The facts of a lone survivor are half expired already; what one of three says alone is left out.
+// The facts of a single responding peer count as half expired. A fact that only one of three peers reports is
+// dropped.
 #[test]
 fn the_facts_of_one_peer_count_half() {
     let mut network = SimulatedNetwork::settled(10, 2);
     restart(&mut network, 1..2, false);
-    assert!(network.until(RECOVERY_WINDOW + S, |p| p.at(1).peers.stage() == Stage::Recovered(1)));
-    let room = network.at(1).facts.get(network.now, &key_of(FactKind::ConcurrencyLimit, 9)).expect("merged");
-    assert!(room.age >= FactKind::ConcurrencyLimit.lifetime().expiry / 2, "{room:?}");
+    assert!(network.run_until(RECOVERY_WINDOW + S, |p| p.at(1).peers.stage() == Stage::Recovered(1)));
+    let limit = network.at(1).facts.get(network.now, &key_of(FactKind::ConcurrencyLimit, 9)).expect("merged");
+    assert!(limit.age >= FactKind::ConcurrencyLimit.lifetime().expiry / 2, "{limit:?}");
     let mut network = SimulatedNetwork::settled(11, 4);
     let (now, alone) = (network.now, Fact { key: key_of(FactKind::Ejected, 50), value: 1.0, age: 0 });
     network.all[1].as_mut().expect("there").facts.insert(now, alone);
     restart(&mut network, 3..4, false);
-    assert!(network.until(RECOVERY_WINDOW + S, |p| p.at(3).peers.stage() == Stage::Recovered(3)));
+    assert!(network.run_until(RECOVERY_WINDOW + S, |p| p.at(3).peers.stage() == Stage::Recovered(3)));
     assert_eq!(network.value_of(3, FactKind::Ejected, 50), None);
 }
 
@@ -295,7 +316,7 @@
     }
 }
 
-/// The number of a request.
+/// Captures the number of a request.
 struct Number(u64);
 
 impl message::MessageVisitor for Number {
@@ -307,63 +328,66 @@
     fn on_empty(&mut self, _: applepond_membership::RouterId, _: u64) {}
 }
 
-// An answer to another request, or another page, is none.
+// A response to another request or for another page is ignored.
 #[test_case(0, 0, 2; "its own")]
 #[test_case(1, 0, 0; "another request")]
 #[test_case(0, 1, 0; "another page")]
-fn only_the_answer_to_the_latest_request_counts(other: u64, page: u16, taken: usize) {
+fn only_the_answer_to_the_latest_request_counts(other: u64, page: u16, applied: usize) {
     let (mut peers, mut out, mut number) =
         (PeerRecovery::new(0, router(0), 1), Messages::default(), Number(0));
     peers.wake(S, &[router(1)], &mut out);
     message::decode(&out.0[0], &mut number).expect("a request");
-    peers.on_page(S, router(1), number.0 ^ other, page, true, truth(3), &mut out);
-    assert_eq!(peers.wake(RECOVERY_WINDOW, &[router(1)], &mut out).len(), taken);
+    peers.on_page(S, router(1), number.0 ^ other, page, true, expected_facts(3), &mut out);
+    assert_eq!(peers.wake(RECOVERY_WINDOW, &[router(1)], &mut out).len(), applied);
 }
 
-/// How many of 19 routers that restart at once have forgotten a drain.
+/// How many of 19 routers that restart at once have lost a drain.
 fn forgotten_drains(guards: Guards) -> usize {
     let mut network = SimulatedNetwork::settled(9, 20);
     network.guards = guards;
     restart(&mut network, 1..20, false);
-    network.pass(RECOVERY_WINDOW + S);
+    network.advance(RECOVERY_WINDOW + S);
     (1..20).filter(|n| network.value_of(*n, FactKind::Draining, 0).is_none()).count()
 }
 
-/// The most bytes that one router gives in a tenth of a second to 119 that restart at once.
+/// The maximum number of bytes that one router sends in a tenth of a second to 119 that restart at once.
 fn burst_bytes(guards: Guards) -> u64 {
     let mut network = SimulatedNetwork::new(9, 120);
     network.guards = guards;
-    network.pass(12 * S);
+    network.advance(12 * S);
     network.kill(0);
     network.start(0);
-    network.pass(10 * S);
-    network.gave.clear();
+    network.advance(10 * S);
+    network.bytes_sent.clear();
     restart(&mut network, 1..120, false);
-    network.pass(RECOVERY_WINDOW);
-    let of_one = network.gave.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
+    network.advance(RECOVERY_WINDOW);
+    let of_one = network.bytes_sent.iter().filter(|((n, _), _)| *n == 0).map(|(_, bytes)| *bytes);
     of_one.max().unwrap_or(0)
 }
 
-/// In how many of 20 fleets a router believes the one peer of three that lies.
+/// In how many of 20 fleets a router uses the values of one faulty peer among three.
 fn believed_lies(guards: Guards) -> usize {
     (1..=20)
         .filter(|seed| {
             let mut network = SimulatedNetwork::settled(*seed, 4);
-            network.liar = Some(1);
+            network.faulty_peer = Some(1);
             network.guards = guards;
-            network.pass(3 * S);
+            network.advance(3 * S);
             restart(&mut network, 3..4, false);
-            network.pass(RECOVERY_WINDOW + S);
-            network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|room| room < 1.0)
+            network.advance(RECOVERY_WINDOW + S);
+            network.value_of(3, FactKind::ConcurrencyLimit, 9).is_some_and(|limit| limit < 1.0)
         })
         .count()
 }
 
-// Each guard taken out is seen from outside.
+// Disabling any one of the checks has an observable effect.
 #[test]
 fn each_missing_guard_is_seen() {
     assert_eq!(forgotten_drains(Guards::ALL), 0);
-    assert!(forgotten_drains(Guards { reports_empty: false, ..Guards::ALL }) > 5, "emptiness was believed");
+    assert!(
+        forgotten_drains(Guards { reports_empty: false, ..Guards::ALL }) > 5,
+        "empty responses were used"
+    );
     let (with, without) =
         (burst_bytes(Guards::ALL), burst_bytes(Guards { spreads_retries: false, ..Guards::ALL }));
     assert!(
