--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Bytes of snapshots and of messages between processes: a version that writes or reads others cannot run
-//! beside the one before, nor read its disk.
+//! The encoding of snapshots and messages. A version that changes it cannot run alongside the previous one,
+//! nor read its files.
 use applepond_membership::RouterId;
 use applepond_recovery::message::{self, MessageVisitor};
 use applepond_recovery::{BootId, Fact, FactKey, FactKind, Facts, decode_snapshot, encode_snapshot};
--- a/crates/recovery/tests/observation_store.rs
+++ b/crates/recovery/tests/observation_store.rs
@@ -1,4 +1,4 @@
-//! What is restored of workers after a restart, and which drains are kept.
+//! The worker history that is restored after a restart, and the drains that stay in effect.
 use applepond::interface::{FunctionId, Micros, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_recovery::{Fact, FactKey, FactKind, ObservationStore};
 use test_case::test_case;
@@ -28,19 +28,19 @@
     );
     let later = store.pending_worker_history(S + 20 * S);
     assert!(later[0].2.concurrency_limit > 4.0 && later[0].2.queueing_delay < 0.4, "{later:?}");
-    assert!(!store.pending_worker_history(S + 50 * S)[0].2.ejected, "less than half a word");
+    assert!(!store.pending_worker_history(S + 50 * S)[0].2.ejected, "the ejection has less than half weight");
     store.mark_restored(WORKER, 5);
     assert!(store.pending_worker_history(S).is_empty());
     store.import(S, &[fact(FactKind::ConcurrencyLimit, 4.0, 0)]);
-    assert!(store.pending_worker_history(S + 61 * S).is_empty(), "over before it was taken up");
+    assert!(store.pending_worker_history(S + 61 * S).is_empty(), "expired before it was restored");
 }
 
-// Each: the statuses of the list one after the other, and what is made of each.
+// Each case lists the successive statuses in the endpoint list with the expected effective status.
 #[test_case(true, &[("ready", "draining"), ("ready", "draining")]; "kept over a restart")]
 #[test_case(true, &[("draining", "draining"), ("ready", "ready")]; "told and taken back in this life")]
 #[test_case(true, &[("gone", "gone"), ("ready", "ready")]; "gone")]
 #[test_case(false, &[("ready", "ready"), ("draining", "draining")]; "nothing before")]
-fn a_drain_from_before_is_kept_until_taken_back(drained_before: bool, words: &[(&str, &str)]) {
+fn a_drain_from_before_is_kept_until_taken_back(drained_before: bool, statuses: &[(&str, &str)]) {
     let status = |word: &str| match word {
         "ready" => WorkerStatus::Ready,
         "gone" => WorkerStatus::Gone,
@@ -50,7 +50,7 @@
     if drained_before {
         store.import(S, &[fact(FactKind::Draining, 1.0, S)]);
     }
-    for (n, (says, is)) in words.iter().enumerate() {
+    for (n, (says, is)) in statuses.iter().enumerate() {
         let now = S + n as u64 * S;
         assert_eq!(store.apply_listed_status(now, WORKER, 5, status(says)), status(is), "{n}");
     }
@@ -63,16 +63,16 @@
     assert_eq!(
         store.apply_listed_status(2 * S, WORKER, 6, WorkerStatus::Ready),
         WorkerStatus::Ready,
-        "it has begun anew"
+        "the worker has restarted"
     );
     assert_eq!(
         store.apply_listed_status(62 * S, WORKER, 5, WorkerStatus::Ready),
         WorkerStatus::Ready,
-        "nobody says it any more"
+        "the drain has expired"
     );
     store.apply_listed_status(62 * S, WORKER, 5, WorkerStatus::Draining);
     store.refresh(200 * S);
-    assert_eq!(store.facts().iter(210 * S).count(), 1, "while the list says it, it is young");
+    assert_eq!(store.facts().iter(210 * S).count(), 1, "a listed drain is renewed");
 }
 
 #[test]
