--- a/crates/consensus/src/register/leader.rs
+++ b/crates/consensus/src/register/leader.rs
@@ -211,10 +211,9 @@
 ) -> Option<Vec<ReplicaId>> {
     let mut next = current.to_vec();
     for replica in responders {
-        let has_new_disk =
-            |place: &&mut ReplicaId| place.router == replica.router && place.disk != replica.disk;
-        if let Some(place) = next.iter_mut().find(has_new_disk) {
-            *place = *replica;
+        let has_new_disk = |slot: &&mut ReplicaId| slot.router == replica.router && slot.disk != replica.disk;
+        if let Some(slot) = next.iter_mut().find(has_new_disk) {
+            *slot = *replica;
             return Some(next);
         }
     }
@@ -223,9 +222,9 @@
     let added = responders.iter().find(|replica| is_wanted(replica.router));
     let removed = next.iter().position(|replica| !configured.contains(&replica.router));
     match (added, removed) {
-        (Some(replica), Some(place)) => next[place] = *replica,
+        (Some(replica), Some(slot)) => next[slot] = *replica,
         (Some(replica), None) if next.len() < MAX_REPLICAS => next.push(*replica),
-        (None, Some(place)) if next.len() > configured.len() => drop(next.remove(place)),
+        (None, Some(slot)) if next.len() > configured.len() => drop(next.remove(slot)),
         _ => return None,
     }
     Some(next)
