--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -241,8 +241,8 @@
     /// All possible next steps. A message that is never delivered is lost, so loss needs no step of its own.
     fn all_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        let [tries, repeats, crashes] = self.remaining;
-        steps.extend((0..self.proposers.len()).filter(|_| tries > 0).map(Step::Begin));
+        let [rounds, repeats, crashes] = self.remaining;
+        steps.extend((0..self.proposers.len()).filter(|_| rounds > 0).map(Step::Begin));
         steps.extend(self.net.keys().cloned().map(Step::Take));
         steps.extend(self.net.keys().filter(|_| repeats > 0).cloned().map(Step::TakeAndKeep));
         if crashes > 0 {
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -7,10 +7,10 @@
 use test_case::test_case;
 
 // Three acceptors and two proposers. The array bounds the rounds, duplicated messages and crashes.
-#[test_case([2, 0, 0], 99; "two tries, all there is")]
-#[test_case([2, 1, 0], 13; "two tries, a repeat")]
-#[test_case([2, 0, 1], 14; "two tries, a crash of a proposer")]
-#[test_case([3, 1, 1], 9; "three tries, a repeat, a crash")]
+#[test_case([2, 0, 0], 99; "two rounds, exhaustive")]
+#[test_case([2, 1, 0], 13; "two rounds, a duplicate")]
+#[test_case([2, 0, 1], 14; "two rounds, a crash of a proposer")]
+#[test_case([3, 1, 1], 9; "three rounds, a duplicate, a crash")]
 fn no_order_of_steps_breaks_safety(remaining: [u8; 3], depth: usize) {
     let started = Instant::now();
     let found = explore(World::new(SeededBug::Sound, 3, 2, remaining), depth);
--- a/crates/consensus/tests/fault_points/main.rs
+++ b/crates/consensus/tests/fault_points/main.rs
@@ -100,11 +100,11 @@
     let (network, done) = run(None);
     assert_eq!(done, Ok(Done::default()), "without a fault no intervention is necessary");
     let points = network.points.count;
-    let (mut plays, mut mended, mut bootstrapped, mut failed) = (0, 0, 0, Vec::new());
+    let (mut runs, mut mended, mut bootstrapped, mut failed) = (0, 0, 0, Vec::new());
     for point in (1..=points).filter(|p| one.as_ref().is_none_or(|one| *one == p.to_string())) {
         for fault in FAULTS.into_iter().filter(|f| kind.as_ref().is_none_or(|k| *k == format!("{f:?}"))) {
             let (network, done) = run(Some((point, fault)));
-            plays += 1;
+            runs += 1;
             let what = network.points.hit.unwrap_or_default();
             let line = format!("POINT={point} KIND={fault:?} (seed {SEED}, {what})");
             match done {
@@ -122,7 +122,7 @@
     }
     let bad = failed.len();
     println!(
-        "{points} points, {plays} plays, {mended} mended, {bootstrapped} bootstrapped anew, {bad} failed"
+        "{points} points, {runs} runs, {mended} repaired, {bootstrapped} bootstrapped again, {bad} failed"
     );
     failed
         .iter()
--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -290,9 +290,9 @@
     type Step = Step;
 
     fn steps(&self) -> Vec<Step> {
-        let [tries, repeats, crashes, wipes] = self.remaining;
+        let [rounds, repeats, crashes, wipes] = self.remaining;
         let mut steps: Vec<Step> = Vec::new();
-        steps.extend((0..self.proposers.len()).filter(|_| tries > 0).map(Step::Begin));
+        steps.extend((0..self.proposers.len()).filter(|_| rounds > 0).map(Step::Begin));
         steps.extend(self.net.keys().cloned().map(Step::Take));
         steps.extend(self.net.keys().filter(|_| repeats > 0).cloned().map(Step::Keep));
         steps.extend((0..self.proposers.len()).filter(|_| crashes > 0).map(Step::Crash));
@@ -348,8 +348,8 @@
 // Three replicas and two proposers. The array bounds the rounds, duplicated messages, crashes and lost disks.
 #[test_case(false, [2, 0, 0, 0], 11; "bootstrapped by two at once")]
 #[test_case(false, [2, 0, 0, 1], 9; "bootstrapped while a disk is lost")]
-#[test_case(true, [2, 0, 0, 1], 10; "a disk is lost and comes back as another replica")]
-#[test_case(true, [2, 0, 1, 1], 8; "the same, and one who writes dies")]
+#[test_case(true, [2, 0, 0, 1], 10; "a lost disk is replaced by a new replica")]
+#[test_case(true, [2, 0, 1, 1], 8; "the same, and a proposer crashes")]
 fn no_order_of_steps_breaks_safety(bootstrapped: bool, remaining: [u8; 4], depth: usize) {
     let started = Instant::now();
     let begin = if bootstrapped { World::bootstrapped } else { World::new };
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -17,7 +17,7 @@
         "bootstrapped: {:?}",
         network.unavailable_reason(0)
     );
-    assert!(agree_on(&mut network, "a"), "written and copied");
+    assert!(agree_on(&mut network, "a"), "committed and received by all");
     network
 }
 
@@ -84,7 +84,7 @@
         network.advance(6 * S);
         assert!(network.propose("b"));
         network.advance(4 * S);
-        assert!(network.state_of(7).is_none(), "it stands still, and its copy is over");
+        assert!(network.state_of(7).is_none(), "the paused router's lease has expired");
         assert!(network.run_until(20 * S, |p| p.all_hold("b")));
         assert_safe(&network);
     }
@@ -111,7 +111,7 @@
 
 // If a majority of the disks is lost, the register becomes unavailable with the matching reason, instead of
 // continuing with an old or empty state.
-#[test_case(false; "one of them has its own")]
+#[test_case(false; "one replica keeps its disk")]
 #[test_case(true; "all of them are lost")]
 fn a_lost_majority_of_disks_is_named(all: bool) {
     let mut network = agreed(3, 6);
@@ -121,7 +121,7 @@
     network.advance(S);
     (0..3).for_each(|n| network.start(n));
     network.advance(20 * S);
-    assert!((0..6).all(|n| network.state_of(n).is_none()), "at their floors");
+    assert!((0..6).all(|n| network.state_of(n).is_none()), "no router has a lease");
     let reasons: Vec<Unavailable> = (0..3).filter_map(|n| network.unavailable_reason(n)).collect();
     let wanted =
         if all { Unavailable::StateForgotten } else { Unavailable::MajorityLost { lost: 2, total: 3 } };
@@ -290,7 +290,7 @@
 #[test_case(1, 0, 7, 2 * S, false; "response to an earlier request")]
 #[test_case(0, 0, 7, LEASE_DURATION + 1, false; "more than a lease")]
 #[test_case(0, 1, 7, 2 * S, false; "another register")]
-#[test_case(0, 0, 4, 2 * S, false; "less than was seen")]
+#[test_case(0, 0, 4, 2 * S, false; "an earlier version than seen")]
 #[test_case(0, 0, 6, 2 * S, true; "newer")]
 fn a_lease_counts_from_its_request(
     request_offset: u64,
@@ -328,7 +328,7 @@
     );
     let version = register.lease(3 * S).map(|h| h.state.version);
     assert_eq!(version == Some(number), is_applied, "{version:?}");
-    assert!(register.lease(6 * S).is_none(), "and ends");
+    assert!(register.lease(6 * S).is_none(), "the lease expires");
 }
 
 #[test]
@@ -360,7 +360,7 @@
         (0..bytes.len()).for_each(|at| assert!(read(&bytes[..at]).is_err(), "cut at {at}"));
         refused += u64::from(read(bytes).is_err());
     }
-    assert_eq!(refused, 2, "too many replicas, and a version that nobody gives out");
+    assert_eq!(refused, 2, "too many replicas, and a version out of range");
 }
 
 #[test]
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -68,9 +68,9 @@
         let messages = (world.messages - messages) as f64 / 10.0 / routers as f64;
         world.allocators().into_iter().for_each(|n| world.kill(n));
         world.advance(4 * S);
-        let anew = world.time_until_shared(90, 60 * S).map(|time| (4 * S + time) / MS);
+        let recovery_ms = world.time_until_shared(90, 60 * S).map(|time| (4 * S + time) / MS);
         println!(
-            "| {routers} | {:.3}, {:.3}; {:.3} | {anew:?} | {messages:.1}, {cpu:.3} |",
+            "| {routers} | {:.3}, {:.3}; {:.3} | {recovery_ms:?} | {messages:.1}, {cpu:.3} |",
             used[13],
             used[DEMAND_MOVES_AT_S as usize + 5],
             even_split[5]
--- a/crates/quota/tests/election.rs
+++ b/crates/quota/tests/election.rs
@@ -13,14 +13,14 @@
 #[test]
 fn an_allocator_takes_over_after_another() {
     let mut world = World::new(1, ROUTERS);
-    let first = world.time_until_shared(95, 15 * S).expect("the total is divided");
+    let first = world.time_until_shared(95, 15 * S).expect("the total is shared");
     let allocators = world.allocators();
     assert_eq!(allocators.len(), 1, "{allocators:?}");
     world.kill(allocators[0]);
     world.advance(3 * S);
     assert!(world.sum() <= TOTAL / 5, "all routers are back to their floors");
     let again = world.time_until_shared(90, 15 * S).expect("another allocator grants leases");
-    println!("divided after {first} us, anew after {} us", 3 * S + again);
+    println!("shared after {first} us, again after {} us", 3 * S + again);
     world.start(allocators[0]);
     world.advance(10 * S);
     assert_eq!(world.allocators().len(), 1);
@@ -31,7 +31,7 @@
 #[test]
 fn without_a_majority_all_have_their_floors() {
     let mut world = World::new(2, ROUTERS);
-    world.time_until_shared(95, 15 * S).expect("the total is divided");
+    world.time_until_shared(95, 15 * S).expect("the total is shared");
     world.kill(0);
     world.kill(1);
     world.advance(6 * S);
@@ -42,8 +42,8 @@
 
 // Links between replicas are cut in one or both directions. There is an allocator if and only if two replicas
 // can still reach each other in both directions.
-#[test_case(&[(0, 1), (0, 2)], 1; "one is heard by no replica")]
-#[test_case(&[(1, 0), (2, 0)], 1; "one hears no replica")]
+#[test_case(&[(0, 1), (0, 2)], 1; "one replica is heard by no other")]
+#[test_case(&[(1, 0), (2, 0)], 1; "one replica hears no other")]
 #[test_case(&[(0, 1), (1, 2), (2, 0)], 0; "in a ring")]
 #[test_case(&[(0, 1), (1, 0), (0, 2), (2, 0)], 1; "one is cut off")]
 fn cut_replicas_elect_one_allocator_or_none(cuts: &[(usize, usize)], divide: usize) {
@@ -60,8 +60,8 @@
 
 // The allocator is paused repeatedly while others take over, and resumes with a full inbox. It may be
 // elected again, and must then wait for earlier leases like any new allocator.
-#[test_case(false; "views are right")]
-#[test_case(true; "all take all others for gone")]
+#[test_case(false; "correct liveness")]
+#[test_case(true; "all others suspected")]
 fn a_paused_allocator_grants_nothing_on_waking(all_suspected: bool) {
     for seed in 0..10 {
         let mut world = World::new(seed, ROUTERS);
--- a/crates/quota/tests/shares.rs
+++ b/crates/quota/tests/shares.rs
@@ -90,7 +90,7 @@
 #[test]
 fn the_shares_of_killed_routers_are_divided_again() {
     let mut world = World::new(2, ROUTERS);
-    world.time_until_shared(95, 20 * S).expect("divided");
+    world.time_until_shared(95, 20 * S).expect("the total is shared");
     (10..ROUTERS).for_each(|n| world.kill(n));
     let floors = TOTAL / 5 / 2;
     let took = world.time_until_shared(94 - floors * 100 / TOTAL, 10 * S);
@@ -103,7 +103,7 @@
 #[test]
 fn a_shrinking_total_shrinks_everywhere() {
     let mut world = World::new(4, ROUTERS);
-    world.time_until_shared(95, 20 * S).expect("divided");
+    world.time_until_shared(95, 20 * S).expect("the total is shared");
     let half = Budget { total: TOTAL / 2, ..budget(ROUTERS) };
     let reconfigure = |world: &mut World, n: usize| {
         let now = world.clock(n);
@@ -132,7 +132,7 @@
 #[test]
 fn a_total_known_to_the_allocator_alone_grants_nothing() {
     let mut world = World::new(4, ROUTERS);
-    world.time_until_shared(95, 20 * S).expect("divided");
+    world.time_until_shared(95, 20 * S).expect("the total is shared");
     let (n, double) = (world.allocators()[0], Budget { total: 2 * TOTAL, ..budget(ROUTERS) });
     let now = world.clock(n);
     world.all[n].service.reconfigure(now, &[double], ROUTERS as u64);
