--- a/crates/recovery/tests/fault_points/simulation.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -334,11 +334,11 @@
 
     /// A router observes all workers itself.
     fn observe_workers(&mut self, n: usize) {
-        let lies = self.faulty_peer == Some(n);
+        let is_faulty = self.faulty_peer == Some(n);
         let process = self.all[n].as_mut().expect("there");
         process.has_observed = true;
         for mut fact in (0..WORKERS).flat_map(expected_facts) {
-            if lies && fact.key.kind == FactKind::ConcurrencyLimit {
+            if is_faulty && fact.key.kind == FactKind::ConcurrencyLimit {
                 fact.value = 0.01;
             }
             process.facts.insert(self.now, fact);
--- a/crates/recovery/tests/observation_store.rs
+++ b/crates/recovery/tests/observation_store.rs
@@ -21,10 +21,10 @@
             fact(FactKind::Ejected, 1.0, 0),
         ],
     );
-    let young = store.pending_worker_history(S);
-    assert!(young[0].2.ejected);
+    let fresh = store.pending_worker_history(S);
+    assert!(fresh[0].2.ejected);
     assert!(
-        (young[0].2.concurrency_limit - 4.0).abs() < 1e-6 && (young[0].2.queueing_delay - 0.4).abs() < 1e-6
+        (fresh[0].2.concurrency_limit - 4.0).abs() < 1e-6 && (fresh[0].2.queueing_delay - 0.4).abs() < 1e-6
     );
     let later = store.pending_worker_history(S + 20 * S);
     assert!(later[0].2.concurrency_limit > 4.0 && later[0].2.queueing_delay < 0.4, "{later:?}");
@@ -36,12 +36,12 @@
 }
 
 // Each case lists the successive statuses in the endpoint list with the expected effective status.
-#[test_case(true, &[("ready", "draining"), ("ready", "draining")]; "kept over a restart")]
-#[test_case(true, &[("draining", "draining"), ("ready", "ready")]; "told and taken back in this life")]
+#[test_case(true, &[("ready", "draining"), ("ready", "draining")]; "kept across a restart")]
+#[test_case(true, &[("draining", "draining"), ("ready", "ready")]; "reported and ended since the restart")]
 #[test_case(true, &[("gone", "gone"), ("ready", "ready")]; "gone")]
-#[test_case(false, &[("ready", "ready"), ("draining", "draining")]; "nothing before")]
+#[test_case(false, &[("ready", "ready"), ("draining", "draining")]; "no earlier drain")]
 fn a_drain_from_before_is_kept_until_taken_back(drained_before: bool, statuses: &[(&str, &str)]) {
-    let status = |word: &str| match word {
+    let status = |name: &str| match name {
         "ready" => WorkerStatus::Ready,
         "gone" => WorkerStatus::Gone,
         _ => WorkerStatus::Draining,
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -117,33 +117,33 @@
 /// A snapshot with this kind of damage.
 fn damaged_snapshot(kind: &str, whole: &[u8]) -> Vec<u8> {
     match kind {
-        "cut" => whole[..whole.len() - 9].to_vec(),
-        "a bit" => {
+        "truncated" => whole[..whole.len() - 9].to_vec(),
+        "flipped bit" => {
             let mut bytes = whole.to_vec();
             bytes[whole.len() / 2] ^= 4;
             bytes
         }
         "empty" => Vec::new(),
         "text" => b"certainly no snapshot".repeat(50),
-        "form" => {
+        "format" => {
             let mut bytes = whole[..whole.len() - 16].to_vec();
             bytes[4] = 9;
             let sum = blake3::hash(&bytes);
             bytes.extend_from_slice(&sum.as_bytes()[..16]);
             bytes
         }
-        "long" => vec![0; MAX_SNAPSHOT_BYTES + 1],
+        "too large" => vec![0; MAX_SNAPSHOT_BYTES + 1],
         _ => encode_snapshot(99, Some(BootId(7)), 0, 0, &Facts::default()),
     }
 }
 
-#[test_case("cut", SnapshotError::Corrupt)]
-#[test_case("a bit", SnapshotError::Corrupt)]
+#[test_case("truncated", SnapshotError::Corrupt)]
+#[test_case("flipped bit", SnapshotError::Corrupt)]
 #[test_case("empty", SnapshotError::Corrupt)]
 #[test_case("text", SnapshotError::Corrupt)]
-#[test_case("form", SnapshotError::UnsupportedFormat(9))]
-#[test_case("long", SnapshotError::TooLarge(MAX_SNAPSHOT_BYTES + 1))]
-#[test_case("somebody else's", SnapshotError::WrongRouter)]
+#[test_case("format", SnapshotError::UnsupportedFormat(9))]
+#[test_case("too large", SnapshotError::TooLarge(MAX_SNAPSHOT_BYTES + 1))]
+#[test_case("another router", SnapshotError::WrongRouter)]
 fn an_unusable_snapshot_is_named_and_replaced(kind: &str, why: SnapshotError) {
     let mut network = SimulatedNetwork::settled(5, 6);
     network.kill(2);
--- a/crates/storage/tests/record.rs
+++ b/crates/storage/tests/record.rs
@@ -9,10 +9,10 @@
 const EVERYWHERE: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Everywhere, window: 3 * S };
 const RACK: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
 
-#[test_case(RetrySafety::Idempotent, 9, None; "idempotent: begun again")]
-#[test_case(EVERYWHERE, 2, None; "keyed everywhere, in its window: begun again")]
-#[test_case(EVERYWHERE, 3, Some(How::MayHaveRun); "past its window")]
-#[test_case(RACK, 2, Some(How::MayHaveRun); "keyed by rack: which one is not known")]
+#[test_case(RetrySafety::Idempotent, 9, None; "idempotent: sent again")]
+#[test_case(EVERYWHERE, 2, None; "keyed everywhere, within the window: sent again")]
+#[test_case(EVERYWHERE, 3, Some(How::MayHaveRun); "after the window")]
+#[test_case(RACK, 2, Some(How::MayHaveRun); "keyed by rack: the rack is unknown")]
 #[test_case(RetrySafety::AtMostOnce, 0, Some(How::MayHaveRun); "at-most-once")]
 fn a_step_without_an_outcome_is_sent_again_only_where_safe(
     effect: RetrySafety,
--- a/crates/storage/tests/snapshot_file.rs
+++ b/crates/storage/tests/snapshot_file.rs
@@ -27,14 +27,14 @@
     let mut recreated = 0;
     for at in (0..whole.len()).step_by(4_096) {
         std::fs::write(&damaged, &whole[..at]).expect("written");
-        let (opened, fault) = SnapshotFile::open(&damaged).expect("opened or begun anew");
+        let (opened, fault) = SnapshotFile::open(&damaged).expect("opened or recreated");
         let read = opened.read().expect("read");
         assert!(read.is_none() || read.as_deref() == Some(&[19; 3_000][..]), "cut at {at}");
         recreated += usize::from(fault.is_some());
     }
     assert!(recreated > 3, "{recreated}");
     std::fs::write(&damaged, "no store at all ".repeat(2_000)).expect("written");
-    let (mut opened, fault) = SnapshotFile::open(&damaged).expect("begun anew");
+    let (mut opened, fault) = SnapshotFile::open(&damaged).expect("recreated");
     assert!(matches!(fault, Some(StorageError::OpenFailed { .. })));
     opened.write(b"new").expect("room");
     assert!(folder.path().join("bent.spoilt").exists());
