--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -34,7 +34,7 @@
 #[error("malformed message: truncated, followed by trailing bytes, or with invalid contents")]
 #[diagnostic(
     code(accord::unreadable),
-    help("the sender runs another version, or the network corrupts messages: compare the routers' versions")
+    help("a router of another version, or a broken path: compare the versions of the routers")
 )]
 pub struct MalformedMessage;
 
--- a/crates/consensus/src/unavailable.rs
+++ b/crates/consensus/src/unavailable.rs
@@ -11,9 +11,7 @@
     #[error("no quorum: {responding} of {total} replicas respond, a majority is required")]
     #[diagnostic(
         code(accord::too_few),
-        help(
-            "start the routers named in 'keepers' or restore the network to them; no data is lost meanwhile"
-        )
+        help("start the routers named in 'keepers' or mend the way to them; nothing is lost meanwhile")
     )]
     NoQuorum {
         /// The number of replicas that responded.
@@ -26,9 +24,8 @@
     #[diagnostic(
         code(accord::majority_lost),
         help(
-            "restore the disks of those replicas; if they are lost for good, stop the routers named in \
-             'keepers', remove their 'votes' files, increase 'founding' in the fleet block of all routers \
-             and start them again"
+            "bring back the disks of those keepers; if they are lost for good, stop all keepers, remove \
+             their 'votes' files, raise 'founding' in the fleet block of all routers and start them again"
         )
     )]
     MajorityLost {
@@ -42,8 +39,8 @@
     #[diagnostic(
         code(accord::remembered),
         help(
-            "restore the 'votes' files of the routers named in 'keepers'; if they are lost for good, \
-             increase 'founding' in the fleet block of all routers"
+            "bring back the keepers' 'votes' files; if they are lost for good, raise 'founding' in the \
+             fleet block of all routers"
         )
     )]
     StateForgotten,
@@ -52,8 +49,8 @@
     #[diagnostic(
         code(accord::past),
         help(
-            "the 'votes' files were restored from old copies: stop the routers named in 'keepers', remove \
-             their 'votes' files, increase 'founding' in the fleet block of all routers and start them again"
+            "somebody has put back copies of the keepers' disks: stop all keepers, remove their 'votes' \
+             files, raise 'founding' in the fleet block of all routers and start them again"
         )
     )]
     StateRolledBack,
@@ -63,14 +60,14 @@
     #[diagnostic(
         code(accord::keeper_in_doubt),
         help(
-            "not-written: free space or repair the disk, then restart this router. Otherwise: stop it, \
-             remove its 'votes' file and start it again; the other replicas admit it as a new replica"
+            "not-written: make room or mend the disk and start this router again. Others: stop it, remove \
+             its 'votes' file and start it again; the others take it in as a new keeper"
         )
     )]
     AcceptorFailed(&'static str),
     /// The register was just bootstrapped, and leases on an earlier one may not have expired yet.
     #[error("the register was just bootstrapped; waiting for leases on an earlier one to expire")]
-    #[diagnostic(code(accord::ripens), help("no action is needed: this resolves within seconds"))]
+    #[diagnostic(code(accord::ripens), help("nothing: it passes within seconds"))]
     BootstrapPending,
 }
 
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -11,8 +11,8 @@
     #[diagnostic(
         code(record::unopened),
         help(
-            "check that the directory exists and is writable, and that the file belongs to this program; a \
-              damaged snapshot is renamed to .spoilt and created again, a damaged workflow record file is not"
+            "look whether the folder is there and may be written, and whether the file is of this program; a \
+              snapshot that is spoilt is put beside as .spoilt and begun anew, a record of chains is not"
         )
     )]
     OpenFailed {
@@ -25,7 +25,7 @@
     #[error("{}: failed to read: {why}", file.display())]
     #[diagnostic(
         code(record::unread),
-        help("the disk or the file is damaged: replace the disk, or move the file away and restart")
+        help("the disk or the file is damaged: replace the disk, or put the file aside and start again")
     )]
     ReadFailed {
         /// The file.
@@ -37,7 +37,7 @@
     #[error("{}: failed to write: {why}", file.display())]
     #[diagnostic(
         code(record::not_written),
-        help("free space on the disk or repair it; data that was written earlier is intact")
+        help("make room on the disk, or mend it; what was written before is still there")
     )]
     WriteFailed {
         /// The file.
@@ -50,8 +50,8 @@
     #[diagnostic(
         code(record::full),
         help(
-            "records of finished workflows are removed once they expire; until then let workflows finish \
-              faster, or accept fewer"
+            "chains that have come to their end are dropped after their time; until then raise the pace at \
+              which they end, or take fewer"
         )
     )]
     Full {
