--- a/crates/consensus/src/unavailable.rs
+++ b/crates/consensus/src/unavailable.rs
@@ -1,26 +1,26 @@
-//! Why nothing is agreed on at present, in words for an operator.
+//! Reasons why the register is unavailable, with instructions for operators.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why nothing is agreed on at present. Shared limits go on at their floors meanwhile.
+/// Why the register is unavailable. Shared limits fall back to their floors meanwhile.
 ///
-/// Operators know these by their codes, which never change.
+/// The diagnostic codes are stable: operators match on them.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum Unavailable {
-    /// Less than a majority of the replicas answers.
-    #[error("{responding} of {total} keepers answer; more than half have to")]
+    /// Fewer than a majority of the replicas respond.
+    #[error("no quorum: {responding} of {total} replicas respond, a majority is required")]
     #[diagnostic(
         code(accord::too_few),
         help("start the routers named in 'keepers' or mend the way to them; nothing is lost meanwhile")
     )]
     NoQuorum {
-        /// Replicas that have answered.
+        /// The number of replicas that responded.
         responding: usize,
-        /// All replicas.
+        /// The number of replicas.
         total: usize,
     },
-    /// Half of the replicas or more have other disks than those that the state was written to.
-    #[error("{lost} of {total} keepers have lost what they had agreed on")]
+    /// At least half of the replicas no longer have the disks to which the state was written.
+    #[error("{lost} of {total} replicas have lost their state")]
     #[diagnostic(
         code(accord::majority_lost),
         help(
@@ -29,13 +29,13 @@
         )
     )]
     MajorityLost {
-        /// Replicas that have lost their disks.
+        /// The number of replicas that have lost their disks.
         lost: usize,
-        /// All replicas.
+        /// The number of replicas.
         total: usize,
     },
-    /// All replicas are empty, and other routers have seen something agreed on.
-    #[error("all keepers are empty, and others remember that something was agreed on")]
+    /// All replicas are empty, but other routers have seen a committed state.
+    #[error("all replicas are empty, but other routers have seen a committed state")]
     #[diagnostic(
         code(accord::remembered),
         help(
@@ -44,8 +44,8 @@
         )
     )]
     StateForgotten,
-    /// The replicas agree on an older state than others have seen, or on another register.
-    #[error("the keepers' disks agree on less than others have seen, or on something of another life")]
+    /// The replicas hold an older state than other routers have seen, or another register.
+    #[error("the replicas hold an older state than other routers have seen, or another register")]
     #[diagnostic(
         code(accord::past),
         help(
@@ -54,8 +54,9 @@
         )
     )]
     StateRolledBack,
-    /// The acceptor of this router takes no part: the label of its [`AcceptorError`](crate::AcceptorError).
-    #[error("this router's vote cannot be relied on ({0}), so it does not vote")]
+    /// This router's acceptor abstains. The field is the label of its
+    /// [`AcceptorError`](crate::AcceptorError).
+    #[error("the acceptor of this router has failed ({0}) and abstains")]
     #[diagnostic(
         code(accord::keeper_in_doubt),
         help(
@@ -64,14 +65,14 @@
         )
     )]
     AcceptorFailed(&'static str),
-    /// The register was bootstrapped a moment ago: leases of an earlier one have to end first.
-    #[error("what is agreed on was founded a moment ago; leases of a life before have to end first")]
+    /// The register was just bootstrapped, and leases on an earlier one may not have expired yet.
+    #[error("the register was just bootstrapped; waiting for leases on an earlier one to expire")]
     #[diagnostic(code(accord::ripens), help("nothing: it passes within seconds"))]
     BootstrapPending,
 }
 
 impl Unavailable {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of diagnostic codes.
     pub fn each() -> Vec<Unavailable> {
         vec![
             Unavailable::NoQuorum { responding: 0, total: 0 },
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,13 +1,13 @@
-//! Why a file cannot be used, and what an operator can do about it.
+//! Storage errors, with instructions for operators.
 use miette::Diagnostic;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A file that cannot be used. `why` is the reason that the library or the system gives.
+/// An error of a storage file. `why` is the reason reported by the database or the operating system.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum StorageError {
-    /// The file cannot be opened or made.
-    #[error("{}: {why}", file.display())]
+    /// The file cannot be opened or created.
+    #[error("{}: failed to open: {why}", file.display())]
     #[diagnostic(
         code(record::unopened),
         help(
@@ -21,8 +21,8 @@
         /// The reason.
         why: String,
     },
-    /// The file cannot be read, or what is in it cannot be decoded.
-    #[error("{}: it cannot be read: {why}", file.display())]
+    /// The file cannot be read or decoded.
+    #[error("{}: failed to read: {why}", file.display())]
     #[diagnostic(
         code(record::unread),
         help("the disk or the file is damaged: replace the disk, or put the file aside and start again")
@@ -34,7 +34,7 @@
         why: String,
     },
     /// The file cannot be written.
-    #[error("{}: it cannot be written: {why}", file.display())]
+    #[error("{}: failed to write: {why}", file.display())]
     #[diagnostic(
         code(record::not_written),
         help("make room on the disk, or mend it; what was written before is still there")
@@ -45,8 +45,8 @@
         /// The reason.
         why: String,
     },
-    /// As many workflows are recorded as may be.
-    #[error("{}: {most} chains are on record, as many as may be", file.display())]
+    /// The maximum number of workflows is recorded.
+    #[error("{}: the limit of {most} recorded workflows is reached", file.display())]
     #[diagnostic(
         code(record::full),
         help(
@@ -57,13 +57,13 @@
     Full {
         /// The file.
         file: PathBuf,
-        /// How many may be recorded.
+        /// The maximum number of recorded workflows.
         most: u64,
     },
 }
 
 impl StorageError {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of diagnostic codes.
     pub fn each() -> Vec<StorageError> {
         let (file, why) = (PathBuf::new(), String::new());
         vec![
