--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/controller.rs
@@ -129,7 +129,7 @@
 }
 
 /// Admission control of one router.
-pub struct Gate {
+pub struct AdmissionController {
     rng: Rand64,
     watch: Watch,
     /// Names of recent requests: one that comes again is a retry.
@@ -158,11 +158,11 @@
     rejected: u64,
 }
 
-impl Gate {
+impl AdmissionController {
     /// Starts without any knowledge of the traffic. `seed` seeds the generator of random numbers.
     pub fn new(now: Micros, seed: u64) -> Self {
         let counts = || DecayingCounts::new(now, ATTEMPT_HALF_LIFE);
-        Gate {
+        AdmissionController {
             rng: Rand64::new(u128::from(seed)),
             watch: Watch::new(now),
             seen_names: SeenFilter::new(now, SEEN_SPAN),
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
 //! Admission control of one router against retry storms, without I/O.
 //!
 //! [`watch`] tells a storm of retries from a real increase of work, from the loop of one client and from a
-//! slow day. [`gate`] decides which requests are admitted while a storm lasts, and when those that are
+//! slow day. [`controller`] decides which requests are admitted while a storm lasts, and when those that are
 //! rejected should come back, so that their retries spread out instead of arriving in waves.
 //!
 //! Time and events are passed in, and random numbers come from a seeded generator. Routers share nothing;
@@ -10,7 +10,7 @@
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod accept_limiter;
-pub mod gate;
+pub mod controller;
 mod retry_after;
 pub mod room;
 mod scheduled_retry;
@@ -18,7 +18,7 @@
 pub mod watch;
 
 pub use accept_limiter::AcceptLimiter;
-pub use gate::{Arrival, Gate, Passage};
+pub use controller::{AdmissionController, Arrival, Passage};
 
 /// Time, in whole microseconds.
 pub type Micros = u64;
--- a/crates/admission/tests/traffic.rs
+++ b/crates/admission/tests/traffic.rs
@@ -1,14 +1,14 @@
 //! Short periods of traffic as one router sees them: how they are classified, and which requests are
 //! admitted.
 use applepond_admission::watch::Called;
-use applepond_admission::{Arrival, Gate, Micros, Passage};
+use applepond_admission::{AdmissionController, Arrival, Micros, Passage};
 use test_case::test_case;
 
 const SECOND: Micros = 1_000_000;
 
 /// A gate and how the day went so far.
 struct Day {
-    gate: Gate,
+    controller: AdmissionController,
     now: Micros,
     next: u64,
     let_in: u64,
@@ -19,13 +19,20 @@
 impl Day {
     fn new() -> Self {
         let now = 1_000 * SECOND;
-        Day { gate: Gate::new(now, 7), now, next: 0, let_in: 0, back: 0, waits: Vec::new() }
+        Day {
+            controller: AdmissionController::new(now, 7),
+            now,
+            next: 0,
+            let_in: 0,
+            back: 0,
+            waits: Vec::new(),
+        }
     }
 
     /// One request of a client; a retry carries the name of an earlier one.
     fn ask(&mut self, client: u64, name: u64, told: bool) -> Passage {
         let arrival = Arrival { client, name, retry: told, importance: 1.0, left: 60 * SECOND };
-        let passage = self.gate.arrive(self.now, &arrival);
+        let passage = self.controller.arrive(self.now, &arrival);
         match passage {
             Passage::In { .. } => self.let_in += 1,
             Passage::Back { wait, .. } => {
@@ -49,13 +56,13 @@
             let went = self.ask(self.next * 7919 % clients, name, false);
             let good = (n as f64 * well).fract() + well >= 1.0;
             if matches!(went, Passage::In { .. }) {
-                self.gate.ended(self.now, good, !good);
+                self.controller.ended(self.now, good, !good);
             }
         }
     }
 
     fn called(&self) -> Called {
-        self.gate.watch().called()
+        self.controller.watch().called()
     }
 }
 
@@ -129,9 +136,9 @@
     for n in 0..6_000u64 {
         day.now += SECOND / 200;
         day.ask(n * 7919 % 1_000, 2_000_000 + n, false);
-        day.gate.ended(day.now, true, false);
+        day.controller.ended(day.now, true, false);
         if n % 20 == 0 {
-            day.gate.connection(day.now);
+            day.controller.connection(day.now);
         }
     }
     for n in 0..600u64 {
@@ -139,12 +146,12 @@
         let retry = n % 5 == 0;
         let name = if retry { 3_000_000 + n / 100 } else { 4_000_000 + n };
         if retry && early {
-            day.gate.told(name, day.now + 20 * SECOND);
+            day.controller.told(name, day.now + 20 * SECOND);
         }
         day.ask(n * 7919 % 1_000, name, retry);
-        day.gate.ended(day.now, true, false);
+        day.controller.ended(day.now, true, false);
         if n % 20 == 0 {
-            (0..connections).for_each(|_| _ = day.gate.connection(day.now));
+            (0..connections).for_each(|_| _ = day.controller.connection(day.now));
         }
     }
     assert_eq!(day.called(), want);
@@ -171,15 +178,15 @@
             let wait = match day.ask(client, client, true) {
                 Passage::In { .. } if slots >= 1.0 => {
                     slots -= 1.0;
-                    day.gate.ended(at, true, false);
+                    day.controller.ended(at, true, false);
                     if follows {
                         waits.push(at - begin);
                     }
                     continue;
                 }
                 Passage::In { .. } => {
-                    day.gate.ended(at, false, true);
-                    day.gate.come_back(at, client, client, 60 * SECOND)
+                    day.controller.ended(at, false, true);
+                    day.controller.come_back(at, client, client, 60 * SECOND)
                 }
                 Passage::Back { wait, .. } => wait,
             };
@@ -214,13 +221,13 @@
         day.now = at;
         while late.front().is_some_and(|told| *told <= at) {
             late.pop_front();
-            day.gate.ended(at, false, true);
+            day.controller.ended(at, false, true);
         }
         let ignores = client < 1_000_000;
         let went = matches!(day.ask(client, client, ignores), Passage::In { .. });
         if went && slots >= 1.0 {
             slots -= 1.0;
-            day.gate.ended(at, true, false);
+            day.controller.ended(at, true, false);
             left -= u64::from(ignores);
             continue;
         }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -21,7 +21,7 @@
 use crate::request_table::{Action, ActionQueue, RequestTable};
 use applepond::control::Control;
 use applepond::interface::{Micros, Outcome, RequestId, WorkerId};
-use applepond_admission::Gate;
+use applepond_admission::AdmissionController;
 use applepond_admission::watch::Called;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use applepond_storage::WorkflowStore;
@@ -77,7 +77,7 @@
     started_requests: u64,
     idempotency: IdempotencyTable<Answer>,
     /// Detects retry storms, and sheds load before `Control` while one lasts.
-    admission: Gate,
+    admission: AdmissionController,
     /// The traffic state that the log was last told.
     logged_traffic: Called,
     workflows: Workflows,
@@ -111,7 +111,7 @@
             requests: RequestTable::default(),
             started_requests: 0,
             idempotency: IdempotencyTable::new(deployment.answer_retention),
-            admission: Gate::new(now, deployment.startup.seed),
+            admission: AdmissionController::new(now, deployment.startup.seed),
             logged_traffic: Called::Calm,
             workflows: Workflows::new(deployment.startup.cache_lifetime),
             deferred: DeferredCalls::default(),
