--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -71,27 +71,27 @@
     /// Digest of the request's name.
     pub name: u64,
     /// The client says that this is a retry.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Importance of the request, compared with the mean of all.
     pub importance: f64,
     /// Time in µs until the client's deadline.
-    pub left: Micros,
+    pub remaining: Micros,
 }
 
 /// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Passage {
+pub enum Decision {
     /// It is admitted.
-    In {
+    Admitted {
         /// Whether it counts as a retry.
-        retry: bool,
+        is_retry: bool,
     },
     /// It is rejected.
-    Back {
+    Rejected {
         /// Time in µs after which it should come back; `None` if its deadline is too near.
-        wait: Option<Micros>,
+        retry_after: Option<Micros>,
         /// The reason, as the response and the log name it.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
@@ -197,9 +197,9 @@
     }
 
     /// Decides whether a request that arrives is admitted.
-    pub fn arrive(&mut self, now: Micros, arrival: &Arrival) -> Passage {
+    pub fn decide(&mut self, now: Micros, arrival: &Arrival) -> Decision {
         let was_seen = self.seen_names.insert(now, arrival.name);
-        let is_retry = arrival.retry || was_seen;
+        let is_retry = arrival.is_retry || was_seen;
         let client = arrival.client;
         let counts = if is_retry { &mut self.retries } else { &mut self.first_attempts };
         let attempts = counts.add(now, client);
@@ -209,17 +209,17 @@
         self.mean_importance += IMPORTANCE_WEIGHT * (arrival.importance - self.mean_importance);
         let is_over_budget = is_retry && attempts > self.retry_budget(now, client);
         let priority = Priority { is_retry, is_over_budget, timing };
-        let passage = match self.watch.called() {
-            Called::Calm | Called::Jump | Called::Slow => Passage::In { retry: is_retry },
+        let decision = match self.watch.called() {
+            Called::Calm | Called::Jump | Called::Slow => Decision::Admitted { is_retry },
             Called::Loop if is_over_budget => self.reject(now, arrival, "retry-budget"),
-            Called::Loop => Passage::In { retry: is_retry },
+            Called::Loop => Decision::Admitted { is_retry },
             Called::Storm => self.admit_in_storm(now, arrival, priority),
         };
-        match passage {
-            Passage::In { .. } => self.admitted += 1,
-            Passage::Back { .. } => self.rejected += 1,
+        match decision {
+            Decision::Admitted { .. } => self.admitted += 1,
+            Decision::Rejected { .. } => self.rejected += 1,
         }
-        passage
+        decision
     }
 
     fn record_timing(&mut self, now: Micros, client: u64, timing: RetryTiming) {
@@ -251,7 +251,7 @@
 
     /// In a storm as many are admitted as the fleet completes: first attempts before retries, those that
     /// follow their schedule before those that do not, important requests before the rest.
-    fn admit_in_storm(&mut self, now: Micros, arrival: &Arrival, priority: Priority) -> Passage {
+    fn admit_in_storm(&mut self, now: Micros, arrival: &Arrival, priority: Priority) -> Decision {
         let burst = self.refill(now);
         let is_less_important = arrival.importance < self.mean_importance;
         let reserved = priority.reserved_fraction(is_less_important);
@@ -259,7 +259,7 @@
         if has_token && (!priority.is_last() || self.tokens_for_last >= 1.0) {
             self.tokens -= 1.0;
             self.tokens_for_last -= 1.0;
-            return Passage::In { retry: priority.is_retry };
+            return Decision::Admitted { is_retry: priority.is_retry };
         }
         self.admission_rate.want();
         self.reject(now, arrival, if priority.is_over_budget { "retry-budget" } else { "storm" })
@@ -279,8 +279,11 @@
         burst
     }
 
-    fn reject(&mut self, now: Micros, arrival: &Arrival, why: &'static str) -> Passage {
-        Passage::Back { wait: self.come_back(now, arrival.client, arrival.name, arrival.left), why }
+    fn reject(&mut self, now: Micros, arrival: &Arrival, reason: &'static str) -> Decision {
+        Decision::Rejected {
+            retry_after: self.come_back(now, arrival.client, arrival.name, arrival.remaining),
+            reason,
+        }
     }
 
     /// Schedules the retry of the request `name`, rejected here or by the routing module. Returns the wait
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod watch;
 
 pub use accept_limiter::AcceptLimiter;
-pub use controller::{AdmissionController, Arrival, Passage};
+pub use controller::{AdmissionController, Arrival, Decision};
 
 /// Time, in whole microseconds.
 pub type Micros = u64;
--- a/crates/admission/tests/traffic.rs
+++ b/crates/admission/tests/traffic.rs
@@ -1,7 +1,7 @@
 //! Short periods of traffic as one router sees them: how they are classified, and which requests are
 //! admitted.
 use applepond_admission::watch::Called;
-use applepond_admission::{AdmissionController, Arrival, Micros, Passage};
+use applepond_admission::{AdmissionController, Arrival, Decision, Micros};
 use test_case::test_case;
 
 const SECOND: Micros = 1_000_000;
@@ -30,17 +30,17 @@
     }
 
     /// One request of a client; a retry carries the name of an earlier one.
-    fn ask(&mut self, client: u64, name: u64, told: bool) -> Passage {
-        let arrival = Arrival { client, name, retry: told, importance: 1.0, left: 60 * SECOND };
-        let passage = self.controller.arrive(self.now, &arrival);
-        match passage {
-            Passage::In { .. } => self.let_in += 1,
-            Passage::Back { wait, .. } => {
+    fn ask(&mut self, client: u64, name: u64, told: bool) -> Decision {
+        let arrival = Arrival { client, name, is_retry: told, importance: 1.0, remaining: 60 * SECOND };
+        let decision = self.controller.decide(self.now, &arrival);
+        match decision {
+            Decision::Admitted { .. } => self.let_in += 1,
+            Decision::Rejected { retry_after: wait, .. } => {
                 self.back += 1;
                 self.waits.push(wait);
             }
         }
-        passage
+        decision
     }
 
     /// For `seconds`, `firsts` and `retries` a second spread over `clients`; `well` of what goes in
@@ -55,7 +55,7 @@
             let name = if retry { self.next % 50 } else { 1_000_000 + self.next };
             let went = self.ask(self.next * 7919 % clients, name, false);
             let good = (n as f64 * well).fract() + well >= 1.0;
-            if matches!(went, Passage::In { .. }) {
+            if matches!(went, Decision::Admitted { .. }) {
                 self.controller.ended(self.now, good, !good);
             }
         }
@@ -176,7 +176,7 @@
             slots = (slots + (at - day.now) as f64 * PACE as f64 / 1e6).min(10.0);
             day.now = at;
             let wait = match day.ask(client, client, true) {
-                Passage::In { .. } if slots >= 1.0 => {
+                Decision::Admitted { .. } if slots >= 1.0 => {
                     slots -= 1.0;
                     day.controller.ended(at, true, false);
                     if follows {
@@ -184,11 +184,11 @@
                     }
                     continue;
                 }
-                Passage::In { .. } => {
+                Decision::Admitted { .. } => {
                     day.controller.ended(at, false, true);
                     day.controller.come_back(at, client, client, 60 * SECOND)
                 }
-                Passage::Back { wait, .. } => wait,
+                Decision::Rejected { retry_after: wait, .. } => wait,
             };
             asks.insert((
                 at + if follows { wait.expect("there is time") } else { SECOND / 10 },
@@ -224,7 +224,7 @@
             day.controller.ended(at, false, true);
         }
         let ignores = client < 1_000_000;
-        let went = matches!(day.ask(client, client, ignores), Passage::In { .. });
+        let went = matches!(day.ask(client, client, ignores), Decision::Admitted { .. });
         if went && slots >= 1.0 {
             slots -= 1.0;
             day.controller.ended(at, true, false);
@@ -278,7 +278,7 @@
         day.now += SECOND / 750;
         let retry = n % 5 != 0;
         let name = if retry { n % 50 } else { 9_000_000 + n };
-        if matches!(day.ask(n * 7919 % 5000, name, false), Passage::In { .. }) {
+        if matches!(day.ask(n * 7919 % 5000, name, false), Decision::Admitted { .. }) {
             *(if retry { &mut retries } else { &mut firsts }) += 1;
         }
     }
@@ -296,9 +296,9 @@
     let (mut loops, mut others) = (0, 0);
     for n in 0..4_000u64 {
         day.now += SECOND / 200;
-        let passage =
+        let decision =
             if n % 2 == 0 { day.ask(424_242, 7, true) } else { day.ask(n % 900, 8_000_000 + n, false) };
-        if matches!(passage, Passage::Back { .. }) {
+        if matches!(decision, Decision::Rejected { .. }) {
             *(if n % 2 == 0 { &mut loops } else { &mut others }) += 1;
         }
     }
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -8,7 +8,7 @@
 use crate::deployment::FunctionSource;
 use crate::idempotency::{FinalOutcome, IdempotencyKey, Lookup};
 use applepond::interface::{CustomerId, FunctionId, Micros};
-use applepond_admission::{Arrival, Passage};
+use applepond_admission::{Arrival, Decision};
 use applepond_http::Fault;
 use applepond_reactor::Conn;
 use std::rc::Rc;
@@ -208,18 +208,20 @@
         let arrival = Arrival {
             client: client_digest,
             name: digest,
-            retry: event.is_retry,
+            is_retry: event.is_retry,
             importance: self.deployment.startup.workloads[workload].priority_weight,
-            left: time_left,
+            remaining: time_left,
         };
-        let passage = self.admission.arrive(now, &arrival);
+        let decision = self.admission.decide(now, &arrival);
         self.log_traffic_change(now);
-        match passage {
-            Passage::In { retry } => Ok(Admitted { client_digest, digest, is_retry: retry }),
-            Passage::Back { .. } if !self.deployment.storm_shedding => {
+        match decision {
+            Decision::Admitted { is_retry } => Ok(Admitted { client_digest, digest, is_retry }),
+            Decision::Rejected { .. } if !self.deployment.storm_shedding => {
                 Ok(Admitted { client_digest, digest, is_retry: event.is_retry })
             }
-            Passage::Back { wait, why } => Err(self.shed(now, &event.id, digest, wait, why)),
+            Decision::Rejected { retry_after, reason } => {
+                Err(self.shed(now, &event.id, digest, retry_after, reason))
+            }
         }
     }
 
