--- a/crates/admission/src/accept_limiter.rs
+++ b/crates/admission/src/accept_limiter.rs
@@ -38,7 +38,7 @@
     }
 
     /// How often accepting was paused.
-    pub fn closings(&self) -> u64 {
+    pub fn pauses(&self) -> u64 {
         self.pauses
     }
 }
--- a/crates/admission/src/accept_limiter/tests.rs
+++ b/crates/admission/src/accept_limiter/tests.rs
@@ -18,7 +18,7 @@
     let most =
         taken.iter().map(|t| taken.iter().filter(|o| (*t..t + SECOND / 10).contains(*o)).count()).max();
     assert!(most <= Some((BURST + RATE / 10.0) as usize + 1), "{most:?} in 100 ms");
-    assert!(limiter.closings() > 50);
+    assert!(limiter.pauses() > 50);
 }
 
 #[test]
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -6,7 +6,7 @@
 use crate::room::Room;
 use crate::scheduled_retry::{RetryTiming, ScheduledRetries};
 use crate::sketch::{DecayingCounts, SeenFilter};
-use crate::watch::{Called, Watch};
+use crate::traffic_monitor::{TrafficClass, TrafficMonitor};
 use oorandom::Rand64;
 
 /// Time in µs in which a client's attempts lose half their weight.
@@ -131,7 +131,7 @@
 /// Admission control of one router.
 pub struct AdmissionController {
     rng: Rand64,
-    watch: Watch,
+    traffic_monitor: TrafficMonitor,
     /// Names of recent requests: one that comes again is a retry.
     seen_names: SeenFilter,
     /// Recent first attempts, by client.
@@ -164,7 +164,7 @@
         let counts = || DecayingCounts::new(now, ATTEMPT_HALF_LIFE);
         AdmissionController {
             rng: Rand64::new(u128::from(seed)),
-            watch: Watch::new(now),
+            traffic_monitor: TrafficMonitor::new(now),
             seen_names: SeenFilter::new(now, SEEN_SPAN),
             first_attempts: counts(),
             retries: counts(),
@@ -191,8 +191,8 @@
     }
 
     /// Requests a second that the fleet has lately completed at its best, as far as this router sees.
-    pub fn pace(&self, now: Micros) -> f64 {
-        let rate = self.aged_completion_rate(now).max(self.watch.finished.per_s(now));
+    pub fn best_completion_rate(&self, now: Micros) -> f64 {
+        let rate = self.aged_completion_rate(now).max(self.traffic_monitor.completed.per_s(now));
         if rate > 0.0 { rate } else { UNKNOWN_COMPLETION_RATE }
     }
 
@@ -205,15 +205,15 @@
         let attempts = counts.add(now, client);
         let timing = self.scheduled.observe(now, arrival.name);
         self.record_timing(now, client, timing);
-        self.watch.arrival(now, is_retry, if is_retry { f64::from(attempts) } else { 0.0 });
+        self.traffic_monitor.record_arrival(now, is_retry, if is_retry { f64::from(attempts) } else { 0.0 });
         self.mean_importance += IMPORTANCE_WEIGHT * (arrival.importance - self.mean_importance);
         let is_over_budget = is_retry && attempts > self.retry_budget(now, client);
         let priority = Priority { is_retry, is_over_budget, timing };
-        let decision = match self.watch.called() {
-            Called::Calm | Called::Jump | Called::Slow => Decision::Admitted { is_retry },
-            Called::Loop if is_over_budget => self.reject(now, arrival, "retry-budget"),
-            Called::Loop => Decision::Admitted { is_retry },
-            Called::Storm => self.admit_in_storm(now, arrival, priority),
+        let decision = match self.traffic_monitor.class() {
+            TrafficClass::Calm | TrafficClass::Jump | TrafficClass::Slow => Decision::Admitted { is_retry },
+            TrafficClass::Loop if is_over_budget => self.reject(now, arrival, "retry-budget"),
+            TrafficClass::Loop => Decision::Admitted { is_retry },
+            TrafficClass::Storm => self.admit_in_storm(now, arrival, priority),
         };
         match decision {
             Decision::Admitted { .. } => self.admitted += 1,
@@ -225,9 +225,9 @@
     fn record_timing(&mut self, now: Micros, client: u64, timing: RetryTiming) {
         match timing {
             RetryTiming::Unscheduled => {}
-            RetryTiming::OnTime => self.watch.followed.add(now),
+            RetryTiming::OnTime => self.traffic_monitor.on_time_retries.add(now),
             RetryTiming::Early => {
-                self.watch.early.add(now);
+                self.traffic_monitor.early_retries.add(now);
                 // The first time only: at later times it had no slot.
                 if self.early_retries.add(now, client) < 2.0 {
                     let rate = self.scheduling_rate(now);
@@ -246,7 +246,7 @@
     fn scheduling_rate(&self, now: Micros) -> f64 {
         let is_known = self.admission_rate.in_use(now);
         let found = if is_known { self.admission_rate.last() / PROBING_FACTOR } else { 0.0 };
-        found.max(self.pace(now)) * SCHEDULED_FRACTION
+        found.max(self.best_completion_rate(now)) * SCHEDULED_FRACTION
     }
 
     /// In a storm as many are admitted as the fleet completes: first attempts before retries, those that
@@ -267,7 +267,7 @@
 
     /// Refills the tokens by the admission rate; returns how many may be saved up.
     fn refill(&mut self, now: Micros) -> f64 {
-        let completion_rate = self.pace(now);
+        let completion_rate = self.best_completion_rate(now);
         let seconds = (now - self.refilled_at) as f64 / 1e6;
         let rate = self.admission_rate.allowed(now, completion_rate, PROBING_FACTOR, 1.0);
         let burst = (rate * BURST / 1e6).max(1.0);
@@ -281,14 +281,14 @@
 
     fn reject(&mut self, now: Micros, arrival: &Arrival, reason: &'static str) -> Decision {
         Decision::Rejected {
-            retry_after: self.come_back(now, arrival.client, arrival.name, arrival.remaining),
+            retry_after: self.schedule_retry(now, arrival.client, arrival.name, arrival.remaining),
             reason,
         }
     }
 
     /// Schedules the retry of the request `name`, rejected here or by the routing module. Returns the wait
     /// in µs; `None` if its deadline, `left` µs from now, is too near.
-    pub fn come_back(&mut self, now: Micros, client: u64, name: u64, left: Micros) -> Option<Micros> {
+    pub fn schedule_retry(&mut self, now: Micros, client: u64, name: u64, left: Micros) -> Option<Micros> {
         let early_retries = self.early_retries.estimate(now, client).floor() as u32;
         let rate = self.scheduling_rate(now);
         let random = self.rng.rand_float();
@@ -298,40 +298,41 @@
     }
 
     /// The routing module itself scheduled the retry of a request that it rejected.
-    pub fn told(&mut self, name: u64, until: Micros) {
+    pub fn note_scheduled_retry(&mut self, name: u64, until: Micros) {
         self.scheduled.schedule(name, until);
     }
 
     /// A connection was accepted. Returns for how long, in µs, none is to be accepted now, if the limit is
     /// reached.
-    pub fn connection(&mut self, now: Micros) -> Option<Micros> {
-        self.watch.opened.add(now);
+    pub fn connection_accepted(&mut self, now: Micros) -> Option<Micros> {
+        self.traffic_monitor.connections.add(now);
         self.accept_limiter.connection_accepted(now)
     }
 
     /// The limiter of accepted connections.
-    pub fn doors(&self) -> &AcceptLimiter {
+    pub fn accept_limiter(&self) -> &AcceptLimiter {
         &self.accept_limiter
     }
 
     /// A request has ended: it completed, or was rejected by the routing module; a failure is neither.
-    pub fn ended(&mut self, now: Micros, completed: bool, rejected: bool) {
+    pub fn request_ended(&mut self, now: Micros, completed: bool, rejected: bool) {
         if completed {
-            self.watch.finished.add(now);
-            self.completion_rate = self.aged_completion_rate(now).max(self.watch.finished.per_s(now));
+            self.traffic_monitor.completed.add(now);
+            self.completion_rate =
+                self.aged_completion_rate(now).max(self.traffic_monitor.completed.per_s(now));
             self.completion_rate_at = now;
         }
         self.admission_rate.ended(completed, rejected);
         if rejected {
-            self.watch.pushed_back.add(now);
+            self.traffic_monitor.rejected.add(now);
         }
     }
 
     /// Restores, after a restart, the usual arrivals and connections a second and the completion rate of
     /// the fleet, unless this process knows better.
-    pub fn recall(&mut self, now: Micros, usual: (f64, f64), completion_rate: f64) {
+    pub fn restore_baseline(&mut self, now: Micros, usual: (f64, f64), completion_rate: f64) {
         let (arrivals_per_s, connections_per_s) = usual;
-        self.watch.recall(now, arrivals_per_s, connections_per_s);
+        self.traffic_monitor.restore_baseline(now, arrivals_per_s, connections_per_s);
         if self.completion_rate == 0.0 {
             self.completion_rate = completion_rate;
             self.completion_rate_at = now;
@@ -339,12 +340,12 @@
     }
 
     /// The classification of the traffic and the rates behind it.
-    pub fn watch(&self) -> &Watch {
-        &self.watch
+    pub fn traffic_monitor(&self) -> &TrafficMonitor {
+        &self.traffic_monitor
     }
 
     /// Requests admitted and rejected since the start, and µs to the end of the queue of scheduled retries.
-    pub fn sums(&self, now: Micros) -> (u64, u64, Micros) {
+    pub fn totals(&self, now: Micros) -> (u64, u64, Micros) {
         (self.admitted, self.rejected, self.retry_after.backlog(now))
     }
 }
--- a/crates/admission/src/watch.rs
+++ b/crates/admission/src/traffic_monitor.rs
@@ -49,7 +49,7 @@
 
 /// What the traffic is classified as. The log and the state page print the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum TrafficClass {
     /// Nothing unusual.
     Calm,
     /// More work than usual, few retries: no reason to reject any of it.
@@ -62,9 +62,9 @@
     Slow,
 }
 
-impl Called {
+impl TrafficClass {
     fn is_retry_problem(self) -> bool {
-        matches!(self, Called::Storm | Called::Loop)
+        matches!(self, TrafficClass::Storm | TrafficClass::Loop)
     }
 }
 
@@ -115,35 +115,35 @@
 
 /// Observes the traffic and classifies it.
 #[derive(Default)]
-pub struct Watch {
+pub struct TrafficMonitor {
     started_at: Micros,
     first_attempts: Rate,
     retries: Rate,
     /// Recent retries of the client that has most of them.
     heaviest_client: f64,
     /// Requests that completed.
-    pub finished: Rate,
+    pub completed: Rate,
     /// Requests that the routing module rejected.
-    pub pushed_back: Rate,
+    pub rejected: Rate,
     /// Connections that were opened.
-    pub opened: Rate,
+    pub connections: Rate,
     /// Retries that came when they were told to.
-    pub followed: Rate,
+    pub on_time_retries: Rate,
     /// Retries that came before their time.
-    pub early: Rate,
+    pub early_retries: Rate,
     /// By hour of the day, as learned while nothing was unusual.
     usual: [UsualTraffic; HOURS],
     learned_at: Micros,
     /// The classification, and since when it holds.
-    called: Option<(Called, Micros)>,
+    class: Option<(TrafficClass, Micros)>,
     /// Since when a storm or a loop shows no indications any more.
     quiet_since: Option<Micros>,
 }
 
-impl Watch {
+impl TrafficMonitor {
     /// Starts without any knowledge of what is usual.
     pub fn new(now: Micros) -> Self {
-        Watch { started_at: now, learned_at: now, ..Watch::default() }
+        TrafficMonitor { started_at: now, learned_at: now, ..TrafficMonitor::default() }
     }
 
     fn hour(now: Micros) -> usize {
@@ -162,7 +162,7 @@
 
     /// Restores what was usual before a restart, unless this process has observed enough of the hour
     /// itself. It counts for as little observation as just suffices, so that what comes soon weighs more.
-    pub fn recall(&mut self, now: Micros, arrivals_per_s: f64, connections_per_s: f64) {
+    pub fn restore_baseline(&mut self, now: Micros, arrivals_per_s: f64, connections_per_s: f64) {
         let usual = &mut self.usual[Self::hour(now)];
         if usual.observed < MIN_OBSERVED {
             *usual = UsualTraffic { arrivals_per_s, connections_per_s, observed: MIN_OBSERVED };
@@ -171,16 +171,16 @@
 
     /// What indicates a storm besides the fraction of retries: far more connections than usual, and
     /// scheduled retries that come early.
-    pub fn speaks(&self, now: Micros) -> (bool, bool) {
-        let opened = self.opened.per_s(now);
+    pub fn storm_indications(&self, now: Micros) -> (bool, bool) {
+        let opened = self.connections.per_s(now);
         let is_unusual = self.usual(now).is_some_and(|(_, usual)| opened >= CONNECTIONS_OVER_USUAL * usual);
-        let (early, followed) = (self.early.per_s(now), self.followed.per_s(now));
+        let (early, followed) = (self.early_retries.per_s(now), self.on_time_retries.per_s(now));
         let many_early = early >= MIN_RATE && early >= EARLY_FRACTION * (early + followed);
         (is_unusual && opened >= MIN_RATE, many_early)
     }
 
     /// A request arrived; `client_retries`: recent retries of its client.
-    pub fn arrival(&mut self, now: Micros, retry: bool, client_retries: f64) {
+    pub fn record_arrival(&mut self, now: Micros, retry: bool, client_retries: f64) {
         if retry {
             self.retries.add(now);
             self.heaviest_client = self.heaviest_client.max(client_retries);
@@ -197,48 +197,48 @@
 
     /// Since when the classification holds.
     pub fn since(&self) -> Micros {
-        self.called.map_or(self.started_at, |(_, since)| since)
+        self.class.map_or(self.started_at, |(_, since)| since)
     }
 
     /// The classification.
-    pub fn called(&self) -> Called {
-        self.called.map_or(Called::Calm, |(called, _)| called)
+    pub fn class(&self) -> TrafficClass {
+        self.class.map_or(TrafficClass::Calm, |(class, _)| class)
     }
 
     /// The classification by the present rates alone.
-    fn classify(&self, now: Micros) -> Called {
+    fn classify(&self, now: Micros) -> TrafficClass {
         let (first_attempts, retries) = self.rates(now);
         let arrivals = first_attempts + retries;
         if retries >= MIN_RATE && retries >= self.retry_threshold(now) * arrivals {
             // The quick rate holds about two seconds of retries.
             let is_one_client = self.heaviest_client >= ONE_CLIENT_FRACTION * retries * QUICK_SPAN / 1e6;
-            return if is_one_client { Called::Loop } else { Called::Storm };
+            return if is_one_client { TrafficClass::Loop } else { TrafficClass::Storm };
         }
-        let Some((usual, _)) = self.usual(now) else { return Called::Calm };
+        let Some((usual, _)) = self.usual(now) else { return TrafficClass::Calm };
         if arrivals >= JUMP_OVER_USUAL * usual && arrivals >= MIN_RATE {
-            return Called::Jump;
+            return TrafficClass::Jump;
         }
-        let finished = self.finished.per_s(now);
-        let rejected = self.pushed_back.per_s(now);
-        if arrivals >= MIN_RATE && finished < SLOW_FRACTION * arrivals && rejected > finished / 2.0 {
-            return Called::Slow;
+        let completed = self.completed.per_s(now);
+        let rejected = self.rejected.per_s(now);
+        if arrivals >= MIN_RATE && completed < SLOW_FRACTION * arrivals && rejected > completed / 2.0 {
+            return TrafficClass::Slow;
         }
-        Called::Calm
+        TrafficClass::Calm
     }
 
     /// Fraction of retries from which on it is a storm or a loop.
     fn retry_threshold(&self, now: Micros) -> f64 {
-        if self.called().is_retry_problem() {
+        if self.class().is_retry_problem() {
             return RETRY_FRACTION_LOW;
         }
-        let (many_connections, many_early) = self.speaks(now);
+        let (many_connections, many_early) = self.storm_indications(now);
         let indications = 1.0 + f64::from(u8::from(many_connections)) + f64::from(u8::from(many_early));
         RETRY_FRACTION_HIGH / indications
     }
 
     fn reclassify(&mut self, now: Micros) {
         let observed = self.classify(now);
-        if self.called().is_retry_problem() && !observed.is_retry_problem() {
+        if self.class().is_retry_problem() && !observed.is_retry_problem() {
             // Between two waves of a storm it looks calm for a moment.
             let since = *self.quiet_since.get_or_insert(now);
             if now < since + STORM_END_DELAY {
@@ -246,13 +246,13 @@
             }
         }
         self.quiet_since = None;
-        if self.called.is_none_or(|(called, _)| called != observed) {
-            self.called = Some((observed, now));
+        if self.class.is_none_or(|(class, _)| class != observed) {
+            self.class = Some((observed, now));
             if !observed.is_retry_problem() {
                 self.heaviest_client = 0.0;
             }
         }
-        if observed == Called::Calm {
+        if observed == TrafficClass::Calm {
             self.learn(now);
         }
     }
@@ -266,7 +266,7 @@
         }
         self.learned_at = now;
         let (first_attempts, retries) = self.rates(now);
-        let connections = self.opened.per_s(now);
+        let connections = self.connections.per_s(now);
         self.usual[Self::hour(now)].learn(first_attempts + retries, connections, elapsed);
     }
 }
--- a/crates/admission/tests/traffic.rs
+++ b/crates/admission/tests/traffic.rs
@@ -1,6 +1,6 @@
 //! Short periods of traffic as one router sees them: how they are classified, and which requests are
 //! admitted.
-use applepond_admission::watch::Called;
+use applepond_admission::traffic_monitor::TrafficClass;
 use applepond_admission::{AdmissionController, Arrival, Decision, Micros};
 use test_case::test_case;
 
@@ -56,27 +56,27 @@
             let went = self.ask(self.next * 7919 % clients, name, false);
             let good = (n as f64 * well).fract() + well >= 1.0;
             if matches!(went, Decision::Admitted { .. }) {
-                self.controller.ended(self.now, good, !good);
+                self.controller.request_ended(self.now, good, !good);
             }
         }
     }
 
-    fn called(&self) -> Called {
-        self.controller.watch().called()
+    fn traffic_class(&self) -> TrafficClass {
+        self.controller.traffic_monitor().class()
     }
 }
 
-#[test_case(100, 1, 1000, 1.0, Called::Calm; "an ordinary day")]
-#[test_case(1000, 10, 1000, 1.0, Called::Jump; "ten times the work, no more retries than usual")]
-#[test_case(100, 300, 1000, 0.2, Called::Storm; "three retries for each first try")]
-#[test_case(1000, 600, 1000, 0.2, Called::Storm; "a storm hidden in a jump")]
-#[test_case(100, 100, 1, 1.0, Called::Loop; "one client's loop")]
-#[test_case(100, 3, 1000, 0.3, Called::Slow; "usual work, most of it not ending well")]
-fn traffic_is_classified(firsts: u64, retries: u64, clients: u64, well: f64, want: Called) {
+#[test_case(100, 1, 1000, 1.0, TrafficClass::Calm; "an ordinary day")]
+#[test_case(1000, 10, 1000, 1.0, TrafficClass::Jump; "ten times the work, no more retries than usual")]
+#[test_case(100, 300, 1000, 0.2, TrafficClass::Storm; "three retries for each first try")]
+#[test_case(1000, 600, 1000, 0.2, TrafficClass::Storm; "a storm hidden in a jump")]
+#[test_case(100, 100, 1, 1.0, TrafficClass::Loop; "one client's loop")]
+#[test_case(100, 3, 1000, 0.3, TrafficClass::Slow; "usual work, most of it not ending well")]
+fn traffic_is_classified(firsts: u64, retries: u64, clients: u64, well: f64, want: TrafficClass) {
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
     day.run(6, firsts, retries, clients, well);
-    assert_eq!(day.called(), want);
+    assert_eq!(day.traffic_class(), want);
 }
 
 #[test]
@@ -96,7 +96,7 @@
         day.now += SECOND / 500;
         day.ask(n % 700, 5_000_000 + n, true);
     }
-    assert_eq!(day.called(), Called::Storm);
+    assert_eq!(day.traffic_class(), TrafficClass::Storm);
     assert!(day.back > 500);
 }
 
@@ -106,9 +106,9 @@
     day.run(30, 100, 1, 1000, 1.0);
     day.run(5, 100, 300, 1000, 0.2);
     day.run(2, 100, 1, 1000, 1.0);
-    assert_eq!(day.called(), Called::Storm, "it may be between two waves");
+    assert_eq!(day.traffic_class(), TrafficClass::Storm, "it may be between two waves");
     day.run(14, 100, 1, 1000, 1.0);
-    assert_eq!(day.called(), Called::Calm);
+    assert_eq!(day.traffic_class(), TrafficClass::Calm);
     let back = day.back;
     day.run(5, 100, 1, 1000, 1.0);
     assert_eq!(day.back, back);
@@ -122,23 +122,23 @@
         day.now += SECOND / 500;
         day.ask(n % 700, 5_000_000 + n % 700, false);
     }
-    assert_eq!(day.called(), Called::Storm);
+    assert_eq!(day.traffic_class(), TrafficClass::Storm);
     assert!(day.back > 300, "{}", day.back);
 }
 
 // A fifth of what comes are retries: no storm by itself. It is one with a sign beside it: connections
 // opened anew far above the usual, or times to come back that are not kept.
-#[test_case(1, false, Called::Calm; "no other sign")]
-#[test_case(10, false, Called::Storm; "connections")]
-#[test_case(1, true, Called::Storm; "times not kept")]
-fn indications_lower_the_fraction_of_retries_needed(connections: u64, early: bool, want: Called) {
+#[test_case(1, false, TrafficClass::Calm; "no other sign")]
+#[test_case(10, false, TrafficClass::Storm; "connections")]
+#[test_case(1, true, TrafficClass::Storm; "times not kept")]
+fn indications_lower_the_fraction_of_retries_needed(connections: u64, early: bool, want: TrafficClass) {
     let mut day = Day::new();
     for n in 0..6_000u64 {
         day.now += SECOND / 200;
         day.ask(n * 7919 % 1_000, 2_000_000 + n, false);
-        day.controller.ended(day.now, true, false);
+        day.controller.request_ended(day.now, true, false);
         if n % 20 == 0 {
-            day.controller.connection(day.now);
+            day.controller.connection_accepted(day.now);
         }
     }
     for n in 0..600u64 {
@@ -146,15 +146,15 @@
         let retry = n % 5 == 0;
         let name = if retry { 3_000_000 + n / 100 } else { 4_000_000 + n };
         if retry && early {
-            day.controller.told(name, day.now + 20 * SECOND);
+            day.controller.note_scheduled_retry(name, day.now + 20 * SECOND);
         }
         day.ask(n * 7919 % 1_000, name, retry);
-        day.controller.ended(day.now, true, false);
+        day.controller.request_ended(day.now, true, false);
         if n % 20 == 0 {
-            (0..connections).for_each(|_| _ = day.controller.connection(day.now));
+            (0..connections).for_each(|_| _ = day.controller.connection_accepted(day.now));
         }
     }
-    assert_eq!(day.called(), want);
+    assert_eq!(day.traffic_class(), want);
 }
 
 // Half of the clients ask ten times a second whatever they are told. Those that come when they are told to
@@ -178,15 +178,15 @@
             let wait = match day.ask(client, client, true) {
                 Decision::Admitted { .. } if slots >= 1.0 => {
                     slots -= 1.0;
-                    day.controller.ended(at, true, false);
+                    day.controller.request_ended(at, true, false);
                     if follows {
                         waits.push(at - begin);
                     }
                     continue;
                 }
                 Decision::Admitted { .. } => {
-                    day.controller.ended(at, false, true);
-                    day.controller.come_back(at, client, client, 60 * SECOND)
+                    day.controller.request_ended(at, false, true);
+                    day.controller.schedule_retry(at, client, client, 60 * SECOND)
                 }
                 Decision::Rejected { retry_after: wait, .. } => wait,
             };
@@ -221,13 +221,13 @@
         day.now = at;
         while late.front().is_some_and(|told| *told <= at) {
             late.pop_front();
-            day.controller.ended(at, false, true);
+            day.controller.request_ended(at, false, true);
         }
         let ignores = client < 1_000_000;
         let went = matches!(day.ask(client, client, ignores), Decision::Admitted { .. });
         if went && slots >= 1.0 {
             slots -= 1.0;
-            day.controller.ended(at, true, false);
+            day.controller.request_ended(at, true, false);
             left -= u64::from(ignores);
             continue;
         }
@@ -259,9 +259,9 @@
     let mut day = Day::new();
     day.run(30, 100, 1, 1000, 1.0);
     day.run(6, 1000, 600, 5000, 0.3);
-    assert_eq!(day.called(), Called::Storm);
+    assert_eq!(day.traffic_class(), TrafficClass::Storm);
     day.run(14, 1000, 5, 5000, 1.0);
-    assert_eq!(day.called(), Called::Jump);
+    assert_eq!(day.traffic_class(), TrafficClass::Jump);
     let back = day.back;
     day.run(5, 1000, 5, 5000, 1.0);
     assert_eq!(day.back, back);
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -19,7 +19,7 @@
         conn: Conn,
         listener: Listener,
     ) {
-        let pause = self.admission.connection(now);
+        let pause = self.admission.connection_accepted(now);
         if let Some(pause) = pause.filter(|_| self.deployment.storm_shedding) {
             transport.stop_accepting(listener, false);
             let resume =
--- a/crates/gateway/src/gateway/completion.rs
+++ b/crates/gateway/src/gateway/completion.rs
@@ -42,9 +42,9 @@
         let content = &state.data.content;
         if is_shedding {
             let time_left = state.deadline.saturating_sub(now);
-            return self.admission.come_back(now, content.client_digest, content.digest, time_left);
+            return self.admission.schedule_retry(now, content.client_digest, content.digest, time_left);
         }
-        self.admission.told(content.digest, now + wait);
+        self.admission.note_scheduled_retry(content.digest, now + wait);
         Some(wait)
     }
 
@@ -101,7 +101,7 @@
         self.counters.count_end(answer.outcome);
         let is_finished = answer.outcome == FinalOutcome::Finished;
         let is_rejected = answer.outcome == FinalOutcome::Rejected;
-        self.admission.ended(now, is_finished, is_rejected);
+        self.admission.request_ended(now, is_finished, is_rejected);
         let completion = Completion {
             outcome: answer.outcome,
             retry_safety,
--- a/crates/gateway/src/gateway/history.rs
+++ b/crates/gateway/src/gateway/history.rs
@@ -47,17 +47,17 @@
         if let Some(restored) = history.take_restored_traffic(now) {
             if let Some(usual) = restored.baseline {
                 let rates = (usual.first_attempts_per_second, usual.connections_per_second);
-                self.admission.recall(now, rates, usual.pace);
+                self.admission.restore_baseline(now, rates, usual.pace);
             }
             for retry in restored.promised_retries {
-                self.admission.told(retry.request, now + retry.wait);
+                self.admission.note_scheduled_retry(retry.request, now + retry.wait);
             }
         }
-        if let Some((first_attempts, connections)) = self.admission.watch().usual(now) {
+        if let Some((first_attempts, connections)) = self.admission.traffic_monitor().usual(now) {
             let baseline = TrafficBaseline {
                 first_attempts_per_second: first_attempts,
                 connections_per_second: connections,
-                pace: self.admission.pace(now),
+                pace: self.admission.best_completion_rate(now),
             };
             history.record_baseline(now, baseline);
         }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -22,7 +22,7 @@
 use applepond::control::Control;
 use applepond::interface::{Micros, Outcome, RequestId, WorkerId};
 use applepond_admission::AdmissionController;
-use applepond_admission::watch::Called;
+use applepond_admission::traffic_monitor::TrafficClass;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use applepond_storage::WorkflowStore;
 use endpoint_watch::EndpointWatch;
@@ -79,7 +79,7 @@
     /// Detects retry storms, and sheds load before `Control` while one lasts.
     admission: AdmissionController,
     /// The traffic state that the log was last told.
-    logged_traffic: Called,
+    logged_traffic: TrafficClass,
     workflows: Workflows,
     /// Calls that wait for a timer.
     deferred: DeferredCalls<Gateway>,
@@ -112,7 +112,7 @@
             started_requests: 0,
             idempotency: IdempotencyTable::new(deployment.answer_retention),
             admission: AdmissionController::new(now, deployment.startup.seed),
-            logged_traffic: Called::Calm,
+            logged_traffic: TrafficClass::Calm,
             workflows: Workflows::new(deployment.startup.cache_lifetime),
             deferred: DeferredCalls::default(),
             counters: Counters::default(),
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -114,7 +114,7 @@
             return Ok(());
         }
         self.workflows.counters.rejected_for_pace += 1;
-        let wait = self.admission.come_back(now, admitted.client_digest, admitted.digest, time_left);
+        let wait = self.admission.schedule_retry(now, admitted.client_digest, admitted.digest, time_left);
         let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
         let detail = "as many chains run as come to their end; a retry does no harm";
         let fault = Fault::new(503, "chains-full", detail);
--- a/crates/workflow/src/pace.rs
+++ b/crates/workflow/src/pace.rs
@@ -2,7 +2,7 @@
 //! chains and not on many first steps.
 use applepond::interface::Micros;
 use applepond_admission::room::Room;
-use applepond_admission::watch::Rate;
+use applepond_admission::traffic_monitor::Rate;
 
 /// Chains a second that may begin whatever the load.
 const MIN_CHAINS_PER_S: f64 = 2.0;
