--- a/crates/admission/src/room.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -34,7 +34,7 @@
 
 /// The adaptive limit.
 #[derive(Default)]
-pub struct Room {
+pub struct AdaptiveLimit {
     /// Admissions a second.
     limit: f64,
     stepped_at: Micros,
@@ -43,14 +43,14 @@
     results: Results,
 }
 
-impl Room {
+impl AdaptiveLimit {
     /// Whether the limit was used lately.
     pub fn in_use(&self, now: Micros) -> bool {
         self.stepped_at + MAX_AGE_STEPS * STEP_INTERVAL >= now
     }
 
     /// Admissions a second as of the last call of [`allowed`](Room::allowed).
-    pub fn last(&self) -> f64 {
+    pub fn current(&self) -> f64 {
         self.limit
     }
 
@@ -81,12 +81,12 @@
     }
 
     /// Somebody was not admitted.
-    pub fn want(&mut self) {
+    pub fn record_unmet_demand(&mut self) {
         self.is_saturated = true;
     }
 
     /// Something that was admitted has ended: it completed, or was rejected downstream.
-    pub fn ended(&mut self, completed: bool, rejected: bool) {
+    pub fn record_result(&mut self, completed: bool, rejected: bool) {
         self.results.completed += f64::from(u8::from(completed));
         self.results.rejected += f64::from(u8::from(rejected));
     }
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -2,8 +2,8 @@
 //! who is told to come back, and when.
 use crate::Micros;
 use crate::accept_limiter::AcceptLimiter;
+use crate::adaptive_limit::AdaptiveLimit;
 use crate::retry_after::RetryAfterSchedule;
-use crate::room::Room;
 use crate::scheduled_retry::{RetryTiming, ScheduledRetries};
 use crate::sketch::{DecayingCounts, SeenFilter};
 use crate::traffic_monitor::{TrafficClass, TrafficMonitor};
@@ -149,7 +149,7 @@
     tokens_for_last: f64,
     refilled_at: Micros,
     /// The admission rate, adapted to what the routing module rejects.
-    admission_rate: Room,
+    admission_rate: AdaptiveLimit,
     /// The best completion rate, as of `completion_rate_at`.
     completion_rate: f64,
     completion_rate_at: Micros,
@@ -175,7 +175,7 @@
             tokens: 0.0,
             tokens_for_last: 0.0,
             refilled_at: now,
-            admission_rate: Room::default(),
+            admission_rate: AdaptiveLimit::default(),
             completion_rate: 0.0,
             completion_rate_at: now,
             mean_importance: 0.0,
@@ -245,7 +245,7 @@
     /// Retries a second that are scheduled.
     fn scheduling_rate(&self, now: Micros) -> f64 {
         let is_known = self.admission_rate.in_use(now);
-        let found = if is_known { self.admission_rate.last() / PROBING_FACTOR } else { 0.0 };
+        let found = if is_known { self.admission_rate.current() / PROBING_FACTOR } else { 0.0 };
         found.max(self.best_completion_rate(now)) * SCHEDULED_FRACTION
     }
 
@@ -261,7 +261,7 @@
             self.tokens_for_last -= 1.0;
             return Decision::Admitted { is_retry: priority.is_retry };
         }
-        self.admission_rate.want();
+        self.admission_rate.record_unmet_demand();
         self.reject(now, arrival, if priority.is_over_budget { "retry-budget" } else { "storm" })
     }
 
@@ -322,7 +322,7 @@
                 self.aged_completion_rate(now).max(self.traffic_monitor.completed.per_s(now));
             self.completion_rate_at = now;
         }
-        self.admission_rate.ended(completed, rejected);
+        self.admission_rate.record_result(completed, rejected);
         if rejected {
             self.traffic_monitor.rejected.add(now);
         }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -12,9 +12,9 @@
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod accept_limiter;
+pub mod adaptive_limit;
 pub mod controller;
 mod retry_after;
-pub mod room;
 mod scheduled_retry;
 pub mod sketch;
 pub mod traffic_monitor;
--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -8,7 +8,7 @@
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
 use applepond_reactor::Transport;
-use applepond_workflow::{Ended, StepId, Why};
+use applepond_workflow::{FailureReason, RunOutcome, StepId};
 use std::rc::Rc;
 
 /// The wait that a client is told whose workflow had too little time: a function that was not loaded may be
@@ -32,7 +32,7 @@
     }
 
     /// The answer of a workflow of which nothing can have had a lasting effect.
-    fn rejected_answer(&self, step: StepId, why: Why, retry_after_allowed: bool) -> Rc<Answer> {
+    fn rejected_answer(&self, step: StepId, why: FailureReason, retry_after_allowed: bool) -> Rc<Answer> {
         let (reason, detail) = self.failure(step, why);
         let wait = self.retry_after.or(Some(TOO_LITTLE_TIME_RETRY_AFTER));
         let fault = Fault::new(503, reason, format!("{detail}; a retry does no harm"));
@@ -41,21 +41,23 @@
     }
 
     /// The answer of a workflow of which something may have had a lasting effect.
-    fn failed_answer(&self, step: StepId, why: Why) -> Rc<Answer> {
+    fn failed_answer(&self, step: StepId, why: FailureReason) -> Rc<Answer> {
         let (reason, detail) = self.failure(step, why);
-        let status = if why == Why::NoTime { 504 } else { 502 };
+        let status = if why == FailureReason::NoTime { 504 } else { 502 };
         let fault = Fault::new(status, reason, format!("{detail}; steps before it may have run"));
         Answer::problem(FinalOutcome::Failed, &fault, Some(&self.key.id), None)
     }
 
     /// Why the workflow did not finish: the reason code and a text for its answer.
-    fn failure(&self, step: StepId, why: Why) -> (&'static str, String) {
+    fn failure(&self, step: StepId, why: FailureReason) -> (&'static str, String) {
         let name = &self.run.plan().step(step).name;
         match why {
-            Why::NoTime => ("no-time", format!("step '{name}' cannot finish in the time left")),
-            Why::NoFunction => ("no-function", format!("no result names the function of step '{name}'")),
-            Why::NotWritten => ("no-record", format!("step '{name}' could not be written down")),
-            Why::StepFailed => ("step-failed", format!("step '{name}' did not finish")),
+            FailureReason::NoTime => ("no-time", format!("step '{name}' cannot finish in the time left")),
+            FailureReason::NoFunction => {
+                ("no-function", format!("no result names the function of step '{name}'"))
+            }
+            FailureReason::NotWritten => ("no-record", format!("step '{name}' could not be written down")),
+            FailureReason::StepFailed => ("step-failed", format!("step '{name}' did not finish")),
         }
     }
 
@@ -84,18 +86,18 @@
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
-        ended: Ended,
+        ended: RunOutcome,
     ) {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         let (last_step, answer) = match ended {
-            Ended::Finished(step) => (step, workflow.finished_answer(step)),
-            Ended::PushedBack(step, why) => {
+            RunOutcome::Finished(step) => (step, workflow.finished_answer(step)),
+            RunOutcome::Rejected(step, why) => {
                 // A retry starts from the first step.
                 workflow.stored.steps.clear();
                 let retry_after_allowed = self.deployment.startup.attempt_policy.retry_after_allowed;
                 (step, workflow.rejected_answer(step, why, retry_after_allowed))
             }
-            Ended::Failed(step, why) => {
+            RunOutcome::Failed(step, why) => {
                 workflow.stored.failed = true;
                 // In the store for as long as it may be undone.
                 workflow.stored.expires_at = now + UNDO_PERIOD + self.deployment.answer_retention.time;
@@ -103,9 +105,9 @@
             }
         };
         self.workflows.counters.count_end(ended);
-        let is_finished = matches!(ended, Ended::Finished(_));
+        let is_finished = matches!(ended, RunOutcome::Finished(_));
         let did_work = workflow.last_finished.is_some() || workflow.is_stored;
-        self.workflows.pace.ended(now, is_finished, did_work && !is_finished);
+        self.workflows.pace.run_ended(now, is_finished, did_work && !is_finished);
         workflow.log_end(now, last_step, &answer);
         workflow.is_answered = true;
         let clients = std::mem::take(&mut workflow.clients);
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -17,8 +17,10 @@
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
-use applepond_workflow::run::Needs;
-use applepond_workflow::{Do, Ended, How, Pace, Run, Step, StepId, Times, Why};
+use applepond_workflow::run::StepTimes;
+use applepond_workflow::{
+    Command, FailureReason, Run, RunLimiter, RunOutcome, Step, StepId, StepStatus, TimeEstimates,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -50,7 +52,7 @@
 /// A workflow that was accepted in this turn, with its first commands.
 pub(super) struct StartedWorkflow {
     pub(super) request: RequestId,
-    pub(super) commands: Vec<Do>,
+    pub(super) commands: Vec<Command>,
 }
 
 /// The step that finished last, with what it answered.
@@ -107,7 +109,7 @@
 
     /// Its run has ended, nothing of it is in flight, and nothing is left to undo.
     fn is_done(&self) -> bool {
-        self.run.has_ended().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
+        self.run.outcome().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
     }
 }
 
@@ -123,7 +125,7 @@
 /// A workflow that has finished and waits to be stored before it is answered.
 struct UnansweredWorkflow {
     request: RequestId,
-    ended: Ended,
+    ended: RunOutcome,
 }
 
 /// Counts since the start.
@@ -146,14 +148,14 @@
 }
 
 impl Counters {
-    fn count_end(&mut self, ended: Ended) {
+    fn count_end(&mut self, ended: RunOutcome) {
         match ended {
-            Ended::Finished(_) => self.finished += 1,
-            Ended::PushedBack(_, why) => {
+            RunOutcome::Finished(_) => self.finished += 1,
+            RunOutcome::Rejected(_, why) => {
                 self.rejected += 1;
-                self.rejected_for_time += u64::from(why == Why::NoTime);
+                self.rejected_for_time += u64::from(why == FailureReason::NoTime);
             }
-            Ended::Failed(..) => self.failed += 1,
+            RunOutcome::Failed(..) => self.failed += 1,
         }
     }
 }
@@ -167,9 +169,9 @@
     /// Workflows that were accepted in this turn.
     pub(super) started: VecDeque<StartedWorkflow>,
     /// How long functions take, for deciding whether a step can finish in time.
-    times: Times,
+    times: TimeEstimates,
     /// How many new workflows may start.
-    pace: Pace,
+    pace: RunLimiter,
     counters: Counters,
     pub(super) store: Box<dyn WorkflowStore>,
     /// Steps that are sent after the next write.
@@ -189,8 +191,8 @@
             active: BTreeMap::new(),
             ended_steps: VecDeque::new(),
             started: VecDeque::new(),
-            times: Times::new(cache_lifetime),
-            pace: Pace::default(),
+            times: TimeEstimates::new(cache_lifetime),
+            pace: RunLimiter::default(),
             counters: Counters::default(),
             store: Box::new(MemoryStore::default()),
             unsent: Vec::new(),
@@ -217,18 +219,18 @@
             "finished": counters.finished, "pushed-back": counters.rejected, "failed": counters.failed,
             "refused-for-time": counters.rejected_for_time, "held-back": counters.rejected_for_pace,
             "allowed-per-s": self.pace.allowed(), "steps": counters.steps, "undos": counters.undos,
-            "functions-known": self.times.known(),
+            "functions-known": self.times.function_count(),
             "record": {"resumed": counters.recorded_steps, "writes": counters.writes,
                 "not-written": counters.failed_writes}})
     }
 }
 
 /// What the end of a step's request means for its workflow.
-fn step_outcome(outcome: FinalOutcome) -> How {
+fn step_outcome(outcome: FinalOutcome) -> StepStatus {
     match outcome {
-        FinalOutcome::Finished => How::Finished,
-        FinalOutcome::Rejected => How::NeverRan,
-        FinalOutcome::Failed => How::MayHaveRun,
+        FinalOutcome::Finished => StepStatus::Finished,
+        FinalOutcome::Rejected => StepStatus::NeverRan,
+        FinalOutcome::Failed => StepStatus::MayHaveRun,
     }
 }
 
@@ -251,7 +253,7 @@
         &mut self,
         now: Micros,
         request: RequestId,
-        decide: impl FnOnce(&mut Run, Needs<'_>) -> T,
+        decide: impl FnOnce(&mut Run, StepTimes<'_>) -> T,
     ) -> T {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return T::default() };
         let times = &self.workflows.times;
@@ -261,7 +263,7 @@
             let defaults = &workloads[step.workload].default_function;
             let config = functions.get(function).unwrap_or(defaults);
             let id = FunctionId::named(function);
-            times.usual(id, step.at_least) + times.load(now, id, config.load_time)
+            times.execution_time(id, step.at_least) + times.load_time(now, id, config.load_time)
         };
         decide(&mut workflow.run, &needed_time)
     }
--- a/crates/gateway/src/gateway/workflow/plan_digest.rs
+++ b/crates/gateway/src/gateway/workflow/plan_digest.rs
@@ -6,7 +6,7 @@
 
 use crate::deployment::WorkloadEvents;
 use applepond::interface::{FunctionId, IdempotencyScope, RetrySafety};
-use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
+use applepond_workflow::{Branch, Function, Plan, Step, StepId, Target, Test};
 
 /// Tells a changed plan from the one under which a workflow was stored. Workloads count by their names: a
 /// reload may have moved their indices, and a restart puts them back.
@@ -73,21 +73,21 @@
 
 fn branch_text(branch: &Branch) -> String {
     let test = optional(branch.test.as_ref(), test_text);
-    format!("Branch {{ test: {test}, go: {} }}", go_text(&branch.go))
+    format!("Branch {{ test: {test}, go: {} }}", target_text(&branch.target))
 }
 
 fn test_text(test: &Test) -> String {
     format!("Test {{ field: {:?}, is: {:?} }}", test.field, test.is)
 }
 
-fn go_text(go: &Go) -> String {
+fn target_text(target: &Target) -> String {
     let arms = |name: &str, steps: &[StepId], join: Option<&StepId>| {
         format!("{name}({}, {})", list(steps, step_id_text), optional(join, step_id_text))
     };
-    match go {
-        Go::End => "End".to_owned(),
-        Go::One(step) => format!("One({})", step_id_text(step)),
-        Go::All(steps, join) => arms("All", steps, join.as_ref()),
-        Go::First(steps, join) => arms("First", steps, join.as_ref()),
+    match target {
+        Target::End => "End".to_owned(),
+        Target::One(step) => format!("One({})", step_id_text(step)),
+        Target::All(steps, join) => arms("All", steps, join.as_ref()),
+        Target::First(steps, join) => arms("First", steps, join.as_ref()),
     }
 }
--- a/crates/gateway/src/gateway/workflow/steps.rs
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -10,7 +10,7 @@
 use applepond_http::encode::Lines;
 use applepond_reactor::Transport;
 use applepond_storage::record::outcome_code;
-use applepond_workflow::{Do, Ended, How, StepId};
+use applepond_workflow::{Command, RunOutcome, StepId, StepStatus};
 use std::rc::Rc;
 
 /// Time after which an undo that did not finish is tried again, at least.
@@ -37,17 +37,17 @@
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
-        commands: Vec<Do>,
+        commands: Vec<Command>,
     ) {
         for command in commands {
             match command {
-                Do::Begin { step, function, until } => {
+                Command::Begin { step, function, until } => {
                     self.begin_or_queue_step(now, request, step, function, until);
                 }
-                Do::Wait { step, until } => self.wait_for_step(now, transport, request, step, until),
-                Do::Cancel(step) => self.cancel_step(now, transport, request, step),
-                Do::End(ended) => self.end_or_queue_workflow(now, transport, request, ended),
-                Do::Undo { step, function } => self.begin_undo(now, request, step, function),
+                Command::Wait { step, until } => self.wait_for_step(now, transport, request, step, until),
+                Command::Cancel(step) => self.cancel_step(now, transport, request, step),
+                Command::End(ended) => self.end_or_queue_workflow(now, transport, request, ended),
+                Command::Undo { step, function } => self.begin_undo(now, request, step, function),
             }
         }
         let workflow = self.workflows.active.get_mut(&request);
@@ -89,7 +89,7 @@
         until: Micros,
     ) {
         let retry = move |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
-            let commands = gateway.with_run(now, request, |run, needs| run.again(now, step, needs));
+            let commands = gateway.with_run(now, request, |run, needs| run.retry_step(now, step, needs));
             gateway.run_commands(now, transport, request, commands);
         };
         self.schedule(now, transport, until.saturating_sub(now), Box::new(retry));
@@ -111,10 +111,10 @@
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
-        ended: Ended,
+        ended: RunOutcome,
     ) {
         match self.workflows.active.get_mut(&request) {
-            Some(workflow) if workflow.is_stored && matches!(ended, Ended::Finished(_)) => {
+            Some(workflow) if workflow.is_stored && matches!(ended, RunOutcome::Finished(_)) => {
                 workflow.stored.closed = true;
                 self.workflows.unanswered.push(UnansweredWorkflow { request, ended });
             }
@@ -172,7 +172,7 @@
         function: String,
         deadline: Micros,
     ) {
-        let priority_factor = self.with_run(now, request, |run, needs| run.paid(now, needs));
+        let priority_factor = self.with_run(now, request, |run, needs| run.priority_factor(now, needs));
         let Some(workflow) = self.workflows.active.get(&request) else { return };
         let id = FunctionId::named(&function);
         let on_end: OnStepEnd = Box::new(move |gateway, now, transport, end| {
@@ -200,7 +200,7 @@
     ) {
         let is_finished = end.answer.outcome == FinalOutcome::Finished;
         if is_finished {
-            self.workflows.times.finished(now, function, end.duration, end.was_loaded);
+            self.workflows.times.record(now, function, end.duration, end.was_loaded);
         }
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         workflow.in_flight.remove(&step);
@@ -213,8 +213,9 @@
         let retry_after = end.answer.retry_after;
         let answer = end.answer.clone();
         let read_field = move |name: &str| result_field(&answer.body, name);
-        let commands = self
-            .with_run(now, request, |run, needs| run.ended(now, step, how, retry_after, &read_field, needs));
+        let commands = self.with_run(now, request, |run, needs| {
+            run.step_ended(now, step, how, retry_after, &read_field, needs)
+        });
         self.run_commands(now, transport, request, commands);
     }
 
@@ -240,7 +241,7 @@
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
         let stored = workflow.stored.steps.get(&(step.0 as u32));
         let end = stored.and_then(|stored| stored.outcome.as_ref());
-        if end.is_some_and(|end| end.code == outcome_code(How::Finished)) {
+        if end.is_some_and(|end| end.code == outcome_code(StepStatus::Finished)) {
             return;
         }
         workflow.pending_undos += 1;
--- a/crates/gateway/src/gateway/workflow/store.rs
+++ b/crates/gateway/src/gateway/workflow/store.rs
@@ -7,7 +7,7 @@
 use applepond_reactor::Transport;
 use applepond_storage::record::{MAX_STORED_RESPONSE_BYTES, outcome_code};
 use applepond_storage::{StepOutcome, StepRecord, StoredResponse};
-use applepond_workflow::{How, StepId};
+use applepond_workflow::{StepId, StepStatus};
 use std::collections::BTreeSet;
 
 /// Time after which ends of steps are written that no other write took along.
@@ -53,7 +53,7 @@
             if let Some(workflow) = self.workflows.active.get_mut(&request) {
                 workflow.stored.steps.remove(&(step.0 as u32));
             }
-            let commands = self.with_run(now, request, |run, needs| run.not_written(now, step, needs));
+            let commands = self.with_run(now, request, |run, needs| run.store_failed(now, step, needs));
             self.run_commands(now, transport, request, commands);
         }
         true
@@ -91,13 +91,13 @@
         transport: &mut dyn Transport,
         request: RequestId,
         step: StepId,
-        how: How,
+        how: StepStatus,
         answer: &Answer,
     ) {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
-        let fields = workflow.run.asked(step).into_iter();
+        let fields = workflow.run.requested_fields(step).into_iter();
         let fields = fields.filter_map(|name| Some((name.to_owned(), result_field(&answer.body, name)?)));
-        let fits = how == How::Finished && answer.body.len() <= MAX_STORED_RESPONSE_BYTES;
+        let fits = how == StepStatus::Finished && answer.body.len() <= MAX_STORED_RESPONSE_BYTES;
         let kept = fits.then(|| StoredResponse {
             header_lines: answer.fields.bytes().to_vec(),
             body: answer.body.clone(),
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -5,7 +5,7 @@
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::WorkflowConfig;
 use applepond_storage::WorkflowStore;
-use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
+use applepond_workflow::{Branch, Function, Plan, Step, StepId, Target, Test};
 use common::*;
 use std::sync::Arc;
 
@@ -49,19 +49,20 @@
 /// A plan with each kind of step, function, test and branch.
 fn plan() -> Plan {
     let keyed = |scope| RetrySafety::Keyed { scope, window: 3 * S };
-    let to = |go| Branch { test: None, go };
+    let to = |target| Branch { test: None, target };
     let named = || Function::Named("a \"quoted\" fn\n".into());
     let test = Test { field: "free".into(), is: "yes".into() };
     let both = || vec![StepId(2), StepId(3)];
-    let first = vec![Branch { test: Some(test), go: Go::One(StepId(1)) }, to(Go::First(both(), None))];
-    let second = vec![to(Go::All(both(), Some(StepId(4))))];
+    let first =
+        vec![Branch { test: Some(test), target: Target::One(StepId(1)) }, to(Target::First(both(), None))];
+    let second = vec![to(Target::All(both(), Some(StepId(4))))];
     let of_first = Function::From(StepId(0), "hut".into());
     let steps = vec![
         step("first", keyed(IdempotencyScope::Rack), Function::OfEvent, first),
         Step {
             optional: true,
             undo: Some(StepId(5)),
-            or_else: vec![to(Go::End)],
+            or_else: vec![to(Target::End)],
             ..step("second", keyed(IdempotencyScope::Everywhere), of_first, second)
         },
         step("third", keyed(IdempotencyScope::Zone), named(), Vec::new()),
--- a/crates/gateway/tests/workflows.rs
+++ b/crates/gateway/tests/workflows.rs
@@ -4,7 +4,7 @@
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::WorkflowConfig;
 use applepond_reactor::Conn;
-use applepond_workflow::{Branch, Function, Go, Plan, Step, StepId, Test};
+use applepond_workflow::{Branch, Function, Plan, Step, StepId, Target, Test};
 use common::{MS, S, SharedStore, SimulatedGateway, deployment, event, result};
 use std::sync::Arc;
 use test_case::test_case;
@@ -24,7 +24,7 @@
 }
 
 fn to(n: usize) -> Branch {
-    Branch { test: None, go: Go::One(StepId(n)) }
+    Branch { test: None, target: Target::One(StepId(n)) }
 }
 
 /// Price; beds at the hut that the price names, released when it fails later; if they are not free, the
@@ -34,7 +34,7 @@
     let steps = vec![
         Step { next: vec![to(1)], function: Function::OfEvent, ..step("price", 0) },
         Step {
-            next: vec![Branch { test: Some(free), go: Go::One(StepId(3)) }, to(2)],
+            next: vec![Branch { test: Some(free), target: Target::One(StepId(3)) }, to(2)],
             function: Function::From(StepId(0), "hut".into()),
             undo: Some(StepId(4)),
             ..step("beds", 1)
@@ -330,7 +330,7 @@
 // One of two arms waits to be written down when the other fails at once: it is not sent.
 #[test]
 fn a_branch_cancelled_before_it_was_stored_is_not_sent() {
-    let fork = Branch { test: None, go: Go::All(vec![StepId(1), StepId(2)], None) };
+    let fork = Branch { test: None, target: Target::All(vec![StepId(1), StepId(2)], None) };
     let steps = vec![
         Step { next: vec![fork], ..step("price", 0) },
         step("beds", 1),
--- a/crates/settings/src/workflow.rs
+++ b/crates/settings/src/workflow.rs
@@ -3,7 +3,7 @@
 use crate::workload::{Workload, event_types};
 use applepond::interface::Micros;
 use applepond_gateway::deployment::WorkflowConfig;
-use applepond_workflow::{Branch, Fault, Function, Go, Part, Plan, Step, StepId, Test};
+use applepond_workflow::{Branch, Function, Plan, PlanFault, Step, StepId, StepPart, Target, Test};
 use std::sync::Arc;
 
 /// µs that a step is taken to need when it names no time.
@@ -19,14 +19,14 @@
 
 impl StepSection<'_> {
     /// Where a part of the step stands.
-    fn place(&self, part: Part) -> Span {
+    fn place(&self, part: StepPart) -> Span {
         let first = |sections: &[Section<'_>]| sections.first().map(|section| section.place.clone());
         let found = match part {
-            Part::Step | Part::AtLeast => None,
-            Part::Function => Some(self.section.place_of("function_from")),
-            Part::Undo => Some(self.section.place_of("undo")),
-            Part::Next => first(&self.next),
-            Part::OrElse => first(&self.or_else),
+            StepPart::Step | StepPart::AtLeast => None,
+            StepPart::Function => Some(self.section.place_of("function_from")),
+            StepPart::Undo => Some(self.section.place_of("undo")),
+            StepPart::Next => first(&self.next),
+            StepPart::OrElse => first(&self.or_else),
         };
         found.unwrap_or(self.section.place.clone())
     }
@@ -72,9 +72,9 @@
     Some(Plan { name: name.to_owned(), limit: limit?, steps })
 }
 
-fn place_of_fault(fault: &Fault, section: &Section<'_>, steps: &[StepSection<'_>]) -> Span {
+fn place_of_fault(fault: &PlanFault, section: &Section<'_>, steps: &[StepSection<'_>]) -> Span {
     match fault.step {
-        _ if fault.part == Part::AtLeast => section.place_of("time_limit"),
+        _ if fault.part == StepPart::AtLeast => section.place_of("time_limit"),
         Some(step) => steps[step.0].place(fault.part),
         None => section.place.clone(),
     }
@@ -161,8 +161,8 @@
 
 fn branch(section: &Section<'_>, names: &[String]) -> Option<Branch> {
     let test = test(section);
-    let go = go(section, names);
-    Some(Branch { test: test?, go: go? })
+    let target = target(section, names);
+    Some(Branch { test: test?, target: target? })
 }
 
 /// The condition of a branch: outside none for a fault, inside none for a branch without one.
@@ -185,9 +185,9 @@
 }
 
 /// Where a branch leads.
-fn go(section: &Section<'_>, names: &[String]) -> Option<Go> {
+fn target(section: &Section<'_>, names: &[String]) -> Option<Target> {
     let one = section.text("go", Some("")).filter(|_| section.has("go"));
-    let one = one.and_then(|to| look_up(section, "go", &to, names)).map(Go::One);
+    let one = one.and_then(|to| look_up(section, "go", &to, names)).map(Target::One);
     let join = section.text("join", Some("")).filter(|_| section.has("join"));
     let join = join.map(|to| look_up(section, "join", &to, names));
     let arms = |key: &str| {
@@ -207,7 +207,7 @@
         Some(to) => to,
         None => None,
     };
-    one.or(all.map(|arms| Go::All(arms, join)))
-        .or(first.map(|arms| Go::First(arms, join)))
-        .or(end.filter(|end| *end).map(|_| Go::End))
+    one.or(all.map(|arms| Target::All(arms, join)))
+        .or(first.map(|arms| Target::First(arms, join)))
+        .or(end.filter(|end| *end).map(|_| Target::End))
 }
--- a/crates/settings/tests/workflows.rs
+++ b/crates/settings/tests/workflows.rs
@@ -1,6 +1,6 @@
 //! `chain` blocks: a sound one as its plan, and each fault by its place.
 use applepond_settings::deployment;
-use applepond_workflow::{Function, Go, StepId};
+use applepond_workflow::{Function, StepId, Target};
 use test_case::test_case;
 
 const GOOD: &str = r#"listen = "127.0.0.1:0"
@@ -67,9 +67,9 @@
     assert_eq!((plan.limit, plan.steps.len(), plan.steps[0].at_least), (4_000_000, 5, 20_000));
     assert_eq!(plan.steps[0].function, Function::OfEvent);
     assert_eq!(plan.steps[1].function, Function::From(StepId(0), "hut".into()));
-    let go: Vec<&Go> = plan.steps[1].next.iter().map(|b| &b.go).collect();
-    let fork = Go::All(vec![StepId(2), StepId(3)], Some(StepId(4)));
-    assert_eq!(go, [&Go::One(StepId(4)), &fork]);
+    let targets: Vec<&Target> = plan.steps[1].next.iter().map(|b| &b.target).collect();
+    let fork = Target::All(vec![StepId(2), StepId(3)], Some(StepId(4)));
+    assert_eq!(targets, [&Target::One(StepId(4)), &fork]);
 }
 
 #[test_case("go = \"beds\"", "go = \"bed\"", "29:17: found step \"bed\"; wanted: one of price, beds";
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -3,8 +3,8 @@
 //! The order of the fields of each type is the format of the files.
 use crate::Micros;
 use applepond::interface::{IdempotencyScope, RetrySafety};
-use applepond_workflow::run::Recorded;
-use applepond_workflow::{How, Plan, StepId};
+use applepond_workflow::run::RecordedSteps;
+use applepond_workflow::{Plan, StepId, StepStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -71,20 +71,20 @@
 }
 
 /// The number of an outcome in the files. These never change their meaning.
-pub fn outcome_code(outcome: How) -> u8 {
+pub fn outcome_code(outcome: StepStatus) -> u8 {
     match outcome {
-        How::Finished => 0,
-        How::NeverRan => 1,
-        How::MayHaveRun => 2,
+        StepStatus::Finished => 0,
+        StepStatus::NeverRan => 1,
+        StepStatus::MayHaveRun => 2,
     }
 }
 
-fn outcome_from_code(code: u8) -> How {
+fn outcome_from_code(code: u8) -> StepStatus {
     match code {
-        0 => How::Finished,
-        1 => How::NeverRan,
+        0 => StepStatus::Finished,
+        1 => StepStatus::NeverRan,
         // Also what a later version wrote: the cautious reading.
-        _ => How::MayHaveRun,
+        _ => StepStatus::MayHaveRun,
     }
 }
 
@@ -100,16 +100,16 @@
 }
 
 /// What a workflow that is resumed has to know of its steps: those that ended, and those that may have run.
-pub fn recorded_steps(record: &WorkflowRecord, plan: &Plan, now: Micros) -> Recorded {
-    let mut recorded = Recorded::new();
+pub fn recorded_steps(record: &WorkflowRecord, plan: &Plan, now: Micros) -> RecordedSteps {
+    let mut recorded = RecordedSteps::new();
     for (place, step) in &record.steps {
         let Some(planned) = plan.steps.get(*place as usize) else { continue };
         let known = match &step.outcome {
             // Another attempt is welcome to run it, unless the steps before it have been compensated.
-            Some(end) if outcome_from_code(end.code) == How::NeverRan && !record.failed => continue,
+            Some(end) if outcome_from_code(end.code) == StepStatus::NeverRan && !record.failed => continue,
             Some(end) => (outcome_from_code(end.code), end.fields.clone()),
             None if may_send_again(planned.effect, step.sent_at, now) => continue,
-            None => (How::MayHaveRun, BTreeMap::new()),
+            None => (StepStatus::MayHaveRun, BTreeMap::new()),
         };
         recorded.insert(StepId(*place as usize), known);
     }
--- a/crates/storage/tests/record.rs
+++ b/crates/storage/tests/record.rs
@@ -1,7 +1,7 @@
 //! Which steps of a resumed workflow count as done or as perhaps done.
 use applepond::interface::{IdempotencyScope, RetrySafety};
 use applepond_storage::{Micros, StepRecord, WorkflowRecord, recorded_steps};
-use applepond_workflow::{Function, How, Plan, Step, StepId};
+use applepond_workflow::{Function, Plan, Step, StepId, StepStatus};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -11,13 +11,13 @@
 
 #[test_case(RetrySafety::Idempotent, 9, None; "idempotent: begun again")]
 #[test_case(EVERYWHERE, 2, None; "keyed everywhere, in its window: begun again")]
-#[test_case(EVERYWHERE, 3, Some(How::MayHaveRun); "past its window")]
-#[test_case(RACK, 2, Some(How::MayHaveRun); "keyed by rack: which one is not known")]
-#[test_case(RetrySafety::AtMostOnce, 0, Some(How::MayHaveRun); "at-most-once")]
+#[test_case(EVERYWHERE, 3, Some(StepStatus::MayHaveRun); "past its window")]
+#[test_case(RACK, 2, Some(StepStatus::MayHaveRun); "keyed by rack: which one is not known")]
+#[test_case(RetrySafety::AtMostOnce, 0, Some(StepStatus::MayHaveRun); "at-most-once")]
 fn a_step_without_an_outcome_is_sent_again_only_where_safe(
     effect: RetrySafety,
     later_s: u64,
-    want: Option<How>,
+    want: Option<StepStatus>,
 ) {
     let step = Step {
         name: "a".into(),
--- a/crates/workflow/src/check.rs
+++ b/crates/workflow/src/check.rs
@@ -1,20 +1,20 @@
 //! Validation of a plan as a whole, before any chain is run by it.
-use crate::plan::{Branch, Fault, Function, Go, MAX_ARMS, MAX_STEPS, Part, Plan, Step, StepId};
+use crate::plan::{Branch, Function, MAX_ARMS, MAX_STEPS, Plan, PlanFault, Step, StepId, StepPart, Target};
 use applepond::interface::RetrySafety;
 use std::collections::BTreeSet;
 
 impl Plan {
     /// All faults of the plan, each with its step and part; none where chains may be run by it.
-    pub fn check(&self) -> Vec<Fault> {
+    pub fn check(&self) -> Vec<PlanFault> {
         let mut check = Check { plan: self, faults: Vec::new() };
         if self.steps.is_empty() {
-            check.report(None, Part::Step, "no step".into(), "at least one step \"NAME\" { ... }");
+            check.report(None, StepPart::Step, "no step".into(), "at least one step \"NAME\" { ... }");
         } else if self.steps.len() > MAX_STEPS {
             let found = format!("{} steps", self.steps.len());
-            check.report(None, Part::Step, found, "32 steps at most: a chain is bounded");
+            check.report(None, StepPart::Step, found, "32 steps at most: a chain is bounded");
         } else if let Some(step) = self.step_of_a_cycle() {
             let found = format!("step \"{}\" leads back to one before it", self.step(step).name);
-            check.report(Some(step), Part::Next, found, "a plan without loops");
+            check.report(Some(step), StepPart::Next, found, "a plan without loops");
         } else {
             check.check_steps();
             check.check_time();
@@ -27,7 +27,7 @@
     /// Where a step can lead, undos aside.
     fn successors(&self, id: StepId) -> BTreeSet<StepId> {
         let mut successors: BTreeSet<StepId> =
-            self.step(id).branches().flat_map(|branch| branch.go.steps()).collect();
+            self.step(id).branches().flat_map(|branch| branch.target.steps()).collect();
         // What leads from an arm on is its fork's join.
         successors.extend(self.joins_of(id));
         successors
@@ -94,24 +94,24 @@
             let from = StepId(index);
             for branch in &step.next {
                 let finished = if step.optional { BTreeSet::new() } else { BTreeSet::from([from]) };
-                self.add_edges(from, &branch.go, finished, &mut edges);
+                self.add_edges(from, &branch.target, finished, &mut edges);
             }
             for branch in &step.or_else {
-                self.add_edges(from, &branch.go, BTreeSet::new(), &mut edges);
+                self.add_edges(from, &branch.target, BTreeSet::new(), &mut edges);
             }
         }
         edges
     }
 
-    fn add_edges(&self, from: StepId, go: &Go, finished: BTreeSet<StepId>, edges: &mut Vec<Edge>) {
-        match go {
-            Go::End => {}
-            Go::One(to) => edges.push(Edge { from, to: *to, finished }),
-            Go::All(arms, join) | Go::First(arms, join) => {
+    fn add_edges(&self, from: StepId, target: &Target, finished: BTreeSet<StepId>, edges: &mut Vec<Edge>) {
+        match target {
+            Target::End => {}
+            Target::One(to) => edges.push(Edge { from, to: *to, finished }),
+            Target::All(arms, join) | Target::First(arms, join) => {
                 edges.extend(arms.iter().map(|arm| Edge { from, to: *arm, finished: finished.clone() }));
                 let Some(join) = join else { return };
                 let mut finished = finished;
-                if matches!(go, Go::All(..)) {
+                if matches!(target, Target::All(..)) {
                     finished.extend(arms.iter().filter(|arm| !self.step(**arm).optional));
                 }
                 edges.push(Edge { from, to: *join, finished });
@@ -139,12 +139,12 @@
 /// A check under way.
 struct Check<'a> {
     plan: &'a Plan,
-    faults: Vec<Fault>,
+    faults: Vec<PlanFault>,
 }
 
 impl Check<'_> {
-    fn report(&mut self, step: Option<StepId>, part: Part, found: String, wanted: &'static str) {
-        self.faults.push(Fault { step, part, found, wanted });
+    fn report(&mut self, step: Option<StepId>, part: StepPart, found: String, wanted: &'static str) {
+        self.faults.push(PlanFault { step, part, found, wanted });
     }
 
     fn check_steps(&mut self) {
@@ -159,15 +159,15 @@
                 self.check_undo(id, step, reachable.contains(&id));
             } else if !reachable.contains(&id) {
                 let found = format!("step \"{}\" that nothing leads to", step.name);
-                self.report(Some(id), Part::Step, found, "a way to each step");
+                self.report(Some(id), StepPart::Step, found, "a way to each step");
             }
             self.check_its_undo(id, step, &before[index]);
             if !is_undo {
                 self.check_function(id, step, &before[index]);
             }
             self.check_repeats(id, step);
-            self.check_branches(id, Part::Next, &step.next);
-            self.check_branches(id, Part::OrElse, &step.or_else);
+            self.check_branches(id, StepPart::Next, &step.next);
+            self.check_branches(id, StepPart::OrElse, &step.or_else);
         }
     }
 
@@ -175,15 +175,15 @@
     fn check_undo(&mut self, id: StepId, step: &Step, reachable: bool) {
         if reachable {
             let found = format!("step \"{}\" both on the way and as an undo", step.name);
-            self.report(Some(id), Part::Step, found, "an undo of its own");
+            self.report(Some(id), StepPart::Step, found, "an undo of its own");
         }
         if step.effect == RetrySafety::AtMostOnce {
             let found = format!("undo \"{}\" in a run-once workload", step.name);
-            self.report(Some(id), Part::Step, found, "one that may be repeated until it is done");
+            self.report(Some(id), StepPart::Step, found, "one that may be repeated until it is done");
         }
         if !(step.next.is_empty() && step.or_else.is_empty() && step.undo.is_none()) {
             let found = format!("undo \"{}\" that leads on", step.name);
-            self.report(Some(id), Part::Next, found, "an undo without next, else or undo");
+            self.report(Some(id), StepPart::Next, found, "an undo without next, else or undo");
         }
     }
 
@@ -192,14 +192,14 @@
         let Some(undo) = step.undo else { return };
         if step.effect == RetrySafety::Idempotent {
             let found = format!("an undo of the idempotent \"{}\"", step.name);
-            self.report(Some(id), Part::Undo, found, "an undo of a step whose effect lasts");
+            self.report(Some(id), StepPart::Undo, found, "an undo of a step whose effect lasts");
         }
         if let Function::From(source, _) = &self.plan.step(undo).function
             && *source != id
             && !before.contains(source)
         {
             let found = format!("undo of \"{}\" named by a result that may not be there", step.name);
-            self.report(Some(id), Part::Undo, found, "a result of this step or of one always before it");
+            self.report(Some(id), StepPart::Undo, found, "a result of this step or of one always before it");
         }
     }
 
@@ -208,7 +208,7 @@
             && !before.contains(source)
         {
             let found = format!("function from \"{}.{field}\"", self.plan.step(*source).name);
-            self.report(Some(id), Part::Function, found, "a step that always finishes before this one");
+            self.report(Some(id), StepPart::Function, found, "a step that always finishes before this one");
         }
     }
 
@@ -217,16 +217,16 @@
         if step.effect != RetrySafety::AtMostOnce {
             return;
         }
-        for to in step.or_else.iter().flat_map(|branch| branch.go.steps()) {
+        for to in step.or_else.iter().flat_map(|branch| branch.target.steps()) {
             let other = self.plan.step(to);
             if other.workload == step.workload && other.function == step.function {
                 let found = format!("\"{}\" repeats the run-once \"{}\"", other.name, step.name);
-                self.report(Some(id), Part::OrElse, found, "no repeat of what may have run");
+                self.report(Some(id), StepPart::OrElse, found, "no repeat of what may have run");
             }
         }
     }
 
-    fn check_branches(&mut self, id: StepId, part: Part, branches: &[Branch]) {
+    fn check_branches(&mut self, id: StepId, part: StepPart, branches: &[Branch]) {
         if let Some(index) = branches.iter().position(|branch| branch.test.is_none())
             && index + 1 < branches.len()
         {
@@ -234,13 +234,13 @@
             self.report(Some(id), part, found, "the one without a test last");
         }
         for branch in branches {
-            self.check_fork(id, part, &branch.go);
+            self.check_fork(id, part, &branch.target);
         }
     }
 
-    fn check_fork(&mut self, id: StepId, part: Part, go: &Go) {
+    fn check_fork(&mut self, id: StepId, part: StepPart, target: &Target) {
         let plan = self.plan;
-        let (Go::All(arms, _) | Go::First(arms, _)) = go else { return };
+        let (Target::All(arms, _) | Target::First(arms, _)) = target else { return };
         let distinct: BTreeSet<&StepId> = arms.iter().collect();
         if !(2..=MAX_ARMS).contains(&arms.len()) || distinct.len() != arms.len() {
             let found = format!("a fork of {} arm(s)", arms.len());
@@ -253,7 +253,7 @@
             }
         }
         let mut arm_steps = arms.iter().map(|arm| plan.step(*arm));
-        if matches!(go, Go::First(..))
+        if matches!(target, Target::First(..))
             && let Some(arm) = arm_steps.find(|arm| arm.effect == RetrySafety::AtMostOnce)
         {
             let found = format!("run-once \"{}\" among the first of several", arm.name);
@@ -266,7 +266,7 @@
         let least = plan.shortest(StepId(0), &|id| plan.step(id).at_least);
         if least > plan.limit {
             let found = format!("{} ms at the least, {} ms in all", least / 1000, plan.limit / 1000);
-            self.report(Some(StepId(0)), Part::AtLeast, found, "a plan that fits its deadline");
+            self.report(Some(StepId(0)), StepPart::AtLeast, found, "a plan that fits its deadline");
         }
     }
 }
--- a/crates/workflow/src/times.rs
+++ b/crates/workflow/src/estimates.rs
@@ -82,7 +82,7 @@
 }
 
 /// Estimates of how long functions take.
-pub struct Times {
+pub struct TimeEstimates {
     functions: BTreeMap<FunctionId, Known>,
     /// Functions by when they last finished.
     by_age: BTreeSet<(Micros, FunctionId)>,
@@ -90,14 +90,14 @@
     cache_lifetime: Micros,
 }
 
-impl Times {
+impl TimeEstimates {
     /// Nothing known yet; an idle copy stays loaded for `cache_lifetime` µs.
     pub fn new(cache_lifetime: Micros) -> Self {
-        Times { functions: BTreeMap::new(), by_age: BTreeSet::new(), cache_lifetime }
+        TimeEstimates { functions: BTreeMap::new(), by_age: BTreeSet::new(), cache_lifetime }
     }
 
     /// A step of the function finished after `took` µs, on a copy that was loaded or not.
-    pub fn finished(&mut self, now: Micros, function: FunctionId, took: Micros, was_loaded: bool) {
+    pub fn record(&mut self, now: Micros, function: FunctionId, took: Micros, was_loaded: bool) {
         let known = self.functions.entry(function).or_insert_with(Known::new);
         self.by_age.remove(&(known.last_finished, function));
         known.last_finished = now;
@@ -115,14 +115,14 @@
     }
 
     /// µs that a step needs without a load: learned, otherwise what the plan says.
-    pub fn usual(&self, function: FunctionId, planned: Micros) -> Micros {
+    pub fn execution_time(&self, function: FunctionId, planned: Micros) -> Micros {
         let known = self.functions.get(&function).filter(|known| known.samples >= MIN_SAMPLES);
         known.and_then(|known| known.usual).unwrap_or(planned)
     }
 
     /// µs that a load would add, where the function is likely not to be loaded: learned, otherwise what was
     /// declared.
-    pub fn load(&self, now: Micros, function: FunctionId, declared: Option<Micros>) -> Micros {
+    pub fn load_time(&self, now: Micros, function: FunctionId, declared: Option<Micros>) -> Micros {
         let known = self.functions.get(&function);
         let is_loaded = known.is_some_and(|known| {
             now < known.last_finished + self.cache_lifetime && known.cold_share < COLD_SHARE_LIMIT
@@ -132,7 +132,7 @@
     }
 
     /// Functions of which something is known.
-    pub fn known(&self) -> usize {
+    pub fn function_count(&self) -> usize {
         self.functions.len()
     }
 }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -8,12 +8,12 @@
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod check;
-pub mod pace;
+pub mod estimates;
 pub mod plan;
 pub mod run;
-pub mod times;
+pub mod run_limiter;
 
-pub use pace::Pace;
-pub use plan::{Branch, Fault, Function, Go, Part, Plan, Step, StepId, Test};
-pub use run::{Do, Ended, How, Run, Why};
-pub use times::Times;
+pub use estimates::TimeEstimates;
+pub use plan::{Branch, Function, Plan, PlanFault, Step, StepId, StepPart, Target, Test};
+pub use run::{Command, FailureReason, Run, RunOutcome, StepStatus};
+pub use run_limiter::RunLimiter;
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -23,7 +23,7 @@
 
 /// Where a branch leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Go {
+pub enum Target {
     /// The chain is finished; this step's result is its answer.
     End,
     /// To one step.
@@ -34,13 +34,13 @@
     First(Vec<StepId>, Option<StepId>),
 }
 
-impl Go {
+impl Target {
     /// All steps that it names, joins included.
     pub fn steps(&self) -> Vec<StepId> {
         match self {
-            Go::End => Vec::new(),
-            Go::One(to) => vec![*to],
-            Go::All(arms, join) | Go::First(arms, join) => arms.iter().chain(join).copied().collect(),
+            Target::End => Vec::new(),
+            Target::One(to) => vec![*to],
+            Target::All(arms, join) | Target::First(arms, join) => arms.iter().chain(join).copied().collect(),
         }
     }
 }
@@ -60,7 +60,7 @@
     /// None: taken whatever the result is.
     pub test: Option<Test>,
     /// Where it leads.
-    pub go: Go,
+    pub target: Target,
 }
 
 /// One request of a chain.
@@ -100,7 +100,7 @@
 
 /// The part of a step that a fault lies in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum StepPart {
     /// The step itself, or the plan.
     Step,
     /// The name of its function.
@@ -117,11 +117,11 @@
 
 /// Why a plan is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct PlanFault {
     /// None: the plan as a whole.
     pub step: Option<StepId>,
     /// The part of the step.
-    pub part: Part,
+    pub part: StepPart,
     /// What stands there.
     pub found: String,
     /// What has to stand there.
@@ -147,8 +147,10 @@
     /// Joins of the forks that this step is an arm of.
     pub(crate) fn joins_of(&self, id: StepId) -> Vec<StepId> {
         let branches = self.steps.iter().flat_map(Step::branches);
-        let join = |branch: &Branch| match &branch.go {
-            Go::All(arms, Some(join)) | Go::First(arms, Some(join)) if arms.contains(&id) => Some(*join),
+        let join = |branch: &Branch| match &branch.target {
+            Target::All(arms, Some(join)) | Target::First(arms, Some(join)) if arms.contains(&id) => {
+                Some(*join)
+            }
             _ => None,
         };
         branches.filter_map(join).collect()
@@ -156,10 +158,9 @@
 
     /// Whether a step is an arm of a fork: what it leads to is the fork's join alone.
     fn is_arm(&self, id: StepId) -> bool {
-        self.steps
-            .iter()
-            .flat_map(Step::branches)
-            .any(|branch| matches!(&branch.go, Go::All(arms, _) | Go::First(arms, _) if arms.contains(&id)))
+        self.steps.iter().flat_map(Step::branches).any(|branch| {
+            matches!(&branch.target, Target::All(arms, _) | Target::First(arms, _) if arms.contains(&id))
+        })
     }
 
     /// µs from a step's beginning to the end of the chain on the shortest way, each step taking `time`;
@@ -176,20 +177,20 @@
         }
         let next = &self.step(from).next;
         let may_end = next.iter().all(|branch| branch.test.is_some());
-        let ways = next.iter().map(|branch| self.shortest_way(&branch.go, time));
+        let ways = next.iter().map(|branch| self.shortest_way(&branch.target, time));
         ways.chain(may_end.then_some(0)).min().unwrap_or(0)
     }
 
     /// µs of the shortest way that a branch leads to.
-    fn shortest_way(&self, go: &Go, time: &dyn Fn(StepId) -> Micros) -> Micros {
+    fn shortest_way(&self, target: &Target, time: &dyn Fn(StepId) -> Micros) -> Micros {
         let join_time = |join: &Option<StepId>| join.map_or(0, |join| self.shortest(join, time));
-        match go {
-            Go::End => 0,
-            Go::One(to) => self.shortest(*to, time),
-            Go::All(arms, join) => {
+        match target {
+            Target::End => 0,
+            Target::One(to) => self.shortest(*to, time),
+            Target::All(arms, join) => {
                 arms.iter().map(|arm| self.own_time(*arm, time)).max().unwrap_or(0) + join_time(join)
             }
-            Go::First(arms, join) => {
+            Target::First(arms, join) => {
                 arms.iter().map(|arm| self.own_time(*arm, time)).min().unwrap_or(0) + join_time(join)
             }
         }
--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -2,7 +2,7 @@
 //!
 //! A chain that was interrupted runs again from its beginning with what is on record: a step whose end is
 //! known is not begun again, it ends at once as it ended then.
-use crate::plan::{Branch, Function, Go, Plan, Step, StepId};
+use crate::plan::{Branch, Function, Plan, Step, StepId, Target};
 use applepond::interface::{Micros, RetrySafety};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 /// How a step ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum How {
+pub enum StepStatus {
     /// It has a result.
     Finished,
     /// Rejected: it has had no effect.
@@ -33,7 +33,7 @@
 
 /// Why a chain did not finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureReason {
     /// What is left of it cannot be done in the time left.
     NoTime,
     /// A step's function is named by a result that does not name it.
@@ -46,18 +46,18 @@
 
 /// How a chain ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunOutcome {
     /// This step's result is the answer.
     Finished(StepId),
     /// Rejected: nothing of it can have had an effect that lasts, so that a retry does no harm.
-    PushedBack(StepId, Why),
+    Rejected(StepId, FailureReason),
     /// Something may have had one; what has an undo is undone.
-    Failed(StepId, Why),
+    Failed(StepId, FailureReason),
 }
 
 /// What to do next, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum Command {
     /// Begin the step; its request's time is up at `until`.
     Begin {
         /// The step.
@@ -67,17 +67,17 @@
         /// Deadline of its request.
         until: Micros,
     },
-    /// The step was rejected and there is time for a retry: `again` is to be called at this time.
+    /// The step was rejected and there is time for a retry: `retry_step` is to be called at this time.
     Wait {
         /// The step.
         step: StepId,
-        /// When to call `again`.
+        /// When to call `retry_step`.
         until: Micros,
     },
     /// Cancel the step's request.
     Cancel(StepId),
     /// Answer the client.
-    End(Ended),
+    End(RunOutcome),
     /// After the end: run this undo until it has finished.
     Undo {
         /// The step that undoes another one.
@@ -95,7 +95,7 @@
     InFlight,
     /// Rejected, and to be retried.
     AwaitingRetry,
-    Ended(How),
+    RunOutcome(StepStatus),
     /// Optional and left out, as time ran short, or not needed any more.
     Skipped,
 }
@@ -112,31 +112,31 @@
 #[derive(Clone, Copy)]
 struct Context<'a> {
     now: Micros,
-    needs: Needs<'a>,
+    needs: StepTimes<'a>,
 }
 
 /// µs that a step needs, given the step, its function's name, and µs by which a load could begin before it
 /// does.
-pub type Needs<'a> = &'a dyn Fn(&Step, &str, Micros) -> Micros;
+pub type StepTimes<'a> = &'a dyn Fn(&Step, &str, Micros) -> Micros;
 
 /// The end of a step.
 struct Close<'a> {
-    how: How,
+    how: StepStatus,
     /// Reads a field of its result.
     field: &'a dyn Fn(&str) -> Option<String>,
     /// Why the chain fails, if it does because of this end.
-    why: Why,
+    why: FailureReason,
 }
 
 impl Close<'_> {
     /// The end of a step that was not begun.
-    fn never_ran(why: Why) -> Self {
-        Close { how: How::NeverRan, field: &|_| None, why }
+    fn never_ran(why: FailureReason) -> Self {
+        Close { how: StepStatus::NeverRan, field: &|_| None, why }
     }
 }
 
 /// What is on record of a step: how it ended, and the fields of its result that the plan asks for.
-pub type Recorded = BTreeMap<StepId, (How, BTreeMap<String, String>)>;
+pub type RecordedSteps = BTreeMap<StepId, (StepStatus, BTreeMap<String, String>)>;
 
 /// One chain under way.
 pub struct Run {
@@ -155,8 +155,8 @@
     /// The step that finished last.
     last_finished: Option<StepId>,
     /// What is on record of steps that have not begun in this run.
-    recorded: Recorded,
-    ended: Option<Ended>,
+    recorded: RecordedSteps,
+    ended: Option<RunOutcome>,
 }
 
 impl Run {
@@ -167,7 +167,7 @@
         plan: Arc<Plan>,
         event_function: Option<String>,
         deadline: Micros,
-        recorded: Recorded,
+        recorded: RecordedSteps,
     ) -> Self {
         Run {
             states: vec![State::NotBegun; plan.steps.len()],
@@ -195,12 +195,12 @@
     }
 
     /// How it ended, once it has.
-    pub fn has_ended(&self) -> Option<Ended> {
+    pub fn outcome(&self) -> Option<RunOutcome> {
         self.ended
     }
 
     /// Fields of a step's result that the plan asks for, by tests, functions and undos.
-    pub fn asked(&self, step: StepId) -> Vec<&str> {
+    pub fn requested_fields(&self, step: StepId) -> Vec<&str> {
         let tests = self.plan.step(step).branches().filter_map(|branch| branch.test.as_ref());
         let functions = self.plan.steps.iter().filter_map(|step_of_plan| match &step_of_plan.function {
             Function::From(id, field) if *id == step => Some(field.as_str()),
@@ -219,20 +219,20 @@
     }
 
     /// µs that a step needs; what its plan says where its function is not known yet.
-    fn needed_time(&self, id: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
+    fn needed_time(&self, id: StepId, needs: StepTimes<'_>, ahead: Micros) -> Micros {
         let step = self.plan.step(id);
         self.function(id).map_or(step.at_least, |function| needs(step, &function, ahead))
     }
 
     /// µs of the shortest way from this step's end to the chain's, with loads begun `ahead` of it.
-    fn remaining_time(&self, step: StepId, needs: Needs<'_>, ahead: Micros) -> Micros {
+    fn remaining_time(&self, step: StepId, needs: StepTimes<'_>, ahead: Micros) -> Micros {
         let time = |id: StepId| self.needed_time(id, needs, ahead);
         self.plan.shortest_after(step, &time)
     }
 
     /// Factor of the chain's priority beside that of a new one, by the part of its time that is spent: 1 at
     /// its beginning.
-    pub fn paid(&self, now: Micros, needs: Needs<'_>) -> f64 {
+    pub fn priority_factor(&self, now: Micros, needs: StepTimes<'_>) -> f64 {
         let Some(step) = self.order.last() else { return 1.0 };
         let own = self.needed_time(*step, needs, 0);
         let spent = now.saturating_sub(self.begun) as f64;
@@ -240,43 +240,48 @@
     }
 
     /// Begins the chain.
-    pub fn begin(&mut self, now: Micros, needs: Needs<'_>) -> Vec<Do> {
+    pub fn begin(&mut self, now: Micros, needs: StepTimes<'_>) -> Vec<Command> {
         let mut actions = Vec::new();
         self.enter(Context { now, needs }, StepId(0), &mut actions);
         actions
     }
 
     /// A step has ended; `field` reads its result, `retry_after` is the time in µs that a rejection named.
-    pub fn ended(
+    pub fn step_ended(
         &mut self,
         now: Micros,
         step: StepId,
-        how: How,
+        how: StepStatus,
         retry_after: Option<Micros>,
         field: &dyn Fn(&str) -> Option<String>,
-        needs: Needs<'_>,
-    ) -> Vec<Do> {
+        needs: StepTimes<'_>,
+    ) -> Vec<Command> {
         let mut actions = Vec::new();
         if self.states[step.0] != State::InFlight {
             return actions;
         }
         let context = Context { now, needs };
-        if how == How::NeverRan
+        if how == StepStatus::NeverRan
             && let Some(until) = self.retry_at(context, step, retry_after)
         {
             self.states[step.0] = State::AwaitingRetry;
-            return vec![Do::Wait { step, until }];
+            return vec![Command::Wait { step, until }];
         }
-        self.close(context, step, Close { how, field, why: Why::StepFailed }, &mut actions);
+        self.close(context, step, Close { how, field, why: FailureReason::StepFailed }, &mut actions);
         actions
     }
 
     /// A step that was to begin could not be written to the record: it is not retried, as a full disk stays
     /// full.
-    pub fn not_written(&mut self, now: Micros, step: StepId, needs: Needs<'_>) -> Vec<Do> {
+    pub fn store_failed(&mut self, now: Micros, step: StepId, needs: StepTimes<'_>) -> Vec<Command> {
         let mut actions = Vec::new();
         if self.states[step.0] == State::InFlight {
-            self.close(Context { now, needs }, step, Close::never_ran(Why::NotWritten), &mut actions);
+            self.close(
+                Context { now, needs },
+                step,
+                Close::never_ran(FailureReason::NotWritten),
+                &mut actions,
+            );
         }
         actions
     }
@@ -299,7 +304,7 @@
     }
 
     /// The time of `Do::Wait` has come.
-    pub fn again(&mut self, now: Micros, step: StepId, needs: Needs<'_>) -> Vec<Do> {
+    pub fn retry_step(&mut self, now: Micros, step: StepId, needs: StepTimes<'_>) -> Vec<Command> {
         let mut actions = Vec::new();
         if self.states[step.0] == State::AwaitingRetry {
             self.states[step.0] = State::NotBegun;
@@ -309,25 +314,30 @@
     }
 
     /// The chain's time is up, whatever is in flight.
-    pub fn time_up(&mut self) -> Vec<Do> {
+    pub fn expire(&mut self) -> Vec<Command> {
         let mut actions = Vec::new();
         let step = self.order.last().copied().unwrap_or(StepId(0));
-        self.fail(step, Why::NoTime, &mut actions);
+        self.fail(step, FailureReason::NoTime, &mut actions);
         actions
     }
 
     /// Begins a step, unless its end is on record, its function is not known, or time is too short.
-    fn enter(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Do>) {
+    fn enter(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Command>) {
         if self.ended.is_some() || self.states[step.0] != State::NotBegun {
             return;
         }
         if let Some((how, fields)) = self.recorded.remove(&step) {
             self.order.push(step);
             let field = |name: &str| fields.get(name).cloned();
-            return self.close(context, step, Close { how, field: &field, why: Why::StepFailed }, actions);
+            return self.close(
+                context,
+                step,
+                Close { how, field: &field, why: FailureReason::StepFailed },
+                actions,
+            );
         }
         let Some(function) = self.function(step) else {
-            return self.close(context, step, Close::never_ran(Why::NoFunction), actions);
+            return self.close(context, step, Close::never_ran(FailureReason::NoFunction), actions);
         };
         let own = self.needed_time(step, context.needs, 0);
         let remaining = self.remaining_time(step, context.needs, own);
@@ -337,28 +347,28 @@
                 self.states[step.0] = State::Skipped;
                 return self.follow(context, step, actions);
             }
-            return self.close(context, step, Close::never_ran(Why::NoTime), actions);
+            return self.close(context, step, Close::never_ran(FailureReason::NoTime), actions);
         }
         self.states[step.0] = State::InFlight;
         if !self.order.contains(&step) {
             self.order.push(step);
         }
-        actions.push(Do::Begin { step, function, until });
+        actions.push(Command::Begin { step, function, until });
     }
 
     /// Takes a step's end down and goes on from it.
-    fn close(&mut self, context: Context<'_>, step: StepId, close: Close<'_>, actions: &mut Vec<Do>) {
-        self.states[step.0] = State::Ended(close.how);
-        if close.how == How::Finished {
+    fn close(&mut self, context: Context<'_>, step: StepId, close: Close<'_>, actions: &mut Vec<Command>) {
+        self.states[step.0] = State::RunOutcome(close.how);
+        if close.how == StepStatus::Finished {
             self.last_finished = Some(step);
-            let asked: Vec<String> = self.asked(step).into_iter().map(str::to_owned).collect();
+            let asked: Vec<String> = self.requested_fields(step).into_iter().map(str::to_owned).collect();
             for name in asked {
                 if let Some(value) = (close.field)(&name) {
                     self.results.insert((step, name), value);
                 }
             }
         }
-        if close.how == How::Finished || self.plan.step(step).optional {
+        if close.how == StepStatus::Finished || self.plan.step(step).optional {
             return self.follow(context, step, actions);
         }
         if let Some(fork) = self.fork_of(step) {
@@ -366,22 +376,22 @@
         }
         let plan = self.plan.clone();
         match self.branch_taken(step, &plan.step(step).or_else) {
-            Some(go) => self.go(context, step, go, actions),
+            Some(target) => self.target(context, step, target, actions),
             None => self.fail(step, close.why, actions),
         }
     }
 
     /// Where the first branch whose test holds leads.
-    fn branch_taken<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Go> {
+    fn branch_taken<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Target> {
         let holds = |branch: &&Branch| {
             let test = branch.test.as_ref();
             test.is_none_or(|test| self.results.get(&(step, test.field.clone())) == Some(&test.is))
         };
-        branches.iter().find(holds).map(|branch| &branch.go)
+        branches.iter().find(holds).map(|branch| &branch.target)
     }
 
     /// Goes on after a step that has finished, or need not.
-    fn follow(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Do>) {
+    fn follow(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Command>) {
         if self.ended.is_some() {
             return;
         }
@@ -390,17 +400,17 @@
         }
         let plan = self.plan.clone();
         match self.branch_taken(step, &plan.step(step).next) {
-            Some(go) => self.go(context, step, go, actions),
+            Some(target) => self.target(context, step, target, actions),
             None => self.finish(step, actions),
         }
     }
 
-    fn go(&mut self, context: Context<'_>, from: StepId, go: &Go, actions: &mut Vec<Do>) {
-        match go {
-            Go::End => self.finish(from, actions),
-            Go::One(to) => self.enter(context, *to, actions),
-            Go::All(arms, join) | Go::First(arms, join) => {
-                let first = matches!(go, Go::First(..));
+    fn target(&mut self, context: Context<'_>, from: StepId, target: &Target, actions: &mut Vec<Command>) {
+        match target {
+            Target::End => self.finish(from, actions),
+            Target::One(to) => self.enter(context, *to, actions),
+            Target::All(arms, join) | Target::First(arms, join) => {
+                let first = matches!(target, Target::First(..));
                 self.forks.push(Fork { arms: arms.clone(), join: *join, first });
                 for arm in arms {
                     self.enter(context, *arm, actions);
@@ -415,7 +425,7 @@
     }
 
     fn has_finished(&self, step: StepId) -> bool {
-        self.states[step.0] == State::Ended(How::Finished)
+        self.states[step.0] == State::RunOutcome(StepStatus::Finished)
     }
 
     /// Whether a step's end is still to come.
@@ -424,7 +434,7 @@
     }
 
     /// An arm has finished or was left out.
-    fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, actions: &mut Vec<Do>) {
+    fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, actions: &mut Vec<Command>) {
         let fork = &self.forks[index];
         let open: Vec<StepId> = fork.arms.iter().filter(|arm| self.is_open(**arm)).copied().collect();
         // One that was left out, or failed and may, is not the first that finishes, unless it is the last.
@@ -432,16 +442,17 @@
             return;
         }
         if fork.first && !fork.arms.iter().any(|arm| self.has_finished(*arm)) {
-            return self.fail(step, Why::StepFailed, actions);
+            return self.fail(step, FailureReason::StepFailed, actions);
         }
         let join = fork.join;
         self.forks.remove(index);
         for arm in open {
             let in_flight = self.states[arm.0] == State::InFlight;
             if in_flight {
-                actions.push(Do::Cancel(arm));
+                actions.push(Command::Cancel(arm));
             }
-            self.states[arm.0] = if in_flight { State::Ended(How::MayHaveRun) } else { State::Skipped };
+            self.states[arm.0] =
+                if in_flight { State::RunOutcome(StepStatus::MayHaveRun) } else { State::Skipped };
         }
         match join {
             Some(join) => self.enter(context, join, actions),
@@ -450,7 +461,7 @@
     }
 
     /// An arm that is needed has failed: all of several need it, the first of several has others.
-    fn arm_failed(&mut self, index: usize, step: StepId, why: Why, actions: &mut Vec<Do>) {
+    fn arm_failed(&mut self, index: usize, step: StepId, why: FailureReason, actions: &mut Vec<Command>) {
         let fork = &self.forks[index];
         if fork.first && fork.arms.iter().any(|arm| self.is_open(*arm)) {
             return;
@@ -460,29 +471,31 @@
 
     /// The chain is finished by the step that finished last: the one that led here may have been left out, or
     /// have failed where it need not succeed.
-    fn finish(&mut self, step: StepId, actions: &mut Vec<Do>) {
-        let Some(step) = self.last_finished else { return self.fail(step, Why::StepFailed, actions) };
+    fn finish(&mut self, step: StepId, actions: &mut Vec<Command>) {
+        let Some(step) = self.last_finished else {
+            return self.fail(step, FailureReason::StepFailed, actions);
+        };
         if self.ended.is_none() {
             self.cancel_open_steps(actions);
-            self.ended = Some(Ended::Finished(step));
-            actions.push(Do::End(Ended::Finished(step)));
+            self.ended = Some(RunOutcome::Finished(step));
+            actions.push(Command::End(RunOutcome::Finished(step)));
         }
     }
 
-    fn cancel_open_steps(&mut self, actions: &mut Vec<Do>) {
+    fn cancel_open_steps(&mut self, actions: &mut Vec<Command>) {
         for (index, state) in self.states.iter_mut().enumerate() {
             match state {
                 State::InFlight => {
-                    actions.push(Do::Cancel(StepId(index)));
-                    *state = State::Ended(How::MayHaveRun);
+                    actions.push(Command::Cancel(StepId(index)));
+                    *state = State::RunOutcome(StepStatus::MayHaveRun);
                 }
-                State::AwaitingRetry => *state = State::Ended(How::NeverRan),
+                State::AwaitingRetry => *state = State::RunOutcome(StepStatus::NeverRan),
                 _ => {}
             }
         }
     }
 
-    fn fail(&mut self, step: StepId, why: Why, actions: &mut Vec<Do>) {
+    fn fail(&mut self, step: StepId, why: FailureReason, actions: &mut Vec<Command>) {
         if self.ended.is_some() {
             return;
         }
@@ -491,24 +504,24 @@
             self.may_have_run(*step) && self.plan.step(*step).effect != RetrySafety::Idempotent
         };
         let ended = if self.order.iter().any(has_lasting_effect) {
-            Ended::Failed(step, why)
+            RunOutcome::Failed(step, why)
         } else {
-            Ended::PushedBack(step, why)
+            RunOutcome::Rejected(step, why)
         };
         self.ended = Some(ended);
-        actions.push(Do::End(ended));
+        actions.push(Command::End(ended));
         actions.extend(self.undos());
     }
 
     fn may_have_run(&self, step: StepId) -> bool {
-        matches!(self.states[step.0], State::Ended(How::Finished | How::MayHaveRun))
+        matches!(self.states[step.0], State::RunOutcome(StepStatus::Finished | StepStatus::MayHaveRun))
     }
 
     /// What is to be undone, the last step first. An undo whose function is not known cannot be run.
-    fn undos(&self) -> Vec<Do> {
+    fn undos(&self) -> Vec<Command> {
         let undo = |step: &StepId| {
             let step = self.plan.step(*step).undo?;
-            self.function(step).map(|function| Do::Undo { step, function })
+            self.function(step).map(|function| Command::Undo { step, function })
         };
         self.order.iter().rev().filter(|step| self.may_have_run(**step)).filter_map(undo).collect()
     }
--- a/crates/workflow/src/pace.rs
+++ b/crates/workflow/src/run_limiter.rs
@@ -1,7 +1,7 @@
 //! Limit on new chains under load: as many are begun as come to their end, so that work is spent on whole
 //! chains and not on many first steps.
 use applepond::interface::Micros;
-use applepond_admission::room::Room;
+use applepond_admission::adaptive_limit::AdaptiveLimit;
 use applepond_admission::traffic_monitor::Rate;
 
 /// Chains a second that may begin whatever the load.
@@ -23,9 +23,9 @@
 
 /// Token bucket for new chains, whose rate follows the chains that finish. It has no effect while few fail.
 #[derive(Default)]
-pub struct Pace {
+pub struct RunLimiter {
     /// Finds the rate.
-    room: Room,
+    adaptive_limit: AdaptiveLimit,
     /// Chains that finished.
     finished: Rate,
     /// Chains that failed with steps done.
@@ -38,7 +38,7 @@
     limited: Option<Micros>,
 }
 
-impl Pace {
+impl RunLimiter {
     /// Whether a new chain may begin.
     pub fn admit(&mut self, now: Micros) -> bool {
         let (finished, wasted) = (self.finished.per_s(now), self.wasted.per_s(now));
@@ -47,7 +47,8 @@
             self.refilled = now;
         }
         let Some(last_rejection) = self.limited else { return true };
-        let allowed = self.room.allowed(now, finished.max(MIN_CHAINS_PER_S), INITIAL_FACTOR, MIN_FACTOR);
+        let allowed =
+            self.adaptive_limit.allowed(now, finished.max(MIN_CHAINS_PER_S), INITIAL_FACTOR, MIN_FACTOR);
         let max_tokens = (allowed * BURST_SHARE).max(1.0);
         self.tokens = (self.tokens + allowed * (now - self.refilled) as f64 / 1e6).min(max_tokens);
         self.refilled = now;
@@ -57,13 +58,13 @@
             return true;
         }
         self.limited = Some(now);
-        self.room.want();
+        self.adaptive_limit.record_unmet_demand();
         false
     }
 
     /// A chain has come to its end: `finished`, or `wasted` where it failed with steps done.
-    pub fn ended(&mut self, now: Micros, finished: bool, wasted: bool) {
-        self.room.ended(finished, wasted);
+    pub fn run_ended(&mut self, now: Micros, finished: bool, wasted: bool) {
+        self.adaptive_limit.record_result(finished, wasted);
         if finished {
             self.finished.add(now);
         }
@@ -74,6 +75,6 @@
 
     /// Chains a second that may begin, while there is a limit.
     pub fn allowed(&self) -> Option<f64> {
-        self.limited.map(|_| self.room.last())
+        self.limited.map(|_| self.adaptive_limit.current())
     }
 }
--- a/crates/workflow/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -1,8 +1,10 @@
 //! Plans in a few words, and a run with its clock.
 #![allow(dead_code)] // each table of cases uses its own part
 use applepond::interface::{IdempotencyScope, Micros, RetrySafety};
-use applepond_workflow::run::Recorded;
-use applepond_workflow::{Branch, Do, Ended, Function, Go, How, Plan, Run, Step, StepId, Test};
+use applepond_workflow::run::RecordedSteps;
+use applepond_workflow::{
+    Branch, Command, Function, Plan, Run, RunOutcome, Step, StepId, StepStatus, Target, Test,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -39,19 +41,19 @@
 }
 
 pub fn to(n: usize) -> Branch {
-    Branch { test: None, go: Go::One(id(n)) }
+    Branch { test: None, target: Target::One(id(n)) }
 }
 
 pub fn when(field: &str, is: &str, n: usize) -> Branch {
-    Branch { test: Some(Test { field: field.into(), is: is.into() }), go: Go::One(id(n)) }
+    Branch { test: Some(Test { field: field.into(), is: is.into() }), target: Target::One(id(n)) }
 }
 
 pub fn all(arms: &[usize], join: Option<usize>) -> Branch {
-    Branch { test: None, go: Go::All(arms.iter().map(|n| id(*n)).collect(), join.map(id)) }
+    Branch { test: None, target: Target::All(arms.iter().map(|n| id(*n)).collect(), join.map(id)) }
 }
 
 pub fn first(arms: &[usize], join: Option<usize>) -> Branch {
-    Branch { test: None, go: Go::First(arms.iter().map(|n| id(*n)).collect(), join.map(id)) }
+    Branch { test: None, target: Target::First(arms.iter().map(|n| id(*n)).collect(), join.map(id)) }
 }
 
 /// Short ways to change a step.
@@ -99,7 +101,7 @@
         Self::resumed(steps, BTreeMap::new())
     }
 
-    pub fn resumed(steps: Vec<Step>, recorded: Recorded) -> Self {
+    pub fn resumed(steps: Vec<Step>, recorded: RecordedSteps) -> Self {
         let (plan, now) = (plan(steps), 100 * S);
         assert_eq!(plan.check(), Vec::new(), "a sound plan");
         let run = Run::new(now, Arc::new(plan), Some("of-event".into()), now + 4 * S, recorded);
@@ -113,12 +115,12 @@
     }
 
     /// After `ms` more a step ends, with fields of its result; what is to be done, in words.
-    pub fn ends(&mut self, ms: Micros, n: usize, how: How, fields: &[(&str, &str)]) -> Vec<String> {
+    pub fn ends(&mut self, ms: Micros, n: usize, how: StepStatus, fields: &[(&str, &str)]) -> Vec<String> {
         self.now += ms * MS;
         let needs = self.needs.clone();
         let field = |name: &str| fields.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
         let needs = |step: &Step, f: &str, _: Micros| needs.get(f).copied().unwrap_or(step.at_least);
-        let todo = self.run.ended(self.now, id(n), how, self.retry_after, &field, &needs);
+        let todo = self.run.step_ended(self.now, id(n), how, self.retry_after, &field, &needs);
         self.words(&todo)
     }
 
@@ -127,25 +129,29 @@
         self.now += ms * MS;
         let needs = self.needs.clone();
         let needs = |step: &Step, f: &str, _: Micros| needs.get(f).copied().unwrap_or(step.at_least);
-        let todo = self.run.again(self.now, id(n), &needs);
+        let todo = self.run.retry_step(self.now, id(n), &needs);
         self.words(&todo)
     }
 
     pub fn finishes(&mut self, ms: Micros, n: usize) -> Vec<String> {
-        self.ends(ms, n, How::Finished, &[])
+        self.ends(ms, n, StepStatus::Finished, &[])
     }
 
-    fn words(&self, todo: &[Do]) -> Vec<String> {
+    fn words(&self, todo: &[Command]) -> Vec<String> {
         let name = |s: &StepId| self.run.plan().step(*s).name.clone();
-        let word = |what: &Do| match what {
-            Do::Begin { step, function, .. } if *function == name(step) => format!("begin {function}"),
-            Do::Begin { step, function, .. } => format!("begin {} of {function}", name(step)),
-            Do::Wait { step, until } => format!("wait {} ms for {}", (until - self.now) / MS, name(step)),
-            Do::Cancel(step) => format!("cancel {}", name(step)),
-            Do::Undo { step, .. } => format!("undo by {}", name(step)),
-            Do::End(Ended::Finished(step)) => format!("finished by {}", name(step)),
-            Do::End(Ended::PushedBack(step, why)) => format!("pushed back at {}: {why:?}", name(step)),
-            Do::End(Ended::Failed(step, why)) => format!("failed at {}: {why:?}", name(step)),
+        let word = |what: &Command| match what {
+            Command::Begin { step, function, .. } if *function == name(step) => format!("begin {function}"),
+            Command::Begin { step, function, .. } => format!("begin {} of {function}", name(step)),
+            Command::Wait { step, until } => {
+                format!("wait {} ms for {}", (until - self.now) / MS, name(step))
+            }
+            Command::Cancel(step) => format!("cancel {}", name(step)),
+            Command::Undo { step, .. } => format!("undo by {}", name(step)),
+            Command::End(RunOutcome::Finished(step)) => format!("finished by {}", name(step)),
+            Command::End(RunOutcome::Rejected(step, why)) => {
+                format!("pushed back at {}: {why:?}", name(step))
+            }
+            Command::End(RunOutcome::Failed(step, why)) => format!("failed at {}: {why:?}", name(step)),
         };
         todo.iter().map(word).collect()
     }
--- a/crates/workflow/tests/pace.rs
+++ b/crates/workflow/tests/run_limiter.rs
@@ -1,6 +1,6 @@
 //! The limit on new chains beside a simple fleet.
 use applepond::interface::Micros;
-use applepond_workflow::Pace;
+use applepond_workflow::RunLimiter;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -10,7 +10,7 @@
 /// chain first, and have 2 s: whole ones a second in the last 20 s, and the part of the work that was
 /// wasted.
 fn against(asked: u64, paced: bool) -> (f64, f64) {
-    let mut pace = Pace::default();
+    let mut limiter = RunLimiter::default();
     // By when it came: steps done.
     let mut open: BTreeMap<Micros, u32> = BTreeMap::new();
     let (mut whole, mut spent, mut lost) = (0, 0, 0);
@@ -18,7 +18,7 @@
     while now < 31 * S {
         now += S / 90;
         while next <= now {
-            if !paced || pace.admit(next) {
+            if !paced || limiter.admit(next) {
                 open.insert(next, 0);
             }
             next += S / asked;
@@ -28,7 +28,7 @@
         {
             open.remove(&came);
             lost += steps;
-            pace.ended(now, false, steps > 0);
+            limiter.run_ended(now, false, steps > 0);
         }
         // The step that waits longest for a worker is not the one whose chain is oldest: any may be.
         let turn = open.len().checked_sub(1).map(|last| (now / 7 % 1_000_003) as usize % (last + 1));
@@ -38,7 +38,7 @@
             let came = *came;
             open.remove(&came);
             whole += u32::from(now > 11 * S);
-            pace.ended(now, true, false);
+            limiter.run_ended(now, true, false);
         }
     }
     (f64::from(whole) / 20.0, f64::from(lost) / f64::from(spent))
@@ -61,11 +61,11 @@
 
 #[test]
 fn nobody_is_turned_away_while_chains_finish() {
-    let mut pace = Pace::default();
+    let mut limiter = RunLimiter::default();
     for n in 0..5_000u64 {
         let now = S + n * 2_000;
-        assert!(pace.admit(now));
-        pace.ended(now, true, n % 50 == 0);
+        assert!(limiter.admit(now));
+        limiter.run_ended(now, true, n % 50 == 0);
     }
-    assert_eq!(pace.allowed(), None);
+    assert_eq!(limiter.allowed(), None);
 }
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond::interface::RetrySafety::AtMostOnce;
-use applepond_workflow::{Do, How, Step};
+use applepond_workflow::{Command, Step, StepStatus};
 use common::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -28,42 +28,44 @@
 fn a_booking_from_beginning_to_end() {
     let mut b = Bench::new(booking());
     assert_eq!(b.begin(), ["begin price"]);
-    assert_eq!(b.ends(50, 0, How::Finished, &[("hut", "luční")]), ["begin beds of luční"]);
-    assert_eq!(b.ends(50, 1, How::Finished, &[("free", "yes")]), ["begin confirm"]);
+    assert_eq!(b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]), ["begin beds of luční"]);
+    assert_eq!(b.ends(50, 1, StepStatus::Finished, &[("free", "yes")]), ["begin confirm"]);
     assert_eq!(b.finishes(50, 3), ["finished by confirm"]);
     assert_eq!(b.finishes(50, 3), Vec::<String>::new(), "an end told twice");
 }
 
-#[test_case(How::Finished, "no"; "the first hut is full")]
-#[test_case(How::NeverRan, ""; "it could not be asked")]
-#[test_case(How::MayHaveRun, ""; "it may have been asked")]
-fn the_second_hut(how: How, free: &str) {
+#[test_case(StepStatus::Finished, "no"; "the first hut is full")]
+#[test_case(StepStatus::NeverRan, ""; "it could not be asked")]
+#[test_case(StepStatus::MayHaveRun, ""; "it may have been asked")]
+fn the_second_hut(how: StepStatus, free: &str) {
     let mut b = Bench::new(booking());
     b.begin();
-    b.ends(50, 0, How::Finished, &[("hut", "luční")]);
+    b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]);
     assert_eq!(b.ends(50, 1, how, &[("free", free)]), ["begin beds-2"]);
     assert_eq!(b.finishes(50, 2), ["begin confirm"]);
 }
 
 // What has been done is taken back, the last first, also what only may have been done.
-#[test_case(How::NeverRan, &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
+#[test_case(StepStatus::NeverRan,
+    &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
     "pushed back")]
-#[test_case(How::MayHaveRun, &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
+#[test_case(StepStatus::MayHaveRun,
+    &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
     "killed")]
-fn what_may_have_been_done_is_undone_last_first(how: How, want: &[&str]) {
+fn what_may_have_been_done_is_undone_last_first(how: StepStatus, want: &[&str]) {
     let mut b = Bench::new(booking());
     b.begin();
-    b.ends(50, 0, How::Finished, &[("hut", "luční")]);
-    b.ends(50, 1, How::MayHaveRun, &[]);
+    b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]);
+    b.ends(50, 1, StepStatus::MayHaveRun, &[]);
     b.finishes(50, 2);
     // Late, so that a pushback is not tried again.
     assert_eq!(b.ends(3_820, 3, how, &[]), want);
 }
 
 // As long as nothing can have had an effect that lasts, the client may ask again.
-#[test_case(0, How::MayHaveRun, "pushed back at price: StepFailed"; "an idempotent step may have run")]
-#[test_case(0, How::NeverRan, "pushed back at price: StepFailed"; "it never ran")]
-fn a_chain_without_effect_is_rejected(n: usize, how: How, want: &str) {
+#[test_case(0, StepStatus::MayHaveRun, "pushed back at price: StepFailed"; "an idempotent step may have run")]
+#[test_case(0, StepStatus::NeverRan, "pushed back at price: StepFailed"; "it never ran")]
+fn a_chain_without_effect_is_rejected(n: usize, how: StepStatus, want: &str) {
     let mut b = Bench::new(booking());
     b.begin();
     assert_eq!(b.ends(50, n, how, &[]), [want]);
@@ -121,21 +123,21 @@
     let mut b = Bench::new(steps);
     b.begin();
     b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, How::MayHaveRun, &[]), ["begin confirm"]);
+    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["begin confirm"]);
 }
 
 // A step's request is told the time left, less what those after it need and the way back.
 #[test]
 fn one_clock() {
     let mut b = Bench::new(vec![free("price").next(&[to(1)]), free("beds")]);
-    let until = |todo: &[Do]| match todo {
-        [Do::Begin { until, .. }] => *until,
+    let until = |todo: &[Command]| match todo {
+        [Command::Begin { until, .. }] => *until,
         other => panic!("{other:?}"),
     };
     let needs = |step: &Step, _: &str, _: u64| step.at_least;
     let first = until(&b.run.begin(b.now, &needs));
     assert_eq!(first, 104 * S - 5 * MS - 100 * MS);
-    let second = b.run.ended(b.now + 10 * MS, id(0), How::Finished, None, &|_| None, &needs);
+    let second = b.run.step_ended(b.now + 10 * MS, id(0), StepStatus::Finished, None, &|_| None, &needs);
     assert_eq!(until(&second), 104 * S - 5 * MS, "what the first did not use is there for the second");
 }
 
@@ -151,7 +153,7 @@
     let mut b = Bench::new(steps);
     b.begin();
     b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, How::MayHaveRun, &[]), ["cancel c", "pushed back at b: StepFailed"]);
+    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["cancel c", "pushed back at b: StepFailed"]);
 }
 
 #[test]
@@ -164,8 +166,8 @@
     let mut b = Bench::new(steps);
     b.begin();
     b.finishes(50, 0);
-    assert_eq!(b.ends(50, 2, How::MayHaveRun, &[]), Vec::<String>::new(), "the other may still");
-    assert_eq!(b.ends(50, 1, How::MayHaveRun, &[]), ["pushed back at b: StepFailed"]);
+    assert_eq!(b.ends(50, 2, StepStatus::MayHaveRun, &[]), Vec::<String>::new(), "the other may still");
+    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["pushed back at b: StepFailed"]);
 }
 
 // Cut off in the middle: what is on record is not begun again.
@@ -173,11 +175,11 @@
 fn resumed() {
     let field = |n: &str, v: &str| BTreeMap::from([(n.to_owned(), v.to_owned())]);
     let mut recorded = BTreeMap::from([
-        (id(0), (How::Finished, field("hut", "luční"))),
-        (id(1), (How::Finished, field("free", "yes"))),
+        (id(0), (StepStatus::Finished, field("hut", "luční"))),
+        (id(1), (StepStatus::Finished, field("free", "yes"))),
     ]);
     assert_eq!(Bench::resumed(booking(), recorded.clone()).begin(), ["begin confirm"]);
-    recorded.insert(id(3), (How::MayHaveRun, BTreeMap::new()));
+    recorded.insert(id(3), (StepStatus::MayHaveRun, BTreeMap::new()));
     let mut b = Bench::resumed(booking(), recorded);
     assert_eq!(b.begin(), ["failed at confirm: StepFailed", "undo by release"], "never a second time");
 }
@@ -187,10 +189,10 @@
     let mut b = Bench::new(booking());
     let needs = |step: &Step, _: &str, _: u64| step.at_least;
     b.begin();
-    let fresh = b.run.paid(b.now, &needs);
-    b.ends(300, 0, How::Finished, &[("hut", "luční")]);
-    b.ends(300, 1, How::Finished, &[("free", "yes")]);
-    let near = b.run.paid(b.now, &needs);
+    let fresh = b.run.priority_factor(b.now, &needs);
+    b.ends(300, 0, StepStatus::Finished, &[("hut", "luční")]);
+    b.ends(300, 1, StepStatus::Finished, &[("free", "yes")]);
+    let near = b.run.priority_factor(b.now, &needs);
     assert!(fresh < 1.1 && near > 3.0, "{fresh} {near}");
 }
 
@@ -207,7 +209,7 @@
     b.begin();
     b.finishes(50, 0);
     b.retry_after = retry_after_ms.map(|ms| ms * MS);
-    assert_eq!(b.ends(ms, 1, How::NeverRan, &[]), [want]);
+    assert_eq!(b.ends(ms, 1, StepStatus::NeverRan, &[]), [want]);
     if want.starts_with("wait") {
         assert_eq!(b.again(200, 1), ["begin beds-2"]);
         assert_eq!(b.again(0, 1), Vec::<String>::new(), "told twice");
@@ -226,8 +228,8 @@
     let mut b = Bench::new(steps);
     b.begin();
     b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, How::MayHaveRun, &[]), ["finished by price"], "failed");
+    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["finished by price"], "failed");
     let mut b = Bench::new(vec![free("photos").optional()]);
     b.begin();
-    assert_eq!(b.ends(50, 0, How::NeverRan, &[]), ["pushed back at photos: StepFailed"]);
+    assert_eq!(b.ends(50, 0, StepStatus::NeverRan, &[]), ["pushed back at photos: StepFailed"]);
 }
