--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -69,7 +69,7 @@
     /// Digest of the client.
     pub client: u64,
     /// Digest of the request's name.
-    pub name: u64,
+    pub request_id: u64,
     /// The client says that this is a retry.
     pub is_retry: bool,
     /// Importance of the request, compared with the mean of all.
@@ -198,12 +198,12 @@
 
     /// Decides whether a request that arrives is admitted.
     pub fn decide(&mut self, now: Micros, arrival: &Arrival) -> Decision {
-        let was_seen = self.seen_names.insert(now, arrival.name);
+        let was_seen = self.seen_names.insert(now, arrival.request_id);
         let is_retry = arrival.is_retry || was_seen;
         let client = arrival.client;
         let counts = if is_retry { &mut self.retries } else { &mut self.first_attempts };
         let attempts = counts.add(now, client);
-        let timing = self.scheduled.observe(now, arrival.name);
+        let timing = self.scheduled.observe(now, arrival.request_id);
         self.record_timing(now, client, timing);
         self.traffic_monitor.record_arrival(now, is_retry, if is_retry { f64::from(attempts) } else { 0.0 });
         self.mean_importance += IMPORTANCE_WEIGHT * (arrival.importance - self.mean_importance);
@@ -281,7 +281,7 @@
 
     fn reject(&mut self, now: Micros, arrival: &Arrival, reason: &'static str) -> Decision {
         Decision::Rejected {
-            retry_after: self.schedule_retry(now, arrival.client, arrival.name, arrival.remaining),
+            retry_after: self.schedule_retry(now, arrival.client, arrival.request_id, arrival.remaining),
             reason,
         }
     }
--- a/crates/admission/tests/traffic.rs
+++ b/crates/admission/tests/traffic.rs
@@ -31,7 +31,8 @@
 
     /// One request of a client; a retry carries the name of an earlier one.
     fn ask(&mut self, client: u64, name: u64, told: bool) -> Decision {
-        let arrival = Arrival { client, name, is_retry: told, importance: 1.0, remaining: 60 * SECOND };
+        let arrival =
+            Arrival { client, request_id: name, is_retry: told, importance: 1.0, remaining: 60 * SECOND };
         let decision = self.controller.decide(self.now, &arrival);
         match decision {
             Decision::Admitted { .. } => self.let_in += 1,
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -207,7 +207,7 @@
         let digest = FunctionId::named(&event.id).0 ^ client_digest.rotate_left(1);
         let arrival = Arrival {
             client: client_digest,
-            name: digest,
+            request_id: digest,
             is_retry: event.is_retry,
             importance: self.deployment.startup.workloads[workload].priority_weight,
             remaining: time_left,
