--- a/crates/admission/src/traffic_monitor.rs
+++ b/crates/admission/src/traffic_monitor.rs
@@ -1,69 +1,68 @@
-//! Classification of the traffic that a router sees: calm, more work, a storm of retries, the loop of one
-//! client, or a slow day.
+//! Classification of the traffic of a router: calm, increased work, a retry storm, one client that retries
+//! in a loop, or slow service.
 use crate::Micros;
 
-/// Time constant in µs of the quick rates: a storm shows within one.
-const QUICK_SPAN: f64 = 2_000_000.0;
+/// Time constant of event rates, in µs: a retry storm is recognized within about this time.
+const RATE_TIME_CONSTANT_US: f64 = 2_000_000.0;
 
-/// Time constant in µs with which the usual rates of an hour of the day are learned.
-const LEARNING_SPAN: f64 = 300_000_000.0;
+/// Time constant, in µs, with which the usual rates of an hour of the day are learned.
+const BASELINE_TIME_CONSTANT_US: f64 = 300_000_000.0;
 
-/// An hour, in µs.
-const HOUR: Micros = 3_600_000_000;
+const HOUR_US: Micros = 3_600_000_000;
 
-/// Hours of a day.
-const HOURS: usize = 24;
+const HOURS_PER_DAY: usize = 24;
 
-/// Time in µs for which an hour must have been observed before its usual rates count.
-const MIN_OBSERVED: f64 = QUICK_SPAN * 5.0;
+/// Time in µs for which an hour of the day must have been observed before its usual rates are used.
+const MIN_OBSERVED_US: f64 = RATE_TIME_CONSTANT_US * 5.0;
 
-/// Fraction of retries from which on it is a storm or a loop. Clients that retry one lost response in a
-/// hundred are far below; when a data hall is cut off, each request comes back at least once.
+/// Fraction of retries among arrivals at which a storm or a loop is recognized. Clients that retry one lost
+/// response in a hundred stay far below it; when a data hall is cut off, every request is retried at least
+/// once.
 const RETRY_FRACTION_HIGH: f64 = 0.3;
 
-/// Fraction of retries below which a storm or a loop ends.
+/// Fraction of retries among arrivals below which a storm or a loop is over.
 const RETRY_FRACTION_LOW: f64 = 0.1;
 
-/// Connections opened, as a multiple of the usual, from which on that indicates a storm. Alone it proves
-/// nothing, as more work opens connections too. Each indication lowers the fraction of retries that is
-/// needed.
+/// New connections, as a multiple of the usual, that indicate a storm. This is not sufficient alone, as
+/// more work opens more connections too. Each indication lowers the fraction of retries at which a storm is
+/// recognized.
 const CONNECTIONS_OVER_USUAL: f64 = 4.0;
 
-/// Fraction of scheduled retries that come early from which on that indicates a storm too.
+/// Fraction of early retries among scheduled ones that indicates a storm.
 const EARLY_FRACTION: f64 = 0.5;
 
-/// Arrivals, as a multiple of the usual, from which on it is more work.
+/// Arrivals, as a multiple of the usual, at which increased work is recognized.
 const JUMP_OVER_USUAL: f64 = 2.0;
 
-/// Events a second that are needed at least: with fewer, chance decides.
-const MIN_RATE: f64 = 5.0;
+/// Events per second below which fractions are ignored, as they would be dominated by chance.
+const MIN_RATE_PER_S: f64 = 5.0;
 
-/// Fraction of the retries that come from one client in a loop.
+/// Fraction of all retries at which a single client is regarded as retrying in a loop.
 const ONE_CLIENT_FRACTION: f64 = 0.5;
 
-/// Fraction of arrivals that complete below which a day is slow.
+/// Fraction of completions among arrivals below which service is slow.
 const SLOW_FRACTION: f64 = 0.7;
 
-/// Time in µs for which the indications must be absent before a storm is over: it comes in waves.
-const STORM_END_DELAY: Micros = 3_000_000;
+/// Time in µs for which there must be no sign of a storm before it is over: storms come in waves.
+const STORM_END_DELAY_US: Micros = 3_000_000;
 
-/// What the traffic is classified as. The log and the state page print the variants' names.
+/// Class of the traffic. The log and the state page print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficClass {
     /// Nothing unusual.
     Calm,
-    /// More work than usual, few retries: no reason to reject any of it.
+    /// More work than usual and few retries: there is no reason to reject any of it.
     Jump,
     /// Many clients retry.
     Storm,
     /// One client retries in a loop.
     Loop,
-    /// No more than usual arrives, and much of it does not complete.
+    /// No more work than usual, but much of it does not complete.
     Slow,
 }
 
 impl TrafficClass {
-    fn is_retry_problem(self) -> bool {
+    fn is_retry_overload(self) -> bool {
         matches!(self, TrafficClass::Storm | TrafficClass::Loop)
     }
 }
@@ -72,41 +71,41 @@
 #[derive(Clone, Copy, Default)]
 pub struct Rate {
     count: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 impl Rate {
     fn decayed(&self, now: Micros, span: f64) -> f64 {
-        self.count * (-(now.saturating_sub(self.at) as f64) / span).exp()
+        self.count * (-(now.saturating_sub(self.updated_at) as f64) / span).exp()
     }
 
     /// Counts one event.
     pub fn add(&mut self, now: Micros) {
-        self.count = self.decayed(now, QUICK_SPAN) + 1.0;
-        self.at = now;
+        self.count = self.decayed(now, RATE_TIME_CONSTANT_US) + 1.0;
+        self.updated_at = now;
     }
 
-    /// Events a second.
+    /// Events per second.
     pub fn per_s(&self, now: Micros) -> f64 {
-        self.decayed(now, QUICK_SPAN) / QUICK_SPAN * 1e6
+        self.decayed(now, RATE_TIME_CONSTANT_US) / RATE_TIME_CONSTANT_US * 1e6
     }
 }
 
-/// What is usual in one hour of the day.
+/// Usual rates of one hour of the day.
 #[derive(Clone, Copy, Default)]
 struct UsualTraffic {
     arrivals_per_s: f64,
     connections_per_s: f64,
-    /// For how long the hour was observed, in µs.
+    /// Time for which the hour was observed, in µs.
     observed: f64,
 }
 
 impl UsualTraffic {
-    /// Moves the usual rates towards those that were observed for `elapsed` µs.
+    /// Updates the usual rates with those observed during the last `elapsed` µs.
     fn learn(&mut self, arrivals_per_s: f64, connections_per_s: f64, elapsed: f64) {
-        // At first a plain mean over the observed time, later an exponential one.
+        // An arithmetic mean over the observed time at first, later an exponential moving average.
         let mean = elapsed / (self.observed + elapsed);
-        let weight = mean.max(1.0 - (-elapsed / LEARNING_SPAN).exp()).min(1.0);
+        let weight = mean.max(1.0 - (-elapsed / BASELINE_TIME_CONSTANT_US).exp()).min(1.0);
         self.arrivals_per_s += weight * (arrivals_per_s - self.arrivals_per_s);
         self.connections_per_s += weight * (connections_per_s - self.connections_per_s);
         self.observed += elapsed;
@@ -119,67 +118,68 @@
     started_at: Micros,
     first_attempts: Rate,
     retries: Rate,
-    /// Recent retries of the client that has most of them.
+    /// Highest number of recent retries of a single client.
     heaviest_client: f64,
     /// Requests that completed.
     pub completed: Rate,
-    /// Requests that the routing module rejected.
+    /// Requests rejected by the routing module.
     pub rejected: Rate,
-    /// Connections that were opened.
+    /// Accepted connections.
     pub connections: Rate,
-    /// Retries that came when they were told to.
+    /// Retries that arrived at their scheduled time.
     pub on_time_retries: Rate,
-    /// Retries that came before their time.
+    /// Retries that arrived before their scheduled time.
     pub early_retries: Rate,
-    /// By hour of the day, as learned while nothing was unusual.
-    usual: [UsualTraffic; HOURS],
+    /// Usual rates by hour of the day, learned while the traffic is calm.
+    baseline: [UsualTraffic; HOURS_PER_DAY],
     learned_at: Micros,
-    /// The classification, and since when it holds.
+    /// The traffic class, and the time since which it holds.
     class: Option<(TrafficClass, Micros)>,
-    /// Since when a storm or a loop shows no indications any more.
+    /// Time since which there has been no sign of the present storm or loop.
     quiet_since: Option<Micros>,
 }
 
 impl TrafficMonitor {
-    /// Starts without any knowledge of what is usual.
+    /// Starts without any usual rates.
     pub fn new(now: Micros) -> Self {
         TrafficMonitor { started_at: now, learned_at: now, ..TrafficMonitor::default() }
     }
 
     fn hour(now: Micros) -> usize {
-        (now / HOUR) as usize % HOURS
+        (now / HOUR_US) as usize % HOURS_PER_DAY
     }
 
-    /// Arrivals and connections a second that are usual now; `None` if this router has not observed enough
-    /// of this hour or the one before.
+    /// Arrivals and connections per second that are usual at this hour; `None` if this router has not
+    /// observed enough of this hour or the one before.
     pub fn usual(&self, now: Micros) -> Option<(f64, f64)> {
         let hour = Self::hour(now);
-        let learned =
-            |hour: usize| Some(self.usual[hour % HOURS]).filter(|usual| usual.observed >= MIN_OBSERVED);
-        let usual = learned(hour).or_else(|| learned(hour + HOURS - 1))?;
+        let learned = |hour: usize| {
+            Some(self.baseline[hour % HOURS_PER_DAY]).filter(|usual| usual.observed >= MIN_OBSERVED_US)
+        };
+        let usual = learned(hour).or_else(|| learned(hour + HOURS_PER_DAY - 1))?;
         Some((usual.arrivals_per_s, usual.connections_per_s))
     }
 
-    /// Restores what was usual before a restart, unless this process has observed enough of the hour
-    /// itself. It counts for as little observation as just suffices, so that what comes soon weighs more.
+    /// Restores the usual rates from before a restart, unless this process has itself observed enough of
+    /// the hour. They have the least weight at which they are used, so that new observations soon prevail.
     pub fn restore_baseline(&mut self, now: Micros, arrivals_per_s: f64, connections_per_s: f64) {
-        let usual = &mut self.usual[Self::hour(now)];
-        if usual.observed < MIN_OBSERVED {
-            *usual = UsualTraffic { arrivals_per_s, connections_per_s, observed: MIN_OBSERVED };
+        let usual = &mut self.baseline[Self::hour(now)];
+        if usual.observed < MIN_OBSERVED_US {
+            *usual = UsualTraffic { arrivals_per_s, connections_per_s, observed: MIN_OBSERVED_US };
         }
     }
 
-    /// What indicates a storm besides the fraction of retries: far more connections than usual, and
-    /// scheduled retries that come early.
+    /// Indications of a storm besides the fraction of retries: whether far more connections than usual are
+    /// opened, and whether many scheduled retries arrive early.
     pub fn storm_indications(&self, now: Micros) -> (bool, bool) {
         let opened = self.connections.per_s(now);
         let is_unusual = self.usual(now).is_some_and(|(_, usual)| opened >= CONNECTIONS_OVER_USUAL * usual);
         let (early, followed) = (self.early_retries.per_s(now), self.on_time_retries.per_s(now));
-        let many_early = early >= MIN_RATE && early >= EARLY_FRACTION * (early + followed);
-        (is_unusual && opened >= MIN_RATE, many_early)
+        let many_early = early >= MIN_RATE_PER_S && early >= EARLY_FRACTION * (early + followed);
+        (is_unusual && opened >= MIN_RATE_PER_S, many_early)
     }
 
-    /// A request arrived; `client_retries`: recent retries of its client.
+    /// Counts an arrival; `client_retries` is the number of recent retries of its client.
     pub fn record_arrival(&mut self, now: Micros, retry: bool, client_retries: f64) {
         if retry {
             self.retries.add(now);
@@ -190,45 +190,46 @@
         self.reclassify(now);
     }
 
-    /// First attempts and retries a second.
+    /// First attempts and retries per second.
     pub fn rates(&self, now: Micros) -> (f64, f64) {
         (self.first_attempts.per_s(now), self.retries.per_s(now))
     }
 
-    /// Since when the classification holds.
+    /// Time since which the present class holds.
     pub fn since(&self) -> Micros {
         self.class.map_or(self.started_at, |(_, since)| since)
     }
 
-    /// The classification.
+    /// The present class of the traffic.
     pub fn class(&self) -> TrafficClass {
         self.class.map_or(TrafficClass::Calm, |(class, _)| class)
     }
 
-    /// The classification by the present rates alone.
+    /// The class by the present rates, without the delay at the end of a storm.
     fn classify(&self, now: Micros) -> TrafficClass {
         let (first_attempts, retries) = self.rates(now);
         let arrivals = first_attempts + retries;
-        if retries >= MIN_RATE && retries >= self.retry_threshold(now) * arrivals {
-            // The quick rate holds about two seconds of retries.
-            let is_one_client = self.heaviest_client >= ONE_CLIENT_FRACTION * retries * QUICK_SPAN / 1e6;
+        if retries >= MIN_RATE_PER_S && retries >= self.retry_threshold(now) * arrivals {
+            // Retries within the time constant of the rate.
+            let is_one_client =
+                self.heaviest_client >= ONE_CLIENT_FRACTION * retries * RATE_TIME_CONSTANT_US / 1e6;
             return if is_one_client { TrafficClass::Loop } else { TrafficClass::Storm };
         }
         let Some((usual, _)) = self.usual(now) else { return TrafficClass::Calm };
-        if arrivals >= JUMP_OVER_USUAL * usual && arrivals >= MIN_RATE {
+        if arrivals >= JUMP_OVER_USUAL * usual && arrivals >= MIN_RATE_PER_S {
             return TrafficClass::Jump;
         }
         let completed = self.completed.per_s(now);
         let rejected = self.rejected.per_s(now);
-        if arrivals >= MIN_RATE && completed < SLOW_FRACTION * arrivals && rejected > completed / 2.0 {
+        if arrivals >= MIN_RATE_PER_S && completed < SLOW_FRACTION * arrivals && rejected > completed / 2.0 {
             return TrafficClass::Slow;
         }
         TrafficClass::Calm
     }
 
-    /// Fraction of retries from which on it is a storm or a loop.
+    /// Fraction of retries at which the traffic is regarded as a storm or a loop.
     fn retry_threshold(&self, now: Micros) -> f64 {
-        if self.class().is_retry_problem() {
+        if self.class().is_retry_overload() {
             return RETRY_FRACTION_LOW;
         }
         let (many_connections, many_early) = self.storm_indications(now);
@@ -238,17 +239,17 @@
 
     fn reclassify(&mut self, now: Micros) {
         let observed = self.classify(now);
-        if self.class().is_retry_problem() && !observed.is_retry_problem() {
-            // Between two waves of a storm it looks calm for a moment.
+        if self.class().is_retry_overload() && !observed.is_retry_overload() {
+            // Traffic looks calm between two waves of a storm.
             let since = *self.quiet_since.get_or_insert(now);
-            if now < since + STORM_END_DELAY {
+            if now < since + STORM_END_DELAY_US {
                 return;
             }
         }
         self.quiet_since = None;
         if self.class.is_none_or(|(class, _)| class != observed) {
             self.class = Some((observed, now));
-            if !observed.is_retry_problem() {
+            if !observed.is_retry_overload() {
                 self.heaviest_client = 0.0;
             }
         }
@@ -257,16 +258,17 @@
         }
     }
 
-    /// Learns what is usual, only while nothing is unusual and once the quick rates have settled.
+    /// Updates the usual rates; called only while traffic is calm. Does nothing until the event rates have
+    /// settled.
     fn learn(&mut self, now: Micros) {
-        let settled_at = self.started_at + QUICK_SPAN as Micros;
+        let settled_at = self.started_at + RATE_TIME_CONSTANT_US as Micros;
         let elapsed = now.saturating_sub(self.learned_at.max(settled_at)) as f64;
-        if now < self.started_at + 2 * QUICK_SPAN as Micros || elapsed <= 0.0 {
+        if now < self.started_at + 2 * RATE_TIME_CONSTANT_US as Micros || elapsed <= 0.0 {
             return;
         }
         self.learned_at = now;
         let (first_attempts, retries) = self.rates(now);
         let connections = self.connections.per_s(now);
-        self.usual[Self::hour(now)].learn(first_attempts + retries, connections, elapsed);
+        self.baseline[Self::hour(now)].learn(first_attempts + retries, connections, elapsed);
     }
 }
