--- a/crates/admission/src/accept_limiter.rs
+++ b/crates/admission/src/accept_limiter.rs
@@ -1,20 +1,20 @@
-//! Rate limit on accepted connections: a burst of new connections must not stop those that are served, and
-//! must not wait so long that its clients try again.
+//! Rate limit on accepted connections: a burst of new connections must neither starve established ones nor
+//! wait so long that its clients time out and reconnect.
 use crate::Micros;
 
-/// Connections a second. The kernel's backlog of 4,096 is accepted within 2 s, before its clients give up
-/// (3 s and more) or their first packet is sent again many times. With its first response each connection
-/// costs about 60 µs, so an eighth of a core goes to new connections.
-const RATE: f64 = 2_000.0;
+/// At this rate a full listen backlog of 4,096 is accepted within about 2 s, before clients time out (3 s
+/// or more) or retransmit many times. A connection costs about 60 µs with its first response, so new
+/// connections take at most an eighth of a core.
+const RATE_PER_S: f64 = 2_000.0;
 
-/// Connections that are accepted at once after a quiet time: what an ordinary second brings.
+/// Connections that are accepted at once after a quiet period: the number of an ordinary second.
 const BURST: f64 = 400.0;
 
-/// Connections that must fit before accepting goes on: resuming for each of them would cost as much as
-/// accepting them.
-const RESUME_FOR: f64 = 50.0;
+/// Tokens required before accepting is resumed: resuming for every single connection would cost as much as
+/// accepting it.
+const RESUME_THRESHOLD: f64 = 50.0;
 
-/// Token bucket over accepted connections.
+/// Token bucket for accepted connections.
 pub struct AcceptLimiter {
     tokens: f64,
     refilled_at: Micros,
@@ -26,18 +26,18 @@
         AcceptLimiter { tokens: BURST, refilled_at: now, pauses: 0 }
     }
 
-    /// A connection was accepted. Returns for how long, in µs, none is to be accepted now, if the limit is
-    /// reached.
+    /// Counts an accepted connection. If the limit is reached, returns the time in µs for which no further
+    /// connection is to be accepted.
     pub(crate) fn connection_accepted(&mut self, now: Micros) -> Option<Micros> {
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
-        self.tokens = (self.tokens + RATE * elapsed_seconds).min(BURST) - 1.0;
+        self.tokens = (self.tokens + RATE_PER_S * elapsed_seconds).min(BURST) - 1.0;
         self.refilled_at = now;
         let is_empty = self.tokens < 1.0;
         self.pauses += u64::from(is_empty);
-        is_empty.then(|| ((RESUME_FOR - self.tokens) / RATE * 1e6) as Micros)
+        is_empty.then(|| ((RESUME_THRESHOLD - self.tokens) / RATE_PER_S * 1e6) as Micros)
     }
 
-    /// How often accepting was paused.
+    /// Number of times that accepting was paused.
     pub fn pauses(&self) -> u64 {
         self.pauses
     }
--- a/crates/admission/src/accept_limiter/tests.rs
+++ b/crates/admission/src/accept_limiter/tests.rs
@@ -1,23 +1,25 @@
-//! The limiter of accepted connections by itself.
-use super::{AcceptLimiter, BURST, RATE};
+//! Unit tests of the limiter of accepted connections.
+use super::{AcceptLimiter, BURST, RATE_PER_S};
 use crate::Micros;
 
 const SECOND: Micros = 1_000_000;
 
-// 4,096 stand at the door at once, as many as the kernel holds: all are in within two seconds, and no
-// stretch of 100 ms takes more than its part and a burst.
+// 4,096 connections arrive at once, a full listen backlog: all are accepted within two seconds, and no
+// period of 100 ms accepts more than the rate and one burst.
 #[test]
 fn a_full_backlog_is_accepted_at_the_rate_within_two_seconds() {
-    let (mut limiter, mut now, mut taken) = (AcceptLimiter::new(SECOND), SECOND, Vec::new());
+    let (mut limiter, mut now, mut accepted_at) = (AcceptLimiter::new(SECOND), SECOND, Vec::new());
     for _ in 0..4_096 {
-        taken.push(now);
+        accepted_at.push(now);
         now += limiter.connection_accepted(now).unwrap_or(10);
     }
-    assert!(now < SECOND + 2 * SECOND, "the last waited {} us", now - SECOND);
-    assert!(now > SECOND + 3 * SECOND / 2, "it was no pace: {} us", now - SECOND);
-    let most =
-        taken.iter().map(|t| taken.iter().filter(|o| (*t..t + SECOND / 10).contains(*o)).count()).max();
-    assert!(most <= Some((BURST + RATE / 10.0) as usize + 1), "{most:?} in 100 ms");
+    assert!(now < SECOND + 2 * SECOND, "the last connection waited {} us", now - SECOND);
+    assert!(now > SECOND + 3 * SECOND / 2, "accepted faster than the rate: {} us", now - SECOND);
+    let most = accepted_at
+        .iter()
+        .map(|t| accepted_at.iter().filter(|o| (*t..t + SECOND / 10).contains(*o)).count())
+        .max();
+    assert!(most <= Some((BURST + RATE_PER_S / 10.0) as usize + 1), "{most:?} in 100 ms");
     assert!(limiter.pauses() > 50);
 }
 
