--- a/crates/admission/src/retry_after/tests.rs
+++ b/crates/admission/src/retry_after/tests.rs
@@ -1,41 +1,40 @@
-//! The schedule of retries by itself.
-use super::{MIN_WAIT, RetryAfterSchedule};
+//! Unit tests of the retry schedule.
+use super::{MIN_WAIT_US, RetryAfterSchedule};
 use crate::Micros;
 use oorandom::Rand64;
 use test_case::test_case;
 
 const SECOND: Micros = 1_000_000;
 
-// 5,000 pushed back in the same moment: what comes back fits the pace, and makes no second wave.
+// 5,000 requests are rejected at the same time: their retries match the rate and form no second wave.
 #[test_case(500.0, 1; "one router")]
-#[test_case(500.0, 4; "four routers that do not talk, a quarter of the pace each")]
-fn retries_come_back_at_the_given_rate(pace: f64, routers: usize) {
+#[test_case(500.0, 4; "four uncoordinated routers, a quarter of the rate each")]
+fn retries_arrive_at_the_given_rate(rate: f64, routers: usize) {
     let mut returns = vec![0usize; 400];
     for router in 0..routers {
         let (mut schedule, mut rng) = (RetryAfterSchedule::default(), Rand64::new(router as u128));
         for _ in 0..5_000 / routers {
-            let wait = schedule.next_wait(SECOND, pace / routers as f64, 60 * SECOND, 0, rng.rand_float());
+            let wait = schedule.next_wait(SECOND, rate / routers as f64, 60 * SECOND, 0, rng.rand_float());
             returns[(wait.expect("there is time") / 100_000) as usize] += 1;
         }
     }
     let most = returns.iter().max().copied().unwrap_or(0) as f64 * 10.0;
-    assert!(most <= 1.5 * pace, "{most} a second at the peak");
+    assert!(most <= 1.5 * rate, "{most} a second at the peak");
     assert_eq!(returns.iter().sum::<usize>(), 5_000);
 }
 
-#[test_case(250_000, None; "no time to come back")]
-#[test_case(2 * SECOND, Some(2 * SECOND); "within the client's time")]
+#[test_case(250_000, None; "no time for a retry")]
+#[test_case(2 * SECOND, Some(2 * SECOND); "within the deadline")]
 fn a_wait_fits_into_the_remaining_time(left: Micros, most: Option<Micros>) {
     let mut schedule = RetryAfterSchedule::default();
     for n in 0..1_000 {
         let wait = schedule.next_wait(SECOND, 10.0, left, 0, f64::from(n) / 1_000.0);
         assert_eq!(wait.is_some(), most.is_some());
-        assert!(wait.is_none_or(|w| w >= MIN_WAIT && Some(w) < most));
+        assert!(wait.is_none_or(|w| w >= MIN_WAIT_US && Some(w) < most));
     }
 }
 
-// A line of minutes is not told as such: whoever stands far back asks again within 20 s, at no second
-// together.
+// The queue is longer than the longest wait: clients at its end retry within 20 s, spread over that time.
 #[test]
 fn a_long_backlog_gives_capped_spread_out_waits() {
     let (mut schedule, mut rng) = (RetryAfterSchedule::default(), Rand64::new(7));
@@ -48,7 +47,7 @@
     assert!(returns.iter().all(|n| *n < 450), "{returns:?}");
 }
 
-// Those that ignore schedule wait longer and longer, and do not move the others' times.
+// A client that retries early waits longer each time, and does not delay the slots of others.
 #[test]
 fn early_retries_delay_only_their_own_client() {
     let mut schedule = RetryAfterSchedule::default();
