--- a/crates/admission/src/scheduled_retry/tests.rs
+++ b/crates/admission/src/scheduled_retry/tests.rs
@@ -1,4 +1,4 @@
-//! The table of scheduled retries by itself.
+//! Unit tests of the table of scheduled retries.
 use super::{RetryTiming, SLOTS, ScheduledRetries};
 use crate::Micros;
 use test_case::test_case;
@@ -6,7 +6,7 @@
 const SECOND: Micros = 1_000_000;
 
 #[test_case(2 * SECOND, RetryTiming::Early; "well before")]
-#[test_case(3 * SECOND - 9_000, RetryTiming::OnTime; "early by what rounding takes")]
+#[test_case(3 * SECOND - 9_000, RetryTiming::OnTime; "early by less than the rounding of waits")]
 #[test_case(3 * SECOND, RetryTiming::OnTime; "on time")]
 #[test_case(8 * SECOND, RetryTiming::OnTime; "a little late")]
 #[test_case(8 * SECOND + 1, RetryTiming::Unscheduled; "long after")]
@@ -27,7 +27,7 @@
     assert_eq!(scheduled.observe(3 * SECOND, 7), RetryTiming::Unscheduled);
 }
 
-// Whatever number of requests there is: nobody is called early who was not told.
+// However many requests there are, none without a schedule is regarded as early.
 #[test]
 fn a_full_table_errs_in_favour_of_clients() {
     let mut scheduled = ScheduledRetries::default();
