--- a/crates/admission/benches/sketch.rs
+++ b/crates/admission/benches/sketch.rs
@@ -1,4 +1,4 @@
-//! A client's count in the sketch and in a plain map, with 100,000 clients.
+//! Compares counting in the count-min sketch with counting in a hash map, for 100,000 clients.
 use applepond_admission::sketch::DecayingCounts;
 use criterion::{Criterion, criterion_group, criterion_main};
 use std::collections::HashMap;
--- a/crates/admission/src/sketch.rs
+++ b/crates/admission/src/sketch.rs
@@ -1,28 +1,28 @@
-//! Sketches of bounded size, whatever the number of clients: a decaying count-min sketch with conservative
-//! update (Cormode and Muthukrishnan, 2005; Estan and Varghese, 2002), and a Bloom filter in two
-//! generations.
+//! Data structures whose size does not depend on the number of clients: a decaying count-min sketch with
+//! conservative update (Cormode and Muthukrishnan, 2005; Estan and Varghese, 2002), and a Bloom filter in
+//! two generations.
 use crate::{Micros, mix};
 
-/// Rows of the count-min sketch: the chance that all of them overestimate falls with each.
+/// Rows of the count-min sketch: with each row, an overestimate becomes less likely.
 const ROWS: usize = 4;
 
-/// Counters a row: with 100,000 clients of about one request each, an estimate is too high by one or two at
-/// most.
+/// Counters per row: with 100,000 clients of about one request each, estimates are at most one or two too
+/// high.
 const COLUMNS: usize = 16 * 1024;
 
-/// Bits of one generation of the Bloom filter: 1 % false positives at 200,000 ids.
+/// Bits per generation of the Bloom filter: 1 % false positives with 200,000 ids.
 const FILTER_BITS: usize = 1 << 21;
 
-/// Bits that are set for an id.
+/// Bits set for each id.
 const BITS_PER_ID: u64 = 4;
 
-/// Salt of the first hash of the Bloom filter; the others follow.
+/// Seed of the first hash function of the Bloom filter; the others use the numbers after it.
 const FILTER_SEED: u64 = 11;
 
-/// Halvings after which every count is zero for all purposes.
+/// Halvings after which a count is negligible; limits the exponent.
 const MAX_HALVINGS: u64 = 40;
 
-/// Counts by id that decay with time. An estimate is never below what was added and has not decayed.
+/// Counts by id that decay over time. An estimate is never lower than the decayed count.
 pub struct DecayingCounts {
     cells: Vec<f32>,
     half_life: Micros,
@@ -31,7 +31,7 @@
 }
 
 impl DecayingCounts {
-    /// All counts are zero; they halve once every `half_life` µs.
+    /// Starts with all counts at zero; they are halved every `half_life` µs.
     pub fn new(now: Micros, half_life: Micros) -> Self {
         DecayingCounts { cells: vec![0.0; ROWS * COLUMNS], half_life, halved_at: now }
     }
@@ -55,8 +55,8 @@
         (0..ROWS).map(|row| self.cells[Self::cell(row, id)]).fold(f32::MAX, f32::min)
     }
 
-    /// Adds one and returns the new estimate. Only cells below it are raised, so that the counts of others
-    /// are overestimated less.
+    /// Adds one and returns the new estimate. Only cells below the estimate are raised (conservative
+    /// update), which reduces overestimates of other ids.
     pub fn add(&mut self, now: Micros, id: u64) -> f32 {
         let count = self.estimate(now, id) + 1.0;
         for row in 0..ROWS {
@@ -67,23 +67,23 @@
     }
 }
 
-/// Remembers the ids of the last one to two spans of time.
+/// Bloom filter of the ids seen within the last one to two spans.
 pub struct SeenFilter {
     current: Vec<u64>,
     previous: Vec<u64>,
     span: Micros,
-    /// When the current generation began.
+    /// Start of the current generation.
     began_at: Micros,
 }
 
 impl SeenFilter {
-    /// Nothing has been seen; `span`: duration of a generation in µs.
+    /// Starts empty; `span` is the duration of a generation in µs.
     pub fn new(now: Micros, span: Micros) -> Self {
         let generation = || vec![0; FILTER_BITS / 64];
         SeenFilter { current: generation(), previous: generation(), span, began_at: now }
     }
 
-    /// Remembers an id and returns whether it was seen before.
+    /// Adds an id and returns whether it was seen before.
     pub fn insert(&mut self, now: Micros, id: u64) -> bool {
         self.rotate(now);
         let (mut in_current, mut in_previous) = (true, true);
@@ -97,7 +97,7 @@
         in_current || in_previous
     }
 
-    /// Begins a new generation once the current one is over.
+    /// Starts a new generation when the span of the current one has passed.
     fn rotate(&mut self, now: Micros) {
         let spans = now.saturating_sub(self.began_at) / self.span;
         if spans == 0 {
