--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,5 +1,5 @@
 //! Workflows in progress. Each step is a request of its own that no client waits for; its end is handed to
-//! the workflow, whose [`Run`] decides what comes next and gives it as commands ([`Do`]).
+//! the workflow, whose [`Run`] decides what comes next and gives it as commands ([`Command`]).
 //!
 //! A workflow with steps that are not idempotent is stored before such a step is sent and before it is
 //! answered as finished, so that a restart neither repeats nor forgets what may have run.
