--- a/crates/workflow/src/estimates.rs
+++ b/crates/workflow/src/estimates.rs
@@ -1,112 +1,115 @@
-//! How long functions take, learned from steps that finished: a quantile of a histogram of bounded size for
-//! each function, in two generations, for a bounded number of functions.
+//! Estimates of the execution and load times of functions, learned from steps that finished. For each of a
+//! bounded number of functions, a quantile is taken from a histogram in two generations.
 use applepond::interface::{FunctionId, Micros};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limit of functions (2 kB each); the one not used for longest is evicted first.
+/// Maximum number of functions, at 2 kB each; the least recently used is evicted first.
 const MAX_FUNCTIONS: usize = 4_096;
-/// µs of the longest time told apart.
-const LONGEST_TIME: u64 = 120_000_000;
-/// Samples after which the younger generation takes over: an hour of a rare function, a minute of a hot one.
+/// Longest execution time that is distinguished, in µs.
+const MAX_TIME_US: u64 = 120_000_000;
+/// Samples after which a new generation is started: about an hour for a rare function, a minute for a
+/// frequent one.
 const SAMPLES_PER_GENERATION: u64 = 500;
-/// Samples from which on they are believed rather than what the plan says.
+/// Number of samples from which the learned time is used instead of the plan's estimate.
 const MIN_SAMPLES: u64 = 8;
-/// Part of the steps that are to finish within the estimate. A median would begin half of what cannot
-/// finish; the slowest of a hundred would reject what usually can.
+/// Fraction of steps that finish within the estimate. With the median, half of the steps that cannot finish
+/// in time would be started; with the 99th percentile, steps that usually finish in time would be rejected.
 const QUANTILE: f64 = 0.8;
-/// Samples between two computations of the quantile, which walks the histogram.
+/// Samples between two computations of the quantile, which iterates over the histogram.
 const SAMPLES_PER_QUANTILE: u64 = 16;
-/// Weight of a new sample in the average load time.
+/// Weight of a new sample in the moving average of the load time.
 const LOAD_TIME_WEIGHT: f64 = 0.2;
-/// Weight of a new sample in the average share of cold starts.
-const COLD_SHARE_WEIGHT: f64 = 0.1;
-/// Share of cold starts from which on one is expected.
-const COLD_SHARE_LIMIT: f64 = 0.5;
+/// Weight of a new sample in the moving average of the fraction of cold starts.
+const COLD_FRACTION_WEIGHT: f64 = 0.1;
+/// Fraction of cold starts from which a cold start is expected.
+const COLD_FRACTION_LIMIT: f64 = 0.5;
 
-/// What is known of one function.
-struct Known {
-    /// Times of the last samples.
-    young: Histogram<u32>,
-    /// Times of the generation before.
-    old: Histogram<u32>,
-    /// Quantile as of its last computation.
-    usual: Option<Micros>,
-    /// Samples on a loaded copy.
+/// Statistics of one function.
+struct FunctionStats {
+    /// Execution times of the current generation.
+    current: Histogram<u32>,
+    /// Execution times of the previous generation.
+    previous: Histogram<u32>,
+    /// The quantile of execution times, as of its last computation, in µs.
+    execution_time: Option<Micros>,
+    /// Number of samples of steps that found a loaded copy.
     samples: u64,
-    /// Average µs of a load.
+    /// Moving average of the load time, in µs.
     load_time: Option<f64>,
-    /// Average share of samples that met no loaded copy.
-    cold_share: f64,
-    /// When it last finished anywhere: copies stay loaded for a while.
-    last_finished: Micros,
+    /// Moving average of the fraction of steps that found no loaded copy.
+    cold_fraction: f64,
+    /// Time at which a step of the function last finished; a copy stays loaded for some time after that.
+    last_finished_at: Micros,
 }
 
-impl Known {
+impl FunctionStats {
     fn new() -> Self {
-        Known {
-            young: histogram(),
-            old: histogram(),
-            usual: None,
+        FunctionStats {
+            current: histogram(),
+            previous: histogram(),
+            execution_time: None,
             samples: 0,
             load_time: None,
-            cold_share: 0.0,
-            last_finished: 0,
+            cold_fraction: 0.0,
+            last_finished_at: 0,
         }
     }
 
-    /// Takes in the time of a step on a loaded copy.
-    fn add_warm(&mut self, took: Micros) {
-        self.young.saturating_record(took);
+    /// Records the time of a step that found a loaded copy.
+    fn add_warm(&mut self, duration: Micros) {
+        self.current.saturating_record(duration);
         self.samples += 1;
-        if self.young.len() >= SAMPLES_PER_GENERATION {
-            self.old = std::mem::replace(&mut self.young, histogram());
+        if self.current.len() >= SAMPLES_PER_GENERATION {
+            self.previous = std::mem::replace(&mut self.current, histogram());
         }
         if self.samples <= MIN_SAMPLES || self.samples.is_multiple_of(SAMPLES_PER_QUANTILE) {
-            let mut both = self.old.clone();
-            let added = both.add(&self.young);
-            self.usual = added.ok().map(|()| both.value_at_quantile(QUANTILE));
+            let mut both = self.previous.clone();
+            let added = both.add(&self.current);
+            self.execution_time = added.ok().map(|()| both.value_at_quantile(QUANTILE));
         }
     }
 
-    /// Takes in the time of a step that had to wait for a load.
-    fn add_cold(&mut self, took: Micros) {
-        let load_time = took.saturating_sub(self.usual.unwrap_or(0)) as f64;
+    /// Records the time of a step that had to wait for a load.
+    fn add_cold(&mut self, duration: Micros) {
+        let load_time = duration.saturating_sub(self.execution_time.unwrap_or(0)) as f64;
         let before = self.load_time.unwrap_or(load_time);
         self.load_time = Some(before + LOAD_TIME_WEIGHT * (load_time - before));
     }
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_bounds(100, LONGEST_TIME, 1).expect("constant bounds are valid")
+    Histogram::new_with_bounds(100, MAX_TIME_US, 1).expect("constant bounds are valid")
 }
 
-/// Estimates of how long functions take.
+/// Estimates of the execution and load times of functions.
 pub struct TimeEstimates {
-    functions: BTreeMap<FunctionId, Known>,
-    /// Functions by when they last finished.
+    functions: BTreeMap<FunctionId, FunctionStats>,
+    /// Functions, least recently finished first.
     by_age: BTreeSet<(Micros, FunctionId)>,
-    /// µs for which an idle copy stays loaded.
+    /// Time in µs for which an idle copy stays loaded.
     cache_lifetime: Micros,
 }
 
 impl TimeEstimates {
-    /// Nothing known yet; an idle copy stays loaded for `cache_lifetime` µs.
+    /// Starts without any samples. `cache_lifetime` is the time in µs for which an idle copy stays loaded.
     pub fn new(cache_lifetime: Micros) -> Self {
         TimeEstimates { functions: BTreeMap::new(), by_age: BTreeSet::new(), cache_lifetime }
     }
 
-    /// A step of the function finished after `took` µs, on a copy that was loaded or not.
-    pub fn record(&mut self, now: Micros, function: FunctionId, took: Micros, was_loaded: bool) {
-        let known = self.functions.entry(function).or_insert_with(Known::new);
-        self.by_age.remove(&(known.last_finished, function));
-        known.last_finished = now;
+    /// Records that a step of the function finished after `duration` µs, and whether it found a loaded
+    /// copy.
+    pub fn record(&mut self, now: Micros, function: FunctionId, duration: Micros, was_loaded: bool) {
+        let stats = self.functions.entry(function).or_insert_with(FunctionStats::new);
+        self.by_age.remove(&(stats.last_finished_at, function));
+        stats.last_finished_at = now;
         self.by_age.insert((now, function));
-        known.cold_share += COLD_SHARE_WEIGHT * (f64::from(u8::from(!was_loaded)) - known.cold_share);
+        stats.cold_fraction +=
+            COLD_FRACTION_WEIGHT * (f64::from(u8::from(!was_loaded)) - stats.cold_fraction);
         if was_loaded {
-            known.add_warm(took);
+            stats.add_warm(duration);
         } else {
-            known.add_cold(took);
+            stats.add_cold(duration);
         }
         while self.functions.len() > MAX_FUNCTIONS {
             let Some((_, oldest)) = self.by_age.pop_first() else { return };
@@ -114,24 +117,24 @@
         }
     }
 
-    /// µs that a step needs without a load: learned, otherwise what the plan says.
+    /// Execution time in µs without a load: as learned, otherwise as planned.
     pub fn execution_time(&self, function: FunctionId, planned: Micros) -> Micros {
-        let known = self.functions.get(&function).filter(|known| known.samples >= MIN_SAMPLES);
-        known.and_then(|known| known.usual).unwrap_or(planned)
+        let stats = self.functions.get(&function).filter(|stats| stats.samples >= MIN_SAMPLES);
+        stats.and_then(|stats| stats.execution_time).unwrap_or(planned)
     }
 
-    /// µs that a load would add, where the function is likely not to be loaded: learned, otherwise what was
-    /// declared.
+    /// Time in µs that a load is expected to add: zero if the function is probably loaded, otherwise the
+    /// load time as learned or declared.
     pub fn load_time(&self, now: Micros, function: FunctionId, declared: Option<Micros>) -> Micros {
-        let known = self.functions.get(&function);
-        let is_loaded = known.is_some_and(|known| {
-            now < known.last_finished + self.cache_lifetime && known.cold_share < COLD_SHARE_LIMIT
+        let stats = self.functions.get(&function);
+        let is_loaded = stats.is_some_and(|stats| {
+            now < stats.last_finished_at + self.cache_lifetime && stats.cold_fraction < COLD_FRACTION_LIMIT
         });
-        let learned = known.and_then(|known| known.load_time).map(|time| time as Micros);
+        let learned = stats.and_then(|stats| stats.load_time).map(|time| time as Micros);
         if is_loaded { 0 } else { learned.or(declared).unwrap_or(0) }
     }
 
-    /// Functions of which something is known.
+    /// Number of functions with statistics.
     pub fn function_count(&self) -> usize {
         self.functions.len()
     }
