--- a/crates/workflow/tests/run_limiter.rs
+++ b/crates/workflow/tests/run_limiter.rs
@@ -1,4 +1,4 @@
-//! The limit on new chains beside a simple fleet.
+//! The limiter of new runs with a simple model of a fleet.
 use applepond::interface::Micros;
 use applepond_workflow::RunLimiter;
 use std::collections::BTreeMap;
@@ -6,61 +6,62 @@
 
 const S: Micros = 1_000_000;
 
-/// Chains of three steps ask so many a second for 30 s of a fleet that does 90 steps a second, the oldest
-/// chain first, and have 2 s: whole ones a second in the last 20 s, and the part of the work that was
-/// wasted.
-fn against(asked: u64, paced: bool) -> (f64, f64) {
+/// Runs of three steps with a deadline of 2 s arrive at `rate` per second for 30 s at a fleet that executes
+/// 90 steps per second. Returns the runs finished per second in the last 20 s, and the fraction of steps
+/// that was wasted.
+fn simulate(rate: u64, is_limited: bool) -> (f64, f64) {
     let mut limiter = RunLimiter::default();
-    // By when it came: steps done.
-    let mut open: BTreeMap<Micros, u32> = BTreeMap::new();
-    let (mut whole, mut spent, mut lost) = (0, 0, 0);
+    // Finished steps of the active runs, by time of arrival.
+    let mut active: BTreeMap<Micros, u32> = BTreeMap::new();
+    let (mut finished, mut executed, mut wasted) = (0, 0, 0);
     let (mut now, mut next) = (S, S);
     while now < 31 * S {
         now += S / 90;
         while next <= now {
-            if !paced || limiter.admit(next) {
-                open.insert(next, 0);
+            if !is_limited || limiter.admit(next) {
+                active.insert(next, 0);
             }
-            next += S / asked;
+            next += S / rate;
         }
-        while let Some((came, steps)) =
-            open.first_key_value().map(|(c, s)| (*c, *s)).filter(|(c, _)| c + 2 * S < now)
+        while let Some((arrival, steps)) =
+            active.first_key_value().map(|(c, s)| (*c, *s)).filter(|(c, _)| c + 2 * S < now)
         {
-            open.remove(&came);
-            lost += steps;
+            active.remove(&arrival);
+            wasted += steps;
             limiter.run_ended(now, false, steps > 0);
         }
-        // The step that waits longest for a worker is not the one whose chain is oldest: any may be.
-        let turn = open.len().checked_sub(1).map(|last| (now / 7 % 1_000_003) as usize % (last + 1));
-        let Some((came, steps)) = turn.and_then(|n| open.iter_mut().nth(n)) else { continue };
-        (*steps, spent) = (*steps + 1, spent + 1);
+        // Any active run may be next: the step that waits longest at a worker need not be of the oldest
+        // run.
+        let turn = active.len().checked_sub(1).map(|last| (now / 7 % 1_000_003) as usize % (last + 1));
+        let Some((arrival, steps)) = turn.and_then(|n| active.iter_mut().nth(n)) else { continue };
+        (*steps, executed) = (*steps + 1, executed + 1);
         if *steps == 3 {
-            let came = *came;
-            open.remove(&came);
-            whole += u32::from(now > 11 * S);
+            let arrival = *arrival;
+            active.remove(&arrival);
+            finished += u32::from(now > 11 * S);
             limiter.run_ended(now, true, false);
         }
     }
-    (f64::from(whole) / 20.0, f64::from(lost) / f64::from(spent))
+    (f64::from(finished) / 20.0, f64::from(wasted) / f64::from(executed))
 }
 
-#[test_case(15, 14.0; "half of what it can do")]
-#[test_case(60, 22.0; "twice")]
-#[test_case(90, 22.0; "three times")]
-fn whole_chains_are_finished(asked: u64, least: f64) {
-    let (whole, wasted) = against(asked, true);
-    assert!(whole >= least && wasted < 0.25, "{whole} a second, {wasted:.2} wasted");
+#[test_case(15, 14.0; "half the capacity")]
+#[test_case(60, 22.0; "twice the capacity")]
+#[test_case(90, 22.0; "three times the capacity")]
+fn runs_finish_under_overload(rate: u64, least: f64) {
+    let (finished, wasted) = simulate(rate, true);
+    assert!(finished >= least && wasted < 0.25, "{finished} a second, {wasted:.2} wasted");
 }
 
-// Without a pace more chains are begun than finished, and the work goes into first steps.
+// Without the limit more runs are started than finish, and the work is executed on their first steps.
 #[test]
-fn without_a_pace_goodput_falls() {
-    let (whole, wasted) = against(90, false);
-    assert!(whole < 16.0 && wasted > 0.4, "{whole} a second, {wasted:.2} wasted");
+fn without_the_limit_goodput_falls() {
+    let (finished, wasted) = simulate(90, false);
+    assert!(finished < 16.0 && wasted > 0.4, "{finished} a second, {wasted:.2} wasted");
 }
 
 #[test]
-fn nobody_is_turned_away_while_chains_finish() {
+fn no_run_is_rejected_while_runs_finish() {
     let mut limiter = RunLimiter::default();
     for n in 0..5_000u64 {
         let now = S + n * 2_000;
