--- a/crates/settings/tests/workflows.rs
+++ b/crates/settings/tests/workflows.rs
@@ -85,11 +85,12 @@
 #[test_case("join = \"confirm\"", "join = \"confirm\"\n      end = true", "39:5: found 2 ways to go on";
     "two ways")]
 #[test_case("  step \"third\"", "  step \"fourth\" { workload = \"quote\" }\n  step \"third\"",
-    "46:3: found in chain \"book\": step \"fourth\" that nothing leads to"; "not reached")]
+    "46:3: found in chain \"book\": unreachable step \"fourth\""; "unreachable")]
 #[test_case("step \"third\" { workload = \"quote\" }",
     "step \"third\" {\n workload = \"quote\"\n next { go = \"price\" }\n}",
-    "leads back to one before it"; "a loop")]
-#[test_case("\"4s\"", "\"10ms\"", "25:16: found in chain \"book\": 2"; "too long for its limit")]
+    "leads back to an earlier step"; "a cycle")]
+#[test_case("\"4s\"", "\"10ms\"", "25:16: found in chain \"book\": at least 22 ms for a time limit of 10 ms";
+    "too long for its limit")]
 #[test_case("types = [\"book\"]", "types = [\"quote\"]",
     "24:11: found type \"quote\" again, it is \"quote\"'s"; "type twice")]
 #[test_case("at_least", "at_last", "28:5: found 'at_last' in block 'step'"; "misspelt")]
--- a/crates/workflow/src/check.rs
+++ b/crates/workflow/src/check.rs
@@ -1,20 +1,20 @@
-//! Validation of a plan as a whole, before any chain is run by it.
+//! Validation of a plan before it is run.
 use crate::plan::{Branch, Function, MAX_ARMS, MAX_STEPS, Plan, PlanFault, Step, StepId, StepPart, Target};
 use applepond::interface::RetrySafety;
 use std::collections::BTreeSet;
 
 impl Plan {
-    /// All faults of the plan, each with its step and part; none where chains may be run by it.
+    /// All faults of the plan, each with its step and part. A plan without faults may be run.
     pub fn check(&self) -> Vec<PlanFault> {
         let mut check = Check { plan: self, faults: Vec::new() };
         if self.steps.is_empty() {
             check.report(None, StepPart::Step, "no step".into(), "at least one step \"NAME\" { ... }");
         } else if self.steps.len() > MAX_STEPS {
             let found = format!("{} steps", self.steps.len());
-            check.report(None, StepPart::Step, found, "32 steps at most: a chain is bounded");
+            check.report(None, StepPart::Step, found, "at most 32 steps");
         } else if let Some(step) = self.step_of_a_cycle() {
-            let found = format!("step \"{}\" leads back to one before it", self.step(step).name);
-            check.report(Some(step), StepPart::Next, found, "a plan without loops");
+            let found = format!("step \"{}\" leads back to an earlier step", self.step(step).name);
+            check.report(Some(step), StepPart::Next, found, "a plan without cycles");
         } else {
             check.check_steps();
             check.check_time();
@@ -24,26 +24,26 @@
         check.faults
     }
 
-    /// Where a step can lead, undos aside.
+    /// Steps that can follow a step, undos excluded.
     fn successors(&self, id: StepId) -> BTreeSet<StepId> {
         let mut successors: BTreeSet<StepId> =
             self.step(id).branches().flat_map(|branch| branch.target.steps()).collect();
-        // What leads from an arm on is its fork's join.
+        // An arm has no branches of its own: it is followed by the join of its fork.
         successors.extend(self.joins_of(id));
         successors
     }
 
-    /// The steps that chains can come to.
+    /// Steps that can be reached from the first one.
     fn reachable(&self) -> BTreeSet<StepId> {
         let mut reached = BTreeSet::from([StepId(0)]);
-        let mut ahead = vec![StepId(0)];
-        while let Some(step) = ahead.pop() {
-            ahead.extend(self.successors(step).into_iter().filter(|to| reached.insert(*to)));
+        let mut pending = vec![StepId(0)];
+        while let Some(step) = pending.pop() {
+            pending.extend(self.successors(step).into_iter().filter(|to| reached.insert(*to)));
         }
         reached
     }
 
-    /// A step that leads back to one before it, by depth-first search.
+    /// Finds a step that leads back to an earlier one, by depth-first search.
     fn step_of_a_cycle(&self) -> Option<StepId> {
         self.search_cycle(StepId(0), &mut vec![Visit::Unseen; self.steps.len()])
     }
@@ -64,14 +64,15 @@
         None
     }
 
-    /// For each step, the steps on every way to it from the beginning: their results are there for certain. A
-    /// failed one has no result, so that only ways through `next` count.
+    /// For each step, the steps that have finished on every path to it, so that their results are available
+    /// (the dominators of the step). A failed step has no result, so it is counted on paths through `next`
+    /// only.
     fn always_before(&self) -> Vec<BTreeSet<StepId>> {
         let all: BTreeSet<StepId> = (0..self.steps.len()).map(StepId).collect();
         let mut before = vec![all; self.steps.len()];
         before[0] = BTreeSet::new();
         let edges = self.edges();
-        // Sets only shrink, so that this comes to an end.
+        // Terminates, as the sets only shrink.
         let mut changed = true;
         while changed {
             changed = false;
@@ -128,15 +129,16 @@
     Done,
 }
 
-/// One way from a step to another.
+/// A transition from one step to another.
 struct Edge {
     from: StepId,
     to: StepId,
-    /// The steps that have certainly finished once it is taken, besides those before `from`.
+    /// Steps that have certainly finished when the transition is taken, besides those that finished before
+    /// `from`.
     finished: BTreeSet<StepId>,
 }
 
-/// A check under way.
+/// State of the validation.
 struct Check<'a> {
     plan: &'a Plan,
     faults: Vec<PlanFault>,
@@ -158,8 +160,8 @@
             if is_undo {
                 self.check_undo(id, step, reachable.contains(&id));
             } else if !reachable.contains(&id) {
-                let found = format!("step \"{}\" that nothing leads to", step.name);
-                self.report(Some(id), StepPart::Step, found, "a way to each step");
+                let found = format!("unreachable step \"{}\"", step.name);
+                self.report(Some(id), StepPart::Step, found, "a path from the first step to each other step");
             }
             self.check_its_undo(id, step, &before[index]);
             if !is_undo {
@@ -171,35 +173,41 @@
         }
     }
 
-    /// A step that takes back another one.
+    /// Checks a step that is the undo of another one.
     fn check_undo(&mut self, id: StepId, step: &Step, reachable: bool) {
         if reachable {
-            let found = format!("step \"{}\" both on the way and as an undo", step.name);
-            self.report(Some(id), StepPart::Step, found, "an undo of its own");
+            let found = format!("step \"{}\" both as an undo and as an ordinary step", step.name);
+            self.report(Some(id), StepPart::Step, found, "a separate step for the undo");
         }
         if step.effect == RetrySafety::AtMostOnce {
             let found = format!("undo \"{}\" in a run-once workload", step.name);
-            self.report(Some(id), StepPart::Step, found, "one that may be repeated until it is done");
+            self.report(Some(id), StepPart::Step, found, "an undo that may be repeated until it succeeds");
         }
         if !(step.next.is_empty() && step.or_else.is_empty() && step.undo.is_none()) {
-            let found = format!("undo \"{}\" that leads on", step.name);
+            let found = format!("undo \"{}\" with next, else or undo", step.name);
             self.report(Some(id), StepPart::Next, found, "an undo without next, else or undo");
         }
     }
 
-    /// The undo that a step names; `before` are the steps that have finished before it.
+    /// Checks the undo that a step names; `before` are the steps that have finished before the step.
     fn check_its_undo(&mut self, id: StepId, step: &Step, before: &BTreeSet<StepId>) {
         let Some(undo) = step.undo else { return };
         if step.effect == RetrySafety::Idempotent {
-            let found = format!("an undo of the idempotent \"{}\"", step.name);
-            self.report(Some(id), StepPart::Undo, found, "an undo of a step whose effect lasts");
+            let found = format!("undo of the idempotent step \"{}\"", step.name);
+            self.report(Some(id), StepPart::Undo, found, "undos only for steps with a lasting effect");
         }
         if let Function::From(source, _) = &self.plan.step(undo).function
             && *source != id
             && !before.contains(source)
         {
-            let found = format!("undo of \"{}\" named by a result that may not be there", step.name);
-            self.report(Some(id), StepPart::Undo, found, "a result of this step or of one always before it");
+            let found =
+                format!("undo of \"{}\" with a function from a result that may be missing", step.name);
+            self.report(
+                Some(id),
+                StepPart::Undo,
+                found,
+                "a result of this step or of one that always finishes before it",
+            );
         }
     }
 
@@ -212,7 +220,8 @@
         }
     }
 
-    /// An at-most-once step that failed may have run: whoever goes on by running it again assumes a repeat.
+    /// An at-most-once step that failed may have run, so its `else` branches must not repeat the same
+    /// request.
     fn check_repeats(&mut self, id: StepId, step: &Step) {
         if step.effect != RetrySafety::AtMostOnce {
             return;
@@ -220,8 +229,9 @@
         for to in step.or_else.iter().flat_map(|branch| branch.target.steps()) {
             let other = self.plan.step(to);
             if other.workload == step.workload && other.function == step.function {
-                let found = format!("\"{}\" repeats the run-once \"{}\"", other.name, step.name);
-                self.report(Some(id), StepPart::OrElse, found, "no repeat of what may have run");
+                let found =
+                    format!("step \"{}\" that repeats the run-once step \"{}\"", other.name, step.name);
+                self.report(Some(id), StepPart::OrElse, found, "no repetition of a step that may have run");
             }
         }
     }
@@ -230,8 +240,8 @@
         if let Some(index) = branches.iter().position(|branch| branch.test.is_none())
             && index + 1 < branches.len()
         {
-            let found = format!("{} branch(es) after one without a test", branches.len() - index - 1);
-            self.report(Some(id), part, found, "the one without a test last");
+            let found = format!("{} branch(es) after an unconditional one", branches.len() - index - 1);
+            self.report(Some(id), part, found, "the unconditional branch last");
         }
         for branch in branches {
             self.check_fork(id, part, &branch.target);
@@ -248,25 +258,25 @@
         }
         for arm in arms.iter().map(|arm| plan.step(*arm)) {
             if !(arm.next.is_empty() && arm.or_else.is_empty()) {
-                let found = format!("arm \"{}\" that leads on by itself", arm.name);
-                self.report(Some(id), part, found, "arms without next or else: the fork has a join");
+                let found = format!("arm \"{}\" with next or else", arm.name);
+                self.report(Some(id), part, found, "arms without next or else: a fork continues at its join");
             }
         }
         let mut arm_steps = arms.iter().map(|arm| plan.step(*arm));
         if matches!(target, Target::First(..))
             && let Some(arm) = arm_steps.find(|arm| arm.effect == RetrySafety::AtMostOnce)
         {
-            let found = format!("run-once \"{}\" among the first of several", arm.name);
-            self.report(Some(id), part, found, "arms that may run in vain");
+            let found = format!("run-once step \"{}\" as an arm of a first fork", arm.name);
+            self.report(Some(id), part, found, "arms that may be cancelled after they have started");
         }
     }
 
     fn check_time(&mut self) {
         let plan = self.plan;
-        let least = plan.shortest(StepId(0), &|id| plan.step(id).at_least);
+        let least = plan.shortest_time(StepId(0), &|id| plan.step(id).at_least);
         if least > plan.limit {
-            let found = format!("{} ms at the least, {} ms in all", least / 1000, plan.limit / 1000);
-            self.report(Some(StepId(0)), StepPart::AtLeast, found, "a plan that fits its deadline");
+            let found = format!("at least {} ms for a time limit of {} ms", least / 1000, plan.limit / 1000);
+            self.report(Some(StepId(0)), StepPart::AtLeast, found, "a plan that fits its time limit");
         }
     }
 }
--- a/crates/workflow/src/lib.rs
+++ b/crates/workflow/src/lib.rs
@@ -1,9 +1,13 @@
-//! Workflows: chains of functions that carry one deadline.
+//! Workflows: sequences of function calls under one deadline.
 //!
-//! A [`Plan`] says which step leads where; [`Plan::check`] validates it before any chain is run by it. A
-//! [`Run`] is one chain: it is given how its steps ended and says what comes next. [`Times`] learns how long
-//! functions take, so that what cannot finish is rejected at once. [`Pace`] limits how many chains begin
-//! under load. There is no I/O and no clock: time is handed in. `docs/workflow.md` weighs the alternatives.
+//! A [`Plan`] defines the steps of a workflow and the transitions between them; [`Plan::check`] validates
+//! it before it is run. A [`Run`] is the state machine of one execution of a workflow: it is told how steps
+//! ended and returns the next commands. [`TimeEstimates`] learns how long functions take, so that a
+//! workflow that cannot finish in time is rejected at once. [`RunLimiter`] limits the rate of new runs
+//! under overload.
+//!
+//! There is no I/O and no clock: the current time is passed in. `docs/workflow.md` compares the
+//! alternatives.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
--- a/crates/workflow/src/plan.rs
+++ b/crates/workflow/src/plan.rs
@@ -1,41 +1,43 @@
-//! Plans: what a chain of steps may do, as the settings say it.
+//! Plans: the steps of a workflow and the transitions between them, as defined in the settings.
 use applepond::interface::{Micros, RetrySafety};
 
-/// Limit of steps in one plan.
+/// Maximum number of steps in a plan.
 pub(crate) const MAX_STEPS: usize = 32;
-/// Limit of arms in one fork: each is a request at the same time.
+/// Maximum number of arms of a fork: each is a concurrent request.
 pub(crate) const MAX_ARMS: usize = 8;
 
-/// A step's place in its plan.
+/// Index of a step in its plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StepId(pub usize);
 
 /// Where the name of a step's function comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Function {
-    /// The name itself.
+    /// A fixed name.
     Named(String),
-    /// The attribute of the event that asked for the chain, as the workload names it.
+    /// An attribute of the event that started the workflow, as configured for the workflow.
     OfEvent,
     /// A field of an earlier step's result.
     From(StepId, String),
 }
 
-/// Where a branch leads.
+/// Where the workflow continues after a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The chain is finished; this step's result is its answer.
+    /// The workflow is finished; the result of this step is its response.
     End,
-    /// To one step.
+    /// One step.
     One(StepId),
-    /// All of them at once; when all have finished, `join`, or the end with the last one's result.
+    /// All arms concurrently. When all have finished, the step `join`; without one the workflow is finished
+    /// with the result of the arm that finished last.
     All(Vec<StepId>, Option<StepId>),
-    /// All of them at once; the first that finishes leads on to `join`, the others are cancelled.
+    /// All arms concurrently. When the first has finished, the others are cancelled and the workflow
+    /// continues with `join`.
     First(Vec<StepId>, Option<StepId>),
 }
 
 impl Target {
-    /// All steps that it names, joins included.
+    /// All steps named by the target, including the join.
     pub fn steps(&self) -> Vec<StepId> {
         match self {
             Target::End => Vec::new(),
@@ -45,106 +47,107 @@
     }
 }
 
-/// The condition of a branch: a field of the result has this text.
+/// Condition of a branch: a field of the result has a given value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Test {
-    /// Name of the field.
+    /// Name of the field of the result.
     pub field: String,
-    /// The text that it must have.
+    /// The required value.
     pub is: String,
 }
 
-/// One way on from a step.
+/// A possible transition from a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Branch {
-    /// None: taken whatever the result is.
+    /// `None` for an unconditional branch.
     pub test: Option<Test>,
-    /// Where it leads.
+    /// Where the workflow continues.
     pub target: Target,
 }
 
-/// One request of a chain.
+/// One request of a workflow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Its name in the settings.
+    /// Name of the step in the settings.
     pub name: String,
-    /// Index of the workload that its requests belong to.
+    /// Index of the workload of its requests.
     pub workload: usize,
     /// Whether it may run more than once.
     pub effect: RetrySafety,
-    /// The function that it runs.
+    /// The function that the step calls.
     pub function: Function,
-    /// µs that it is taken to need as long as nothing has been learned.
+    /// Estimated execution time in µs, used until the function's time has been learned.
     pub at_least: Micros,
-    /// May be left out when time runs short, and may fail.
+    /// Whether the step may fail, and may be skipped when time is short.
     pub optional: bool,
-    /// The step that undoes it when the chain fails after it.
+    /// The step that undoes this one if the workflow fails later.
     pub undo: Option<StepId>,
-    /// Ways on after it has finished: the first whose test holds is taken; where none does, the chain is
+    /// Branches after success: the first whose condition holds is taken. If none does, the workflow is
     /// finished.
     pub next: Vec<Branch>,
-    /// Ways on after a failure; where no test holds, the chain has failed.
+    /// Branches after a failure: the first whose condition holds is taken. If none does, the workflow has
+    /// failed.
     pub or_else: Vec<Branch>,
 }
 
-/// A workflow: its steps and the ways between them.
+/// A workflow: its steps and the transitions between them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its name in the settings.
+    /// Name of the workflow in the settings.
     pub name: String,
-    /// µs that a chain has at most.
+    /// Maximum duration of a run, in µs.
     pub limit: Micros,
-    /// The steps; a chain begins with the first.
+    /// The steps; a run begins with the first.
     pub steps: Vec<Step>,
 }
 
 /// The part of a step that a fault lies in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepPart {
-    /// The step itself, or the plan.
+    /// The step as a whole, or the plan.
     Step,
-    /// The name of its function.
+    /// The function of the step.
     Function,
-    /// Its undo.
+    /// The undo of the step.
     Undo,
-    /// Ways on after it has finished.
+    /// Branches after success.
     Next,
-    /// Ways on after it has failed.
+    /// Branches after a failure.
     OrElse,
-    /// The time that it needs.
+    /// The estimated execution time.
     AtLeast,
 }
 
-/// Why a plan is not valid.
+/// A fault that makes a plan invalid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlanFault {
-    /// None: the plan as a whole.
+    /// The step with the fault; `None` for the plan as a whole.
     pub step: Option<StepId>,
-    /// The part of the step.
+    /// The part of the step with the fault.
     pub part: StepPart,
-    /// What stands there.
+    /// What the plan contains.
     pub found: String,
-    /// What has to stand there.
+    /// What it has to contain.
     pub wanted: &'static str,
 }
 
 impl Step {
-    /// All ways on, after success and after failure.
+    /// All branches, after success and after a failure.
     pub(crate) fn branches(&self) -> impl Iterator<Item = &Branch> {
         self.next.iter().chain(&self.or_else)
     }
 }
 
 impl Plan {
-    /// The step of this id.
+    /// The step with this id.
     ///
     /// # Panics
-    /// If the id is of another plan.
+    /// If the plan has no step with this id.
     pub fn step(&self, id: StepId) -> &Step {
         &self.steps[id.0]
     }
 
-    /// Joins of the forks that this step is an arm of.
+    /// Joins of the forks of which this step is an arm.
     pub(crate) fn joins_of(&self, id: StepId) -> Vec<StepId> {
         let branches = self.steps.iter().flat_map(Step::branches);
         let join = |branch: &Branch| match &branch.target {
@@ -156,48 +159,49 @@
         branches.filter_map(join).collect()
     }
 
-    /// Whether a step is an arm of a fork: what it leads to is the fork's join alone.
+    /// Whether a step is an arm of a fork, after which the workflow continues with the join of the fork
+    /// only.
     fn is_arm(&self, id: StepId) -> bool {
         self.steps.iter().flat_map(Step::branches).any(|branch| {
             matches!(&branch.target, Target::All(arms, _) | Target::First(arms, _) if arms.contains(&id))
         })
     }
 
-    /// µs from a step's beginning to the end of the chain on the shortest way, each step taking `time`;
-    /// optional steps take none. The plan has no loops.
-    pub fn shortest(&self, from: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
-        self.own_time(from, time) + self.shortest_after(from, time)
+    /// Time in µs on the shortest path from the start of a step to the end of the workflow, if each step
+    /// takes `time` and optional steps are skipped. The plan must have no cycles.
+    pub fn shortest_time(&self, from: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
+        self.required_time(from, time) + self.shortest_time_after(from, time)
     }
 
-    /// The same from a step's end on.
-    pub fn shortest_after(&self, from: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
+    /// The same from the end of a step.
+    pub fn shortest_time_after(&self, from: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
         if self.is_arm(from) {
             let joins = self.joins_of(from);
-            return joins.iter().map(|join| self.shortest(*join, time)).min().unwrap_or(0);
+            return joins.iter().map(|join| self.shortest_time(*join, time)).min().unwrap_or(0);
         }
         let next = &self.step(from).next;
         let may_end = next.iter().all(|branch| branch.test.is_some());
-        let ways = next.iter().map(|branch| self.shortest_way(&branch.target, time));
-        ways.chain(may_end.then_some(0)).min().unwrap_or(0)
+        let times = next.iter().map(|branch| self.shortest_time_of_target(&branch.target, time));
+        times.chain(may_end.then_some(0)).min().unwrap_or(0)
     }
 
-    /// µs of the shortest way that a branch leads to.
-    fn shortest_way(&self, target: &Target, time: &dyn Fn(StepId) -> Micros) -> Micros {
-        let join_time = |join: &Option<StepId>| join.map_or(0, |join| self.shortest(join, time));
+    /// Time in µs on the shortest path through a target.
+    fn shortest_time_of_target(&self, target: &Target, time: &dyn Fn(StepId) -> Micros) -> Micros {
+        let join_time = |join: &Option<StepId>| join.map_or(0, |join| self.shortest_time(join, time));
         match target {
             Target::End => 0,
-            Target::One(to) => self.shortest(*to, time),
+            Target::One(to) => self.shortest_time(*to, time),
             Target::All(arms, join) => {
-                arms.iter().map(|arm| self.own_time(*arm, time)).max().unwrap_or(0) + join_time(join)
+                arms.iter().map(|arm| self.required_time(*arm, time)).max().unwrap_or(0) + join_time(join)
             }
             Target::First(arms, join) => {
-                arms.iter().map(|arm| self.own_time(*arm, time)).min().unwrap_or(0) + join_time(join)
+                arms.iter().map(|arm| self.required_time(*arm, time)).min().unwrap_or(0) + join_time(join)
             }
         }
     }
 
-    /// µs of one step, which may be left out if it is optional.
-    fn own_time(&self, id: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
+    /// Time in µs of a step itself; none if it is optional and may be skipped.
+    fn required_time(&self, id: StepId, time: &dyn Fn(StepId) -> Micros) -> Micros {
         if self.step(id).optional { 0 } else { time(id) }
     }
 }
--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -1,64 +1,64 @@
-//! One chain while it runs: given how its steps ended, it says what comes next.
+//! State machine of one workflow run: it is told how steps ended and returns the next commands.
 //!
-//! A chain that was interrupted runs again from its beginning with what is on record: a step whose end is
-//! known is not begun again, it ends at once as it ended then.
+//! An interrupted run is replayed from its first step with the recorded steps: a step whose end is on
+//! record is not sent again, but ends at once with the recorded status.
 use crate::plan::{Branch, Function, Plan, Step, StepId, Target};
 use applepond::interface::{Micros, RetrySafety};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// µs that the chain's answer takes on its way back to the client; a step that ends later is in vain.
-const RESPONSE_TIME: Micros = 5_000;
-/// How much priority a chain gains until all of its time is spent: three finished steps are lost with the
-/// fourth, and a new chain can still be rejected at no cost.
+/// Time that the response takes to the client, in µs; a step that ends later is of no use.
+const RESPONSE_TIME_US: Micros = 5_000;
+/// Increase of a run's priority factor over its whole duration. The work of finished steps is lost if a
+/// later one is rejected, while a new run can be rejected at no cost.
 const PRIORITY_GAIN: f64 = 3.0;
-/// µs after which a rejected step is retried at the earliest.
-const MIN_RETRY_DELAY: Micros = 30_000;
-/// µs after which a rejected step is retried where no time was named.
-const DEFAULT_RETRY_DELAY: Micros = 100_000;
-/// At most one part in so many of the spare time is waited: a time that was named is meant for clients, which
-/// have no finished steps to lose.
+/// Minimum delay of the retry of a rejected step, in µs.
+const MIN_RETRY_DELAY_US: Micros = 30_000;
+/// Delay of the retry of a rejected step, in µs, where the rejection gave none.
+const DEFAULT_RETRY_DELAY_US: Micros = 100_000;
+/// The delay is at most the spare time divided by this: the delay given in a rejection is meant for
+/// clients, which have no finished steps to lose.
 const RETRY_DELAY_DIVISOR: u64 = 4;
 
 /// How a step ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StepStatus {
-    /// It has a result.
+    /// It succeeded and has a result.
     Finished,
-    /// Rejected: it has had no effect.
+    /// It was rejected and had no effect.
     NeverRan,
-    /// Failed: it may have had an effect.
+    /// It failed and may have had an effect.
     MayHaveRun,
 }
 
-/// Why a chain did not finish.
+/// Why a workflow run did not finish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// What is left of it cannot be done in the time left.
+    /// The remaining steps cannot finish before the deadline.
     NoTime,
-    /// A step's function is named by a result that does not name it.
+    /// The result that should name a step's function does not contain it.
     NoFunction,
-    /// A step failed, and the plan has no other way.
+    /// A step failed, and the plan has no branch for that.
     StepFailed,
-    /// A step could not be written to the record, and so was not sent.
+    /// A step could not be recorded, and was not sent for that reason.
     NotWritten,
 }
 
-/// How a chain ended.
+/// How a workflow run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// This step's result is the answer.
+    /// The result of this step is the response.
     Finished(StepId),
-    /// Rejected: nothing of it can have had an effect that lasts, so that a retry does no harm.
+    /// Rejected at this step: no step can have had a lasting effect, so a retry is safe.
     Rejected(StepId, FailureReason),
-    /// Something may have had one; what has an undo is undone.
+    /// Failed at this step: a step may have had a lasting effect. Steps that have an undo are undone.
     Failed(StepId, FailureReason),
 }
 
-/// What to do next, in this order.
+/// A command to the caller. Commands are to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Begin the step; its request's time is up at `until`.
+    /// Send the request of a step.
     Begin {
         /// The step.
         step: StepId,
@@ -67,18 +67,18 @@
         /// Deadline of its request.
         until: Micros,
     },
-    /// The step was rejected and there is time for a retry: `retry_step` is to be called at this time.
+    /// The step was rejected and there is time for a retry: call `retry_step` at this time.
     Wait {
         /// The step.
         step: StepId,
-        /// When to call `retry_step`.
+        /// Time at which to call `retry_step`.
         until: Micros,
     },
     /// Cancel the step's request.
     Cancel(StepId),
-    /// Answer the client.
+    /// The run has ended: respond to the client.
     End(RunOutcome),
-    /// After the end: run this undo until it has finished.
+    /// After the end: run this undo, with retries, until it has finished.
     Undo {
         /// The step that undoes another one.
         step: StepId,
@@ -87,81 +87,81 @@
     },
 }
 
-/// State of one step.
+/// State of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum StepState {
     NotBegun,
-    /// Its request is in flight.
+    /// The request has been sent.
     InFlight,
-    /// Rejected, and to be retried.
+    /// Rejected, with a retry scheduled.
     AwaitingRetry,
-    RunOutcome(StepStatus),
-    /// Optional and left out, as time ran short, or not needed any more.
+    Ended(StepStatus),
+    /// Optional and skipped because time was short, or no longer needed.
     Skipped,
 }
 
-/// A fork that has been entered and not joined yet.
+/// A fork whose join has not been reached yet.
 struct Fork {
     arms: Vec<StepId>,
     join: Option<StepId>,
-    /// The first arm that finishes is enough.
+    /// Whether the first arm that finishes is enough.
     first: bool,
 }
 
-/// What the calls of one event share.
+/// What is passed on between the functions that handle one event.
 #[derive(Clone, Copy)]
 struct Context<'a> {
     now: Micros,
-    needs: StepTimes<'a>,
+    step_times: StepTimes<'a>,
 }
 
-/// µs that a step needs, given the step, its function's name, and µs by which a load could begin before it
-/// does.
+/// Estimates the time of a step in µs, given the step, the name of its function, and the time in µs before
+/// the step during which a load could already proceed.
 pub type StepTimes<'a> = &'a dyn Fn(&Step, &str, Micros) -> Micros;
 
 /// The end of a step.
-struct Close<'a> {
-    how: StepStatus,
-    /// Reads a field of its result.
-    field: &'a dyn Fn(&str) -> Option<String>,
-    /// Why the chain fails, if it does because of this end.
-    why: FailureReason,
+struct StepEnd<'a> {
+    status: StepStatus,
+    /// Reads a field of the result.
+    read_field: &'a dyn Fn(&str) -> Option<String>,
+    /// Why the run fails, if it fails because of this step.
+    reason: FailureReason,
 }
 
-impl Close<'_> {
-    /// The end of a step that was not begun.
-    fn never_ran(why: FailureReason) -> Self {
-        Close { how: StepStatus::NeverRan, field: &|_| None, why }
+impl StepEnd<'_> {
+    /// The end of a step that was not sent.
+    fn never_ran(reason: FailureReason) -> Self {
+        StepEnd { status: StepStatus::NeverRan, read_field: &|_| None, reason }
     }
 }
 
-/// What is on record of a step: how it ended, and the fields of its result that the plan asks for.
+/// Recorded steps: how each ended, and the fields of its result that the plan uses.
 pub type RecordedSteps = BTreeMap<StepId, (StepStatus, BTreeMap<String, String>)>;
 
-/// One chain under way.
+/// One run of a workflow.
 pub struct Run {
     plan: Arc<Plan>,
-    /// The function that the event names.
+    /// The function named by the event.
     event_function: Option<String>,
-    begun: Micros,
+    started_at: Micros,
     deadline: Micros,
-    /// State of each step, by its id.
-    states: Vec<State>,
-    /// Steps in the order in which they began.
-    order: Vec<StepId>,
-    /// Fields of results that the plan asks for, by step and name.
+    /// States of the steps, by id.
+    states: Vec<StepState>,
+    /// Steps in the order in which they were started.
+    started: Vec<StepId>,
+    /// Fields of results that the plan uses, by step and name.
     results: BTreeMap<(StepId, String), String>,
     forks: Vec<Fork>,
     /// The step that finished last.
     last_finished: Option<StepId>,
-    /// What is on record of steps that have not begun in this run.
+    /// Recorded steps that have not been replayed yet.
     recorded: RecordedSteps,
-    ended: Option<RunOutcome>,
+    outcome: Option<RunOutcome>,
 }
 
 impl Run {
-    /// A chain with this deadline; `event_function` is the function that its event names, `recorded` what an
-    /// interrupted run of it left.
+    /// A run that has not been started. `event_function` is the function named by the event; `recorded` are
+    /// the steps of an interrupted run that is resumed.
     pub fn new(
         now: Micros,
         plan: Arc<Plan>,
@@ -170,36 +170,36 @@
         recorded: RecordedSteps,
     ) -> Self {
         Run {
-            states: vec![State::NotBegun; plan.steps.len()],
+            states: vec![StepState::NotBegun; plan.steps.len()],
             plan,
             event_function,
-            begun: now,
+            started_at: now,
             deadline,
-            order: Vec::new(),
+            started: Vec::new(),
             results: BTreeMap::new(),
             forks: Vec::new(),
             last_finished: None,
             recorded,
-            ended: None,
+            outcome: None,
         }
     }
 
-    /// The plan that it runs by.
+    /// The plan of the run.
     pub fn plan(&self) -> &Arc<Plan> {
         &self.plan
     }
 
-    /// The moment at which its time is up.
+    /// The deadline of the run.
     pub fn deadline(&self) -> Micros {
         self.deadline
     }
 
-    /// How it ended, once it has.
+    /// How the run ended; `None` while it is active.
     pub fn outcome(&self) -> Option<RunOutcome> {
-        self.ended
+        self.outcome
     }
 
-    /// Fields of a step's result that the plan asks for, by tests, functions and undos.
+    /// Fields of a step's result that the plan uses: in conditions and for the functions of other steps.
     pub fn requested_fields(&self, step: StepId) -> Vec<&str> {
         let tests = self.plan.step(step).branches().filter_map(|branch| branch.test.as_ref());
         let functions = self.plan.steps.iter().filter_map(|step_of_plan| match &step_of_plan.function {
@@ -218,171 +218,187 @@
         }
     }
 
-    /// µs that a step needs; what its plan says where its function is not known yet.
-    fn needed_time(&self, id: StepId, needs: StepTimes<'_>, ahead: Micros) -> Micros {
+    /// Estimated time of a step in µs; the plan's estimate while its function is not known yet.
+    fn step_time(&self, id: StepId, step_times: StepTimes<'_>, ahead: Micros) -> Micros {
         let step = self.plan.step(id);
-        self.function(id).map_or(step.at_least, |function| needs(step, &function, ahead))
+        self.function(id).map_or(step.at_least, |function| step_times(step, &function, ahead))
     }
 
-    /// µs of the shortest way from this step's end to the chain's, with loads begun `ahead` of it.
-    fn remaining_time(&self, step: StepId, needs: StepTimes<'_>, ahead: Micros) -> Micros {
-        let time = |id: StepId| self.needed_time(id, needs, ahead);
-        self.plan.shortest_after(step, &time)
+    /// Estimated time in µs on the shortest path from the end of this step to the end of the run, if loads
+    /// may begin `ahead` µs before that.
+    fn remaining_time(&self, step: StepId, step_times: StepTimes<'_>, ahead: Micros) -> Micros {
+        let time = |id: StepId| self.step_time(id, step_times, ahead);
+        self.plan.shortest_time_after(step, &time)
     }
 
-    /// Factor of the chain's priority beside that of a new one, by the part of its time that is spent: 1 at
-    /// its beginning.
-    pub fn priority_factor(&self, now: Micros, needs: StepTimes<'_>) -> f64 {
-        let Some(step) = self.order.last() else { return 1.0 };
-        let own = self.needed_time(*step, needs, 0);
-        let spent = now.saturating_sub(self.begun) as f64;
-        1.0 + PRIORITY_GAIN * spent / (spent + (own + self.remaining_time(*step, needs, own)) as f64).max(1.0)
+    /// Priority of the run relative to a new one. It is 1 at the start and grows with the fraction of the
+    /// run's total time that has been spent.
+    pub fn priority_factor(&self, now: Micros, step_times: StepTimes<'_>) -> f64 {
+        let Some(step) = self.started.last() else { return 1.0 };
+        let own = self.step_time(*step, step_times, 0);
+        let spent = now.saturating_sub(self.started_at) as f64;
+        1.0 + PRIORITY_GAIN * spent
+            / (spent + (own + self.remaining_time(*step, step_times, own)) as f64).max(1.0)
     }
 
-    /// Begins the chain.
-    pub fn begin(&mut self, now: Micros, needs: StepTimes<'_>) -> Vec<Command> {
-        let mut actions = Vec::new();
-        self.enter(Context { now, needs }, StepId(0), &mut actions);
-        actions
+    /// Starts the run.
+    pub fn begin(&mut self, now: Micros, step_times: StepTimes<'_>) -> Vec<Command> {
+        let mut commands = Vec::new();
+        self.start_step(Context { now, step_times }, StepId(0), &mut commands);
+        commands
     }
 
-    /// A step has ended; `field` reads its result, `retry_after` is the time in µs that a rejection named.
+    /// Handles the end of a step. `read_field` reads a field of its result; `retry_after` is the delay in
+    /// µs given by a rejection.
     pub fn step_ended(
         &mut self,
         now: Micros,
         step: StepId,
-        how: StepStatus,
+        status: StepStatus,
         retry_after: Option<Micros>,
-        field: &dyn Fn(&str) -> Option<String>,
-        needs: StepTimes<'_>,
+        read_field: &dyn Fn(&str) -> Option<String>,
+        step_times: StepTimes<'_>,
     ) -> Vec<Command> {
-        let mut actions = Vec::new();
-        if self.states[step.0] != State::InFlight {
-            return actions;
+        let mut commands = Vec::new();
+        if self.states[step.0] != StepState::InFlight {
+            return commands;
         }
-        let context = Context { now, needs };
-        if how == StepStatus::NeverRan
+        let context = Context { now, step_times };
+        if status == StepStatus::NeverRan
             && let Some(until) = self.retry_at(context, step, retry_after)
         {
-            self.states[step.0] = State::AwaitingRetry;
+            self.states[step.0] = StepState::AwaitingRetry;
             return vec![Command::Wait { step, until }];
         }
-        self.close(context, step, Close { how, field, why: FailureReason::StepFailed }, &mut actions);
-        actions
+        self.end_step(
+            context,
+            step,
+            StepEnd { status, read_field, reason: FailureReason::StepFailed },
+            &mut commands,
+        );
+        commands
     }
 
-    /// A step that was to begin could not be written to the record: it is not retried, as a full disk stays
-    /// full.
-    pub fn store_failed(&mut self, now: Micros, step: StepId, needs: StepTimes<'_>) -> Vec<Command> {
-        let mut actions = Vec::new();
-        if self.states[step.0] == State::InFlight {
-            self.close(
-                Context { now, needs },
+    /// Handles a step that could not be recorded before it was sent. It is not retried, as a full disk is
+    /// not expected to recover in time.
+    pub fn store_failed(&mut self, now: Micros, step: StepId, step_times: StepTimes<'_>) -> Vec<Command> {
+        let mut commands = Vec::new();
+        if self.states[step.0] == StepState::InFlight {
+            self.end_step(
+                Context { now, step_times },
                 step,
-                Close::never_ran(FailureReason::NotWritten),
-                &mut actions,
+                StepEnd::never_ran(FailureReason::NotWritten),
+                &mut commands,
             );
         }
-        actions
+        commands
     }
 
-    /// When a rejected step is worth a retry: where the plan has no other way, and time to spare.
+    /// Time of the retry of a rejected step; `None` if the plan has another branch or there is not enough
+    /// time.
     fn retry_at(&self, context: Context<'_>, step: StepId, retry_after: Option<Micros>) -> Option<Micros> {
-        let Context { now, needs } = context;
+        let Context { now, step_times } = context;
         let planned = self.plan.step(step);
-        // A chain that has done nothing yet is rejected as a whole: its client knows when to retry.
-        let any_finished = self.order.iter().any(|step| self.has_finished(*step));
+        // A run without a finished step is rejected as a whole: its client retries it at no loss.
+        let any_finished = self.started.iter().any(|step| self.has_finished(*step));
         if planned.optional || !planned.or_else.is_empty() || !any_finished {
             return None;
         }
-        let own = self.needed_time(step, needs, 0);
-        let until = self.deadline.saturating_sub(RESPONSE_TIME + self.remaining_time(step, needs, own));
+        let own = self.step_time(step, step_times, 0);
+        let until =
+            self.deadline.saturating_sub(RESPONSE_TIME_US + self.remaining_time(step, step_times, own));
         let spare = until.checked_sub(now + own)?;
-        let longest = (spare / RETRY_DELAY_DIVISOR).max(MIN_RETRY_DELAY);
-        let wait = retry_after.unwrap_or(DEFAULT_RETRY_DELAY).clamp(MIN_RETRY_DELAY, longest);
+        let longest = (spare / RETRY_DELAY_DIVISOR).max(MIN_RETRY_DELAY_US);
+        let wait = retry_after.unwrap_or(DEFAULT_RETRY_DELAY_US).clamp(MIN_RETRY_DELAY_US, longest);
         (wait <= spare).then_some(now + wait)
     }
 
-    /// The time of `Do::Wait` has come.
-    pub fn retry_step(&mut self, now: Micros, step: StepId, needs: StepTimes<'_>) -> Vec<Command> {
-        let mut actions = Vec::new();
-        if self.states[step.0] == State::AwaitingRetry {
-            self.states[step.0] = State::NotBegun;
-            self.enter(Context { now, needs }, step, &mut actions);
+    /// Handles the time given in `Command::Wait`.
+    pub fn retry_step(&mut self, now: Micros, step: StepId, step_times: StepTimes<'_>) -> Vec<Command> {
+        let mut commands = Vec::new();
+        if self.states[step.0] == StepState::AwaitingRetry {
+            self.states[step.0] = StepState::NotBegun;
+            self.start_step(Context { now, step_times }, step, &mut commands);
         }
-        actions
+        commands
     }
 
-    /// The chain's time is up, whatever is in flight.
+    /// Fails the run because its deadline has passed; requests in flight are cancelled.
     pub fn expire(&mut self) -> Vec<Command> {
-        let mut actions = Vec::new();
-        let step = self.order.last().copied().unwrap_or(StepId(0));
-        self.fail(step, FailureReason::NoTime, &mut actions);
-        actions
+        let mut commands = Vec::new();
+        let step = self.started.last().copied().unwrap_or(StepId(0));
+        self.fail(step, FailureReason::NoTime, &mut commands);
+        commands
     }
 
-    /// Begins a step, unless its end is on record, its function is not known, or time is too short.
-    fn enter(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Command>) {
-        if self.ended.is_some() || self.states[step.0] != State::NotBegun {
+    /// Starts a step, unless its end is on record, its function is not known, or there is not enough time.
+    fn start_step(&mut self, context: Context<'_>, step: StepId, commands: &mut Vec<Command>) {
+        if self.outcome.is_some() || self.states[step.0] != StepState::NotBegun {
             return;
         }
-        if let Some((how, fields)) = self.recorded.remove(&step) {
-            self.order.push(step);
+        if let Some((status, fields)) = self.recorded.remove(&step) {
+            self.started.push(step);
             let field = |name: &str| fields.get(name).cloned();
-            return self.close(
+            return self.end_step(
                 context,
                 step,
-                Close { how, field: &field, why: FailureReason::StepFailed },
-                actions,
+                StepEnd { status, read_field: &field, reason: FailureReason::StepFailed },
+                commands,
             );
         }
         let Some(function) = self.function(step) else {
-            return self.close(context, step, Close::never_ran(FailureReason::NoFunction), actions);
+            return self.end_step(context, step, StepEnd::never_ran(FailureReason::NoFunction), commands);
         };
-        let own = self.needed_time(step, context.needs, 0);
-        let remaining = self.remaining_time(step, context.needs, own);
-        let until = self.deadline.saturating_sub(RESPONSE_TIME + remaining);
+        let own = self.step_time(step, context.step_times, 0);
+        let remaining = self.remaining_time(step, context.step_times, own);
+        let until = self.deadline.saturating_sub(RESPONSE_TIME_US + remaining);
         if context.now + own > until {
             if self.plan.step(step).optional {
-                self.states[step.0] = State::Skipped;
-                return self.follow(context, step, actions);
+                self.states[step.0] = StepState::Skipped;
+                return self.continue_after(context, step, commands);
             }
-            return self.close(context, step, Close::never_ran(FailureReason::NoTime), actions);
+            return self.end_step(context, step, StepEnd::never_ran(FailureReason::NoTime), commands);
         }
-        self.states[step.0] = State::InFlight;
-        if !self.order.contains(&step) {
-            self.order.push(step);
+        self.states[step.0] = StepState::InFlight;
+        if !self.started.contains(&step) {
+            self.started.push(step);
         }
-        actions.push(Command::Begin { step, function, until });
+        commands.push(Command::Begin { step, function, until });
     }
 
-    /// Takes a step's end down and goes on from it.
-    fn close(&mut self, context: Context<'_>, step: StepId, close: Close<'_>, actions: &mut Vec<Command>) {
-        self.states[step.0] = State::RunOutcome(close.how);
-        if close.how == StepStatus::Finished {
+    /// Records the end of a step and continues from it.
+    fn end_step(
+        &mut self,
+        context: Context<'_>,
+        step: StepId,
+        end: StepEnd<'_>,
+        commands: &mut Vec<Command>,
+    ) {
+        self.states[step.0] = StepState::Ended(end.status);
+        if end.status == StepStatus::Finished {
             self.last_finished = Some(step);
             let asked: Vec<String> = self.requested_fields(step).into_iter().map(str::to_owned).collect();
             for name in asked {
-                if let Some(value) = (close.field)(&name) {
+                if let Some(value) = (end.read_field)(&name) {
                     self.results.insert((step, name), value);
                 }
             }
         }
-        if close.how == StepStatus::Finished || self.plan.step(step).optional {
-            return self.follow(context, step, actions);
+        if end.status == StepStatus::Finished || self.plan.step(step).optional {
+            return self.continue_after(context, step, commands);
         }
         if let Some(fork) = self.fork_of(step) {
-            return self.arm_failed(fork, step, close.why, actions);
+            return self.arm_failed(fork, step, end.reason, commands);
         }
         let plan = self.plan.clone();
-        match self.branch_taken(step, &plan.step(step).or_else) {
-            Some(target) => self.target(context, step, target, actions),
-            None => self.fail(step, close.why, actions),
+        match self.matching_target(step, &plan.step(step).or_else) {
+            Some(target) => self.go_to(context, step, target, commands),
+            None => self.fail(step, end.reason, commands),
         }
     }
 
-    /// Where the first branch whose test holds leads.
-    fn branch_taken<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Target> {
+    /// Target of the first branch whose condition holds.
+    fn matching_target<'a>(&self, step: StepId, branches: &'a [Branch]) -> Option<&'a Target> {
         let holds = |branch: &&Branch| {
             let test = branch.test.as_ref();
             test.is_none_or(|test| self.results.get(&(step, test.field.clone())) == Some(&test.is))
@@ -390,139 +406,141 @@
         branches.iter().find(holds).map(|branch| &branch.target)
     }
 
-    /// Goes on after a step that has finished, or need not.
-    fn follow(&mut self, context: Context<'_>, step: StepId, actions: &mut Vec<Command>) {
-        if self.ended.is_some() {
+    /// Continues after a step that has finished, or that is optional.
+    fn continue_after(&mut self, context: Context<'_>, step: StepId, commands: &mut Vec<Command>) {
+        if self.outcome.is_some() {
             return;
         }
         if let Some(fork) = self.fork_of(step) {
-            return self.arm_ended(context, fork, step, actions);
+            return self.arm_ended(context, fork, step, commands);
         }
         let plan = self.plan.clone();
-        match self.branch_taken(step, &plan.step(step).next) {
-            Some(target) => self.target(context, step, target, actions),
-            None => self.finish(step, actions),
+        match self.matching_target(step, &plan.step(step).next) {
+            Some(target) => self.go_to(context, step, target, commands),
+            None => self.finish(step, commands),
         }
     }
 
-    fn target(&mut self, context: Context<'_>, from: StepId, target: &Target, actions: &mut Vec<Command>) {
+    /// Continues with a target.
+    fn go_to(&mut self, context: Context<'_>, from: StepId, target: &Target, commands: &mut Vec<Command>) {
         match target {
-            Target::End => self.finish(from, actions),
-            Target::One(to) => self.enter(context, *to, actions),
+            Target::End => self.finish(from, commands),
+            Target::One(to) => self.start_step(context, *to, commands),
             Target::All(arms, join) | Target::First(arms, join) => {
                 let first = matches!(target, Target::First(..));
                 self.forks.push(Fork { arms: arms.clone(), join: *join, first });
                 for arm in arms {
-                    self.enter(context, *arm, actions);
+                    self.start_step(context, *arm, commands);
                 }
             }
         }
     }
 
-    /// Index of the fork that a step is an arm of.
+    /// Index of the active fork of which a step is an arm.
     fn fork_of(&self, step: StepId) -> Option<usize> {
         self.forks.iter().position(|fork| fork.arms.contains(&step))
     }
 
     fn has_finished(&self, step: StepId) -> bool {
-        self.states[step.0] == State::RunOutcome(StepStatus::Finished)
+        self.states[step.0] == StepState::Ended(StepStatus::Finished)
     }
 
-    /// Whether a step's end is still to come.
+    /// Whether a step may still end.
     fn is_open(&self, step: StepId) -> bool {
-        matches!(self.states[step.0], State::InFlight | State::NotBegun | State::AwaitingRetry)
+        matches!(self.states[step.0], StepState::InFlight | StepState::NotBegun | StepState::AwaitingRetry)
     }
 
-    /// An arm has finished or was left out.
-    fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, actions: &mut Vec<Command>) {
+    /// Handles an arm that has finished, was skipped, or failed although optional.
+    fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, commands: &mut Vec<Command>) {
         let fork = &self.forks[index];
         let open: Vec<StepId> = fork.arms.iter().filter(|arm| self.is_open(**arm)).copied().collect();
-        // One that was left out, or failed and may, is not the first that finishes, unless it is the last.
+        // An arm that was skipped or failed does not win a `First` fork.
         if !(open.is_empty() || fork.first && self.has_finished(step)) {
             return;
         }
         if fork.first && !fork.arms.iter().any(|arm| self.has_finished(*arm)) {
-            return self.fail(step, FailureReason::StepFailed, actions);
+            return self.fail(step, FailureReason::StepFailed, commands);
         }
         let join = fork.join;
         self.forks.remove(index);
         for arm in open {
-            let in_flight = self.states[arm.0] == State::InFlight;
+            let in_flight = self.states[arm.0] == StepState::InFlight;
             if in_flight {
-                actions.push(Command::Cancel(arm));
+                commands.push(Command::Cancel(arm));
             }
             self.states[arm.0] =
-                if in_flight { State::RunOutcome(StepStatus::MayHaveRun) } else { State::Skipped };
+                if in_flight { StepState::Ended(StepStatus::MayHaveRun) } else { StepState::Skipped };
         }
         match join {
-            Some(join) => self.enter(context, join, actions),
-            None => self.finish(step, actions),
+            Some(join) => self.start_step(context, join, commands),
+            None => self.finish(step, commands),
         }
     }
 
-    /// An arm that is needed has failed: all of several need it, the first of several has others.
-    fn arm_failed(&mut self, index: usize, step: StepId, why: FailureReason, actions: &mut Vec<Command>) {
+    /// Handles the failure of a required arm: an `All` fork fails, a `First` fork only with its last arm.
+    fn arm_failed(&mut self, index: usize, step: StepId, reason: FailureReason, commands: &mut Vec<Command>) {
         let fork = &self.forks[index];
         if fork.first && fork.arms.iter().any(|arm| self.is_open(*arm)) {
             return;
         }
-        self.fail(step, why, actions);
+        self.fail(step, reason, commands);
     }
 
-    /// The chain is finished by the step that finished last: the one that led here may have been left out, or
-    /// have failed where it need not succeed.
-    fn finish(&mut self, step: StepId, actions: &mut Vec<Command>) {
+    /// Finishes the run with the result of the step that finished last. The step that led here may be an
+    /// optional one that was skipped or failed.
+    fn finish(&mut self, step: StepId, commands: &mut Vec<Command>) {
         let Some(step) = self.last_finished else {
-            return self.fail(step, FailureReason::StepFailed, actions);
+            return self.fail(step, FailureReason::StepFailed, commands);
         };
-        if self.ended.is_none() {
-            self.cancel_open_steps(actions);
-            self.ended = Some(RunOutcome::Finished(step));
-            actions.push(Command::End(RunOutcome::Finished(step)));
+        if self.outcome.is_none() {
+            self.cancel_open_steps(commands);
+            self.outcome = Some(RunOutcome::Finished(step));
+            commands.push(Command::End(RunOutcome::Finished(step)));
         }
     }
 
-    fn cancel_open_steps(&mut self, actions: &mut Vec<Command>) {
+    fn cancel_open_steps(&mut self, commands: &mut Vec<Command>) {
         for (index, state) in self.states.iter_mut().enumerate() {
             match state {
-                State::InFlight => {
-                    actions.push(Command::Cancel(StepId(index)));
-                    *state = State::RunOutcome(StepStatus::MayHaveRun);
+                StepState::InFlight => {
+                    commands.push(Command::Cancel(StepId(index)));
+                    *state = StepState::Ended(StepStatus::MayHaveRun);
                 }
-                State::AwaitingRetry => *state = State::RunOutcome(StepStatus::NeverRan),
+                StepState::AwaitingRetry => *state = StepState::Ended(StepStatus::NeverRan),
                 _ => {}
             }
         }
     }
 
-    fn fail(&mut self, step: StepId, why: FailureReason, actions: &mut Vec<Command>) {
-        if self.ended.is_some() {
+    fn fail(&mut self, step: StepId, reason: FailureReason, commands: &mut Vec<Command>) {
+        if self.outcome.is_some() {
             return;
         }
-        self.cancel_open_steps(actions);
+        self.cancel_open_steps(commands);
         let has_lasting_effect = |step: &StepId| {
             self.may_have_run(*step) && self.plan.step(*step).effect != RetrySafety::Idempotent
         };
-        let ended = if self.order.iter().any(has_lasting_effect) {
-            RunOutcome::Failed(step, why)
+        let outcome = if self.started.iter().any(has_lasting_effect) {
+            RunOutcome::Failed(step, reason)
         } else {
-            RunOutcome::Rejected(step, why)
+            RunOutcome::Rejected(step, reason)
         };
-        self.ended = Some(ended);
-        actions.push(Command::End(ended));
-        actions.extend(self.undos());
+        self.outcome = Some(outcome);
+        commands.push(Command::End(outcome));
+        commands.extend(self.undos());
     }
 
     fn may_have_run(&self, step: StepId) -> bool {
-        matches!(self.states[step.0], State::RunOutcome(StepStatus::Finished | StepStatus::MayHaveRun))
+        matches!(self.states[step.0], StepState::Ended(StepStatus::Finished | StepStatus::MayHaveRun))
     }
 
-    /// What is to be undone, the last step first. An undo whose function is not known cannot be run.
+    /// Undos of the steps that may have run, last step first. An undo whose function is not known cannot be
+    /// run.
     fn undos(&self) -> Vec<Command> {
         let undo = |step: &StepId| {
             let step = self.plan.step(*step).undo?;
             self.function(step).map(|function| Command::Undo { step, function })
         };
-        self.order.iter().rev().filter(|step| self.may_have_run(**step)).filter_map(undo).collect()
+        self.started.iter().rev().filter(|step| self.may_have_run(**step)).filter_map(undo).collect()
     }
 }
--- a/crates/workflow/tests/common/mod.rs
+++ b/crates/workflow/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Plans in a few words, and a run with its clock.
-#![allow(dead_code)] // each table of cases uses its own part
+//! Helpers that build plans, and a test harness with a run and its clock.
+#![allow(dead_code)] // not every test file uses all helpers
 use applepond::interface::{IdempotencyScope, Micros, RetrySafety};
 use applepond_workflow::run::RecordedSteps;
 use applepond_workflow::{
@@ -10,9 +10,9 @@
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-pub const MARKED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
+pub const KEYED: RetrySafety = RetrySafety::Keyed { scope: IdempotencyScope::Rack, window: 3 * S };
 
-/// A step of 100 ms at the least that leads nowhere.
+/// A step of 100 ms without branches.
 pub fn step(name: &str, effect: RetrySafety) -> Step {
     let workload = match effect {
         RetrySafety::Idempotent => 0,
@@ -32,8 +32,8 @@
     }
 }
 
-pub fn free(step: &str) -> Step {
-    self::step(step, RetrySafety::Idempotent)
+pub fn idempotent(name: &str) -> Step {
+    step(name, RetrySafety::Idempotent)
 }
 
 pub fn id(n: usize) -> StepId {
@@ -56,8 +56,8 @@
     Branch { test: None, target: Target::First(arms.iter().map(|n| id(*n)).collect(), join.map(id)) }
 }
 
-/// Short ways to change a step.
-pub trait With {
+/// Builder methods for steps.
+pub trait StepExt {
     fn next(self, branches: &[Branch]) -> Self;
     fn or_else(self, branches: &[Branch]) -> Self;
     fn undone_by(self, n: usize) -> Self;
@@ -65,7 +65,7 @@
     fn function_from(self, n: usize, field: &str) -> Self;
 }
 
-impl With for Step {
+impl StepExt for Step {
     fn next(self, branches: &[Branch]) -> Self {
         Step { next: branches.to_vec(), ..self }
     }
@@ -87,57 +87,67 @@
     Plan { name: "book".into(), limit: 4 * S, steps }
 }
 
-/// A chain of 4 s that began at 100 s; functions take what the plan says unless `needs` says otherwise.
-pub struct Bench {
+/// A run with a time limit of 4 s that starts at 100 s. Functions take the time of the plan unless
+/// `step_times` has another one.
+pub struct Harness {
     pub run: Run,
     pub now: Micros,
-    pub needs: BTreeMap<&'static str, Micros>,
-    /// The time that rejections name.
+    pub step_times: BTreeMap<&'static str, Micros>,
+    /// Delay given by rejections.
     pub retry_after: Option<Micros>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(steps: Vec<Step>) -> Self {
         Self::resumed(steps, BTreeMap::new())
     }
 
     pub fn resumed(steps: Vec<Step>, recorded: RecordedSteps) -> Self {
         let (plan, now) = (plan(steps), 100 * S);
-        assert_eq!(plan.check(), Vec::new(), "a sound plan");
+        assert_eq!(plan.check(), Vec::new(), "the plan is valid");
         let run = Run::new(now, Arc::new(plan), Some("of-event".into()), now + 4 * S, recorded);
-        Bench { run, now, needs: BTreeMap::new(), retry_after: None }
+        Harness { run, now, step_times: BTreeMap::new(), retry_after: None }
     }
 
     pub fn begin(&mut self) -> Vec<String> {
-        let needs = self.needs.clone();
-        let todo = self.run.begin(self.now, &|step, f, _| needs.get(f).copied().unwrap_or(step.at_least));
-        self.words(&todo)
+        let step_times = self.step_times.clone();
+        let commands =
+            self.run.begin(self.now, &|step, f, _| step_times.get(f).copied().unwrap_or(step.at_least));
+        self.describe(&commands)
     }
 
-    /// After `ms` more a step ends, with fields of its result; what is to be done, in words.
-    pub fn ends(&mut self, ms: Micros, n: usize, how: StepStatus, fields: &[(&str, &str)]) -> Vec<String> {
+    /// A step ends `ms` later with these fields of its result; returns the commands as texts.
+    pub fn end_step(
+        &mut self,
+        ms: Micros,
+        n: usize,
+        status: StepStatus,
+        fields: &[(&str, &str)],
+    ) -> Vec<String> {
         self.now += ms * MS;
-        let needs = self.needs.clone();
+        let step_times = self.step_times.clone();
         let field = |name: &str| fields.iter().find(|(n, _)| *n == name).map(|(_, v)| (*v).to_owned());
-        let needs = |step: &Step, f: &str, _: Micros| needs.get(f).copied().unwrap_or(step.at_least);
-        let todo = self.run.step_ended(self.now, id(n), how, self.retry_after, &field, &needs);
-        self.words(&todo)
+        let step_times =
+            |step: &Step, f: &str, _: Micros| step_times.get(f).copied().unwrap_or(step.at_least);
+        let commands = self.run.step_ended(self.now, id(n), status, self.retry_after, &field, &step_times);
+        self.describe(&commands)
     }
 
-    /// After `ms` more a step that waited is looked at again.
-    pub fn again(&mut self, ms: Micros, n: usize) -> Vec<String> {
+    /// Retries a step `ms` later.
+    pub fn retry_step(&mut self, ms: Micros, n: usize) -> Vec<String> {
         self.now += ms * MS;
-        let needs = self.needs.clone();
-        let needs = |step: &Step, f: &str, _: Micros| needs.get(f).copied().unwrap_or(step.at_least);
-        let todo = self.run.retry_step(self.now, id(n), &needs);
-        self.words(&todo)
+        let step_times = self.step_times.clone();
+        let step_times =
+            |step: &Step, f: &str, _: Micros| step_times.get(f).copied().unwrap_or(step.at_least);
+        let commands = self.run.retry_step(self.now, id(n), &step_times);
+        self.describe(&commands)
     }
 
-    pub fn finishes(&mut self, ms: Micros, n: usize) -> Vec<String> {
-        self.ends(ms, n, StepStatus::Finished, &[])
+    pub fn finish_step(&mut self, ms: Micros, n: usize) -> Vec<String> {
+        self.end_step(ms, n, StepStatus::Finished, &[])
     }
 
-    fn words(&self, todo: &[Command]) -> Vec<String> {
+    fn describe(&self, commands: &[Command]) -> Vec<String> {
         let name = |s: &StepId| self.run.plan().step(*s).name.clone();
         let word = |what: &Command| match what {
             Command::Begin { step, function, .. } if *function == name(step) => format!("begin {function}"),
@@ -148,11 +158,11 @@
             Command::Cancel(step) => format!("cancel {}", name(step)),
             Command::Undo { step, .. } => format!("undo by {}", name(step)),
             Command::End(RunOutcome::Finished(step)) => format!("finished by {}", name(step)),
-            Command::End(RunOutcome::Rejected(step, why)) => {
-                format!("pushed back at {}: {why:?}", name(step))
+            Command::End(RunOutcome::Rejected(step, reason)) => {
+                format!("rejected at {}: {reason:?}", name(step))
             }
-            Command::End(RunOutcome::Failed(step, why)) => format!("failed at {}: {why:?}", name(step)),
+            Command::End(RunOutcome::Failed(step, reason)) => format!("failed at {}: {reason:?}", name(step)),
         };
-        todo.iter().map(word).collect()
+        commands.iter().map(word).collect()
     }
 }
--- a/crates/workflow/tests/runs.rs
+++ b/crates/workflow/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Chains step by step: what is begun, left out, refused, cancelled and taken back.
+//! Workflow runs step by step: which steps are started, skipped, rejected, cancelled and undone.
 mod common;
 
 use applepond::interface::RetrySafety::AtMostOnce;
@@ -7,229 +7,254 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-/// Price, then free beds at the hut that the price names, then, if there are none, at the second hut; then
-/// confirm. Beds are released when the confirmation fails.
+/// Asks for a price, then for beds at the hut that the price names or, if it has none, at a second hut;
+/// then confirms. Beds are released if the confirmation fails.
 fn booking() -> Vec<Step> {
     vec![
-        free("price").next(&[to(1)]),
-        step("beds", MARKED)
+        idempotent("price").next(&[to(1)]),
+        step("beds", KEYED)
             .function_from(0, "hut")
             .undone_by(4)
             .next(&[when("free", "yes", 3), to(2)])
             .or_else(&[to(2)]),
-        step("beds-2", MARKED).undone_by(5).next(&[to(3)]),
+        step("beds-2", KEYED).undone_by(5).next(&[to(3)]),
         step("confirm", AtMostOnce),
-        step("release", MARKED).function_from(0, "hut"),
-        step("release-2", MARKED),
+        step("release", KEYED).function_from(0, "hut"),
+        step("release-2", KEYED),
     ]
 }
 
 #[test]
 fn a_booking_from_beginning_to_end() {
-    let mut b = Bench::new(booking());
+    let mut b = Harness::new(booking());
     assert_eq!(b.begin(), ["begin price"]);
-    assert_eq!(b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]), ["begin beds of luční"]);
-    assert_eq!(b.ends(50, 1, StepStatus::Finished, &[("free", "yes")]), ["begin confirm"]);
-    assert_eq!(b.finishes(50, 3), ["finished by confirm"]);
-    assert_eq!(b.finishes(50, 3), Vec::<String>::new(), "an end told twice");
+    assert_eq!(b.end_step(50, 0, StepStatus::Finished, &[("hut", "luční")]), ["begin beds of luční"]);
+    assert_eq!(b.end_step(50, 1, StepStatus::Finished, &[("free", "yes")]), ["begin confirm"]);
+    assert_eq!(b.finish_step(50, 3), ["finished by confirm"]);
+    assert_eq!(b.finish_step(50, 3), Vec::<String>::new(), "a repeated end is ignored");
 }
 
 #[test_case(StepStatus::Finished, "no"; "the first hut is full")]
-#[test_case(StepStatus::NeverRan, ""; "it could not be asked")]
-#[test_case(StepStatus::MayHaveRun, ""; "it may have been asked")]
-fn the_second_hut(how: StepStatus, free: &str) {
-    let mut b = Bench::new(booking());
+#[test_case(StepStatus::NeverRan, ""; "its step was rejected")]
+#[test_case(StepStatus::MayHaveRun, ""; "its step may have run")]
+fn the_second_hut_is_the_fallback(status: StepStatus, free: &str) {
+    let mut b = Harness::new(booking());
     b.begin();
-    b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]);
-    assert_eq!(b.ends(50, 1, how, &[("free", free)]), ["begin beds-2"]);
-    assert_eq!(b.finishes(50, 2), ["begin confirm"]);
+    b.end_step(50, 0, StepStatus::Finished, &[("hut", "luční")]);
+    assert_eq!(b.end_step(50, 1, status, &[("free", free)]), ["begin beds-2"]);
+    assert_eq!(b.finish_step(50, 2), ["begin confirm"]);
 }
 
-// What has been done is taken back, the last first, also what only may have been done.
+// Undos run in reverse order, also for steps that only may have run.
 #[test_case(StepStatus::NeverRan,
     &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
-    "pushed back")]
+    "rejected")]
 #[test_case(StepStatus::MayHaveRun,
     &["failed at confirm: StepFailed", "undo by release-2", "undo by release"];
-    "killed")]
-fn what_may_have_been_done_is_undone_last_first(how: StepStatus, want: &[&str]) {
-    let mut b = Bench::new(booking());
+    "failed")]
+fn what_may_have_been_done_is_undone_last_first(status: StepStatus, want: &[&str]) {
+    let mut b = Harness::new(booking());
     b.begin();
-    b.ends(50, 0, StepStatus::Finished, &[("hut", "luční")]);
-    b.ends(50, 1, StepStatus::MayHaveRun, &[]);
-    b.finishes(50, 2);
-    // Late, so that a pushback is not tried again.
-    assert_eq!(b.ends(3_820, 3, how, &[]), want);
+    b.end_step(50, 0, StepStatus::Finished, &[("hut", "luční")]);
+    b.end_step(50, 1, StepStatus::MayHaveRun, &[]);
+    b.finish_step(50, 2);
+    // Late enough that a rejected step is not retried.
+    assert_eq!(b.end_step(3_820, 3, status, &[]), want);
 }
 
-// As long as nothing can have had an effect that lasts, the client may ask again.
-#[test_case(0, StepStatus::MayHaveRun, "pushed back at price: StepFailed"; "an idempotent step may have run")]
-#[test_case(0, StepStatus::NeverRan, "pushed back at price: StepFailed"; "it never ran")]
-fn a_chain_without_effect_is_rejected(n: usize, how: StepStatus, want: &str) {
-    let mut b = Bench::new(booking());
+// As long as no step can have had a lasting effect, the run is rejected and the client may retry.
+#[test_case(0, StepStatus::MayHaveRun, "rejected at price: StepFailed"; "an idempotent step may have run")]
+#[test_case(0, StepStatus::NeverRan, "rejected at price: StepFailed"; "it never ran")]
+fn a_run_without_effect_is_rejected(n: usize, status: StepStatus, want: &str) {
+    let mut b = Harness::new(booking());
     b.begin();
-    assert_eq!(b.ends(50, n, how, &[]), [want]);
+    assert_eq!(b.end_step(50, n, status, &[]), [want]);
 }
 
 #[test]
-fn a_result_that_does_not_name_the_function() {
-    let mut b = Bench::new(booking());
+fn a_missing_function_name_counts_as_a_rejection() {
+    let mut b = Harness::new(booking());
     b.begin();
-    assert_eq!(b.finishes(50, 0), ["begin beds-2"], "it never ran, so the other way is taken");
-    let mut b = Bench::new(vec![free("a").next(&[to(1)]), free("b").function_from(0, "x")]);
+    assert_eq!(b.finish_step(50, 0), ["begin beds-2"], "the step never ran, so its else branch is taken");
+    let mut b = Harness::new(vec![idempotent("a").next(&[to(1)]), idempotent("b").function_from(0, "x")]);
     b.begin();
-    assert_eq!(b.finishes(50, 0), ["pushed back at b: NoFunction"]);
+    assert_eq!(b.finish_step(50, 0), ["rejected at b: NoFunction"]);
 }
 
-// The second hut's model is cold and takes 2 s.
-#[test_case(2_500, "pushed back at beds-2: NoTime"; "1.5 s left")]
+// The function of the last step is not loaded and needs 2.1 s.
+#[test_case(2_500, "rejected at beds-2: NoTime"; "1.5 s left")]
 #[test_case(1_500, "begin beds-2"; "2.5 s left")]
-fn a_cold_model(spent_ms: u64, want: &str) {
-    let steps = vec![free("price").next(&[to(1)]), free("beds-2")];
-    let mut b = Bench::new(steps);
+fn a_step_is_started_only_if_it_can_finish(spent_ms: u64, want: &str) {
+    let steps = vec![idempotent("price").next(&[to(1)]), idempotent("beds-2")];
+    let mut b = Harness::new(steps);
     b.begin();
-    b.needs.insert("beds-2", 2_100 * MS);
-    assert_eq!(b.finishes(spent_ms, 0), [want]);
+    b.step_times.insert("beds-2", 2_100 * MS);
+    assert_eq!(b.finish_step(spent_ms, 0), [want]);
 }
 
-// What a later step needs is seen before the first begins: nothing is done in vain.
+// The time of later steps is considered before the first one starts, so that no work is wasted.
 #[test]
-fn a_chain_that_cannot_finish_is_refused_before_its_first_step() {
-    let mut b = Bench::new(vec![free("price").next(&[to(1)]), free("beds")]);
-    b.needs.insert("beds", 3_950 * MS);
-    assert_eq!(b.begin(), ["pushed back at price: NoTime"]);
+fn a_run_that_cannot_finish_is_rejected_before_its_first_step() {
+    let mut b = Harness::new(vec![idempotent("price").next(&[to(1)]), idempotent("beds")]);
+    b.step_times.insert("beds", 3_950 * MS);
+    assert_eq!(b.begin(), ["rejected at price: NoTime"]);
 }
 
-#[test_case(1_000, "begin photos"; "time enough")]
+#[test_case(1_000, "begin photos"; "enough time")]
 #[test_case(3_850, "begin confirm"; "time is short")]
-fn optional_steps_go_first(spent_ms: u64, want: &str) {
+fn optional_steps_are_skipped_when_time_is_short(spent_ms: u64, want: &str) {
     let steps = vec![
-        free("price").next(&[to(1)]),
-        free("photos").optional().next(&[to(2)]),
+        idempotent("price").next(&[to(1)]),
+        idempotent("photos").optional().next(&[to(2)]),
         step("confirm", AtMostOnce),
     ];
-    let mut b = Bench::new(steps);
+    let mut b = Harness::new(steps);
     b.begin();
-    assert_eq!(b.finishes(spent_ms, 0), [want]);
+    assert_eq!(b.finish_step(spent_ms, 0), [want]);
 }
 
 #[test]
 fn an_optional_step_may_fail() {
     let steps = vec![
-        free("price").next(&[to(1)]),
-        free("photos").optional().next(&[to(2)]),
+        idempotent("price").next(&[to(1)]),
+        idempotent("photos").optional().next(&[to(2)]),
         step("confirm", AtMostOnce),
     ];
-    let mut b = Bench::new(steps);
+    let mut b = Harness::new(steps);
     b.begin();
-    b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["begin confirm"]);
+    b.finish_step(50, 0);
+    assert_eq!(b.end_step(50, 1, StepStatus::MayHaveRun, &[]), ["begin confirm"]);
 }
 
-// A step's request is told the time left, less what those after it need and the way back.
+// The deadline of a step leaves enough time for the steps after it and for the response.
 #[test]
-fn one_clock() {
-    let mut b = Bench::new(vec![free("price").next(&[to(1)]), free("beds")]);
-    let until = |todo: &[Command]| match todo {
+fn the_deadline_of_a_step_leaves_time_for_the_rest() {
+    let mut b = Harness::new(vec![idempotent("price").next(&[to(1)]), idempotent("beds")]);
+    let until = |commands: &[Command]| match commands {
         [Command::Begin { until, .. }] => *until,
         other => panic!("{other:?}"),
     };
-    let needs = |step: &Step, _: &str, _: u64| step.at_least;
-    let first = until(&b.run.begin(b.now, &needs));
+    let step_times = |step: &Step, _: &str, _: u64| step.at_least;
+    let first = until(&b.run.begin(b.now, &step_times));
     assert_eq!(first, 104 * S - 5 * MS - 100 * MS);
-    let second = b.run.step_ended(b.now + 10 * MS, id(0), StepStatus::Finished, None, &|_| None, &needs);
-    assert_eq!(until(&second), 104 * S - 5 * MS, "what the first did not use is there for the second");
+    let second = b.run.step_ended(b.now + 10 * MS, id(0), StepStatus::Finished, None, &|_| None, &step_times);
+    assert_eq!(
+        until(&second),
+        104 * S - 5 * MS,
+        "time that the first step did not use is left to the second"
+    );
 }
 
 #[test]
-fn all_of_several() {
-    let steps = vec![free("a").next(&[all(&[1, 2], Some(3))]), free("b"), free("c"), free("d")];
-    let mut b = Bench::new(steps.clone());
+fn a_fork_waits_for_all_arms() {
+    let steps = vec![
+        idempotent("a").next(&[all(&[1, 2], Some(3))]),
+        idempotent("b"),
+        idempotent("c"),
+        idempotent("d"),
+    ];
+    let mut b = Harness::new(steps.clone());
     b.begin();
-    assert_eq!(b.finishes(50, 0), ["begin b", "begin c"]);
-    assert_eq!(b.finishes(50, 2), Vec::<String>::new());
-    assert_eq!(b.finishes(50, 1), ["begin d"]);
-    assert_eq!(b.finishes(50, 3), ["finished by d"]);
-    let mut b = Bench::new(steps);
+    assert_eq!(b.finish_step(50, 0), ["begin b", "begin c"]);
+    assert_eq!(b.finish_step(50, 2), Vec::<String>::new());
+    assert_eq!(b.finish_step(50, 1), ["begin d"]);
+    assert_eq!(b.finish_step(50, 3), ["finished by d"]);
+    let mut b = Harness::new(steps);
     b.begin();
-    b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["cancel c", "pushed back at b: StepFailed"]);
+    b.finish_step(50, 0);
+    assert_eq!(b.end_step(50, 1, StepStatus::MayHaveRun, &[]), ["cancel c", "rejected at b: StepFailed"]);
 }
 
 #[test]
-fn the_first_of_several() {
-    let steps = vec![free("a").next(&[first(&[1, 2], Some(3))]), free("b"), free("c"), free("d")];
-    let mut b = Bench::new(steps.clone());
+fn a_fork_waits_for_the_first_arm() {
+    let steps = vec![
+        idempotent("a").next(&[first(&[1, 2], Some(3))]),
+        idempotent("b"),
+        idempotent("c"),
+        idempotent("d"),
+    ];
+    let mut b = Harness::new(steps.clone());
     b.begin();
-    b.finishes(50, 0);
-    assert_eq!(b.finishes(50, 2), ["cancel b", "begin d"]);
-    let mut b = Bench::new(steps);
+    b.finish_step(50, 0);
+    assert_eq!(b.finish_step(50, 2), ["cancel b", "begin d"]);
+    let mut b = Harness::new(steps);
     b.begin();
-    b.finishes(50, 0);
-    assert_eq!(b.ends(50, 2, StepStatus::MayHaveRun, &[]), Vec::<String>::new(), "the other may still");
-    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["pushed back at b: StepFailed"]);
+    b.finish_step(50, 0);
+    assert_eq!(
+        b.end_step(50, 2, StepStatus::MayHaveRun, &[]),
+        Vec::<String>::new(),
+        "the other arm may still finish"
+    );
+    assert_eq!(b.end_step(50, 1, StepStatus::MayHaveRun, &[]), ["rejected at b: StepFailed"]);
 }
 
-// Cut off in the middle: what is on record is not begun again.
+// A run is interrupted in the middle: recorded steps are not sent again.
 #[test]
-fn resumed() {
+fn an_interrupted_run_is_resumed() {
     let field = |n: &str, v: &str| BTreeMap::from([(n.to_owned(), v.to_owned())]);
     let mut recorded = BTreeMap::from([
         (id(0), (StepStatus::Finished, field("hut", "luční"))),
         (id(1), (StepStatus::Finished, field("free", "yes"))),
     ]);
-    assert_eq!(Bench::resumed(booking(), recorded.clone()).begin(), ["begin confirm"]);
+    assert_eq!(Harness::resumed(booking(), recorded.clone()).begin(), ["begin confirm"]);
     recorded.insert(id(3), (StepStatus::MayHaveRun, BTreeMap::new()));
-    let mut b = Bench::resumed(booking(), recorded);
-    assert_eq!(b.begin(), ["failed at confirm: StepFailed", "undo by release"], "never a second time");
+    let mut b = Harness::resumed(booking(), recorded);
+    assert_eq!(
+        b.begin(),
+        ["failed at confirm: StepFailed", "undo by release"],
+        "an at-most-once step is not repeated"
+    );
 }
 
 #[test]
-fn importance_grows_with_what_is_paid_for() {
-    let mut b = Bench::new(booking());
-    let needs = |step: &Step, _: &str, _: u64| step.at_least;
-    b.begin();
-    let fresh = b.run.priority_factor(b.now, &needs);
-    b.ends(300, 0, StepStatus::Finished, &[("hut", "luční")]);
-    b.ends(300, 1, StepStatus::Finished, &[("free", "yes")]);
-    let near = b.run.priority_factor(b.now, &needs);
+fn priority_grows_with_the_time_spent() {
+    let mut b = Harness::new(booking());
+    let step_times = |step: &Step, _: &str, _: u64| step.at_least;
+    b.begin();
+    let fresh = b.run.priority_factor(b.now, &step_times);
+    b.end_step(300, 0, StepStatus::Finished, &[("hut", "luční")]);
+    b.end_step(300, 1, StepStatus::Finished, &[("free", "yes")]);
+    let near = b.run.priority_factor(b.now, &step_times);
     assert!(fresh < 1.1 && near > 3.0, "{fresh} {near}");
 }
 
-// A step that was pushed back is begun again while there is time: what was before it is paid for. A chain
-// that has done nothing yet is pushed back as a whole.
-#[test_case(50, Some(200), "wait 200 ms for beds-2"; "as named")]
-#[test_case(50, None, "wait 100 ms for beds-2"; "nothing named")]
-#[test_case(50, Some(1), "wait 30 ms for beds-2"; "hardly anything named")]
-#[test_case(3_000, Some(900), "wait 186 ms for beds-2"; "more named than there is time for")]
-#[test_case(3_830, Some(200), "pushed back at beds-2: StepFailed"; "no time left")]
+// A rejected step is retried while there is time, as the work of the steps before it would be lost. A run
+// without a finished step is rejected as a whole.
+#[test_case(50, Some(200), "wait 200 ms for beds-2"; "the given delay")]
+#[test_case(50, None, "wait 100 ms for beds-2"; "no delay given")]
+#[test_case(50, Some(1), "wait 30 ms for beds-2"; "a delay below the minimum")]
+#[test_case(3_000, Some(900), "wait 186 ms for beds-2"; "a delay above the spare time")]
+#[test_case(3_830, Some(200), "rejected at beds-2: StepFailed"; "no time left")]
 fn a_step_rejected_in_the_middle_is_retried(ms: u64, retry_after_ms: Option<u64>, want: &str) {
-    let mut b =
-        Bench::new(vec![free("price").next(&[to(1)]), free("beds-2").next(&[to(2)]), free("confirm")]);
+    let mut b = Harness::new(vec![
+        idempotent("price").next(&[to(1)]),
+        idempotent("beds-2").next(&[to(2)]),
+        idempotent("confirm"),
+    ]);
     b.begin();
-    b.finishes(50, 0);
+    b.finish_step(50, 0);
     b.retry_after = retry_after_ms.map(|ms| ms * MS);
-    assert_eq!(b.ends(ms, 1, StepStatus::NeverRan, &[]), [want]);
+    assert_eq!(b.end_step(ms, 1, StepStatus::NeverRan, &[]), [want]);
     if want.starts_with("wait") {
-        assert_eq!(b.again(200, 1), ["begin beds-2"]);
-        assert_eq!(b.again(0, 1), Vec::<String>::new(), "told twice");
-        assert_eq!(b.finishes(50, 1), ["begin confirm"]);
+        assert_eq!(b.retry_step(200, 1), ["begin beds-2"]);
+        assert_eq!(b.retry_step(0, 1), Vec::<String>::new(), "a repeated call is ignored");
+        assert_eq!(b.finish_step(50, 1), ["begin confirm"]);
     }
 }
 
-// The last step may be left out, or fail: the answer is that of the one that finished last. Where none did
-// there is none.
+// If an optional last step is skipped or fails, the response is the result of the step that finished last.
+// Without one the run is rejected.
 #[test]
 fn an_optional_last_step() {
-    let steps = vec![free("price").next(&[to(1)]), free("photos").optional()];
-    let mut b = Bench::new(steps.clone());
+    let steps = vec![idempotent("price").next(&[to(1)]), idempotent("photos").optional()];
+    let mut b = Harness::new(steps.clone());
     b.begin();
-    assert_eq!(b.finishes(3_950, 0), ["finished by price"], "left out");
-    let mut b = Bench::new(steps);
+    assert_eq!(b.finish_step(3_950, 0), ["finished by price"], "skipped");
+    let mut b = Harness::new(steps);
     b.begin();
-    b.finishes(50, 0);
-    assert_eq!(b.ends(50, 1, StepStatus::MayHaveRun, &[]), ["finished by price"], "failed");
-    let mut b = Bench::new(vec![free("photos").optional()]);
+    b.finish_step(50, 0);
+    assert_eq!(b.end_step(50, 1, StepStatus::MayHaveRun, &[]), ["finished by price"], "failed");
+    let mut b = Harness::new(vec![idempotent("photos").optional()]);
     b.begin();
-    assert_eq!(b.ends(50, 0, StepStatus::NeverRan, &[]), ["pushed back at photos: StepFailed"]);
+    assert_eq!(b.end_step(50, 0, StepStatus::NeverRan, &[]), ["rejected at photos: StepFailed"]);
 }
