--- a/crates/settings/src/workflow.rs
+++ b/crates/settings/src/workflow.rs
@@ -1,4 +1,4 @@
-//! `chain` blocks as plans of workflows, each fault at its line and column.
+//! `chain` blocks, each of which defines the plan of a workflow.
 use crate::section::{Section, Span};
 use crate::workload::{Workload, event_types};
 use applepond::interface::Micros;
@@ -6,10 +6,10 @@
 use applepond_workflow::{Branch, Function, Plan, PlanFault, Step, StepId, StepPart, Target, Test};
 use std::sync::Arc;
 
-/// µs that a step is taken to need when it names no time.
-const DEFAULT_STEP_TIME: Micros = 1_000;
+/// Estimated time of a step without `at_least`, in µs.
+const DEFAULT_STEP_TIME_US: Micros = 1_000;
 
-/// One step as it stands in the file, names not yet looked up.
+/// The blocks of one step, whose references to other steps are not resolved yet.
 struct StepSection<'a> {
     name: String,
     section: Section<'a>,
@@ -18,23 +18,23 @@
 }
 
 impl StepSection<'_> {
-    /// Where a part of the step stands.
-    fn place(&self, part: StepPart) -> Span {
-        let first = |sections: &[Section<'_>]| sections.first().map(|section| section.place.clone());
+    /// Span of a part of the step.
+    fn span(&self, part: StepPart) -> Span {
+        let first = |sections: &[Section<'_>]| sections.first().map(|section| section.span.clone());
         let found = match part {
             StepPart::Step | StepPart::AtLeast => None,
-            StepPart::Function => Some(self.section.place_of("function_from")),
-            StepPart::Undo => Some(self.section.place_of("undo")),
+            StepPart::Function => Some(self.section.span_of("function_from")),
+            StepPart::Undo => Some(self.section.span_of("undo")),
             StepPart::Next => first(&self.next),
             StepPart::OrElse => first(&self.or_else),
         };
-        found.unwrap_or(self.section.place.clone())
+        found.unwrap_or(self.section.span.clone())
     }
 
-    /// Reports what no reader has asked for.
-    fn done(self) {
-        self.next.into_iter().chain(self.or_else).for_each(Section::done);
-        self.section.done();
+    /// Reports unknown keys and blocks of the step.
+    fn report_unknown(self) {
+        self.next.into_iter().chain(self.or_else).for_each(Section::report_unknown);
+        self.section.report_unknown();
     }
 }
 
@@ -42,21 +42,21 @@
 pub(crate) fn workflow(name: &str, section: &Section<'_>, workloads: &[Workload]) -> Option<WorkflowConfig> {
     let types = event_types(section);
     let limit = section.time("time_limit", None);
-    let function_attribute = section.text("function_by", Some("subject"));
+    let function_attribute = section.string("function_by", Some("subject"));
     let steps: Vec<StepSection<'_>> = section
-        .named("step")
+        .labelled_blocks("step")
         .into_iter()
         .map(|(name, section)| {
-            let (next, or_else) = (section.blocks("next"), section.blocks("else"));
+            let (next, or_else) = (section.unlabelled_blocks("next"), section.unlabelled_blocks("else"));
             StepSection { name, section, next, or_else }
         })
         .collect();
     let plan = plan(name, &steps, limit, workloads);
     for fault in plan.iter().flat_map(Plan::check) {
-        let place = place_of_fault(&fault, section, &steps);
-        section.fault(&place, format!("in chain \"{name}\": {}", fault.found), fault.wanted);
+        let span = span_of_fault(&fault, section, &steps);
+        section.fault(&span, format!("in chain \"{name}\": {}", fault.found), fault.wanted);
     }
-    steps.into_iter().for_each(StepSection::done);
+    steps.into_iter().for_each(StepSection::report_unknown);
     Some(WorkflowConfig { types: types?, function_attribute: function_attribute?, plan: Arc::new(plan?) })
 }
 
@@ -72,11 +72,11 @@
     Some(Plan { name: name.to_owned(), limit: limit?, steps })
 }
 
-fn place_of_fault(fault: &PlanFault, section: &Section<'_>, steps: &[StepSection<'_>]) -> Span {
+fn span_of_fault(fault: &PlanFault, section: &Section<'_>, steps: &[StepSection<'_>]) -> Span {
     match fault.step {
-        _ if fault.part == StepPart::AtLeast => section.place_of("time_limit"),
-        Some(step) => steps[step.0].place(fault.part),
-        None => section.place.clone(),
+        _ if fault.part == StepPart::AtLeast => section.span_of("time_limit"),
+        Some(step) => steps[step.0].span(fault.part),
+        None => section.span.clone(),
     }
 }
 
@@ -84,10 +84,10 @@
     let section = &step.section;
     let workload = workload_index(section, workloads);
     let function = function(section, names);
-    let at_least = section.time("at_least", Some(DEFAULT_STEP_TIME));
-    let optional = section.mark("optional", Some(false));
-    let undo = section.text("undo", Some("")).filter(|_| section.has("undo"));
-    let undo = undo.and_then(|wanted| look_up(section, "undo", &wanted, names));
+    let at_least = section.time("at_least", Some(DEFAULT_STEP_TIME_US));
+    let optional = section.boolean("optional", Some(false));
+    let undo = section.string("undo", Some("")).filter(|_| section.has("undo"));
+    let undo = undo.and_then(|wanted| find_step(section, "undo", &wanted, names));
     let (next, or_else) = (branches(&step.next, names), branches(&step.or_else, names));
     let workload = workload?;
     Some(Step {
@@ -104,102 +104,103 @@
 }
 
 fn workload_index(section: &Section<'_>, workloads: &[Workload]) -> Option<usize> {
-    let wanted = section.text("workload", None)?;
+    let wanted = section.string("workload", None)?;
     let found = workloads.iter().position(|workload| workload.events.name == wanted);
     if found.is_none() {
         let known: Vec<&str> = workloads.iter().map(|workload| workload.events.name.as_str()).collect();
         let known = format!("one of {}", known.join(", "));
-        section.fault(&section.place_of("workload"), format!("workload \"{wanted}\""), known);
+        section.fault(&section.span_of("workload"), format!("workload \"{wanted}\""), known);
     }
     found
 }
 
-/// Where the name of a step's function comes from.
+/// Reads where the name of a step's function comes from.
 fn function(section: &Section<'_>, names: &[String]) -> Option<Function> {
     let given = ["function", "function_from"].into_iter().filter(|key| section.has(key)).count();
     if given > 1 {
-        let place = section.place_of("function_from");
-        section.fault(&place, "function and function_from", "one of them");
+        let span = section.span_of("function_from");
+        section.fault(&span, "function and function_from", "one of them");
     }
-    let named = section.text("function", Some("")).filter(|_| section.has("function"));
-    let from = section.text("function_from", Some("")).filter(|_| section.has("function_from"));
+    let named = section.string("function", Some("")).filter(|_| section.has("function"));
+    let from = section.string("function_from", Some("")).filter(|_| section.has("function_from"));
     let from = from.and_then(|text| function_from(section, &text, names));
     if given == 0 { Some(Function::OfEvent) } else { named.map(Function::Named).or(from) }
 }
 
-/// A function that an earlier step's result names, as `STEP.FIELD`.
+/// Parses a reference to a field of an earlier step's result, `STEP.FIELD`, that names the function.
 fn function_from(section: &Section<'_>, text: &str, names: &[String]) -> Option<Function> {
     match text.split_once('.') {
         Some((step, field)) if !field.is_empty() => {
-            let step = look_up(section, "function_from", step, names)?;
+            let step = find_step(section, "function_from", step, names)?;
             Some(Function::From(step, field.to_owned()))
         }
         _ => {
             let found = format!("function_from = \"{text}\"");
             let wanted = "a step and a field, as \"price.hut\"";
-            section.fault(&section.place_of("function_from"), found, wanted);
+            section.fault(&section.span_of("function_from"), found, wanted);
             None
         }
     }
 }
 
-/// The step of this name.
-fn look_up(section: &Section<'_>, key: &str, wanted: &str, names: &[String]) -> Option<StepId> {
+/// Finds a step by its name.
+fn find_step(section: &Section<'_>, key: &str, wanted: &str, names: &[String]) -> Option<StepId> {
     let found = names.iter().position(|name| name == wanted);
     if found.is_none() {
         let known = format!("one of {}", names.join(", "));
-        section.fault(&section.place_of(key), format!("step \"{wanted}\""), known);
+        section.fault(&section.span_of(key), format!("step \"{wanted}\""), known);
     }
     found.map(StepId)
 }
 
-/// Reads all branches; none where one of them has a fault.
+/// Reads all branches; `None` if one of them has a fault.
 fn branches(sections: &[Section<'_>], names: &[String]) -> Option<Vec<Branch>> {
     let branches: Vec<Option<Branch>> = sections.iter().map(|section| branch(section, names)).collect();
     branches.into_iter().collect()
 }
 
 fn branch(section: &Section<'_>, names: &[String]) -> Option<Branch> {
-    let test = test(section);
+    let condition = condition(section);
     let target = target(section, names);
-    Some(Branch { test: test?, target: target? })
+    Some(Branch { test: condition?, target: target? })
 }
 
-/// The condition of a branch: outside none for a fault, inside none for a branch without one.
-fn test(section: &Section<'_>) -> Option<Option<Test>> {
-    let test = match (section.has("when"), section.has("is")) {
+/// Reads the condition of a branch. The result is `None` after a fault, and `Some(None)` for an
+/// unconditional branch.
+fn condition(section: &Section<'_>) -> Option<Option<Test>> {
+    let condition = match (section.has("when"), section.has("is")) {
         (false, false) => Some(None),
         (true, true) => {
-            let (field, is) = (section.text("when", None), section.text("is", None));
+            let (field, is) = (section.string("when", None), section.string("is", None));
             field.zip(is).map(|(field, is)| Some(Test { field, is }))
         }
         _ => {
             let found = "when without is, or is without when";
-            section.fault(&section.place.clone(), found, "both, or neither");
+            section.fault(&section.span.clone(), found, "both, or neither");
             None
         }
     };
-    // Both keys are known, whichever was given.
-    let _ = (section.text("when", Some("")), section.text("is", Some("")));
-    test
+    // Requests both keys, so that neither is reported as unknown.
+    let _ = (section.string("when", Some("")), section.string("is", Some("")));
+    condition
 }
 
-/// Where a branch leads.
+/// Reads the target of a branch.
 fn target(section: &Section<'_>, names: &[String]) -> Option<Target> {
-    let one = section.text("go", Some("")).filter(|_| section.has("go"));
-    let one = one.and_then(|to| look_up(section, "go", &to, names)).map(Target::One);
-    let join = section.text("join", Some("")).filter(|_| section.has("join"));
-    let join = join.map(|to| look_up(section, "join", &to, names));
+    let one = section.string("go", Some("")).filter(|_| section.has("go"));
+    let one = one.and_then(|to| find_step(section, "go", &to, names)).map(Target::One);
+    let join = section.string("join", Some("")).filter(|_| section.has("join"));
+    let join = join.map(|to| find_step(section, "join", &to, names));
     let arms = |key: &str| {
-        let wanted = section.texts(key, Some(Vec::new())).filter(|_| section.has(key))?;
-        wanted.iter().map(|to| look_up(section, key, to, names)).collect::<Option<Vec<_>>>()
+        let wanted = section.strings(key, Some(Vec::new())).filter(|_| section.has(key))?;
+        wanted.iter().map(|to| find_step(section, key, to, names)).collect::<Option<Vec<_>>>()
     };
     let (all, first) = (arms("all"), arms("first"));
-    let end = section.mark("end", Some(false));
+    let end = section.boolean("end", Some(false));
     let given = ["go", "all", "first", "end"].into_iter().filter(|key| section.has(key)).count();
     if given != 1 {
-        let found = format!("{given} ways to go on");
-        section.fault(&section.place.clone(), found, "one of go, all, first, end");
+        let found = format!("{given} targets");
+        section.fault(&section.span.clone(), found, "one of go, all, first, end");
         return None;
     }
     let join = match join {
--- a/crates/settings/src/workload.rs
+++ b/crates/settings/src/workload.rs
@@ -3,7 +3,7 @@
 use applepond::interface::{IdempotencyScope, RetrySafety, WorkloadConfig};
 use applepond_gateway::deployment::{FunctionConfig, FunctionSource, PrefixAttributes, WorkloadEvents};
 
-/// One workload, for the decisions and for the gateway.
+/// Configuration of one workload, for the routing module and for the gateway.
 pub(crate) struct Workload {
     pub(crate) config: WorkloadConfig,
     pub(crate) events: WorkloadEvents,
@@ -17,8 +17,12 @@
     if let (Some(target), Some(limit)) = (start_target, time_limit)
         && target > limit
     {
-        let place = section.place_of("start_target");
-        section.fault(&place, "a start target past the deadline", "one within it");
+        let span = section.span_of("start_target");
+        section.fault(
+            &span,
+            "a start_target later than the time_limit",
+            "a start_target of at most the time_limit",
+        );
     }
     let importance = section.number("importance", 0.001..1e6, Some(1.0));
     let late_part = section.number("late_part", 0.0..1.0, Some(0.0));
@@ -51,10 +55,10 @@
     if !is_keyed {
         for key in ["within", "window"].into_iter().filter(|key| section.has(key)) {
             let found = format!("{key} of a workload that carries no idempotency key");
-            section.fault(&section.place_of(key), found, "no such key");
+            section.fault(&section.span_of(key), found, "this key only with effect = \"fingerprinted\"");
         }
     }
-    // Both keys are known in every workload, and required in keyed ones.
+    // Both keys are requested for every workload, as they are known keys; they are required in keyed ones.
     let scope = section.one_of("within", &SCOPES, (!is_keyed).then_some("rack"));
     let window = section.time("window", (!is_keyed).then_some(0));
     Some(match effect?.as_str() {
@@ -71,11 +75,11 @@
     })
 }
 
-/// Reads `types`, of which there has to be one at least.
+/// Reads `types`, which must not be empty.
 pub(crate) fn event_types(section: &Section<'_>) -> Option<Vec<String>> {
-    let types = section.texts("types", None);
+    let types = section.strings("types", None);
     if types.as_ref().is_some_and(Vec::is_empty) {
-        section.fault(&section.place_of("types"), "no type", "at least one");
+        section.fault(&section.span_of("types"), "no type", "at least one");
     }
     types
 }
@@ -83,33 +87,33 @@
 fn function_source(section: &Section<'_>) -> Option<FunctionSource> {
     let source = match (section.has("function"), section.has("function_by")) {
         (true, true) => {
-            let place = section.place_of("function_by");
-            section.fault(&place, "function and function_by", "one of them");
+            let span = section.span_of("function_by");
+            section.fault(&span, "function and function_by", "one of them");
             None
         }
-        (true, false) => section.text("function", None).map(FunctionSource::Named),
-        _ => section.text("function_by", Some("subject")).map(FunctionSource::Attribute),
+        (true, false) => section.string("function", None).map(FunctionSource::Named),
+        _ => section.string("function_by", Some("subject")).map(FunctionSource::Attribute),
     };
-    // Both keys are known, whichever was given.
-    let _ = (section.text("function", Some("")), section.text("function_by", Some("")));
+    // Requests both keys, so that neither is reported as unknown.
+    let _ = (section.string("function", Some("")), section.string("function_by", Some("")));
     source
 }
 
 fn prefix_attributes(section: &Section<'_>) -> Option<PrefixAttributes> {
-    let name = section.text("opening_by", Some("")).filter(|_| section.has("opening_by"));
-    let size = section.text("opening_size_by", Some("")).filter(|_| section.has("opening_size_by"));
+    let name = section.string("opening_by", Some("")).filter(|_| section.has("opening_by"));
+    let size = section.string("opening_size_by", Some("")).filter(|_| section.has("opening_size_by"));
     if name.is_some() != size.is_some() {
         let key = if name.is_some() { "opening_by" } else { "opening_size_by" };
         let found = "one of opening_by and opening_size_by";
-        section.fault(&section.place_of(key), found, "both, or neither");
+        section.fault(&section.span_of(key), found, "both, or neither");
     }
     name.zip(size).map(|(name, size)| PrefixAttributes { name, size })
 }
 
-/// Reads what holds for a function, of a `function` block or as the default of a workload.
+/// Reads the configuration of a function, from a `function` block or as the default of a workload.
 pub(crate) fn function(section: &Section<'_>) -> Option<FunctionConfig> {
-    let concurrency = section.whole_number("lanes", 1..10_000, Some(1));
-    let memory_mb = section.whole_number("memory_mb", 1..10_000_000, Some(256));
+    let concurrency = section.integer("lanes", 1..10_000, Some(1));
+    let memory_mb = section.integer("memory_mb", 1..10_000_000, Some(256));
     let load_time = section.time("load_time", Some(0)).map(|time| (time > 0).then_some(time));
     Some(FunctionConfig {
         concurrency: concurrency? as u32,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,14 +1,14 @@
-//! Every key of settings that is accepted: a file that one version takes the next one takes too.
+//! Accepted settings keys: a file that is valid for one version must be valid for the next.
 use applepond_settings::deployment;
 
 const EVERY_KEY: &str = include_str!("fixtures/every_key.hcl");
 
 #[test]
-fn a_file_with_every_key_is_taken() {
+fn a_file_with_every_key_is_valid() {
     assert_eq!(deployment(EVERY_KEY).err(), None);
 }
 
-/// An unknown key is answered with all that are known in its block.
+/// The fault of an unknown key lists the known keys of its block.
 #[test]
 fn blocks_keep_their_keys() {
     let mut known = Vec::new();
--- a/crates/settings/tests/workflows.rs
+++ b/crates/settings/tests/workflows.rs
@@ -1,4 +1,4 @@
-//! `chain` blocks: a sound one as its plan, and each fault by its place.
+//! `chain` blocks: the plan of a valid one, and the reported position of each fault.
 use applepond_settings::deployment;
 use applepond_workflow::{Function, StepId, Target};
 use test_case::test_case;
@@ -57,11 +57,11 @@
 "#;
 
 #[test]
-fn a_sound_chain() {
+fn a_valid_workflow() {
     let d = deployment(GOOD).expect("no fault");
-    let (chain, plan) = (&d.workflows[0], &d.workflows[0].plan);
+    let (workflow, plan) = (&d.workflows[0], &d.workflows[0].plan);
     assert_eq!(
-        (chain.types.as_slice(), chain.function_attribute.as_str()),
+        (workflow.types.as_slice(), workflow.function_attribute.as_str()),
         (&["book".to_owned()][..], "subject")
     );
     assert_eq!((plan.limit, plan.steps.len(), plan.steps[0].at_least), (4_000_000, 5, 20_000));
@@ -77,22 +77,24 @@
 #[test_case("\"price.hut\"", "\"price\"",
     "33:21: found function_from = \"price\"; wanted: a step and a field";
     "no field")]
-#[test_case("\"price.hut\"", "\"second.hut\"", "33:21: found in chain \"book\": function from \"second.hut\"";
-    "a result that may not be there")]
+#[test_case("\"price.hut\"", "\"second.hut\"",
+    "33:21: found in chain \"book\": function from \"second.hut\"";
+    "a result that may be missing")]
 #[test_case("workload = \"confirm\"", "workload = \"confrm\"", "48:16: found workload \"confrm\"";
     "workload")]
-#[test_case("      is = \"yes\"\n", "", "34:5: found when without is"; "half a test")]
-#[test_case("join = \"confirm\"", "join = \"confirm\"\n      end = true", "39:5: found 2 ways to go on";
-    "two ways")]
+#[test_case("      is = \"yes\"\n", "", "34:5: found when without is"; "half a condition")]
+#[test_case("join = \"confirm\"", "join = \"confirm\"\n      end = true", "39:5: found 2 targets";
+    "two targets")]
 #[test_case("  step \"third\"", "  step \"fourth\" { workload = \"quote\" }\n  step \"third\"",
     "46:3: found in chain \"book\": unreachable step \"fourth\""; "unreachable")]
 #[test_case("step \"third\" { workload = \"quote\" }",
     "step \"third\" {\n workload = \"quote\"\n next { go = \"price\" }\n}",
     "leads back to an earlier step"; "a cycle")]
-#[test_case("\"4s\"", "\"10ms\"", "25:16: found in chain \"book\": at least 22 ms for a time limit of 10 ms";
+#[test_case("\"4s\"", "\"10ms\"",
+    "25:16: found in chain \"book\": at least 22 ms for a time limit of 10 ms";
     "too long for its limit")]
 #[test_case("types = [\"book\"]", "types = [\"quote\"]",
-    "24:11: found type \"quote\" again, it is \"quote\"'s"; "type twice")]
+    "24:11: found type \"quote\" a second time, first in \"quote\""; "type twice")]
 #[test_case("at_least", "at_last", "28:5: found 'at_last' in block 'step'"; "misspelt")]
 #[test_case("go = \"beds\"", "goes = \"beds\"", "found 'goes' in block 'next'"; "misspelt in a branch")]
 fn each_fault_is_reported_at_its_place(old: &str, new: &str, expected: &str) {
