--- a/crates/workflow/src/check.rs
+++ b/crates/workflow/src/check.rs
@@ -64,9 +64,9 @@
         None
     }
 
-    /// For each step, the steps that have finished on every path to it, so that their results are available
-    /// (the dominators of the step). A failed step has no result, so it is counted on paths through `next`
-    /// only.
+    /// For each step, the steps that have finished on every path to it, so that their results are available.
+    /// A failed step has no result, so it is counted on paths through `next` only. The algorithm is the
+    /// iterative one for dominators.
     fn always_before(&self) -> Vec<BTreeSet<StepId>> {
         let all: BTreeSet<StepId> = (0..self.steps.len()).map(StepId).collect();
         let mut before = vec![all; self.steps.len()];
--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -9,8 +9,8 @@
 
 /// Time that the response takes to the client, in µs; a step that ends later is of no use.
 const RESPONSE_TIME_US: Micros = 5_000;
-/// Increase of a run's priority factor over its whole duration. The work of finished steps is lost if a
-/// later one is rejected, while a new run can be rejected at no cost.
+/// Increase of a run's priority factor over its whole duration. A run that is rejected at its fourth step
+/// loses three finished ones, while a new run can be rejected at no cost.
 const PRIORITY_GAIN: f64 = 3.0;
 /// Minimum delay of the retry of a rejected step, in µs.
 const MIN_RETRY_DELAY_US: Micros = 30_000;
@@ -299,7 +299,7 @@
     fn retry_at(&self, context: Context<'_>, step: StepId, retry_after: Option<Micros>) -> Option<Micros> {
         let Context { now, step_times } = context;
         let planned = self.plan.step(step);
-        // A run without a finished step is rejected as a whole: its client retries it at no loss.
+        // A run without a finished step is rejected as a whole, as its client knows best when to retry.
         let any_finished = self.started.iter().any(|step| self.has_finished(*step));
         if planned.optional || !planned.or_else.is_empty() || !any_finished {
             return None;
@@ -377,8 +377,8 @@
         self.states[step.0] = StepState::Ended(end.status);
         if end.status == StepStatus::Finished {
             self.last_finished = Some(step);
-            let asked: Vec<String> = self.requested_fields(step).into_iter().map(str::to_owned).collect();
-            for name in asked {
+            let names: Vec<String> = self.requested_fields(step).into_iter().map(str::to_owned).collect();
+            for name in names {
                 if let Some(value) = (end.read_field)(&name) {
                     self.results.insert((step, name), value);
                 }
@@ -454,7 +454,7 @@
     fn arm_ended(&mut self, context: Context<'_>, index: usize, step: StepId, commands: &mut Vec<Command>) {
         let fork = &self.forks[index];
         let open: Vec<StepId> = fork.arms.iter().filter(|arm| self.is_open(**arm)).copied().collect();
-        // An arm that was skipped or failed does not win a `First` fork.
+        // A `First` fork is not won by an arm that was skipped or failed: it waits for the remaining arms.
         if !(open.is_empty() || fork.first && self.has_finished(step)) {
             return;
         }
--- a/crates/workflow/src/run_limiter.rs
+++ b/crates/workflow/src/run_limiter.rs
@@ -14,10 +14,10 @@
 const MIN_WASTED_PER_S: f64 = 3.0;
 /// Runs that may start for each that finishes, when the limit takes effect.
 const INITIAL_FACTOR: f64 = 1.2;
-/// Lower bound on the runs that may start for each that finishes. Slightly fewer than finish drains the
-/// queues at the workers, which delay every step. In a scenario at twice the capacity 588 runs finished;
-/// with 0.6 workers were idle (506), and without a lower bound a fifth of the work was spent on runs that
-/// failed (543).
+/// Lower bound on the runs that may start for each that finishes. Slightly less than one drains the queues
+/// at the workers, which delay every step. In a scenario at twice the capacity 588 runs finished; with 0.6
+/// it was 506, as workers were idle, and without any limit on new runs 543, as a fifth of the work was
+/// spent on runs that failed.
 const MIN_FACTOR: f64 = 0.9;
 /// Time without a rejection after which the limit is lifted, in µs.
 const CALM_TIME_US: Micros = 3_000_000;
