--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -191,7 +191,7 @@
         let workload = workload(&name, section)?;
         for event_type in &workload.events.types {
             if let Some(other) = types.claim(event_type, &name) {
-                let found = format!("type \"{event_type}\" a second time, first in workload \"{other}\"");
+                let found = format!("type \"{event_type}\", already used by workload \"{other}\"");
                 section.fault(&section.span_of("types"), found, "each type in one workload only");
             }
         }
@@ -217,7 +217,7 @@
         let workflow = workflow(&name, section, workloads)?;
         for event_type in &workflow.types {
             if let Some(other) = types.claim(event_type, &name) {
-                let found = format!("type \"{event_type}\" a second time, first in \"{other}\"");
+                let found = format!("type \"{event_type}\", already used by \"{other}\"");
                 section.fault(&section.span_of("types"), found, "each type in one workload or chain only");
             }
         }
