--- a/crates/admission/src/traffic_monitor.rs
+++ b/crates/admission/src/traffic_monitor.rs
@@ -174,14 +174,14 @@
     pub fn storm_indications(&self, now: Micros) -> (bool, bool) {
         let opened = self.connections.per_s(now);
         let is_unusual = self.usual(now).is_some_and(|(_, usual)| opened >= CONNECTIONS_OVER_USUAL * usual);
-        let (early, followed) = (self.early_retries.per_s(now), self.on_time_retries.per_s(now));
-        let many_early = early >= MIN_RATE_PER_S && early >= EARLY_FRACTION * (early + followed);
+        let (early, on_time) = (self.early_retries.per_s(now), self.on_time_retries.per_s(now));
+        let many_early = early >= MIN_RATE_PER_S && early >= EARLY_FRACTION * (early + on_time);
         (is_unusual && opened >= MIN_RATE_PER_S, many_early)
     }
 
     /// Counts an arrival; `client_retries` is the number of recent retries of its client.
-    pub fn record_arrival(&mut self, now: Micros, retry: bool, client_retries: f64) {
-        if retry {
+    pub fn record_arrival(&mut self, now: Micros, is_retry: bool, client_retries: f64) {
+        if is_retry {
             self.retries.add(now);
             self.heaviest_client = self.heaviest_client.max(client_retries);
         } else {
--- a/crates/workflow/tests/run_limiter.rs
+++ b/crates/workflow/tests/run_limiter.rs
@@ -50,14 +50,14 @@
 #[test_case(90, 22.0; "three times the capacity")]
 fn runs_finish_under_overload(rate: u64, least: f64) {
     let (finished, wasted) = simulate(rate, true);
-    assert!(finished >= least && wasted < 0.25, "{finished} a second, {wasted:.2} wasted");
+    assert!(finished >= least && wasted < 0.25, "{finished} per second, {wasted:.2} wasted");
 }
 
-// Without the limit more runs are started than finish, and the work is executed on their first steps.
+// Without the limit more runs are started than finish, and the work is spent on their first steps.
 #[test]
 fn without_the_limit_goodput_falls() {
     let (finished, wasted) = simulate(90, false);
-    assert!(finished < 16.0 && wasted > 0.4, "{finished} a second, {wasted:.2} wasted");
+    assert!(finished < 16.0 && wasted > 0.4, "{finished} per second, {wasted:.2} wasted");
 }
 
 #[test]
