--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -47,7 +47,7 @@
         self.stepped_at + MAX_AGE_STEPS * STEP_INTERVAL_US >= now
     }
 
-    /// Admissions per second as of the last call of [`allowed`](Room::allowed).
+    /// Admissions per second as of the last call of [`allowed`](AdaptiveLimit::allowed).
     pub fn current(&self) -> f64 {
         self.limit
     }
