--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -3,7 +3,7 @@
 use applepond_settings::deployment;
 use test_case::test_case;
 
-const GOOD: &str = r#"listen = "127.0.0.1:0"
+const VALID: &str = r#"listen = "127.0.0.1:0"
 zones = ["hall-a"]
 rules {
   cold_share = 0.2
@@ -24,14 +24,14 @@
 "#;
 
 #[test]
-fn a_good_file_with_its_defaults() {
-    let d = deployment(GOOD).expect("no fault");
+fn a_valid_file_with_its_defaults() {
+    let d = deployment(VALID).expect("no fault");
     assert_eq!(
         (d.startup.router_count, d.startup.attempt_policy.max_attempts, d.workloads[0].deadline),
         (1, 4, 5_000_000)
     );
     assert!(!d.startup.timeouts_shared, "clients may give their own time limits");
-    let shared = deployment(&GOOD.replace("zones", "limits_shared = true\nzones")).expect("no fault");
+    let shared = deployment(&VALID.replace("zones", "limits_shared = true\nzones")).expect("no fault");
     assert!(shared.startup.timeouts_shared);
     assert_eq!((d.workers[0].zone, d.startup.slow_start.overload_factor), (Some(0), 2.5));
 }
@@ -39,7 +39,7 @@
 // A worker without a rack does not share one with other workers.
 #[test]
 fn workers_without_racks_share_none() {
-    let two = format!("{GOOD}worker \"w2\" {{\n  address = \"127.0.0.1:9002\"\n}}\n");
+    let two = format!("{VALID}worker \"w2\" {{\n  address = \"127.0.0.1:9002\"\n}}\n");
     let d = deployment(&two).expect("no fault");
     assert_ne!(d.workers[0].rack, d.workers[1].rack);
     let named = two.replace("address =", "rack = 0\n  address =");
@@ -66,7 +66,7 @@
 #[test_case("zones", "limits_shared = 1\nzones", "2:17: found limits_shared = `1`"; "limits shared")]
 #[test_case("zones", "router = 1\nzones", "2:10: found router = 1 of 1"; "router past routers")]
 fn each_fault_is_reported_at_its_place(old: &str, new: &str, expected: &str) {
-    let text = GOOD.replacen(old, new, 1);
+    let text = VALID.replacen(old, new, 1);
     match deployment(&text) {
         Ok(_) => assert!(expected.is_empty(), "a fault was expected: {expected}"),
         Err(faults) => {
@@ -78,7 +78,7 @@
 
 #[test]
 fn all_faults_are_reported_in_order() {
-    let text = GOOD.replace("500ms", "soon").replace("0.2", "\"x\"").replace("effect", "efect");
+    let text = VALID.replace("500ms", "soon").replace("0.2", "\"x\"").replace("effect", "efect");
     let places: Vec<usize> = deployment(&text).expect_err("faults").iter().map(|f| f.line).collect();
     assert_eq!(places, [4, 9, 11, 12]);
 }
@@ -86,13 +86,13 @@
 #[test_case("effect = \"fingerprinted\"", 2; "scope and window are missing")]
 #[test_case("effect = \"run-once\"\n  window = \"3s\"", 1; "a window without an idempotency key")]
 fn a_keyed_workload_names_scope_and_window(effect: &str, faults: usize) {
-    let text = GOOD.replace("effect = \"restartable\"", effect);
+    let text = VALID.replace("effect = \"restartable\"", effect);
     assert_eq!(deployment(&text).expect_err("faults").len(), faults);
 }
 
 #[test]
 fn a_repeated_name_is_a_fault() {
-    let text = format!("{GOOD}{}", GOOD[GOOD.find("workload").expect("there")..].replace("w1", "w2"));
+    let text = format!("{VALID}{}", VALID[VALID.find("workload").expect("there")..].replace("w1", "w2"));
     let faults = deployment(&text).expect_err("faults");
     assert!(faults.len() == 1 && faults[0].found.contains("workload \"quote\" a second time"), "{faults:?}");
 }
@@ -108,12 +108,12 @@
 
 #[test]
 fn a_valid_fleet_block() {
-    let d = deployment(&format!("{FLEET}{GOOD}")).expect("no fault");
+    let d = deployment(&format!("{FLEET}{VALID}")).expect("no fault");
     let fleet = d.fleet.expect("a block");
     assert_eq!((fleet.name.as_str(), fleet.seeds, fleet.listen.port()), ("r1", vec![fleet.listen], 7946));
-    assert!(deployment(GOOD).expect("no fault").fleet.is_none());
+    assert!(deployment(VALID).expect("no fault").fleet.is_none());
     let more = "]\n  keepers = [\"r1\"]\n  votes = \"v\"\n  snapshot = \"s\"\n  founding = 3\n}";
-    let d = deployment(&format!("{}{GOOD}", FLEET.replacen("]\n}", more, 1))).expect("no fault");
+    let d = deployment(&format!("{}{VALID}", FLEET.replacen("]\n}", more, 1))).expect("no fault");
     let fleet = d.fleet.expect("a block");
     assert_eq!((fleet.voters, fleet.bootstrap_epoch), (vec!["r1".to_owned()], 3));
     assert!(fleet.votes_file.is_some() && fleet.snapshot_file.is_some());
@@ -136,7 +136,7 @@
 #[test_case("]\n}", "]\n  founding = 0\n}", "7:14: found"; "founding zero")]
 #[test_case("seeds", "sedes", "5:3: found 'sedes' in block 'fleet'"; "misspelt")]
 fn each_fault_of_a_fleet_block_is_reported(old: &str, new: &str, expected: &str) {
-    let faults = deployment(&format!("{}{GOOD}", FLEET.replacen(old, new, 1))).expect_err("a fault");
+    let faults = deployment(&format!("{}{VALID}", FLEET.replacen(old, new, 1))).expect_err("a fault");
     let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert!(all.iter().any(|f| f.contains(expected)), "{all:#?}");
 }
@@ -144,8 +144,8 @@
 // A workload has both attributes of a prefix, its name and its size, or neither.
 #[test]
 fn half_a_prefix_is_a_fault() {
-    let one = GOOD.replacen("  types ", "  opening_by = \"opening\"\n  types ", 1);
-    assert_ne!(one, GOOD);
+    let one = VALID.replacen("  types ", "  opening_by = \"opening\"\n  types ", 1);
+    assert_ne!(one, VALID);
     let faults = deployment(&one).expect_err("a fault");
     assert!(
         faults.iter().any(|f| f.to_string().contains("one of opening_by and opening_size_by")),
--- a/crates/settings/tests/workflows.rs
+++ b/crates/settings/tests/workflows.rs
@@ -3,7 +3,7 @@
 use applepond_workflow::{Function, StepId, Target};
 use test_case::test_case;
 
-const GOOD: &str = r#"listen = "127.0.0.1:0"
+const VALID: &str = r#"listen = "127.0.0.1:0"
 rules {
   cold_share = 0.2
   warm_within = "10s"
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_valid_workflow() {
-    let d = deployment(GOOD).expect("no fault");
+    let d = deployment(VALID).expect("no fault");
     let (workflow, plan) = (&d.workflows[0], &d.workflows[0].plan);
     assert_eq!(
         (workflow.types.as_slice(), workflow.function_attribute.as_str()),
@@ -98,8 +98,8 @@
 #[test_case("at_least", "at_last", "28:5: found 'at_last' in block 'step'"; "misspelt")]
 #[test_case("go = \"beds\"", "goes = \"beds\"", "found 'goes' in block 'next'"; "misspelt in a branch")]
 fn each_fault_is_reported_at_its_place(old: &str, new: &str, expected: &str) {
-    assert!(GOOD.contains(old), "nothing replaced");
-    let faults = deployment(&GOOD.replacen(old, new, 1)).expect_err("a fault");
+    assert!(VALID.contains(old), "nothing replaced");
+    let faults = deployment(&VALID.replacen(old, new, 1)).expect_err("a fault");
     let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert!(all.iter().any(|f| f.contains(expected)), "{all:#?}");
 }
