--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -21,8 +21,8 @@
 use crate::request_table::{Action, ActionQueue, RequestTable};
 use applepond::control::Control;
 use applepond::interface::{Micros, Outcome, RequestId, WorkerId};
-use applepond_admission::Gate;
-use applepond_admission::watch::Called;
+use applepond_admission::AdmissionController;
+use applepond_admission::traffic_monitor::TrafficClass;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use applepond_storage::WorkflowStore;
 use endpoint_watch::EndpointWatch;
@@ -77,9 +77,9 @@
     started_requests: u64,
     idempotency: IdempotencyTable<Answer>,
     /// Detects retry storms, and sheds load ahead of `Control` during one.
-    admission: Gate,
+    admission: AdmissionController,
     /// The traffic state that was last logged.
-    logged_traffic: Called,
+    logged_traffic: TrafficClass,
     workflows: Workflows,
     /// Calls scheduled for a later time.
     deferred: DeferredCalls<Gateway>,
@@ -111,8 +111,8 @@
             requests: RequestTable::default(),
             started_requests: 0,
             idempotency: IdempotencyTable::new(deployment.answer_retention),
-            admission: Gate::new(now, deployment.startup.seed),
-            logged_traffic: Called::Calm,
+            admission: AdmissionController::new(now, deployment.startup.seed),
+            logged_traffic: TrafficClass::Calm,
             workflows: Workflows::new(deployment.startup.cache_lifetime),
             deferred: DeferredCalls::default(),
             counters: Counters::default(),
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -1,5 +1,5 @@
 //! Workflows in progress. Each step is a separate request without a waiting client. Its end is passed to the
-//! workflow's [`Run`], which decides what to do next and returns it as commands ([`Do`]).
+//! workflow's [`Run`], which decides what to do next and returns it as commands ([`Command`]).
 //!
 //! A workflow with a step that is not idempotent is stored before that step is sent, and again before the
 //! workflow is answered as finished, so that a restart neither repeats nor forgets steps that may have run.
@@ -17,8 +17,10 @@
 use applepond_http::encode::Lines;
 use applepond_reactor::{Conn, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
-use applepond_workflow::run::Needs;
-use applepond_workflow::{Do, Ended, How, Pace, Run, Step, StepId, Times, Why};
+use applepond_workflow::run::StepTimes;
+use applepond_workflow::{
+    Command, FailureReason, Run, RunLimiter, RunOutcome, Step, StepId, StepStatus, TimeEstimates,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -50,7 +52,7 @@
 /// A workflow started in this turn of the event loop, with its first commands.
 pub(super) struct StartedWorkflow {
     pub(super) request: RequestId,
-    pub(super) commands: Vec<Do>,
+    pub(super) commands: Vec<Command>,
 }
 
 /// The step that finished last, with its answer.
@@ -107,7 +109,7 @@
 
     /// Whether its run has ended, no step is in flight, and no undo is pending.
     fn is_done(&self) -> bool {
-        self.run.has_ended().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
+        self.run.outcome().is_some() && self.pending_undos == 0 && self.in_flight.is_empty()
     }
 }
 
@@ -123,7 +125,7 @@
 /// A finished workflow that must be stored before it is answered.
 struct UnansweredWorkflow {
     request: RequestId,
-    ended: Ended,
+    ended: RunOutcome,
 }
 
 /// Counters since the start of the instance.
@@ -146,14 +148,14 @@
 }
 
 impl Counters {
-    fn count_end(&mut self, ended: Ended) {
+    fn count_end(&mut self, ended: RunOutcome) {
         match ended {
-            Ended::Finished(_) => self.finished += 1,
-            Ended::PushedBack(_, cause) => {
+            RunOutcome::Finished(_) => self.finished += 1,
+            RunOutcome::Rejected(_, cause) => {
                 self.rejected += 1;
-                self.rejected_for_time += u64::from(cause == Why::NoTime);
+                self.rejected_for_time += u64::from(cause == FailureReason::NoTime);
             }
-            Ended::Failed(..) => self.failed += 1,
+            RunOutcome::Failed(..) => self.failed += 1,
         }
     }
 }
@@ -167,9 +169,9 @@
     /// Workflows started in this turn of the event loop.
     pub(super) started: VecDeque<StartedWorkflow>,
     /// Estimated durations of functions, to decide whether a step can finish in time.
-    times: Times,
+    times: TimeEstimates,
     /// Limits the rate of new workflows.
-    pace: Pace,
+    pace: RunLimiter,
     counters: Counters,
     pub(super) store: Box<dyn WorkflowStore>,
     /// Steps to be sent after the next write.
@@ -189,8 +191,8 @@
             active: BTreeMap::new(),
             ended_steps: VecDeque::new(),
             started: VecDeque::new(),
-            times: Times::new(cache_lifetime),
-            pace: Pace::default(),
+            times: TimeEstimates::new(cache_lifetime),
+            pace: RunLimiter::default(),
             counters: Counters::default(),
             store: Box::new(MemoryStore::default()),
             unsent: Vec::new(),
@@ -217,18 +219,18 @@
             "finished": counters.finished, "pushed-back": counters.rejected, "failed": counters.failed,
             "refused-for-time": counters.rejected_for_time, "held-back": counters.rejected_for_pace,
             "allowed-per-s": self.pace.allowed(), "steps": counters.steps, "undos": counters.undos,
-            "functions-known": self.times.known(),
+            "functions-known": self.times.function_count(),
             "record": {"resumed": counters.recorded_steps, "writes": counters.writes,
                 "not-written": counters.failed_writes}})
     }
 }
 
 /// Maps the final outcome of a step's request to the step's outcome in its run.
-fn step_outcome(outcome: FinalOutcome) -> How {
+fn step_outcome(outcome: FinalOutcome) -> StepStatus {
     match outcome {
-        FinalOutcome::Finished => How::Finished,
-        FinalOutcome::Rejected => How::NeverRan,
-        FinalOutcome::Failed => How::MayHaveRun,
+        FinalOutcome::Finished => StepStatus::Finished,
+        FinalOutcome::Rejected => StepStatus::NeverRan,
+        FinalOutcome::Failed => StepStatus::MayHaveRun,
     }
 }
 
@@ -251,7 +253,7 @@
         &mut self,
         now: Micros,
         request: RequestId,
-        decide: impl FnOnce(&mut Run, Needs<'_>) -> T,
+        decide: impl FnOnce(&mut Run, StepTimes<'_>) -> T,
     ) -> T {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return T::default() };
         let times = &self.workflows.times;
@@ -261,7 +263,7 @@
             let defaults = &workloads[step.workload].default_function;
             let config = functions.get(function).unwrap_or(defaults);
             let id = FunctionId::named(function);
-            times.usual(id, step.at_least) + times.load(now, id, config.load_time)
+            times.execution_time(id, step.at_least) + times.load_time(now, id, config.load_time)
         };
         decide(&mut workflow.run, &needed_time)
     }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -3,8 +3,8 @@
 //! The order of the fields of each type is the file format.
 use crate::Micros;
 use applepond::interface::{IdempotencyScope, RetrySafety};
-use applepond_workflow::run::Recorded;
-use applepond_workflow::{How, Plan, StepId};
+use applepond_workflow::run::RecordedSteps;
+use applepond_workflow::{Plan, StepId, StepStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -71,20 +71,20 @@
 }
 
 /// The code of an outcome in the file format. Codes must not be reassigned.
-pub fn outcome_code(outcome: How) -> u8 {
+pub fn outcome_code(outcome: StepStatus) -> u8 {
     match outcome {
-        How::Finished => 0,
-        How::NeverRan => 1,
-        How::MayHaveRun => 2,
+        StepStatus::Finished => 0,
+        StepStatus::NeverRan => 1,
+        StepStatus::MayHaveRun => 2,
     }
 }
 
-fn outcome_from_code(code: u8) -> How {
+fn outcome_from_code(code: u8) -> StepStatus {
     match code {
-        0 => How::Finished,
-        1 => How::NeverRan,
+        0 => StepStatus::Finished,
+        1 => StepStatus::NeverRan,
         // Unknown codes, written by a later version, are treated conservatively.
-        _ => How::MayHaveRun,
+        _ => StepStatus::MayHaveRun,
     }
 }
 
@@ -100,16 +100,18 @@
 }
 
 /// The steps that a resumed workflow must not send again: those that ended, and those that may have run.
-pub fn recorded_steps(record: &WorkflowRecord, plan: &Plan, now: Micros) -> Recorded {
-    let mut recorded = Recorded::new();
+pub fn recorded_steps(record: &WorkflowRecord, plan: &Plan, now: Micros) -> RecordedSteps {
+    let mut recorded = RecordedSteps::new();
     for (index, step) in &record.steps {
         let Some(planned) = plan.steps.get(*index as usize) else { continue };
         let outcome = match &step.outcome {
             // A step that never ran may be sent again, unless the steps before it are compensated.
-            Some(outcome) if outcome_from_code(outcome.code) == How::NeverRan && !record.failed => continue,
+            Some(outcome) if outcome_from_code(outcome.code) == StepStatus::NeverRan && !record.failed => {
+                continue;
+            }
             Some(outcome) => (outcome_from_code(outcome.code), outcome.fields.clone()),
             None if may_send_again(planned.effect, step.sent_at, now) => continue,
-            None => (How::MayHaveRun, BTreeMap::new()),
+            None => (StepStatus::MayHaveRun, BTreeMap::new()),
         };
         recorded.insert(StepId(*index as usize), outcome);
     }
