--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
+use applepond_prefix_cache::{List, PANES, Panes, Pins, PrefixId, Terms};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -33,7 +33,7 @@
     /// Decides which prefixes are pinned.
     pins: Pins,
     /// Sizes of prefixes, in the unit that the requests use.
-    sizes: BTreeMap<OpeningId, u32>,
+    sizes: BTreeMap<PrefixId, u32>,
     /// The agreed list as of its last reading.
     list: List,
     /// Version of the agreed state that holds it.
@@ -141,6 +141,6 @@
     }
 }
 
-fn prefix_id(name: &str) -> OpeningId {
-    OpeningId(FunctionId::named(name).0)
+fn prefix_id(name: &str) -> PrefixId {
+    PrefixId(FunctionId::named(name).0)
 }
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -4,7 +4,7 @@
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    LEASE_DURATION, List, OpeningId, PANE_DURATION, PaneCounts, Panes, Pins, PrefixUsage, Sketch, Terms,
+    LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, Pins, PrefixId, PrefixUsage, Sketch, Terms,
 };
 use oorandom::Rand64;
 use plotters::prelude::*;
@@ -95,7 +95,7 @@
                     Way::True => (0..OPENINGS)
                         .map(|id| {
                             let per_s = (id as f64 + 1.0).powf(-zipf) / all * RATE as f64;
-                            PrefixUsage { id: OpeningId(id), per_s, max_error: 0.0, routers: ROUTERS }
+                            PrefixUsage { id: PrefixId(id), per_s, max_error: 0.0, routers: ROUTERS }
                         })
                         .collect(),
                     // Alone a router has no other's word; its own uses stand for the fleet's.
@@ -110,10 +110,10 @@
         let at = rng.rand_float() * all;
         let id = sums.partition_point(|sum| *sum < at) as u64;
         let router = rng.rand_range(0..ROUTERS as u64) as usize;
-        panes[router].uses(OpeningId(id));
+        panes[router].uses(PrefixId(id));
         let worker = &mut workers[rng.rand_range(0..WORKERS as u64) as usize];
         let list = &lists[if way == Way::Own { router } else { 0 }];
-        let had = worker.request(now, id, list.rides(now, now + LEASE_DURATION, OpeningId(id)));
+        let had = worker.request(now, id, list.rides(now, now + LEASE_DURATION, PrefixId(id)));
         if n >= WARM * RATE {
             requests += 1;
             prepared += u64::from(!had);
@@ -131,7 +131,7 @@
         panes += 1;
     }
     let seconds = panes.max(1) as f64 * PANE_DURATION as f64 / 1e6;
-    let counted = |(id, count): (OpeningId, u64)| PrefixUsage {
+    let counted = |(id, count): (PrefixId, u64)| PrefixUsage {
         id,
         per_s: count as f64 / seconds * ROUTERS as f64,
         max_error: 0.0,
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -32,7 +32,7 @@
 
 /// Identifies a prompt prefix by the digest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OpeningId(
+pub struct PrefixId(
     /// The digest.
     pub u64,
 );
--- a/crates/prefix_cache/src/list.rs
+++ b/crates/prefix_cache/src/list.rs
@@ -1,5 +1,5 @@
 //! The list of pinned prefixes that the routers agree on.
-use crate::OpeningId;
+use crate::PrefixId;
 use crate::config::{LEASE_DURATION, MAX_PINS};
 use crate::error::Unfit;
 use applepond::interface::Micros;
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Pin {
     /// The prefix.
-    pub id: OpeningId,
+    pub id: PrefixId,
     /// Its size, in units of the model.
     pub size: u32,
 }
@@ -46,7 +46,7 @@
     /// Duration in µs of the lease that travels with a request that has this prefix: for so long its worker
     /// may keep the prefix pinned. `end`: until when the list is valid here; to be looked at when the
     /// request is written.
-    pub fn rides(&self, now: Micros, end: Micros, id: OpeningId) -> Option<Micros> {
+    pub fn rides(&self, now: Micros, end: Micros, id: PrefixId) -> Option<Micros> {
         // Guards against a list that is not valid any more: another one may have been agreed on.
         let is_valid = now < end;
         (is_valid && self.pins.iter().any(|pin| pin.id == id)).then_some(LEASE_DURATION)
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -1,6 +1,6 @@
 //! Panes of time: a router's own uses of prefixes, those that others have published, and the fleet's uses a
 //! second of each prefix.
-use crate::OpeningId;
+use crate::PrefixId;
 use crate::config::{MAX_ROUTER_FRACTION, MIN_OTHER_USES, PANE_DURATION, PANES};
 use crate::error::Unfit;
 use crate::sketch::Sketch;
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixUsage {
     /// The prefix.
-    pub id: OpeningId,
+    pub id: PrefixId,
     /// Uses a second that are certain, with the part of each router bounded.
     pub per_s: f64,
     /// The true rate is higher than [`per_s`](PrefixUsage::per_s) by this at most.
@@ -68,7 +68,7 @@
     }
 
     /// A request that has this prefix arrived.
-    pub fn uses(&mut self, id: OpeningId) {
+    pub fn uses(&mut self, id: PrefixId) {
         self.current.add(id, 1);
     }
 
@@ -130,7 +130,7 @@
     panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
     max_router_fraction: Option<f64>,
 ) -> Vec<PrefixUsage> {
-    let mut contributions: BTreeMap<OpeningId, Vec<Contribution>> = BTreeMap::new();
+    let mut contributions: BTreeMap<PrefixId, Vec<Contribution>> = BTreeMap::new();
     let mut max_error = 0.0;
     for counts in merge_by_router(panes).values() {
         let seconds = counts.seconds();
@@ -140,7 +140,7 @@
             contributions.entry(id).or_default().push(contribution);
         }
     }
-    let of_prefix = |(id, contributions): (OpeningId, Vec<Contribution>)| {
+    let of_prefix = |(id, contributions): (PrefixId, Vec<Contribution>)| {
         let routers = contributions.len();
         PrefixUsage { id, per_s: total_rate(contributions, max_router_fraction), max_error, routers }
     };
--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -1,6 +1,6 @@
 //! Planning of the next list of pins: the value of a pin by its uses, a threshold to become pinned and a
 //! lower one to stay, minimum times, and bounds on memory and on changes.
-use crate::OpeningId;
+use crate::PrefixId;
 use crate::config::{
     CHANGE_INTERVAL, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED, RELEASE_DELAY, STAY_FRACTION,
 };
@@ -42,9 +42,9 @@
 }
 
 /// Sizes of prefixes.
-type Sizes = BTreeMap<OpeningId, u32>;
+type Sizes = BTreeMap<PrefixId, u32>;
 /// Uses a second of prefixes.
-type Rates = BTreeMap<OpeningId, f64>;
+type Rates = BTreeMap<PrefixId, f64>;
 
 /// Plans the next list.
 ///
@@ -53,8 +53,8 @@
 pub struct Pins {
     terms: Terms,
     changed_at: Micros,
-    states: BTreeMap<OpeningId, PinState>,
-    released: BTreeMap<OpeningId, ReleasedPin>,
+    states: BTreeMap<PrefixId, PinState>,
+    released: BTreeMap<PrefixId, ReleasedPin>,
     /// The agreed list when it was last looked at.
     last_agreed: Sizes,
 }
@@ -95,7 +95,7 @@
         now: Micros,
         agreed: &List,
         usage: &[PrefixUsage],
-        size: impl Fn(OpeningId) -> Option<u32>,
+        size: impl Fn(PrefixId) -> Option<u32>,
     ) -> Option<List> {
         let rates: Rates = usage.iter().map(|usage| (usage.id, usage.per_s)).collect();
         let pinned: Sizes = agreed.pins.iter().map(|pin| (pin.id, pin.size)).collect();
@@ -143,7 +143,7 @@
     }
 
     /// Whether a prefix has been pinned or unpinned for at least this long, in µs.
-    fn is_unchanged_for(&self, now: Micros, id: OpeningId, duration: Micros) -> bool {
+    fn is_unchanged_for(&self, now: Micros, id: PrefixId, duration: Micros) -> bool {
         self.states.get(&id).is_none_or(|state| now >= state.since + duration)
     }
 
@@ -155,8 +155,8 @@
 
     /// Pins that are no longer worth their memory: the least valuable, ties by id, as many as one change
     /// may have.
-    fn pins_to_remove(&self, now: Micros, pinned: &Sizes, rates: &Rates) -> Vec<OpeningId> {
-        let mut removals: Vec<(f64, OpeningId)> = Vec::new();
+    fn pins_to_remove(&self, now: Micros, pinned: &Sizes, rates: &Rates) -> Vec<PrefixId> {
+        let mut removals: Vec<(f64, PrefixId)> = Vec::new();
         for (id, size) in pinned {
             let per_s = rates.get(id).copied().unwrap_or(0.0);
             if !self.stays(per_s, *size) && self.is_unchanged_for(now, *id, MIN_TIME_PINNED) {
@@ -175,7 +175,7 @@
         now: Micros,
         pinned: &Sizes,
         rates: &Rates,
-        size: impl Fn(OpeningId) -> Option<u32>,
+        size: impl Fn(PrefixId) -> Option<u32>,
     ) -> Vec<Pin> {
         let mut additions: Vec<(f64, Pin)> = Vec::new();
         for (id, per_s) in rates {
--- a/crates/prefix_cache/src/sketch.rs
+++ b/crates/prefix_cache/src/sketch.rs
@@ -1,6 +1,6 @@
 //! A sketch of heavy hitters in bounded memory (Misra and Gries, 1982), merged as by Agarwal and others
 //! (2012): merged sketches have the same bound on their error as one sketch of everything.
-use crate::OpeningId;
+use crate::PrefixId;
 use crate::config::SKETCH_COUNTERS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 /// the fields is part of the published format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
-    counters: BTreeMap<OpeningId, u64>,
+    counters: BTreeMap<PrefixId, u64>,
     /// All uses that were counted.
     total: u64,
     /// What any counter may lack at most.
@@ -18,7 +18,7 @@
 
 impl Sketch {
     /// Counts uses of a prefix.
-    pub fn add(&mut self, id: OpeningId, uses: u64) {
+    pub fn add(&mut self, id: PrefixId, uses: u64) {
         self.total = self.total.saturating_add(uses);
         let count = self.counters.entry(id).or_default();
         *count = count.saturating_add(uses);
@@ -53,12 +53,12 @@
     }
 
     /// Uses of a prefix that are certain.
-    pub fn count(&self, id: OpeningId) -> u64 {
+    pub fn count(&self, id: PrefixId) -> u64 {
         self.counters.get(&id).copied().unwrap_or(0)
     }
 
     /// All prefixes with a counter, and their uses that are certain.
-    pub fn counts(&self) -> impl Iterator<Item = (OpeningId, u64)> + '_ {
+    pub fn counts(&self) -> impl Iterator<Item = (PrefixId, u64)> + '_ {
         self.counters.iter().map(|(id, count)| (*id, *count))
     }
 
--- a/crates/prefix_cache/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
-use applepond_prefix_cache::{List, OpeningId, PANE_DURATION, Panes, Pin};
+use applepond_prefix_cache::{List, PANE_DURATION, Panes, Pin, PrefixId};
 
 fn list() -> List {
-    let pin = |n: u64| Pin { id: OpeningId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
+    let pin = |n: u64| Pin { id: PrefixId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
     List { pins: (1..=3).map(pin).collect() }
 }
 
@@ -18,7 +18,7 @@
 fn panes_keep_their_bytes() {
     let mut panes = Panes::new(0);
     for (id, uses) in [(1, 5), (0xffee_ddcc_bbaa_9988, 2), (70_000, 1)] {
-        (0..uses).for_each(|_| panes.uses(OpeningId(id)));
+        (0..uses).for_each(|_| panes.uses(PrefixId(id)));
     }
     let told = panes.wake(PANE_DURATION).expect("a pane is over");
     let bytes = Panes::write(&told);
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -3,7 +3,7 @@
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
     CHANGE_INTERVAL, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED,
-    OpeningId, PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixUsage, RELEASE_DELAY, SKETCH_COUNTERS,
+    PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixId, PrefixUsage, RELEASE_DELAY, SKETCH_COUNTERS,
     Sketch, Terms, Unfit,
 };
 use oorandom::Rand64;
@@ -39,11 +39,11 @@
     fn the_error_of_a_sketch_is_bounded(seed: u64, s in 0.8f64..1.4, routers in 1usize..30, crowd: bool) {
         let (mut rng, zipf) = (Rand64::new(u128::from(seed)), Zipf::new(2_000, s));
         let mut parts = vec![Sketch::default(); routers];
-        let mut exact: BTreeMap<OpeningId, u64> = BTreeMap::new();
+        let mut exact: BTreeMap<PrefixId, u64> = BTreeMap::new();
         for n in 0..6_000u64 {
             // A crowd comes for other openings each thousand uses.
             let shift = if crowd { n / 1_000 * 500 } else { 0 };
-            let id = OpeningId((zipf.draw(&mut rng) + shift) % 2_000);
+            let id = PrefixId((zipf.draw(&mut rng) + shift) % 2_000);
             *exact.entry(id).or_default() += 1;
             parts[rng.rand_range(0..routers as u64) as usize].add(id, 1);
         }
@@ -72,7 +72,7 @@
 fn the_largest_sketch_fits_into_a_published_value() {
     let mut panes = Panes::new(0);
     (0..SKETCH_COUNTERS as u64 * 2)
-        .for_each(|n| (0..1 + n % 9).for_each(|_| panes.uses(OpeningId(u64::MAX - n))));
+        .for_each(|n| (0..1 + n % 9).for_each(|_| panes.uses(PrefixId(u64::MAX - n))));
     let told = panes.wake(PANE_DURATION).expect("over");
     let bytes = Panes::write(&told);
     assert!(bytes.len() <= 900, "{} bytes", bytes.len());
@@ -82,12 +82,12 @@
 
 fn pane(origin: u64, number: u64, uses: &[(u64, u64)]) -> (RouterId, PaneCounts) {
     let mut sketch = Sketch::default();
-    uses.iter().for_each(|(id, n)| sketch.add(OpeningId(*id), *n));
+    uses.iter().for_each(|(id, n)| sketch.add(PrefixId(*id), *n));
     (RouterId(origin), PaneCounts { pane: number, sketch })
 }
 
 fn per_s(counted: &[PrefixUsage], id: u64) -> f64 {
-    counted.iter().find(|c| c.id == OpeningId(id)).map_or(0.0, |c| c.per_s)
+    counted.iter().find(|c| c.id == PrefixId(id)).map_or(0.0, |c| c.per_s)
 }
 
 // Each origin's pane counts once, in whatever order and however often it was told.
@@ -129,10 +129,9 @@
 #[test]
 fn an_impossible_sketch_is_rejected() {
     // More counted than came in all: total 1, one counter of 5.
-    let made_up =
-        postcard::to_stdvec(&(BTreeMap::from([(OpeningId(7), 5u64)]), 1u64, 0u64)).expect("written");
+    let made_up = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 1u64, 0u64)).expect("written");
     assert_eq!(Panes::read(1, &made_up), Err(Unfit::Unsound));
-    let error = postcard::to_stdvec(&(BTreeMap::from([(OpeningId(7), 5u64)]), 5u64, 5u64)).expect("written");
+    let error = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 5u64, 5u64)).expect("written");
     assert_eq!(Panes::read(1, &error), Err(Unfit::Unsound));
 }
 
@@ -141,7 +140,7 @@
 
 fn counts(uses: &[(u64, f64)]) -> Vec<PrefixUsage> {
     uses.iter()
-        .map(|(id, per_s)| PrefixUsage { id: OpeningId(*id), per_s: *per_s, max_error: 0.0, routers: 4 })
+        .map(|(id, per_s)| PrefixUsage { id: PrefixId(*id), per_s: *per_s, max_error: 0.0, routers: 4 })
         .collect()
 }
 
@@ -264,13 +263,13 @@
 #[test_case(7, 8 * SECOND, 8 * SECOND, None; "the list is over")]
 #[test_case(9, 5 * SECOND, 8 * SECOND, None; "it is not in it")]
 fn a_lease_is_granted_while_the_list_is_valid(id: u64, now: u64, end: u64, want: Option<u64>) {
-    let list = List { pins: vec![Pin { id: OpeningId(7), size: 1 }] };
-    assert_eq!(list.rides(now, end, OpeningId(id)), want);
+    let list = List { pins: vec![Pin { id: PrefixId(7), size: 1 }] };
+    assert_eq!(list.rides(now, end, PrefixId(id)), want);
 }
 
 #[test]
 fn an_invalid_list_is_rejected() {
-    let long = List { pins: vec![Pin { id: OpeningId(1), size: 1 }; MAX_PINS + 1] };
+    let long = List { pins: vec![Pin { id: PrefixId(1), size: 1 }; MAX_PINS + 1] };
     assert_eq!(List::read(&long.write()), Err(Unfit::NoList));
     assert_eq!(List::read(&[1, 2]), Err(Unfit::NoList));
     assert_eq!(List::read(&[]), Ok(List::default()));
