--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -22,7 +22,7 @@
     CHANGE_INTERVAL, LEASE_DURATION, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED,
     PANE_DURATION, PANES, RELEASE_DELAY, SKETCH_COUNTERS,
 };
-pub use error::Unfit;
+pub use error::DecodeError;
 pub use list::{List, Pin};
 pub use panes::{PaneCounts, Panes, PrefixUsage};
 pub use pins::{Pins, Terms};
--- a/crates/prefix_cache/src/list.rs
+++ b/crates/prefix_cache/src/list.rs
@@ -1,7 +1,7 @@
 //! The list of pinned prefixes that the routers agree on.
 use crate::PrefixId;
 use crate::config::{LEASE_DURATION, MAX_PINS};
-use crate::error::Unfit;
+use crate::error::DecodeError;
 use applepond::interface::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -33,13 +33,13 @@
     /// # Errors
     ///
     /// If the bytes cannot be decoded, or the list is too long.
-    pub fn read(bytes: &[u8]) -> Result<List, Unfit> {
+    pub fn read(bytes: &[u8]) -> Result<List, DecodeError> {
         if bytes.is_empty() {
             return Ok(List::default());
         }
         match postcard::take_from_bytes::<Vec<Pin>>(bytes) {
             Ok((pins, [])) if pins.len() <= MAX_PINS => Ok(List { pins }),
-            _ => Err(Unfit::NoList),
+            _ => Err(DecodeError::InvalidList),
         }
     }
 
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -2,7 +2,7 @@
 //! second of each prefix.
 use crate::PrefixId;
 use crate::config::{MAX_ROUTER_FRACTION, MIN_OTHER_USES, PANE_DURATION, PANES};
-use crate::error::Unfit;
+use crate::error::DecodeError;
 use crate::sketch::Sketch;
 use applepond::interface::Micros;
 use applepond_membership::RouterId;
@@ -100,13 +100,13 @@
     /// # Errors
     ///
     /// If the bytes cannot be decoded, or no sketch can have these counts.
-    pub fn read(pane: u64, bytes: &[u8]) -> Result<PaneCounts, Unfit> {
+    pub fn read(pane: u64, bytes: &[u8]) -> Result<PaneCounts, DecodeError> {
         let sketch = match postcard::take_from_bytes::<Sketch>(bytes) {
             Ok((sketch, [])) => sketch,
-            _ => return Err(Unfit::Unreadable),
+            _ => return Err(DecodeError::MalformedCounts),
         };
         if !sketch.is_sound() {
-            return Err(Unfit::Unsound);
+            return Err(DecodeError::InvalidCounts);
         }
         Ok(PaneCounts { pane, sketch })
     }
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -2,9 +2,9 @@
 //! of pins.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CHANGE_INTERVAL, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED,
-    PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixId, PrefixUsage, RELEASE_DELAY, SKETCH_COUNTERS,
-    Sketch, Terms, Unfit,
+    CHANGE_INTERVAL, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
+    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixId, PrefixUsage, RELEASE_DELAY,
+    SKETCH_COUNTERS, Sketch, Terms,
 };
 use oorandom::Rand64;
 use proptest::prelude::*;
@@ -130,9 +130,9 @@
 fn an_impossible_sketch_is_rejected() {
     // More counted than came in all: total 1, one counter of 5.
     let made_up = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 1u64, 0u64)).expect("written");
-    assert_eq!(Panes::read(1, &made_up), Err(Unfit::Unsound));
+    assert_eq!(Panes::read(1, &made_up), Err(DecodeError::InvalidCounts));
     let error = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 5u64, 5u64)).expect("written");
-    assert_eq!(Panes::read(1, &error), Err(Unfit::Unsound));
+    assert_eq!(Panes::read(1, &error), Err(DecodeError::InvalidCounts));
 }
 
 const TERMS: Terms =
@@ -270,7 +270,7 @@
 #[test]
 fn an_invalid_list_is_rejected() {
     let long = List { pins: vec![Pin { id: PrefixId(1), size: 1 }; MAX_PINS + 1] };
-    assert_eq!(List::read(&long.write()), Err(Unfit::NoList));
-    assert_eq!(List::read(&[1, 2]), Err(Unfit::NoList));
+    assert_eq!(List::read(&long.write()), Err(DecodeError::InvalidList));
+    assert_eq!(List::read(&[1, 2]), Err(DecodeError::InvalidList));
     assert_eq!(List::read(&[]), Ok(List::default()));
 }
