--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use applepond_gateway::deployment::{FleetConfig, PrefixCacheConfig};
 use applepond_gateway::errors::ReloadError;
 use applepond_membership::{InstanceId, RouterId};
-use applepond_prefix_cache::Terms;
+use applepond_prefix_cache::CostModel;
 use applepond_reactor::Micros;
 use applepond_recovery::ObservationStore;
 use std::cell::RefCell;
@@ -123,13 +123,13 @@
     config.voters.iter().map(|name| RouterId::named(name)).collect()
 }
 
-fn prefix_terms(config: &PrefixCacheConfig) -> Terms {
-    Terms {
-        prepare: config.prepare_time as f64,
-        bytes: 1.0,
+fn prefix_terms(config: &PrefixCacheConfig) -> CostModel {
+    CostModel {
+        prepare_time: config.prepare_time as f64,
+        bytes_per_unit: 1.0,
         workers: 1.0,
-        price: config.price,
-        memory: config.pinned_units as f64,
-        keeps: config.retention as f64,
+        price_per_byte: config.price,
+        memory_limit: config.pinned_units as f64,
+        retention: config.retention as f64,
     }
 }
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -11,7 +11,7 @@
 use applepond_consensus::{self as consensus, Register, Unavailable};
 use applepond_gossip::{self as gossip, Gossip, Key, Kind, KindLifetime};
 use applepond_membership::{InstanceId, Membership, RouterId};
-use applepond_prefix_cache::{Panes, Terms};
+use applepond_prefix_cache::{CostModel, Panes};
 use applepond_reactor::Micros;
 use applepond_recovery::message::MessageVisitor;
 use applepond_recovery::{self as recovery, Fact, ObservationStore, PeerRecovery, SNAPSHOT_INTERVAL, Stage};
@@ -45,7 +45,7 @@
     /// It has a file for its snapshot.
     pub has_snapshot: bool,
     /// What prefixes cost, where they are pinned.
-    pub prefix_terms: Option<Terms>,
+    pub prefix_terms: Option<CostModel>,
 }
 
 /// The words of the log for a stage of recovery, which the operators' pages name.
--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{List, PANES, Panes, Pins, PrefixId, Terms};
+use applepond_prefix_cache::{CostModel, List, PANES, Panes, Pins, PrefixId};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
 }
 
 impl Prefixes {
-    pub(super) fn new(now: Micros, terms: Terms) -> Self {
+    pub(super) fn new(now: Micros, terms: CostModel) -> Self {
         Prefixes {
             counts: Panes::new(now),
             pins: Pins::new(now, terms),
@@ -102,7 +102,7 @@
     /// Sets how many workers there are, which decides how many prefixes are worth a pin.
     pub fn set_ready_workers(&mut self, ready: usize) {
         if let Some(prefixes) = &mut self.prefixes {
-            prefixes.pins.terms().workers = ready.max(1) as f64;
+            prefixes.pins.cost_model_mut().workers = ready.max(1) as f64;
         }
     }
 
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -4,7 +4,7 @@
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, Pins, PrefixId, PrefixUsage, Sketch, Terms,
+    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, Pins, PrefixId, PrefixUsage, Sketch,
 };
 use oorandom::Rand64;
 use plotters::prelude::*;
@@ -66,19 +66,19 @@
         .collect();
     let all = sums[OPENINGS as usize - 1];
     let mut workers: Vec<Worker> = (0..WORKERS).map(|_| Worker { kept: BTreeMap::new() }).collect();
-    let terms = Terms {
-        prepare: PREPARE as f64,
-        bytes: 1.0,
+    let cost_model = CostModel {
+        prepare_time: PREPARE as f64,
+        bytes_per_unit: 1.0,
         workers: WORKERS as f64,
-        price: 1.0,
-        memory: PINNED,
+        price_per_byte: 1.0,
+        memory_limit: PINNED,
         // A worker keeps an opening for as long as it takes until that many others have come.
-        keeps: KEPT as f64 * WORKERS as f64 / RATE as f64 * 1e6,
+        retention: KEPT as f64 * WORKERS as f64 / RATE as f64 * 1e6,
     };
     let mut panes: Vec<Panes> = (0..ROUTERS).map(|_| Panes::new(0)).collect();
     let mut told: Vec<(u64, RouterId, PaneCounts)> = Vec::new();
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
-    let mut pins: Vec<Pins> = (0..lists_of).map(|_| Pins::new(0, terms)).collect();
+    let mut pins: Vec<Pins> = (0..lists_of).map(|_| Pins::new(0, cost_model)).collect();
     let mut lists = vec![List::default(); lists_of];
     let (mut prepared, mut requests, mut took) = (0u64, 0u64, 0u64);
     for n in 0..RATE * SECONDS {
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -25,7 +25,7 @@
 pub use error::DecodeError;
 pub use list::{List, Pin};
 pub use panes::{PaneCounts, Panes, PrefixUsage};
-pub use pins::{Pins, Terms};
+pub use pins::{CostModel, Pins};
 pub use sketch::Sketch;
 
 use serde::{Deserialize, Serialize};
--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -11,20 +11,20 @@
 
 /// Costs and savings of a pin.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct CostModel {
     /// Time in µs that a worker takes to prepare one unit of a prefix's size.
-    pub prepare: f64,
+    pub prepare_time: f64,
     /// Memory in bytes that one unit of a prefix's size takes at a worker.
-    pub bytes: f64,
+    pub bytes_per_unit: f64,
     /// Number of workers that keep a pinned prefix.
     pub workers: f64,
     /// Preparation in µs a second that one byte at all workers has to save.
-    pub price: f64,
+    pub price_per_byte: f64,
     /// Memory in bytes that pins may take at a worker at most.
-    pub memory: f64,
+    pub memory_limit: f64,
     /// Time in µs for which a worker keeps a prefix by itself after its last use: what it keeps anyway is
     /// no saving.
-    pub keeps: f64,
+    pub retention: f64,
 }
 
 /// Since when a prefix has been pinned or unpinned.
@@ -51,7 +51,7 @@
 /// It remembers since when each prefix has been pinned or unpinned, by its own clock. A new planner takes
 /// all of them for just changed, which costs time but never leads to a wrong list.
 pub struct Pins {
-    terms: Terms,
+    cost_model: CostModel,
     changed_at: Micros,
     states: BTreeMap<PrefixId, PinState>,
     released: BTreeMap<PrefixId, ReleasedPin>,
@@ -61,9 +61,9 @@
 
 impl Pins {
     /// Starts without any knowledge.
-    pub fn new(now: Micros, terms: Terms) -> Self {
+    pub fn new(now: Micros, cost_model: CostModel) -> Self {
         Pins {
-            terms,
+            cost_model,
             changed_at: now,
             states: BTreeMap::new(),
             released: BTreeMap::new(),
@@ -72,20 +72,21 @@
     }
 
     /// Costs and savings as they are now: the number of workers changes.
-    pub fn terms(&mut self) -> &mut Terms {
-        &mut self.terms
+    pub fn cost_model_mut(&mut self) -> &mut CostModel {
+        &mut self.cost_model
     }
 
     /// Value of a pin: preparation in µs a second that it saves over all workers, less the worth of its
     /// memory. What a worker keeps by itself from one use to the next is no saving.
     pub fn worth(&self, per_s: f64, size: u32) -> f64 {
-        let terms = &self.terms;
+        let model = &self.cost_model;
         let size = f64::from(size);
         // Each worker sees its part of the uses. Without a pin it prepares the prefix anew if none came
         // while it kept it.
-        let per_s_at_worker = per_s / terms.workers.max(1.0);
-        let misses = per_s * (-per_s_at_worker * terms.keeps / 1e6).exp();
-        misses * size * terms.prepare - size * terms.bytes * terms.workers * terms.price
+        let per_s_at_worker = per_s / model.workers.max(1.0);
+        let misses = per_s * (-per_s_at_worker * model.retention / 1e6).exp();
+        misses * size * model.prepare_time
+            - size * model.bytes_per_unit * model.workers * model.price_per_byte
     }
 
     /// The next list in place of the agreed one; `None` if nothing is to change now. `size`: the size of a
@@ -199,8 +200,8 @@
             if changes >= MAX_CHANGES || next.len() >= MAX_PINS {
                 break;
             }
-            let bytes = self.memory(next) + f64::from(pin.size) * self.terms.bytes;
-            if bytes <= self.terms.memory {
+            let bytes = self.memory(next) + f64::from(pin.size) * self.cost_model.bytes_per_unit;
+            if bytes <= self.cost_model.memory_limit {
                 next.insert(pin.id, pin.size);
                 changes += 1;
             }
@@ -211,6 +212,6 @@
     fn memory(&self, pins: &Sizes) -> f64 {
         let released = self.released.iter().filter(|(id, _)| !pins.contains_key(id));
         let sizes = pins.values().copied().chain(released.map(|(_, pin)| pin.size));
-        sizes.map(|size| f64::from(size) * self.terms.bytes).sum::<f64>()
+        sizes.map(|size| f64::from(size) * self.cost_model.bytes_per_unit).sum::<f64>()
     }
 }
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -2,9 +2,9 @@
 //! of pins.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CHANGE_INTERVAL, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
+    CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
     MIN_TIME_UNPINNED, PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixId, PrefixUsage, RELEASE_DELAY,
-    SKETCH_COUNTERS, Sketch, Terms,
+    SKETCH_COUNTERS, Sketch,
 };
 use oorandom::Rand64;
 use proptest::prelude::*;
@@ -135,8 +135,14 @@
     assert_eq!(Panes::read(1, &error), Err(DecodeError::InvalidCounts));
 }
 
-const TERMS: Terms =
-    Terms { prepare: 1_000.0, bytes: 1e6, workers: 10.0, price: 0.0002, memory: 100e6, keeps: 1e5 };
+const COST_MODEL: CostModel = CostModel {
+    prepare_time: 1_000.0,
+    bytes_per_unit: 1e6,
+    workers: 10.0,
+    price_per_byte: 0.0002,
+    memory_limit: 100e6,
+    retention: 1e5,
+};
 
 fn counts(uses: &[(u64, f64)]) -> Vec<PrefixUsage> {
     uses.iter()
@@ -153,7 +159,7 @@
 #[test]
 fn the_threshold_to_stay_is_lower_than_the_one_to_become_pinned() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, TERMS);
+    let mut pins = Pins::new(0, COST_MODEL);
     let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.worth(*n, 10) > 0.0).expect("a line");
     let at = |uses: f64| counts(&[(7, uses)]);
     assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &at(line * 0.9), size), None);
@@ -170,7 +176,7 @@
 #[test]
 fn pins_stay_and_stay_away_for_a_minimum_time() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, TERMS);
+    let mut pins = Pins::new(0, COST_MODEL);
     let (much, none) = (counts(&[(7, 100.0)]), counts(&[(7, 0.0)]));
     let list = pins.next(CHANGE_INTERVAL, &List::default(), &much, size).expect("worth it");
     assert_eq!(
@@ -189,7 +195,7 @@
             .is_some()
     );
     // Who proposes anew takes all for just changed.
-    let mut new = Pins::new(100 * SECOND, TERMS);
+    let mut new = Pins::new(100 * SECOND, COST_MODEL);
     assert_eq!(new.next(100 * SECOND + CHANGE_INTERVAL, &list, &none, size), None);
     assert!(new.next(101 * SECOND + CHANGE_INTERVAL + MIN_TIME_PINNED, &list, &none, size).is_some());
 }
@@ -198,7 +204,7 @@
 #[test]
 fn memory_changes_and_pins_are_bounded() {
     let many = counts(&(0..60).map(|id| (id, 100.0)).collect::<Vec<_>>());
-    let mut pins = Pins::new(0, TERMS);
+    let mut pins = Pins::new(0, COST_MODEL);
     let list = pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| Some(10)).expect("worth it");
     assert_eq!(ids(&list), (0..MAX_CHANGES as u64).collect::<Vec<_>>());
     let mut list = list;
@@ -206,9 +212,9 @@
         list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
     assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten of 10 MB are 100 MB");
-    let mut pins = Pins::new(0, TERMS);
+    let mut pins = Pins::new(0, COST_MODEL);
     assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| None), None);
-    let mut pins = Pins::new(0, Terms { memory: 1e12, ..TERMS });
+    let mut pins = Pins::new(0, CostModel { memory_limit: 1e12, ..COST_MODEL });
     let mut list = List::default();
     for n in 1..40 {
         list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
@@ -223,7 +229,7 @@
 #[test]
 fn memory_of_removed_pins_counts_until_their_leases_end() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, TERMS);
+    let mut pins = Pins::new(0, COST_MODEL);
     let old = counts(&(0..10).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut list = List::default();
     for n in 1..4 {
@@ -253,7 +259,7 @@
 // hardly asked.
 #[test]
 fn neither_rare_nor_constant_use_is_worth_a_pin() {
-    let pins = Pins::new(0, TERMS);
+    let pins = Pins::new(0, COST_MODEL);
     let worth: Vec<bool> = [0.1, 10.0, 100.0, 2_000.0].iter().map(|n| pins.worth(*n, 10) > 0.0).collect();
     assert_eq!(worth, [false, true, true, false]);
 }
