--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{CostModel, List, PANES, Panes, Pins, PrefixId};
+use applepond_prefix_cache::{CostModel, List, PANES, Panes, PinPlanner, PrefixId};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     /// Its own counts.
     counts: Panes,
     /// Decides which prefixes are pinned.
-    pins: Pins,
+    pins: PinPlanner,
     /// Sizes of prefixes, in the unit that the requests use.
     sizes: BTreeMap<PrefixId, u32>,
     /// The agreed list as of its last reading.
@@ -47,7 +47,7 @@
     pub(super) fn new(now: Micros, terms: CostModel) -> Self {
         Prefixes {
             counts: Panes::new(now),
-            pins: Pins::new(now, terms),
+            pins: PinPlanner::new(now, terms),
             sizes: BTreeMap::new(),
             list: List::default(),
             version: 0,
@@ -73,7 +73,7 @@
         });
         let counted = if self.guards.several { Panes::fleet(counts) } else { Panes::unbounded(counts) };
         let sizes = &self.sizes;
-        self.pins.next(now, &self.list, &counted, |id| sizes.get(&id).copied())
+        self.pins.next_list(now, &self.list, &counted, |id| sizes.get(&id).copied())
     }
 }
 
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -4,7 +4,8 @@
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, Pins, PrefixId, PrefixUsage, Sketch,
+    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, PinPlanner, PrefixId, PrefixUsage,
+    Sketch,
 };
 use oorandom::Rand64;
 use plotters::prelude::*;
@@ -78,7 +79,7 @@
     let mut panes: Vec<Panes> = (0..ROUTERS).map(|_| Panes::new(0)).collect();
     let mut told: Vec<(u64, RouterId, PaneCounts)> = Vec::new();
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
-    let mut pins: Vec<Pins> = (0..lists_of).map(|_| Pins::new(0, cost_model)).collect();
+    let mut pins: Vec<PinPlanner> = (0..lists_of).map(|_| PinPlanner::new(0, cost_model)).collect();
     let mut lists = vec![List::default(); lists_of];
     let (mut prepared, mut requests, mut took) = (0u64, 0u64, 0u64);
     for n in 0..RATE * SECONDS {
@@ -102,7 +103,7 @@
                     Way::Own => own(told.iter().filter(|(_, r, _)| of(r)).map(|(_, _, t)| t)),
                     Way::Merged => Panes::fleet(told.iter().map(|(_, r, t)| (*r, t.clone()))),
                 };
-                if let Some(next) = pins[k].next(now, list, &counted, |_| Some(1)) {
+                if let Some(next) = pins[k].next_list(now, list, &counted, |_| Some(1)) {
                     *list = next;
                 }
             }
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -3,7 +3,7 @@
 //! Many requests to one model begin alike, and a worker that has prepared such a prefix keeps it for a
 //! while. No router sees many of the uses of a prefix, so each of them counts in a sketch of bounded size
 //! ([`Sketch`]) and publishes it in panes of time ([`Panes`]). The merged counts lead to the next list of
-//! pins ([`Pins`]), on which the routers agree.
+//! pins ([`PinPlanner`]), on which the routers agree.
 //!
 //! Counts are only a hint; the list ([`List`]) is what is agreed on, and is valid for as long as the
 //! router's copy of it. A pin travels with the requests that use the prefix, as a lease with an end, so no
@@ -25,7 +25,7 @@
 pub use error::DecodeError;
 pub use list::{List, Pin};
 pub use panes::{PaneCounts, Panes, PrefixUsage};
-pub use pins::{CostModel, Pins};
+pub use pins::{CostModel, PinPlanner};
 pub use sketch::Sketch;
 
 use serde::{Deserialize, Serialize};
--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -50,7 +50,7 @@
 ///
 /// It remembers since when each prefix has been pinned or unpinned, by its own clock. A new planner takes
 /// all of them for just changed, which costs time but never leads to a wrong list.
-pub struct Pins {
+pub struct PinPlanner {
     cost_model: CostModel,
     changed_at: Micros,
     states: BTreeMap<PrefixId, PinState>,
@@ -59,10 +59,10 @@
     last_agreed: Sizes,
 }
 
-impl Pins {
+impl PinPlanner {
     /// Starts without any knowledge.
     pub fn new(now: Micros, cost_model: CostModel) -> Self {
-        Pins {
+        PinPlanner {
             cost_model,
             changed_at: now,
             states: BTreeMap::new(),
@@ -78,7 +78,7 @@
 
     /// Value of a pin: preparation in µs a second that it saves over all workers, less the worth of its
     /// memory. What a worker keeps by itself from one use to the next is no saving.
-    pub fn worth(&self, per_s: f64, size: u32) -> f64 {
+    pub fn value(&self, per_s: f64, size: u32) -> f64 {
         let model = &self.cost_model;
         let size = f64::from(size);
         // Each worker sees its part of the uses. Without a pin it prepares the prefix anew if none came
@@ -91,7 +91,7 @@
 
     /// The next list in place of the agreed one; `None` if nothing is to change now. `size`: the size of a
     /// prefix that has been seen; a prefix of unknown size is never pinned.
-    pub fn next(
+    pub fn next_list(
         &mut self,
         now: Micros,
         agreed: &List,
@@ -151,7 +151,7 @@
     /// Whether a pin is still worth its memory. The threshold to stay is lower than the one to become
     /// pinned.
     fn stays(&self, per_s: f64, size: u32) -> bool {
-        self.worth(per_s, size).max(self.worth(per_s / STAY_FRACTION, size)) > 0.0
+        self.value(per_s, size).max(self.value(per_s / STAY_FRACTION, size)) > 0.0
     }
 
     /// Pins that are no longer worth their memory: the least valuable, ties by id, as many as one change
@@ -161,7 +161,7 @@
         for (id, size) in pinned {
             let per_s = rates.get(id).copied().unwrap_or(0.0);
             if !self.stays(per_s, *size) && self.is_unchanged_for(now, *id, MIN_TIME_PINNED) {
-                removals.push((self.worth(per_s, *size), *id));
+                removals.push((self.value(per_s, *size), *id));
             }
         }
         removals.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
@@ -184,9 +184,9 @@
                 continue;
             }
             let Some(size) = size(*id) else { continue };
-            let worth = self.worth(*per_s, size);
-            if worth > 0.0 {
-                additions.push((worth, Pin { id: *id, size }));
+            let value = self.value(*per_s, size);
+            if value > 0.0 {
+                additions.push((value, Pin { id: *id, size }));
             }
         }
         additions.sort_by(|one, other| other.0.total_cmp(&one.0).then(one.1.id.cmp(&other.1.id)));
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -3,8 +3,8 @@
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
     CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
-    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounts, Panes, Pin, Pins, PrefixId, PrefixUsage, RELEASE_DELAY,
-    SKETCH_COUNTERS, Sketch,
+    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounts, Panes, Pin, PinPlanner, PrefixId, PrefixUsage,
+    RELEASE_DELAY, SKETCH_COUNTERS, Sketch,
 };
 use oorandom::Rand64;
 use proptest::prelude::*;
@@ -159,65 +159,65 @@
 #[test]
 fn the_threshold_to_stay_is_lower_than_the_one_to_become_pinned() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, COST_MODEL);
-    let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.worth(*n, 10) > 0.0).expect("a line");
+    let mut pins = PinPlanner::new(0, COST_MODEL);
+    let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.value(*n, 10) > 0.0).expect("a line");
     let at = |uses: f64| counts(&[(7, uses)]);
-    assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &at(line * 0.9), size), None);
-    let list = pins.next(CHANGE_INTERVAL, &List::default(), &at(line * 1.1), size).expect("worth it");
+    assert_eq!(pins.next_list(CHANGE_INTERVAL, &List::default(), &at(line * 0.9), size), None);
+    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &at(line * 1.1), size).expect("worth it");
     assert_eq!(ids(&list), [7]);
     // It wanders about the line: nothing changes for a minute.
     for n in 1..12 {
         let uses = line * if n % 2 == 0 { 0.6 } else { 1.2 };
-        assert_eq!(pins.next((n + 1) * CHANGE_INTERVAL, &list, &at(uses), size), None, "{n}");
+        assert_eq!(pins.next_list((n + 1) * CHANGE_INTERVAL, &list, &at(uses), size), None, "{n}");
     }
-    assert_eq!(pins.next(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(List::default()));
+    assert_eq!(pins.next_list(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(List::default()));
 }
 
 #[test]
 fn pins_stay_and_stay_away_for_a_minimum_time() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, COST_MODEL);
+    let mut pins = PinPlanner::new(0, COST_MODEL);
     let (much, none) = (counts(&[(7, 100.0)]), counts(&[(7, 0.0)]));
-    let list = pins.next(CHANGE_INTERVAL, &List::default(), &much, size).expect("worth it");
+    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &much, size).expect("worth it");
     assert_eq!(
-        pins.next(CHANGE_INTERVAL + MIN_TIME_PINNED / 2, &list, &none, size),
+        pins.next_list(CHANGE_INTERVAL + MIN_TIME_PINNED / 2, &list, &none, size),
         None,
         "it has just come"
     );
-    let empty = pins.next(CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &list, &none, size).expect("it goes");
+    let empty = pins.next_list(CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &list, &none, size).expect("it goes");
     assert_eq!(
-        pins.next(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &empty, &much, size),
+        pins.next_list(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &empty, &much, size),
         None,
         "it has just gone"
     );
     assert!(
-        pins.next(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED + MIN_TIME_UNPINNED, &empty, &much, size)
+        pins.next_list(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED + MIN_TIME_UNPINNED, &empty, &much, size)
             .is_some()
     );
     // Who proposes anew takes all for just changed.
-    let mut new = Pins::new(100 * SECOND, COST_MODEL);
-    assert_eq!(new.next(100 * SECOND + CHANGE_INTERVAL, &list, &none, size), None);
-    assert!(new.next(101 * SECOND + CHANGE_INTERVAL + MIN_TIME_PINNED, &list, &none, size).is_some());
+    let mut new = PinPlanner::new(100 * SECOND, COST_MODEL);
+    assert_eq!(new.next_list(100 * SECOND + CHANGE_INTERVAL, &list, &none, size), None);
+    assert!(new.next_list(101 * SECOND + CHANGE_INTERVAL + MIN_TIME_PINNED, &list, &none, size).is_some());
 }
 
 // At most so much memory, so many changes at a time, ties in one order; what has no size is never pinned.
 #[test]
 fn memory_changes_and_pins_are_bounded() {
     let many = counts(&(0..60).map(|id| (id, 100.0)).collect::<Vec<_>>());
-    let mut pins = Pins::new(0, COST_MODEL);
-    let list = pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| Some(10)).expect("worth it");
+    let mut pins = PinPlanner::new(0, COST_MODEL);
+    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &many, |_| Some(10)).expect("worth it");
     assert_eq!(ids(&list), (0..MAX_CHANGES as u64).collect::<Vec<_>>());
     let mut list = list;
     for n in 2..20 {
-        list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
+        list = pins.next_list(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
     assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten of 10 MB are 100 MB");
-    let mut pins = Pins::new(0, COST_MODEL);
-    assert_eq!(pins.next(CHANGE_INTERVAL, &List::default(), &many, |_| None), None);
-    let mut pins = Pins::new(0, CostModel { memory_limit: 1e12, ..COST_MODEL });
+    let mut pins = PinPlanner::new(0, COST_MODEL);
+    assert_eq!(pins.next_list(CHANGE_INTERVAL, &List::default(), &many, |_| None), None);
+    let mut pins = PinPlanner::new(0, CostModel { memory_limit: 1e12, ..COST_MODEL });
     let mut list = List::default();
     for n in 1..40 {
-        list = pins.next(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
+        list = pins.next_list(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
     assert_eq!(list.pins.len(), MAX_PINS);
     assert!(list.write().len() <= 700, "{} bytes", list.write().len());
@@ -229,18 +229,18 @@
 #[test]
 fn memory_of_removed_pins_counts_until_their_leases_end() {
     let size = |_| Some(10);
-    let mut pins = Pins::new(0, COST_MODEL);
+    let mut pins = PinPlanner::new(0, COST_MODEL);
     let old = counts(&(0..10).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut list = List::default();
     for n in 1..4 {
-        list = pins.next(n * CHANGE_INTERVAL, &list, &old, size).unwrap_or(list);
+        list = pins.next_list(n * CHANGE_INTERVAL, &list, &old, size).unwrap_or(list);
     }
     let new = counts(&(20..30).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut at = 4 * CHANGE_INTERVAL + MIN_TIME_PINNED;
     let mut shrunk = 0;
     for _ in 0..24 {
         at += CHANGE_INTERVAL;
-        let Some(next) = pins.next(at, &list, &new, size) else { continue };
+        let Some(next) = pins.next_list(at, &list, &new, size) else { continue };
         let (was, is) = (ids(&list), ids(&next));
         let grows = is.iter().any(|id| !was.contains(id));
         let shrinks = was.iter().any(|id| !is.contains(id));
@@ -259,8 +259,8 @@
 // hardly asked.
 #[test]
 fn neither_rare_nor_constant_use_is_worth_a_pin() {
-    let pins = Pins::new(0, COST_MODEL);
-    let worth: Vec<bool> = [0.1, 10.0, 100.0, 2_000.0].iter().map(|n| pins.worth(*n, 10) > 0.0).collect();
+    let pins = PinPlanner::new(0, COST_MODEL);
+    let worth: Vec<bool> = [0.1, 10.0, 100.0, 2_000.0].iter().map(|n| pins.value(*n, 10) > 0.0).collect();
     assert_eq!(worth, [false, true, true, false]);
 }
 
