--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -11,7 +11,7 @@
 use applepond_consensus::{self as consensus, Register, Unavailable};
 use applepond_gossip::{self as gossip, Gossip, Key, Kind, KindLifetime};
 use applepond_membership::{InstanceId, Membership, RouterId};
-use applepond_prefix_cache::{CostModel, Panes};
+use applepond_prefix_cache::{CostModel, PaneCounter};
 use applepond_reactor::Micros;
 use applepond_recovery::message::MessageVisitor;
 use applepond_recovery::{self as recovery, Fact, ObservationStore, PeerRecovery, SNAPSHOT_INTERVAL, Stage};
@@ -143,7 +143,7 @@
     ) -> Self {
         let kinds = [
             KindLifetime { kind: SEEN_VERSION, lifetime: SEEN_VERSION_LIFETIME },
-            KindLifetime { kind: prefixes::COUNTS, lifetime: Panes::LIFE },
+            KindLifetime { kind: prefixes::COUNTS, lifetime: PaneCounter::LIFETIME },
         ];
         let process = (config.router, config.instance_id);
         let replicas = &config.replicas;
--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{CostModel, List, PANES, Panes, PinPlanner, PrefixId};
+use applepond_prefix_cache::{CostModel, List, PANES, PaneCounter, PinPlanner, PrefixId};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 /// What this router knows of prefixes.
 pub(super) struct Prefixes {
     /// Its own counts.
-    counts: Panes,
+    counts: PaneCounter,
     /// Decides which prefixes are pinned.
     pins: PinPlanner,
     /// Sizes of prefixes, in the unit that the requests use.
@@ -46,7 +46,7 @@
 impl Prefixes {
     pub(super) fn new(now: Micros, terms: CostModel) -> Self {
         Prefixes {
-            counts: Panes::new(now),
+            counts: PaneCounter::new(now),
             pins: PinPlanner::new(now, terms),
             sizes: BTreeMap::new(),
             list: List::default(),
@@ -58,7 +58,7 @@
 
     /// When the present window of the counts ends.
     pub(super) fn next_wakeup(&self) -> Micros {
-        self.counts.next()
+        self.counts.next_deadline()
     }
 
     /// Prefixes that the agreed list pins.
@@ -69,9 +69,13 @@
     /// The next list, where the counts of all routers call for a change.
     fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<List> {
         let counts = gossip.entries(now, COUNTS).filter_map(|entry| {
-            Panes::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
+            PaneCounter::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
         });
-        let counted = if self.guards.several { Panes::fleet(counts) } else { Panes::unbounded(counts) };
+        let counted = if self.guards.several {
+            PaneCounter::fleet_usage(counts)
+        } else {
+            PaneCounter::unbounded_fleet_usage(counts)
+        };
         let sizes = &self.sizes;
         self.pins.next_list(now, &self.list, &counted, |id| sizes.get(&id).copied())
     }
@@ -82,7 +86,7 @@
     pub fn record_prefix_use(&mut self, name: &str, size: u32) {
         let Some(prefixes) = &mut self.prefixes else { return };
         let id = prefix_id(name);
-        prefixes.counts.uses(id);
+        prefixes.counts.record_use(id);
         if size > 0 && (prefixes.sizes.len() < MAX_SIZES || prefixes.sizes.contains_key(&id)) {
             prefixes.sizes.insert(id, size);
         }
@@ -117,10 +121,10 @@
     /// Publishes counts whose window has ended, and proposes the next list where this router is the leader.
     pub(super) fn update_prefixes(&mut self, now: Micros) {
         let Some(prefixes) = &mut self.prefixes else { return };
-        if let Some(counts) = prefixes.counts.wake(now) {
+        if let Some(counts) = prefixes.counts.take_finished(now) {
             let key = Key(counts.pane % PANES);
             // Counts never grow beyond the size for which gossip has room.
-            let _ = self.gossip.publish(now, COUNTS, key, &Panes::write(&counts));
+            let _ = self.gossip.publish(now, COUNTS, key, &PaneCounter::write(&counts));
         }
         let Some(register) = &mut self.register else { return };
         let Some(lease) = register.lease(now) else { return };
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -4,8 +4,8 @@
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounts, Panes, PinPlanner, PrefixId, PrefixUsage,
-    Sketch,
+    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounter, PaneCounts, PinPlanner, PrefixId,
+    PrefixUsage, Sketch,
 };
 use oorandom::Rand64;
 use plotters::prelude::*;
@@ -76,7 +76,7 @@
         // A worker keeps an opening for as long as it takes until that many others have come.
         retention: KEPT as f64 * WORKERS as f64 / RATE as f64 * 1e6,
     };
-    let mut panes: Vec<Panes> = (0..ROUTERS).map(|_| Panes::new(0)).collect();
+    let mut panes: Vec<PaneCounter> = (0..ROUTERS).map(|_| PaneCounter::new(0)).collect();
     let mut told: Vec<(u64, RouterId, PaneCounts)> = Vec::new();
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
     let mut pins: Vec<PinPlanner> = (0..lists_of).map(|_| PinPlanner::new(0, cost_model)).collect();
@@ -86,9 +86,9 @@
         let now = n * SECOND / RATE;
         if n % RATE == 0 {
             for (r, pane) in panes.iter_mut().enumerate() {
-                told.extend(pane.wake(now).map(|t| (now, RouterId(r as u64), t)));
+                told.extend(pane.take_finished(now).map(|t| (now, RouterId(r as u64), t)));
             }
-            told.retain(|(at, ..)| now < at + Panes::LIFE);
+            told.retain(|(at, ..)| now < at + PaneCounter::LIFETIME);
             for (k, list) in lists.iter_mut().enumerate() {
                 let of = |r: &RouterId| way != Way::Own || r.0 == k as u64;
                 let counted = match way {
@@ -101,7 +101,7 @@
                         .collect(),
                     // Alone a router has no other's word; its own uses stand for the fleet's.
                     Way::Own => own(told.iter().filter(|(_, r, _)| of(r)).map(|(_, _, t)| t)),
-                    Way::Merged => Panes::fleet(told.iter().map(|(_, r, t)| (*r, t.clone()))),
+                    Way::Merged => PaneCounter::fleet_usage(told.iter().map(|(_, r, t)| (*r, t.clone()))),
                 };
                 if let Some(next) = pins[k].next_list(now, list, &counted, |_| Some(1)) {
                     *list = next;
@@ -111,7 +111,7 @@
         let at = rng.rand_float() * all;
         let id = sums.partition_point(|sum| *sum < at) as u64;
         let router = rng.rand_range(0..ROUTERS as u64) as usize;
-        panes[router].uses(PrefixId(id));
+        panes[router].record_use(PrefixId(id));
         let worker = &mut workers[rng.rand_range(0..WORKERS as u64) as usize];
         let list = &lists[if way == Way::Own { router } else { 0 }];
         let had = worker.request(now, id, list.rides(now, now + LEASE_DURATION, PrefixId(id)));
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which prompt prefixes are pinned in the caches of workers, without I/O.
+//! Decides which prompt prefixes are pinned in the caches of workers; without I/O.
 //!
-//! Many requests to one model begin alike, and a worker that has prepared such a prefix keeps it for a
-//! while. No router sees many of the uses of a prefix, so each of them counts in a sketch of bounded size
-//! ([`Sketch`]) and publishes it in panes of time ([`Panes`]). The merged counts lead to the next list of
-//! pins ([`PinPlanner`]), on which the routers agree.
+//! Many requests to one model begin with the same prefix, and a worker keeps a prepared prefix in its cache
+//! for a while. Each router sees only a fraction of the uses of a prefix. It therefore counts them in a
+//! sketch of bounded size ([`Sketch`]) and publishes the counts of fixed time intervals, called panes
+//! ([`PaneCounter`]). From the merged counts of all routers one of them plans the next list of pins
+//! ([`PinPlanner`]), on which the routers then agree.
 //!
-//! Counts are only a hint; the list ([`List`]) is what is agreed on, and is valid for as long as the
-//! router's copy of it. A pin travels with the requests that use the prefix, as a lease with an end, so no
-//! release can be lost. See `docs/prefix-cache.md`.
+//! Counts are hints; only the list ([`List`]) is agreed on, and a router applies it only while its copy is
+//! valid. Each request that uses a pinned prefix carries the pin as a lease that expires, so no message that
+//! releases a pin can get lost. See `docs/prefix-cache.md`.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
@@ -24,7 +25,7 @@
 };
 pub use error::DecodeError;
 pub use list::{List, Pin};
-pub use panes::{PaneCounts, Panes, PrefixUsage};
+pub use panes::{PaneCounter, PaneCounts, PrefixUsage};
 pub use pins::{CostModel, PinPlanner};
 pub use sketch::Sketch;
 
--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -52,34 +52,34 @@
 }
 
 /// The pane of a router that is under way.
-pub struct Panes {
+pub struct PaneCounter {
     began_at: Micros,
     number: u64,
     current: Sketch,
 }
 
-impl Panes {
+impl PaneCounter {
     /// Time in µs for which published panes count.
-    pub const LIFE: Micros = PANE_DURATION * PANES;
+    pub const LIFETIME: Micros = PANE_DURATION * PANES;
 
     /// Begins the first pane.
     pub fn new(now: Micros) -> Self {
-        Panes { began_at: now, number: 0, current: Sketch::default() }
+        PaneCounter { began_at: now, number: 0, current: Sketch::default() }
     }
 
     /// A request that has this prefix arrived.
-    pub fn uses(&mut self, id: PrefixId) {
+    pub fn record_use(&mut self, id: PrefixId) {
         self.current.add(id, 1);
     }
 
     /// When the pane ends.
-    pub fn next(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         self.began_at + PANE_DURATION
     }
 
     /// The pane that is over, if it is. It is published as it stands and never changed.
-    pub fn wake(&mut self, now: Micros) -> Option<PaneCounts> {
-        if now < self.next() {
+    pub fn take_finished(&mut self, now: Micros) -> Option<PaneCounts> {
+        if now < self.next_deadline() {
             return None;
         }
         // A process that stood still has one long pane, and says nothing about the time in which it saw
@@ -114,12 +114,14 @@
     /// The fleet's uses of each prefix. `panes` are all that still count; each pane of an origin counts
     /// once, however often it appears. A router that has published nothing is left out, and not taken for
     /// one that sees nothing.
-    pub fn fleet(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
+    pub fn fleet_usage(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
         usage(panes, Some(MAX_ROUTER_FRACTION))
     }
 
     /// The same without the bound on the part of one router, for fault injection.
-    pub fn unbounded(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
+    pub fn unbounded_fleet_usage(
+        panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
+    ) -> Vec<PrefixUsage> {
         usage(panes, None)
     }
 }
--- a/crates/prefix_cache/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
-use applepond_prefix_cache::{List, PANE_DURATION, Panes, Pin, PrefixId};
+use applepond_prefix_cache::{List, PANE_DURATION, PaneCounter, Pin, PrefixId};
 
 fn list() -> List {
     let pin = |n: u64| Pin { id: PrefixId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
@@ -16,13 +16,13 @@
 
 #[test]
 fn panes_keep_their_bytes() {
-    let mut panes = Panes::new(0);
+    let mut panes = PaneCounter::new(0);
     for (id, uses) in [(1, 5), (0xffee_ddcc_bbaa_9988, 2), (70_000, 1)] {
-        (0..uses).for_each(|_| panes.uses(PrefixId(id)));
+        (0..uses).for_each(|_| panes.record_use(PrefixId(id)));
     }
-    let told = panes.wake(PANE_DURATION).expect("a pane is over");
-    let bytes = Panes::write(&told);
+    let told = panes.take_finished(PANE_DURATION).expect("a pane is over");
+    let bytes = PaneCounter::write(&told);
     insta::assert_snapshot!("panes", hex::encode(&bytes));
-    let read = Panes::read(told.pane, &bytes).expect("a pane");
-    assert_eq!(Panes::write(&read), bytes);
+    let read = PaneCounter::read(told.pane, &bytes).expect("a pane");
+    assert_eq!(PaneCounter::write(&read), bytes);
 }
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -3,7 +3,7 @@
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
     CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
-    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounts, Panes, Pin, PinPlanner, PrefixId, PrefixUsage,
+    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounter, PaneCounts, Pin, PinPlanner, PrefixId, PrefixUsage,
     RELEASE_DELAY, SKETCH_COUNTERS, Sketch,
 };
 use oorandom::Rand64;
@@ -62,7 +62,7 @@
 
     #[test]
     fn published_counts_are_checked(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        if let Ok(told) = Panes::read(1, &bytes) {
+        if let Ok(told) = PaneCounter::read(1, &bytes) {
             prop_assert!(told.sketch.is_sound());
         }
     }
@@ -70,14 +70,14 @@
 
 #[test]
 fn the_largest_sketch_fits_into_a_published_value() {
-    let mut panes = Panes::new(0);
+    let mut panes = PaneCounter::new(0);
     (0..SKETCH_COUNTERS as u64 * 2)
-        .for_each(|n| (0..1 + n % 9).for_each(|_| panes.uses(PrefixId(u64::MAX - n))));
-    let told = panes.wake(PANE_DURATION).expect("over");
-    let bytes = Panes::write(&told);
+        .for_each(|n| (0..1 + n % 9).for_each(|_| panes.record_use(PrefixId(u64::MAX - n))));
+    let told = panes.take_finished(PANE_DURATION).expect("over");
+    let bytes = PaneCounter::write(&told);
     assert!(bytes.len() <= 900, "{} bytes", bytes.len());
-    assert_eq!(Panes::read(1, &bytes), Ok(told));
-    (0..bytes.len()).for_each(|at| assert!(Panes::read(1, &bytes[..at]).is_err(), "cut at {at}"));
+    assert_eq!(PaneCounter::read(1, &bytes), Ok(told));
+    (0..bytes.len()).for_each(|at| assert!(PaneCounter::read(1, &bytes[..at]).is_err(), "cut at {at}"));
 }
 
 fn pane(origin: u64, number: u64, uses: &[(u64, u64)]) -> (RouterId, PaneCounts) {
@@ -95,17 +95,17 @@
 fn each_pane_counts_once() {
     let all =
         [pane(1, 1, &[(7, 50)]), pane(2, 1, &[(7, 50)]), pane(3, 4, &[(7, 50)]), pane(4, 2, &[(7, 50)])];
-    let once = Panes::fleet(all.clone());
-    let again = Panes::fleet(all.iter().rev().cloned().chain(all.iter().cloned()));
+    let once = PaneCounter::fleet_usage(all.clone());
+    let again = PaneCounter::fleet_usage(all.iter().rev().cloned().chain(all.iter().cloned()));
     assert_eq!(once, again);
     assert!((per_s(&once, 7) - 40.0).abs() < 1e-9, "{once:?}");
     // The fuller of two panes weighs no more for having come three times.
     let (full, bare) = (pane(1, 1, &[(7, 100)]), pane(1, 2, &[(8, 1)]));
     let rest = [2, 3, 4].map(|r| pane(r, 1, &[(7, 200)]));
-    let of = |mine: &[(RouterId, PaneCounts)]| Panes::fleet(mine.iter().chain(&rest).cloned());
+    let of = |mine: &[(RouterId, PaneCounts)]| PaneCounter::fleet_usage(mine.iter().chain(&rest).cloned());
     assert_eq!(of(&[full.clone(), bare.clone()]), of(&[full.clone(), full.clone(), full, bare]));
     // Two panes of one origin are twice the time, not twice the rate.
-    let more = Panes::fleet(all.into_iter().chain([pane(1, 2, &[(7, 50)])]));
+    let more = PaneCounter::fleet_usage(all.into_iter().chain([pane(1, 2, &[(7, 50)])]));
     assert!((per_s(&more, 7) - 40.0).abs() < 1e-9);
 }
 
@@ -115,14 +115,14 @@
 #[test_case(&[(1, 1_000), (2, 2), (3, 3)], 0.0; "beside few")]
 #[test_case(&[(1, 50), (2, 50), (3, 50), (4, 50)], 40.0; "four alike")]
 fn the_part_of_one_router_is_bounded(uses: &[(u64, u64)], want: f64) {
-    let counted = Panes::fleet(uses.iter().map(|(origin, n)| pane(*origin, 1, &[(7, *n)])));
+    let counted = PaneCounter::fleet_usage(uses.iter().map(|(origin, n)| pane(*origin, 1, &[(7, *n)])));
     assert!((per_s(&counted, 7) - want).abs() < 1e-9, "{counted:?}");
 }
 
 #[test_case(&[(7, u64::MAX), (8, u64::MAX)]; "counts without end")]
 fn sums_do_not_overflow(uses: &[(u64, u64)]) {
     let (_, told) = pane(1, 1, uses);
-    let two = Panes::fleet([(RouterId(1), told.clone()), (RouterId(2), told)]);
+    let two = PaneCounter::fleet_usage([(RouterId(1), told.clone()), (RouterId(2), told)]);
     assert!(two.iter().all(|c| c.per_s.is_finite()));
 }
 
@@ -130,9 +130,9 @@
 fn an_impossible_sketch_is_rejected() {
     // More counted than came in all: total 1, one counter of 5.
     let made_up = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 1u64, 0u64)).expect("written");
-    assert_eq!(Panes::read(1, &made_up), Err(DecodeError::InvalidCounts));
+    assert_eq!(PaneCounter::read(1, &made_up), Err(DecodeError::InvalidCounts));
     let error = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 5u64, 5u64)).expect("written");
-    assert_eq!(Panes::read(1, &error), Err(DecodeError::InvalidCounts));
+    assert_eq!(PaneCounter::read(1, &error), Err(DecodeError::InvalidCounts));
 }
 
 const COST_MODEL: CostModel = CostModel {
