--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{CostModel, List, PANES, PaneCounter, PinPlanner, PrefixId};
+use applepond_prefix_cache::{CostModel, PANES, PaneCounter, PinList, PinPlanner, PrefixId};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
     /// Sizes of prefixes, in the unit that the requests use.
     sizes: BTreeMap<PrefixId, u32>,
     /// The agreed list as of its last reading.
-    list: List,
+    list: PinList,
     /// Version of the agreed state that holds it.
     version: u64,
     /// When the counts of all routers were last evaluated.
@@ -49,7 +49,7 @@
             counts: PaneCounter::new(now),
             pins: PinPlanner::new(now, terms),
             sizes: BTreeMap::new(),
-            list: List::default(),
+            list: PinList::default(),
             version: 0,
             evaluated: now,
             guards: PrefixGuards::ALL,
@@ -67,7 +67,7 @@
     }
 
     /// The next list, where the counts of all routers call for a change.
-    fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<List> {
+    fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<PinList> {
         let counts = gossip.entries(now, COUNTS).filter_map(|entry| {
             PaneCounter::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
         });
@@ -99,8 +99,8 @@
         let lease = self.register.as_ref()?.lease(now)?;
         // Guards against a list that is not the one agreed on now.
         let is_current = lease.state.version == prefixes.version;
-        let list = if is_current { &prefixes.list } else { &List::read(&lease.state.value).ok()? };
-        list.rides(now, lease.expires_at, prefix_id(name))
+        let list = if is_current { &prefixes.list } else { &PinList::read(&lease.state.value).ok()? };
+        list.lease_duration(now, lease.expires_at, prefix_id(name))
     }
 
     /// Sets how many workers there are, which decides how many prefixes are worth a pin.
@@ -130,7 +130,7 @@
         let Some(lease) = register.lease(now) else { return };
         if lease.state.version != prefixes.version {
             prefixes.version = lease.state.version;
-            prefixes.list = List::read(&lease.state.value).unwrap_or_default();
+            prefixes.list = PinList::read(&lease.state.value).unwrap_or_default();
         }
         // An evaluation reads all counts of all routers, and this is called every other millisecond.
         if !register.is_leader(now) || now < prefixes.evaluated + EVALUATION_INTERVAL {
--- a/crates/prefix_cache/benches/effect.rs
+++ b/crates/prefix_cache/benches/effect.rs
@@ -4,7 +4,7 @@
 //! true ones. Prints a table; with a file's name it draws a chart there.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CostModel, LEASE_DURATION, List, PANE_DURATION, PaneCounter, PaneCounts, PinPlanner, PrefixId,
+    CostModel, LEASE_DURATION, PANE_DURATION, PaneCounter, PaneCounts, PinList, PinPlanner, PrefixId,
     PrefixUsage, Sketch,
 };
 use oorandom::Rand64;
@@ -80,7 +80,7 @@
     let mut told: Vec<(u64, RouterId, PaneCounts)> = Vec::new();
     let lists_of = if way == Way::Own { ROUTERS } else { 1 };
     let mut pins: Vec<PinPlanner> = (0..lists_of).map(|_| PinPlanner::new(0, cost_model)).collect();
-    let mut lists = vec![List::default(); lists_of];
+    let mut lists = vec![PinList::default(); lists_of];
     let (mut prepared, mut requests, mut took) = (0u64, 0u64, 0u64);
     for n in 0..RATE * SECONDS {
         let now = n * SECOND / RATE;
@@ -114,7 +114,7 @@
         panes[router].record_use(PrefixId(id));
         let worker = &mut workers[rng.rand_range(0..WORKERS as u64) as usize];
         let list = &lists[if way == Way::Own { router } else { 0 }];
-        let had = worker.request(now, id, list.rides(now, now + LEASE_DURATION, PrefixId(id)));
+        let had = worker.request(now, id, list.lease_duration(now, now + LEASE_DURATION, PrefixId(id)));
         if n >= WARM * RATE {
             requests += 1;
             prepared += u64::from(!had);
--- a/crates/prefix_cache/src/lib.rs
+++ b/crates/prefix_cache/src/lib.rs
@@ -6,7 +6,7 @@
 //! ([`PaneCounter`]). From the merged counts of all routers one of them plans the next list of pins
 //! ([`PinPlanner`]), on which the routers then agree.
 //!
-//! Counts are hints; only the list ([`List`]) is agreed on, and a router applies it only while its copy is
+//! Counts are hints; only the list ([`PinList`]) is agreed on, and a router applies it only while its copy is
 //! valid. Each request that uses a pinned prefix carries the pin as a lease that expires, so no message that
 //! releases a pin can get lost. See `docs/prefix-cache.md`.
 #![deny(missing_docs)]
@@ -24,7 +24,7 @@
     PANE_DURATION, PANES, RELEASE_DELAY, SKETCH_COUNTERS,
 };
 pub use error::DecodeError;
-pub use list::{List, Pin};
+pub use list::{Pin, PinList};
 pub use panes::{PaneCounter, PaneCounts, PrefixUsage};
 pub use pins::{CostModel, PinPlanner};
 pub use sketch::Sketch;
--- a/crates/prefix_cache/src/list.rs
+++ b/crates/prefix_cache/src/list.rs
@@ -16,12 +16,12 @@
 
 /// The agreed list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct List {
+pub struct PinList {
     /// The pinned prefixes.
     pub pins: Vec<Pin>,
 }
 
-impl List {
+impl PinList {
     /// Encodes the list.
     pub fn write(&self) -> Vec<u8> {
         // Encoding numbers does not fail.
@@ -33,22 +33,22 @@
     /// # Errors
     ///
     /// If the bytes cannot be decoded, or the list is too long.
-    pub fn read(bytes: &[u8]) -> Result<List, DecodeError> {
+    pub fn read(bytes: &[u8]) -> Result<PinList, DecodeError> {
         if bytes.is_empty() {
-            return Ok(List::default());
+            return Ok(PinList::default());
         }
         match postcard::take_from_bytes::<Vec<Pin>>(bytes) {
-            Ok((pins, [])) if pins.len() <= MAX_PINS => Ok(List { pins }),
+            Ok((pins, [])) if pins.len() <= MAX_PINS => Ok(PinList { pins }),
             _ => Err(DecodeError::InvalidList),
         }
     }
 
     /// Duration in µs of the lease that travels with a request that has this prefix: for so long its worker
-    /// may keep the prefix pinned. `end`: until when the list is valid here; to be looked at when the
+    /// may keep the prefix pinned. `valid_until`: until when the list is valid here; to be looked at when the
     /// request is written.
-    pub fn rides(&self, now: Micros, end: Micros, id: PrefixId) -> Option<Micros> {
+    pub fn lease_duration(&self, now: Micros, valid_until: Micros, id: PrefixId) -> Option<Micros> {
         // Guards against a list that is not valid any more: another one may have been agreed on.
-        let is_valid = now < end;
+        let is_valid = now < valid_until;
         (is_valid && self.pins.iter().any(|pin| pin.id == id)).then_some(LEASE_DURATION)
     }
 }
--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -4,7 +4,7 @@
 use crate::config::{
     CHANGE_INTERVAL, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED, RELEASE_DELAY, STAY_FRACTION,
 };
-use crate::list::{List, Pin};
+use crate::list::{Pin, PinList};
 use crate::panes::PrefixUsage;
 use applepond::interface::Micros;
 use std::collections::BTreeMap;
@@ -94,10 +94,10 @@
     pub fn next_list(
         &mut self,
         now: Micros,
-        agreed: &List,
+        agreed: &PinList,
         usage: &[PrefixUsage],
         size: impl Fn(PrefixId) -> Option<u32>,
-    ) -> Option<List> {
+    ) -> Option<PinList> {
         let rates: Rates = usage.iter().map(|usage| (usage.id, usage.per_s)).collect();
         let pinned: Sizes = agreed.pins.iter().map(|pin| (pin.id, pin.size)).collect();
         self.observe(now, &pinned, &rates);
@@ -117,7 +117,7 @@
             return None;
         }
         self.changed_at = now;
-        Some(List { pins: next.into_iter().map(|(id, size)| Pin { id, size }).collect() })
+        Some(PinList { pins: next.into_iter().map(|(id, size)| Pin { id, size }).collect() })
     }
 
     /// Takes notice of the agreed list. When a pin changed is measured by this planner's own clock.
--- a/crates/prefix_cache/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,17 +1,17 @@
 //! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
-use applepond_prefix_cache::{List, PANE_DURATION, PaneCounter, Pin, PrefixId};
+use applepond_prefix_cache::{PANE_DURATION, PaneCounter, Pin, PinList, PrefixId};
 
-fn list() -> List {
+fn list() -> PinList {
     let pin = |n: u64| Pin { id: PrefixId(n * 0x0123_4567_89ab_cdef), size: 300 * n as u32 };
-    List { pins: (1..=3).map(pin).collect() }
+    PinList { pins: (1..=3).map(pin).collect() }
 }
 
 #[test]
 fn lists_keep_their_bytes() {
-    let written = [list(), List::default()].map(|list| list.write());
+    let written = [list(), PinList::default()].map(|list| list.write());
     insta::assert_snapshot!("lists", written.each_ref().map(hex::encode).join("\n"));
-    assert_eq!(List::read(&written[0]).ok(), Some(list()));
-    assert_eq!(List::read(&written[1]).ok(), Some(List::default()));
+    assert_eq!(PinList::read(&written[0]).ok(), Some(list()));
+    assert_eq!(PinList::read(&written[1]).ok(), Some(PinList::default()));
 }
 
 #[test]
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -2,9 +2,9 @@
 //! of pins.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
-    CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, List, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
-    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounter, PaneCounts, Pin, PinPlanner, PrefixId, PrefixUsage,
-    RELEASE_DELAY, SKETCH_COUNTERS, Sketch,
+    CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
+    MIN_TIME_UNPINNED, PANE_DURATION, PaneCounter, PaneCounts, Pin, PinList, PinPlanner, PrefixId,
+    PrefixUsage, RELEASE_DELAY, SKETCH_COUNTERS, Sketch,
 };
 use oorandom::Rand64;
 use proptest::prelude::*;
@@ -150,7 +150,7 @@
         .collect()
 }
 
-fn ids(list: &List) -> Vec<u64> {
+fn ids(list: &PinList) -> Vec<u64> {
     list.pins.iter().map(|p| p.id.0).collect()
 }
 
@@ -162,15 +162,15 @@
     let mut pins = PinPlanner::new(0, COST_MODEL);
     let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.value(*n, 10) > 0.0).expect("a line");
     let at = |uses: f64| counts(&[(7, uses)]);
-    assert_eq!(pins.next_list(CHANGE_INTERVAL, &List::default(), &at(line * 0.9), size), None);
-    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &at(line * 1.1), size).expect("worth it");
+    assert_eq!(pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(line * 0.9), size), None);
+    let list = pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(line * 1.1), size).expect("worth it");
     assert_eq!(ids(&list), [7]);
     // It wanders about the line: nothing changes for a minute.
     for n in 1..12 {
         let uses = line * if n % 2 == 0 { 0.6 } else { 1.2 };
         assert_eq!(pins.next_list((n + 1) * CHANGE_INTERVAL, &list, &at(uses), size), None, "{n}");
     }
-    assert_eq!(pins.next_list(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(List::default()));
+    assert_eq!(pins.next_list(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(PinList::default()));
 }
 
 #[test]
@@ -178,7 +178,7 @@
     let size = |_| Some(10);
     let mut pins = PinPlanner::new(0, COST_MODEL);
     let (much, none) = (counts(&[(7, 100.0)]), counts(&[(7, 0.0)]));
-    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &much, size).expect("worth it");
+    let list = pins.next_list(CHANGE_INTERVAL, &PinList::default(), &much, size).expect("worth it");
     assert_eq!(
         pins.next_list(CHANGE_INTERVAL + MIN_TIME_PINNED / 2, &list, &none, size),
         None,
@@ -205,7 +205,7 @@
 fn memory_changes_and_pins_are_bounded() {
     let many = counts(&(0..60).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut pins = PinPlanner::new(0, COST_MODEL);
-    let list = pins.next_list(CHANGE_INTERVAL, &List::default(), &many, |_| Some(10)).expect("worth it");
+    let list = pins.next_list(CHANGE_INTERVAL, &PinList::default(), &many, |_| Some(10)).expect("worth it");
     assert_eq!(ids(&list), (0..MAX_CHANGES as u64).collect::<Vec<_>>());
     let mut list = list;
     for n in 2..20 {
@@ -213,15 +213,15 @@
     }
     assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten of 10 MB are 100 MB");
     let mut pins = PinPlanner::new(0, COST_MODEL);
-    assert_eq!(pins.next_list(CHANGE_INTERVAL, &List::default(), &many, |_| None), None);
+    assert_eq!(pins.next_list(CHANGE_INTERVAL, &PinList::default(), &many, |_| None), None);
     let mut pins = PinPlanner::new(0, CostModel { memory_limit: 1e12, ..COST_MODEL });
-    let mut list = List::default();
+    let mut list = PinList::default();
     for n in 1..40 {
         list = pins.next_list(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
     assert_eq!(list.pins.len(), MAX_PINS);
     assert!(list.write().len() <= 700, "{} bytes", list.write().len());
-    assert_eq!(List::read(&list.write()), Ok(list));
+    assert_eq!(PinList::read(&list.write()), Ok(list));
 }
 
 // What goes and what comes are two lists: no memory is promised twice while the first is still held
@@ -231,7 +231,7 @@
     let size = |_| Some(10);
     let mut pins = PinPlanner::new(0, COST_MODEL);
     let old = counts(&(0..10).map(|id| (id, 100.0)).collect::<Vec<_>>());
-    let mut list = List::default();
+    let mut list = PinList::default();
     for n in 1..4 {
         list = pins.next_list(n * CHANGE_INTERVAL, &list, &old, size).unwrap_or(list);
     }
@@ -269,14 +269,14 @@
 #[test_case(7, 8 * SECOND, 8 * SECOND, None; "the list is over")]
 #[test_case(9, 5 * SECOND, 8 * SECOND, None; "it is not in it")]
 fn a_lease_is_granted_while_the_list_is_valid(id: u64, now: u64, end: u64, want: Option<u64>) {
-    let list = List { pins: vec![Pin { id: PrefixId(7), size: 1 }] };
-    assert_eq!(list.rides(now, end, PrefixId(id)), want);
+    let list = PinList { pins: vec![Pin { id: PrefixId(7), size: 1 }] };
+    assert_eq!(list.lease_duration(now, end, PrefixId(id)), want);
 }
 
 #[test]
 fn an_invalid_list_is_rejected() {
-    let long = List { pins: vec![Pin { id: PrefixId(1), size: 1 }; MAX_PINS + 1] };
-    assert_eq!(List::read(&long.write()), Err(DecodeError::InvalidList));
-    assert_eq!(List::read(&[1, 2]), Err(DecodeError::InvalidList));
-    assert_eq!(List::read(&[]), Ok(List::default()));
+    let long = PinList { pins: vec![Pin { id: PrefixId(1), size: 1 }; MAX_PINS + 1] };
+    assert_eq!(PinList::read(&long.write()), Err(DecodeError::InvalidList));
+    assert_eq!(PinList::read(&[1, 2]), Err(DecodeError::InvalidList));
+    assert_eq!(PinList::read(&[]), Ok(PinList::default()));
 }
