--- a/crates/prefix_cache/src/panes.rs
+++ b/crates/prefix_cache/src/panes.rs
@@ -1,5 +1,5 @@
-//! Panes of time: a router's own uses of prefixes, those that others have published, and the fleet's uses a
-//! second of each prefix.
+//! Counting of prefix uses in panes of fixed duration, their encoding for publication, and the estimate of
+//! the fleet's usage from the panes of all routers.
 use crate::PrefixId;
 use crate::config::{MAX_ROUTER_FRACTION, MIN_OTHER_USES, PANE_DURATION, PANES};
 use crate::error::DecodeError;
@@ -8,36 +8,36 @@
 use applepond_membership::RouterId;
 use std::collections::BTreeMap;
 
-/// The counts of one pane, as they are published.
+/// The counts of one finished pane, as published.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PaneCounts {
-    /// Number of the pane at its origin.
+    /// Number of the pane at the router that counted it.
     pub pane: u64,
-    /// What was counted in it.
+    /// Uses counted during the pane.
     pub sketch: Sketch,
 }
 
-/// Uses of one prefix over the fleet, as far as is known.
+/// Estimated usage of one prefix over the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefixUsage {
     /// The prefix.
     pub id: PrefixId,
-    /// Uses a second that are certain, with the part of each router bounded.
+    /// Lower bound of the uses per second, with the contribution of the most active router limited.
     pub per_s: f64,
-    /// The true rate is higher than [`per_s`](PrefixUsage::per_s) by this at most.
+    /// Maximum by which the true rate exceeds [`per_s`](PrefixUsage::per_s) because of the sketches' error.
     pub max_error: f64,
-    /// Number of routers that have published uses of it.
+    /// Number of routers that published uses of the prefix.
     pub routers: usize,
 }
 
-/// What one router contributes to the uses of one prefix.
+/// Contribution of one router to the usage of one prefix.
 #[derive(Clone, Copy)]
 struct Contribution {
     per_s: f64,
     uses: u64,
 }
 
-/// The counts of one router over its panes.
+/// The counts of one router, summed over its panes.
 #[derive(Default)]
 struct RouterCounts {
     sketch: Sketch,
@@ -45,46 +45,47 @@
 }
 
 impl RouterCounts {
-    /// Duration of the panes in seconds.
+    /// Total duration of the panes in seconds.
     fn seconds(&self) -> f64 {
         self.panes.max(1) as f64 * PANE_DURATION as f64 / 1e6
     }
 }
 
-/// The pane of a router that is under way.
+/// Counts this router's uses of prefixes in the current pane.
 pub struct PaneCounter {
-    began_at: Micros,
+    started_at: Micros,
     number: u64,
     current: Sketch,
 }
 
 impl PaneCounter {
-    /// Time in µs for which published panes count.
+    /// Time in µs for which a published pane contributes to the usage.
     pub const LIFETIME: Micros = PANE_DURATION * PANES;
 
     /// Begins the first pane.
     pub fn new(now: Micros) -> Self {
-        PaneCounter { began_at: now, number: 0, current: Sketch::default() }
+        PaneCounter { started_at: now, number: 0, current: Sketch::default() }
     }
 
-    /// A request that has this prefix arrived.
+    /// Counts a request with this prefix.
     pub fn record_use(&mut self, id: PrefixId) {
         self.current.add(id, 1);
     }
 
-    /// When the pane ends.
+    /// Time at which the current pane ends.
     pub fn next_deadline(&self) -> Micros {
-        self.began_at + PANE_DURATION
+        self.started_at + PANE_DURATION
     }
 
-    /// The pane that is over, if it is. It is published as it stands and never changed.
+    /// Finishes the current pane if its time is over, starts the next one, and returns the finished counts
+    /// for publication. Published counts never change.
     pub fn take_finished(&mut self, now: Micros) -> Option<PaneCounts> {
         if now < self.next_deadline() {
             return None;
         }
-        // A process that stood still has one long pane, and says nothing about the time in which it saw
-        // nothing.
-        self.began_at = now;
+        // After a stall the next pane starts now: the time of the stall belongs to the finished pane, and no
+        // empty panes are published for it.
+        self.started_at = now;
         self.number += 1;
         Some(PaneCounts { pane: self.number, sketch: std::mem::take(&mut self.current) })
     }
@@ -99,26 +100,28 @@
     ///
     /// # Errors
     ///
-    /// If the bytes cannot be decoded, or no sketch can have these counts.
+    /// If the bytes cannot be decoded, or the counts contradict the bounds of a sketch.
     pub fn read(pane: u64, bytes: &[u8]) -> Result<PaneCounts, DecodeError> {
         let sketch = match postcard::take_from_bytes::<Sketch>(bytes) {
             Ok((sketch, [])) => sketch,
             _ => return Err(DecodeError::MalformedCounts),
         };
-        if !sketch.is_sound() {
+        if !sketch.is_consistent() {
             return Err(DecodeError::InvalidCounts);
         }
         Ok(PaneCounts { pane, sketch })
     }
 
-    /// The fleet's uses of each prefix. `panes` are all that still count; each pane of an origin counts
-    /// once, however often it appears. A router that has published nothing is left out, and not taken for
-    /// one that sees nothing.
+    /// Estimates the fleet's usage of each prefix from all unexpired panes.
+    ///
+    /// A pane that appears several times counts once. A router that has published nothing is left out: it is
+    /// not treated as one without any uses.
     pub fn fleet_usage(panes: impl IntoIterator<Item = (RouterId, PaneCounts)>) -> Vec<PrefixUsage> {
         usage(panes, Some(MAX_ROUTER_FRACTION))
     }
 
-    /// The same without the bound on the part of one router, for fault injection.
+    /// Same as [`fleet_usage`](Self::fleet_usage), but without the limit on the contribution of one router;
+    /// for fault injection.
     pub fn unbounded_fleet_usage(
         panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
     ) -> Vec<PrefixUsage> {
@@ -126,8 +129,8 @@
     }
 }
 
-/// Merges panes into the uses of each prefix. `max_router_fraction`: what one router may contribute at
-/// most.
+/// Merges panes into the usage of each prefix. `max_router_fraction` limits the fraction of the total that
+/// one router may contribute.
 fn usage(
     panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
     max_router_fraction: Option<f64>,
@@ -142,14 +145,14 @@
             contributions.entry(id).or_default().push(contribution);
         }
     }
-    let of_prefix = |(id, contributions): (PrefixId, Vec<Contribution>)| {
+    let usage_of = |(id, contributions): (PrefixId, Vec<Contribution>)| {
         let routers = contributions.len();
         PrefixUsage { id, per_s: total_rate(contributions, max_router_fraction), max_error, routers }
     };
-    contributions.into_iter().map(of_prefix).collect()
+    contributions.into_iter().map(usage_of).collect()
 }
 
-/// The counts of each router, each of its panes once.
+/// Sums the counts of each router, including each of its panes once.
 fn merge_by_router(
     panes: impl IntoIterator<Item = (RouterId, PaneCounts)>,
 ) -> BTreeMap<RouterId, RouterCounts> {
@@ -166,10 +169,10 @@
     merged
 }
 
-/// Uses a second of one prefix over all routers.
+/// Uses per second of one prefix over all routers.
 ///
-/// This guards against a single router that lies: its part of the total is bounded, and counts only if the
-/// others see the prefix too.
+/// Guards against a single router with wrong counts: the contribution of the router with the highest rate is
+/// limited to a fraction of the total, and the rate is zero unless the others together have enough uses.
 fn total_rate(mut contributions: Vec<Contribution>, max_router_fraction: Option<f64>) -> f64 {
     contributions.sort_by(|one, other| other.per_s.total_cmp(&one.per_s));
     let Some((largest, others)) = contributions.split_first() else { return 0.0 };
@@ -179,6 +182,6 @@
     if others_uses < MIN_OTHER_USES {
         return 0.0;
     }
-    let most = others_rate * fraction / (1.0 - fraction);
-    others_rate + largest.per_s.min(most)
+    let max_rate = others_rate * fraction / (1.0 - fraction);
+    others_rate + largest.per_s.min(max_rate)
 }
--- a/crates/prefix_cache/src/sketch.rs
+++ b/crates/prefix_cache/src/sketch.rs
@@ -1,23 +1,25 @@
-//! A sketch of heavy hitters in bounded memory (Misra and Gries, 1982), merged as by Agarwal and others
-//! (2012): merged sketches have the same bound on their error as one sketch of everything.
+//! Heavy-hitters sketch in bounded memory (Misra and Gries, 1982) that is mergeable (Agarwal et al., 2012):
+//! the error of merged sketches has the same bound as that of one sketch over all uses.
 use crate::PrefixId;
 use crate::config::SKETCH_COUNTERS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Counts of uses that are never too high, and too low by at most [`error`](Sketch::error). The order of
-/// the fields is part of the published format.
+/// Approximate counts of uses per prefix. A count is never too high, and too low by at most
+/// [`error`](Sketch::error).
+///
+/// The order of the fields is part of the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sketch {
     counters: BTreeMap<PrefixId, u64>,
-    /// All uses that were counted.
+    /// Number of uses added, over all prefixes.
     total: u64,
-    /// What any counter may lack at most.
+    /// Maximum by which a count may be too low.
     error: u64,
 }
 
 impl Sketch {
-    /// Counts uses of a prefix.
+    /// Adds uses of a prefix.
     pub fn add(&mut self, id: PrefixId, uses: u64) {
         self.total = self.total.saturating_add(uses);
         let count = self.counters.entry(id).or_default();
@@ -25,7 +27,7 @@
         self.evict();
     }
 
-    /// Adds the counts of another sketch. Each sketch has to be merged only once.
+    /// Adds the counts of another sketch. The caller must not merge the same sketch twice.
     pub fn merge(&mut self, other: &Sketch) {
         for (id, uses) in &other.counters {
             let count = self.counters.entry(*id).or_default();
@@ -36,8 +38,11 @@
         self.evict();
     }
 
-    /// If there are too many counters, subtracts the largest surplus one from all. Each unit is lost by
-    /// more counters than there may be, so the error stays below the total divided by that number.
+    /// If there are more than [`SKETCH_COUNTERS`] counters, subtracts the value of the largest surplus one
+    /// from all and drops those that reach zero.
+    ///
+    /// Each unit subtracted is taken from more than [`SKETCH_COUNTERS`] counters at once, so the error stays
+    /// within the total divided by one more than that number.
     fn evict(&mut self) {
         if self.counters.len() <= SKETCH_COUNTERS {
             return;
@@ -52,28 +57,30 @@
         });
     }
 
-    /// Uses of a prefix that are certain.
+    /// Lower bound of the uses of a prefix.
     pub fn count(&self, id: PrefixId) -> u64 {
         self.counters.get(&id).copied().unwrap_or(0)
     }
 
-    /// All prefixes with a counter, and their uses that are certain.
+    /// All prefixes with a counter, with the lower bounds of their uses.
     pub fn counts(&self) -> impl Iterator<Item = (PrefixId, u64)> + '_ {
         self.counters.iter().map(|(id, count)| (*id, *count))
     }
 
-    /// All uses that were counted.
+    /// Number of uses added, over all prefixes.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// What any count may lack: at most the total divided by one more than the number of counters.
+    /// Maximum by which a count may be too low. It is at most the total divided by one more than
+    /// [`SKETCH_COUNTERS`].
     pub fn error(&self) -> u64 {
         self.error
     }
 
-    /// Whether a sketch of this size can have these counts; published ones are checked.
-    pub fn is_sound(&self) -> bool {
+    /// Whether the counters satisfy the bounds of a sketch. Sketches received from other routers are checked
+    /// before use.
+    pub fn is_consistent(&self) -> bool {
         let sum = self.counters.values().fold(0u64, |sum, n| sum.saturating_add(*n));
         let is_bounded = self.counters.len() <= SKETCH_COUNTERS && self.counters.values().all(|n| *n > 0);
         is_bounded && sum <= self.total && self.error <= self.total / (SKETCH_COUNTERS as u64 + 1)
--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -52,7 +52,7 @@
             let n = rng.rand_range(0..parts.len() as u64) as usize;
             merged.merge(&parts.swap_remove(n));
         }
-        prop_assert!(merged.is_sound());
+        prop_assert!(merged.is_consistent());
         prop_assert_eq!(merged.total(), 6_000);
         prop_assert!(merged.error() <= 6_000 / (SKETCH_COUNTERS as u64 + 1));
         for (id, count) in exact {
@@ -63,7 +63,7 @@
     #[test]
     fn published_counts_are_checked(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(told) = PaneCounter::read(1, &bytes) {
-            prop_assert!(told.sketch.is_sound());
+            prop_assert!(told.sketch.is_consistent());
         }
     }
 }
