--- a/crates/prefix_cache/src/error.rs
+++ b/crates/prefix_cache/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the prefix cache. Each carries a code and what an operator can do about it.
+//! Errors of the prefix cache, each with a code and advice for the operator.
 use miette::Diagnostic;
 use thiserror::Error;
 
@@ -6,21 +6,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum DecodeError {
     /// Published counts cannot be decoded.
-    #[error("counts of openings that cannot be read")]
+    #[error("published prefix counts cannot be decoded")]
     #[diagnostic(
         code(openings::unreadable),
         help("a router of another version: compare the versions of the routers; its counts are left out")
     )]
     MalformedCounts,
     /// Published counts contradict the bounds of a sketch.
-    #[error("counts of openings that no sketch can have")]
+    #[error("published prefix counts contradict the bounds of a sketch")]
     #[diagnostic(
         code(openings::unsound),
         help("somebody with the fleet's key makes counts up: change the key files of all routers")
     )]
     InvalidCounts,
     /// An agreed list cannot be decoded, or has more than [`MAX_PINS`](crate::MAX_PINS) pins.
-    #[error("a list of openings that cannot be read, or is longer than any")]
+    #[error("the agreed list of pinned prefixes cannot be decoded or has too many pins")]
     #[diagnostic(
         code(openings::no_list),
         help("routers of different versions agree on it: no opening is pinned until all are of one")
@@ -29,7 +29,7 @@
 }
 
 impl DecodeError {
-    /// One of each, for the table of error codes.
+    /// All variants, for the table of error codes.
     pub const ALL: [DecodeError; 3] =
         [DecodeError::MalformedCounts, DecodeError::InvalidCounts, DecodeError::InvalidList];
 }
