--- a/crates/prefix_cache/src/list.rs
+++ b/crates/prefix_cache/src/list.rs
@@ -10,11 +10,11 @@
 pub struct Pin {
     /// The prefix.
     pub id: PrefixId,
-    /// Its size, in units of the model.
+    /// Size of the prefix, in units of the model.
     pub size: u32,
 }
 
-/// The agreed list.
+/// The list of pinned prefixes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PinList {
     /// The pinned prefixes.
@@ -28,11 +28,11 @@
         postcard::to_stdvec(&self.pins).unwrap_or_default()
     }
 
-    /// Decodes an agreed list. No bytes mean that nothing has been agreed on yet, and give an empty list.
+    /// Decodes an agreed list. An empty slice, the initial agreed value, decodes to an empty list.
     ///
     /// # Errors
     ///
-    /// If the bytes cannot be decoded, or the list is too long.
+    /// If the bytes cannot be decoded, or the list has more than [`MAX_PINS`] pins.
     pub fn read(bytes: &[u8]) -> Result<PinList, DecodeError> {
         if bytes.is_empty() {
             return Ok(PinList::default());
@@ -43,11 +43,12 @@
         }
     }
 
-    /// Duration in µs of the lease that travels with a request that has this prefix: for so long its worker
-    /// may keep the prefix pinned. `valid_until`: until when the list is valid here; to be looked at when the
-    /// request is written.
+    /// Duration in µs for which the worker of a request with this prefix may keep the prefix pinned; `None`
+    /// if the prefix is not pinned or the list has expired.
+    ///
+    /// `valid_until` is the end of the list's validity at this router. Call this when the request is sent.
     pub fn lease_duration(&self, now: Micros, valid_until: Micros, id: PrefixId) -> Option<Micros> {
-        // Guards against a list that is not valid any more: another one may have been agreed on.
+        // After the list has expired, a different one may have been agreed on.
         let is_valid = now < valid_until;
         (is_valid && self.pins.iter().any(|pin| pin.id == id)).then_some(LEASE_DURATION)
     }
