--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -1,5 +1,5 @@
-//! Planning of the next list of pins: the value of a pin by its uses, a threshold to become pinned and a
-//! lower one to stay, minimum times, and bounds on memory and on changes.
+//! Planning of the next list of pins: the value of a pin by its usage, hysteresis between pinning and
+//! unpinning, minimum times in each state, and limits on memory and on the number of changes.
 use crate::PrefixId;
 use crate::config::{
     CHANGE_INTERVAL, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED, MIN_TIME_UNPINNED, RELEASE_DELAY, STAY_FRACTION,
@@ -18,12 +18,13 @@
     pub bytes_per_unit: f64,
     /// Number of workers that keep a pinned prefix.
     pub workers: f64,
-    /// Preparation in µs a second that one byte at all workers has to save.
+    /// Preparation time in µs per second that a byte of memory at each worker has to save to be worth its
+    /// use.
     pub price_per_byte: f64,
-    /// Memory in bytes that pins may take at a worker at most.
+    /// Maximum memory in bytes that pins may take at a worker.
     pub memory_limit: f64,
-    /// Time in µs for which a worker keeps a prefix by itself after its last use: what it keeps anyway is
-    /// no saving.
+    /// Time in µs for which a worker keeps an unpinned prefix after its last use. A prefix that is used
+    /// again within it gains nothing from a pin.
     pub retention: f64,
 }
 
@@ -43,24 +44,24 @@
 
 /// Sizes of prefixes.
 type Sizes = BTreeMap<PrefixId, u32>;
-/// Uses a second of prefixes.
+/// Uses per second of prefixes.
 type Rates = BTreeMap<PrefixId, f64>;
 
 /// Plans the next list.
 ///
-/// It remembers since when each prefix has been pinned or unpinned, by its own clock. A new planner takes
-/// all of them for just changed, which costs time but never leads to a wrong list.
+/// It remembers, by its own clock, since when each prefix has been pinned or unpinned. A new planner treats
+/// all prefixes as just changed, which delays changes but never leads to a wrong list.
 pub struct PinPlanner {
     cost_model: CostModel,
     changed_at: Micros,
     states: BTreeMap<PrefixId, PinState>,
     released: BTreeMap<PrefixId, ReleasedPin>,
-    /// The agreed list when it was last looked at.
+    /// The agreed list at the last call.
     last_agreed: Sizes,
 }
 
 impl PinPlanner {
-    /// Starts without any knowledge.
+    /// Starts without any history.
     pub fn new(now: Micros, cost_model: CostModel) -> Self {
         PinPlanner {
             cost_model,
@@ -71,26 +72,27 @@
         }
     }
 
-    /// Costs and savings as they are now: the number of workers changes.
+    /// The cost model, to update it when the number of workers changes.
     pub fn cost_model_mut(&mut self) -> &mut CostModel {
         &mut self.cost_model
     }
 
-    /// Value of a pin: preparation in µs a second that it saves over all workers, less the worth of its
-    /// memory. What a worker keeps by itself from one use to the next is no saving.
+    /// Value of a pin: the preparation time in µs per second that it saves over all workers, less the price
+    /// of its memory. Uses that find the prefix still cached without a pin save nothing.
     pub fn value(&self, per_s: f64, size: u32) -> f64 {
         let model = &self.cost_model;
         let size = f64::from(size);
-        // Each worker sees its part of the uses. Without a pin it prepares the prefix anew if none came
-        // while it kept it.
+        // Uses are spread evenly over the workers. Without a pin, a worker prepares the prefix again if no
+        // use arrived within the retention time; arrivals are taken as a Poisson process.
         let per_s_at_worker = per_s / model.workers.max(1.0);
         let misses = per_s * (-per_s_at_worker * model.retention / 1e6).exp();
         misses * size * model.prepare_time
             - size * model.bytes_per_unit * model.workers * model.price_per_byte
     }
 
-    /// The next list in place of the agreed one; `None` if nothing is to change now. `size`: the size of a
-    /// prefix that has been seen; a prefix of unknown size is never pinned.
+    /// Returns the list to propose in place of the agreed one, or `None` if nothing is to change now.
+    ///
+    /// `size` returns the size of a prefix, if known; a prefix of unknown size is never pinned.
     pub fn next_list(
         &mut self,
         now: Micros,
@@ -107,8 +109,8 @@
         let removed = self.pins_to_remove(now, &pinned, &rates);
         let mut next = pinned.clone();
         next.retain(|id, _| !removed.contains(id));
-        // Guards against a list that grows before it has shrunk: removals and additions are two lists, and
-        // the memory of the second counts from the first on.
+        // Removals and additions go into separate lists, so that memory is not promised to new pins before
+        // the removal of old ones is agreed on.
         if removed.is_empty() {
             let candidates = self.pins_to_add(now, &pinned, &rates, size);
             self.add_pins(&mut next, candidates);
@@ -120,7 +122,7 @@
         Some(PinList { pins: next.into_iter().map(|(id, size)| Pin { id, size }).collect() })
     }
 
-    /// Takes notice of the agreed list. When a pin changed is measured by this planner's own clock.
+    /// Updates the history from the agreed list. Changes are dated by this planner's own clock.
     fn observe(&mut self, now: Micros, pinned: &Sizes, rates: &Rates) {
         self.states.retain(|id, _| pinned.contains_key(id) || rates.contains_key(id));
         for id in pinned.keys() {
@@ -143,24 +145,23 @@
         self.released.retain(|id, pin| !pinned.contains_key(id) && is_in_use(pin));
     }
 
-    /// Whether a prefix has been pinned or unpinned for at least this long, in µs.
+    /// Whether a prefix has been in its current state, pinned or unpinned, for at least `duration` µs.
     fn is_unchanged_for(&self, now: Micros, id: PrefixId, duration: Micros) -> bool {
         self.states.get(&id).is_none_or(|state| now >= state.since + duration)
     }
 
-    /// Whether a pin is still worth its memory. The threshold to stay is lower than the one to become
-    /// pinned.
-    fn stays(&self, per_s: f64, size: u32) -> bool {
+    /// Whether an existing pin is still worth its memory. The threshold is lower than the one for new pins.
+    fn is_worth_keeping(&self, per_s: f64, size: u32) -> bool {
         self.value(per_s, size).max(self.value(per_s / STAY_FRACTION, size)) > 0.0
     }
 
-    /// Pins that are no longer worth their memory: the least valuable, ties by id, as many as one change
-    /// may have.
+    /// Pins that are no longer worth their memory, the least valuable first, ties by id; no more than
+    /// [`MAX_CHANGES`].
     fn pins_to_remove(&self, now: Micros, pinned: &Sizes, rates: &Rates) -> Vec<PrefixId> {
         let mut removals: Vec<(f64, PrefixId)> = Vec::new();
         for (id, size) in pinned {
             let per_s = rates.get(id).copied().unwrap_or(0.0);
-            if !self.stays(per_s, *size) && self.is_unchanged_for(now, *id, MIN_TIME_PINNED) {
+            if !self.is_worth_keeping(per_s, *size) && self.is_unchanged_for(now, *id, MIN_TIME_PINNED) {
                 removals.push((self.value(per_s, *size), *id));
             }
         }
@@ -169,8 +170,8 @@
         removals.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Prefixes that are worth a pin, the most valuable first; ties by id, so that any two routers that
-    /// decide by the same counts decide alike.
+    /// Unpinned prefixes that are worth a pin, the most valuable first. Ties are broken by id, so that
+    /// routers with the same counts make the same decision.
     fn pins_to_add(
         &self,
         now: Micros,
@@ -193,7 +194,7 @@
         additions.into_iter().map(|(_, pin)| pin).collect()
     }
 
-    /// Adds pins as far as memory and the bounds on pins and changes allow.
+    /// Adds pins within the limits on memory, pins and changes.
     fn add_pins(&self, next: &mut Sizes, candidates: Vec<Pin>) {
         let mut changes = 0;
         for pin in candidates {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Memory in bytes that these pins take at a worker, with the released ones that may still be in use.
+    /// Memory in bytes that these pins take at a worker, including released pins that may still be in use.
     fn memory(&self, pins: &Sizes) -> f64 {
         let released = self.released.iter().filter(|(id, _)| !pins.contains_key(id));
         let sizes = pins.values().copied().chain(released.map(|(_, pin)| pin.size));
