--- a/crates/gossip/src/gossip/anti_entropy.rs
+++ b/crates/gossip/src/gossip/anti_entropy.rs
@@ -1,7 +1,8 @@
-//! Anti-entropy: what neighbours tell each other until both hold the same.
+//! Anti-entropy: the exchange of messages by which two neighbours reconcile their entries.
 //!
-//! A digest that differs is answered with the versions that are known; whoever knows more sends a delta,
-//! whoever knows less requests one.
+//! For each bucket whose digest differs, the receiver of a digest answers with its known versions. The
+//! sender of the digest then sends deltas for origins of which it knows more, and requests deltas for those
+//! of which it knows less.
 use super::origin::{Origin, digest_bucket};
 use super::{Actions, Gossip};
 use crate::config::{
@@ -13,33 +14,32 @@
 use applepond::interface::Micros;
 use applepond_membership::RouterId;
 
-/// Encoded size of one origin's version at most, in bytes.
+/// Maximum encoded size of one origin's version, in bytes.
 const VERSION_BYTES: usize = 33;
-/// Encoded size of a summary without its versions at most, in bytes.
+/// Maximum encoded size of a summary without its versions, in bytes.
 const SUMMARY_BYTES: usize = 40;
-/// Versions that one summary has room for.
+/// Number of versions that fit into one summary.
 const VERSIONS_PER_SUMMARY: usize = (MAX_MESSAGE_BYTES - SUMMARY_BYTES) / VERSION_BYTES;
-/// Encoded size of a delta without its entries at most, in bytes.
+/// Maximum encoded size of a delta without its entries, in bytes.
 const DELTA_BYTES: usize = 60;
-/// Encoded size of an entry without its value at most, in bytes.
+/// Maximum encoded size of an entry without its value, in bytes.
 const DELTA_ENTRY_BYTES: usize = 35;
 
-/// How a delta relates to what is known of its origin.
+/// Effect of a received delta on the stored origin.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DeltaEffect {
-    /// It continues what is known.
+    /// It extends the known version.
     Extends,
-    /// It begins an incarnation that is not known yet.
+    /// It starts an incarnation that is not yet known, and replaces all earlier entries.
     Replaces,
-    /// It is obsolete, leaves a gap, or its origin is not a live router.
+    /// It is obsolete, would leave a gap, or its unknown origin is not a live router.
     Ignored,
 }
 
 impl Gossip {
-    /// Answers a neighbour's digests: of each bucket that differs it is told which versions are known here.
+    /// Answers a neighbour's digests with the known versions of each bucket whose digest differs.
     pub(super) fn answer_digest(&mut self, from: RouterId, digests: &[u64], actions: &mut dyn Actions) {
-        // Starts with another bucket each time: where the bound on bytes ends the answer, none is always
-        // left out.
+        // Starts at a random bucket, so that no bucket is always cut off when the send budget runs out.
         let first = self.rng.rand_range(0..DIGEST_BUCKETS as u64) as usize;
         for bucket in (0..DIGEST_BUCKETS).map(|offset| (first + offset) % DIGEST_BUCKETS) {
             if self.digests[bucket] == digests[bucket] {
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The versions of all origins of a bucket, in as many summaries as they need. Their ranges cover all
-    /// ids.
+    /// The versions of all origins of a bucket, split into as many summaries as needed. The ranges of the
+    /// summaries together cover all ids.
     fn summaries(&self, bucket: usize) -> Vec<Summary> {
         let origins = self.origins.iter().filter(|(id, _)| digest_bucket(**id) == bucket);
         let known: Vec<OriginVersion> =
@@ -74,7 +74,7 @@
         summaries
     }
 
-    /// Answers the versions that a neighbour knows: sends what it lacks, and requests what is lacking here.
+    /// Answers a neighbour's versions: sends entries that it lacks, and requests entries missing here.
     pub(super) fn answer_summary(
         &mut self,
         now: Micros,
@@ -98,13 +98,14 @@
         for origin in self.missing_in(summary) {
             self.send_delta(now, from, OriginVersion { origin, version: Version::NONE }, actions);
         }
-        // There are no more of them than the summary had room for, and a request is a little smaller.
+        // Fits into one message: it has at most as many versions as a summary has room for, and less
+        // overhead.
         if !wanted.is_empty() {
             self.send(from, &Message::Request(wanted), actions);
         }
     }
 
-    /// Origins in the range of a summary that are known here and do not appear in it.
+    /// Known origins in the bucket and range of a summary that the summary does not list.
     fn missing_in(&self, summary: &Summary) -> Vec<RouterId> {
         let is_listed = |id: RouterId| summary.versions.iter().any(|known| known.origin == id);
         let in_range = self.origins.range(summary.first..=summary.last).map(|(id, _)| *id);
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Somebody holds entries in this router's name that it has not published: those of an earlier process,
-    /// or forged ones. A higher incarnation voids all of them.
+    /// Raises the local incarnation if another router holds a higher version of this router's entries than
+    /// it has published: entries of an earlier process, or forged ones. The new incarnation voids them.
     fn refute(&mut self, now: Micros, theirs: Version) {
         let raised_lately = self.last_raise.is_some_and(|at| now < at + INCARNATION_RAISE_INTERVAL);
         if theirs <= self.local_origin().version || raised_lately {
@@ -136,7 +137,7 @@
         self.update_origin(self.local_id, |origin| origin.restart(incarnation));
     }
 
-    /// Sends what is known of an origin beyond the version that the receiver knows.
+    /// Sends the entries of an origin that are newer than the version known to the receiver.
     fn send_delta(&mut self, now: Micros, to: RouterId, theirs: OriginVersion, actions: &mut dyn Actions) {
         let Some(origin) = self.origins.get(&theirs.origin) else { return };
         let ours = origin.version;
@@ -147,7 +148,7 @@
         let mut remaining = self.entries_after(now, origin, known).into_iter().peekable();
         let mut from = known;
         loop {
-            // Fills one message; the next continues where it ends.
+            // Fills one message; the next one continues at its last sequence number.
             let mut bytes = DELTA_BYTES;
             let mut entries: Vec<DeltaEntry> = Vec::new();
             let fits = |bytes: usize, entry: &DeltaEntry| {
@@ -159,16 +160,16 @@
             }
             let is_last = remaining.peek().is_none();
             let last_sequence = entries.last().map_or(ours.sequence, |entry| entry.sequence);
-            let upto = if is_last { ours.sequence } else { last_sequence };
-            let delta = Delta { origin: theirs.origin, incarnation: ours.incarnation, from, upto, entries };
-            from = upto;
-            if !self.send(to, &Message::Delta(delta), actions) || upto == ours.sequence {
+            let up_to = if is_last { ours.sequence } else { last_sequence };
+            let delta = Delta { origin: theirs.origin, incarnation: ours.incarnation, from, up_to, entries };
+            from = up_to;
+            if !self.send(to, &Message::Delta(delta), actions) || up_to == ours.sequence {
                 return;
             }
         }
     }
 
-    /// The live entries of an origin after a sequence number, in the order in which they were published.
+    /// The unexpired entries of an origin after a sequence number, in order of publication.
     fn entries_after(&self, now: Micros, origin: &Origin, sequence: u64) -> Vec<DeltaEntry> {
         let mut entries: Vec<DeltaEntry> = origin
             .entries
@@ -186,7 +187,7 @@
         entries
     }
 
-    /// Applies entries of an origin, whoever passed them on.
+    /// Applies a received delta. Any router may pass on the entries of any origin.
     pub(super) fn apply_delta(&mut self, now: Micros, delta: Delta) -> Result<(), MessageError> {
         let id = delta.origin;
         if id == self.local_id {
@@ -199,7 +200,8 @@
         }
         self.check_bounds(&delta, effect)?;
         if effect == DeltaEffect::Replaces {
-            // A new incarnation voids everything of the one before; a router that is back has not departed.
+            // A new incarnation voids all entries of the previous one, and the router no longer counts as
+            // departed.
             let origin = Origin::new(delta.incarnation);
             if self.origins.contains_key(&id) {
                 self.update_origin(id, |known| *known = origin);
@@ -213,24 +215,25 @@
 
     fn delta_effect(&self, delta: &Delta) -> DeltaEffect {
         let Some(origin) = self.origins.get(&delta.origin) else {
-            // Guards against departed origins that circulate for ever, forgotten here and sent again by
-            // others.
+            // A departed origin that is already forgotten here is not accepted again from routers that still
+            // know it; otherwise it would circulate forever.
             let is_live = self.live_members.as_ref().is_none_or(|live| live.contains(&delta.origin));
             return if delta.from == 0 && is_live { DeltaEffect::Replaces } else { DeltaEffect::Ignored };
         };
-        // Guards against entries of an earlier incarnation, and against gaps: what lies between is unknown.
+        // Deltas of an earlier incarnation are ignored, and so are those that would leave a gap, since the
+        // entries in the gap would be missing.
         let known = origin.version;
         if delta.incarnation > known.incarnation && delta.from == 0 {
             return DeltaEffect::Replaces;
         }
-        if delta.incarnation == known.incarnation && (delta.from..delta.upto).contains(&known.sequence) {
+        if delta.incarnation == known.incarnation && (delta.from..delta.up_to).contains(&known.sequence) {
             return DeltaEffect::Extends;
         }
         DeltaEffect::Ignored
     }
 
-    /// Guards against an origin that publishes without end: it stays as it was, and the others are not
-    /// harmed.
+    /// Rejects a delta that would exceed a limit, so that an origin that publishes without bound cannot
+    /// exhaust memory. Its stored entries stay, and other origins are not affected.
     fn check_bounds(&self, delta: &Delta, effect: DeltaEffect) -> Result<(), MessageError> {
         let known = self.origins.get(&delta.origin);
         let extended = known.filter(|_| effect == DeltaEffect::Extends);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,7 +1,7 @@
-//! Messages between neighbours: a marker, a kind (one byte each) and the body as postcard encodes it.
+//! Messages between neighbours: a marker byte, a kind byte and the body encoded with postcard.
 //!
-//! The order of the fields is part of the wire format. A message is decoded and validated completely before
-//! any part of it takes effect.
+//! The order of fields is part of the wire format. A message is decoded and validated completely before any
+//! part of it takes effect.
 use crate::config::{DIGEST_BUCKETS, MAX_MESSAGE_BYTES, MAX_NUMBER, MAX_VALUE_BYTES};
 use crate::error::MessageError;
 use applepond::interface::Micros;
@@ -9,7 +9,8 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// First byte of each gossip message; those of the membership protocol begin with a small number.
+/// First byte of each gossip message. It differs from all message kinds of the membership protocol, which
+/// are small numbers.
 pub const PROTOCOL_MARKER: u8 = 0xb1;
 
 const KIND_DIGEST: u8 = 1;
@@ -17,7 +18,7 @@
 const KIND_REQUEST: u8 = 3;
 const KIND_DELTA: u8 = 4;
 
-/// Kind of an entry; the caller defines which kinds there are.
+/// Kind of an entry. The caller assigns the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Kind(
     /// Number of the kind.
@@ -31,8 +32,8 @@
     pub u64,
 );
 
-/// How far an origin has come, or how much of what it published is known: everything of this incarnation up
-/// to this sequence number, without gaps.
+/// Version of an origin's entries: all entries of this incarnation up to this sequence number are included,
+/// without gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Version {
     pub(crate) incarnation: u64,
@@ -40,7 +41,7 @@
 }
 
 impl Version {
-    /// Nothing is known.
+    /// Version of an unknown origin.
     pub(crate) const NONE: Version = Version { incarnation: 0, sequence: 0 };
 
     fn is_in_range(self) -> bool {
@@ -48,14 +49,14 @@
     }
 }
 
-/// The version that is known of one origin.
+/// The known version of one origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OriginVersion {
     pub(crate) origin: RouterId,
     pub(crate) version: Version,
 }
 
-/// All origins of a bucket that the sender knows in a range of ids, and their versions.
+/// The versions of all origins that the sender knows in one bucket and one range of ids.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Summary {
     pub(crate) bucket: u8,
@@ -66,54 +67,54 @@
     pub(crate) versions: Vec<OriginVersion>,
 }
 
-/// One entry in a delta. An empty value says that the entry was withdrawn.
+/// One entry in a delta. An empty value means that the entry was withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DeltaEntry {
     pub(crate) kind: Kind,
     pub(crate) key: Key,
     pub(crate) sequence: u64,
-    /// Time in µs since the origin published it, as far as is known.
+    /// Time in µs since the origin published the entry, not counting time in transit.
     pub(crate) age: Micros,
     pub(crate) value: Vec<u8>,
 }
 
-/// What one origin has published after the sequence number `from` up to `upto`. Entries that it has
-/// replaced since are left out.
+/// The entries that one origin published after the sequence number `from`, up to and including `up_to`.
+/// Entries that have been replaced since are left out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Delta {
     pub(crate) origin: RouterId,
     pub(crate) incarnation: u64,
     pub(crate) from: u64,
-    pub(crate) upto: u64,
+    pub(crate) up_to: u64,
     pub(crate) entries: Vec<DeltaEntry>,
 }
 
 impl Delta {
-    /// The version of the origin that is known once the delta is applied.
+    /// Version of the origin after the delta has been applied.
     pub(crate) fn version(&self) -> Version {
-        Version { incarnation: self.incarnation, sequence: self.upto }
+        Version { incarnation: self.incarnation, sequence: self.up_to }
     }
 }
 
 /// A message between neighbours.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
-    /// Digests of all buckets of the sender; begins a comparison.
+    /// Digests of all buckets of the sender; starts an exchange.
     Digest(Vec<u64>),
-    /// The versions of one bucket whose digest differs.
+    /// Versions of origins in a bucket whose digest differs.
     Summary(Summary),
-    /// Asks for what these origins published after these versions.
+    /// Asks for the entries of these origins after these versions.
     Request(Vec<OriginVersion>),
     /// Entries that the receiver lacks.
     Delta(Delta),
 }
 
 fn encode(kind: u8, body: &impl Serialize) -> Vec<u8> {
-    // Encoding numbers and bytes into a growing buffer does not fail.
+    // Encoding integers and bytes into a `Vec` cannot fail.
     postcard::to_extend(body, vec![PROTOCOL_MARKER, kind]).unwrap_or_default()
 }
 
-/// Decodes a body that fills the bytes completely.
+/// Decodes a body; trailing bytes are an error.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     match postcard::take_from_bytes(bytes) {
         Ok((body, [])) => Ok(body),
@@ -147,7 +148,7 @@
         Ok(message)
     }
 
-    /// Rejects what no correct router sends, so that nothing behind it has to check.
+    /// Rejects messages that a correct router never sends, so that later code can rely on their contents.
     fn validate(&self) -> Result<(), MessageError> {
         if !self.is_well_formed() {
             return Err(MessageError::Malformed);
@@ -167,7 +168,7 @@
                 (summary.bucket as usize) < DIGEST_BUCKETS && summary.versions.iter().all(is_within)
             }
             Message::Request(_) => true,
-            Message::Delta(delta) => delta.from <= delta.upto && has_rising_entries(delta),
+            Message::Delta(delta) => delta.from <= delta.up_to && has_ascending_entries(delta),
         }
     }
 
@@ -183,12 +184,13 @@
     }
 }
 
-/// Whether the sequence numbers of a delta's entries rise within its bounds, and no value is too long.
-fn has_rising_entries(delta: &Delta) -> bool {
+/// Whether the sequence numbers of a delta's entries ascend strictly within its bounds, and no value is too
+/// long.
+fn has_ascending_entries(delta: &Delta) -> bool {
     let mut previous = delta.from;
     delta.entries.iter().all(|entry| {
-        let rises = entry.sequence > previous && entry.sequence <= delta.upto;
+        let is_ascending = entry.sequence > previous && entry.sequence <= delta.up_to;
         previous = entry.sequence;
-        rises && entry.value.len() <= MAX_VALUE_BYTES
+        is_ascending && entry.value.len() <= MAX_VALUE_BYTES
     })
 }
