--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -1,5 +1,7 @@
-//! The gossip state machine: what this router publishes, what it knows of others, and when it compares that
-//! with whom. The exchange itself is in [`anti_entropy`], what is stored of one origin in [`origin`].
+//! The gossip state machine: publishing and reading entries, and scheduling of exchanges with neighbours.
+//!
+//! The messages of an exchange are handled in [`anti_entropy`], the entries of one origin are stored in
+//! [`origin`].
 mod anti_entropy;
 mod origin;
 
@@ -20,60 +22,61 @@
 pub struct KindLifetime {
     /// The kind.
     pub kind: Kind,
-    /// Time in µs for which an entry counts after its origin has published it.
+    /// Time in µs from publication until an entry expires.
     pub lifetime: Micros,
 }
 
-/// Effects that the gossip machine asks its caller for.
+/// Side effects that the state machine requests from its caller.
 pub trait Actions {
-    /// Sends a message to a neighbour; it may be lost, delayed or repeated.
+    /// Sends a message to a neighbour; it may be lost, delayed or duplicated.
     fn send(&mut self, to: RouterId, message: Vec<u8>);
 }
 
-/// An entry of one origin, as it is known here.
+/// A known entry of one origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedEntry<'a> {
-    /// The router that has published it.
+    /// The router that published the entry.
     pub origin: RouterId,
-    /// Its key among those of its origin and kind.
+    /// Key of the entry, unique among those of its origin and kind.
     pub key: Key,
-    /// Time in µs since it was published, at least: time in transit is unknown.
+    /// Lower bound of the time in µs since publication: time in transit is unknown.
     pub age: Micros,
     /// The published value.
     pub value: &'a [u8],
 }
 
-/// What one router publishes and knows of others, and the protocol that reconciles it with its neighbours.
+/// Entries published by this router and known from others, with the protocol that reconciles them with those
+/// of its neighbours.
 ///
-/// The caller passes in the time (monotonic, in µs) with each event, and calls
+/// The caller passes in the monotonic time in µs with each event, and calls
 /// [`handle_timeout`](Gossip::handle_timeout) when [`next_deadline`](Gossip::next_deadline) has passed.
 pub struct Gossip {
     local_id: RouterId,
-    /// Lifetimes in µs of kinds that have one of their own.
+    /// Configured lifetimes of kinds in µs.
     lifetimes: BTreeMap<Kind, Micros>,
-    /// Everything known by origin, the local router included.
+    /// All known origins, including the local router.
     origins: BTreeMap<RouterId, Origin>,
-    /// Bytes that all origins count for.
+    /// Bytes by which all origins count towards the limits.
     bytes: usize,
-    /// Digests of the versions that are known, by buckets of origins.
+    /// Digests of the known versions, by bucket.
     digests: [u64; DIGEST_BUCKETS],
     next_sync: Micros,
-    /// Bytes that may still be sent before the next comparison.
+    /// Bytes that may still be sent before the next exchange that this router starts.
     send_budget: usize,
     /// When the local incarnation was last raised.
     last_raise: Option<Micros>,
-    /// The live routers by the membership; `None` as long as no view is known, which does not say that
-    /// nobody is live.
+    /// Live routers according to the membership; `None`, unlike an empty set, means that no view is known
+    /// yet and all routers count as live.
     live_members: Option<BTreeSet<RouterId>>,
     rejected_messages: BTreeMap<MessageError, u64>,
     rng: Rand64,
 }
 
 impl Gossip {
-    /// Starts without any entry.
+    /// Starts without any entries.
     ///
-    /// `incarnation` is to be higher than that of any earlier process under the name, as far as is known;
-    /// it is raised where others know a higher one. `random_seed` seeds the generator of random numbers.
+    /// `incarnation` should be higher than that of any earlier process of this router. It is raised if other
+    /// routers turn out to know a higher one. `random_seed` seeds the random number generator.
     pub fn new(
         now: Micros,
         local_id: RouterId,
@@ -82,7 +85,7 @@
         random_seed: u64,
     ) -> Self {
         let mut rng = Rand64::new(u128::from(random_seed));
-        // Routers that start together need not compare together.
+        // Random phase, so that routers that start together do not start their exchanges together.
         let next_sync = now + rng.rand_range(0..SYNC_INTERVAL);
         let mut gossip = Gossip {
             local_id,
@@ -104,16 +107,17 @@
     // ---- Publishing and reading ----------------------------------------------------------------
 
     fn local_origin(&self) -> &Origin {
-        // Inserted by `new`, and neither `set_live_members` nor `expire` touches it.
+        // Always present: inserted by `new`, and `expire` skips it.
         &self.origins[&self.local_id]
     }
 
-    /// Publishes an entry of this router in place of the one under its key. An entry that is to stay has to
-    /// be published again before the lifetime of its kind is over.
+    /// Publishes an entry of this router, replacing any entry under the same key. To keep an entry alive,
+    /// publish it again before the lifetime of its kind ends.
     ///
     /// # Errors
     ///
-    /// If the value or all entries of this router together are too large; what was published before stays.
+    /// If the value, or all entries of this router together, would be too large. Entries published before
+    /// are not affected.
     pub fn publish(&mut self, now: Micros, kind: Kind, key: Key, value: &[u8]) -> Result<(), PublishError> {
         if value.len() > MAX_VALUE_BYTES {
             return Err(PublishError::ValueTooLong(value.len()));
@@ -132,11 +136,11 @@
         Ok(())
     }
 
-    /// Withdraws the entry that this router has published under a key.
+    /// Withdraws this router's entry under a key, if there is one.
     pub fn withdraw(&mut self, now: Micros, kind: Kind, key: Key) {
         let entry = self.local_origin().entries.get(&(kind, key));
         if entry.is_some_and(|entry| !entry.value.is_empty()) {
-            // Does not fail: an empty value is smaller than the one that it replaces.
+            // Cannot fail: the empty value is smaller than the one that it replaces.
             let _ = self.publish(now, kind, key, &[]);
         }
     }
@@ -146,8 +150,8 @@
         self.lifetimes.get(&kind).copied().unwrap_or(DEFAULT_LIFETIME)
     }
 
-    /// All live entries of a kind, by origin, those of this router included. An origin that does not appear
-    /// has published nothing.
+    /// All unexpired entries of a kind, ordered by origin and including those of this router. An origin that
+    /// does not appear has no known entry; this does not mean a value of zero.
     pub fn entries(&self, now: Micros, kind: Kind) -> impl Iterator<Item = PublishedEntry<'_>> {
         let lifetime = self.lifetime(kind);
         let origins =
@@ -164,7 +168,7 @@
         })
     }
 
-    /// All live entries of a kind under one key, by origin.
+    /// All unexpired entries of a kind under one key, ordered by origin.
     pub fn entries_for_key(
         &self,
         now: Micros,
@@ -174,31 +178,31 @@
         self.entries(now, kind).filter(move |entry| entry.key == key)
     }
 
-    /// Digest of everything that is known: two routers with the same digest know the same entries.
+    /// Digest of all known versions: two routers with equal digests know the same entries.
     pub fn view_digest(&self) -> u64 {
         self.digests.iter().fold(0, |view, digest| view.rotate_left(1) ^ digest)
     }
 
-    /// Incarnation under which this router publishes.
+    /// Incarnation of this router's entries.
     pub fn incarnation(&self) -> u64 {
         self.local_origin().version.incarnation
     }
 
-    /// Number of known origins, and the bytes that all of them count for.
+    /// Number of known origins, and the bytes by which they count towards the limits.
     pub fn size(&self) -> (usize, usize) {
         (self.origins.len(), self.bytes)
     }
 
-    /// How many messages were rejected, by reason.
+    /// Number of rejected messages by reason.
     pub fn rejected_messages(&self) -> &BTreeMap<MessageError, u64> {
         &self.rejected_messages
     }
 
     // ---- Events ------------------------------------------------------------------------------
 
-    /// Takes the live routers from the membership, as a hint. Entries of other routers expire, and nothing
-    /// new is accepted from those that have been forgotten here. All routers count as live before the first
-    /// call.
+    /// Sets the live routers according to the membership, as a hint. Entries of all other routers expire, and
+    /// once such a router is forgotten here, its entries are not accepted again. Before the first call all
+    /// routers count as live.
     pub fn set_live_members(&mut self, now: Micros, live: BTreeSet<RouterId>) {
         for (id, origin) in self.origins.iter_mut().filter(|(id, _)| **id != self.local_id) {
             origin.departed_since =
@@ -207,12 +211,12 @@
         self.live_members = Some(live);
     }
 
-    /// When [`handle_timeout`](Gossip::handle_timeout) has to be called at the latest.
+    /// Time by which [`handle_timeout`](Gossip::handle_timeout) has to be called.
     pub fn next_deadline(&self) -> Micros {
         self.next_sync
     }
 
-    /// Begins a comparison with one of the neighbours, if it is due.
+    /// Starts an exchange with a random neighbour, if one is due.
     pub fn handle_timeout(&mut self, now: Micros, neighbours: &[RouterId], actions: &mut dyn Actions) {
         if now < self.next_sync {
             return;
@@ -226,11 +230,12 @@
         }
     }
 
-    /// Handles a message of a neighbour.
+    /// Handles a message from a neighbour.
     ///
     /// # Errors
     ///
-    /// If the message is malformed or would exceed a bound; it has no effect then, but is counted.
+    /// If the message is malformed or would exceed a limit. It then has no effect except that the rejection
+    /// is counted.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -261,8 +266,7 @@
         Ok(())
     }
 
-    /// Sends a message, unless it exceeds the bytes that may be sent before the next comparison. Returns
-    /// whether it was sent.
+    /// Sends a message if it is within the send budget, and returns whether it was sent.
     fn send(&mut self, to: RouterId, message: &Message, actions: &mut dyn Actions) -> bool {
         let bytes = message.write();
         if bytes.len() > self.send_budget {
@@ -281,7 +285,7 @@
         self.origins.insert(id, origin);
     }
 
-    /// Changes an origin; the digests and the sum of bytes follow.
+    /// Changes an origin and keeps digests and byte counts up to date.
     fn update_origin(&mut self, id: RouterId, change: impl FnOnce(&mut Origin)) {
         let Some(origin) = self.origins.get_mut(&id) else { return };
         let digest = &mut self.digests[digest_bucket(id)];
@@ -292,7 +296,8 @@
         *digest ^= OriginVersion { origin: id, version: origin.version }.digest();
     }
 
-    /// Drops expired entries of other routers, the entries of departed ones and, later, the memory of them.
+    /// Drops expired entries of other routers, all entries of departed routers after a grace period, and
+    /// finally the departed routers themselves.
     fn expire(&mut self, now: Micros) {
         let lifetimes = &self.lifetimes;
         let lifetime = |kind| lifetimes.get(&kind).copied().unwrap_or(DEFAULT_LIFETIME);
