--- a/crates/gossip/src/error.rs
+++ b/crates/gossip/src/error.rs
@@ -1,12 +1,12 @@
-//! Errors of the gossip protocol. Each carries a code and what an operator can do about it.
+//! Errors of the gossip protocol, each with a code and advice for the operator.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why an entry of this router is not published.
+/// Why an entry cannot be published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum PublishError {
-    /// The value has this many bytes, which is more than [`MAX_VALUE_BYTES`](crate::MAX_VALUE_BYTES).
-    #[error("an entry of {0} bytes; {most} at most are told", most = crate::MAX_VALUE_BYTES)]
+    /// The value has this many bytes, more than [`MAX_VALUE_BYTES`](crate::MAX_VALUE_BYTES).
+    #[error("the value has {0} bytes; at most {max} can be published", max = crate::MAX_VALUE_BYTES)]
     #[diagnostic(
         code(tallies::long),
         help(
@@ -14,9 +14,9 @@
         )
     )]
     ValueTooLong(usize),
-    /// This router publishes this many bytes already; with the entry it would exceed
+    /// This router already publishes this many bytes; with the entry it would exceed
     /// [`MAX_ORIGIN_BYTES`](crate::MAX_ORIGIN_BYTES).
-    #[error("this router tells {0} bytes already; {most} at most are", most = crate::MAX_ORIGIN_BYTES)]
+    #[error("no room for the entry: this router publishes {0} of {max} bytes", max = crate::MAX_ORIGIN_BYTES)]
     #[diagnostic(
         code(tallies::full),
         help("fewer workers or functions a router, or a shorter list of openings; what is told stays told")
@@ -27,22 +27,22 @@
 /// Why a message is rejected. A rejected message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error, Diagnostic)]
 pub enum MessageError {
-    /// It is truncated, continues after its end, or contains what no message contains.
-    #[error("a message that ends early, goes on after its end or holds what no message holds")]
+    /// The message is truncated, has trailing bytes or has invalid contents.
+    #[error("malformed message: truncated, with trailing bytes or with invalid contents")]
     #[diagnostic(
         code(tallies::unreadable),
         help("a router of another version, or a broken path: compare the versions of the routers")
     )]
     Malformed,
     /// An incarnation or a sequence number is not below [`MAX_NUMBER`](crate::MAX_NUMBER).
-    #[error("a message with a number above all that are given out")]
+    #[error("an incarnation or a sequence number in the message is out of range")]
     #[diagnostic(
         code(tallies::beyond),
         help("somebody with the fleet's key makes messages up: change the key files of all routers")
     )]
     NumberOutOfRange,
-    /// Its entries would exceed a bound on bytes or origins.
-    #[error("what it tells goes past a bound on bytes or origins")]
+    /// Its entries would exceed the limit on bytes or origins.
+    #[error("the entries in the message exceed the limit on bytes or origins")]
     #[diagnostic(
         code(tallies::no_room),
         help("look which origin tells so much (state page) and restart it; all others are told as before")
@@ -51,12 +51,12 @@
 }
 
 impl PublishError {
-    /// One of each, for the table of error codes.
+    /// All variants, for the table of error codes.
     pub const ALL: [PublishError; 2] = [PublishError::ValueTooLong(0), PublishError::OriginFull(0)];
 }
 
 impl MessageError {
-    /// One of each, for the table of error codes.
+    /// All variants, for the table of error codes.
     pub const ALL: [MessageError; 3] =
         [MessageError::Malformed, MessageError::NumberOutOfRange, MessageError::LimitExceeded];
 }
