--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,15 +1,15 @@
-//! Gossip between routers: eventually consistent entries about the router that publishes them, as a state
-//! machine without I/O.
+//! Gossip between routers: an eventually consistent store of entries that each router publishes about
+//! itself, as a state machine without I/O.
 //!
-//! Each router publishes entries by kind and key, and is the only writer of its own. Neighbours reconcile
-//! what they hold by anti-entropy in the manner of Scuttlebutt: they compare digests, then versions by
-//! origin, and send the entries that the other one lacks. The caller feeds in the time, received messages
-//! and the neighbours and live routers of the membership; the machine answers through [`Actions`] with
-//! messages.
+//! Entries are identified by origin, kind and key; the origin, the router that publishes an entry, is its
+//! only writer. Neighbours reconcile their stores by anti-entropy as in Scuttlebutt: they compare digests,
+//! then versions by origin, and send the entries that the other one lacks. The caller passes in the time,
+//! received messages, and the neighbours and live routers of the membership; the state machine emits
+//! messages through [`Actions`].
 //!
-//! What is published arrives late, expires, and is only ever a hint: no sum that has to hold, no lease and
-//! no ballot may rest on it. A router that has published nothing appears in no answer: unknown is not zero.
-//! See `docs/gossip.md`.
+//! Entries arrive late, expire, and are only hints: no limit that must hold, no lease and no ballot may
+//! depend on them. A router that has published nothing appears in no answer: unknown is not zero. See
+//! `docs/gossip.md`.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
