--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -110,7 +110,7 @@
         // say so.
         let identity = LocalIdentity { name, zone, address: listen, instance_id, incarnation: now };
         let envelopes = Envelopes::new(instance_id.0, RouterId::named(&identity.name).0, keys);
-        let members = Membership::new(now, identity, seeds, seed).with_guards(safeguards);
+        let members = Membership::new(now, identity, seeds, seed).with_safeguards(safeguards);
         let view = FleetView { members, shared: None, envelopes, sent: 0, unsent: 0, unreadable: 0 };
         let view = Rc::new(RefCell::new(view));
         let machine = FleetMachine {
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -149,7 +149,7 @@
     }
 
     /// The same machine with only these safeguards, for measurements and fault injection.
-    pub fn with_guards(mut self, safeguards: Safeguards) -> Self {
+    pub fn with_safeguards(mut self, safeguards: Safeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -131,7 +131,7 @@
             instance_id,
             incarnation: self.instance_ids - self.clock_back,
         };
-        let members = Membership::new(self.now, me, seeds, self.rng.rand_u64()).with_guards(self.guards);
+        let members = Membership::new(self.now, me, seeds, self.rng.rand_u64()).with_safeguards(self.guards);
         self.processes.resize_with(self.processes.len().max(n + 1), || None);
         self.at.insert(at, n);
         let due = members.next_deadline();
