--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,18 +1,18 @@
 //! Membership of the fleet of routers, as a state machine without I/O.
 //!
-//! The caller feeds in the time, received messages and the request to leave; the machine answers through
-//! [`Actions`] with messages to send and changes of its view to log. The protocol follows SWIM (heartbeats,
-//! indirect probes, suspicion, incarnations, dissemination by piggybacked updates) with the local health
-//! awareness of Lifeguard and the fixed observers in rings of Rapid:
+//! The caller passes in the time, received messages and the request to leave; the state machine emits
+//! messages to send and changes of its view to log through [`Actions`]. The protocol follows SWIM
+//! (heartbeats, indirect probes, suspicion, incarnations, dissemination by piggybacked updates), with the
+//! local health awareness of Lifeguard and the fixed observers on rings of Rapid:
 //!
-//! - Every router exchanges heartbeats with a few neighbours ([`Rings`]), which are the same for all
-//!   routers that share a view.
-//! - A neighbour that is silent for longer than the heartbeat timeout, directly and through others, is
-//!   suspected by each of its neighbours independently. Only votes of several independent neighbours, held
-//!   for the suspicion timeout, declare a router dead. Meanwhile it may refute under a higher incarnation.
-//! - The view is a hint: it tells who seems to be there. Nothing that has to be safe may rest on it.
+//! - Every router exchanges heartbeats with a few neighbours ([`Rings`]). All routers that share a view agree
+//!   on which routers are neighbours.
+//! - A router that is silent for longer than the heartbeat timeout, both directly and through others, is
+//!   suspected by each of its neighbours independently. It is declared dead only if a quorum of votes stands
+//!   for the suspicion timeout. Until then it may refute the suspicion under a higher incarnation.
+//! - The view is a hint about which routers are live. Safety must never depend on it.
 //!
-//! See `docs/membership.md` for the design and the options that were weighed.
+//! See `docs/membership.md` for the design and its alternatives.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
