--- a/crates/membership/src/observation.rs
+++ b/crates/membership/src/observation.rs
@@ -1,4 +1,5 @@
-//! What the local router observes of others, and how it reports that to its caller.
+//! Status of members as the local router observes them, and the interface that reports changes to the
+//! caller.
 use crate::record::Record;
 use applepond::interface::Micros;
 use std::net::SocketAddr;
@@ -6,22 +7,22 @@
 /// Status of a member as this router observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObservedStatus {
-    /// Not yet heard by most of its neighbours.
+    /// Not yet heard by a majority of its neighbours.
     Joining,
-    /// Live, and nothing speaks against it.
+    /// Live and not suspected.
     Alive,
-    /// At least one vote that it is dead stands.
+    /// Suspected by a vote of this router or by several votes.
     Suspected,
     /// Silent towards this router, but heard by others.
     Unreachable,
-    /// It has left by its own announcement.
+    /// Left by its own announcement.
     Left,
-    /// It was declared dead by votes.
+    /// Declared dead by a quorum of votes.
     Dead,
 }
 
 impl ObservedStatus {
-    /// The status as the log and the state page print it.
+    /// The status as printed in the log and on the state page.
     pub fn as_str(self) -> &'static str {
         match self {
             ObservedStatus::Joining => "joining",
@@ -34,9 +35,9 @@
     }
 }
 
-/// The direction in which the link to a neighbour does not carry messages.
+/// Direction in which the link to a neighbour loses all messages.
 ///
-/// The log and the state page print the variants' names.
+/// The log and the state page print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkFault {
     /// The neighbour does not hear this router.
@@ -48,68 +49,69 @@
 /// One member of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// The member's record as it is known here.
+    /// The known record of the member.
     pub record: Record,
     /// The member's status as this router observes it.
     pub observed: ObservedStatus,
-    /// Time in µs at which that status began.
+    /// Time in µs since which the member has had that status.
     pub since: Micros,
-    /// Names of the routers whose votes declared the member dead; empty otherwise.
+    /// Names of the routers whose votes declared the member dead; empty if it is not dead.
     pub accusers: Vec<String>,
-    /// Fault of the link to the member, if one is known.
+    /// Known fault of the link to the member.
     pub link_fault: Option<LinkFault>,
 }
 
 /// A change of the view, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The observed status of a member has changed.
+    /// The observed status of a member changed.
     StatusChanged {
         /// Name of the member.
         name: String,
-        /// The status before; `None` for a member that has just become known.
+        /// The previous status; `None` for a new member.
         previous: Option<ObservedStatus>,
-        /// The status from now on.
+        /// The new status.
         current: ObservedStatus,
-        /// Names of the routers whose votes led to it; empty where it is this router's own observation.
+        /// Names of the routers whose votes led to the status; empty if it is this router's own observation.
         accusers: Vec<String>,
     },
-    /// The diagnosis of the link to a neighbour has changed.
+    /// The diagnosed fault of the link to a neighbour changed.
     LinkFaultChanged {
         /// Name of the neighbour.
         name: String,
-        /// The fault before.
+        /// The previous fault.
         previous: Option<LinkFault>,
-        /// The fault from now on.
+        /// The new fault.
         current: Option<LinkFault>,
     },
-    /// This process stood still for so many µs.
+    /// This process was stalled for this many µs.
     ProcessStalled(Micros),
-    /// Whether all neighbours are silent at once, so that this router is probably the one that is cut off.
+    /// Whether this router considers itself isolated: all neighbours are silent at once, so it is probably
+    /// this router that is cut off.
     Isolated(bool),
-    /// This router had been declared dead and rejoins under this incarnation: no lease or share that was
-    /// granted to it before is valid.
+    /// This router was declared dead and rejoins under this incarnation. Leases and shares granted to it
+    /// before are no longer valid.
     Rejoined(u64),
-    /// Another process holds this router's name; this process takes part no longer.
+    /// Another process holds this router's name; this process no longer takes part in the protocol.
     NameLost {
         /// Address of the process that holds the name.
         holder: SocketAddr,
     },
-    /// Another process asked to join under the name of a router that is there.
+    /// Another process asked to join under the name of a live router.
     NameContested {
         /// The name.
         name: String,
-        /// Address of the process that asked for it.
+        /// Address of the process that asked for the name.
         claimant: SocketAddr,
     },
-    /// The bound on known routers is reached; this router is not taken in.
+    /// A router was not added because the limit on known routers is reached.
     TableFull {
-        /// Name of the router.
+        /// Name of the router that was not added.
         name: String,
     },
 }
 
-/// Effects that the membership machine asks its caller for.
+/// Side effects that the state machine requests from its caller.
 pub trait Actions {
     /// Sends one message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) bytes; it may be lost.
     fn send(&mut self, to: SocketAddr, message: &[u8]);
