--- a/crates/membership/src/safeguards.rs
+++ b/crates/membership/src/safeguards.rs
@@ -1,26 +1,25 @@
-//! Safeguards of the view against errors. Tests and fault-injection scenarios disable them one by one.
+//! Safeguards against a wrong view, which tests and fault-injection scenarios can disable one by one.
 
-/// What keeps a view from being wrong.
+/// Safeguards that keep a view from being wrong.
 ///
-/// Each safeguard can be disabled, to measure what it is worth and to prove that the fault-injection
-/// scenarios find its absence. In service all of them are enabled.
+/// Each safeguard can be disabled, to measure its effect and to prove that the fault-injection scenarios
+/// detect its absence. In production all of them are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Safeguards {
     /// A router that is suspected refutes the suspicion.
     pub refutation: bool,
-    /// Most of the observers of a router have to suspect it, and at least two of them.
+    /// A router is declared dead only by a majority of its observers, and by no fewer than two.
     pub vote_quorum: bool,
-    /// Signs that this process or the other one is slow lengthen timeouts.
+    /// Health penalties, signs that this process or the peer is slow, lengthen timeouts.
     pub local_health: bool,
-    /// A process that stood still counts the silence of others from the moment it resumed.
+    /// After a stall, a process counts the silence of others only from the time it resumed.
     pub pause_detection: bool,
-    /// A refutation carries a higher incarnation, also that of a router that was declared dead and has
-    /// heard so from one router only.
+    /// A refutation carries a higher incarnation, even if only one router has reported the death.
     pub incarnation_bump: bool,
 }
 
 impl Safeguards {
-    /// All safeguards, as in service.
+    /// All safeguards enabled, as in production.
     pub const ALL: Safeguards = Safeguards {
         refutation: true,
         vote_quorum: true,
@@ -29,8 +28,7 @@
         incarnation_bump: true,
     };
 
-    /// All safeguards except the one whose absence is injected under the name of this fault; `None` if
-    /// there is no such fault.
+    /// All safeguards except the one that the named fault disables; `None` if there is no such fault.
     pub fn without(fault: &str) -> Option<Safeguards> {
         let mut safeguards = Safeguards::ALL;
         let disabled = match fault {
