--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -1,14 +1,14 @@
-//! Who monitors whom.
+//! Assignment of neighbours, which monitor each other.
 //!
-//! Each ring holds all routers in its own order, by a hash of the ring's number and the router's id. The
-//! two routers beside a router in each ring are its neighbours. All routers that share a view agree on
-//! them, and the number of neighbours does not grow with the fleet.
+//! Each ring orders all routers differently, by a hash of the ring's number and the router's id. The
+//! predecessor and the successor of a router on each ring are its neighbours. All routers that share a view
+//! agree on them, and the number of neighbours does not grow with the fleet.
 use crate::config::RING_COUNT;
 use crate::record::RouterId;
 use std::collections::BTreeSet;
 
-/// Position of a router in a ring: spreads the ring's number and the router's id over all 64 bits (the
-/// finalizer of splitmix64).
+/// Position of a router on a ring: hashes the ring's number and the router's id with the finalizer of
+/// splitmix64.
 fn position(ring: u64, id: RouterId) -> u64 {
     let mut hash = id.0 ^ (ring + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,18 +40,19 @@
         }
     }
 
-    /// Number of routers in the rings.
+    /// Number of routers on the rings.
     pub fn len(&self) -> usize {
         self.rings[0].len()
     }
 
-    /// Whether no router is in the rings.
+    /// Whether there are no routers on the rings.
     pub fn is_empty(&self) -> bool {
         self.rings[0].is_empty()
     }
 
-    /// The neighbours of a router, whether it is in the rings or not, in ascending order. In fleets that
-    /// are not larger than a router's neighbourhood these are all other routers.
+    /// The neighbours of a router, in ascending order of ids. The router itself need not be on the rings.
+    ///
+    /// In a fleet so small that a router could have all others as neighbours, it does.
     pub fn neighbours_of(&self, id: RouterId) -> Vec<RouterId> {
         let mut found: Vec<RouterId> = Vec::with_capacity(2 * RING_COUNT);
         if self.len() <= 2 * RING_COUNT + 1 {
@@ -67,8 +68,7 @@
     }
 }
 
-/// The successor and the predecessor of a place in a ring; the ring closes from its last router to its
-/// first.
+/// The successor and the predecessor of a position on a ring; the first router succeeds the last one.
 fn adjacent(ring: &Ring, place: (u64, RouterId)) -> impl Iterator<Item = RouterId> {
     let successor = ring.range(place..).find(|entry| **entry != place).or(ring.first());
     let predecessor = ring.range(..place).next_back().or(ring.last());
