--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,9 +1,9 @@
-//! What a router publishes of itself: its name, address, instance, incarnation and status.
+//! The record that a router publishes about itself, and the types it consists of.
 use applepond::interface::WorkerId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Identifies a router by its name: a fixed digest of the name, equal on every router.
+/// Identifies a router by a digest of its name, which is the same on every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterId(
     /// The digest.
@@ -17,37 +17,39 @@
     }
 }
 
-/// Identifies one process under a router's name. It is drawn at random when the process starts and is never
-/// used twice.
+/// Identifies one process that runs under a router's name. It is chosen at random when the process starts
+/// and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct InstanceId(
     /// The random number.
     pub u64,
 );
 
-/// Status of a router: published by itself or concluded by others.
+/// Status of a router, published by the router itself or, for `Dead`, concluded by others.
 ///
-/// The order of the variants is part of the wire format.
+/// The order of variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// Most of its neighbours have not confirmed yet that they hear it; it does not count as live.
+    /// A majority of its neighbours has not yet confirmed that they hear it; it does not count as live.
     Joining,
-    /// It is a live member.
+    /// Live member.
     Alive,
-    /// It has left by its own announcement.
+    /// Left by its own announcement.
     Left,
-    /// It was declared dead by the votes of others.
+    /// Declared dead by votes of other routers.
     Dead,
 }
 
 impl MemberStatus {
-    /// Whether the router takes part in the protocol: it has neighbours and is one.
+    /// Whether the router takes part in the protocol and has a place on the rings.
     pub fn is_active(self) -> bool {
         matches!(self, MemberStatus::Joining | MemberStatus::Alive)
     }
 }
 
-/// What a router publishes of itself. The order of the fields is part of the wire format.
+/// The record that a router publishes about itself.
+///
+/// The order of fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Name of the router.
@@ -58,8 +60,8 @@
     pub address: SocketAddr,
     /// The process that runs under the name.
     pub instance_id: InstanceId,
-    /// Raised by the router itself alone. A higher incarnation overrules everything that was said about a
-    /// lower one.
+    /// Incarnation number, which only the router itself raises. Statements about a lower incarnation are
+    /// obsolete.
     pub incarnation: u64,
     /// The router's status in this incarnation.
     pub status: MemberStatus,
@@ -74,8 +76,8 @@
     pub zone: String,
     /// Address at which other routers reach it.
     pub address: SocketAddr,
-    /// This process.
+    /// Id of this process.
     pub instance_id: InstanceId,
-    /// The first incarnation: higher than that of any earlier process under the name, as far as is known.
+    /// Initial incarnation, which should be higher than that of any earlier process of this router.
     pub incarnation: u64,
 }
