--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between routers and their encoding.
 //!
-//! A message consists of the kind (one byte), the sender's [`Header`], the body of the kind, and then
-//! tagged updates until its end. All parts are encoded with postcard, so the order of fields and variants
-//! is part of the wire format. A message is decoded completely before any part of it takes effect.
+//! A message consists of a kind byte, the sender's [`Header`], a body that depends on the kind, and any
+//! number of tagged updates. All parts are encoded with postcard, so the order of fields and variants is part
+//! of the wire format. A message is decoded completely before any part of it takes effect.
 use crate::config::MAX_NAME_BYTES;
 use crate::record::{InstanceId, Record, RouterId};
 use applepond::interface::Micros;
@@ -11,20 +11,19 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Size of a message at most, in bytes: with its envelope it stays below 1,200 bytes, which every network
-/// path carries unfragmented.
+/// Maximum size of a message in bytes: with its envelope it stays below 1,200 bytes, which pass every network
+/// path unfragmented.
 pub const MAX_MESSAGE_BYTES: usize = 1_140;
 
-/// Number of parts into which the members are divided when two views are compared; each part has a digest
-/// of its own.
+/// Number of buckets, each with its own digest, into which members are divided to compare views.
 pub const DIGEST_BUCKETS: usize = 32;
 
-/// The sender of a message: a copy of the essential parts of its record.
+/// Identity of a message's sender, copied from its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
     /// Id of the sender.
     pub from: RouterId,
-    /// The sender's process.
+    /// Id of the sender's process.
     pub instance_id: InstanceId,
     /// The sender's incarnation.
     pub incarnation: u64,
@@ -32,14 +31,14 @@
     pub address: SocketAddr,
 }
 
-/// A voter's opinion on a router.
+/// A voter's opinion about a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Opinion {
-    /// The voter hears the router again and takes its vote back.
+    /// The voter hears the router again and withdraws its vote.
     Withdrawn,
-    /// Neither the voter nor those it asked hear the router.
+    /// Neither the voter nor the routers it asked to probe hear the router.
     Suspected,
-    /// The voter has concluded from several votes that the router is dead.
+    /// The voter has concluded from a quorum of votes that the router is dead.
     Dead,
 }
 
@@ -48,23 +47,23 @@
 pub struct Suspicion {
     /// The router that the vote is about.
     pub subject: RouterId,
-    /// The subject's process.
+    /// Id of the subject's process.
     pub instance_id: InstanceId,
     /// The subject's incarnation.
     pub incarnation: u64,
     /// The router that casts the vote.
     pub voter: RouterId,
-    /// Later votes of a voter carry higher numbers.
+    /// Sequence number; later votes of the same voter have higher numbers.
     pub sequence: u64,
-    /// What the voter thinks of the subject.
+    /// The voter's opinion about the subject.
     pub opinion: Opinion,
 }
 
 /// Why a message is rejected. A rejected message has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is truncated, continues after its end, or contains what no message contains. The sender runs
-    /// another version, or the network path is broken: compare the routers' versions.
+    /// The message is truncated, has trailing bytes or has invalid contents. The sender runs another version
+    /// or the network path corrupts messages: compare the versions of the routers.
     Malformed,
     /// The name of a router or a zone in it is empty, too long or not printable ASCII.
     InvalidName,
@@ -81,29 +80,28 @@
 
 impl std::error::Error for MessageError {}
 
-/// Receives the contents of a message, part by part, after all of it has been decoded: first its updates,
-/// then its body.
+/// Receives the contents of a message after it has been decoded completely: first the updates, then the body.
 pub trait MessageHandler {
-    /// A heartbeat. `since_last_receipt`: µs since the sender last heard the receiver, if it ever did;
-    /// `view`: digest of the sender's view.
+    /// A heartbeat. `since_last_receipt` is the time in µs since the sender last heard the receiver, if it
+    /// ever did; `view` is the digest of the sender's view.
     fn heartbeat(&mut self, header: &Header, since_last_receipt: Option<Micros>, view: u64);
-    /// The sender wants the receiver to probe `target` on its behalf.
+    /// The sender asks the receiver to probe `target` on its behalf.
     fn ping_request(&mut self, header: &Header, target: RouterId);
-    /// The sender wants an acknowledgement, on behalf of `requester`.
+    /// The sender asks for an acknowledgement, on behalf of `requester`.
     fn ping(&mut self, header: &Header, requester: RouterId);
     /// The sender answers a ping that was sent on behalf of `requester`.
     fn ack(&mut self, header: &Header, requester: RouterId);
-    /// The sender has received an acknowledgement from this process of `target`.
+    /// The sender has received an acknowledgement from the process `instance_id` of `target`.
     fn indirect_ack(&mut self, header: &Header, target: RouterId, instance_id: InstanceId);
-    /// The sender's view by digests of its parts: it wants the records of those that differ.
+    /// The sender asks for the records of all buckets whose digest differs from its own in `view`.
     fn sync_request(&mut self, header: &Header, view: &[u32; DIGEST_BUCKETS]);
-    /// The name of the process `instance_id`, which is the receiver, is held by the process at `holder`.
+    /// The name of the receiver's process `instance_id` is held by another process, at `holder`.
     fn name_conflict(&mut self, header: &Header, instance_id: InstanceId, holder: SocketAddr);
     /// The process at `claimant` asked for the receiver's name.
     fn name_contested(&mut self, header: &Header, claimant: SocketAddr);
-    /// The record of a router.
+    /// A record of a router.
     fn record(&mut self, header: &Header, record: Record);
-    /// The vote of a router on another one.
+    /// A vote of one router on another.
     fn suspicion(&mut self, header: &Header, suspicion: Suspicion);
 }
 
@@ -127,7 +125,7 @@
     fn begin(kind: u8, header: &Header, body: &impl Serialize) -> Self {
         let mut message = Message(Vec::with_capacity(256));
         let fits = message.push(kind, &(header, body));
-        debug_assert!(fits, "no body fills a message");
+        debug_assert!(fits, "header and body must fit into an empty message");
         message
     }
 
@@ -151,17 +149,17 @@
         Self::begin(KIND_ACK, header, &requester)
     }
 
-    /// Confirms to a requester that a process of `target` has answered.
+    /// Confirms to a requester that the process `instance_id` of `target` has answered.
     pub fn indirect_ack(header: &Header, target: RouterId, instance_id: InstanceId) -> Self {
         Self::begin(KIND_INDIRECT_ACK, header, &(target, instance_id))
     }
 
-    /// Asks for the records of the parts of the view that differ.
+    /// Asks for the records of all buckets whose digest differs from that in `view`.
     pub fn sync_request(header: &Header, view: &[u32; DIGEST_BUCKETS]) -> Self {
         Self::begin(KIND_SYNC_REQUEST, header, view)
     }
 
-    /// A message that carries nothing but updates.
+    /// A message that carries only updates.
     pub fn updates(header: &Header) -> Self {
         Self::begin(KIND_UPDATES, header, &())
     }
@@ -213,7 +211,7 @@
 }
 
 /// Whether a text is a valid name of a router or a zone: 1 to [`MAX_NAME_BYTES`] printable ASCII characters
-/// without blanks.
+/// other than spaces.
 pub fn is_valid_name(text: &str) -> bool {
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
@@ -231,7 +229,7 @@
     NameContested { claimant: SocketAddr },
 }
 
-/// A decoded update after the body.
+/// A decoded update, as they follow the body.
 enum Update {
     Record(Record),
     Suspicion(Suspicion),
@@ -241,7 +239,7 @@
 ///
 /// # Errors
 ///
-/// If any part of the message is malformed or holds an invalid name; the handler is not called then.
+/// If any part of the message is malformed or contains an invalid name. The handler is not called then.
 pub fn read(bytes: &[u8], handler: &mut dyn MessageHandler) -> Result<(), MessageError> {
     let mut remaining = bytes;
     let kind: u8 = take(&mut remaining)?;
@@ -251,7 +249,7 @@
     while !remaining.is_empty() {
         updates.push(decode_update(&mut remaining)?);
     }
-    // Updates first: what the body leads to depends on them.
+    // Updates first, because the effects of the body depend on them.
     for update in updates {
         match update {
             Update::Record(record) => handler.record(&header, record),
@@ -262,7 +260,7 @@
     Ok(())
 }
 
-/// Takes one part off the front.
+/// Decodes one part from the front of the remaining bytes.
 fn take<T: DeserializeOwned>(bytes: &mut &[u8]) -> Result<T, MessageError> {
     let (part, remaining) = postcard::take_from_bytes(bytes).map_err(|_| MessageError::Malformed)?;
     *bytes = remaining;
