--- a/crates/membership/src/membership/peer.rs
+++ b/crates/membership/src/membership/peer.rs
@@ -1,45 +1,45 @@
-//! The state that is kept about one other router.
+//! State of one other router.
 use super::health::HealthPenalties;
 use crate::message::Opinion;
 use crate::observation::{LinkFault, MemberView, ObservedStatus};
 use crate::record::{Record, RouterId};
 use applepond::interface::Micros;
 
-/// A vote on a peer. A peer has at most one vote of each voter.
+/// A vote on a peer. At most one vote per voter is stored for a peer.
 pub(super) struct Vote {
     pub(super) voter: RouterId,
-    /// Later votes of a voter carry higher numbers.
+    /// Later votes of the same voter have higher numbers.
     pub(super) sequence: u64,
     pub(super) opinion: Opinion,
-    /// When it arrived here.
+    /// When the vote arrived here.
     pub(super) cast_at: Micros,
 }
 
 /// One other router.
 pub(super) struct Peer {
     pub(super) record: Record,
-    /// The status that was last reported; none yet if the peer has just become known.
+    /// The last reported status; `None` for a new peer.
     pub(super) observed: Option<ObservedStatus>,
-    /// Since when it has that status.
+    /// Since when the peer has had that status.
     pub(super) since: Micros,
-    /// Names of the routers whose votes declared it dead.
+    /// Names of the routers whose votes declared the peer dead.
     pub(super) accusers: Vec<String>,
-    /// Silence counts from here at the earliest.
+    /// Silence is measured from no earlier than this time.
     pub(super) monitored_since: Micros,
-    /// When a message of the peer itself last arrived.
+    /// When a message from the peer itself last arrived.
     pub(super) last_receipt: Option<Micros>,
     /// When another router last confirmed that it hears the peer.
     pub(super) last_confirmed: Option<Micros>,
-    /// When the peer last heard this router, as far as its heartbeats tell.
+    /// When the peer last heard this router, according to its heartbeats.
     pub(super) last_receipt_by_peer: Option<Micros>,
     pub(super) votes: Vec<Vote>,
-    /// Since when enough votes stand to declare it dead.
+    /// Since when there has been a quorum of votes to declare the peer dead.
     pub(super) quorum_since: Option<Micros>,
-    /// Times that it was suspected though it was there.
+    /// Penalties for suspicions of the peer that proved false.
     pub(super) false_suspicions: HealthPenalties,
     pub(super) link_fault: Option<LinkFault>,
-    /// When its last heartbeat arrived. If the peer is no neighbour here, views differ and it is answered
-    /// for a while as a transient neighbour.
+    /// When the last heartbeat of the peer arrived. If the peer is not a neighbour in this router's view, the
+    /// views differ, and it is treated as a transient neighbour for a while.
     pub(super) last_heartbeat: Option<Micros>,
 }
 
@@ -66,7 +66,7 @@
         self.record.status.is_active()
     }
 
-    /// The vote of one voter, withdrawn ones included.
+    /// The vote of one voter, including a withdrawn one.
     pub(super) fn vote_of(&self, voter: RouterId) -> Option<&Vote> {
         self.votes.iter().find(|vote| vote.voter == voter)
     }
@@ -76,7 +76,7 @@
         self.votes.iter().filter(|vote| vote.opinion != Opinion::Withdrawn)
     }
 
-    /// Puts a vote in the place of the voter's earlier one.
+    /// Stores a vote in place of the voter's earlier one.
     pub(super) fn replace_vote(&mut self, vote: Vote) {
         self.votes.retain(|other| other.voter != vote.voter);
         self.votes.push(vote);
@@ -87,9 +87,9 @@
         self.quorum_since = None;
     }
 
-    /// Takes a new record. `was_active`: whether the peer took part under the record before.
+    /// Replaces the record. `was_active` says whether the peer was active under the previous record.
     ///
-    /// A new process starts without any history, a new incarnation without votes.
+    /// A new process starts without history, a new incarnation without votes.
     pub(super) fn update_record(&mut self, now: Micros, record: Record, was_active: bool) {
         if self.record.instance_id != record.instance_id {
             let (observed, since) = (self.observed, self.since);
@@ -105,7 +105,7 @@
         self.record = record;
     }
 
-    /// The peer as the view shows it.
+    /// The peer as shown in the view.
     pub(super) fn view(&self) -> MemberView {
         MemberView {
             record: self.record.clone(),
