--- a/crates/membership/src/membership/voting.rs
+++ b/crates/membership/src/membership/voting.rs
@@ -1,4 +1,4 @@
-//! Suspicion: this router's own votes, the quorum of votes and the declaration of death.
+//! Suspicion: this router's own votes, the quorum, and the declaration of death.
 use super::Membership;
 use super::dissemination::Update;
 use super::failure_detector::Silence;
@@ -9,11 +9,12 @@
 use crate::record::{MemberStatus, RouterId};
 use applepond::interface::Micros;
 
-/// Votes that a quorum has at least, so that no router is declared dead by one voter alone.
+/// Minimum number of votes in a quorum, so that a single voter cannot declare a router dead.
 const MIN_QUORUM: usize = 2;
 
 impl Membership {
-    /// Suspects a neighbour that nobody hears, and withdraws the vote once somebody does.
+    /// Votes against a neighbour that no router hears, renews the vote, and withdraws it once the neighbour
+    /// is heard again.
     pub(super) fn update_own_vote(&mut self, id: RouterId, silence: Silence, timeout: Micros) {
         let Some(peer) = self.peers.get(&id) else { return };
         let own_vote = peer.vote_of(self.local_id).filter(|vote| vote.opinion != Opinion::Withdrawn);
@@ -32,19 +33,19 @@
         }
     }
 
-    /// Casts this router's own vote.
+    /// Casts this router's vote on a peer and queues it for dissemination.
     fn cast_vote(&mut self, id: RouterId, opinion: Opinion) {
         let (voter, now) = (self.local_id, self.now);
         let Some(peer) = self.peers.get_mut(&id) else { return };
         let previous = peer.vote_of(voter).map_or(0, |vote| vote.sequence);
-        // From the clock, so that votes of this process rank above those it cast before a restart.
+        // Derived from the clock, so that votes after a restart of this process outrank those before it.
         let sequence = (now / 1_000).max(previous.saturating_add(1));
         peer.replace_vote(Vote { voter, sequence, opinion, cast_at: now });
         self.suspects.insert(id);
         self.queue_update(Update::Vote { subject: id, voter });
     }
 
-    /// Declares those dead against whom enough votes have stood for the suspicion timeout.
+    /// Declares dead each suspect against which a quorum of votes has stood for the suspicion timeout.
     pub(super) fn evaluate_votes(&mut self, actions: &mut dyn Actions) {
         self.next_verdict = None;
         for id in self.suspects.clone() {
@@ -77,16 +78,17 @@
         self.refresh_observed_status(actions, id);
     }
 
-    /// The votes that count: those of active routers, this one included.
+    /// The votes that count towards the quorum: those of active routers, including this one.
     pub(super) fn counted_votes<'a>(&'a self, peer: &'a Peer) -> impl Iterator<Item = &'a Vote> {
         let is_active =
             |id: RouterId| id == self.local_id || self.peers.get(&id).is_some_and(Peer::is_active);
         peer.standing_votes().filter(move |vote| is_active(vote.voter))
     }
 
-    /// Votes that are needed to declare a router dead: those of most of its observers that are not
-    /// suspected themselves, and never that of one router alone. A router that errs or lies has one vote,
-    /// however often it casts it.
+    /// Number of votes needed to declare a router dead: a majority of its observers, not counting observers
+    /// that are suspected themselves, and at least [`MIN_QUORUM`].
+    ///
+    /// Each voter has one vote, so that a faulty or lying router cannot reach the quorum by repeating it.
     fn quorum(&self, id: RouterId) -> usize {
         if !self.safeguards.vote_quorum {
             return 1;
