--- a/crates/membership/src/membership/takeover.rs
+++ b/crates/membership/src/membership/takeover.rs
@@ -1,4 +1,5 @@
-//! Two processes under one name: the holder is pinged for a while before a newcomer takes its name over.
+//! Takeover of a name: when a second process asks for a name, its holder is pinged for some time before the
+//! second process may take the name over.
 use super::Membership;
 use crate::config::{HEARTBEAT_TIMEOUT, MAX_PENDING_TAKEOVERS, TAKEOVER_TIMEOUT};
 use crate::message::Message;
@@ -7,17 +8,17 @@
 use applepond::interface::Micros;
 use std::net::SocketAddr;
 
-/// A newcomer that asks for the name of a router that is there.
+/// A newcomer that asks for the name of an active router.
 pub(super) struct PendingTakeover {
     newcomer: SocketAddr,
     instance_id: InstanceId,
-    /// Until then the holder may answer.
+    /// Time until which an answer of the holder refuses the newcomer.
     deadline: Micros,
 }
 
 impl Membership {
-    /// Pings the holder of a name that a newcomer asks for: an answer refuses the newcomer, silence admits
-    /// it.
+    /// Pings the holder of a name that a newcomer asks for. If the holder answers, the newcomer is refused;
+    /// if it is silent until the deadline, the newcomer takes the name over when it asks again.
     pub(super) fn challenge_holder(&mut self, actions: &mut dyn Actions, id: RouterId, record: &Record) {
         let Record { address: newcomer, instance_id, .. } = *record;
         match self.takeovers.get(&id) {
@@ -42,17 +43,17 @@
         }
     }
 
-    /// Pings the holders of all contested names again.
+    /// Pings the holders of all contested names again, and drops takeovers whose newcomer has given up.
     pub(super) fn ping_contested_holders(&mut self, actions: &mut dyn Actions) {
         let now = self.now;
-        // The newcomer has not asked again since: it has given up.
+        // A newcomer that has not asked again by then has given up.
         self.takeovers.retain(|_, pending| now < pending.deadline + HEARTBEAT_TIMEOUT);
         for id in self.takeovers.keys() {
             self.ping_holder(actions, *id);
         }
     }
 
-    /// The holder of a name was heard: a newcomer that asks for the name is refused, and both are told.
+    /// Refuses a pending takeover because the holder of the name was heard, and informs both processes.
     pub(super) fn refuse_takeover(&mut self, actions: &mut dyn Actions, id: RouterId) {
         let Some(pending) = self.takeovers.remove(&id) else { return };
         let Some(holder) = self.peers.get(&id).map(|peer| peer.record.address) else { return };
