--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection: how long neighbours have been silent, and which way of a link has failed.
+//! Failure detection: how long neighbours have been silent, and in which direction a link has failed.
 use super::Membership;
 use super::peer::Peer;
 use crate::config::{HEARTBEAT_TIMEOUT, INDIRECT_PROBES, MIN_NEIGHBOURS_TO_DETECT_ISOLATION};
@@ -7,17 +7,18 @@
 use crate::record::RouterId;
 use applepond::interface::Micros;
 
-/// For how long a peer has been silent, in µs.
+/// Time in µs for which a peer has been silent.
 #[derive(Clone, Copy)]
 pub(super) struct Silence {
-    /// Towards this router.
+    /// Silence towards this router.
     pub(super) direct: Micros,
-    /// Towards this router and all others that were asked.
+    /// Silence towards this router and all routers that were asked to probe the peer.
     pub(super) overall: Micros,
 }
 
 impl Membership {
-    /// Silence after which a peer is suspected, in µs, lengthened by the health penalties of both sides.
+    /// Silence in µs after which a peer is suspected, lengthened by the health penalties of this process and
+    /// of the peer.
     pub(super) fn heartbeat_timeout(&self, peer: &Peer) -> Micros {
         if !self.safeguards.local_health {
             return HEARTBEAT_TIMEOUT;
@@ -36,13 +37,14 @@
         }
     }
 
-    /// Whether this router hears the peer itself: then it is there, whatever others say.
+    /// Whether this router has recently heard the peer itself, which outweighs any votes of others.
     pub(super) fn hears_directly(&self, peer: &Peer) -> bool {
         let timeout = self.heartbeat_timeout(peer);
         peer.last_receipt.is_some_and(|at| self.now < at.max(self.resumed_at) + timeout)
     }
 
-    /// Checks each active neighbour: has others probe one that is silent, suspects one that nobody hears.
+    /// Checks all active neighbours: requests indirect probes of silent ones and suspects those that no
+    /// router hears.
     pub(super) fn check_neighbours(&mut self, actions: &mut dyn Actions) {
         let is_active = |id: &RouterId| self.peers[id].is_active();
         let active: Vec<RouterId> = self.neighbours.iter().copied().filter(is_active).collect();
@@ -76,7 +78,7 @@
     fn diagnose_link(&self, peer: &Peer, silence: Silence, timeout: Micros) -> Option<LinkFault> {
         match (silence.direct > timeout, silence.overall > timeout) {
             (true, false) => Some(LinkFault::In),
-            // Nobody hears it: nothing new is known of the link.
+            // No router hears the peer, which says nothing about the link.
             (true, true) => peer.link_fault,
             (false, _) => {
                 let silent_to_peer = peer.last_receipt_by_peer.is_some_and(|at| self.now >= at + timeout);
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Asks some of the peer's other neighbours to probe it: if anybody hears it, they do.
+    /// Asks some of the peer's other neighbours to probe it: they are the routers most likely to hear it.
     fn request_indirect_probes(&mut self, actions: &mut dyn Actions, id: RouterId) {
         let mut candidates = self.rings.neighbours_of(id);
         candidates.retain(|other| *other != self.local_id);
