--- a/crates/membership/src/membership/incoming.rs
+++ b/crates/membership/src/membership/incoming.rs
@@ -1,4 +1,4 @@
-//! Effects of received messages.
+//! Handling of received messages.
 use super::Membership;
 use super::dissemination::Update;
 use super::peer::{Peer, Vote};
@@ -9,12 +9,12 @@
 use applepond::interface::Micros;
 use std::net::SocketAddr;
 
-/// One message that is being handled.
+/// Handles the contents of one received message.
 pub(super) struct IncomingMessage<'a> {
     membership: &'a mut Membership,
     actions: &'a mut dyn Actions,
-    /// Whether the sender is the current process of an active router, as far as is known here. Determined
-    /// once for each message, as it has effects.
+    /// Whether the sender is the current process of an active router according to the known records.
+    /// Determined only once per message, because determining it has side effects.
     sender_is_current: Option<bool>,
 }
 
@@ -23,8 +23,8 @@
         IncomingMessage { membership, actions, sender_is_current: None }
     }
 
-    /// Takes notice of the sender. Returns false if the message's body does not count, because its sender
-    /// is unknown, has been replaced or has departed.
+    /// Records the sender, and returns whether the body of the message takes effect. It does not if the
+    /// sender is unknown, has been replaced or has departed.
     fn accept_sender(&mut self, header: &Header) -> bool {
         if let Some(is_current) = self.sender_is_current {
             return is_current;
@@ -50,8 +50,9 @@
         };
         let record = &peer.record;
         if record.instance_id != header.instance_id || header.incarnation < record.incarnation {
-            // A process that was replaced or is about to replace another, or an earlier message, late or
-            // repeated, which proves nothing about the present: the sender learns what is known.
+            // The sender is a process that was replaced or is about to replace another, or the message is an
+            // old one, delayed or replayed, which does not prove that the sender is live now. The sender is
+            // told which record is known.
             self.answer_outdated_sender(actions, header);
             return false;
         }
@@ -64,8 +65,8 @@
         true
     }
 
-    /// A message under this router's own name: another process has started under it, or an own message came
-    /// back.
+    /// Handles a message under this router's own name: another process has started under the name, or one of
+    /// this process's messages was reflected.
     fn answer_own_name(&self, actions: &mut dyn Actions, header: &Header) {
         if header.instance_id != self.local.instance_id {
             let refusal = Message::name_conflict(&self.header(), header.instance_id, self.local.address);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Tells the sender which record is known under its name.
+    /// Sends the known record under the sender's name to the sender.
     fn answer_outdated_sender(&mut self, actions: &mut dyn Actions, header: &Header) {
         if !self.take_reply() {
             return;
@@ -86,7 +87,7 @@
         actions.send(header.address, message.bytes());
     }
 
-    /// Tells the sender that it was declared dead here.
+    /// Tells the sender that this router has declared it dead.
     fn answer_departed_sender(&mut self, actions: &mut dyn Actions, header: &Header) {
         if !self.take_reply() {
             return;
@@ -99,8 +100,8 @@
         actions.send(header.address, message.bytes());
     }
 
-    /// A vote in this router's own name. Only this router speaks of its votes: one that it has not cast, or
-    /// has withdrawn since, it takes back.
+    /// Handles a vote in this router's own name. If this router has not cast it, or has withdrawn it since,
+    /// it withdraws the vote under a higher sequence number.
     fn handle_echoed_vote(&mut self, vote: &Suspicion) {
         let own = self.suspicion(vote.subject, self.local_id);
         if vote.opinion == Opinion::Withdrawn || own.is_some_and(|own| own.sequence >= vote.sequence) {
@@ -116,12 +117,13 @@
         self.queue_update(Update::Vote { subject: vote.subject, voter: vote.voter });
     }
 
-    /// A vote of another router on a third one.
+    /// Handles a vote of another router on a third one.
     fn handle_vote_on_peer(&mut self, vote: &Suspicion) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(&vote.subject).filter(|peer| peer.is_active()) else { return };
         if !is_about(vote, &peer.record) {
-            // The subject has refuted it since: whoever still passes the vote on learns so.
+            // The subject has refuted the vote since. Passing on its record informs the routers that still
+            // disseminate the vote.
             let record = &peer.record;
             if record.instance_id == vote.instance_id && record.incarnation > vote.incarnation {
                 self.queue_record_once(vote.subject);
@@ -140,7 +142,8 @@
     (vote.instance_id, vote.incarnation) == (record.instance_id, record.incarnation)
 }
 
-/// Stores a received vote; false if a later one of the same voter is known or too many votes are stored.
+/// Stores a received vote. Returns false if the same or a later vote of the voter is known, or if the limit
+/// on votes is reached.
 fn store_vote(peer: &mut Peer, received: &Suspicion, now: Micros) -> bool {
     let is_full = peer.votes.len() >= MAX_VOTES_PER_MEMBER;
     let Suspicion { voter, sequence, opinion, .. } = *received;
@@ -182,7 +185,7 @@
     }
 
     fn ping(&mut self, header: &Header, requester: RouterId) {
-        // Also a sender that is not known here gets its answer.
+        // An unknown sender is answered as well.
         self.accept_sender(header);
         let message = Message::ack(&self.membership.header(), requester);
         self.actions.send(header.address, message.bytes());
@@ -209,7 +212,7 @@
     }
 
     fn sync_request(&mut self, header: &Header, view: &[u32; DIGEST_BUCKETS]) {
-        // Also a sender that is not known here gets its answer: it may be joining.
+        // An unknown sender is answered as well: it may be joining.
         self.accept_sender(header);
         let own = self.membership.digests;
         self.membership.send_records(self.actions, header.address, |bucket| own[bucket] != view[bucket]);
