--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: updates piggybacked on heartbeats, comparison of views, and contact to routers that may
-//! be back.
+//! Dissemination: updates piggybacked on heartbeats, comparison of views, and attempts to contact routers
+//! that may have restarted.
 use super::Membership;
 use super::peer::Peer;
 use super::table::digest_bucket;
@@ -13,29 +13,30 @@
 use applepond::interface::Micros;
 use std::net::SocketAddr;
 
-/// Time in µs since its last heartbeat for which a router that is no neighbour here is answered.
+/// Time in µs after its last heartbeat for which a router that is not a neighbour receives heartbeats.
 const TRANSIENT_NEIGHBOUR_DURATION: Micros = 4 * HEARTBEAT_INTERVAL;
 
-/// Routers that are no neighbours here and are answered nevertheless, at most.
+/// Maximum number of routers that receive heartbeats without being neighbours.
 const MAX_TRANSIENT_NEIGHBOURS: usize = 4 * RING_COUNT;
 
-/// What is on its way around the fleet. Among updates that were transmitted equally often the order of the
-/// variants decides.
+/// An update that is being disseminated to the fleet. Updates that were sent equally often go out in the
+/// order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Update {
-    /// The local record.
+    /// The record of the local router.
     Local,
     /// The record of a peer.
     Record(RouterId),
-    /// The vote of a router on another one.
+    /// The vote of one router on another.
     Vote { subject: RouterId, voter: RouterId },
 }
 
 impl Membership {
-    /// Queues an update for dissemination to all.
+    /// Queues an update for dissemination to the whole fleet.
     pub(super) fn queue_update(&mut self, update: Update) {
         if self.updates.len() >= MAX_QUEUED_UPDATES && !self.updates.contains_key(&update) {
-            // The most transmitted one is dropped; comparing views repairs what that costs.
+            // Drops the update that was sent most often; the comparison of views delivers it to routers that
+            // missed it.
             let least_left = self.updates.iter().min_by_key(|(_, left)| **left).map(|(other, _)| *other);
             least_left.map(|other| self.updates.remove(&other));
         }
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Appends an update to a message; false if it does not fit.
+    /// Appends an update to a message. Returns false if it does not fit.
     fn write_update(&self, message: &mut Message, update: Update) -> bool {
         match update {
             Update::Local => message.record(&self.local),
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The stored vote of a router on another one, as it is sent.
+    /// The stored vote of `voter` on `subject`, in the form in which it is sent.
     pub(super) fn suspicion(&self, subject: RouterId, voter: RouterId) -> Option<Suspicion> {
         let peer = self.peers.get(&subject)?;
         let vote = peer.vote_of(voter)?;
@@ -76,13 +77,13 @@
         })
     }
 
-    /// Encodes as many updates as fit beside a heartbeat, the least transmitted first, and counts them as
-    /// transmitted once more.
+    /// Encodes as many updates as fit into a message with a heartbeat, the least often sent first, and counts
+    /// them as sent once more.
     fn take_updates(&mut self) -> Vec<u8> {
         let mut queue: Vec<(u8, Update)> =
             self.updates.iter().map(|(update, left)| (*left, *update)).collect();
         queue.sort_unstable_by(|one, other| other.0.cmp(&one.0).then(one.1.cmp(&other.1)));
-        // A heartbeat of the largest size, so that its own content always fits beside the updates.
+        // Reserves room for a heartbeat of maximum size, so that the updates fit beside any heartbeat.
         let mut message = Message::heartbeat(&self.header(), Some(Micros::MAX), u64::MAX);
         let begin = message.bytes().len();
         for (left, update) in queue {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Sends a heartbeat with updates to all neighbours, transient ones included.
+    /// Sends a heartbeat with updates to all neighbours, including transient ones.
     pub(super) fn send_heartbeats(&mut self, actions: &mut dyn Actions) {
         let updates = self.take_updates();
         let (header, view) = (self.header(), self.view_digest());
@@ -118,7 +119,7 @@
             let since_last_receipt = peer.last_receipt.map(|at| self.now - at);
             let mut message = Message::heartbeat(&header, since_last_receipt, view);
             message.append(&updates);
-            // A suspected router hears of the suspicion first.
+            // Tells a suspected router about the suspicion, so that it can refute it at once.
             let vote = peer.standing_votes().next();
             if let Some(suspicion) = vote.and_then(|vote| self.suspicion(id, vote.voter)) {
                 message.suspicion(&suspicion);
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Routers that take this one for their neighbour by a different view: they have to hear it too.
+    /// Routers whose different view makes this router their neighbour. They monitor this router, so they need
+    /// its heartbeats too.
     fn transient_neighbours(&self) -> impl Iterator<Item = RouterId> + '_ {
         let is_recent =
             |peer: &Peer| peer.last_heartbeat.is_some_and(|at| self.now < at + TRANSIENT_NEIGHBOUR_DURATION);
@@ -136,8 +138,8 @@
         transient.map(|(id, _)| *id).take(MAX_TRANSIENT_NEIGHBOURS)
     }
 
-    /// Contacts one seed, and one router that is dead: either may be back. A joining router also asks a
-    /// router that is there.
+    /// Contacts one random seed that is not an active member and one random dead router, as either may have
+    /// restarted. A joining router also contacts one random active router.
     pub(super) fn contact_missing(&mut self, actions: &mut dyn Actions) {
         if self.now < self.next_contact {
             return;
@@ -149,8 +151,7 @@
         let is_dead = |peer: &&Peer| peer.record.status == MemberStatus::Dead;
         let dead: Vec<SocketAddr> =
             self.peers.values().filter(is_dead).map(|peer| peer.record.address).collect();
-        // A router that has not been admitted yet goes on asking: those that knew more at first may have
-        // lost it since.
+        // A joining router keeps asking active routers, because those that knew its record may have lost it.
         let is_joining = self.local.status == MemberStatus::Joining;
         let helpers: Vec<SocketAddr> = if is_joining { active().collect() } else { Vec::new() };
         for candidates in [seeds, dead, helpers] {
@@ -161,15 +162,14 @@
         }
     }
 
-    /// Asks a router for the records of the parts of the view that differ.
+    /// Asks a router for the records of all buckets in which the views differ.
     pub(super) fn request_sync(&self, actions: &mut dyn Actions, to: SocketAddr) {
         let mut message = Message::sync_request(&self.header(), &self.digests);
         message.record(&self.local);
         actions.send(to, message.bytes());
     }
 
-    /// Sends the records of the parts of the view that differ, the local record first, within the bounds on
-    /// replies.
+    /// Sends the local record and the records of all buckets that differ, within the limits on replies.
     pub(super) fn send_records(
         &mut self,
         actions: &mut dyn Actions,
@@ -192,16 +192,17 @@
         }
     }
 
-    /// Appends what is known of a peer; false if it does not fit.
+    /// Appends the record of a peer, or this router's vote if the peer is dead. Returns false if it does not
+    /// fit.
     fn write_for_sync(&self, message: &mut Message, id: RouterId, peer: &Peer) -> bool {
         if peer.record.status != MemberStatus::Dead {
             return message.record(&peer.record);
         }
-        // That a router is dead is one vote: whoever reads it needs those of others as well.
+        // The death of a router is sent as this router's single vote: the receiver needs a quorum of its own.
         self.suspicion(id, self.local_id).is_none_or(|suspicion| message.suspicion(&suspicion))
     }
 
-    /// Takes one reply from the budget of this heartbeat interval; false if none is left.
+    /// Takes one reply from the budget of this heartbeat interval. Returns false if the budget is used up.
     pub(super) fn take_reply(&mut self) -> bool {
         if self.reply_budget == 0 {
             return false;
