--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -1,5 +1,5 @@
-//! The table of records: the one place where the record of another router changes, and the rules by which a
-//! received record overrules a known one.
+//! The table of records: the only module that changes records of other routers, with the rules that decide
+//! whether a received record replaces a known one.
 use super::Membership;
 use super::dissemination::Update;
 use super::peer::Peer;
@@ -8,7 +8,7 @@
 use crate::observation::{Actions, Change, LinkFault, ObservedStatus};
 use crate::record::{MemberStatus, Record, RouterId};
 
-/// Digest of one record, which the digest of its bucket combines by exclusive or.
+/// Digest of one record. The digest of a bucket is the exclusive or of its records' digests.
 fn record_digest(id: RouterId, record: &Record) -> u32 {
     let status = record.status as u64 + 1;
     let mut hash = id.0 ^ record.instance_id.0.rotate_left(17) ^ record.incarnation.rotate_left(40) ^ status;
@@ -16,12 +16,12 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// The part of the view that a router belongs to when views are compared.
+/// The bucket of a router in the comparison of views.
 pub(super) fn digest_bucket(id: RouterId) -> usize {
     (id.0 >> 59) as usize % DIGEST_BUCKETS
 }
 
-/// Adds a record to the digests, or removes it again.
+/// Adds a record to the digests, or removes it if it was added before.
 fn toggle_digest(digests: &mut [u32; DIGEST_BUCKETS], id: RouterId, record: &Record) {
     if record.status.is_active() {
         digests[digest_bucket(id)] ^= record_digest(id, record);
@@ -29,7 +29,7 @@
 }
 
 impl Membership {
-    /// Adds the local record to the digests, or removes it again.
+    /// Adds the local record to the digests, or removes it if it was added before.
     pub(super) fn toggle_local_digest(&mut self) {
         toggle_digest(&mut self.digests, self.local_id, &self.local);
     }
@@ -40,7 +40,7 @@
         self.store_record(id, record);
     }
 
-    /// Stores a record; digests, rings and neighbours follow.
+    /// Stores a record and updates digests, rings and neighbours.
     fn store_record(&mut self, id: RouterId, record: Record) {
         let previous = self.peers.get(&id).map(|peer| &peer.record);
         if let Some(previous) = previous {
@@ -75,7 +75,7 @@
         self.neighbours = neighbours;
     }
 
-    /// Observes the status of a peer anew, and reports it where it has changed.
+    /// Determines the observed status of a peer again and reports a change.
     pub(super) fn refresh_observed_status(&mut self, actions: &mut dyn Actions, id: RouterId) {
         let Some(peer) = self.peers.get(&id) else { return };
         let current = self.observe_status(id, peer);
@@ -103,7 +103,7 @@
         if peer.link_fault == Some(LinkFault::In) {
             return ObservedStatus::Unreachable;
         }
-        // Nobody else has suspected it for a while: this router's own link may have failed.
+        // No other router has suspected the peer during this time, so this router's link may have failed.
         if self.silence(peer).direct > 2 * self.heartbeat_timeout(peer) {
             let is_neighbour = self.neighbours.contains(&id);
             return if is_neighbour { ObservedStatus::Unreachable } else { ObservedStatus::Alive };
@@ -114,7 +114,7 @@
         ObservedStatus::Alive
     }
 
-    /// Merges a received record into the table. `direct`: the router itself sent it from this address.
+    /// Merges a received record into the table. `direct` says whether the process sent its own record.
     pub(super) fn merge_record(&mut self, actions: &mut dyn Actions, record: Record, direct: bool) {
         let id = RouterId::named(&record.name);
         if id == self.local_id {
@@ -131,7 +131,7 @@
     }
 
     fn merge_unknown(&mut self, actions: &mut dyn Actions, id: RouterId, record: Record) {
-        // That a router has departed matters only to those who knew it.
+        // The departure of a router is irrelevant to routers that did not know it.
         if !record.status.is_active() {
             return;
         }
@@ -148,9 +148,9 @@
         let same = record.incarnation == known.incarnation;
         let leaves = record.status == MemberStatus::Left && known.status.is_active();
         let is_admitted = record.status == MemberStatus::Alive && known.status == MemberStatus::Joining;
-        // Without the safeguard a departed router comes back under its old incarnation.
+        // Without the safeguard, a departed router may return under its old incarnation.
         let returns = !self.safeguards.incarnation_bump && same && !known.status.is_active();
-        // A peer is declared dead by votes alone, never by the record that another router passes on.
+        // Only votes declare a peer dead, never a record passed on by another router.
         let is_death = record.status == MemberStatus::Dead;
         if is_death || !(newer || returns || same && (leaves || is_admitted)) {
             return;
@@ -161,7 +161,7 @@
         self.accept_record(actions, id, record);
     }
 
-    /// Another process under the name of a known router.
+    /// Merges the record of a different process under the name of a known router.
     fn merge_other_instance(
         &mut self,
         actions: &mut dyn Actions,
@@ -175,8 +175,8 @@
         if !newer || !record.status.is_active() {
             return;
         }
-        // If the newcomer itself says so, this router finds out whether the process before is still there:
-        // otherwise two processes would take turns under one name.
+        // If the newcomer itself sent the record, the known process is probed first. Otherwise two live
+        // processes would alternately take the name from each other.
         if direct && peer.is_active() && known.address != record.address {
             return self.challenge_holder(actions, id, &record);
         }
@@ -190,7 +190,7 @@
         self.refresh_observed_status(actions, id);
     }
 
-    /// Forgets routers that departed long ago.
+    /// Forgets routers that departed longer than [`DEPARTED_RETENTION`] ago.
     pub(super) fn forget_departed(&mut self) {
         let now = self.now;
         self.peers.retain(|_, peer| peer.is_active() || now < peer.since + DEPARTED_RETENTION);
