--- a/crates/membership/src/membership/local_record.rs
+++ b/crates/membership/src/membership/local_record.rs
@@ -1,4 +1,4 @@
-//! The local router's own record: admission, refutation under a higher incarnation, rejoin and loss of the
+//! The local router's record: admission, refutation under a higher incarnation, rejoining, and loss of the
 //! name.
 use super::Membership;
 use super::dissemination::Update;
@@ -12,18 +12,18 @@
 use applepond::interface::Micros;
 use std::net::SocketAddr;
 
-/// Reports of this router's death from which on it rejoins instead of merely refuting.
+/// Number of reports of its death at which this router rejoins instead of only refuting them.
 const REPORTS_FOR_REJOIN: usize = 2;
 
-/// A refutation of reports that this router is dead.
+/// A scheduled refutation of reports that this router is dead.
 pub(super) struct PendingRefutation {
     pub(super) due: Micros,
-    /// The highest incarnation that the reports named.
+    /// The highest incarnation to which the reports refer.
     pub(super) incarnation: u64,
 }
 
 impl Membership {
-    /// Changes what this router publishes of itself.
+    /// Changes the local record and queues it for dissemination.
     pub(super) fn update_local(&mut self, incarnation: u64, status: MemberStatus) {
         self.toggle_local_digest();
         if self.local.status != status {
@@ -35,8 +35,11 @@
         self.queue_update(Update::Local);
     }
 
-    /// What others say about this router: an older process under its name yields or holds it; that it left
-    /// or has a higher incarnation is refuted.
+    /// Merges a record about this router that was received from another one.
+    ///
+    /// If the record is of this process and says that it departed or has a higher incarnation, it is refuted.
+    /// If it is of another process that ranks higher, this process gives up the name if it was admitted
+    /// before, and otherwise raises its incarnation above that of the other process.
     pub(super) fn merge_local_record(&mut self, actions: &mut dyn Actions, record: &Record) {
         let Record { instance_id, incarnation, status, .. } = *record;
         if instance_id == self.local.instance_id {
@@ -53,7 +56,7 @@
         }
     }
 
-    /// A vote on this router.
+    /// Handles a vote on this router.
     pub(super) fn handle_vote_on_local(&mut self, actions: &mut dyn Actions, vote: &Suspicion) {
         let is_obsolete = vote.incarnation < self.joined_incarnation;
         if vote.instance_id != self.local.instance_id || is_obsolete {
@@ -77,11 +80,11 @@
         pending.incarnation = pending.incarnation.max(incarnation);
     }
 
-    /// Refutes what was said about this router up to the incarnation `said`, by a higher one.
+    /// Refutes statements about this router up to `refuted_incarnation` by raising the local incarnation.
     ///
-    /// A router that was declared dead by several others joins again, and counts only once its neighbours
+    /// A router that was declared dead by several others rejoins, and is live again only once its neighbours
     /// hear it.
-    pub(super) fn refute(&mut self, actions: &mut dyn Actions, said: u64) {
+    pub(super) fn refute(&mut self, actions: &mut dyn Actions, refuted_incarnation: u64) {
         let now = self.now;
         self.removal_reports.retain(|_, at| now < *at + HEALTH_PENALTY_DURATION);
         let was_removed = self.removal_reports.len() >= REPORTS_FOR_REJOIN;
@@ -92,7 +95,7 @@
         }
         self.last_refutation = now;
         let bump = u64::from(self.safeguards.incarnation_bump);
-        let incarnation = said.max(self.local.incarnation).saturating_add(bump);
+        let incarnation = refuted_incarnation.max(self.local.incarnation).saturating_add(bump);
         if was_removed {
             self.rejoin(actions, incarnation);
         } else {
@@ -110,8 +113,8 @@
         actions.changed(Change::Rejoined(incarnation));
     }
 
-    /// Becomes alive once most of the neighbours hear this router, or it is alone by its settings.
-    /// Afterwards resets the backoff of rejoins when there was none for long.
+    /// Makes a joining router alive once a majority of its neighbours hears it, or if it has no seeds and
+    /// knows no peers. Once it is alive, resets the backoff of rejoins after a long time without one.
     pub(super) fn update_admission(&mut self) {
         if self.local.status != MemberStatus::Joining {
             if self.now > self.rejoin_not_before + MAX_REJOIN_BACKOFF {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Gives up the name to another process; this one takes part no longer.
+    /// Gives up the name to another process. This process no longer takes part in the protocol.
     pub(super) fn yield_name(&mut self, actions: &mut dyn Actions, holder: SocketAddr) {
         self.name_lost = true;
         self.updates.clear();
