--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! The membership state machine: its state, its events and what can be asked of it.
+//! The membership state machine: its state, events and queries.
 //!
-//! Each concern has a module of its own: [`table`] holds the records of other routers, [`local_record`]
-//! that of this one, [`failure_detector`] measures silence, [`voting`] turns votes into deaths,
-//! [`takeover`] decides between two processes under one name, [`dissemination`] sends what others are to
-//! know and [`incoming`] handles what they send.
+//! The submodules implement the protocol: [`table`] stores the records of other routers, [`local_record`]
+//! the local one, [`failure_detector`] measures silence, [`voting`] declares routers dead by votes,
+//! [`takeover`] decides between two processes under one name, [`dissemination`] sends updates and records,
+//! and [`incoming`] handles received messages.
 mod dissemination;
 mod failure_detector;
 mod health;
@@ -31,68 +31,68 @@
 use std::net::SocketAddr;
 use takeover::PendingTakeover;
 
-/// The view that one router has of the fleet, and the protocol that keeps it.
+/// One router's view of the fleet, and the protocol that maintains it.
 ///
-/// The caller passes in the time (monotonic, in µs) with each event, and calls
+/// The caller passes in the monotonic time in µs with each event, and calls
 /// [`handle_timeout`](Membership::handle_timeout) when [`next_deadline`](Membership::next_deadline) has
 /// passed.
 pub struct Membership {
-    /// Time of the event that is being handled.
+    /// Time of the current event.
     now: Micros,
     local_id: RouterId,
-    /// What this router publishes of itself.
+    /// The record that this router publishes about itself.
     local: Record,
-    /// Time since which the local record has its status.
+    /// Since when the local record has had its status.
     local_status_since: Micros,
-    /// Addresses that are contacted as long as no known router has them.
+    /// Addresses that are contacted as long as no active router is known at them.
     seeds: Vec<SocketAddr>,
-    /// All other routers that are known, departed ones included.
+    /// All other known routers, including departed ones.
     peers: BTreeMap<RouterId, Peer>,
-    /// All active routers, the local one included.
+    /// All active routers, including the local one.
     rings: Rings,
-    /// The local router's neighbours by the rings; all of them are active peers.
+    /// The local router's neighbours according to the rings; all of them are active peers.
     neighbours: Vec<RouterId>,
     /// Peers against which votes are stored.
     suspects: BTreeSet<RouterId>,
-    /// Digests of the records of all active routers, by parts of the view.
+    /// Digests of the records of all active routers, by bucket.
     digests: [u32; DIGEST_BUCKETS],
-    /// Updates to disseminate, and how many more times each goes to all neighbours.
+    /// Updates to disseminate, and how many more times each is sent to all neighbours.
     updates: BTreeMap<Update, u8>,
-    /// Names of peers that newcomers ask for.
+    /// Names of peers for which a takeover by another process is pending.
     takeovers: BTreeMap<RouterId, PendingTakeover>,
     rng: Rand64,
     next_heartbeat: Micros,
-    /// When updates go out without waiting for the next heartbeat, if there are any.
+    /// When queued updates are sent without waiting for the next heartbeat.
     next_flush: Option<Micros>,
-    /// When the first of the suspects is declared dead, as votes stand.
+    /// When the first suspect is declared dead if the votes do not change.
     next_verdict: Option<Micros>,
     /// When this process last resumed after a stall.
     resumed_at: Micros,
-    /// Signs that this process is slow.
+    /// Penalties for signs that this process is slow.
     local_health: HealthPenalties,
-    /// All neighbours are silent at once.
+    /// Whether all neighbours are silent at once.
     isolated: bool,
     /// When seeds and dead routers may be contacted again.
     next_contact: Micros,
-    /// When this router last asked for a comparison of views.
+    /// When this router last requested a comparison of views.
     last_sync: Micros,
     /// Replies that may still be sent before the next heartbeat.
     reply_budget: usize,
-    /// Routers that report that this one is dead, and when they last did.
+    /// Routers that reported this one dead, and when they last did.
     removal_reports: BTreeMap<RouterId, Micros>,
-    /// The refutation of these reports that is due.
+    /// The scheduled refutation of these reports.
     pending_refutation: Option<PendingRefutation>,
-    /// Incarnation under which this router last joined: votes on earlier ones are obsolete.
+    /// Incarnation under which this router last joined; votes on earlier ones are obsolete.
     joined_incarnation: u64,
     last_refutation: Micros,
-    /// Backoff in µs before the rejoin after next.
+    /// Backoff in µs that the next rejoin imposes on the one after it.
     rejoin_backoff: Micros,
-    /// The next rejoin may not happen before.
+    /// Earliest time of the next rejoin.
     rejoin_not_before: Micros,
-    /// This router has been alive once: from then on an older process under its name does not make it raise
-    /// its incarnation, a newer one makes it give up the name.
+    /// Whether this router has ever been alive. Before that it raises its incarnation above that of another
+    /// process under its name; afterwards it gives up the name to a process that ranks higher.
     admitted: bool,
-    /// Another process holds the name.
+    /// Whether another process holds the name.
     name_lost: bool,
     safeguards: Safeguards,
 }
@@ -100,16 +100,15 @@
 impl Membership {
     /// Starts as a joining router.
     ///
-    /// `random_seed` seeds the generator of random numbers. If `seeds` names nobody but this router, it
-    /// forms a fleet of its own.
+    /// `random_seed` seeds the random number generator. If `seeds` contains no address other than its own,
+    /// the router forms a fleet of its own.
     pub fn new(now: Micros, identity: LocalIdentity, seeds: Vec<SocketAddr>, random_seed: u64) -> Self {
         let local_id = RouterId::named(&identity.name);
         let LocalIdentity { name, zone, address, instance_id, incarnation } = identity;
         let local = Record { name, zone, address, instance_id, incarnation, status: MemberStatus::Joining };
         let mut rng = Rand64::new(u128::from(random_seed));
-        // Routers that start together need not send their heartbeats together.
+        // Random phase, so that routers that start together do not send their heartbeats together.
         let next_heartbeat = now + rng.rand_range(0..HEARTBEAT_INTERVAL / 4);
-        // Over forty lines, as each field has a line.
         let mut membership = Membership {
             now,
             local_id,
@@ -148,40 +147,40 @@
         membership
     }
 
-    /// The same machine with only these safeguards, for measurements and fault injection.
+    /// Replaces the safeguards, for measurements and fault injection.
     pub fn with_safeguards(mut self, safeguards: Safeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
 
-    /// Replaces the addresses that are contacted first.
+    /// Replaces the addresses of the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds.into_iter().filter(|seed| *seed != self.local.address).collect();
     }
 
     // ---- Queries -----------------------------------------------------------------------------
 
-    /// What this router publishes of itself.
+    /// The record that this router publishes about itself.
     pub fn local_record(&self) -> &Record {
         &self.local
     }
 
-    /// Whether another process holds this router's name, so that this one takes part no longer.
+    /// Whether another process holds this router's name, so that this process no longer takes part.
     pub fn has_lost_name(&self) -> bool {
         self.name_lost
     }
 
-    /// Whether all neighbours are silent at once.
+    /// Whether all neighbours are silent at once, so that this router considers itself isolated.
     pub fn is_isolated(&self) -> bool {
         self.isolated
     }
 
-    /// Number of live routers, this one included: it serves, whatever others think of it.
+    /// Number of live routers. It always includes this one, which serves whatever its status is.
     pub fn live_count(&self) -> usize {
         1 + self.alive_peers().count()
     }
 
-    /// Number of live routers in each zone, this router included.
+    /// Number of live routers in each zone, including this router.
     pub fn live_count_by_zone(&self) -> BTreeMap<&str, usize> {
         let mut zones = BTreeMap::from([(self.local.zone.as_str(), 1)]);
         for peer in self.alive_peers() {
@@ -211,14 +210,15 @@
         std::iter::once(local).chain(self.peers.values().map(Peer::view))
     }
 
-    /// Digest of the view: equal for the same active routers under the same incarnations and statuses.
+    /// Digest of the view: equal for equal sets of active routers with equal instances, incarnations and
+    /// statuses.
     pub fn view_digest(&self) -> u64 {
         self.digests
             .iter()
             .fold(0, |view: u64, digest| view.rotate_left(7) ^ u64::from(*digest).wrapping_mul(0x9e37_79b9))
     }
 
-    /// The record of another router, whatever its status is.
+    /// The record of another router, including a departed one.
     pub fn record(&self, router: RouterId) -> Option<&Record> {
         self.peers.get(&router).map(|peer| &peer.record)
     }
@@ -228,17 +228,17 @@
         self.peers.iter().filter(|(_, peer)| peer.is_active()).map(|(id, _)| *id)
     }
 
-    /// The other router that this process belongs to.
+    /// The other router whose process has this instance id.
     pub fn router_of_instance(&self, instance_id: InstanceId) -> Option<RouterId> {
         self.peers.iter().find(|(_, peer)| peer.record.instance_id == instance_id).map(|(id, _)| *id)
     }
 
-    /// The routers that this one exchanges heartbeats with.
+    /// The routers with which this one exchanges heartbeats.
     pub fn neighbours(&self) -> &[RouterId] {
         &self.neighbours
     }
 
-    /// When [`handle_timeout`](Membership::handle_timeout) has to be called at the latest.
+    /// Time by which [`handle_timeout`](Membership::handle_timeout) has to be called.
     pub fn next_deadline(&self) -> Micros {
         let refutation = self.pending_refutation.as_ref().map(|pending| pending.due);
         [refutation, self.next_verdict, self.next_flush]
@@ -249,7 +249,7 @@
 
     // ---- Events ------------------------------------------------------------------------------
 
-    /// The deadline has passed.
+    /// Runs all actions that are due.
     pub fn handle_timeout(&mut self, now: Micros, actions: &mut dyn Actions) {
         self.advance_clock(now, actions);
         if self.has_ended() {
@@ -267,7 +267,8 @@
         } else if self.next_verdict.is_some_and(|at| now >= at) {
             self.evaluate_votes(actions);
         } else if self.next_flush.is_some_and(|at| now >= at) {
-            // Votes are updates: they are evaluated as they go around, not at the next heartbeat.
+            // Votes arrive as updates, so they are evaluated with each flush instead of only with the next
+            // heartbeat.
             self.evaluate_votes(actions);
             self.flush_updates(actions);
         }
@@ -287,11 +288,11 @@
         self.forget_departed();
     }
 
-    /// Handles a message that the envelope has shown to be from a member.
+    /// Handles a message from a member. The caller has authenticated its envelope.
     ///
     /// # Errors
     ///
-    /// If the message cannot be decoded; it has no effect then.
+    /// If the message cannot be decoded. It has no effect then.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -305,29 +306,29 @@
         message::read(bytes, &mut IncomingMessage::new(self, actions))
     }
 
-    /// Announces that this router leaves: at once to its neighbours, which pass it on.
+    /// Announces immediately to all neighbours, which pass it on, that this router leaves.
     pub fn leave(&mut self, now: Micros, actions: &mut dyn Actions) {
         self.advance_clock(now, actions);
         self.update_local(self.local.incarnation, MemberStatus::Left);
         for to in self.neighbour_addresses() {
             let mut message = Message::updates(&self.header());
             message.record(&self.local);
-            // Nobody repeats what is lost of it: the process ends before the next heartbeat.
+            // Sent twice against message loss: the process ends before it could retransmit.
             for _ in 0..2 {
                 actions.send(to, message.bytes());
             }
         }
     }
 
-    /// Whether this process takes part no longer.
+    /// Whether this process no longer takes part in the protocol.
     fn has_ended(&self) -> bool {
         self.name_lost || self.local.status == MemberStatus::Left
     }
 
-    /// Sets the time, and notices when this process stood still.
+    /// Sets the time, and detects whether this process was stalled.
     ///
-    /// This guards against a process that takes its own pause for the silence of others: votes that it
-    /// received before are void, silence counts from now, and it is patient for a while.
+    /// Guards against a process that mistakes its own stall for the silence of others: after a stall, stored
+    /// votes are discarded, silence is measured from now, and a health penalty lengthens timeouts.
     fn advance_clock(&mut self, now: Micros, actions: &mut dyn Actions) {
         let deadline = self.next_deadline();
         self.now = now;
@@ -345,7 +346,7 @@
         actions.changed(Change::ProcessStalled(now - deadline));
     }
 
-    /// Header of this router's messages.
+    /// Header for messages of this router.
     fn header(&self) -> Header {
         let Record { address, instance_id, incarnation, .. } = self.local;
         Header { from: self.local_id, instance_id, incarnation, address }
