--- a/crates/prefix_cache/tests/golden.rs
+++ b/crates/prefix_cache/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Bytes of the agreed list and of told panes: a version that writes others cannot run beside the one before.
+//! Golden bytes of the agreed list and of published panes. A change breaks compatibility with routers of the
+//! previous version.
 use applepond_prefix_cache::{PANE_DURATION, PaneCounter, Pin, PinList, PrefixId};
 
 fn list() -> PinList {
@@ -20,9 +21,9 @@
     for (id, uses) in [(1, 5), (0xffee_ddcc_bbaa_9988, 2), (70_000, 1)] {
         (0..uses).for_each(|_| panes.record_use(PrefixId(id)));
     }
-    let told = panes.take_finished(PANE_DURATION).expect("a pane is over");
-    let bytes = PaneCounter::write(&told);
+    let counts = panes.take_finished(PANE_DURATION).expect("the pane has ended");
+    let bytes = PaneCounter::write(&counts);
     insta::assert_snapshot!("panes", hex::encode(&bytes));
-    let read = PaneCounter::read(told.pane, &bytes).expect("a pane");
+    let read = PaneCounter::read(counts.pane, &bytes).expect("valid counts");
     assert_eq!(PaneCounter::write(&read), bytes);
 }
