--- a/crates/prefix_cache/tests/prefixes.rs
+++ b/crates/prefix_cache/tests/prefixes.rs
@@ -1,5 +1,5 @@
-//! Sketches beside exact counts, panes that arrive twice, late or from a router that lies, and stable lists
-//! of pins.
+//! Sketches compared with exact counts, duplicate panes and panes of a lying router, and stability of the
+//! list of pins.
 use applepond_membership::RouterId;
 use applepond_prefix_cache::{
     CHANGE_INTERVAL, CostModel, DecodeError, LEASE_DURATION, MAX_CHANGES, MAX_PINS, MIN_TIME_PINNED,
@@ -13,37 +13,38 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Ranks by 1 / rank to the power `s`.
-struct Zipf(Vec<f64>);
+/// Samples ranks from a Zipf distribution with exponent `s`, by cumulative weights.
+struct ZipfSampler(Vec<f64>);
 
-impl Zipf {
-    fn new(many: usize, s: f64) -> Self {
+impl ZipfSampler {
+    fn new(count: usize, s: f64) -> Self {
         let mut sum = 0.0;
-        let all = (1..=many).map(|r| {
-            sum += (r as f64).powf(-s);
+        let sums = (1..=count).map(|rank| {
+            sum += (rank as f64).powf(-s);
             sum
         });
-        Zipf(all.collect())
+        ZipfSampler(sums.collect())
     }
-    fn draw(&self, rng: &mut Rand64) -> u64 {
-        let at = rng.rand_float() * self.0.last().expect("some");
-        self.0.partition_point(|sum| *sum < at) as u64
+    fn sample(&self, rng: &mut Rand64) -> u64 {
+        let weight = rng.rand_float() * self.0.last().expect("at least one rank");
+        self.0.partition_point(|sum| *sum < weight) as u64
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
-    // However it is split over routers and merged in whatever order: never too high, too low by the stated
-    // error at most, and that is the total by one more than the counters at most.
+    // However the uses are split over routers, and in whatever order the sketches are merged, no count is too
+    // high, none is too low by more than the stated error, and the error is at most the total divided by one
+    // more than the number of counters.
     #[test]
-    fn the_error_of_a_sketch_is_bounded(seed: u64, s in 0.8f64..1.4, routers in 1usize..30, crowd: bool) {
-        let (mut rng, zipf) = (Rand64::new(u128::from(seed)), Zipf::new(2_000, s));
+    fn the_error_of_a_sketch_is_bounded(seed: u64, s in 0.8f64..1.4, routers in 1usize..30, shifting: bool) {
+        let (mut rng, zipf) = (Rand64::new(u128::from(seed)), ZipfSampler::new(2_000, s));
         let mut parts = vec![Sketch::default(); routers];
         let mut exact: BTreeMap<PrefixId, u64> = BTreeMap::new();
         for n in 0..6_000u64 {
-            // A crowd comes for other openings each thousand uses.
-            let shift = if crowd { n / 1_000 * 500 } else { 0 };
-            let id = PrefixId((zipf.draw(&mut rng) + shift) % 2_000);
+            // With `shifting`, the popular prefixes change after every 1,000 uses.
+            let shift = if shifting { n / 1_000 * 500 } else { 0 };
+            let id = PrefixId((zipf.sample(&mut rng) + shift) % 2_000);
             *exact.entry(id).or_default() += 1;
             parts[rng.rand_range(0..routers as u64) as usize].add(id, 1);
         }
@@ -62,8 +63,8 @@
 
     #[test]
     fn published_counts_are_checked(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        if let Ok(told) = PaneCounter::read(1, &bytes) {
-            prop_assert!(told.sketch.is_consistent());
+        if let Ok(finished) = PaneCounter::read(1, &bytes) {
+            prop_assert!(finished.sketch.is_consistent());
         }
     }
 }
@@ -73,11 +74,11 @@
     let mut panes = PaneCounter::new(0);
     (0..SKETCH_COUNTERS as u64 * 2)
         .for_each(|n| (0..1 + n % 9).for_each(|_| panes.record_use(PrefixId(u64::MAX - n))));
-    let told = panes.take_finished(PANE_DURATION).expect("over");
-    let bytes = PaneCounter::write(&told);
+    let finished = panes.take_finished(PANE_DURATION).expect("the pane has ended");
+    let bytes = PaneCounter::write(&finished);
     assert!(bytes.len() <= 900, "{} bytes", bytes.len());
-    assert_eq!(PaneCounter::read(1, &bytes), Ok(told));
-    (0..bytes.len()).for_each(|at| assert!(PaneCounter::read(1, &bytes[..at]).is_err(), "cut at {at}"));
+    assert_eq!(PaneCounter::read(1, &bytes), Ok(finished));
+    (0..bytes.len()).for_each(|at| assert!(PaneCounter::read(1, &bytes[..at]).is_err(), "truncated at {at}"));
 }
 
 fn pane(origin: u64, number: u64, uses: &[(u64, u64)]) -> (RouterId, PaneCounts) {
@@ -90,49 +91,57 @@
     counted.iter().find(|c| c.id == PrefixId(id)).map_or(0.0, |c| c.per_s)
 }
 
-// Each origin's pane counts once, in whatever order and however often it was told.
+// Guards against a pane that is counted twice because it was received several times or out of order.
 #[test]
 fn each_pane_counts_once() {
     let all =
         [pane(1, 1, &[(7, 50)]), pane(2, 1, &[(7, 50)]), pane(3, 4, &[(7, 50)]), pane(4, 2, &[(7, 50)])];
-    let once = PaneCounter::fleet_usage(all.clone());
-    let again = PaneCounter::fleet_usage(all.iter().rev().cloned().chain(all.iter().cloned()));
-    assert_eq!(once, again);
-    assert!((per_s(&once, 7) - 40.0).abs() < 1e-9, "{once:?}");
-    // The fuller of two panes weighs no more for having come three times.
-    let (full, bare) = (pane(1, 1, &[(7, 100)]), pane(1, 2, &[(8, 1)]));
-    let rest = [2, 3, 4].map(|r| pane(r, 1, &[(7, 200)]));
-    let of = |mine: &[(RouterId, PaneCounts)]| PaneCounter::fleet_usage(mine.iter().chain(&rest).cloned());
-    assert_eq!(of(&[full.clone(), bare.clone()]), of(&[full.clone(), full.clone(), full, bare]));
-    // Two panes of one origin are twice the time, not twice the rate.
-    let more = PaneCounter::fleet_usage(all.into_iter().chain([pane(1, 2, &[(7, 50)])]));
-    assert!((per_s(&more, 7) - 40.0).abs() < 1e-9);
+    let usage = PaneCounter::fleet_usage(all.clone());
+    let usage_of_duplicates = PaneCounter::fleet_usage(all.iter().rev().cloned().chain(all.iter().cloned()));
+    assert_eq!(usage, usage_of_duplicates);
+    assert!((per_s(&usage, 7) - 40.0).abs() < 1e-9, "{usage:?}");
+    // Receiving the fuller of two panes three times does not increase its weight.
+    let (full, sparse) = (pane(1, 1, &[(7, 100)]), pane(1, 2, &[(8, 1)]));
+    let others = [2, 3, 4].map(|r| pane(r, 1, &[(7, 200)]));
+    let usage_with =
+        |mine: &[(RouterId, PaneCounts)]| PaneCounter::fleet_usage(mine.iter().chain(&others).cloned());
+    assert_eq!(
+        usage_with(&[full.clone(), sparse.clone()]),
+        usage_with(&[full.clone(), full.clone(), full, sparse])
+    );
+    // Two panes of one origin cover twice the time, which does not double the rate.
+    let with_second_pane = PaneCounter::fleet_usage(all.into_iter().chain([pane(1, 2, &[(7, 50)])]));
+    assert!((per_s(&with_second_pane, 7) - 40.0).abs() < 1e-9);
 }
 
-// One router speaks for a quarter at most, whatever it says; alone it says nothing.
-#[test_case(&[(1, 1_000_000)], 0.0; "alone")]
-#[test_case(&[(1, 1_000_000), (2, 15), (3, 15)], 8.0; "beside two")]
-#[test_case(&[(1, 1_000), (2, 2), (3, 3)], 0.0; "beside few")]
-#[test_case(&[(1, 50), (2, 50), (3, 50), (4, 50)], 40.0; "four alike")]
-fn the_part_of_one_router_is_bounded(uses: &[(u64, u64)], want: f64) {
+// Guards against a lying router: it contributes at most a quarter of the total, and nothing without enough
+// uses at other routers.
+#[test_case(&[(1, 1_000_000)], 0.0; "one router alone")]
+#[test_case(&[(1, 1_000_000), (2, 15), (3, 15)], 8.0; "one high rate and two normal ones")]
+#[test_case(&[(1, 1_000), (2, 2), (3, 3)], 0.0; "too few uses at other routers")]
+#[test_case(&[(1, 50), (2, 50), (3, 50), (4, 50)], 40.0; "four equal rates")]
+fn the_part_of_one_router_is_bounded(uses: &[(u64, u64)], expected: f64) {
     let counted = PaneCounter::fleet_usage(uses.iter().map(|(origin, n)| pane(*origin, 1, &[(7, *n)])));
-    assert!((per_s(&counted, 7) - want).abs() < 1e-9, "{counted:?}");
+    assert!((per_s(&counted, 7) - expected).abs() < 1e-9, "{counted:?}");
 }
 
-#[test_case(&[(7, u64::MAX), (8, u64::MAX)]; "counts without end")]
+#[test_case(&[(7, u64::MAX), (8, u64::MAX)]; "maximum counts")]
 fn sums_do_not_overflow(uses: &[(u64, u64)]) {
-    let (_, told) = pane(1, 1, uses);
-    let two = PaneCounter::fleet_usage([(RouterId(1), told.clone()), (RouterId(2), told)]);
-    assert!(two.iter().all(|c| c.per_s.is_finite()));
+    let (_, finished) = pane(1, 1, uses);
+    let usage = PaneCounter::fleet_usage([(RouterId(1), finished.clone()), (RouterId(2), finished)]);
+    assert!(usage.iter().all(|c| c.per_s.is_finite()));
 }
 
 #[test]
 fn an_impossible_sketch_is_rejected() {
-    // More counted than came in all: total 1, one counter of 5.
-    let made_up = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 1u64, 0u64)).expect("written");
-    assert_eq!(PaneCounter::read(1, &made_up), Err(DecodeError::InvalidCounts));
-    let error = postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 5u64, 5u64)).expect("written");
-    assert_eq!(PaneCounter::read(1, &error), Err(DecodeError::InvalidCounts));
+    // The counters exceed the total: total 1, one counter of 5.
+    let inconsistent =
+        postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 1u64, 0u64)).expect("encoding succeeds");
+    assert_eq!(PaneCounter::read(1, &inconsistent), Err(DecodeError::InvalidCounts));
+    // The error exceeds its bound.
+    let excessive_error =
+        postcard::to_stdvec(&(BTreeMap::from([(PrefixId(7), 5u64)]), 5u64, 5u64)).expect("encoding succeeds");
+    assert_eq!(PaneCounter::read(1, &excessive_error), Err(DecodeError::InvalidCounts));
 }
 
 const COST_MODEL: CostModel = CostModel {
@@ -154,23 +163,28 @@
     list.pins.iter().map(|p| p.id.0).collect()
 }
 
-// The line in is where saving pays for the memory: here 10 uses a second; below half of it a pin goes, and
-// not before its time.
+// Guards against pins that flap: a prefix is pinned from the rate at which its savings exceed the price of
+// its memory, and unpinned only below half of that rate.
 #[test]
 fn the_threshold_to_stay_is_lower_than_the_one_to_become_pinned() {
     let size = |_| Some(10);
     let mut pins = PinPlanner::new(0, COST_MODEL);
-    let line = (1..400).map(|n| n as f64 / 10.0).find(|n| pins.value(*n, 10) > 0.0).expect("a line");
+    let threshold =
+        (1..400).map(|n| n as f64 / 10.0).find(|n| pins.value(*n, 10) > 0.0).expect("a threshold");
     let at = |uses: f64| counts(&[(7, uses)]);
-    assert_eq!(pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(line * 0.9), size), None);
-    let list = pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(line * 1.1), size).expect("worth it");
+    assert_eq!(pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(threshold * 0.9), size), None);
+    let list =
+        pins.next_list(CHANGE_INTERVAL, &PinList::default(), &at(threshold * 1.1), size).expect("worth it");
     assert_eq!(ids(&list), [7]);
-    // It wanders about the line: nothing changes for a minute.
+    // The rate varies around the threshold: nothing changes for a minute.
     for n in 1..12 {
-        let uses = line * if n % 2 == 0 { 0.6 } else { 1.2 };
+        let uses = threshold * if n % 2 == 0 { 0.6 } else { 1.2 };
         assert_eq!(pins.next_list((n + 1) * CHANGE_INTERVAL, &list, &at(uses), size), None, "{n}");
     }
-    assert_eq!(pins.next_list(14 * CHANGE_INTERVAL, &list, &at(line * 0.3), size), Some(PinList::default()));
+    assert_eq!(
+        pins.next_list(14 * CHANGE_INTERVAL, &list, &at(threshold * 0.3), size),
+        Some(PinList::default())
+    );
 }
 
 #[test]
@@ -182,25 +196,28 @@
     assert_eq!(
         pins.next_list(CHANGE_INTERVAL + MIN_TIME_PINNED / 2, &list, &none, size),
         None,
-        "it has just come"
+        "it was just pinned"
     );
-    let empty = pins.next_list(CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &list, &none, size).expect("it goes");
+    let empty = pins
+        .next_list(CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &list, &none, size)
+        .expect("the pin is removed");
     assert_eq!(
         pins.next_list(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED, &empty, &much, size),
         None,
-        "it has just gone"
+        "it was just unpinned"
     );
     assert!(
         pins.next_list(2 * CHANGE_INTERVAL + 2 * MIN_TIME_PINNED + MIN_TIME_UNPINNED, &empty, &much, size)
             .is_some()
     );
-    // Who proposes anew takes all for just changed.
+    // A new planner treats all prefixes as just changed.
     let mut new = PinPlanner::new(100 * SECOND, COST_MODEL);
     assert_eq!(new.next_list(100 * SECOND + CHANGE_INTERVAL, &list, &none, size), None);
     assert!(new.next_list(101 * SECOND + CHANGE_INTERVAL + MIN_TIME_PINNED, &list, &none, size).is_some());
 }
 
-// At most so much memory, so many changes at a time, ties in one order; what has no size is never pinned.
+// Limits on memory, on changes at a time and on pins hold, ties are broken by id, and a prefix of unknown
+// size is never pinned.
 #[test]
 fn memory_changes_and_pins_are_bounded() {
     let many = counts(&(0..60).map(|id| (id, 100.0)).collect::<Vec<_>>());
@@ -211,7 +228,7 @@
     for n in 2..20 {
         list = pins.next_list(n * CHANGE_INTERVAL, &list, &many, |_| Some(10)).unwrap_or(list);
     }
-    assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten of 10 MB are 100 MB");
+    assert_eq!(ids(&list), (0..10).collect::<Vec<_>>(), "ten pins of 10 MB use all of 100 MB");
     let mut pins = PinPlanner::new(0, COST_MODEL);
     assert_eq!(pins.next_list(CHANGE_INTERVAL, &PinList::default(), &many, |_| None), None);
     let mut pins = PinPlanner::new(0, CostModel { memory_limit: 1e12, ..COST_MODEL });
@@ -224,8 +241,8 @@
     assert_eq!(PinList::read(&list.write()), Ok(list));
 }
 
-// What goes and what comes are two lists: no memory is promised twice while the first is still held
-// somewhere.
+// Guards against memory that is promised twice: removals and additions are separate lists, and the memory of
+// a removed pin counts as used until leases on it have expired.
 #[test]
 fn memory_of_removed_pins_counts_until_their_leases_end() {
     let size = |_| Some(10);
@@ -237,26 +254,26 @@
     }
     let new = counts(&(20..30).map(|id| (id, 100.0)).collect::<Vec<_>>());
     let mut at = 4 * CHANGE_INTERVAL + MIN_TIME_PINNED;
-    let mut shrunk = 0;
+    let mut last_removal = 0;
     for _ in 0..24 {
         at += CHANGE_INTERVAL;
         let Some(next) = pins.next_list(at, &list, &new, size) else { continue };
-        let (was, is) = (ids(&list), ids(&next));
-        let grows = is.iter().any(|id| !was.contains(id));
-        let shrinks = was.iter().any(|id| !is.contains(id));
-        assert!(!(grows && shrinks), "{was:?} to {is:?}");
-        shrunk = if shrinks { at } else { shrunk };
+        let (before, after) = (ids(&list), ids(&next));
+        let grows = after.iter().any(|id| !before.contains(id));
+        let shrinks = before.iter().any(|id| !after.contains(id));
+        assert!(!(grows && shrinks), "{before:?} to {after:?}");
+        last_removal = if shrinks { at } else { last_removal };
         assert!(
-            !grows || at >= shrunk + RELEASE_DELAY - CHANGE_INTERVAL,
-            "leases on what went may still run"
+            !grows || at >= last_removal + RELEASE_DELAY - CHANGE_INTERVAL,
+            "leases on removed pins may still be valid"
         );
         list = next;
     }
     assert!(ids(&list).iter().all(|id| *id >= 20));
 }
 
-// What is asked for so often that each worker keeps it by itself is worth no pin, and neither is what is
-// hardly asked.
+// A prefix that is used so often that workers keep it anyway is not worth a pin, nor is one that is rarely
+// used.
 #[test]
 fn neither_rare_nor_constant_use_is_worth_a_pin() {
     let pins = PinPlanner::new(0, COST_MODEL);
@@ -264,13 +281,13 @@
     assert_eq!(worth, [false, true, true, false]);
 }
 
-// A pin rides on a request only while the list counts.
-#[test_case(7, 5 * SECOND, 8 * SECOND, Some(LEASE_DURATION); "while the list counts")]
-#[test_case(7, 8 * SECOND, 8 * SECOND, None; "the list is over")]
-#[test_case(9, 5 * SECOND, 8 * SECOND, None; "it is not in it")]
-fn a_lease_is_granted_while_the_list_is_valid(id: u64, now: u64, end: u64, want: Option<u64>) {
+// Guards against leases granted by a list that has expired.
+#[test_case(7, 5 * SECOND, 8 * SECOND, Some(LEASE_DURATION); "the list is valid")]
+#[test_case(7, 8 * SECOND, 8 * SECOND, None; "the list has expired")]
+#[test_case(9, 5 * SECOND, 8 * SECOND, None; "the prefix is not in the list")]
+fn a_lease_is_granted_while_the_list_is_valid(id: u64, now: u64, valid_until: u64, expected: Option<u64>) {
     let list = PinList { pins: vec![Pin { id: PrefixId(7), size: 1 }] };
-    assert_eq!(list.lease_duration(now, end, PrefixId(id)), want);
+    assert_eq!(list.lease_duration(now, valid_until, PrefixId(id)), expected);
 }
 
 #[test]
