--- a/crates/gossip/benches/around.rs
+++ b/crates/gossip/benches/around.rs
@@ -1,103 +1,115 @@
-//! How long until all routers know what one has published, and what it costs, on a simulated network;
-//! beside the plain way, in which an origin sends each entry to everybody once. Prints a table; with a
-//! file's name it draws a chart.
+//! Time until all routers know an entry, and the cost of it, on a simulated network, compared with a simple
+//! broadcast in which the origin sends each entry to all routers once. Prints a table; given a file name, it
+//! also draws a chart there.
 #[path = "../tests/common/mod.rs"]
 mod common;
-use common::{MILLISECOND, SECOND, SimulatedNetwork, lossy};
+use common::{MILLISECOND, SECOND, SimulatedNetwork, lossy_link};
 use oorandom::Rand64;
 use plotters::prelude::*;
 
 const SIZES: [usize; 3] = [20, 300, 1_000];
 const SEEDS: u64 = 3;
-/// A word a router each so many µs, of so many bytes: a pane of a sketch, as the openings tell it.
-const ALL: u64 = 5 * SECOND;
-const BYTES: usize = 200;
+/// Interval in µs in which each router publishes one entry, and the size of its value in bytes: as for a pane
+/// of the prefix cache's counts.
+const PUBLISH_INTERVAL: u64 = 5 * SECOND;
+const VALUE_BYTES: usize = 200;
 
 struct Outcome {
-    /// Until all hold it, at the median and the latest of the words, and words that somebody never got.
-    ms: (u64, u64),
+    /// Median and maximum time in ms until all routers know an entry.
+    convergence_ms: (u64, u64),
+    /// Entries that some router never received.
     lost: usize,
-    words: usize,
-    /// Bytes a second an instance.
+    entries: usize,
+    /// Bytes per second sent by each router.
     rate: u64,
 }
 
-/// One word at a time, looked at until all hold it.
-fn compared(routers: usize, lost: f64) -> Outcome {
-    let (mut took, mut rate) = (Vec::new(), 0);
-    let mut never = 0;
+/// Measures anti-entropy: publishes one entry at a time and waits until all routers know it.
+fn anti_entropy(routers: usize, loss: f64) -> Outcome {
+    let (mut convergence_times, mut rate) = (Vec::new(), 0);
+    let mut lost = 0;
     for seed in 0..SEEDS {
-        let mut network = SimulatedNetwork::fleet(seed, routers, lossy(lost));
+        let mut network = SimulatedNetwork::fleet(seed, routers, lossy_link(loss));
         network.run_for(5 * SECOND);
         for n in 0..5 {
-            let begun = network.now;
-            network.publish(n, 1, &[n as u8; BYTES]);
-            if network.run_until(begun + 20 * SECOND, |p| p.has_converged()) {
-                took.push((network.now - begun) / MILLISECOND);
+            let started_at = network.now;
+            network.publish(n, 1, &[n as u8; VALUE_BYTES]);
+            if network.run_until(started_at + 20 * SECOND, |p| p.has_converged()) {
+                convergence_times.push((network.now - started_at) / MILLISECOND);
             } else {
-                never += 1;
+                lost += 1;
             }
         }
-        // All of them speak: what that costs.
-        let (before, begun) = (network.processes.iter().flatten().map(|p| p.bytes).sum::<u64>(), network.now);
+        // Measures the cost when all routers publish.
+        let (before, started_at) =
+            (network.processes.iter().flatten().map(|p| p.bytes).sum::<u64>(), network.now);
         let mut at: Vec<(u64, usize)> =
-            (0..routers).map(|n| (begun + network.rng.rand_range(0..ALL), n)).collect();
+            (0..routers).map(|n| (started_at + network.rng.rand_range(0..PUBLISH_INTERVAL), n)).collect();
         at.sort_unstable();
         for (at, n) in at {
             network.run_until(at, |_| false);
-            network.publish(n, 1, &[n as u8; BYTES]);
+            network.publish(n, 1, &[n as u8; VALUE_BYTES]);
         }
-        network.run_until(begun + 2 * ALL, |_| false);
+        network.run_until(started_at + 2 * PUBLISH_INTERVAL, |_| false);
         let after = network.processes.iter().flatten().map(|p| p.bytes).sum::<u64>();
-        rate += (after - before) / routers as u64 / (ALL / SECOND) / SEEDS;
+        rate += (after - before) / routers as u64 / (PUBLISH_INTERVAL / SECOND) / SEEDS;
+    }
+    convergence_times.sort_unstable();
+    let entries = convergence_times.len() + lost;
+    let at = |k: usize| convergence_times.get(k).copied().unwrap_or(0);
+    Outcome {
+        convergence_ms: (at(convergence_times.len() / 2), at(convergence_times.len().max(1) - 1)),
+        lost,
+        entries,
+        rate,
     }
-    took.sort_unstable();
-    let words = took.len() + never;
-    let at = |k: usize| took.get(k).copied().unwrap_or(0);
-    Outcome { ms: (at(took.len() / 2), at(took.len().max(1) - 1)), lost: never, words, rate }
 }
 
-/// To everybody once: a message that is lost is never sent again.
-fn once(routers: usize, lost: f64) -> Outcome {
+/// Models a broadcast: each entry is sent to all routers once, and lost messages are not sent again.
+fn broadcast(routers: usize, loss: f64) -> Outcome {
     let mut rng = Rand64::new(1);
-    let words = 5 * SEEDS as usize;
-    let never = (0..words).filter(|_| (1..routers).any(|_| rng.rand_float() < lost)).count();
-    let rate = (routers as u64 - 1) * (BYTES as u64 + 30 + 48) / (ALL / SECOND);
-    Outcome { ms: (1, 1), lost: never, words, rate }
+    let entries = 5 * SEEDS as usize;
+    let lost = (0..entries).filter(|_| (1..routers).any(|_| rng.rand_float() < loss)).count();
+    // Fields of an entry take about 30 bytes, the envelope 48.
+    let rate = (routers as u64 - 1) * (VALUE_BYTES as u64 + 30 + 48) / (PUBLISH_INTERVAL / SECOND);
+    Outcome { convergence_ms: (1, 1), lost, entries, rate }
 }
 
 fn main() {
-    println!("| routers | messages lost | way | all hold it, median and latest | never by somebody | kB/s |");
+    println!(
+        "| routers | messages lost | protocol | convergence, median and maximum | entries lost | kB/s |"
+    );
     println!("| --- | --- | --- | --- | --- | --- |");
-    let mut lines: Vec<(&str, Vec<(usize, f64)>)> = vec![("compared", Vec::new()), ("once", Vec::new())];
+    let mut lines: Vec<(&str, Vec<(usize, f64)>)> =
+        vec![("anti-entropy", Vec::new()), ("broadcast", Vec::new())];
     for routers in SIZES {
-        for lost in [0.0, 0.01, 0.1] {
-            for (n, (way, row)) in
-                [("compared by parts", compared(routers, lost)), ("to everybody once", once(routers, lost))]
+        for loss in [0.0, 0.01, 0.1] {
+            for (n, (protocol, outcome)) in
+                [("anti-entropy", anti_entropy(routers, loss)), ("broadcast", broadcast(routers, loss))]
                     .into_iter()
                     .enumerate()
             {
                 println!(
-                    "| {routers} | {lost} | {way} | {} ms, {} ms | {} of {} | {:.1} |",
-                    row.ms.0,
-                    row.ms.1,
-                    row.lost,
-                    row.words,
-                    row.rate as f64 / 1e3
+                    "| {routers} | {loss} | {protocol} | {} ms, {} ms | {} of {} | {:.1} |",
+                    outcome.convergence_ms.0,
+                    outcome.convergence_ms.1,
+                    outcome.lost,
+                    outcome.entries,
+                    outcome.rate as f64 / 1e3
                 );
-                if lost == 0.01 {
-                    lines[n].1.push((routers, row.lost as f64 / row.words as f64));
+                if loss == 0.01 {
+                    lines[n].1.push((routers, outcome.lost as f64 / outcome.entries as f64));
                 }
             }
         }
     }
-    // Cargo's own words to a bench are no file.
+    // Options that Cargo passes to a benchmark are not file names.
     let Some(file) = std::env::args().skip(1).find(|a| !a.starts_with('-')) else { return };
     let area = SVGBackend::new(&file, (720, 360)).into_drawing_area();
     area.fill(&WHITE).expect("drawn");
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "Words that somebody never gets, one message in a hundred lost (on paper)",
+            "Entries that some router never receives at 1 % message loss (simulated)",
             ("sans-serif", 16),
         )
         .margin(12)
@@ -105,7 +117,7 @@
         .y_label_area_size(44)
         .build_cartesian_2d(0.0..1_000.0, 0.0..1.05)
         .expect("drawn");
-    chart.configure_mesh().x_desc("routers").y_desc("share of words").draw().expect("drawn");
+    chart.configure_mesh().x_desc("routers").y_desc("fraction of entries").draw().expect("drawn");
     for ((name, points), color) in lines.iter().zip([BLUE, RED]) {
         let points = points.iter().map(|(x, y)| (*x as f64, *y));
         let line = LineSeries::new(points, color.stroke_width(2));
--- a/crates/gossip/tests/common/mod.rs
+++ b/crates/gossip/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet on a simulated network: simulated time, faults injected by a function, and equal seeds give equal
-//! runs.
-#![allow(dead_code)] // each table of cases uses its own part
+//! A fleet on a simulated network, in simulated time and with injected faults. Runs with equal seeds are
+//! equal.
+#![allow(dead_code)] // each test or benchmark uses only a part
 use applepond_gossip::{Actions, Gossip, Key, Kind, KindLifetime, MAX_MESSAGE_BYTES};
 use applepond_membership::{Rings, RouterId};
 use oorandom::Rand64;
@@ -8,16 +8,16 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-pub const PACE: Kind = Kind(1);
-/// Bytes of the envelope around each message, on top of a datagram's own head.
-const ENVELOPE: usize = 48;
+pub const KIND: Kind = Kind(1);
+/// Size in bytes of the envelope around each message, without the headers of the datagram.
+const ENVELOPE_BYTES: usize = 48;
 
-/// What becomes of a message: lost, or there after so many µs.
+/// Latency of a message in µs, or `None` if it is lost, by time, sender and receiver.
 pub type Link = Box<dyn FnMut(u64, usize, usize, &mut Rand64) -> Option<u64>>;
 
-/// A network that loses this part and takes 0.2 to 1 ms.
-pub fn lossy(part: f64) -> Link {
-    Box::new(move |_, _, _, rng| (rng.rand_float() >= part).then(|| 200 + rng.rand_range(0..800)))
+/// A link that loses this fraction of messages and delivers the others after 0.2 to 1 ms.
+pub fn lossy_link(loss: f64) -> Link {
+    Box::new(move |_, _, _, rng| (rng.rand_float() >= loss).then(|| 200 + rng.rand_range(0..800)))
 }
 
 #[derive(Default)]
@@ -37,7 +37,7 @@
 }
 
 enum Event {
-    Wake(usize, u64),
+    Timer(usize, u64),
     Message(usize, usize, Vec<u8>),
 }
 
@@ -76,16 +76,16 @@
         network
     }
 
-    /// A new process, under this incarnation.
+    /// Starts a process under this incarnation, replacing any earlier process of the router.
     pub fn start(&mut self, n: usize, incarnation: u64) {
         let seed = self.rng.rand_u64();
-        let rows = [KindLifetime { kind: PACE, lifetime: 60 * SECOND }];
+        let rows = [KindLifetime { kind: KIND, lifetime: 60 * SECOND }];
         let gossip = Gossip::new(self.now, id(n), incarnation, &rows, seed);
         let neighbours = self.rings.neighbours_of(id(n));
         self.generations[n] += 1;
         let at = gossip.next_deadline();
         self.processes[n] = Some(Process { gossip, neighbours, bytes: 0 });
-        self.push(at, Event::Wake(n, self.generations[n]));
+        self.push(at, Event::Timer(n, self.generations[n]));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -98,33 +98,36 @@
         self.events.insert((at, self.next), event);
     }
 
-    fn post(&mut self, from: usize, messages: Vec<(RouterId, Vec<u8>)>) {
+    fn transmit(&mut self, from: usize, messages: Vec<(RouterId, Vec<u8>)>) {
         for (to, message) in messages {
-            self.processes[from].as_mut().expect("it sends").bytes += (message.len() + ENVELOPE) as u64;
+            self.processes[from].as_mut().expect("the sender runs").bytes +=
+                (message.len() + ENVELOPE_BYTES) as u64;
             let to = self.ids[&to];
-            if let Some(late) = (self.link)(self.now, from, to, &mut self.rng) {
-                self.push(self.now + late, Event::Message(from, to, message));
+            if let Some(latency) = (self.link)(self.now, from, to, &mut self.rng) {
+                self.push(self.now + latency, Event::Message(from, to, message));
             }
         }
     }
 
-    /// Plays until the condition holds, looked at after each event; whether it did by then.
-    pub fn run_until(&mut self, by: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> bool {
+    /// Runs until the condition holds or the deadline passes, and returns whether it holds. The condition is
+    /// checked after each event.
+    pub fn run_until(&mut self, deadline: u64, condition: impl Fn(&SimulatedNetwork) -> bool) -> bool {
         while let Some((&(at, n), _)) = self.events.iter().next() {
-            if at > by {
+            if at > deadline {
                 break;
             }
-            let event = self.events.remove(&(at, n)).expect("just seen");
+            let event = self.events.remove(&(at, n)).expect("the first event");
             self.now = at;
             let mut out = RecordedActions::default();
-            let who = match event {
-                Event::Wake(n, life) => {
-                    let Some(p) = self.processes[n].as_mut().filter(|_| self.generations[n] == life) else {
+            let sender = match event {
+                Event::Timer(n, generation) => {
+                    let Some(p) = self.processes[n].as_mut().filter(|_| self.generations[n] == generation)
+                    else {
                         continue;
                     };
                     p.gossip.handle_timeout(at, &p.neighbours, &mut out);
                     let next = p.gossip.next_deadline();
-                    self.push(next, Event::Wake(n, life));
+                    self.push(next, Event::Timer(n, generation));
                     n
                 }
                 Event::Message(from, to, message) => {
@@ -133,37 +136,37 @@
                     to
                 }
             };
-            self.post(who, out.0);
-            if holds(self) {
+            self.transmit(sender, out.0);
+            if condition(self) {
                 return true;
             }
         }
-        self.now = by;
-        holds(self)
+        self.now = deadline;
+        condition(self)
     }
 
-    pub fn run_for(&mut self, time: u64) {
-        let by = self.now + time;
-        self.run_until(by, |_| false);
+    pub fn run_for(&mut self, duration: u64) {
+        let deadline = self.now + duration;
+        self.run_until(deadline, |_| false);
     }
 
     pub fn publish(&mut self, n: usize, key: u64, value: &[u8]) {
         let now = self.now;
-        let p = self.processes[n].as_mut().expect("there");
-        p.gossip.publish(now, PACE, Key(key), value).expect("room");
+        let p = self.processes[n].as_mut().expect("the router runs");
+        p.gossip.publish(now, KIND, Key(key), value).expect("room");
     }
 
     pub fn gossip_of(&self, n: usize) -> &Gossip {
-        &self.processes[n].as_ref().expect("there").gossip
+        &self.processes[n].as_ref().expect("the router runs").gossip
     }
 
-    /// Who tells what under a key, as one router holds it.
+    /// The values under a key by origin, as one router knows them.
     pub fn entries_at(&self, n: usize, key: u64) -> BTreeMap<usize, Vec<u8>> {
-        let told = self.gossip_of(n).entries_for_key(self.now, PACE, Key(key));
-        told.map(|t| (self.ids[&t.origin], t.value.to_vec())).collect()
+        let entries = self.gossip_of(n).entries_for_key(self.now, KIND, Key(key));
+        entries.map(|entry| (self.ids[&entry.origin], entry.value.to_vec())).collect()
     }
 
-    /// All that are there hold the same.
+    /// Whether all running routers have the same entries.
     pub fn has_converged(&self) -> bool {
         let mut views = self.processes.iter().flatten().map(|p| p.gossip.view_digest());
         let first = views.next();
