--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,12 +1,12 @@
-//! Bytes of messages between routers, and the digests of their names: a version that writes others cannot run
-//! beside the one before.
+//! Golden bytes of messages between routers and digests of names. A change breaks compatibility with routers
+//! of the previous version.
 use applepond_membership::message::{
     DIGEST_BUCKETS, Header, Message, MessageHandler, Opinion, Suspicion, read,
 };
 use applepond_membership::{InstanceId, MemberStatus, Record, RouterId};
 use std::net::SocketAddr;
 
-fn head() -> Header {
+fn header() -> Header {
     Header {
         from: RouterId(0xaabb_ccdd_0011_2233),
         instance_id: InstanceId(987_654_321),
@@ -26,7 +26,7 @@
     }
 }
 
-fn word(opinion: Opinion) -> Suspicion {
+fn suspicion(opinion: Opinion) -> Suspicion {
     Suspicion {
         subject: RouterId(77),
         instance_id: InstanceId(88),
@@ -37,68 +37,68 @@
     }
 }
 
-/// Each kind of message, and what may follow in it.
+/// Each kind of message, and one message with all variants of updates.
 fn messages() -> Vec<Message> {
-    let (head, other) = (head(), RouterId(70_000));
+    let (header, other) = (header(), RouterId(70_000));
     let address = "10.9.8.7:1234".parse().expect("an address");
-    let parts: [u32; DIGEST_BUCKETS] = std::array::from_fn(|n| n as u32 * 65_537);
+    let digests: [u32; DIGEST_BUCKETS] = std::array::from_fn(|n| n as u32 * 65_537);
     let mut all = vec![
-        Message::heartbeat(&head, Some(1_234_567), 0x0102_0304_0506_0708),
-        Message::heartbeat(&head, None, 0),
-        Message::ping_request(&head, other),
-        Message::ping(&head, other),
-        Message::ack(&head, other),
-        Message::indirect_ack(&head, other, InstanceId(5)),
-        Message::sync_request(&head, &parts),
-        Message::updates(&head),
-        Message::name_conflict(&head, InstanceId(5), address),
-        Message::name_contested(&head, address),
+        Message::heartbeat(&header, Some(1_234_567), 0x0102_0304_0506_0708),
+        Message::heartbeat(&header, None, 0),
+        Message::ping_request(&header, other),
+        Message::ping(&header, other),
+        Message::ack(&header, other),
+        Message::indirect_ack(&header, other, InstanceId(5)),
+        Message::sync_request(&header, &digests),
+        Message::updates(&header),
+        Message::name_conflict(&header, InstanceId(5), address),
+        Message::name_contested(&header, address),
     ];
-    let mut news = Message::updates(&head);
+    let mut updates = Message::updates(&header);
     for status in [MemberStatus::Joining, MemberStatus::Alive, MemberStatus::Left, MemberStatus::Dead] {
-        assert!(news.record(&record(status)));
+        assert!(updates.record(&record(status)));
     }
-    for says in [Opinion::Withdrawn, Opinion::Suspected, Opinion::Dead] {
-        assert!(news.suspicion(&word(says)));
+    for opinion in [Opinion::Withdrawn, Opinion::Suspected, Opinion::Dead] {
+        assert!(updates.suspicion(&suspicion(opinion)));
     }
-    all.push(news);
+    all.push(updates);
     all
 }
 
-/// Writes again what is read.
+/// Encodes decoded messages again.
 #[derive(Default)]
-struct Copies(Vec<Message>, Vec<Record>, Vec<Suspicion>);
+struct Reencoder(Vec<Message>, Vec<Record>, Vec<Suspicion>);
 
-impl MessageHandler for Copies {
-    fn heartbeat(&mut self, head: &Header, heard: Option<u64>, view: u64) {
-        self.0.push(Message::heartbeat(head, heard, view));
+impl MessageHandler for Reencoder {
+    fn heartbeat(&mut self, header: &Header, since_last_receipt: Option<u64>, view: u64) {
+        self.0.push(Message::heartbeat(header, since_last_receipt, view));
     }
-    fn ping_request(&mut self, head: &Header, whom: RouterId) {
-        self.0.push(Message::ping_request(head, whom));
+    fn ping_request(&mut self, header: &Header, target: RouterId) {
+        self.0.push(Message::ping_request(header, target));
     }
-    fn ping(&mut self, head: &Header, asker: RouterId) {
-        self.0.push(Message::ping(head, asker));
+    fn ping(&mut self, header: &Header, requester: RouterId) {
+        self.0.push(Message::ping(header, requester));
     }
-    fn ack(&mut self, head: &Header, asker: RouterId) {
-        self.0.push(Message::ack(head, asker));
+    fn ack(&mut self, header: &Header, requester: RouterId) {
+        self.0.push(Message::ack(header, requester));
     }
-    fn indirect_ack(&mut self, head: &Header, whom: RouterId, instance_id: InstanceId) {
-        self.0.push(Message::indirect_ack(head, whom, instance_id));
+    fn indirect_ack(&mut self, header: &Header, target: RouterId, instance_id: InstanceId) {
+        self.0.push(Message::indirect_ack(header, target, instance_id));
     }
-    fn sync_request(&mut self, head: &Header, view: &[u32; DIGEST_BUCKETS]) {
-        self.0.push(Message::sync_request(head, view));
+    fn sync_request(&mut self, header: &Header, view: &[u32; DIGEST_BUCKETS]) {
+        self.0.push(Message::sync_request(header, view));
     }
-    fn name_conflict(&mut self, head: &Header, instance_id: InstanceId, holder: SocketAddr) {
-        self.0.push(Message::name_conflict(head, instance_id, holder));
+    fn name_conflict(&mut self, header: &Header, instance_id: InstanceId, holder: SocketAddr) {
+        self.0.push(Message::name_conflict(header, instance_id, holder));
     }
-    fn name_contested(&mut self, head: &Header, by: SocketAddr) {
-        self.0.push(Message::name_contested(head, by));
+    fn name_contested(&mut self, header: &Header, claimant: SocketAddr) {
+        self.0.push(Message::name_contested(header, claimant));
     }
     fn record(&mut self, _: &Header, record: Record) {
         self.1.push(record);
     }
-    fn suspicion(&mut self, _: &Header, word: Suspicion) {
-        self.2.push(word);
+    fn suspicion(&mut self, _: &Header, suspicion: Suspicion) {
+        self.2.push(suspicion);
     }
 }
 
@@ -111,12 +111,12 @@
 #[test]
 fn messages_are_written_as_they_were_read() {
     for message in messages() {
-        let mut copies = Copies::default();
-        assert_eq!(read(message.bytes(), &mut copies), Ok(()));
-        // News has no call of its own.
-        let mut copy = copies.0.pop().unwrap_or_else(|| Message::updates(&head()));
-        assert!(copies.1.iter().all(|record| copy.record(record)));
-        assert!(copies.2.iter().all(|word| copy.suspicion(word)));
+        let mut reencoder = Reencoder::default();
+        assert_eq!(read(message.bytes(), &mut reencoder), Ok(()));
+        // A message that carries only updates has no body, so the handler is not called for it.
+        let mut copy = reencoder.0.pop().unwrap_or_else(|| Message::updates(&header()));
+        assert!(reencoder.1.iter().all(|record| copy.record(record)));
+        assert!(reencoder.2.iter().all(|suspicion| copy.suspicion(suspicion)));
         assert_eq!(hex::encode(copy.bytes()), hex::encode(message.bytes()));
     }
 }
