--- a/crates/membership/benches/paper.rs
+++ b/crates/membership/benches/paper.rs
@@ -1,66 +1,77 @@
-//! Fleets on the simulated network beside two plain ways: the same machine with one accuser and no local
-//! health, and heartbeats from all to all with a fixed timeout. Prints tables; an argument that ends in
-//! `.svg` is a file for the chart. `cargo bench -p applepond-membership --bench paper -- 20 300
-//! docs/x.svg`.
+//! Failure detection on the simulated network, compared with two simpler methods: the same protocol with a
+//! quorum of one vote and without health penalties, and all-to-all heartbeats with a fixed timeout.
+//!
+//! Arguments are fleet sizes and, for a chart, a file name that ends in `.svg`. Prints tables. Example:
+//! `cargo bench -p applepond-membership --bench paper -- 20 300 docs/x.svg`.
 #[path = "../tests/common/mod.rs"]
 mod common;
 use applepond_membership::{Change, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT, ObservedStatus, Safeguards};
-use common::{Link, MILLISECOND, Process, SECOND, SimulatedNetwork, lossy};
+use common::{Link, MILLISECOND, Process, SECOND, SimulatedNetwork, lossy_link};
 use oorandom::Rand64;
 use plotters::prelude::*;
 use std::time::Instant;
 
-/// One accuser, no local health, no notice of having stood still.
-const PLAIN: Safeguards = Safeguards {
+/// A quorum of one vote, no health penalties, no detection of pauses.
+const SINGLE_VOTE: Safeguards = Safeguards {
     refutation: true,
     vote_quorum: false,
     local_health: false,
     pause_detection: false,
     incarnation_bump: true,
 };
-/// Faults, each for so long: what is lost, which of eight pairs is cut one way, delay, and whether
-/// processes stand still for 0.2 to 2 s, one in twenty a second.
+/// A fault that is present during the whole run.
 struct Fault {
     name: &'static str,
-    lost: f64,
-    cut: bool,
+    /// Fraction of messages that are lost.
+    loss: f64,
+    /// Whether about one in eight links is cut in one direction.
+    one_way_cuts: bool,
+    /// If positive, messages take between 200 ms and 200 ms plus this many ms.
     delay: u64,
+    /// Whether 5 % of the processes are paused for 0.2 to 2 s in each second.
     pauses: bool,
 }
 const FAULTS: [Fault; 4] = [
-    Fault { name: "30 % lost", lost: 0.3, cut: false, delay: 0, pauses: false },
-    Fault { name: "20 % lost, pauses", lost: 0.2, cut: false, delay: 0, pauses: true },
-    Fault { name: "one way of 1/8", lost: 0.0, cut: true, delay: 0, pauses: false },
-    Fault { name: "45 % lost, 0.2 to 0.6 s late", lost: 0.45, cut: false, delay: 400, pauses: false },
+    Fault { name: "30 % loss", loss: 0.3, one_way_cuts: false, delay: 0, pauses: false },
+    Fault { name: "20 % loss, pauses", loss: 0.2, one_way_cuts: false, delay: 0, pauses: true },
+    Fault { name: "1/8 of links cut one way", loss: 0.0, one_way_cuts: true, delay: 0, pauses: false },
+    Fault {
+        name: "45 % loss, 0.2 to 0.6 s delay",
+        loss: 0.45,
+        one_way_cuts: false,
+        delay: 400,
+        pauses: false,
+    },
 ];
-const WAYS: [&str; 3] = ["members", "one accuser", "all to all"];
+const METHODS: [&str; 3] = ["membership", "single vote", "all-to-all"];
 const COLOURS: [RGBColor; 3] = [RGBColor(20, 90, 160), RGBColor(220, 120, 30), RGBColor(110, 110, 110)];
 
 impl Fault {
-    fn takes(&self, a: usize, b: usize, rng: &mut Rand64) -> Option<u64> {
-        let late =
+    /// Latency in µs of a message from `a` to `b`, or `None` if it is lost.
+    fn latency(&self, a: usize, b: usize, rng: &mut Rand64) -> Option<u64> {
+        let delay =
             if self.delay > 0 { 200 * MILLISECOND + rng.rand_range(0..self.delay) * MILLISECOND } else { 0 };
-        let cut = self.cut && (a + 2 * b).is_multiple_of(8) && !(b + 2 * a).is_multiple_of(8);
-        (!cut && rng.rand_float() >= self.lost).then(|| late + 200 + rng.rand_range(0..800))
+        let is_cut = self.one_way_cuts && (a + 2 * b).is_multiple_of(8) && !(b + 2 * a).is_multiple_of(8);
+        (!is_cut && rng.rand_float() >= self.loss).then(|| delay + 200 + rng.rand_range(0..800))
     }
 
     fn link(&'static self) -> Link {
-        Box::new(move |_, a, b, rng| self.takes(a, b, rng))
+        Box::new(move |_, a, b, rng| self.latency(a, b, rng))
     }
 }
 
-fn median_and(took: &mut [u64]) -> [u64; 2] {
-    took.sort_unstable();
-    [50, 99].map(|part| took[(took.len() - 1) * part / 100])
+fn median_and_99th_percentile(times: &mut [u64]) -> [u64; 2] {
+    times.sort_unstable();
+    [50, 99].map(|percentile| times[(times.len() - 1) * percentile / 100])
 }
 
-/// ms until each of the others took a killed one for gone, over so many seeds.
-fn kill(routers: usize, seeds: u64, guards: Safeguards) -> Vec<u64> {
-    let mut took = Vec::new();
+/// Times in ms until each of the other routers declared a killed router dead, over all seeds.
+fn detection_times(routers: usize, seeds: u64, safeguards: Safeguards) -> Vec<u64> {
+    let mut times = Vec::new();
     for seed in 0..seeds {
-        let mut network = SimulatedNetwork::fleet_with(seed, routers, lossy(0.02), guards);
+        let mut network = SimulatedNetwork::fleet_with(seed, routers, lossy_link(0.02), safeguards);
         network.run_for(seed * 70 * MILLISECOND);
-        let (dead, at) = (routers / 2, network.now);
+        let (dead, killed_at) = (routers / 2, network.now);
         network.kill(dead);
         network.run_for(8 * SECOND);
         let dead_name = format!("r{dead}");
@@ -70,16 +81,18 @@
             }
             _ => false,
         };
-        let gone = |c: &&(u64, Change)| c.0 > at && is_removal(&c.1);
-        let known = |n: usize| network.changes(n).find(gone).map_or(8_000, |c| (c.0 - at) / MILLISECOND);
-        took.extend((0..routers).filter(|n| *n != dead).map(known));
+        let is_detection = |c: &&(u64, Change)| c.0 > killed_at && is_removal(&c.1);
+        let detection_time = |n: usize| {
+            network.changes(n).find(is_detection).map_or(8_000, |c| (c.0 - killed_at) / MILLISECOND)
+        };
+        times.extend((0..routers).filter(|n| *n != dead).map(detection_time));
     }
-    took
+    times
 }
 
-/// Live routers removed in so many s.
-fn removed(routers: usize, seconds: u64, guards: Safeguards, fault: &'static Fault) -> usize {
-    let mut network = SimulatedNetwork::fleet_with(1, routers, fault.link(), guards);
+/// Number of times that a live router was declared dead within this many seconds under a fault.
+fn false_removals(routers: usize, seconds: u64, safeguards: Safeguards, fault: &'static Fault) -> usize {
+    let mut network = SimulatedNetwork::fleet_with(1, routers, fault.link(), safeguards);
     let (mut rng, before) = (Rand64::new(5), network.removals());
     for _ in 0..seconds {
         for _ in 0..if fault.pauses { routers / 20 } else { 0 } {
@@ -93,121 +106,134 @@
     network.removals() - before
 }
 
-/// All to all: a heartbeat of each to each other, dead after `HEARTBEAT_TIMEOUT` of silence by each one's
-/// own look. Live routers removed in so many s, and ms until each knows of one that is killed at half of
-/// them.
+/// Simulates all-to-all heartbeats: each router sends heartbeats to all others and considers one dead after
+/// `HEARTBEAT_TIMEOUT` of silence towards itself.
+///
+/// Returns the number of times that a live router was considered dead and, without a fault, the times in ms
+/// until each router detects the death of one that is killed halfway through the run.
 fn all_to_all(routers: usize, seconds: u64, fault: Option<&Fault>) -> (usize, Vec<u64>) {
     const STEP: u64 = 50 * MILLISECOND;
     let (mut rng, end) = (Rand64::new(1), seconds * SECOND);
     let phase: Vec<u64> = (0..routers).map(|n| n as u64 * 7 % (HEARTBEAT_INTERVAL / STEP)).collect();
-    let mut heard = vec![0; routers * routers];
-    let mut gone = vec![false; routers * routers];
-    let mut until = vec![0; routers];
-    let (mut removed, mut known) = (0, Vec::new());
-    let (dead, dies) = (routers / 2, if fault.is_none() { end / 2 } else { u64::MAX });
+    let mut last_receipt = vec![0; routers * routers];
+    let mut considered_dead = vec![false; routers * routers];
+    let mut paused_until = vec![0; routers];
+    let (mut false_removals, mut detection_times) = (0, Vec::new());
+    let (dead, killed_at) = (routers / 2, if fault.is_none() { end / 2 } else { u64::MAX });
     for step in 0..end / STEP {
         let now = step * STEP;
         if fault.is_some_and(|f| f.pauses) && step % (SECOND / STEP) == 0 {
             for _ in 0..routers / 20 {
                 let n = rng.rand_range(0..routers as u64) as usize;
-                until[n] = now.max(until[n]) + 200 * MILLISECOND + rng.rand_range(0..1_800) * MILLISECOND;
+                paused_until[n] =
+                    now.max(paused_until[n]) + 200 * MILLISECOND + rng.rand_range(0..1_800) * MILLISECOND;
             }
         }
-        let acts = |n: &usize| {
-            step % (HEARTBEAT_INTERVAL / STEP) == phase[*n] && now >= until[*n] && (*n != dead || now < dies)
+        let is_due = |n: &usize| {
+            step % (HEARTBEAT_INTERVAL / STEP) == phase[*n]
+                && now >= paused_until[*n]
+                && (*n != dead || now < killed_at)
         };
-        for n in (0..routers).filter(acts) {
+        for n in (0..routers).filter(is_due) {
             for other in (0..routers).filter(|other| *other != n) {
-                let takes = match fault {
-                    Some(fault) => fault.takes(n, other, &mut rng),
+                let latency = match fault {
+                    Some(fault) => fault.latency(n, other, &mut rng),
                     None => (rng.rand_float() >= 0.02).then_some(500),
                 };
-                if let Some(takes) = takes {
-                    heard[other * routers + n] = now + takes;
+                if let Some(latency) = latency {
+                    last_receipt[other * routers + n] = now + latency;
                 }
             }
-            for of in (0..routers).filter(|of| *of != n) {
-                let is = now.saturating_sub(heard[n * routers + of]) > HEARTBEAT_TIMEOUT;
-                if is && !std::mem::replace(&mut gone[n * routers + of], is) {
-                    if of == dead && now >= dies {
-                        known.push((now - dies) / MILLISECOND);
+            for peer in (0..routers).filter(|peer| *peer != n) {
+                let is_silent = now.saturating_sub(last_receipt[n * routers + peer]) > HEARTBEAT_TIMEOUT;
+                if is_silent && !std::mem::replace(&mut considered_dead[n * routers + peer], is_silent) {
+                    if peer == dead && now >= killed_at {
+                        detection_times.push((now - killed_at) / MILLISECOND);
                     } else {
-                        removed += 1;
+                        false_removals += 1;
                     }
                 }
-                gone[n * routers + of] = is;
+                considered_dead[n * routers + peer] = is_silent;
             }
         }
     }
-    (removed, known)
+    (false_removals, detection_times)
 }
 
-/// Bytes and messages a second of an instance, and ms of CPU a second of it, without a fault.
+/// Bytes, messages and CPU time in ms per second and router, without faults.
 fn costs(routers: usize, seconds: u64) -> (u64, u64, f64) {
-    let mut network = SimulatedNetwork::fleet(1, routers, lossy(0.02));
-    // What is left to say of the start does not count.
+    let mut network = SimulatedNetwork::fleet(1, routers, lossy_link(0.02));
+    // Excludes updates that are still disseminated after the start.
     network.run_for(10 * SECOND);
-    let sum =
-        |p: &SimulatedNetwork, of: fn(&Process) -> u64| p.processes.iter().flatten().map(of).sum::<u64>();
+    let sum = |p: &SimulatedNetwork, value: fn(&Process) -> u64| {
+        p.processes.iter().flatten().map(value).sum::<u64>()
+    };
     let (bytes, messages) = (sum(&network, |p| p.bytes), sum(&network, |p| p.messages));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     network.run_for(seconds * SECOND);
-    let each = routers as u64 * seconds;
-    let cpu = begun.elapsed().as_secs_f64() * 1e3 / each as f64;
-    ((sum(&network, |p| p.bytes) - bytes) / each, (sum(&network, |p| p.messages) - messages) / each, cpu)
+    let router_seconds = routers as u64 * seconds;
+    let cpu = started_at.elapsed().as_secs_f64() * 1e3 / router_seconds as f64;
+    (
+        (sum(&network, |p| p.bytes) - bytes) / router_seconds,
+        (sum(&network, |p| p.messages) - messages) / router_seconds,
+        cpu,
+    )
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let mut fleets: Vec<usize> = words.iter().filter_map(|a| a.parse().ok()).collect();
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let mut fleets: Vec<usize> = arguments.iter().filter_map(|a| a.parse().ok()).collect();
     if fleets.is_empty() {
         fleets = vec![20];
     }
     let mut rows = Vec::new();
     for routers in fleets {
-        // About as many router seconds in each fleet.
+        // Simulates about the same number of router seconds for each fleet size.
         let seconds = (60_000 / routers as u64).clamp(20, 600);
         let seeds = (100 / routers as u64).clamp(1, 5);
         let (bytes, messages, cpu) = costs(routers, seconds.min(20));
         println!("| {routers} | bytes/s, messages/s, CPU ms/s | {bytes}, {messages}, {cpu:.2} |");
-        let mut known = [
-            kill(routers, seeds, Safeguards::ALL),
-            kill(routers, seeds, PLAIN),
+        let mut times = [
+            detection_times(routers, seeds, Safeguards::ALL),
+            detection_times(routers, seeds, SINGLE_VOTE),
             all_to_all(routers, 20, None).1,
         ];
-        let known = [0, 1, 2].map(|way| median_and(&mut known[way]));
-        println!("| {routers} | ms to know (median, 99 %) | {known:?} |");
-        // Each takes a quarter of an hour there.
+        let times = [0, 1, 2].map(|method| median_and_99th_percentile(&mut times[method]));
+        println!("| {routers} | detection time, ms (median, 99 %) | {times:?} |");
+        // In larger fleets each fault takes about 15 minutes.
         for fault in FAULTS.iter().filter(|_| routers <= 1_000) {
-            let ours = removed(routers, seconds, Safeguards::ALL, fault);
-            let ways =
-                [ours, removed(routers, seconds, PLAIN, fault), all_to_all(routers, seconds, Some(fault)).0];
-            println!("| {routers} | {} for {seconds} s: live ones removed | {ways:?} |", fault.name);
-            rows.push((format!("{routers}: {}", fault.name), ways.map(|n| n as f64)));
+            let by_membership = false_removals(routers, seconds, Safeguards::ALL, fault);
+            let removals = [
+                by_membership,
+                false_removals(routers, seconds, SINGLE_VOTE, fault),
+                all_to_all(routers, seconds, Some(fault)).0,
+            ];
+            println!("| {routers} | {} for {seconds} s: false removals | {removals:?} |", fault.name);
+            rows.push((format!("{routers}: {}", fault.name), removals.map(|n| n as f64)));
         }
     }
-    if let Some(file) = words.iter().find(|w| w.ends_with(".svg")) {
+    if let Some(file) = arguments.iter().find(|w| w.ends_with(".svg")) {
         chart(&rows, file).expect("a chart");
     }
 }
 
-/// Removals by fault and way; a bar of none has no height.
+/// Draws the false removals by fault and method. The axis is logarithmic, so zero has no bar.
 fn chart(rows: &[(String, [f64; 3])], file: &str) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(file, (960, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = rows.iter().flat_map(|(_, ways)| *ways).fold(10.0, f64::max);
+    let max = rows.iter().flat_map(|(_, removals)| *removals).fold(10.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
-        .caption("Live routers taken for gone, simulated network (0 has no bar)", ("sans-serif", 16))
+        .caption("Live routers declared dead, simulated network (0 has no bar)", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..rows.len() as f64, (0.5..most * 2.0).log_scale())?;
+        .build_cartesian_2d(0.0..rows.len() as f64, (0.5..max * 2.0).log_scale())?;
     let label = |x: &f64| rows.get(*x as usize).map_or(String::new(), |(name, _)| name.clone());
     chart.configure_mesh().disable_x_mesh().x_labels(rows.len()).x_label_formatter(&label).draw()?;
-    for (way, (name, colour)) in WAYS.into_iter().zip(COLOURS).enumerate() {
-        let bar = |(n, (_, ways)): (usize, &(String, [f64; 3]))| {
-            let x = n as f64 + 0.1 + 0.25 * way as f64;
-            Rectangle::new([(x, 0.5), (x + 0.25, ways[way].max(0.5))], colour.filled())
+    for (method, (name, colour)) in METHODS.into_iter().zip(COLOURS).enumerate() {
+        let bar = |(n, (_, removals)): (usize, &(String, [f64; 3]))| {
+            let x = n as f64 + 0.1 + 0.25 * method as f64;
+            Rectangle::new([(x, 0.5), (x + 0.25, removals[method].max(0.5))], colour.filled())
         };
         chart
             .draw_series(rows.iter().enumerate().map(bar))?
--- a/crates/membership/tests/messages.rs
+++ b/crates/membership/tests/messages.rs
@@ -1,18 +1,18 @@
-//! Truncated, mutated and forged messages: they are rejected and have no effect.
+//! Truncated, mutated and forged messages are rejected and have no effect.
 mod common;
 use applepond_membership::message::{self, DIGEST_BUCKETS, Header, Message, MessageHandler};
 use applepond_membership::{
     InstanceId, MAX_MESSAGE_BYTES, MAX_NAME_BYTES, MemberStatus, MessageError, Record, RouterId,
 };
-use common::{SECOND, SimulatedNetwork, address, lossy, name, news};
+use common::{SECOND, SimulatedNetwork, address, lossy_link, name, record_message};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-/// Counts what a message says.
+/// Counts the parts of a message that are delivered.
 #[derive(Default)]
-struct Count(usize);
+struct ContentCounter(usize);
 
-impl MessageHandler for Count {
+impl MessageHandler for ContentCounter {
     fn heartbeat(&mut self, _: &Header, _: Option<u64>, _: u64) {
         self.0 += 1;
     }
@@ -57,44 +57,45 @@
     }
 }
 
-/// One of each kind, with two records behind.
+/// One message of each kind, each followed by two records.
 fn messages() -> Vec<Vec<u8>> {
     let (own, other) = (record(1), RouterId::named("r2"));
-    let head = Header {
+    let header = Header {
         from: RouterId::named("r1"),
         instance_id: own.instance_id,
         incarnation: 9,
         address: own.address,
     };
     let all = [
-        Message::heartbeat(&head, Some(5), 77),
-        Message::ping_request(&head, other),
-        Message::ping(&head, other),
-        Message::ack(&head, other),
-        Message::indirect_ack(&head, other, InstanceId(3)),
-        Message::sync_request(&head, &[3; DIGEST_BUCKETS]),
-        Message::updates(&head),
-        Message::name_conflict(&head, InstanceId(1), address(3)),
-        Message::name_contested(&head, address(3)),
+        Message::heartbeat(&header, Some(5), 77),
+        Message::ping_request(&header, other),
+        Message::ping(&header, other),
+        Message::ack(&header, other),
+        Message::indirect_ack(&header, other, InstanceId(3)),
+        Message::sync_request(&header, &[3; DIGEST_BUCKETS]),
+        Message::updates(&header),
+        Message::name_conflict(&header, InstanceId(1), address(3)),
+        Message::name_contested(&header, address(3)),
     ];
-    let whole = |mut message: Message| {
+    let complete = |mut message: Message| {
         assert!(message.record(&record(4)) && message.record(&record(5)));
         message.bytes().to_vec()
     };
-    all.into_iter().map(whole).collect()
+    all.into_iter().map(complete).collect()
 }
 
-// Cut anywhere but between two records nothing is said at all: what comes before the cut does not count.
+// Guards against partial effects of a truncated message: unless it is truncated exactly between two updates,
+// no part of it may be delivered.
 #[test]
 fn truncated_messages_have_no_effect() {
-    for whole in messages() {
-        let mut all = Count::default();
-        assert_eq!(message::read(&whole, &mut all), Ok(()));
-        for at in 0..whole.len() {
-            let mut said = Count::default();
-            match message::read(&whole[..at], &mut said) {
-                Ok(()) => assert!(said.0 < all.0),
-                Err(_) => assert_eq!(said.0, 0, "cut at {at} of {}", whole.len()),
+    for complete in messages() {
+        let mut all = ContentCounter::default();
+        assert_eq!(message::read(&complete, &mut all), Ok(()));
+        for at in 0..complete.len() {
+            let mut counter = ContentCounter::default();
+            match message::read(&complete[..at], &mut counter) {
+                Ok(()) => assert!(counter.0 < all.0),
+                Err(_) => assert_eq!(counter.0, 0, "truncated at {at} of {}", complete.len()),
             }
         }
     }
@@ -102,13 +103,13 @@
 
 #[test]
 fn invalid_names_are_rejected() {
-    for bad in ["", "a b", "tab\t", &"x".repeat(MAX_NAME_BYTES + 1)] {
-        let message = news(&record(1), &Record { name: bad.to_owned(), ..record(2) });
-        let mut said = Count::default();
+    for invalid in ["", "a b", "tab\t", &"x".repeat(MAX_NAME_BYTES + 1)] {
+        let message = record_message(&record(1), &Record { name: invalid.to_owned(), ..record(2) });
+        let mut counter = ContentCounter::default();
         assert_eq!(
-            (message::read(&message, &mut said), said.0),
+            (message::read(&message, &mut counter), counter.0),
             (Err(MessageError::InvalidName), 0),
-            "{bad:?}"
+            "{invalid:?}"
         );
     }
 }
@@ -116,19 +117,19 @@
 #[test]
 fn messages_stay_within_their_size() {
     let own = record(1);
-    let head = Header {
+    let header = Header {
         from: RouterId::named("r1"),
         instance_id: own.instance_id,
         incarnation: 9,
         address: own.address,
     };
-    let mut message = Message::updates(&head);
+    let mut message = Message::updates(&header);
     let fit = (0..1_000).take_while(|n| message.record(&record(*n))).count();
     assert!(fit > 10 && message.bytes().len() <= MAX_MESSAGE_BYTES);
 }
 
 proptest! {
-    // Whatever comes, nothing panics, and a fleet goes on with one view of itself afterwards.
+    // Guards against panics on mutated messages; each router still counts itself as live afterwards.
     #[test]
     fn mutated_messages_do_no_harm(kind in 0usize..9,
                bits in proptest::collection::vec((0usize..4_000, 0u8..8), 1..6),
@@ -139,7 +140,7 @@
             bytes[at] ^= 1 << bit;
         }
         bytes.extend(tail);
-        let mut network = SimulatedNetwork::fleet(1, 3, lossy(0.0));
+        let mut network = SimulatedNetwork::fleet(1, 3, lossy_link(0.0));
         (0..3).for_each(|n| network.deliver(n, &bytes));
         network.run_for(SECOND);
         prop_assert!((0..3).all(|n| network.live_count(n) >= 1));
