--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -2,7 +2,7 @@
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
-use applepond_prefix_cache::{List, OpeningId, PANES, Panes, Pins, Terms};
+use applepond_prefix_cache::{CostModel, PANES, PaneCounter, PinList, PinPlanner, PrefixId};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
@@ -29,13 +29,13 @@
 /// What this router knows of prefixes.
 pub(super) struct Prefixes {
     /// Its own counts.
-    counts: Panes,
+    counts: PaneCounter,
     /// Decides which prefixes are pinned.
-    pins: Pins,
+    pins: PinPlanner,
     /// Sizes of prefixes, in the unit that the requests use.
-    sizes: BTreeMap<OpeningId, u32>,
+    sizes: BTreeMap<PrefixId, u32>,
     /// The agreed list as of its last reading.
-    list: List,
+    list: PinList,
     /// Version of the agreed state that holds it.
     version: u64,
     /// When the counts of all routers were last evaluated.
@@ -44,12 +44,12 @@
 }
 
 impl Prefixes {
-    pub(super) fn new(now: Micros, terms: Terms) -> Self {
+    pub(super) fn new(now: Micros, terms: CostModel) -> Self {
         Prefixes {
-            counts: Panes::new(now),
-            pins: Pins::new(now, terms),
+            counts: PaneCounter::new(now),
+            pins: PinPlanner::new(now, terms),
             sizes: BTreeMap::new(),
-            list: List::default(),
+            list: PinList::default(),
             version: 0,
             evaluated: now,
             guards: PrefixGuards::ALL,
@@ -58,7 +58,7 @@
 
     /// When the present window of the counts ends.
     pub(super) fn next_wakeup(&self) -> Micros {
-        self.counts.next()
+        self.counts.next_deadline()
     }
 
     /// Prefixes that the agreed list pins.
@@ -67,13 +67,17 @@
     }
 
     /// The next list, where the counts of all routers call for a change.
-    fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<List> {
+    fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<PinList> {
         let counts = gossip.entries(now, COUNTS).filter_map(|entry| {
-            Panes::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
+            PaneCounter::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
         });
-        let counted = if self.guards.several { Panes::fleet(counts) } else { Panes::unbounded(counts) };
+        let counted = if self.guards.several {
+            PaneCounter::fleet_usage(counts)
+        } else {
+            PaneCounter::unbounded_fleet_usage(counts)
+        };
         let sizes = &self.sizes;
-        self.pins.next(now, &self.list, &counted, |id| sizes.get(&id).copied())
+        self.pins.next_list(now, &self.list, &counted, |id| sizes.get(&id).copied())
     }
 }
 
@@ -82,7 +86,7 @@
     pub fn record_prefix_use(&mut self, name: &str, size: u32) {
         let Some(prefixes) = &mut self.prefixes else { return };
         let id = prefix_id(name);
-        prefixes.counts.uses(id);
+        prefixes.counts.record_use(id);
         if size > 0 && (prefixes.sizes.len() < MAX_SIZES || prefixes.sizes.contains_key(&id)) {
             prefixes.sizes.insert(id, size);
         }
@@ -95,14 +99,14 @@
         let lease = self.register.as_ref()?.lease(now)?;
         // Guards against a list that is not the one agreed on now.
         let is_current = lease.state.version == prefixes.version;
-        let list = if is_current { &prefixes.list } else { &List::read(&lease.state.value).ok()? };
-        list.rides(now, lease.expires_at, prefix_id(name))
+        let list = if is_current { &prefixes.list } else { &PinList::read(&lease.state.value).ok()? };
+        list.lease_duration(now, lease.expires_at, prefix_id(name))
     }
 
     /// Sets how many workers there are, which decides how many prefixes are worth a pin.
     pub fn set_ready_workers(&mut self, ready: usize) {
         if let Some(prefixes) = &mut self.prefixes {
-            prefixes.pins.terms().workers = ready.max(1) as f64;
+            prefixes.pins.cost_model_mut().workers = ready.max(1) as f64;
         }
     }
 
@@ -117,16 +121,16 @@
     /// Publishes counts whose window has ended, and proposes the next list where this router is the leader.
     pub(super) fn update_prefixes(&mut self, now: Micros) {
         let Some(prefixes) = &mut self.prefixes else { return };
-        if let Some(counts) = prefixes.counts.wake(now) {
+        if let Some(counts) = prefixes.counts.take_finished(now) {
             let key = Key(counts.pane % PANES);
             // Counts never grow beyond the size for which gossip has room.
-            let _ = self.gossip.publish(now, COUNTS, key, &Panes::write(&counts));
+            let _ = self.gossip.publish(now, COUNTS, key, &PaneCounter::write(&counts));
         }
         let Some(register) = &mut self.register else { return };
         let Some(lease) = register.lease(now) else { return };
         if lease.state.version != prefixes.version {
             prefixes.version = lease.state.version;
-            prefixes.list = List::read(&lease.state.value).unwrap_or_default();
+            prefixes.list = PinList::read(&lease.state.value).unwrap_or_default();
         }
         // An evaluation reads all counts of all routers, and this is called every other millisecond.
         if !register.is_leader(now) || now < prefixes.evaluated + EVALUATION_INTERVAL {
@@ -141,6 +145,6 @@
     }
 }
 
-fn prefix_id(name: &str) -> OpeningId {
-    OpeningId(FunctionId::named(name).0)
+fn prefix_id(name: &str) -> PrefixId {
+    PrefixId(FunctionId::named(name).0)
 }
