--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -134,7 +134,8 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy(0.0));
+        let mut fleet =
+            membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy_link(0.0));
         fleet.run_for(60 * membership_fleet::SECOND);
         let sum = |fleet: &membership_fleet::SimulatedNetwork| {
             let all = fleet.processes.iter().flatten();
@@ -166,7 +167,7 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
-        let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy(0.0));
+        let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy_link(0.0));
         let publish = |fleet: &mut gossip_fleet::SimulatedNetwork| {
             for n in 0..routers {
                 let at = fleet.now + PUBLISHED_EACH_S * gossip_fleet::SECOND / routers as u64;
--- a/crates/capacity/tests/messages.rs
+++ b/crates/capacity/tests/messages.rs
@@ -17,7 +17,7 @@
 
 /// Bytes and messages a second that an instance of membership sends once its fleet has settled.
 fn membership(routers: usize) -> [f64; 2] {
-    let mut fleet = membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy(0.0));
+    let mut fleet = membership_fleet::SimulatedNetwork::fleet(1, routers, membership_fleet::lossy_link(0.0));
     fleet.run_for(30 * membership_fleet::SECOND);
     let sum = |fleet: &membership_fleet::SimulatedNetwork| {
         let all = fleet.processes.iter().flatten();
@@ -31,7 +31,7 @@
 
 /// Bytes a second that an instance of gossip sends while each router publishes.
 fn gossip(routers: usize) -> f64 {
-    let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy(0.0));
+    let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy_link(0.0));
     let publish = |fleet: &mut gossip_fleet::SimulatedNetwork| {
         for n in 0..routers {
             let at = fleet.now + PUBLISHED_EACH_S * gossip_fleet::SECOND / routers as u64;
