--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -1,60 +1,61 @@
-//! State of the sockets that the reactor owns: connections, listening sockets and datagram sockets.
+//! State of the reactor's sockets: connections, listening sockets and datagram sockets.
 use crate::{Listener, Micros};
 use rustix::event::epoll;
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
 
-/// How many polls of the sockets have ended; identifies one of them.
+/// Number of a poll of the sockets, counted from the reactor's start.
 pub(crate) type PollRound = u64;
 
 /// When a connection was accepted.
 #[derive(Clone, Copy)]
 pub(crate) struct Acceptance {
-    /// The poll that found it in the accept queue.
+    /// The poll that reported it.
     pub(crate) round: PollRound,
-    /// The earliest moment at which it may have entered that queue.
+    /// The earliest time at which it may have entered the kernel's accept queue.
     pub(crate) earliest: Micros,
 }
 
-/// A TCP connection. It may outlive its machine's interest, until both sides have ended.
+/// A TCP connection. It is kept after the machine has finished with it, until both sides have shut down.
 pub(crate) struct Connection {
     /// Index of the machine that owns it.
     pub(crate) machine: usize,
     pub(crate) fd: OwnedFd,
-    /// The listener whose limit it counts against, for an accepted connection.
+    /// The listener against whose limit of open connections it counts, if any.
     pub(crate) listener: Option<Listener>,
     /// The TCP handshake is complete.
     pub(crate) established: bool,
-    /// The machine wants to read.
+    /// Reading is not paused.
     pub(crate) reading: bool,
-    /// Bytes that the kernel has not taken yet.
+    /// Queued bytes that the kernel has not accepted yet.
     pub(crate) unsent: VecDeque<u8>,
-    /// Bytes that the kernel has taken.
+    /// Number of bytes that the kernel has accepted.
     pub(crate) sent: u64,
-    /// This side has ended, or will once `unsent` is empty.
+    /// This side has shut down, or will when `unsent` is empty.
     pub(crate) finishing: bool,
-    /// The peer has ended its side.
+    /// The peer has shut down its direction, and all that it sent has been read.
     pub(crate) peer_ended: bool,
-    /// The peer's end is to be reported ahead of all other events, once.
+    /// The peer's shutdown is to be reported ahead of all other events. Cleared by the report.
     pub(crate) hangup_first: bool,
-    /// The peer's end has been reported ahead of other events.
+    /// The peer's shutdown has been reported ahead of other events.
     pub(crate) hangup_reported: bool,
-    /// All is written and this side has ended: the peer's end is awaited for a bounded time.
+    /// This side has shut down, and the timer that limits the wait for the peer's shutdown is set.
     pub(crate) lingering: bool,
-    /// The machine is to be notified when `unsent` is empty.
+    /// Notify the machine when `unsent` is empty.
     pub(crate) notify_flushed: bool,
-    /// The kernel did not take all of an `offer`: the machine is to be notified when the socket is writable.
+    /// The kernel did not accept all bytes of an `offer`: notify the machine when the socket is writable.
     pub(crate) notify_writable: bool,
-    /// Events that epoll is asked for at present.
+    /// Events that epoll is currently asked to report.
     pub(crate) interest: epoll::EventFlags,
-    /// In the list of connections to flush.
+    /// In the list of connections to be flushed.
     pub(crate) dirty: bool,
-    /// When it was accepted; none for one that this side opened.
+    /// When it was accepted; `None` for one that this side opened, or that was accepted while its listener
+    /// closed.
     pub(crate) accepted: Option<Acceptance>,
 }
 
 impl Connection {
-    /// The events that epoll has to report in the present state.
+    /// The events that epoll has to report in the current state.
     pub(crate) fn wanted_events(&self) -> epoll::EventFlags {
         let mut wanted = epoll::EventFlags::empty();
         if !self.established || !self.unsent.is_empty() || self.notify_writable {
@@ -69,7 +70,7 @@
         wanted
     }
 
-    /// Whether the peer's end is to be reported ahead of everything else.
+    /// Whether the peer's shutdown is to be reported ahead of all other events.
     pub(crate) fn reports_hangup_first(&self) -> bool {
         self.established && self.hangup_first && !self.finishing
     }
@@ -87,12 +88,12 @@
     /// Index of the machine that owns it.
     pub(crate) machine: usize,
     pub(crate) fd: OwnedFd,
-    /// Limit of accepted connections that are open at a time.
+    /// Limit of accepted connections open at a time.
     pub(crate) max_open: usize,
-    /// Accepted connections that are open.
+    /// Number of accepted connections that are open.
     pub(crate) open: usize,
     /// The machine has stopped accepting.
     pub(crate) stopped: bool,
-    /// epoll is asked for its events at present.
+    /// epoll is currently asked to report new connections.
     pub(crate) armed: bool,
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,7 +1,7 @@
 //! Sockets and timers for state machines that do no I/O themselves.
 //!
-//! A [`Machine`] is called with what happened and the time, and issues commands through a [`Transport`].
-//! [`Reactor`] hosts machines on epoll and real sockets; a test may host the same machines in simulated time.
+//! A [`Machine`] is called with an event and the current time, and issues commands through a [`Transport`].
+//! [`Reactor`] runs machines on epoll and real sockets. Tests run the same machines in simulated time.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
@@ -15,10 +15,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Whole microseconds since the Unix epoch on the host's clock, which never steps back.
+/// Whole microseconds since the Unix epoch, on a clock that never goes backwards.
 pub type Micros = u64;
 
-/// A connection or a datagram socket; its number is never used again by the same host.
+/// A connection or a datagram socket. A host never reuses its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
@@ -26,86 +26,90 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Listener(pub u64);
 
-/// A timer's number, chosen by the machine.
+/// Identifies a timer; the machine chooses the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Wake(pub u64);
 
-/// How a connection came to its end.
+/// Why a connection closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
-    /// It was never established: refused, unreachable, or no answer in time.
+    /// It was not established: refused, unreachable or timed out.
     Never,
     /// The peer reset it.
     Reset,
-    /// Both sides had ended, or this side ended and the peer took too long to.
+    /// Both sides shut down their direction, or this side did and the peer did not follow in time.
     Ended,
-    /// More waited to be written than the bound allows.
+    /// The bytes queued to be written exceeded the limit.
     Overflow,
 }
 
-/// The commands that a machine may issue. They take effect when its call returns, in their order.
+/// The commands that a machine may issue. They take effect in order, after the machine's call has returned.
 pub trait Transport {
-    /// Opens a connection; `connected` or `closed` follows, the latter after `timeout` µs at most.
+    /// Opens a connection. `connected` is called once it is established, or `closed` if that fails or takes
+    /// longer than `timeout`.
     fn connect(&mut self, to: SocketAddr, timeout: Micros) -> Conn;
-    /// Queues bytes to be written.
+    /// Queues bytes for writing.
     fn write(&mut self, conn: Conn, bytes: &[u8]);
-    /// Hands the kernel what it takes at once and returns how many bytes that were; the rest stays with the
-    /// caller, who is notified by `flushed` when the socket is writable again.
+    /// Writes as many bytes as the kernel accepts at once and returns their number. The caller keeps the
+    /// rest; `flushed` is called when the socket is writable again.
     fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize;
-    /// A socket for datagrams to and from one address, from a port that the kernel picks; none where there is
-    /// no descriptor. Closed by `cut`.
+    /// Opens a UDP socket that is connected to one address, on a port that the kernel picks; `None` if it
+    /// cannot be opened. `cut` closes it.
     fn datagrams(&mut self, to: SocketAddr) -> Option<Conn>;
-    /// Sends one datagram, or loses it.
+    /// Sends one datagram on such a socket. It is lost if the kernel does not accept it.
     fn datagram(&mut self, conn: Conn, bytes: &[u8]);
-    /// A socket for datagrams to and from any address, and the address that it is bound to; what comes is
-    /// `datagram_received`.
+    /// Opens a UDP socket for datagrams to and from any address. Returns the socket and the address that it
+    /// is bound to. `datagram_received` is called for each datagram that arrives.
     ///
     /// # Errors
-    /// The kernel's error, or that this transport has no such sockets.
+    /// The kernel's error, or `Unsupported` if this transport has no such sockets.
     fn bind_datagrams(&mut self, _at: SocketAddr) -> io::Result<(Conn, SocketAddr)> {
         Err(io::ErrorKind::Unsupported.into())
     }
-    /// Sends one datagram from such a socket, or loses it: false where the kernel would not take it.
+    /// Sends one datagram from such a socket. Returns false, and the datagram is lost, if the kernel does not
+    /// accept it.
     fn datagram_to(&mut self, _conn: Conn, _to: SocketAddr, _bytes: &[u8]) -> bool {
         false
     }
-    /// Bytes waiting to be taken by the kernel.
+    /// Queued bytes that the kernel has not accepted yet.
     fn unsent(&self, conn: Conn) -> usize;
-    /// Bytes that the kernel has taken: a peer may have seen all of them, and nothing more.
+    /// Bytes that the kernel has accepted so far. The peer may have received any of them, and nothing beyond
+    /// them.
     fn sent(&self, conn: Conn) -> u64;
-    /// Whether to read on; a paused connection exerts backpressure on its peer.
+    /// Pauses or resumes reading. A paused connection exerts backpressure on its peer.
     fn reading(&mut self, conn: Conn, on: bool);
-    /// From now on `half_closed` is called as soon as the kernel knows of the peer's end: also while reading
-    /// is paused, ahead of bytes not read yet and of all else that waits. For peers that mean by it that they
-    /// want nothing any more.
+    /// From now on, calls `half_closed` as soon as the kernel reports that the peer has shut down its
+    /// direction: even while reading is paused, and ahead of unread bytes and of all other events. For
+    /// protocols in which that means that the peer no longer wants an answer.
     fn hangup_first(&mut self, _conn: Conn) {}
-    /// The earliest moment at which the bytes that are handed over now may have lain in the kernel, as far as
-    /// the host knows: before `now` where the process was busy, or stood still, since its last poll.
+    /// The earliest time at which the bytes now passed to the machine may have arrived in the kernel. It is
+    /// before `now` if the process was busy or suspended since the last poll.
     fn arrived(&self, _conn: Conn, now: Micros) -> Micros {
         now
     }
-    /// Ends this side once all is written; only `closed` is called afterwards.
+    /// Shuts down this side once all queued bytes are written. Only `closed` is called afterwards.
     fn finish(&mut self, conn: Conn);
-    /// Drops the connection at once; nothing is called for it afterwards.
+    /// Closes the connection or datagram socket at once. No further calls are made for it.
     fn cut(&mut self, conn: Conn);
-    /// Listens, with at most `max_open` accepted connections open at a time; more wait in the kernel's queue.
-    /// Returns the address that the socket is bound to.
+    /// Listens, with at most `max_open` accepted connections open at a time; further ones wait in the
+    /// kernel's accept queue. Returns the listener and the address that it is bound to.
     ///
     /// # Errors
-    /// The kernel's error, such as that the address is in use.
+    /// The kernel's error, for example that the address is in use.
     fn listen(&mut self, at: SocketAddr, max_open: usize) -> io::Result<(Listener, SocketAddr)>;
-    /// Accepts no more; `close` gives the port back, otherwise clients wait in the kernel's queue.
+    /// Stops accepting connections. With `close` the port is released; without it, clients wait in the
+    /// kernel's accept queue.
     fn stop_accepting(&mut self, listener: Listener, close: bool);
-    /// Accepts again after `stop_accepting` without `close`.
+    /// Resumes accepting after `stop_accepting` without `close`.
     fn resume_accepting(&mut self, listener: Listener);
-    /// Has `woken` called at this time, or soon after it.
+    /// Sets a timer: `woken` is called at this time or shortly after it.
     fn wake_at(&mut self, at: Micros, wake: Wake);
 }
 
-/// A state machine that is called with the events of its connections and timers and issues commands in
-/// return; it reads no clock and no socket.
+/// A state machine that is called with the events of its connections and timers and answers with commands. It
+/// reads neither a clock nor a socket.
 pub trait Machine {
-    /// The host has taken the machine in: the first call.
+    /// The first call, when the machine has been added to its host.
     fn start(&mut self, now: Micros, transport: &mut dyn Transport);
     /// A listener has accepted a connection.
     fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener);
@@ -113,14 +117,14 @@
     fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
     /// Bytes have been read.
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]);
-    /// The peer ended its side; it may still read.
+    /// The peer has shut down its direction. It may still read.
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
-    /// The connection is gone. `sent` is the number of bytes that the kernel had taken of all that was
-    /// written.
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64);
-    /// A datagram has come on a datagram socket.
+    /// The connection is closed. `sent` is the number of written bytes that the kernel had accepted.
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64);
+    /// A datagram has arrived on a datagram socket.
     fn datagram_received(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
-    /// All that waited to be written is with the kernel, after a call that left something waiting.
+    /// The kernel has accepted all queued bytes, after an earlier call had left some of them queued; or the
+    /// socket is writable again after `offer`.
     fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
     /// A timer set by `wake_at` has fired.
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake);
