--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The event loop on real sockets: one thread, epoll, no asynchronous runtime.
+//! The event loop on real sockets: single-threaded, on epoll, without an asynchronous runtime.
 use crate::sockets::{Notification, READ_BUFFER_BYTES, Sockets, Timer, accept};
 use crate::transport::MachineTransport;
 use crate::{Closed, Conn, Listener, Machine, Micros, Transport};
@@ -8,45 +8,47 @@
 use std::io;
 use std::time::Duration;
 
-/// Events taken from the kernel at a time: one for each descriptor of a large limit, as the order within a
-/// batch has to hold for all that waits.
+/// Events taken from the kernel by one poll. It is as large as a high limit of descriptors, because events
+/// are ordered by priority only within one poll.
 const MAX_EVENTS_PER_POLL: usize = 4096;
-/// µs that timers may be late, and that the last poll of the sockets may be old, before sockets are polled
-/// once more ahead of all else: far above a busy turn.
+/// Age of the last poll, and lateness of a timer, in µs above which the sockets are polled again before
+/// anything else is handled. A busy turn takes far less.
 const STALE_POLL: Micros = 50_000;
-/// Datagrams read in one go, so that a process that stood still sees what waits before its timers fire, and a
-/// flood of them does not starve connections.
+/// Datagrams read per event. Enough for a process that was suspended to read what has arrived before its
+/// timers fire; limited so that a flood of datagrams does not starve the connections.
 const MAX_DATAGRAMS_PER_EVENT: usize = 256;
-/// Connections accepted in one go, so that a flood of them does not starve those that are open.
+/// Connections accepted per event, limited so that a flood of them does not starve the open ones.
 const MAX_ACCEPTS_PER_EVENT: usize = 64;
-/// µs without accepting after the process ran out of descriptors: some are free again after a few answers.
+/// Pause in µs before accepting again after the process ran out of descriptors. Some are freed as requests
+/// end.
 const ACCEPT_RETRY_DELAY: Micros = 100_000;
 
-/// Hosts machines on one thread. Each sees its own connections and timers only.
+/// Runs machines on one thread. A machine can reach only its own sockets and timers.
 pub struct Reactor {
-    /// Machines by their index; none while one is being called, and after its removal.
+    /// Machines by index; `None` while a machine is being called and after its removal.
     machines: Vec<Option<Box<dyn Machine>>>,
     sockets: Sockets,
-    /// Room for the events of one poll.
+    /// Buffer for the events of one poll.
     events: Vec<epoll::Event>,
-    /// Room for the bytes of one read.
+    /// Buffer for one read.
     read_buffer: Vec<u8>,
-    /// When the last poll of the sockets ended.
+    /// When the last poll ended.
     last_poll: Micros,
 }
 
-/// The times of one poll of the sockets.
+/// The times of one poll.
 struct PollTimes {
-    /// When the poll before it ended.
+    /// When the previous poll ended.
     previous: Micros,
     entered: Micros,
-    /// When it was to end at the latest.
+    /// When its wait was to time out.
     due: Micros,
     ended: Micros,
 }
 
 impl PollTimes {
-    /// The earliest moment at which what the poll found may have arrived.
+    /// The earliest time at which the events of the poll may have occurred. If the process was late to enter
+    /// the poll, or late to return from it, that is the time before the delay.
     fn earliest_arrival(&self) -> Micros {
         if self.entered > self.previous.saturating_add(STALE_POLL) {
             self.previous
@@ -62,7 +64,7 @@
     /// Creates a reactor without machines.
     ///
     /// # Errors
-    /// The kernel's error when it gives no epoll instance.
+    /// The kernel's error if no epoll instance can be created.
     pub fn new() -> io::Result<Self> {
         let sockets = Sockets::new()?;
         let last_poll = sockets.started_at();
@@ -75,12 +77,12 @@
         self.sockets.now()
     }
 
-    /// Open connections of all machines.
+    /// Number of open connections of all machines.
     pub fn connections(&self) -> usize {
         self.sockets.connections.len()
     }
 
-    /// Takes a machine in and starts it; returns its index, for `remove`.
+    /// Adds a machine and starts it. Returns its index for `remove`.
     pub fn add(&mut self, machine: Box<dyn Machine>) -> usize {
         self.machines.push(Some(machine));
         let index = self.machines.len() - 1;
@@ -89,7 +91,7 @@
         index
     }
 
-    /// Ends a machine as the end of its process would: its sockets are closed at once.
+    /// Removes a machine and closes its sockets at once, as if its process had been killed.
     ///
     /// # Panics
     /// If `add` never returned this index.
@@ -98,7 +100,7 @@
         self.sockets.remove_machine(index);
     }
 
-    /// Calls a machine with the time and its transport, unless it has been removed.
+    /// Calls a machine with the current time and its transport, unless it has been removed.
     fn call(&mut self, index: usize, call: impl FnOnce(&mut dyn Machine, Micros, &mut dyn Transport)) {
         if let Some(mut machine) = self.machines.get_mut(index).and_then(Option::take) {
             let now = self.sockets.now();
@@ -108,8 +110,7 @@
         }
     }
 
-    /// Carries out what the last calls commanded, and notifies the machines of the outcome, until nothing is
-    /// left.
+    /// Carries out pending commands and delivers the resulting notifications until none are left.
     fn settle(&mut self) {
         loop {
             while let Some(conn) = self.sockets.dirty.pop() {
@@ -125,8 +126,10 @@
 
     fn notify(&mut self, notification: Notification) {
         match notification {
-            Notification::Closed { machine, conn, why, sent } => {
-                self.call(machine, |machine, now, transport| machine.closed(now, transport, conn, why, sent));
+            Notification::Closed { machine, conn, reason, sent } => {
+                self.call(machine, |machine, now, transport| {
+                    machine.closed(now, transport, conn, reason, sent)
+                });
             }
             Notification::Accepted { machine, conn, listener } => {
                 self.call(machine, |machine, now, transport| {
@@ -139,22 +142,24 @@
         }
     }
 
-    /// Waits for events, `max_wait` at the longest, then calls the machines for them and for their timers.
+    /// Waits for events, at most `max_wait`, then calls the machines for these events and for timers that are
+    /// due.
     ///
     /// # Errors
-    /// The kernel's error when epoll cannot be waited for.
+    /// The kernel's error if waiting on epoll fails.
     pub fn turn(&mut self, max_wait: Duration) -> io::Result<()> {
         let next_timer = self.sockets.timers.next().unwrap_or(Micros::MAX);
         let until_timer = Duration::from_micros(next_timer.saturating_sub(self.sockets.now()));
         self.poll(until_timer.min(max_wait))?;
-        // Guards against a process that stood still, before its sockets were read or while they were: its
-        // timers would take for silence what waits to be read.
+        // If the process was suspended before or while it read its sockets, unread bytes may be waiting.
+        // Timers that fire first would mistake that for a peer's silence.
         let next_timer = self.sockets.timers.next().unwrap_or(Micros::MAX);
         if self.sockets.now() > next_timer.saturating_add(STALE_POLL) {
             self.poll(Duration::ZERO)?;
         }
         for timer in self.sockets.timers.due(self.sockets.now()) {
-            // The same where it stood still since that poll, and the timer has become due only then.
+            // The process may also have been suspended since that poll, with timers that became due
+            // meanwhile.
             if self.poll_is_stale() {
                 self.poll(Duration::ZERO)?;
             }
@@ -180,25 +185,25 @@
         }
     }
 
-    /// Whether the last poll of the sockets is too old to act on.
+    /// Whether the last poll is so old that its events may be out of date.
     fn poll_is_stale(&self) -> bool {
         self.sockets.now() > self.last_poll + STALE_POLL
     }
 
-    /// Waits for sockets so long at most, and handles what they have.
+    /// Waits for socket events, at most `wait`, and handles them.
     fn poll(&mut self, wait: Duration) -> io::Result<()> {
         self.wait_for_events(wait)?;
         let mut events = std::mem::take(&mut self.events);
-        // Guards against a request that is forwarded though its client has left in the meantime, and against
-        // a new connection that takes the place of one on which something lies unread.
+        // Hang-ups come first: a request must not be forwarded after its client has left. New connections
+        // come last, so that none of them takes the place of a connection with unread bytes.
         events.sort_by_key(|event| match event.data.u64() {
             data if self.sockets.is_priority_hangup(data, event.flags) => 0,
             data if self.sockets.listeners.contains_key(&data) => 2,
             _ => 1,
         });
         for event in &events {
-            // Guards against a process that stood still amid a batch: a client whose request lies in it may
-            // have left since. What is left of it comes up again, in the order that holds then.
+            // If the process was suspended within a batch, a client with a request in it may have left since.
+            // epoll reports the remaining events again, to be sorted by their new state.
             if self.poll_is_stale() {
                 break;
             }
@@ -208,7 +213,7 @@
         Ok(())
     }
 
-    /// Fills `events`, and takes down when what they report may have arrived.
+    /// Fills `events` and records the earliest time at which they may have occurred.
     fn wait_for_events(&mut self, wait: Duration) -> io::Result<()> {
         let (previous, entered) = (self.last_poll, self.sockets.now());
         let due = entered.saturating_add(wait.as_micros() as Micros);
@@ -250,7 +255,8 @@
         let mut buffer = std::mem::take(&mut self.read_buffer);
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Some(socket) = self.sockets.datagram_sockets.get(&conn.0) else { break };
-            // An error here is a refused earlier datagram, or that nothing waits any more.
+            // The error is either that no datagram is left or that an earlier one was refused by its
+            // receiver.
             let Ok((count, _)) = net::recv(&socket.fd, &mut buffer[..], net::RecvFlags::empty()) else {
                 break;
             };
@@ -263,7 +269,7 @@
         self.read_buffer = buffer;
     }
 
-    /// The handshake of a connection that this side opened has ended, one way or the other.
+    /// Handles the outcome, success or failure, of a connection attempt of this side.
     fn complete_connect(&mut self, machine: usize, conn: Conn, flags: epoll::EventFlags) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         let succeeded = sockopt::socket_error(&connection.fd).is_ok_and(|error| error.is_ok());
@@ -276,7 +282,7 @@
         }
     }
 
-    /// Reports the peer's end ahead of what has not been read yet.
+    /// Reports the peer's shutdown ahead of bytes that have not been read yet.
     fn report_hangup(&mut self, machine: usize, conn: Conn) {
         if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
             connection.hangup_first = false;
@@ -286,7 +292,7 @@
         self.call(machine, |machine, now, transport| machine.half_closed(now, transport, conn));
     }
 
-    /// Reads and writes on an established connection, as far as the kernel reports it ready.
+    /// Reads from and writes to an established connection as far as epoll reports it ready.
     fn transfer(&mut self, machine: usize, conn: Conn, flags: epoll::EventFlags) {
         let failed = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
         if flags.contains(epoll::EventFlags::IN) || failed {
@@ -302,14 +308,14 @@
         }
     }
 
-    /// Reads once; `failed` says that the kernel reports the connection broken.
+    /// Reads once. `failed` is whether epoll has reported an error or hang-up of the connection.
     fn read(&mut self, machine: usize, conn: Conn, failed: bool) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         if !connection.reading && !connection.finishing && !failed {
             return;
         }
         if connection.peer_ended && failed {
-            // Nothing more can come: the kernel would report this for ever.
+            // Nothing more can be read, and epoll would report the event again and again.
             return self.sockets.drop_connection(conn, Some(Closed::Reset));
         }
         let mut buffer = std::mem::take(&mut self.read_buffer);
@@ -329,7 +335,7 @@
         self.read_buffer = buffer;
     }
 
-    /// All that the peer sent before its end has been read.
+    /// Handles the peer's shutdown after all that it sent has been read.
     fn peer_ended(&mut self, machine: usize, conn: Conn) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         connection.peer_ended = true;
@@ -362,7 +368,8 @@
                     self.settle();
                 }
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
-                    // Level-triggered, it would come up again at once and eat the thread.
+                    // epoll is level-triggered: without the pause it would report the listener again at once,
+                    // in a busy loop.
                     let at = self.sockets.now() + ACCEPT_RETRY_DELAY;
                     self.sockets.disarm_listener(listener);
                     self.sockets.timers.insert(at, Timer::RetryAccept(listener));
--- a/crates/reactor/src/sockets.rs
+++ b/crates/reactor/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The tables of sockets and timers, with the bookkeeping between the kernel and the machines.
+//! Tables of sockets and timers, and the state kept for them between the kernel and the machines.
 use crate::connection::{Acceptance, Connection, DatagramSocket, ListenSocket, PollRound};
 use crate::wheel::Wheel;
 use crate::{Closed, Conn, Listener, Micros, Wake};
@@ -12,32 +12,32 @@
 use std::os::fd::OwnedFd;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes read at a time: a few packets of loopback, one page walk.
+/// Size of the buffer for one read: a few packets of the loopback interface.
 pub(crate) const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Bytes that may wait to be written on one connection; a machine that sees them piling up stops reading
-/// first.
+/// Limit of the bytes queued for writing on one connection. A machine is expected to stop reading before its
+/// queue gets that long.
 const MAX_UNSENT_BYTES: usize = 4 * 1024 * 1024;
-/// Length of the kernel's queue of connections not accepted yet; the kernel caps it by its own setting.
+/// Length of the kernel's accept queue. The kernel limits it further by `net.core.somaxconn`.
 const ACCEPT_QUEUE_LENGTH: i32 = 4096;
-/// µs that a peer has to end its side once this one has ended: then the connection is dropped.
+/// Time in µs that a peer has to shut down its direction after this side; then the connection is closed.
 const LINGER_TIMEOUT: Micros = 1_000_000;
 
 /// What a timer does when it fires.
 pub(crate) enum Timer {
-    /// Wakes a machine.
+    /// Calls `woken` of a machine.
     Machine { machine: usize, wake: Wake },
-    /// Drops the connection if it is not established.
+    /// Closes the connection if it is not established yet.
     ConnectTimeout(Conn),
-    /// Drops a connection whose peer has not ended its side.
+    /// Closes a connection whose peer has not shut down its direction.
     LingerTimeout(Conn),
-    /// Accepts again after the process ran out of descriptors.
+    /// Resumes accepting after the process ran out of descriptors.
     RetryAccept(Listener),
 }
 
-/// What a machine is notified of once its present call has returned.
+/// A call to a machine that is made after the current call has returned.
 pub(crate) enum Notification {
     Accepted { machine: usize, conn: Conn, listener: Listener },
-    Closed { machine: usize, conn: Conn, why: Closed, sent: u64 },
+    Closed { machine: usize, conn: Conn, reason: Closed, sent: u64 },
     Flushed { machine: usize, conn: Conn },
 }
 
@@ -45,7 +45,7 @@
 pub(crate) struct Sockets {
     /// The epoll instance.
     pub(crate) epoll: OwnedFd,
-    // Keys are numbers that this process chose itself, so that a quick hash is no weakness.
+    // The keys are numbers that this process assigns, so a hash that is not collision-resistant is safe.
     /// Connections by the number of their `Conn`.
     pub(crate) connections: FxHashMap<u64, Connection>,
     /// Listening sockets by the number of their `Listener`.
@@ -53,19 +53,19 @@
     /// Datagram sockets by the number of their `Conn`.
     pub(crate) datagram_sockets: FxHashMap<u64, DatagramSocket>,
     pub(crate) timers: Wheel<Timer>,
-    /// The last number given to a socket.
+    /// The last number assigned to a socket.
     last_number: u64,
     /// Connections to flush before the next event.
     pub(crate) dirty: Vec<Conn>,
-    /// Notifications that the machines have not had yet, the oldest first.
+    /// Notifications not delivered yet, oldest first.
     pub(crate) notifications: VecDeque<Notification>,
-    /// Start of the reactor on the monotonic clock.
+    /// When the reactor was created, on the monotonic clock.
     started: Instant,
-    /// The same moment in microseconds since the Unix epoch.
+    /// The same time in µs since the Unix epoch.
     started_at: Micros,
-    /// Polls of the sockets so far.
+    /// Number of polls so far.
     pub(crate) poll_round: PollRound,
-    /// The earliest moment at which what the last poll found may have arrived.
+    /// The earliest time at which the events of the last poll may have occurred.
     pub(crate) earliest_arrival: Micros,
 }
 
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The moment at which the reactor was created.
+    /// When the reactor was created.
     pub(crate) fn started_at(&self) -> Micros {
         self.started_at
     }
@@ -100,13 +100,14 @@
         self.started_at + self.started.elapsed().as_micros() as Micros
     }
 
-    /// A number that no other socket of this reactor has had.
+    /// Assigns a number that no other socket of this reactor has had.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Has the connection flushed and its events adjusted once the present call has returned.
+    /// Schedules the connection to be flushed, and its epoll events updated, after the current call has
+    /// returned.
     pub(crate) fn mark_dirty(&mut self, conn: Conn) {
         if let Some(connection) = self.connections.get_mut(&conn.0)
             && !connection.dirty
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Writes what the kernel takes and asks it for the right events.
+    /// Writes as many queued bytes as the kernel accepts and updates the events that epoll reports.
     pub(crate) fn flush(&mut self, conn: Conn) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         connection.dirty = false;
@@ -146,7 +147,8 @@
         }
     }
 
-    /// The kernel has taken everything: notifies the machine, and ends this side where that was asked for.
+    /// Called when no queued bytes are left: notifies the machine, and shuts down this side if that was
+    /// requested.
     fn all_sent(&mut self, conn: Conn) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         if connection.unsent.capacity() > READ_BUFFER_BYTES {
@@ -168,7 +170,7 @@
         self.update_interest(conn);
     }
 
-    /// Asks epoll for the events that the connection's state needs.
+    /// Updates the events that epoll reports to those that the connection's state needs.
     fn update_interest(&mut self, conn: Conn) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         let wanted = connection.wanted_events();
@@ -179,18 +181,18 @@
         }
     }
 
-    /// Whether this event is the end of a peer whose end is reported ahead of all else.
+    /// Whether this event is a peer's shutdown that has to be reported ahead of all other events.
     pub(crate) fn is_priority_hangup(&self, data: u64, flags: epoll::EventFlags) -> bool {
         let ends = epoll::EventFlags::RDHUP | epoll::EventFlags::HUP | epoll::EventFlags::ERR;
         flags.intersects(ends) && self.connections.get(&data).is_some_and(Connection::reports_hangup_first)
     }
 
-    /// Closes the connection at once; the machine is notified where a reason is given.
+    /// Closes the connection at once. The machine is notified if a reason is given.
     pub(crate) fn drop_connection(&mut self, conn: Conn, reason: Option<Closed>) {
         let Some(connection) = self.connections.remove(&conn.0) else { return };
-        if let Some(why) = reason {
+        if let Some(reason) = reason {
             let (machine, sent) = (connection.machine, connection.sent);
-            self.notifications.push_back(Notification::Closed { machine, conn, why, sent });
+            self.notifications.push_back(Notification::Closed { machine, conn, reason, sent });
         }
         if let Some(listener) = connection.listener
             && let Some(socket) = self.listeners.get_mut(&listener.0)
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Asks epoll for incoming connections exactly where one may be accepted.
+    /// Has epoll report incoming connections if and only if the listener may accept one.
     pub(crate) fn update_listener_interest(&mut self, listener: Listener) {
         let Some(socket) = self.listeners.get_mut(&listener.0) else { return };
         let wanted = !socket.stopped && socket.open < socket.max_open;
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Asks epoll for no events of a listener, until its interest is next updated.
+    /// Has epoll report no events of the listener until its interest is next updated.
     pub(crate) fn disarm_listener(&mut self, listener: Listener) {
         if let Some(socket) = self.listeners.get_mut(&listener.0) {
             socket.armed = false;
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Takes over an accepted connection; none where epoll does not take it.
+    /// Adds an accepted connection; `None` if it cannot be registered with epoll.
     pub(crate) fn add_accepted(
         &mut self,
         machine: usize,
@@ -233,7 +235,7 @@
         self.add_connection(machine, fd, true, listener, accepted)
     }
 
-    /// Takes over a connection whose handshake has begun; none where epoll does not take it.
+    /// Adds a connection whose handshake has begun; `None` if it cannot be registered with epoll.
     pub(crate) fn add_connecting(&mut self, machine: usize, fd: OwnedFd) -> Option<Conn> {
         self.add_connection(machine, fd, false, None, None)
     }
@@ -273,7 +275,7 @@
         Some(conn)
     }
 
-    /// Takes over a datagram socket.
+    /// Adds a datagram socket.
     pub(crate) fn add_datagram_socket(&mut self, machine: usize, fd: OwnedFd) -> Result<Conn, Errno> {
         let conn = Conn(self.next_number());
         epoll::add(&self.epoll, &fd, epoll::EventData::new_u64(conn.0), epoll::EventFlags::IN)?;
@@ -281,7 +283,7 @@
         Ok(conn)
     }
 
-    /// Opens a listening socket; returns the address that it is bound to.
+    /// Opens a listening socket. Returns the listener and the address that it is bound to.
     pub(crate) fn listen(
         &mut self,
         machine: usize,
@@ -308,19 +310,19 @@
     }
 }
 
-/// A TCP socket for the family of this address.
+/// Opens a TCP socket for the family of this address.
 pub(crate) fn stream_socket(address: &SocketAddr) -> Result<OwnedFd, Errno> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     net::socket_with(family(address), SocketType::STREAM, flags, Some(ipproto::TCP))
 }
 
-/// A UDP socket for the family of this address.
+/// Opens a UDP socket for the family of this address.
 pub(crate) fn datagram_socket(address: &SocketAddr) -> Result<OwnedFd, Errno> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     net::socket_with(family(address), SocketType::DGRAM, flags, Some(ipproto::UDP))
 }
 
-/// Accepts one connection; an error where none waits or the process may not open another descriptor.
+/// Accepts one connection. It is an error if none is waiting or the process is out of descriptors.
 pub(crate) fn accept(listener: &OwnedFd) -> Result<OwnedFd, Errno> {
     net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)
 }
--- a/crates/reactor/src/transport.rs
+++ b/crates/reactor/src/transport.rs
@@ -1,4 +1,4 @@
-//! The commands of one machine, carried out on real sockets.
+//! The [`Transport`] of one machine on real sockets.
 use crate::sockets::{Notification, Sockets, Timer, accept, datagram_socket, stream_socket};
 use crate::{Closed, Conn, Listener, Micros, Transport, Wake};
 use rustix::io::Errno;
@@ -6,10 +6,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What a machine sees of the reactor during one call.
+/// The transport that a machine is given for one call.
 pub(crate) struct MachineTransport<'a> {
     pub(crate) sockets: &'a mut Sockets,
-    /// Index of the machine, which owns what it opens.
+    /// Index of the machine. It owns the sockets that it opens.
     pub(crate) machine: usize,
 }
 
@@ -27,8 +27,8 @@
             }
             None => {
                 let conn = Conn(self.sockets.next_number());
-                let (machine, why, sent) = (self.machine, Closed::Never, 0);
-                self.sockets.notifications.push_back(Notification::Closed { machine, conn, why, sent });
+                let (machine, reason, sent) = (self.machine, Closed::Never, 0);
+                self.sockets.notifications.push_back(Notification::Closed { machine, conn, reason, sent });
                 conn
             }
         }
@@ -56,7 +56,7 @@
                     connection.notify_writable = true;
                     break;
                 }
-                // The peer is gone, which the kernel reports by itself, after what the peer had sent before.
+                // The connection has failed. epoll reports that after the bytes that the peer sent before.
                 Err(_) => break,
             }
         }
@@ -110,7 +110,7 @@
     fn arrived(&self, conn: Conn, now: Micros) -> Micros {
         let connection = self.sockets.connections.get(&conn.0);
         let accepted = connection.and_then(|connection| connection.accepted);
-        // What the first poll after its acceptance finds may have come with the connection.
+        // Bytes found by the first poll after the connection was accepted may have arrived together with it.
         let with_connection = accepted
             .filter(|accepted| self.sockets.poll_round <= accepted.round + 1)
             .map(|accepted| accepted.earliest);
@@ -143,7 +143,8 @@
 
     fn stop_accepting(&mut self, listener: Listener, close: bool) {
         if close {
-            // Guards whoever has connected but was not accepted yet: the kernel would reset them.
+            // Accepts the connections that are still in the accept queue, which the kernel would reset on
+            // close.
             while let Some(socket) = self.sockets.listeners.get(&listener.0)
                 && let Ok(fd) = accept(&socket.fd)
             {
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -56,8 +56,8 @@
         self.seen.borrow_mut().half += 1;
         transport.finish(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
-        self.seen.borrow_mut().closed.push((conn, why, sent));
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64) {
+        self.seen.borrow_mut().closed.push((conn, reason, sent));
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
         self.seen.borrow_mut().flushed += 1;
