--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -1,64 +1,66 @@
-//! Incremental decoder of HTTP/1.1 messages, for both sides.
+//! Incremental decoder of HTTP/1.1 requests and responses.
 use crate::Fault;
 use crate::framing::{Framing, chunk_size, keeps_alive};
 
-/// Header fields of one message at most: far above what clients send, and httparse needs a fixed table.
+/// Limit of the header fields of one message, as httparse needs a table of fixed size. Clients send far
+/// fewer.
 const MAX_FIELDS: usize = 96;
-/// Bytes of one chunk-size line at most, extensions and all: they carry nothing for us.
+/// Limit of a chunk-size line in bytes, including chunk extensions, which are ignored.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Receives the parts of messages: for each a head, the body in pieces, the end. A fault ends the decoding.
+/// Receives the parts of each message: the head, the body in pieces, the end. Returning a fault ends the
+/// decoding.
 pub trait Visitor {
     /// A request's head (RFC 9112, section 3).
     ///
     /// # Errors
-    /// Why the visitor does not accept the request.
+    /// The reason for which the visitor rejects the request.
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault>;
-    /// A response's head (RFC 9112, section 4). Interim ones (1xx) are passed over.
+    /// A response's head (RFC 9112, section 4). Interim responses (1xx) are skipped.
     ///
     /// # Errors
-    /// Why the visitor does not accept the response.
+    /// The reason for which the visitor rejects the response.
     fn response(&mut self, status: u16, fields: &Fields<'_>) -> Result<(), Fault>;
     /// A piece of the body.
     ///
     /// # Errors
-    /// Why the visitor does not accept the body.
+    /// The reason for which the visitor rejects the body.
     fn body(&mut self, bytes: &[u8]) -> Result<(), Fault>;
-    /// The message is complete. `keep_alive` is whether the sender lets the connection persist for another
-    /// one.
+    /// The message is complete. `keep_alive` is whether the sender allows the connection to be reused.
     ///
     /// # Errors
-    /// Why the visitor does not accept the message as a whole.
+    /// The reason for which the visitor rejects the message.
     fn end(&mut self, keep_alive: bool) -> Result<(), Fault>;
 }
 
-/// The header fields of one head.
+/// The header fields of one message.
 pub struct Fields<'a>(&'a [httparse::Header<'a>]);
 
 impl<'a> Fields<'a> {
-    /// The first value under this name, compared without regard to case; none where it is not UTF-8.
+    /// The first value of this field, whose name is compared without regard to case; `None` if it is absent
+    /// or not UTF-8.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.all(name).next().and_then(|value| std::str::from_utf8(value).ok())
     }
 
-    /// All values under this name, in their order.
+    /// All values of this field, in order.
     pub(crate) fn all(&self, name: &str) -> impl Iterator<Item = &'a [u8]> {
         self.0.iter().filter(move |field| field.name.eq_ignore_ascii_case(name)).map(|field| field.value)
     }
 
-    /// Names and values as they came, in their order.
+    /// Names and values as received, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         self.0.iter().map(|field| (field.name, field.value))
     }
 
-    /// Whether a comma-separated list under this name holds the word.
+    /// Whether a field of this name, read as a comma-separated list, contains `word` in any case.
     pub fn lists(&self, name: &str, word: &str) -> bool {
         let texts = self.all(name).filter_map(|value| std::str::from_utf8(value).ok());
         texts.flat_map(|text| text.split(',')).any(|item| item.trim().eq_ignore_ascii_case(word))
     }
 }
 
-/// Which side of HTTP the decoder stands on.
+/// The side of the connection that the decoder is used on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     /// Decodes requests.
@@ -70,67 +72,68 @@
 /// The outcome of one `step`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The message is not complete: more bytes are needed.
+    /// More bytes are needed to complete the message.
     More,
-    /// A message ended. What came after it waits in the decoder for the next `step`.
+    /// A message is complete. The bytes that follow it remain in the decoder for the next `step`.
     Done,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Before a head or inside of it.
+    /// Before or within a head.
     Head,
-    /// In a body of which so many bytes are left.
+    /// In a body with this many bytes left.
     Sized(u64),
     /// Before a chunk-size line.
     ChunkSize,
-    /// In a chunk of which so many bytes are left.
+    /// In a chunk with this many bytes left.
     Chunk(u64),
-    /// Before the line end after a chunk's data.
+    /// Before the line end that follows a chunk's data.
     ChunkEnd,
     /// In the trailer section.
     Trailers,
-    /// In a body that ends with the connection.
+    /// In a body that ends when the connection does.
     UntilClose,
 }
 
 /// The outcome of decoding one element of a message.
 enum Progress {
-    /// The next element may be there.
-    GoOn,
-    /// The element is not complete.
-    NeedsBytes,
+    /// The element is complete; decoding continues with the next one.
+    Continue,
+    /// More bytes are needed to complete the element.
+    NeedMoreBytes,
     /// The message is complete.
-    MessageEnds,
+    MessageComplete,
 }
 
-/// What a head says of what follows it.
+/// The properties of a message that its head determines.
 struct Head {
     framing: Framing,
     keep_alive: bool,
 }
 
-/// One connection's decoder. It holds at most the undecoded bytes handed in; its owner stops reading when
-/// `waiting` passes its bound.
+/// The decoder of one connection. It buffers the bytes that have not been decoded; its owner limits them by
+/// not reading from the connection while `waiting` is too high.
 pub struct Decoder {
     side: Side,
     max_head_bytes: usize,
     max_body_bytes: u64,
     buffer: Vec<u8>,
-    /// Where the undecoded bytes begin in the buffer.
+    /// Start of the undecoded bytes in the buffer.
     start: usize,
-    /// Bytes of the buffer already searched for the end of the head or line, so that a byte at a time costs
-    /// no more than all at once.
+    /// Number of undecoded bytes already searched for the end of the head or line. It avoids searching them
+    /// again when a message arrives in many small reads.
     searched: usize,
     state: State,
-    /// The sender of the present message lets the connection persist.
+    /// The sender of the current message allows the connection to be reused.
     keep_alive: bool,
-    /// Bytes of the present body so far.
+    /// Bytes of the current body decoded so far.
     body_bytes: u64,
 }
 
 impl Decoder {
-    /// A decoder for a new connection. A message whose head or body passes its bound is a fault (431, 413).
+    /// Creates the decoder of a new connection. A message whose head or body exceeds its limit is rejected
+    /// with 431 or 413.
     pub fn new(side: Side, max_head_bytes: usize, max_body_bytes: u64) -> Self {
         Decoder {
             side,
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Hands in bytes as they were read.
+    /// Adds bytes read from the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.start > 0 && self.start == self.buffer.len() {
             self.buffer.clear();
@@ -154,17 +157,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes handed in and not yet decoded.
+    /// Number of bytes added and not decoded yet.
     pub fn waiting(&self) -> usize {
         self.buffer.len() - self.start
     }
 
-    /// Whether it stands between two messages, with nothing of the next one here.
+    /// Whether the last message is complete and no byte of the next one has been added.
     pub fn idle(&self) -> bool {
         self.state == State::Head && self.waiting() == 0
     }
 
-    /// Whether a head has been visited and its body is not complete yet.
+    /// Whether a head has been decoded and its body is not complete yet.
     pub fn in_body(&self) -> bool {
         self.state != State::Head
     }
@@ -173,7 +176,7 @@
         &self.buffer[self.start..]
     }
 
-    /// Drops bytes that have been decoded, and gives memory back where there is much of it.
+    /// Drops decoded bytes, and frees an empty buffer that has grown large.
     fn consume(&mut self, count: usize) {
         self.start += count;
         self.searched = 0;
@@ -189,19 +192,19 @@
         }
     }
 
-    /// Decodes until one message ends or bytes run out.
+    /// Decodes until a message is complete or no bytes are left.
     ///
     /// # Errors
-    /// A message that breaks the protocol or a bound, or the visitor's own fault. Afterwards the connection
-    /// is of no more use.
+    /// A message that violates the protocol or exceeds a limit, or the visitor's fault. The decoder cannot be
+    /// used afterwards.
     pub fn step(&mut self, visitor: &mut dyn Visitor) -> Result<Step, Fault> {
         loop {
             let progress = match self.state {
                 State::Head => self.step_head(visitor)?,
                 State::Sized(left) => self.step_sized(left, visitor)?,
                 State::UntilClose => {
-                    self.pass_body(u64::MAX, visitor)?;
-                    Progress::NeedsBytes
+                    self.deliver_body(u64::MAX, visitor)?;
+                    Progress::NeedMoreBytes
                 }
                 State::ChunkSize => self.step_chunk_size()?,
                 State::Chunk(left) => self.step_chunk(left, visitor)?,
@@ -209,9 +212,9 @@
                 State::Trailers => self.step_trailers()?,
             };
             match progress {
-                Progress::GoOn => {}
-                Progress::NeedsBytes => return Ok(Step::More),
-                Progress::MessageEnds => {
+                Progress::Continue => {}
+                Progress::NeedMoreBytes => return Ok(Step::More),
+                Progress::MessageComplete => {
                     self.end_message(visitor)?;
                     return Ok(Step::Done);
                 }
@@ -220,67 +223,67 @@
     }
 
     fn step_head(&mut self, visitor: &mut dyn Visitor) -> Result<Progress, Fault> {
-        let Some(length) = self.head_length()? else { return Ok(Progress::NeedsBytes) };
+        let Some(length) = self.head_length()? else { return Ok(Progress::NeedMoreBytes) };
         let has_body = self.decode_head(length, visitor)?;
-        Ok(if has_body { Progress::GoOn } else { Progress::MessageEnds })
+        Ok(if has_body { Progress::Continue } else { Progress::MessageComplete })
     }
 
     fn step_sized(&mut self, left: u64, visitor: &mut dyn Visitor) -> Result<Progress, Fault> {
-        let passed = self.pass_body(left, visitor)?;
-        self.state = State::Sized(left - passed);
-        Ok(match passed {
-            _ if passed == left => Progress::MessageEnds,
-            0 => Progress::NeedsBytes,
-            _ => Progress::GoOn,
+        let delivered = self.deliver_body(left, visitor)?;
+        self.state = State::Sized(left - delivered);
+        Ok(match delivered {
+            _ if delivered == left => Progress::MessageComplete,
+            0 => Progress::NeedMoreBytes,
+            _ => Progress::Continue,
         })
     }
 
     fn step_chunk_size(&mut self) -> Result<Progress, Fault> {
-        let Some(line) = self.line_length(MAX_CHUNK_LINE_BYTES)? else { return Ok(Progress::NeedsBytes) };
+        let Some(line) = self.line_length(MAX_CHUNK_LINE_BYTES)? else { return Ok(Progress::NeedMoreBytes) };
         let size = chunk_size(&self.undecoded()[..line])?;
         if self.body_bytes.saturating_add(size) > self.max_body_bytes {
             return Err(self.body_too_large());
         }
         self.consume(line);
         self.state = if size == 0 { State::Trailers } else { State::Chunk(size) };
-        Ok(Progress::GoOn)
+        Ok(Progress::Continue)
     }
 
     fn step_chunk(&mut self, left: u64, visitor: &mut dyn Visitor) -> Result<Progress, Fault> {
-        let passed = self.pass_body(left, visitor)?;
-        self.state = if passed == left { State::ChunkEnd } else { State::Chunk(left - passed) };
-        Ok(if passed == 0 { Progress::NeedsBytes } else { Progress::GoOn })
+        let delivered = self.deliver_body(left, visitor)?;
+        self.state = if delivered == left { State::ChunkEnd } else { State::Chunk(left - delivered) };
+        Ok(if delivered == 0 { Progress::NeedMoreBytes } else { Progress::Continue })
     }
 
     fn step_chunk_end(&mut self) -> Result<Progress, Fault> {
         match self.undecoded() {
-            [] | [b'\r'] => Ok(Progress::NeedsBytes),
+            [] | [b'\r'] => Ok(Progress::NeedMoreBytes),
             [b'\r', b'\n', ..] => {
                 self.consume(2);
                 self.state = State::ChunkSize;
-                Ok(Progress::GoOn)
+                Ok(Progress::Continue)
             }
-            _ => Err(Fault::new(400, "bad-chunk", "a chunk does not end where its size says")),
+            _ => Err(Fault::new(400, "bad-chunk", "the data of a chunk is not followed by a line end")),
         }
     }
 
-    /// Trailer fields are read over: nothing here needs them.
+    /// Trailer fields are skipped, as nothing uses them.
     fn step_trailers(&mut self) -> Result<Progress, Fault> {
-        let Some(line) = self.line_length(self.max_head_bytes)? else { return Ok(Progress::NeedsBytes) };
+        let Some(line) = self.line_length(self.max_head_bytes)? else { return Ok(Progress::NeedMoreBytes) };
         let empty = matches!(&self.undecoded()[..line], b"\r\n" | b"\n");
         self.consume(line);
-        Ok(if empty { Progress::MessageEnds } else { Progress::GoOn })
+        Ok(if empty { Progress::MessageComplete } else { Progress::Continue })
     }
 
-    /// The peer ended its side, which ends a message without a length.
+    /// Tells the decoder that the peer has shut down its direction, which ends a message without a length.
     ///
     /// # Errors
-    /// A message that is not complete, or the visitor's own fault.
+    /// An incomplete message, or the visitor's fault.
     pub fn finish(&mut self, visitor: &mut dyn Visitor) -> Result<(), Fault> {
         match self.state {
             State::UntilClose => self.end_message(visitor),
             State::Head if self.undecoded().iter().all(|byte| matches!(byte, b'\r' | b'\n')) => Ok(()),
-            _ => Err(Fault::new(400, "cut-short", "the connection ended inside a message")),
+            _ => Err(Fault::new(400, "cut-short", "the connection ended before the message was complete")),
         }
     }
 
@@ -291,11 +294,15 @@
     }
 
     fn body_too_large(&self) -> Fault {
-        Fault::new(413, "body-too-large", format!("a body may have {} bytes", self.max_body_bytes))
+        Fault::new(
+            413,
+            "body-too-large",
+            format!("the body exceeds the limit of {} bytes", self.max_body_bytes),
+        )
     }
 
-    /// Hands the visitor what is here of the body, up to `limit` bytes; returns how many that were.
-    fn pass_body(&mut self, limit: u64, visitor: &mut dyn Visitor) -> Result<u64, Fault> {
+    /// Passes buffered bytes of the body to the visitor, at most `limit`, and returns their number.
+    fn deliver_body(&mut self, limit: u64, visitor: &mut dyn Visitor) -> Result<u64, Fault> {
         let count = limit.min(self.waiting() as u64);
         self.body_bytes += count;
         if self.body_bytes > self.max_body_bytes {
@@ -308,7 +315,7 @@
         Ok(count)
     }
 
-    /// Length of the next line with its end, once it is here.
+    /// Length of the next line including its line end; `None` if it is not complete yet.
     fn line_length(&mut self, limit: usize) -> Result<Option<usize>, Fault> {
         let from = self.searched;
         let found = memchr::memchr(b'\n', &self.undecoded()[from..]).map(|at| from + at + 1);
@@ -317,33 +324,33 @@
             return Err(Fault::new(
                 400,
                 "long-line",
-                format!("a line of a chunked body may have {limit} bytes"),
+                format!("a line of the chunked body exceeds the limit of {limit} bytes"),
             ));
         }
         Ok(found)
     }
 
-    /// Length of the head with its empty line, once it is here.
+    /// Length of the head including the empty line that ends it; `None` if it is not complete yet.
     fn head_length(&mut self) -> Result<Option<usize>, Fault> {
         let undecoded = self.undecoded();
-        // Empty lines before a request are passed over (RFC 9112, section 2.2).
-        let lead = undecoded.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        let from = self.searched.max(lead);
-        let is_empty_line =
+        // Empty lines before a request are ignored (RFC 9112, section 2.2).
+        let leading = undecoded.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        let from = self.searched.max(leading);
+        let ends_empty_line =
             |at: &usize| undecoded[..*at].ends_with(b"\n") || undecoded[..*at].ends_with(b"\n\r");
         let line_ends = memchr::memchr_iter(b'\n', &undecoded[from..]).map(|at| from + at);
-        let found = line_ends.filter(|at| *at > lead).find(is_empty_line).map(|at| at + 1);
+        let found = line_ends.filter(|at| *at > leading).find(ends_empty_line).map(|at| at + 1);
         let length = found.unwrap_or(undecoded.len());
         self.searched = if found.is_some() { 0 } else { undecoded.len() };
         if length > self.max_head_bytes {
-            let detail = format!("a head may have {} bytes", self.max_head_bytes);
+            let detail = format!("the head exceeds the limit of {} bytes", self.max_head_bytes);
             return Err(Fault::new(431, "head-too-large", detail));
         }
         Ok(found)
     }
 
-    /// Decodes a complete head; false where the message ends with it. An interim response is none: the
-    /// message goes on with another head.
+    /// Decodes a complete head. Returns false if the message ends with it. After an interim response it
+    /// returns true, as the final response follows.
     fn decode_head(&mut self, length: usize, visitor: &mut dyn Visitor) -> Result<bool, Fault> {
         let head = match self.side {
             Side::Server => self.decode_request(length, visitor)?,
@@ -365,15 +372,15 @@
         let mut head = httparse::Request::new(&mut table);
         head.parse(&self.undecoded()[..length]).map_err(head_fault)?;
         let (Some(method), Some(target), Some(version)) = (head.method, head.path, head.version) else {
-            return Err(Fault::new(400, "bad-head", "the request line is not whole"));
+            return Err(Fault::new(400, "bad-head", "the request line is incomplete"));
         };
         let fields = Fields(head.headers);
         // A request must name its host exactly once (RFC 9112, section 3.2).
         if version == 1 && fields.all("host").count() != 1 {
-            return Err(Fault::new(400, "bad-host", "one Host field is wanted"));
+            return Err(Fault::new(400, "bad-host", "the request must have exactly one Host field"));
         }
         let framing = Framing::read(&fields)?.unwrap_or(Framing::Length(0));
-        // The length is looked at first: a body that is too large is not begun.
+        // A body whose declared length exceeds the limit is rejected before any of it is read.
         if let Framing::Length(size) = framing
             && size > self.max_body_bytes
         {
@@ -384,20 +391,20 @@
         Ok(Some(Head { framing, keep_alive }))
     }
 
-    /// None for an interim response, which is passed over.
+    /// Returns `None` for an interim response, which is skipped.
     fn decode_response(&self, length: usize, visitor: &mut dyn Visitor) -> Result<Option<Head>, Fault> {
         let mut table = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = httparse::Response::new(&mut table);
         head.parse(&self.undecoded()[..length]).map_err(head_fault)?;
         let (Some(status), Some(version)) = (head.code, head.version) else {
-            return Err(Fault::new(400, "bad-head", "the status line is not whole"));
+            return Err(Fault::new(400, "bad-head", "the status line is incomplete"));
         };
         if (100..200).contains(&status) {
             return Ok(None);
         }
         let fields = Fields(head.headers);
-        let bodyless = matches!(status, 204 | 304);
-        let framing = if bodyless {
+        let has_no_body = matches!(status, 204 | 304);
+        let framing = if has_no_body {
             Framing::Length(0)
         } else {
             Framing::read(&fields)?.unwrap_or(Framing::UntilClose)
@@ -411,9 +418,9 @@
 fn head_fault(error: httparse::Error) -> Fault {
     match error {
         httparse::Error::TooManyHeaders => {
-            Fault::new(431, "head-too-large", format!("a head may have {MAX_FIELDS} fields"))
+            Fault::new(431, "head-too-large", format!("the head exceeds the limit of {MAX_FIELDS} fields"))
         }
-        httparse::Error::Version => Fault::new(505, "bad-version", "HTTP/1.1 is spoken here"),
-        error => Fault::new(400, "bad-head", format!("the head cannot be read: {error}")),
+        httparse::Error::Version => Fault::new(505, "bad-version", "unsupported HTTP version; use HTTP/1.1"),
+        error => Fault::new(400, "bad-head", format!("malformed head: {error}")),
     }
 }
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,40 +1,42 @@
-//! Where a message's body ends, and whether its connection may be reused.
+//! How the end of a message's body is found, and whether the connection may be reused.
 use crate::Fault;
 use crate::decode::Fields;
 
-/// Digits of a chunk's size at most: sixteen hold all of a u64, more is an attempt to overflow it.
+/// Limit of the digits of a chunk's size: fewer than the sixteen that a `u64` holds, so that no size
+/// overflows it.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// How the end of a message's body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// In chunks, after the last of them.
+    /// The body consists of chunks and ends with the last one.
     Chunked,
-    /// With the end of the connection.
+    /// The body ends when the connection does.
     UntilClose,
 }
 
 impl Framing {
-    /// Reads it from a head (RFC 9112, section 6.3); none where the head does not say.
+    /// Reads the framing from a head (RFC 9112, section 6.3); `None` if the head does not specify one.
     pub(crate) fn read(fields: &Fields<'_>) -> Result<Option<Framing>, Fault> {
         let mut lengths = fields.all("content-length");
         let length = lengths.next();
         if lengths.next().is_some() {
-            return Err(Fault::new(400, "bad-length", "one Content-Length is wanted"));
+            return Err(Fault::new(400, "bad-length", "more than one Content-Length field"));
         }
         let mut codings = fields.all("transfer-encoding");
         match (length, codings.next(), codings.next()) {
-            // Two ways to find the end are how requests are smuggled past a peer.
+            // A peer may read the other of two lengths, which allows request smuggling (RFC 9112, section
+            // 11.2).
             (Some(_), Some(_), _) => {
-                Err(Fault::new(400, "two-lengths", "Content-Length and Transfer-Encoding exclude each other"))
+                Err(Fault::new(400, "two-lengths", "both Content-Length and Transfer-Encoding are given"))
             }
             (None, Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") => {
                 Ok(Some(Framing::Chunked))
             }
             (None, Some(_), _) => {
-                Err(Fault::new(501, "bad-coding", "the only transfer coding known is chunked"))
+                Err(Fault::new(501, "bad-coding", "unsupported transfer coding; only chunked is supported"))
             }
             (None, None, _) => Ok(None),
             (Some(digits), None, _) => content_length(digits).map(|size| Some(Framing::Length(size))),
@@ -45,10 +47,10 @@
 fn content_length(digits: &[u8]) -> Result<u64, Fault> {
     let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     let size = plain.then(|| std::str::from_utf8(digits).ok()?.parse().ok()).flatten();
-    size.ok_or_else(|| Fault::new(400, "bad-length", "Content-Length is not a whole number"))
+    size.ok_or_else(|| Fault::new(400, "bad-length", "Content-Length is not a non-negative integer"))
 }
 
-/// Whether the sender of a head lets the connection persist (RFC 9112, section 9.3).
+/// Whether the sender of a head allows the connection to be reused (RFC 9112, section 9.3).
 pub(crate) fn keeps_alive(minor_version: u8, fields: &Fields<'_>) -> bool {
     if minor_version == 1 {
         !fields.lists("connection", "close")
@@ -57,9 +59,9 @@
     }
 }
 
-/// Reads a chunk-size line with its end; extensions are passed over.
+/// Parses a chunk-size line, including its line end. Chunk extensions are ignored.
 pub(crate) fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
-    let bad = || Fault::new(400, "bad-chunk", "a chunk's size is not a hexadecimal number");
+    let bad = || Fault::new(400, "bad-chunk", "the size of a chunk is not a hexadecimal number");
     let line = line.strip_suffix(b"\r\n").ok_or_else(bad)?;
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let after = line[digits..].iter().find(|byte| !matches!(byte, b' ' | b'\t'));
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 (RFC 9112) and the CloudEvents 1.0.2 HTTP binding without I/O.
+//! HTTP/1.1 (RFC 9112) and the CloudEvents 1.0.2 HTTP binding, without I/O.
 //!
-//! Bytes go in, and what they say comes out as calls of a visitor. Nothing here reads a socket or a clock,
-//! and nothing decides.
+//! The decoder is fed bytes and calls a visitor with the messages in them. The crate reads neither a socket
+//! nor a clock and holds no policy.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
@@ -10,19 +10,19 @@
 pub mod encode;
 mod framing;
 
-/// Why a message cannot be accepted.
+/// Why a message is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Status to answer with (RFC 9110).
+    /// Status of the response (RFC 9110).
     pub status: u16,
-    /// Short code that logs carry too.
+    /// Short code, also written to the log.
     pub reason: &'static str,
-    /// A sentence for people.
+    /// Explanation for a human reader.
     pub detail: String,
 }
 
 impl Fault {
-    /// A fault of this status, code and sentence.
+    /// Creates a fault with this status, code and explanation.
     pub fn new(status: u16, reason: &'static str, detail: impl Into<String>) -> Self {
         Fault { status, reason, detail: detail.into() }
     }
