--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -1,20 +1,21 @@
-//! Encodes whole messages, and problem bodies (RFC 9457).
+//! Encodes messages and problem details (RFC 9457).
 use crate::Fault;
 use serde_json::json;
 use std::io::Write;
 
-/// Bytes reserved for a head: most fit without growing.
-const USUAL_HEAD_BYTES: usize = 768;
+/// Initial capacity in bytes of the buffer of a head, which is enough for most heads.
+const HEAD_CAPACITY_BYTES: usize = 768;
 
-/// A message under construction: a head, then `body` or `empty` ends it.
+/// A message under construction. `body`, `chunked` or `empty` ends its head and returns its bytes.
 pub struct Message(Lines);
 
-/// Header lines without a message yet, in one buffer.
+/// Encoded header fields that do not belong to a message yet.
 #[derive(Clone, Default)]
 pub struct Lines(Vec<u8>);
 
 impl Lines {
-    /// A header field. Bytes that would end the line are written as spaces, so that no value can add a field.
+    /// Adds a header field. Control characters in the value are replaced by spaces, so that a value cannot
+    /// add another field.
     pub fn field(&mut self, name: &str, value: &str) {
         self.0.reserve(name.len() + value.len() + 4);
         self.0.extend_from_slice(name.as_bytes());
@@ -23,7 +24,7 @@
         self.0.extend_from_slice(b"\r\n");
     }
 
-    /// The same lines without those of the fields named; names match as they were written.
+    /// A copy without the named fields. Names are compared in the case in which they were written.
     pub fn without(&self, names: &[&str]) -> Lines {
         let lines = self.0.split_inclusive(|byte| *byte == b'\n');
         let named = |line: &&[u8]| {
@@ -34,34 +35,34 @@
         Lines(lines.filter(named).flatten().copied().collect())
     }
 
-    /// The lines as they are written.
+    /// The encoded lines.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Lines from what `bytes` returned.
+    /// Creates them from encoded lines, as returned by `bytes`.
     pub fn of(bytes: Vec<u8>) -> Lines {
         Lines(bytes)
     }
 
-    /// Adds lines that were written before.
+    /// Adds encoded lines.
     pub fn append(&mut self, more: &Lines) {
         self.0.extend_from_slice(&more.0);
     }
 
-    /// Bytes of the lines.
+    /// Number of bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no line.
+    /// Whether there are no lines.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// The phrase of a status; clients are not to read it (RFC 9112, section 4).
-fn phrase(status: u16) -> &'static str {
+/// The reason phrase of a status. Clients should ignore it (RFC 9112, section 4).
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
@@ -87,43 +88,43 @@
     }
 }
 
-/// The interim response that tells a client to go on with its body (RFC 9110, section 10.1.1).
+/// The interim response that tells a client to send its body (RFC 9110, section 10.1.1).
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Begins a request.
 pub fn request(method: &str, target: &str, host: &str) -> Message {
-    let mut head = Vec::with_capacity(USUAL_HEAD_BYTES);
+    let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
     let _ = write!(head, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     Message(Lines(head))
 }
 
 /// Begins a response.
 pub fn response(status: u16) -> Message {
-    let mut head = Vec::with_capacity(USUAL_HEAD_BYTES);
-    let _ = write!(head, "HTTP/1.1 {status} {}\r\n", phrase(status));
+    let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
+    let _ = write!(head, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     Message(Lines(head))
 }
 
 impl Message {
-    /// A field; bytes that would end the line are written as spaces.
+    /// Adds a field. Control characters in the value are replaced by spaces.
     pub fn field(mut self, name: &str, value: &str) -> Self {
         self.0.field(name, value);
         self
     }
 
-    /// A field whose value is a whole number.
+    /// Adds a field with an integer value.
     pub fn number(mut self, name: &str, value: u64) -> Self {
         let _ = write!(self.0.0, "{name}: {value}\r\n");
         self
     }
 
-    /// Header lines that were written before.
+    /// Adds encoded header lines.
     pub fn lines(mut self, lines: &Lines) -> Self {
         self.0.0.extend_from_slice(&lines.0);
         self
     }
 
-    /// The whole message with this body and its length.
+    /// Ends the message with this body and its `Content-Length`.
     pub fn body(mut self, bytes: &[u8]) -> Vec<u8> {
         self = self.number("Content-Length", bytes.len() as u64);
         self.0.0.extend_from_slice(b"\r\n");
@@ -131,21 +132,21 @@
         self.0.0
     }
 
-    /// A head whose body follows in chunks.
+    /// Ends the head of a message whose body follows in chunks.
     pub fn chunked(mut self) -> Vec<u8> {
         self.0.field("Transfer-Encoding", "chunked");
         self.0.0.extend_from_slice(b"\r\n");
         self.0.0
     }
 
-    /// A request without a body.
+    /// Ends a message without a body.
     pub fn empty(mut self) -> Vec<u8> {
         self.0.0.extend_from_slice(b"\r\n");
         self.0.0
     }
 }
 
-/// One chunk of a chunked body; an empty one ends the body.
+/// Encodes one chunk of a chunked body. An empty chunk ends the body.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut out = format!("{:x}\r\n", bytes.len()).into_bytes();
     out.extend_from_slice(bytes);
@@ -153,12 +154,13 @@
     out
 }
 
-/// The body of an error (RFC 9457): `type`, `status`, `title` and `detail` of the RFC, with `reason` (the
-/// code that the log carries), the request's id where known, and `retry-after-ms` where the client may retry.
+/// The problem details of an error (RFC 9457): `type`, `title`, `status` and `detail`. As extensions it has
+/// `reason`, the code in the log; `id`, the request's id, if known; and `retry-after-ms`, if the client may
+/// retry.
 pub fn problem(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>) -> Vec<u8> {
     let mut body = json!({
         "type": format!("urn:applepond:problem:{}", fault.reason),
-        "title": phrase(fault.status),
+        "title": reason_phrase(fault.status),
         "status": fault.status,
         "detail": fault.detail,
         "reason": fault.reason,
@@ -172,8 +174,8 @@
     body.to_string().into_bytes()
 }
 
-/// A whole response with a problem body. `Retry-After` is in whole seconds, rounded up (RFC 9110, section
-/// 10.2.3).
+/// A complete response with problem details. `Retry-After` is in seconds (RFC 9110, section 10.2.3), rounded
+/// up.
 pub fn problem_answer(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>, keep: bool) -> Vec<u8> {
     let mut head = response(fault.status).field("Content-Type", "application/problem+json");
     if let Some(ms) = retry_after_ms {
