--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages, whole and cut at every byte, and what is no message.
+//! Decoding of valid messages, whole and split at every byte, and rejection of invalid ones.
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
@@ -9,9 +9,10 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_BODY_BYTES: u64 = 1024;
 
-/// Writes down what a decoder tells; reads events as the gateway does.
+/// Records the visits of a decoder as lines of text. With `events` it reads each request as a CloudEvent, as
+/// the gateway does.
 #[derive(Default)]
-struct Record {
+struct RecordingVisitor {
     visits: Visits,
     reader: Option<Reader>,
     body: Vec<u8>,
@@ -36,7 +37,7 @@
     }
 }
 
-impl Visitor for Record {
+impl Visitor for RecordingVisitor {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
         self.visits.push(format!("{method} {target}"));
         if self.events {
@@ -52,20 +53,20 @@
         self.body.extend_from_slice(bytes);
         Ok(())
     }
-    fn end(&mut self, keep: bool) -> Result<(), Fault> {
+    fn end(&mut self, keep_alive: bool) -> Result<(), Fault> {
         let body = std::mem::take(&mut self.body);
         match self.reader.take() {
             Some(reader) => reader.body(body, &mut self.visits)?,
             None => self.visits.push(String::from_utf8_lossy(&body).into_owned()),
         }
-        self.visits.push(format!("end {keep}"));
+        self.visits.push(format!("end {keep_alive}"));
         Ok(())
     }
 }
 
 fn decode(side: Side, events: bool, pieces: &[&[u8]]) -> (Vec<String>, Option<Fault>) {
     let mut decoder = Decoder::new(side, MAX_HEAD_BYTES, MAX_BODY_BYTES);
-    let mut record = Record { events, ..Record::default() };
+    let mut record = RecordingVisitor { events, ..RecordingVisitor::default() };
     for piece in pieces {
         decoder.feed(piece);
         loop {
@@ -89,7 +90,7 @@
     30;x=1\r\n\"source\":\"/d\",\"type\":\"q\",\"n\":3,\"data\":{\"a\":\"b\"}}\r\n0\r\nT: x\r\n\r\n";
 const PIPELINED: &str = "\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc\
     GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-const ANSWERS: &str = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\
+const RESPONSES: &str = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\
     HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\n\r\nuntil the end";
 
 #[test_case(Side::Server, true, BINARY, &["POST /events", "specversion=1.0", "id=7 b", "source=/desk",
@@ -98,38 +99,41 @@
     "type=q", "data Some(\"application/json\") {\"a\":\"b\"}", "end true"]; "structured in chunks")]
 #[test_case(Side::Server, false, PIPELINED, &["POST /", "abc", "end true", "GET /x", "", "end false"];
     "pipelined")]
-#[test_case(Side::Client, false, ANSWERS, &["status 200", "ok", "end true", "status 204", "", "end true",
-    "status 200", "until the end", "end false"]; "answers")]
-fn whole_and_cut_at_every_byte(side: Side, events: bool, sample: &str, want: &[&str]) {
+#[test_case(Side::Client, false, RESPONSES, &["status 200", "ok", "end true", "status 204", "", "end true",
+    "status 200", "until the end", "end false"]; "responses")]
+fn decodes_whole_and_split_at_every_byte(side: Side, events: bool, sample: &str, want: &[&str]) {
     let bytes = sample.as_bytes();
     assert_eq!(decode(side, events, &[bytes]), (want.iter().map(|s| s.to_string()).collect(), None));
     let whole = decode(side, events, &[bytes]);
     for n in 0..bytes.len() {
         assert_eq!(decode(side, events, &[&bytes[..n], &bytes[n..]]), whole, "cut at {n}");
-        // What ends early is reported as such, or is one of the messages before it; never a wrong one.
+        // A truncated message is a fault, unless the cut is between messages. It never yields a wrong
+        // message.
         let (visits, fault) = decode(side, events, &[&bytes[..n]]);
-        let same = visits.iter().zip(&whole.0).filter(|(a, b)| a == b).count();
+        let matching = visits.iter().zip(&whole.0).filter(|(a, b)| a == b).count();
         let body_cut = side == Side::Client && visits.len() > 6;
-        assert!(same == visits.len() || body_cut || fault.is_some(), "cut at {n}: {visits:?}");
+        assert!(matching == visits.len() || body_cut || fault.is_some(), "cut at {n}: {visits:?}");
     }
     let single: Vec<&[u8]> = bytes.chunks(1).collect();
     assert_eq!(decode(side, events, &single), whole, "a byte at a time");
 }
 
-const EVENT: &str = "ce-specversion: 1.0\r\nce-id: 7\r\nce-source: /desk\r\nce-type: quote\r\n";
+const EVENT_FIELDS: &str = "ce-specversion: 1.0\r\nce-id: 7\r\nce-source: /desk\r\nce-type: quote\r\n";
 
 fn post(fields: &str, body: &str) -> String {
-    let event = if fields.contains("application/cloudevents") || fields.contains("ce-") { "" } else { EVENT };
+    let event =
+        if fields.contains("application/cloudevents") || fields.contains("ce-") { "" } else { EVENT_FIELDS };
     format!("POST / HTTP/1.1\r\nHost: a\r\n{event}{fields}\r\n{body}")
 }
 
-const JSON: &str = "Content-Type: application/cloudevents+json\r\n";
+const STRUCTURED_MODE: &str = "Content-Type: application/cloudevents+json\r\n";
 
 fn structured(body: &str) -> String {
-    post(&format!("{JSON}Content-Length: {}\r\n", body.len()), body)
+    post(&format!("{STRUCTURED_MODE}Content-Length: {}\r\n", body.len()), body)
 }
 
-const TWICE: &str = r#"{"specversion":"1.0","id":"1","source":"a","type":"b","data":1,"data_base64":""}"#;
+const DATA_TWICE: &str =
+    r#"{"specversion":"1.0","id":"1","source":"a","type":"b","data":1,"data_base64":""}"#;
 
 #[test_case(post("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "abc"), 400, "two-lengths";
     "two lengths")]
@@ -140,7 +144,7 @@
 #[test_case(post("Transfer-Encoding: chunked\r\n", "401\r\n"), 413, "body-too-large"; "long chunk")]
 #[test_case(post("Transfer-Encoding: chunked\r\n", "xyz\r\n"), 400, "bad-chunk"; "chunk size no number")]
 #[test_case(post("Transfer-Encoding: chunked\r\n", "\r\n"), 400, "bad-chunk"; "chunk size empty")]
-#[test_case(post("Transfer-Encoding: chunked\r\n", "1\r\nabc"), 400, "bad-chunk"; "chunk longer than told")]
+#[test_case(post("Transfer-Encoding: chunked\r\n", "1\r\nabc"), 400, "bad-chunk"; "chunk longer than size")]
 #[test_case(post("Transfer-Encoding: chunked\r\n", "1111111111111111\r\n"), 400, "bad-chunk";
     "chunk size overflows")]
 #[test_case(post("Transfer-Encoding: gzip\r\n", ""), 501, "bad-coding"; "unknown coding")]
@@ -165,12 +169,12 @@
     "control character")]
 #[test_case(structured(r#"{"specversion":"1.0","id":{},"source":"a","type":"b"}"#), 400, "bad-attribute";
     "id an object")]
-#[test_case(structured(TWICE), 400,
+#[test_case(structured(DATA_TWICE), 400,
     "bad-json"; "two kinds of data")]
 #[test_case(post("Content-Type: application/cloudevents-batch+json\r\n", ""), 415, "batch-mode"; "batch")]
 #[test_case(post("Content-Type: application/cloudevents+avro\r\n", ""), 415, "bad-format"; "other format")]
 #[test_case(post("ce-id: %ff\r\n", ""), 400, "bad-attribute"; "not UTF-8")]
-fn what_is_no_message_is_a_fault(sample: String, status: u16, reason: &str) {
+fn rejects_invalid_messages(sample: String, status: u16, reason: &str) {
     let whole = decode(Side::Server, true, &[sample.as_bytes()]).1.expect("a fault");
     assert_eq!((whole.status, whole.reason), (status, reason));
     let single: Vec<&[u8]> = sample.as_bytes().chunks(1).collect();
@@ -178,15 +182,15 @@
 }
 
 #[test]
-fn values_cannot_add_fields() {
+fn field_values_cannot_add_fields() {
     let out = encode::response(200).field("X", "a\r\nEvil: b").body(b"");
     assert!(!String::from_utf8(out).expect("text").contains("\r\nEvil"));
 }
 
 proptest! {
-    // Whatever the bytes are and however they are cut: no panic, no more kept than fed, the same story.
+    // Arbitrary bytes do not panic, and the outcome does not depend on where they are split.
     #[test]
-    fn random_bytes_are_read_alike_however_cut(
+    fn random_bytes_decode_alike_however_split(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         cut in 0usize..400,
         server: bool,
@@ -197,12 +201,12 @@
         prop_assert_eq!(cut.1, decode(side, true, &[&bytes]).1);
     }
 
-    // A sound message with one byte changed.
+    // The same for a valid message with one byte changed.
     #[test]
-    fn a_message_with_one_byte_changed_is_read_alike_however_cut(
+    fn a_message_with_one_byte_changed_decodes_alike_however_split(
         at in 0usize..200, byte: u8, which in 0usize..4,
     ) {
-        let mut bytes = [BINARY, STRUCTURED, PIPELINED, ANSWERS][which].as_bytes().to_vec();
+        let mut bytes = [BINARY, STRUCTURED, PIPELINED, RESPONSES][which].as_bytes().to_vec();
         let at = at % bytes.len();
         bytes[at] = byte;
         let side = if which == 3 { Side::Client } else { Side::Server };
