--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Many separate instances of the decisions behind one connection to the simulator.
+//! Independent router instances that share one connection to the simulator.
 
 use applepond::control::Control;
 use applepond::interface::{
@@ -13,23 +13,24 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Load states in the detail of a response; the rest of it counts requests of the same function.
+/// Low bits of a response's `detail`, which encode the load state. The other bits count the requests of the
+/// same function in flight.
 const LOAD_STATE_MASK: u32 = 7;
 const LOAD_STATE_BITS: u32 = 3;
 
-/// All instances of this process, by the numbers that the simulator gives them.
+/// All router instances of this process, by the number that the simulator assigns to them.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
 }
 
-/// An instance with the names behind its ids.
+/// A router instance and the names that its ids stand for.
 struct Instance {
     control: Control,
     names: Names,
 }
 
-/// The names that the simulator uses for workers and functions, and those of the configuration.
+/// The simulator's names of workers and functions, and the names in the configuration.
 #[derive(Default)]
 struct Names {
     workers: BTreeMap<WorkerId, String>,
@@ -37,8 +38,8 @@
     words: Words,
 }
 
-/// Collects the actions of one event as the simulator's messages, in their order.
-struct Reply<'a> {
+/// Collects the actions of one event, in order, as messages to the simulator.
+struct ReplyBuilder<'a> {
     names: &'a Names,
     actions: Vec<Value>,
 }
@@ -48,11 +49,11 @@
 }
 
 fn id_text(request: &RequestId) -> &str {
-    std::str::from_utf8(&request.0).expect("ids came in as text")
+    std::str::from_utf8(&request.0).expect("ids are created from UTF-8 text")
 }
 
-impl Actions for Reply<'_> {
-    /// An attempt in the simulator leaves at once, so there is nothing to stop later.
+impl Actions for ReplyBuilder<'_> {
+    /// `not_after` is ignored: the simulator sends an attempt at once.
     fn send(&mut self, request: RequestId, worker: WorkerId, timeout: Micros, _not_after: Micros) {
         let worker = &self.names.workers[&worker];
         self.actions.push(
@@ -87,22 +88,23 @@
 }
 
 impl Host {
-    /// Handles one batch of events, a line of JSON, and returns the actions as another.
+    /// Handles one batch of events, given as a line of JSON, and returns the resulting actions as a line of
+    /// JSON.
     ///
     /// # Errors
-    /// Fails on a batch that is not in form, with the instance and the field at fault. Earlier events of the
-    /// batch have taken effect; the caller has to end.
-    pub fn batch(&mut self, line: &str) -> Result<String, Unfit> {
+    /// A malformed batch; the error names the instance and the field. Earlier events of the batch have taken
+    /// effect, so the caller has to stop.
+    pub fn handle_batch(&mut self, line: &str) -> Result<String, Unfit> {
         let batch: Value =
-            serde_json::from_str(line).map_err(|e| Unfit::NoJson(e.to_string()).at("batch"))?;
-        let now = time(&batch, "ts").map_err(|why| why.at("batch"))?;
+            serde_json::from_str(line).map_err(|error| Unfit::NoJson(error.to_string()).at("batch"))?;
+        let now = time(&batch, "ts").map_err(|error| error.at("batch"))?;
         let mut parts = Vec::new();
-        for part in array(&batch, "parts").map_err(|why| why.at("batch"))? {
-            let number = whole(part, "router").map_err(|why| why.at("batch"))?;
-            let at_instance = |why: Unfit| why.at(format!("instance {number}"));
+        for part in array(&batch, "parts").map_err(|error| error.at("batch"))? {
+            let number = whole(part, "router").map_err(|error| error.at("batch"))?;
+            let in_instance = |error: Unfit| error.at(format!("instance {number}"));
             let mut actions = Vec::new();
-            for event in array(part, "arrivals").map_err(at_instance)? {
-                actions.extend(self.event(number, now, event).map_err(at_instance)?);
+            for event in array(part, "arrivals").map_err(in_instance)? {
+                actions.extend(self.handle_event(number, now, event).map_err(in_instance)?);
             }
             if !actions.is_empty() {
                 parts.push(json!({"router": number, "orders": actions}));
@@ -111,13 +113,13 @@
         Ok(json!({ "parts": parts }).to_string())
     }
 
-    fn event(&mut self, number: u64, now: Micros, event: &Value) -> Read<Vec<Value>> {
+    fn handle_event(&mut self, number: u64, now: Micros, event: &Value) -> Read<Vec<Value>> {
         let op = text(event, "op")?;
         if op == "boot" {
             let setup = object(event, "setup")?;
             let names = Names { words: Words::read(setup)?, ..Names::default() };
             let rows = startup(setup, whole(event, "salt")?)?;
-            let mut reply = Reply { names: &names, actions: Vec::new() };
+            let mut reply = ReplyBuilder { names: &names, actions: Vec::new() };
             let control = Control::new(now, rows, &mut reply);
             let actions = reply.actions;
             self.instances.insert(number, Instance { control, names });
@@ -128,13 +130,13 @@
             return Ok(Vec::new());
         }
         let instance = self.instances.get_mut(&number).ok_or_else(|| Unfit::NotBooted(op.to_owned()))?;
-        instance.event(now, op, event).map_err(|why| why.at(format!("'{op}'")))
+        instance.handle_event(now, op, event).map_err(|error| error.at(format!("'{op}'")))
     }
 }
 
 impl Instance {
-    fn event(&mut self, now: Micros, op: &str, event: &Value) -> Read<Vec<Value>> {
-        // Names come first, so that an id is known before anything is ordered for it.
+    fn handle_event(&mut self, now: Micros, op: &str, event: &Value) -> Read<Vec<Value>> {
+        // Names are recorded before the event is handled, as its actions look them up by id.
         if op == "endpoints" {
             for entry in maybe(event, "members").and_then(Value::as_array).into_iter().flatten() {
                 let name = text(entry, "server")?;
@@ -146,7 +148,7 @@
             self.names.functions.entry(FunctionId::named(name)).or_insert_with(|| name.to_owned());
         }
         let names = &self.names;
-        let reply = &mut Reply { names, actions: Vec::new() };
+        let reply = &mut ReplyBuilder { names, actions: Vec::new() };
         let control = &mut self.control;
         control.advance_to(now);
         match op {
@@ -161,7 +163,8 @@
             "streaming" => control.response_started(request(event)?),
             "expired" => control.client_disconnected(reply, request(event)?),
             "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
-            // Nothing is decided on these yet: no probe, message or order to load is ever sent.
+            // Events of probes, messages and load orders. They are ignored, as the router sends none of these
+            // yet.
             "probed" | "whisper" | "stands" => {}
             other => return Err(Unfit::Event(other.to_owned())),
         }
@@ -175,7 +178,7 @@
         "FULL" => EndpointListKind::Full,
         "SAVED" => EndpointListKind::Saved,
         "FAILED" => EndpointListKind::Failed,
-        other => return Err(Unfit::field("kind", format!("'{other}' is not known"))),
+        other => return Err(Unfit::field("kind", format!("unknown kind of list '{other}'"))),
     })
 }
 
@@ -228,7 +231,7 @@
         251 => Outcome::ConnectionLost,
         250 => Outcome::Cancelled,
         249 => Outcome::Superseded,
-        other => return Err(Unfit::field("code", format!("{other} is not known"))),
+        other => return Err(Unfit::field("code", format!("unknown outcome code {other}"))),
     })
 }
 
@@ -241,7 +244,7 @@
             "Ready" => WorkerStatus::Ready,
             "Terminating" => WorkerStatus::Draining,
             "Gone" => WorkerStatus::Gone,
-            other => return Err(Unfit::field("condition", format!("'{other}' is not known"))),
+            other => return Err(Unfit::field("condition", format!("unknown worker condition '{other}'"))),
         },
         up_since: time_or_none(entry, "up-since")?,
         zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
@@ -252,5 +255,5 @@
 
 fn request(from: &Value) -> Read<RequestId> {
     let id = text(from, "msg-id")?;
-    id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "36 characters are wanted"))
+    id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "expected an id of 36 characters"))
 }
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! Connects the simulator to the decisions: its batches of events become calls of
-//! [`applepond::control::Control`], and the actions of the decisions become its replies.
+//! Connects the simulator to the routers: translates its batches of events into calls of
+//! [`applepond::control::Control`], and the actions of `Control` into replies.
 //!
-//! Every field is decoded where it is used; nothing is decided here.
+//! The crate decodes and encodes messages. All decisions are made in `Control`.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches from standard input and writes one reply for each to standard output.
+//! Reads batches of events from standard input and writes one reply per batch to standard output.
 use applepond_adapter::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -6,8 +6,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("applepond-adapter: {why}");
+        Err(error) => {
+            eprintln!("applepond-adapter: {error}");
             ExitCode::FAILURE
         }
     }
@@ -21,7 +21,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line)?;
+        let reply = host.handle_batch(&line)?;
         writeln!(output, "{reply}").and_then(|()| output.flush())?;
     }
     Ok(())
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire page's messages, and input that is not as it should be.
+//! The messages of the simulator's wire protocol, and malformed input.
 use applepond_adapter::Host;
 use test_case::test_case;
 
@@ -9,44 +9,44 @@
  "my-zone":"hall-a"}}"#;
 const LIST: &str = r#"{"op":"endpoints","serial":1,"kind":"SAVED","members":[{"condition":"Ready","nominal":1,
  "rack-zone":"hall-a","server":"server.a","group":0}]}"#;
-const KNOCK: &str = r#"{"op":"knock","msg-id":"5d3a91c4-e2f3-4656-a336-20af9f7c719b","model":"m-a",
+const ARRIVAL: &str = r#"{"op":"knock","msg-id":"5d3a91c4-e2f3-4656-a336-20af9f7c719b","model":"m-a",
  "start-ms":900,"type":"quote","size-mb":384,"at-once":2,"left":240.0,"customer":"huts"}"#;
 const NO_TOKEN: &str = r#"{"op":"wakeup"}"#;
-const WORD_TOKEN: &str = r#"{"op":"wakeup","token":"x"}"#;
+const TEXT_TOKEN: &str = r#"{"op":"wakeup","token":"x"}"#;
 const SHORT_ID: &str = r#"{"op":"expired","msg-id":"x"}"#;
 
 fn batch(host: &mut Host, events: &[&str]) -> Result<String, String> {
     let line = format!(r#"{{"ts":8412.25,"parts":[{{"router":3,"arrivals":[{}]}}]}}"#, events.join(","));
-    host.batch(&line).map_err(|why| why.to_string())
+    host.handle_batch(&line).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_request_goes_out_under_its_own_names() {
-    let reply = batch(&mut Host::default(), &[BOOT, LIST, KNOCK]).expect("a legal batch");
+fn an_attempt_is_sent_with_the_simulators_names() {
+    let reply = batch(&mut Host::default(), &[BOOT, LIST, ARRIVAL]).expect("a legal batch");
     let reply: serde_json::Value = serde_json::from_str(&reply).expect("one JSON value");
     assert_eq!(reply["parts"][0]["router"], 3);
     let orders = reply["parts"][0]["orders"].as_array().expect("orders");
-    let sent = orders.iter().find(|o| o["op"] == "try").expect("the job is sent");
+    let sent = orders.iter().find(|o| o["op"] == "try").expect("an attempt is sent");
     assert_eq!((sent["server"].as_str(), sent["patience"].as_f64()), (Some("server.a"), Some(240.0)));
     assert_eq!(sent["msg-id"], "5d3a91c4-e2f3-4656-a336-20af9f7c719b");
 }
 
 #[test]
-fn an_empty_batch_and_a_restart_in_one_batch() {
+fn an_empty_batch_and_a_restart_within_a_batch() {
     let mut host = Host::default();
-    assert_eq!(host.batch(r#"{"ts":1.0,"parts":[]}"#), Ok(r#"{"parts":[]}"#.to_owned()));
-    batch(&mut host, &[BOOT, LIST, KNOCK]).expect("a legal batch");
-    let again = batch(&mut host, &[r#"{"op":"kill"}"#, BOOT, KNOCK]).expect("a legal batch");
-    assert!(!again.contains(r#""try""#), "what the earlier life knew is gone");
+    assert_eq!(host.handle_batch(r#"{"ts":1.0,"parts":[]}"#), Ok(r#"{"parts":[]}"#.to_owned()));
+    batch(&mut host, &[BOOT, LIST, ARRIVAL]).expect("a legal batch");
+    let again = batch(&mut host, &[r#"{"op":"kill"}"#, BOOT, ARRIVAL]).expect("a legal batch");
+    assert!(!again.contains(r#""try""#), "state of the instance before the restart must be gone");
 }
 
 #[test_case(&[r#"{"op":"wakeup","token":1}"#], "instance 3: 'wakeup' before any 'boot'"; "never booted")]
 #[test_case(&[BOOT, NO_TOKEN], "instance 3: 'wakeup': field 'token': a whole number is wanted"; "missing")]
-#[test_case(&[BOOT, WORD_TOKEN], "field 'token': a whole number is wanted"; "wrongly typed")]
-#[test_case(&[BOOT, SHORT_ID], "field 'msg-id': 36 characters are wanted"; "short id")]
+#[test_case(&[BOOT, TEXT_TOKEN], "field 'token': a whole number is wanted"; "wrong type")]
+#[test_case(&[BOOT, SHORT_ID], "field 'msg-id': expected an id of 36 characters"; "short id")]
 #[test_case(&[BOOT, r#"{"op":"tea"}"#], "event 'tea' is not known"; "unknown event")]
 #[test_case(&["{"], "not JSON"; "not JSON")]
-fn bad_input(events: &[&str], told: &str) {
-    let fault = batch(&mut Host::default(), events).expect_err("a fault");
-    assert!(fault.contains(told), "{fault}");
+fn malformed_input_is_rejected(events: &[&str], expected: &str) {
+    let error = batch(&mut Host::default(), events).expect_err("an error");
+    assert!(error.contains(expected), "{error}");
 }
