--- a/crates/reactor/benches/wheel.rs
+++ b/crates/reactor/benches/wheel.rs
@@ -1,13 +1,14 @@
-//! The wheel against a `BTreeMap`, with `WAITING` timers of up to five seconds waiting: each round adds one,
-//! takes nine of ten back, and fires what is due.
+//! Compares the timer wheel with a `BTreeMap` at several numbers of pending timers of up to five seconds.
+//! Each round adds one timer, cancels an earlier one in nine of ten rounds, and fires those that are due.
 use applepond_reactor::wheel::Wheel;
 use criterion::{Criterion, criterion_group, criterion_main};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-const ROUND: u64 = 100;
-const LONGEST: u64 = 5_000_000;
+/// Simulated time of a round in µs.
+const ROUND_US: u64 = 100;
+const MAX_TIMEOUT_US: u64 = 5_000_000;
 
 fn benches(c: &mut Criterion) {
     for waiting in [100u64, 10_000, 100_000] {
@@ -16,11 +17,11 @@
             let (mut rng, mut now) = (Rand64::new(1), 1_000_000_000u64);
             let mut wheel = Wheel::new(now);
             let mut keys: std::collections::VecDeque<_> =
-                (0..waiting).map(|n| wheel.insert(now + rng.rand_range(0..LONGEST), n)).collect();
+                (0..waiting).map(|n| wheel.insert(now + rng.rand_range(0..MAX_TIMEOUT_US), n)).collect();
             b.iter(|| {
-                now += ROUND;
-                keys.push_back(wheel.insert(now + rng.rand_range(0..LONGEST), now));
-                let key = keys.pop_front().expect("one for each");
+                now += ROUND_US;
+                keys.push_back(wheel.insert(now + rng.rand_range(0..MAX_TIMEOUT_US), now));
+                let key = keys.pop_front().expect("one key per pending timer");
                 if now % 1000 != 0 {
                     black_box(wheel.remove(key));
                 }
@@ -33,17 +34,17 @@
             let mut keys = std::collections::VecDeque::new();
             for n in 0..waiting {
                 order += 1;
-                let key = (now + rng.rand_range(0..LONGEST), order);
+                let key = (now + rng.rand_range(0..MAX_TIMEOUT_US), order);
                 map.insert(key, n);
                 keys.push_back(key);
             }
             b.iter(|| {
-                now += ROUND;
+                now += ROUND_US;
                 order += 1;
-                let key = (now + rng.rand_range(0..LONGEST), order);
+                let key = (now + rng.rand_range(0..MAX_TIMEOUT_US), order);
                 map.insert(key, now);
                 keys.push_back(key);
-                let key = keys.pop_front().expect("one for each");
+                let key = keys.pop_front().expect("one key per pending timer");
                 if now % 1000 != 0 {
                     black_box(map.remove(&key));
                 }
