--- a/crates/capacity/benches/slopes.rs
+++ b/crates/capacity/benches/slopes.rs
@@ -1,16 +1,19 @@
-//! Slopes behind docs/CAPACITY.md: what each machine holds and does at several sizes, a line through it, and
-//! what the smaller sizes foretell of the largest. `cargo bench -p applepond-capacity --bench slopes [--
-//! PART]`, PART one of `control`, `events`, `members`, `tallies`, `list`. With a file's name, ending in
-//! `.svg`, and no PART it draws need against allowance by the size of the fleet.
+//! Measurements behind docs/CAPACITY.md: memory and work of each component at several sizes, a fit to them,
+//! and the error at the largest size of a fit to the smaller ones.
+//! `cargo bench -p applepond-capacity --bench slopes [-- PART]`
 //!
-//! Simulated time and one thread; times are those of a shared machine, bytes and messages are counts.
+//! PART is one of `control`, `events`, `members`, `tallies`, `list`. Given a file name that ends in `.svg`
+//! and no PART, it draws a chart of need relative to allowance by the size of the fleet.
+//!
+//! Time is simulated, on one thread. Durations are affected by other load on the machine; bytes and messages
+//! are exact counts.
 #[path = "../../gossip/tests/common/mod.rs"]
 mod gossip_fleet;
 #[path = "../../membership/tests/common/mod.rs"]
 mod membership_fleet;
 
 use applepond_capacity::fit::{Fit, Form};
-use applepond_capacity::router::{AHEAD, Allocated, HollowRouter, Size};
+use applepond_capacity::router::{AllocatedBytes, FleetSize, SimulatedRouter, TARGET_FLEET};
 use applepond_capacity::traffic::{Popularity, SIGMA};
 use applepond_gateway::endpoint_list::EndpointList;
 use plotters::prelude::*;
@@ -23,33 +26,35 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const REAL_TIME: Duration = Duration::from_secs(30);
-/// Simulated time that a fleet of hollow processes is watched in steady state.
-const WATCHED_S: u64 = 10;
-/// Routers of the hollow fleets: each holds all others, so that a fleet's memory grows with the square.
+/// Simulated seconds for which a fleet is measured in steady state.
+const MEASURED_S: u64 = 10;
+/// Number of routers in the simulated fleets. Each router holds state of all others, so the memory of a fleet
+/// grows with the square.
 const ROUTERS: [usize; 4] = [30, 100, 300, 1_000];
-/// What each router publishes, and how often.
-const PUBLISHED_BYTES: usize = 200;
-const PUBLISHED_EACH_S: u64 = 5;
+/// Size of the entry that each router publishes, and the interval between two entries.
+const ENTRY_BYTES: usize = 200;
+const PUBLISH_INTERVAL_S: u64 = 5;
 
-fn allocated() -> Allocated {
+fn allocated() -> AllocatedBytes {
     let stats = ALLOCATOR.stats();
     let live = (stats.bytes_allocated - stats.bytes_deallocated) as u64;
-    Allocated { total: stats.bytes_allocated as u64, live }
+    AllocatedBytes { total: stats.bytes_allocated as u64, live }
 }
 
-/// Lines by what they are of.
+/// Fits by the name of the measured quantity.
 type Fits = BTreeMap<String, Fit>;
 
-/// A part of the run, by its name.
+/// A part of the benchmark with its name on the command line.
 type Part = (&'static str, fn(&mut Fits));
 
-/// Points of one quantity, printed with the line through them and what the smaller ones foretell.
+/// Prints the points of one quantity, the fit to them, and the error at the largest point of a fit to the
+/// others.
 fn report(fits: &mut Fits, what: &str, unit: &str, form: Form, points: &[(f64, f64)]) {
     let shown: Vec<String> = points.iter().map(|(size, cost)| format!("{size}: {cost:.4}")).collect();
-    let fit = Fit::of(form, points);
-    let (_, miss) = Fit::foretold(form, points);
+    let fit = Fit::least_squares(form, points);
+    let (_, error) = Fit::extrapolate(form, points);
     println!(
-        "| {what} | {unit} | {} | {form:?} | {:.4} + {:.6} x | {:.2} | {miss:.2} |",
+        "| {what} | {unit} | {} | {form:?} | {:.4} + {:.6} x | {:.2} | {error:.2} |",
         shown.join(", "),
         fit.fixed,
         fit.slope,
@@ -58,79 +63,79 @@
     fits.insert(what.to_owned(), fit);
 }
 
-fn control(fits: &mut Fits) {
-    let played = |size: Size| {
-        let popularity = Popularity::draw(size.functions, SIGMA, 1);
-        let mut router = HollowRouter::start(size, popularity, 7, allocated);
-        router.play(Duration::from_secs(120), REAL_TIME);
-        let costs = router.play(Duration::from_secs(60), REAL_TIME);
-        (router.state_bytes() as f64 / 1e6, costs, router.start.total())
+fn control_costs(fits: &mut Fits) {
+    let simulated = |size: FleetSize| {
+        let popularity = Popularity::log_normal(size.functions, SIGMA, 1);
+        let mut router = SimulatedRouter::start(size, popularity, 7, allocated);
+        router.simulate(Duration::from_secs(120), REAL_TIME);
+        let costs = router.simulate(Duration::from_secs(60), REAL_TIME);
+        (router.state_bytes() as f64 / 1e6, costs, router.startup.total())
     };
     type Column = fn(&(f64, applepond_capacity::router::Costs, Duration)) -> f64;
     let columns: [(&str, &str, Form, Column); 6] = [
         ("state", "MB", Form::Linear, |row| row.0),
-        ("a call", "us", Form::Linear, |row| row.1.call_us()),
+        ("a call", "us", Form::Linear, |row| row.1.us_per_request()),
         ("a call's request, 99th percentile", "us", Form::Linear, |row| row.1.requests.quantile_us(0.99)),
         ("a timer", "us", Form::Constant, |row| row.1.timers.mean_us()),
-        ("a change of the list", "us", Form::Constant, |row| row.1.lists.mean_us()),
+        ("a change of the list", "us", Form::Constant, |row| row.1.list_updates.mean_us()),
         ("the whole list at the start", "ms", Form::Linear, |row| row.2.as_secs_f64() * 1e3),
     ];
     let workers = [1_000, 3_000, 10_000, 30_000];
-    let rows = workers.map(|workers| played(Size { workers, ..AHEAD }));
+    let rows = workers.map(|workers| simulated(FleetSize { workers, ..TARGET_FLEET }));
     for (what, unit, form, column) in columns {
         let points: Vec<(f64, f64)> =
             workers.iter().map(|n| *n as f64).zip(rows.iter().map(column)).collect();
         report(fits, &format!("control by workers: {what}"), unit, form, &points);
     }
     let functions = [3_000, 10_000, 30_000, 100_000, 290_000];
-    let rows = functions.map(|functions| played(Size { functions, ..AHEAD }));
+    let rows = functions.map(|functions| simulated(FleetSize { functions, ..TARGET_FLEET }));
     for (what, unit, _, column) in &columns[..2] {
         let points: Vec<(f64, f64)> =
             functions.iter().map(|n| *n as f64).zip(rows.iter().map(column)).collect();
         report(fits, &format!("control by functions: {what}"), unit, Form::Logarithm, &points);
     }
     let calls = [31.0, 62.0, 124.0, 248.0];
-    let rows = calls.map(|calls_per_s| played(Size { calls_per_s, ..AHEAD }));
+    let rows = calls.map(|requests_per_s| simulated(FleetSize { requests_per_s, ..TARGET_FLEET }));
     let points: Vec<(f64, f64)> =
-        calls.into_iter().zip(rows.iter().map(|row| row.1.core() * 100.0)).collect();
+        calls.into_iter().zip(rows.iter().map(|row| row.1.core_share() * 100.0)).collect();
     report(fits, "control by calls a second: processor", "% of a core", Form::Linear, &points);
 }
 
-/// What befalls a router of the fleet ahead.
-fn events(_: &mut Fits) {
-    let popularity = Popularity::draw(AHEAD.functions, SIGMA, 1);
-    let mut router = HollowRouter::start(AHEAD, popularity, 7, allocated);
-    let start = router.start.total();
+/// Costs of a router in the target fleet after a start and after the loss of a rack or zone.
+fn event_costs(_: &mut Fits) {
+    let popularity = Popularity::log_normal(TARGET_FLEET.functions, SIGMA, 1);
+    let mut router = SimulatedRouter::start(TARGET_FLEET, popularity, 7, allocated);
+    let start = router.startup.total();
     println!("whole list at the start: {:.1} ms", start.as_secs_f64() * 1e3);
-    let first = router.play(Duration::from_secs(10), REAL_TIME);
+    let first = router.simulate(Duration::from_secs(10), REAL_TIME);
     let show = |what: &str, costs: &applepond_capacity::router::Costs| {
         println!(
             "{what}: a call {:.1} us, 99th percentile of requests {:.1} us, {:.2} % of a core",
-            costs.call_us(),
+            costs.us_per_request(),
             costs.requests.quantile_us(0.99),
-            costs.core() * 100.0
+            costs.core_share() * 100.0
         );
     };
     show("first 10 s after a start", &first);
-    show("60 s later", &router.play(Duration::from_secs(60), REAL_TIME));
-    for (what, number) in [("a rack of 40", 40), ("a zone, one worker in 12", AHEAD.workers / 12)] {
-        let ends = router.ends;
-        let lost = router.lose_workers(number);
-        show(&format!("{what} gone, 5 s after"), &router.play(Duration::from_secs(5), REAL_TIME));
-        let back = router.regain_workers();
-        show(&format!("{what} back cold, 5 s after"), &router.play(Duration::from_secs(5), REAL_TIME));
+    show("60 s later", &router.simulate(Duration::from_secs(60), REAL_TIME));
+    for (what, number) in [("a rack of 40", 40), ("a zone, one worker in 12", TARGET_FLEET.workers / 12)] {
+        let outcomes = router.outcomes;
+        let lost = router.remove_workers(number);
+        show(&format!("{what} gone, 5 s after"), &router.simulate(Duration::from_secs(5), REAL_TIME));
+        let back = router.restore_workers();
+        show(&format!("{what} back cold, 5 s after"), &router.simulate(Duration::from_secs(5), REAL_TIME));
         println!(
             "{what}: the message that it is gone {:.2} ms, that it is back {:.2} ms; given up meanwhile {}",
-            lost.lists.total().as_secs_f64() * 1e3,
-            back.lists.total().as_secs_f64() * 1e3,
-            router.ends.given_up - ends.given_up
+            lost.list_updates.total().as_secs_f64() * 1e3,
+            back.list_updates.total().as_secs_f64() * 1e3,
+            router.outcomes.unserved - outcomes.unserved
         );
     }
     println!("state {:.1} MB", router.state_bytes() as f64 / 1e6);
 }
 
-/// Bytes and messages a second, and bytes held, of one hollow instance of membership in steady state.
-fn members_fleet(fits: &mut Fits) {
+/// Bytes and messages per second, memory and processor time of one membership instance in steady state.
+fn membership_costs(fits: &mut Fits) {
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
@@ -140,13 +145,13 @@
             let all = fleet.processes.iter().flatten();
             all.fold((0, 0), |(bytes, messages), p| (bytes + p.bytes, messages + p.messages))
         };
-        let (from, begun) = (sum(&fleet), Instant::now());
-        fleet.run_for(WATCHED_S * membership_fleet::SECOND);
-        let took = begun.elapsed();
+        let (from, started) = (sum(&fleet), Instant::now());
+        fleet.run_for(MEASURED_S * membership_fleet::SECOND);
+        let duration = started.elapsed();
         let to = sum(&fleet);
-        let each = |n: u64| n as f64 / routers as f64 / WATCHED_S as f64;
+        let each = |n: u64| n as f64 / routers as f64 / MEASURED_S as f64;
         let held = (allocated().live - before) as f64 / routers as f64 / 1e3;
-        let cpu_ms = took.as_secs_f64() * 1e3 / routers as f64 / WATCHED_S as f64;
+        let cpu_ms = duration.as_secs_f64() * 1e3 / routers as f64 / MEASURED_S as f64;
         rows.push((routers as f64, [each(to.0 - from.0) / 1e3, each(to.1 - from.1), held, cpu_ms]));
     }
     let columns = [
@@ -161,30 +166,30 @@
     }
 }
 
-/// The same of gossip, each router publishing one entry as often as the settings allow.
-fn tallies_fleet(fits: &mut Fits) {
+/// The same for gossip, with each router publishing one entry as often as the settings allow.
+fn gossip_costs(fits: &mut Fits) {
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let before = allocated().live;
         let mut fleet = gossip_fleet::SimulatedNetwork::fleet(1, routers, gossip_fleet::lossy(0.0));
         let publish = |fleet: &mut gossip_fleet::SimulatedNetwork| {
             for n in 0..routers {
-                let at = fleet.now + PUBLISHED_EACH_S * gossip_fleet::SECOND / routers as u64;
+                let at = fleet.now + PUBLISH_INTERVAL_S * gossip_fleet::SECOND / routers as u64;
                 fleet.run_until(at, |_| false);
-                fleet.publish(n, 1, &[n as u8; PUBLISHED_BYTES]);
+                fleet.publish(n, 1, &[n as u8; ENTRY_BYTES]);
             }
         };
         publish(&mut fleet);
         let bytes = |fleet: &gossip_fleet::SimulatedNetwork| {
             fleet.processes.iter().flatten().map(|p| p.bytes).sum::<u64>()
         };
-        let (from, begun, since) = (bytes(&fleet), Instant::now(), fleet.now);
+        let (from, started, since) = (bytes(&fleet), Instant::now(), fleet.now);
         publish(&mut fleet);
-        let took = begun.elapsed();
+        let duration = started.elapsed();
         let (seconds, count) = ((fleet.now - since) as f64 / gossip_fleet::SECOND as f64, routers as f64);
         let sent = (bytes(&fleet) - from) as f64 / count / seconds / 1e3;
         let held = (allocated().live - before) as f64 / count / 1e3;
-        rows.push((count, [sent, held, took.as_secs_f64() * 1e3 / count / seconds]));
+        rows.push((count, [sent, held, duration.as_secs_f64() * 1e3 / count / seconds]));
     }
     let columns = [("bytes sent", "kB/s"), ("state", "kB"), ("processor", "ms/s")];
     for (n, (what, unit)) in columns.into_iter().enumerate() {
@@ -209,26 +214,26 @@
     format!("{{\"kind\":\"{kind}\",\"workers\":[{}]}}", workers.join(",")).into_bytes()
 }
 
-/// Reading the list of workers as `serve` is sent it.
-fn list(fits: &mut Fits) {
+/// Cost of reading the list of workers in the format that `serve` receives.
+fn endpoint_list_costs(fits: &mut Fits) {
     let zones: Vec<String> = (0..12).map(|n| format!("zone-{n}")).collect();
     let sizes = [1_000, 3_000, 10_000, 30_000];
     let rows = sizes.map(|workers| {
         let full = list_line("full", 0..workers);
         let before = allocated().live;
         let mut hosts = EndpointList::default();
-        let begun = Instant::now();
+        let started = Instant::now();
         drop(hosts.read_line(&full, &zones).expect("a good line"));
-        let first = begun.elapsed();
+        let first = started.elapsed();
         let state = allocated().live - before;
-        let begun = Instant::now();
+        let started = Instant::now();
         drop(hosts.read_line(&full, &zones).expect("a good line"));
-        let again = begun.elapsed();
+        let again = started.elapsed();
         let changes: Vec<Vec<u8>> = (0..1_000).map(|n| list_line("changes", n..n + 1)).collect();
-        let begun = Instant::now();
+        let started = Instant::now();
         changes.iter().for_each(|line| drop(hosts.read_line(line, &zones).expect("a good line")));
-        let change = begun.elapsed().as_secs_f64() * 1e6 / changes.len() as f64;
-        let ms = |took: Duration| took.as_secs_f64() * 1e3;
+        let change = started.elapsed().as_secs_f64() * 1e6 / changes.len() as f64;
+        let ms = |duration: Duration| duration.as_secs_f64() * 1e3;
         [full.len() as f64 / 1e3, ms(first), ms(again), state as f64 / 1e6, changes[0].len() as f64, change]
     });
     let columns = [
@@ -246,15 +251,16 @@
     }
 }
 
-/// Need by allowance at several sizes of the fleet, its other figures in proportion.
+/// Draws need relative to allowance by the number of routers. The other figures of the fleet grow in
+/// proportion.
 fn chart(fits: &Fits, file: &str) {
-    /// Allowances of a router for control (docs/CAPACITY.md).
+    /// Allowance of a router for control: traffic and memory (docs/CAPACITY.md).
     const BYTES_KB_S: f64 = 20.0;
     const MEMORY_MB: f64 = 32.0;
-    let at = |what: &str, size: f64| fits.get(what).map_or(0.0, |fit| fit.at(size));
-    let workers = |routers: f64| routers * AHEAD.workers as f64 / AHEAD.routers as f64;
+    let at = |what: &str, size: f64| fits.get(what).map_or(0.0, |fit| fit.cost_at(size));
+    let workers = |routers: f64| routers * TARGET_FLEET.workers as f64 / TARGET_FLEET.routers as f64;
     let changes = |routers: f64| {
-        let per_s = AHEAD.list_changes_per_s * routers / AHEAD.routers as f64;
+        let per_s = TARGET_FLEET.list_changes_per_s * routers / TARGET_FLEET.routers as f64;
         per_s * at("list of workers, by workers: a change", 1.0) / 1e3
     };
     let memory = |routers: f64| {
@@ -276,7 +282,7 @@
     area.fill(&WHITE).expect("drawn");
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "Need of a router by its allowance for control (lines of hollow processes)",
+            "Need of a router relative to its allowance for control (fits to simulated fleets)",
             ("sans-serif", 16),
         )
         .margin(12)
@@ -305,11 +311,11 @@
     println!("| what | unit | size: value | form | line | residual | misses the largest by |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     let parts: [Part; 5] = [
-        ("control", control),
-        ("list", list),
-        ("tallies", tallies_fleet),
-        ("members", members_fleet),
-        ("events", events),
+        ("control", control_costs),
+        ("list", endpoint_list_costs),
+        ("tallies", gossip_costs),
+        ("members", membership_costs),
+        ("events", event_costs),
     ];
     let mut fits = Fits::new();
     for (name, part) in parts {
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,8 +1,9 @@
-//! Hollow routers: the decision machines as they are, many in one process, without sockets, one run a seed.
+//! Capacity measurements of routers in simulated time: the real decision code, without sockets. A run is
+//! determined by its seed.
 //!
-//! [`router`] drives one [`applepond::control::Control`] through traffic of a stated skew and a changing
-//! list of workers and counts what each kind of event costs; [`traffic`] draws that traffic; [`fit`] turns
-//! costs at several sizes into slopes and foretells a larger size from smaller ones.
+//! [`router`] drives one [`applepond::control::Control`] with skewed traffic and a changing endpoint list,
+//! and measures the cost of each kind of event. [`traffic`] generates that traffic. [`fit`] fits costs at
+//! several sizes to a model and extrapolates to larger sizes.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
--- a/crates/capacity/src/traffic.rs
+++ b/crates/capacity/src/traffic.rs
@@ -1,57 +1,59 @@
-//! Calls of functions that are called very unevenly.
+//! Traffic with a skewed distribution of requests over functions.
 //!
-//! Rates are log-normal. With [`SIGMA`] 3.3 and a mean of three calls a second, as 870,000 calls a second
-//! over 290,000 functions are, the median function is called about once in 77 s over the whole fleet. Traces
-//! of functions are as uneven (Shahrad and others, USENIX ATC 2020: four fifths are called at most once a
-//! minute and bring less than a hundredth of all calls).
+//! Request rates are log-normal. With [`SIGMA`] 3.3 and a mean of three requests per second (870,000 requests
+//! per second over 290,000 functions), the median function is called about once in 77 s by the whole fleet.
+//! Published traces are similarly skewed: four fifths of the functions are called at most once a minute and
+//! make up less than one percent of all calls (Shahrad et al., USENIX ATC 2020).
 use oorandom::Rand64;
 
-/// Standard deviation of the natural logarithm of a function's rate.
+/// Standard deviation of the natural logarithm of a function's request rate.
 pub const SIGMA: f64 = 3.3;
 
-/// How often each function is called, as parts of one.
+/// The share of each function in all requests.
 pub struct Popularity {
-    /// Running sums of the parts, by function.
-    sums: Vec<f64>,
+    /// Cumulative shares, by function.
+    cumulative: Vec<f64>,
 }
 
-/// A standard normal number, by the method of Box and Muller.
-fn normal(rng: &mut Rand64) -> f64 {
+/// A standard normal sample (Box-Muller transform).
+fn standard_normal(rng: &mut Rand64) -> f64 {
     let radius = (-2.0 * rng.rand_float().max(1e-18).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.rand_float()).cos()
 }
 
 impl Popularity {
-    /// The parts of so many functions; the same for the same seed.
-    pub fn draw(functions: usize, sigma: f64, seed: u64) -> Self {
+    /// Draws the shares of this number of functions from a log-normal distribution. The same seed gives the
+    /// same shares.
+    pub fn log_normal(functions: usize, sigma: f64, seed: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
-        let rates = (0..functions).map(|_| (sigma * normal(&mut rng)).exp());
+        let rates = (0..functions).map(|_| (sigma * standard_normal(&mut rng)).exp());
         let mut sum = 0.0;
-        let mut sums: Vec<f64> = rates
+        let mut cumulative: Vec<f64> = rates
             .map(|rate| {
                 sum += rate;
                 sum
             })
             .collect();
-        sums.iter_mut().for_each(|share| *share /= sum);
-        Popularity { sums }
+        cumulative.iter_mut().for_each(|share| *share /= sum);
+        Popularity { cumulative }
     }
 
-    /// The function of the next call.
-    pub fn next(&self, rng: &mut Rand64) -> usize {
+    /// Draws the function of a request.
+    pub fn sample(&self, rng: &mut Rand64) -> usize {
         let at = rng.rand_float();
-        self.sums.partition_point(|sum| *sum <= at).min(self.sums.len() - 1)
+        self.cumulative.partition_point(|sum| *sum <= at).min(self.cumulative.len() - 1)
     }
 
-    /// A function's part of all calls.
-    pub fn part(&self, function: usize) -> f64 {
-        self.sums[function] - if function == 0 { 0.0 } else { self.sums[function - 1] }
+    /// A function's share in all requests.
+    pub fn share(&self, function: usize) -> f64 {
+        self.cumulative[function] - if function == 0 { 0.0 } else { self.cumulative[function - 1] }
     }
 
-    /// The part of the functions that are called less often than this, given the calls of all together.
-    pub fn rarer_than(&self, calls_per_s: f64, all_per_s: f64) -> f64 {
-        let is_rare = |function: &usize| self.part(*function) * all_per_s < calls_per_s;
-        let rare = (0..self.sums.len()).filter(is_rare).count();
-        rare as f64 / self.sums.len() as f64
+    /// The fraction of the functions that get fewer requests per second than `requests_per_s`, out of
+    /// `total_per_s` for all functions.
+    pub fn share_called_less_than(&self, requests_per_s: f64, total_per_s: f64) -> f64 {
+        let is_rare = |function: &usize| self.share(*function) * total_per_s < requests_per_s;
+        let rare = (0..self.cumulative.len()).filter(is_rare).count();
+        rare as f64 / self.cumulative.len() as f64
     }
 }
