--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -328,7 +328,7 @@
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        transport.cut(conn);
+        transport.abort(conn);
         self.gone(now, transport, conn, false);
     }
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
@@ -343,7 +343,7 @@
                 let mine = self.exchanges.iter_mut().filter(|(_, e)| e.request == request && e.open);
                 for (number, exchange) in mine {
                     exchange.open = false;
-                    transport.cut(exchange.conn);
+                    transport.abort(exchange.conn);
                     self.peers.remove(&exchange.conn);
                     self.ledger.write(now, Saw::Left { exchange: *number });
                 }
@@ -353,7 +353,7 @@
                 let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
                 exchange.open = false;
                 let (request, conn) = (exchange.request, exchange.conn);
-                transport.cut(conn);
+                transport.abort(conn);
                 self.peers.remove(&conn);
                 self.ledger.write(now, Saw::GaveUp { exchange: number });
                 self.settle(now, request, Got::Broken);
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -113,7 +113,7 @@
         }
         if (self.silence.0..self.silence.1).contains(&now) {
             self.peers.remove(&conn);
-            return transport.cut(conn);
+            return transport.abort(conn);
         }
         let router = asked.target.rsplit("router=").next().and_then(|index| index.parse().ok()).unwrap_or(0);
         *watches = Some(router);
@@ -127,7 +127,7 @@
     }
     fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peers.remove(&conn);
-        transport.cut(conn);
+        transport.abort(conn);
     }
     fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
         self.peers.remove(&conn);
@@ -136,7 +136,7 @@
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if wake == SILENT {
             // Whoever watched finds out by the end of its connection, and asks again.
-            std::mem::take(&mut self.peers).keys().for_each(|conn| transport.cut(*conn));
+            std::mem::take(&mut self.peers).keys().for_each(|conn| transport.abort(*conn));
             return;
         }
         let row = self.changes[wake.0 as usize].1.clone();
--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -52,13 +52,13 @@
             *self.sent.entry(conn).or_default() += bytes.len() as u64;
         }
     }
-    fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let room = if self.stuck.contains(&conn) { 0 } else { bytes.len() };
         let room = room.min(self.room.get(&conn).copied().unwrap_or(room));
         self.write(conn, &bytes[..room]);
         room
     }
-    fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
         if let Some(left) = self.no_posts.checked_sub(1) {
             self.no_posts = left;
             return None;
@@ -67,7 +67,7 @@
         self.asked.insert(conn, to);
         Some(conn)
     }
-    fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
+    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]) {
         self.datagrams.push((conn, self.asked[&conn], bytes.to_vec()));
     }
     fn bind_datagrams(&mut self, at: SocketAddr) -> std::io::Result<(Conn, SocketAddr)> {
@@ -79,7 +79,7 @@
             None => Ok((self.number(), at)),
         }
     }
-    fn datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
+    fn send_datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
         let taken = !self.stuck.contains(&conn);
         if taken {
             self.datagrams.push((conn, to, bytes.to_vec()));
@@ -93,7 +93,7 @@
     fn sent(&self, conn: Conn) -> u64 {
         self.sent.get(&conn).copied().unwrap_or(0)
     }
-    fn reading(&mut self, conn: Conn, on: bool) {
+    fn set_reading(&mut self, conn: Conn, on: bool) {
         if on {
             self.paused.remove(&conn)
         } else {
@@ -103,7 +103,7 @@
     fn finish(&mut self, conn: Conn) {
         self.finished.insert(conn);
     }
-    fn cut(&mut self, conn: Conn) {
+    fn abort(&mut self, conn: Conn) {
         self.cut.insert(conn);
     }
     fn listen(&mut self, at: SocketAddr, _: usize) -> std::io::Result<(Listener, SocketAddr)> {
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -74,7 +74,7 @@
     }
     fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peers.remove(&conn);
-        transport.cut(conn);
+        transport.abort(conn);
     }
     fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
         self.peers.remove(&conn);
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -135,7 +135,7 @@
         if let Some(listener) = self.listener.take() {
             transport.stop_accepting(listener, true);
         }
-        self.peers.keys().chain(self.fetches.keys()).for_each(|conn| transport.cut(*conn));
+        self.peers.keys().chain(self.fetches.keys()).for_each(|conn| transport.abort(*conn));
         self.life += 1;
         self.peers.clear();
         self.requests.clear();
@@ -271,7 +271,7 @@
             let Some(answer) = peer.receive(bytes).unwrap_or_default().pop() else { return };
             let function = function.clone();
             self.fetches.remove(&conn);
-            transport.cut(conn);
+            transport.abort(conn);
             match answer.status {
                 200 => self.set_timer(transport, now + self.build.load, Timer::Loaded(function)),
                 _ => self.load_failed(now, transport, &function),
@@ -279,12 +279,12 @@
         } else if let Some(peer) = self.peers.get_mut(&conn) {
             match peer.receive(bytes) {
                 Some(asked) => asked.iter().for_each(|asked| self.request(now, transport, conn, asked)),
-                None => transport.cut(conn),
+                None => transport.abort(conn),
             }
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        transport.cut(conn);
+        transport.abort(conn);
         self.gone(now, transport, conn);
     }
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -194,10 +194,10 @@
     ) {
         let Some(sealed) = view.envelopes.seal(receiver, message) else { return };
         let taken = match (self.socket, self.proxy) {
-            (Some(socket), None) => transport.datagram_to(socket, address, &sealed),
+            (Some(socket), None) => transport.send_datagram_to(socket, address, &sealed),
             (Some(socket), Some(proxy)) => {
                 let front = format!("{address}\n");
-                transport.datagram_to(socket, proxy, &[front.as_bytes(), &sealed].concat())
+                transport.send_datagram_to(socket, proxy, &[front.as_bytes(), &sealed].concat())
             }
             (None, _) => false,
         };
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -95,7 +95,7 @@
     () => {
         fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
         fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
-            transport.cut(conn);
+            transport.abort(conn);
         }
         fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
     };
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -95,7 +95,7 @@
         }
         self.decoder.feed(bytes);
         if self.phase == Phase::AwaitingAnswer && self.decoder.waiting() > MAX_PIPELINED_BYTES {
-            transport.reading(conn, false);
+            transport.set_reading(conn, false);
         }
     }
 
@@ -139,7 +139,7 @@
         if keep_alive {
             self.phase = Phase::Reading;
             self.timeout_at = now + WRITE_TIMEOUT;
-            transport.reading(conn, !self.peer_half_closed);
+            transport.set_reading(conn, !self.peer_half_closed);
         } else {
             self.close(now, transport, conn);
         }
@@ -193,7 +193,7 @@
         }
         let has_unsent = transport.unsent(conn) > 0;
         if self.phase == Phase::Closing || has_unsent {
-            transport.cut(conn);
+            transport.abort(conn);
             return TimeoutCheck::Closed;
         }
         if self.decoder.idle() && now < self.timeout_at + IDLE_TIMEOUT - WRITE_TIMEOUT {
--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -134,7 +134,7 @@
             }
         }
         if !matches!(step, Ok(Step::More)) {
-            transport.cut(conn);
+            transport.abort(conn);
             self.endpoint_watch_lost(now, transport);
         }
     }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -280,11 +280,11 @@
         if let Some(client) = self.clients.get_mut(&conn) {
             client.half_closed(now, transport, conn);
         } else if self.endpoint_watch.is(conn) {
-            transport.cut(conn);
+            transport.abort(conn);
             self.endpoint_watch_lost(now, transport);
         } else if self.workers.connections.contains_key(&conn) {
             let sent = transport.sent(conn);
-            transport.cut(conn);
+            transport.abort(conn);
             self.worker_disconnected(now, transport, conn, Closed::Ended, sent);
         }
         self.settle(now, transport);
--- a/crates/gateway/src/gateway/worker_pool.rs
+++ b/crates/gateway/src/gateway/worker_pool.rs
@@ -87,13 +87,13 @@
 
     /// Cuts a connection that is not idle.
     pub(super) fn cut(&mut self, transport: &mut dyn Transport, conn: Conn) {
-        transport.cut(conn);
+        transport.abort(conn);
         self.connections.remove(&conn);
     }
 
     /// Cuts a connection that may be idle.
     pub(super) fn cut_idle(&mut self, transport: &mut dyn Transport, conn: Conn) {
-        transport.cut(conn);
+        transport.abort(conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.forget_idle(connection.worker, conn);
         }
@@ -111,7 +111,7 @@
         for (_, record) in self.endpoints.iter_mut() {
             let expired = record.idle.iter().take_while(|idle| now >= idle.since + IDLE_TIMEOUT).count();
             for IdleConnection { conn, .. } in record.idle.drain(..expired) {
-                transport.cut(conn);
+                transport.abort(conn);
                 self.connections.remove(&conn);
             }
         }
--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -64,7 +64,7 @@
     /// Ends the query that waits, if one does; the next is due at `next_query_at`.
     fn end_query(&mut self, transport: &mut dyn Transport, next_query_at: Micros) {
         if let Some(query) = self.query.take() {
-            transport.cut(query.conn);
+            transport.abort(query.conn);
             self.last_query_at = query.sent_at;
         }
         self.next_query_at = next_query_at;
@@ -79,10 +79,10 @@
         if self.query.is_some() || now < self.next_query_at && !self.is_stale(now) {
             return;
         }
-        match transport.datagrams(self.service) {
+        match transport.connect_datagrams(self.service) {
             Some(conn) => {
                 let id = self.rng.rand_u32() as u16;
-                transport.datagram(conn, &names::query(id));
+                transport.send_datagram(conn, &names::query(id));
                 self.query = Some(Query { conn, id, sent_at: now });
             }
             // No descriptor is left for a query: what is known has to do.
--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -135,7 +135,7 @@
             connection.last_used = now;
             let takes_more = match write {
                 QueuedWrite::Bytes(bytes) => {
-                    let taken = transport.offer(conn, &bytes);
+                    let taken = transport.try_write(conn, &bytes);
                     self.requeue_rest(conn, &bytes, taken)
                 }
                 QueuedWrite::Attempt(attempt) => self.write_attempt(now, transport, conn, attempt),
@@ -171,7 +171,7 @@
         let mut bytes = request.data.head.clone();
         let time_left = request.deadline.saturating_sub(now);
         line::rest(&mut bytes, time_left.div_ceil(1000), &request.data.body);
-        let taken = transport.offer(conn, &bytes);
+        let taken = transport.try_write(conn, &bytes);
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         if taken == 0 {
             connection.queue.push_front(QueuedWrite::Attempt(attempt));
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -35,14 +35,14 @@
         if client.phase == Phase::Reading {
             self.client_timeouts.remove(conn, client);
         }
-        let fits = client.feed(now, transport.arrived(conn, now), bytes);
+        let fits = client.feed(now, transport.earliest_arrival(conn, now), bytes);
         if client.phase == Phase::Reading {
             self.client_timeouts.insert(conn, client);
         }
         if fits {
             self.read_requests(now, transport, conn);
         } else {
-            transport.cut(conn);
+            transport.abort(conn);
             self.client_closed(now, conn);
         }
     }
@@ -148,7 +148,7 @@
             let has_unsent = |conn| transport.unsent(conn) > 0;
             let excess = if too_many { self.client_timeouts.least_valuable(now, has_unsent) } else { None };
             let Some(conn) = self.client_timeouts.expired(now).or(excess) else { return };
-            transport.cut(conn);
+            transport.abort(conn);
             self.client_closed(now, conn);
         }
     }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -253,7 +253,7 @@
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         // Clients and model servers alike close both sides when they close one: no answer is due, none comes.
         if self.clients.contains_key(&conn) {
-            transport.cut(conn);
+            transport.abort(conn);
             self.client_closed(now, conn);
         } else {
             self.cut_connection(now, transport, conn);
--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -56,7 +56,7 @@
 
     /// Cuts a connection that cannot be used any more: what has been sent on it may have run.
     pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        transport.cut(conn);
+        transport.abort(conn);
         self.worker_disconnected(now, transport, conn);
     }
 
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -43,7 +43,7 @@
     pub(crate) lingering: bool,
     /// Notify the machine when `unsent` is empty.
     pub(crate) notify_flushed: bool,
-    /// The kernel did not accept all bytes of an `offer`: notify the machine when the socket is writable.
+    /// The kernel did not accept all bytes of a `try_write`: notify the machine when the socket is writable.
     pub(crate) notify_writable: bool,
     /// Events that epoll is currently asked to report.
     pub(crate) interest: epoll::EventFlags,
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -52,12 +52,12 @@
     fn write(&mut self, conn: Conn, bytes: &[u8]);
     /// Writes as many bytes as the kernel accepts at once and returns their number. The caller keeps the
     /// rest; `flushed` is called when the socket is writable again.
-    fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize;
+    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize;
     /// Opens a UDP socket that is connected to one address, on a port that the kernel picks; `None` if it
-    /// cannot be opened. `cut` closes it.
-    fn datagrams(&mut self, to: SocketAddr) -> Option<Conn>;
+    /// cannot be opened. `abort` closes it.
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn>;
     /// Sends one datagram on such a socket. It is lost if the kernel does not accept it.
-    fn datagram(&mut self, conn: Conn, bytes: &[u8]);
+    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]);
     /// Opens a UDP socket for datagrams to and from any address. Returns the socket and the address that it
     /// is bound to. `datagram_received` is called for each datagram that arrives.
     ///
@@ -68,7 +68,7 @@
     }
     /// Sends one datagram from such a socket. Returns false, and the datagram is lost, if the kernel does not
     /// accept it.
-    fn datagram_to(&mut self, _conn: Conn, _to: SocketAddr, _bytes: &[u8]) -> bool {
+    fn send_datagram_to(&mut self, _conn: Conn, _to: SocketAddr, _bytes: &[u8]) -> bool {
         false
     }
     /// Queued bytes that the kernel has not accepted yet.
@@ -77,20 +77,20 @@
     /// them.
     fn sent(&self, conn: Conn) -> u64;
     /// Pauses or resumes reading. A paused connection exerts backpressure on its peer.
-    fn reading(&mut self, conn: Conn, on: bool);
+    fn set_reading(&mut self, conn: Conn, on: bool);
     /// From now on, calls `half_closed` as soon as the kernel reports that the peer has shut down its
     /// direction: even while reading is paused, and ahead of unread bytes and of all other events. For
     /// protocols in which that means that the peer no longer wants an answer.
     fn hangup_first(&mut self, _conn: Conn) {}
     /// The earliest time at which the bytes now passed to the machine may have arrived in the kernel. It is
     /// before `now` if the process was busy or suspended since the last poll.
-    fn arrived(&self, _conn: Conn, now: Micros) -> Micros {
+    fn earliest_arrival(&self, _conn: Conn, now: Micros) -> Micros {
         now
     }
     /// Shuts down this side once all queued bytes are written. Only `closed` is called afterwards.
     fn finish(&mut self, conn: Conn);
     /// Closes the connection or datagram socket at once. No further calls are made for it.
-    fn cut(&mut self, conn: Conn);
+    fn abort(&mut self, conn: Conn);
     /// Listens, with at most `max_open` accepted connections open at a time; further ones wait in the
     /// kernel's accept queue. Returns the listener and the address that it is bound to.
     ///
@@ -124,7 +124,7 @@
     /// A datagram has arrived on a datagram socket.
     fn datagram_received(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
     /// The kernel has accepted all queued bytes, after an earlier call had left some of them queued; or the
-    /// socket is writable again after `offer`.
+    /// socket is writable again after `try_write`.
     fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
     /// A timer set by `wake_at` has fired.
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake);
--- a/crates/reactor/src/transport.rs
+++ b/crates/reactor/src/transport.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return 0 };
         if !connection.established || connection.finishing || !connection.unsent.is_empty() {
             return 0;
@@ -67,13 +67,13 @@
         taken
     }
 
-    fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
         let fd = datagram_socket(&to).ok()?;
         net::connect(&fd, &to).ok()?;
         self.sockets.add_datagram_socket(self.machine, fd).ok()
     }
 
-    fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
+    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]) {
         if let Some(socket) = self.sockets.datagram_sockets.get(&conn.0) {
             let _ = net::send(&socket.fd, bytes, net::SendFlags::NOSIGNAL);
         }
@@ -87,7 +87,7 @@
         Ok((conn, bound))
     }
 
-    fn datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
+    fn send_datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
         let socket = self.sockets.datagram_sockets.get(&conn.0);
         socket.is_some_and(|socket| net::sendto(&socket.fd, bytes, net::SendFlags::NOSIGNAL, &to).is_ok())
     }
@@ -100,14 +100,14 @@
         self.sockets.connections.get(&conn.0).map_or(0, |connection| connection.sent)
     }
 
-    fn reading(&mut self, conn: Conn, on: bool) {
+    fn set_reading(&mut self, conn: Conn, on: bool) {
         if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
             connection.reading = on;
             self.sockets.mark_dirty(conn);
         }
     }
 
-    fn arrived(&self, conn: Conn, now: Micros) -> Micros {
+    fn earliest_arrival(&self, conn: Conn, now: Micros) -> Micros {
         let connection = self.sockets.connections.get(&conn.0);
         let accepted = connection.and_then(|connection| connection.accepted);
         // Bytes found by the first poll after the connection was accepted may have arrived together with it.
@@ -132,7 +132,7 @@
         }
     }
 
-    fn cut(&mut self, conn: Conn) {
+    fn abort(&mut self, conn: Conn) {
         self.sockets.datagram_sockets.remove(&conn.0);
         self.sockets.drop_connection(conn, None);
     }
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -171,7 +171,7 @@
 #[test]
 fn paused_reading_exerts_backpressure() {
     let (mut reactor, calls) =
-        start_reactor(2, |_, _| (), Box::new(|transport, conn, _| transport.reading(conn, false)));
+        start_reactor(2, |_, _| (), Box::new(|transport, conn, _| transport.set_reading(conn, false)));
     let mut stream = client(&calls);
     stream.set_nonblocking(true).expect("set");
     let piece = vec![0u8; 64 * 1024];
--- a/crates/scenarios/src/seeded_bugs.rs
+++ b/crates/scenarios/src/seeded_bugs.rs
@@ -193,14 +193,14 @@
             _ => self.transport.write(conn, bytes),
         }
     }
-    fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        self.transport.offer(conn, bytes)
+    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+        self.transport.try_write(conn, bytes)
     }
-    fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
-        self.transport.datagrams(to)
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+        self.transport.connect_datagrams(to)
     }
-    fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
-        self.transport.datagram(conn, bytes);
+    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]) {
+        self.transport.send_datagram(conn, bytes);
     }
     fn unsent(&self, conn: Conn) -> usize {
         self.transport.unsent(conn)
@@ -208,11 +208,11 @@
     fn sent(&self, conn: Conn) -> u64 {
         self.transport.sent(conn)
     }
-    fn reading(&mut self, conn: Conn, on: bool) {
-        self.transport.reading(conn, on);
+    fn set_reading(&mut self, conn: Conn, on: bool) {
+        self.transport.set_reading(conn, on);
     }
-    fn arrived(&self, conn: Conn, now: Micros) -> Micros {
-        self.transport.arrived(conn, now)
+    fn earliest_arrival(&self, conn: Conn, now: Micros) -> Micros {
+        self.transport.earliest_arrival(conn, now)
     }
     fn hangup_first(&mut self, conn: Conn) {
         self.transport.hangup_first(conn);
@@ -220,8 +220,8 @@
     fn finish(&mut self, conn: Conn) {
         self.transport.finish(conn);
     }
-    fn cut(&mut self, conn: Conn) {
-        self.transport.cut(conn);
+    fn abort(&mut self, conn: Conn) {
+        self.transport.abort(conn);
     }
     fn listen(&mut self, at: SocketAddr, max_open: usize) -> std::io::Result<(Listener, SocketAddr)> {
         self.transport.listen(at, max_open)
@@ -272,7 +272,7 @@
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         match self.state.own.remove(&conn) {
-            Some(_) => transport.cut(conn),
+            Some(_) => transport.abort(conn),
             None => self.call(now, transport, |machine, transport| machine.half_closed(now, transport, conn)),
         }
     }
