--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -332,7 +332,7 @@
         self.gone(now, transport, conn, false);
     }
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
-        self.gone(now, transport, conn, why == Closed::Never);
+        self.gone(now, transport, conn, why == Closed::NotEstablished);
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
--- a/crates/gateway/tests/attempt_outcome.rs
+++ b/crates/gateway/tests/attempt_outcome.rs
@@ -18,7 +18,7 @@
 #[test_case(SendProgress::NothingSent, true, Closed::Reset, true; "kept and closed meanwhile")]
 #[test_case(SendProgress::NothingSent, false, Closed::Reset, false; "a new one: the worker fails")]
 #[test_case(SendProgress::Sent, true, Closed::Reset, false; "a byte has left: it may have run")]
-#[test_case(SendProgress::NotConnected, false, Closed::Never, false; "refused")]
+#[test_case(SendProgress::NotConnected, false, Closed::NotEstablished, false; "refused")]
 fn only_an_unsent_attempt_on_a_reused_connection_is_resent(
     progress: SendProgress,
     kept: bool,
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -58,7 +58,7 @@
 }
 
 // At-most-once, by what had left when the connection ended.
-#[test_case(false, Closed::Never, 2, None; "never open: sent elsewhere")]
+#[test_case(false, Closed::NotEstablished, 2, None; "never open: sent elsewhere")]
 #[test_case(true, Closed::Reset, 1, Some(502); "open and written: may have run")]
 #[test_case(true, Closed::Ended, 1, Some(502); "closed by the worker after it was written")]
 fn an_at_most_once_request_is_resent_only_if_nothing_was_sent(
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -51,7 +51,7 @@
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("confirm", 1);
     let first = sim.transport.connects[0].0;
-    sim.disconnect(first, Closed::Never);
+    sim.disconnect(first, Closed::NotEstablished);
     let connection = sim.carries(1);
     sim.send(connection, word("OK", 1).as_bytes());
     assert_eq!((sim.statuses(client), sim.runs(1)), (vec![200], 1));
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
     /// It was not established: refused, unreachable or timed out.
-    Never,
+    NotEstablished,
     /// The peer reset it.
     Reset,
     /// Both sides shut down their direction, or this side did and the peer did not follow in time.
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -177,7 +177,7 @@
             Timer::ConnectTimeout(conn) => {
                 let connection = self.sockets.connections.get(&conn.0);
                 if connection.is_some_and(|connection| !connection.established) {
-                    self.sockets.drop_connection(conn, Some(Closed::Never));
+                    self.sockets.drop_connection(conn, Some(Closed::NotEstablished));
                 }
             }
             Timer::LingerTimeout(conn) => self.sockets.drop_connection(conn, Some(Closed::Ended)),
@@ -278,7 +278,7 @@
             self.call(machine, |machine, now, transport| machine.connected(now, transport, conn));
             self.sockets.mark_dirty(conn);
         } else {
-            self.sockets.drop_connection(conn, Some(Closed::Never));
+            self.sockets.drop_connection(conn, Some(Closed::NotEstablished));
         }
     }
 
--- a/crates/reactor/src/transport.rs
+++ b/crates/reactor/src/transport.rs
@@ -27,7 +27,7 @@
             }
             None => {
                 let conn = Conn(self.sockets.next_number());
-                let (machine, reason, sent) = (self.machine, Closed::Never, 0);
+                let (machine, reason, sent) = (self.machine, Closed::NotEstablished, 0);
                 self.sockets.notifications.push_back(Notification::Closed { machine, conn, reason, sent });
                 conn
             }
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -131,7 +131,7 @@
     );
     turn_until(&mut reactor, || calls.borrow().woken.len() == 3 && calls.borrow().closed.len() == 1);
     assert_eq!(calls.borrow().woken, [0, 1, 2]);
-    assert_eq!((calls.borrow().closed[0].1, calls.borrow().closed[0].2), (Closed::Never, 0));
+    assert_eq!((calls.borrow().closed[0].1, calls.borrow().closed[0].2), (Closed::NotEstablished, 0));
 }
 
 // A peer that never reads must not use up memory: the connection is closed when its queue exceeds the limit,
