--- a/crates/gateway/src/client/answer.rs
+++ b/crates/gateway/src/client/answer.rs
@@ -2,7 +2,7 @@
 use crate::idempotency::FinalOutcome;
 use applepond::interface::Micros;
 use applepond_http::Fault;
-use applepond_http::encode::{self, Lines};
+use applepond_http::encode::{self, HeaderLines};
 use std::rc::Rc;
 
 /// A request's one answer: sent to each exchange that waits for it and, where it is kept, to later ones.
@@ -12,7 +12,7 @@
     /// Reason code, also of the request's line in the log.
     pub(crate) reason: &'static str,
     /// Header fields beside the generated ones.
-    pub(crate) fields: Lines,
+    pub(crate) fields: HeaderLines,
     pub(crate) body: Vec<u8>,
     /// Sent as `Retry-After`, rounded up to seconds.
     pub(crate) retry_after: Option<Micros>,
@@ -20,7 +20,7 @@
 
 impl Answer {
     /// The answer of a request that finished.
-    pub(crate) fn finished(fields: Lines, body: Vec<u8>) -> Self {
+    pub(crate) fn finished(fields: HeaderLines, body: Vec<u8>) -> Self {
         let outcome = FinalOutcome::Finished;
         Answer { outcome, status: 200, reason: "finished", fields, body, retry_after: None }
     }
@@ -33,14 +33,14 @@
         retry_after: Option<Micros>,
     ) -> Rc<Self> {
         let body = encode::problem(fault, id, retry_after.map(|us| us / 1000));
-        let mut fields = Lines::default();
+        let mut fields = HeaderLines::default();
         fields.field("Content-Type", "application/problem+json");
         Rc::new(Answer { outcome, status: fault.status, reason: fault.reason, fields, body, retry_after })
     }
 
     /// The state page.
     pub(crate) fn state_page(page: &serde_json::Value) -> Rc<Self> {
-        let mut fields = Lines::default();
+        let mut fields = HeaderLines::default();
         fields.field("Content-Type", "application/json");
         let body = format!("{page}\n").into_bytes();
         let outcome = FinalOutcome::Finished;
--- a/crates/gateway/src/client/event.rs
+++ b/crates/gateway/src/client/event.rs
@@ -3,7 +3,7 @@
 use applepond_http::Fault;
 use applepond_http::cloudevent::{self, EventSink, Reader};
 use applepond_http::decode::{Fields, Visitor};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use std::rc::Rc;
 
 /// What the event of one exchange says, filled in as its attributes come in.
@@ -16,7 +16,7 @@
     /// The client marks it as a retry.
     pub(crate) is_retry: bool,
     /// All attributes as header lines for the worker: one buffer instead of a pair of strings for each.
-    pub(crate) fields: Lines,
+    pub(crate) fields: HeaderLines,
     /// The attributes that the deployment reads by name.
     attribute_names: Rc<[String]>,
     /// Their values, in the same order.
--- a/crates/gateway/src/gateway/request.rs
+++ b/crates/gateway/src/gateway/request.rs
@@ -6,7 +6,7 @@
 use applepond::interface::{
     CustomerId, FunctionId, Micros, RequestArrival, RequestId, RetrySafety, WorkloadId,
 };
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use applepond_reactor::Conn;
 use std::rc::Rc;
 
@@ -29,7 +29,7 @@
     pub(super) workload: usize,
     pub(super) function: String,
     /// Header fields that every attempt sends after its own.
-    pub(super) fields: Lines,
+    pub(super) fields: HeaderLines,
     pub(super) media_type: Option<String>,
     pub(super) data: Rc<Vec<u8>>,
     pub(super) prefix: Option<PromptPrefix>,
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -7,7 +7,7 @@
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use applepond::interface::{CustomerId, Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use applepond_reactor::Conn;
 use applepond_storage::record::MAX_STORED_RESPONSE_BYTES;
 use applepond_storage::{WorkflowRecord, recorded_steps};
@@ -165,7 +165,7 @@
             run: Run::new(now, plan, stored.function.clone(), stored.deadline, known_steps),
             clients: Vec::new(),
             in_flight: BTreeMap::new(),
-            fields: Lines::of(stored.header_lines.clone()),
+            fields: HeaderLines::from_bytes(stored.header_lines.clone()),
             media_type: stored.content_type.clone(),
             data: Rc::new(stored.data.clone()),
             pending_undos: 0,
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -14,7 +14,7 @@
 use crate::client::Answer;
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use applepond::interface::{CustomerId, FunctionId, Micros, RequestId};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use applepond_reactor::{Conn, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
 use applepond_workflow::run::Needs;
@@ -81,7 +81,7 @@
     /// The wait that the last rejected step was told.
     retry_after: Option<Micros>,
     /// Header fields, media type and data that each step's event takes over.
-    fields: Lines,
+    fields: HeaderLines,
     media_type: Option<String>,
     data: Rc<Vec<u8>>,
     /// Undos that have not finished.
@@ -97,12 +97,14 @@
 
 impl ActiveWorkflow {
     /// What a step that finished answered: as it came, or as it is stored.
-    fn answer_of(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
+    fn answer_of(&self, step: StepId) -> Option<(HeaderLines, Vec<u8>)> {
         if let Some(finished) = self.last_finished.as_ref().filter(|finished| finished.step == step) {
             return Some((finished.answer.fields.clone(), finished.answer.body.clone()));
         }
         let end = self.stored.steps.get(&(step.0 as u32))?.outcome.as_ref()?;
-        end.response.as_ref().map(|answer| (Lines::of(answer.header_lines.clone()), answer.body.clone()))
+        end.response
+            .as_ref()
+            .map(|answer| (HeaderLines::from_bytes(answer.header_lines.clone()), answer.body.clone()))
     }
 
     /// Its run has ended, nothing of it is in flight, and nothing is left to undo.
--- a/crates/gateway/src/gateway/workflow/steps.rs
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -7,7 +7,7 @@
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use crate::request_table::AttemptId;
 use applepond::interface::{FunctionId, Micros, Outcome, RequestId, RetrySafety};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use applepond_reactor::Transport;
 use applepond_storage::record::outcome_code;
 use applepond_workflow::{Do, Ended, How, StepId};
@@ -137,7 +137,7 @@
             source: workflow.key.source.clone(),
             id: Rc::from(format!("{}/{}", workflow.key.id, planned.name)),
         };
-        let mut fields = Lines::default();
+        let mut fields = HeaderLines::default();
         fields.field("ce-id", &key.id);
         fields.field("ce-type", events.types.first().map_or("", String::as_str));
         fields.append(&workflow.fields);
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -10,7 +10,7 @@
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Visitor};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 
 /// Bytes of a response's head and body at most: a response beyond it counts as broken.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -35,7 +35,7 @@
     /// Loads in progress or queued at the worker, where it reports them.
     pub(crate) reported_loads: Option<f64>,
     /// Fields for the client: the result event's attributes and its media type.
-    pub(crate) fields: Lines,
+    pub(crate) fields: HeaderLines,
     pub(crate) body: Vec<u8>,
     /// The response is a CloudEvent.
     pub(crate) is_event: bool,
@@ -52,7 +52,7 @@
             same_function_in_flight: 0,
             reported_in_flight: None,
             reported_loads: None,
-            fields: Lines::default(),
+            fields: HeaderLines::default(),
             body: Vec::new(),
             is_event: false,
             keep_alive: None,
--- a/crates/http/src/cloudevent.rs
+++ b/crates/http/src/cloudevent.rs
@@ -4,7 +4,7 @@
 //! 415.
 use crate::Fault;
 use crate::decode::Fields;
-use crate::encode::Lines;
+use crate::encode::HeaderLines;
 use base64::Engine;
 use percent_encoding::{AsciiSet, CONTROLS, percent_decode, utf8_percent_encode};
 use serde_json::{Map, Value};
@@ -212,7 +212,7 @@
 }
 
 /// Writes one attribute as a header field in binary mode.
-pub fn attribute(lines: &mut Lines, name: &str, value: &str) {
+pub fn attribute(lines: &mut HeaderLines, name: &str, value: &str) {
     let value: Cow<'_, str> = utf8_percent_encode(value, PERCENT_ENCODED).into();
     lines.field(&[FIELD_PREFIX, name].concat(), &value);
 }
--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -7,13 +7,13 @@
 const HEAD_CAPACITY_BYTES: usize = 768;
 
 /// A message under construction. `body`, `chunked` or `empty` ends its head and returns its bytes.
-pub struct Message(Lines);
+pub struct Message(HeaderLines);
 
 /// Encoded header fields that do not belong to a message yet.
 #[derive(Clone, Default)]
-pub struct Lines(Vec<u8>);
+pub struct HeaderLines(Vec<u8>);
 
-impl Lines {
+impl HeaderLines {
     /// Adds a header field. Control characters in the value are replaced by spaces, so that a value cannot
     /// add another field.
     pub fn field(&mut self, name: &str, value: &str) {
@@ -25,14 +25,14 @@
     }
 
     /// A copy without the named fields. Names are compared in the case in which they were written.
-    pub fn without(&self, names: &[&str]) -> Lines {
+    pub fn without(&self, names: &[&str]) -> HeaderLines {
         let lines = self.0.split_inclusive(|byte| *byte == b'\n');
         let named = |line: &&[u8]| {
             !names
                 .iter()
                 .any(|name| line.strip_prefix(name.as_bytes()).is_some_and(|value| value.starts_with(b": ")))
         };
-        Lines(lines.filter(named).flatten().copied().collect())
+        HeaderLines(lines.filter(named).flatten().copied().collect())
     }
 
     /// The encoded lines.
@@ -41,12 +41,12 @@
     }
 
     /// Creates them from encoded lines, as returned by `bytes`.
-    pub fn of(bytes: Vec<u8>) -> Lines {
-        Lines(bytes)
+    pub fn from_bytes(bytes: Vec<u8>) -> HeaderLines {
+        HeaderLines(bytes)
     }
 
     /// Adds encoded lines.
-    pub fn append(&mut self, more: &Lines) {
+    pub fn append(&mut self, more: &HeaderLines) {
         self.0.extend_from_slice(&more.0);
     }
 
@@ -95,14 +95,14 @@
 pub fn request(method: &str, target: &str, host: &str) -> Message {
     let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
     let _ = write!(head, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
-    Message(Lines(head))
+    Message(HeaderLines(head))
 }
 
 /// Begins a response.
 pub fn response(status: u16) -> Message {
     let mut head = Vec::with_capacity(HEAD_CAPACITY_BYTES);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
-    Message(Lines(head))
+    Message(HeaderLines(head))
 }
 
 impl Message {
@@ -119,7 +119,7 @@
     }
 
     /// Adds encoded header lines.
-    pub fn lines(mut self, lines: &Lines) -> Self {
+    pub fn lines(mut self, lines: &HeaderLines) -> Self {
         self.0.0.extend_from_slice(&lines.0);
         self
     }
@@ -176,7 +176,7 @@
 
 /// A complete response with problem details. `Retry-After` is in seconds (RFC 9110, section 10.2.3), rounded
 /// up.
-pub fn problem_answer(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>, keep: bool) -> Vec<u8> {
+pub fn problem_response(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>, keep: bool) -> Vec<u8> {
     let mut head = response(fault.status).field("Content-Type", "application/problem+json");
     if let Some(ms) = retry_after_ms {
         head = head.field("Retry-After", &ms.div_ceil(1000).max(1).to_string());
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -191,7 +191,7 @@
 
     /// Answers what is no call, and closes the connection: where the next request starts is not known.
     pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
-        transport.write(conn, &encode::problem_answer(fault, None, None, false));
+        transport.write(conn, &encode::problem_response(fault, None, None, false));
         self.close(now, transport, conn);
     }
 
