--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -94,7 +94,7 @@
             self.timeout_at = now + READ_TIMEOUT;
         }
         self.decoder.feed(bytes);
-        if self.phase == Phase::AwaitingAnswer && self.decoder.waiting() > MAX_PIPELINED_BYTES {
+        if self.phase == Phase::AwaitingAnswer && self.decoder.buffered_bytes() > MAX_PIPELINED_BYTES {
             transport.set_reading(conn, false);
         }
     }
@@ -162,7 +162,7 @@
         self.peer_half_closed = true;
         if self.phase == Phase::Reading {
             match self.decoder.finish(&mut self.reader) {
-                Err(fault) if self.decoder.in_body() || self.decoder.waiting() > 0 => {
+                Err(fault) if self.decoder.in_body() || self.decoder.buffered_bytes() > 0 => {
                     self.refuse(now, transport, conn, &fault);
                 }
                 _ => self.close(now, transport, conn),
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -113,7 +113,7 @@
 }
 
 /// The decoder of one connection. It buffers the bytes that have not been decoded; its owner limits them by
-/// not reading from the connection while `waiting` is too high.
+/// not reading from the connection while `buffered_bytes` is too high.
 pub struct Decoder {
     side: Side,
     max_head_bytes: usize,
@@ -158,13 +158,13 @@
     }
 
     /// Number of bytes added and not decoded yet.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len() - self.start
     }
 
     /// Whether the last message is complete and no byte of the next one has been added.
     pub fn idle(&self) -> bool {
-        self.state == State::Head && self.waiting() == 0
+        self.state == State::Head && self.buffered_bytes() == 0
     }
 
     /// Whether a head has been decoded and its body is not complete yet.
@@ -303,7 +303,7 @@
 
     /// Passes buffered bytes of the body to the visitor, at most `limit`, and returns their number.
     fn deliver_body(&mut self, limit: u64, visitor: &mut dyn Visitor) -> Result<u64, Fault> {
-        let count = limit.min(self.waiting() as u64);
+        let count = limit.min(self.buffered_bytes() as u64);
         self.body_bytes += count;
         if self.body_bytes > self.max_body_bytes {
             return Err(self.body_too_large());
@@ -319,8 +319,8 @@
     fn line_length(&mut self, limit: usize) -> Result<Option<usize>, Fault> {
         let from = self.searched;
         let found = memchr::memchr(b'\n', &self.undecoded()[from..]).map(|at| from + at + 1);
-        self.searched = if found.is_some() { 0 } else { self.waiting() };
-        if found.unwrap_or(self.waiting()) > limit {
+        self.searched = if found.is_some() { 0 } else { self.buffered_bytes() };
+        if found.unwrap_or(self.buffered_bytes()) > limit {
             return Err(Fault::new(
                 400,
                 "long-line",
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -114,7 +114,8 @@
             self.timeout_at = now + SILENCE_TIMEOUT;
             self.is_idle = false;
         }
-        let is_full = self.phase == Phase::AwaitingAnswer && self.decoder.waiting() > MAX_PIPELINED_BYTES;
+        let is_full =
+            self.phase == Phase::AwaitingAnswer && self.decoder.buffered_bytes() > MAX_PIPELINED_BYTES;
         if self.dropped_bytes > 0 || is_full {
             self.dropped_bytes += bytes.len();
         } else {
@@ -138,7 +139,7 @@
         match self.decoder.step(&mut incoming) {
             Ok(Step::Done) => {
                 self.phase = Phase::AwaitingAnswer;
-                if self.decoder.waiting() > 0 {
+                if self.decoder.buffered_bytes() > 0 {
                     self.next_first_byte_at.get_or_insert(self.last_bytes_at);
                 }
                 let ask = self.part.ask.take().expect("the decoder gives a head before its request's end");
