--- a/crates/http/src/encode.rs
+++ b/crates/http/src/encode.rs
@@ -176,12 +176,17 @@
 
 /// A complete response with problem details. `Retry-After` is in seconds (RFC 9110, section 10.2.3), rounded
 /// up.
-pub fn problem_response(fault: &Fault, id: Option<&str>, retry_after_ms: Option<u64>, keep: bool) -> Vec<u8> {
+pub fn problem_response(
+    fault: &Fault,
+    id: Option<&str>,
+    retry_after_ms: Option<u64>,
+    keep_alive: bool,
+) -> Vec<u8> {
     let mut head = response(fault.status).field("Content-Type", "application/problem+json");
     if let Some(ms) = retry_after_ms {
         head = head.field("Retry-After", &ms.div_ceil(1000).max(1).to_string());
     }
-    if !keep {
+    if !keep_alive {
         head = head.field("Connection", "close");
     }
     head.body(&problem(fault, id, retry_after_ms))
