--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -43,7 +43,8 @@
     Overflow,
 }
 
-/// The commands that a machine may issue. They take effect in order, after the machine's call has returned.
+/// The commands that a machine may issue. Those that return a result take effect at once, the others at the
+/// latest when the machine's call has returned.
 pub trait Transport {
     /// Opens a connection. `connected` is called once it is established, or `closed` if that fails or takes
     /// longer than `timeout`.
