--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -40,11 +40,11 @@
     /// The first value of this field, whose name is compared without regard to case; `None` if it is absent
     /// or not UTF-8.
     pub fn get(&self, name: &str) -> Option<&'a str> {
-        self.all(name).next().and_then(|value| std::str::from_utf8(value).ok())
+        self.values(name).next().and_then(|value| std::str::from_utf8(value).ok())
     }
 
     /// All values of this field, in order.
-    pub(crate) fn all(&self, name: &str) -> impl Iterator<Item = &'a [u8]> {
+    pub(crate) fn values(&self, name: &str) -> impl Iterator<Item = &'a [u8]> {
         self.0.iter().filter(move |field| field.name.eq_ignore_ascii_case(name)).map(|field| field.value)
     }
 
@@ -54,8 +54,8 @@
     }
 
     /// Whether a field of this name, read as a comma-separated list, contains `word` in any case.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
-        let texts = self.all(name).filter_map(|value| std::str::from_utf8(value).ok());
+    pub fn list_contains(&self, name: &str, word: &str) -> bool {
+        let texts = self.values(name).filter_map(|value| std::str::from_utf8(value).ok());
         texts.flat_map(|text| text.split(',')).any(|item| item.trim().eq_ignore_ascii_case(word))
     }
 }
@@ -376,7 +376,7 @@
         };
         let fields = Fields(head.headers);
         // A request must name its host exactly once (RFC 9112, section 3.2).
-        if version == 1 && fields.all("host").count() != 1 {
+        if version == 1 && fields.values("host").count() != 1 {
             return Err(Fault::new(400, "bad-host", "the request must have exactly one Host field"));
         }
         let framing = Framing::read(&fields)?.unwrap_or(Framing::Length(0));
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -20,12 +20,12 @@
 impl Framing {
     /// Reads the framing from a head (RFC 9112, section 6.3); `None` if the head does not specify one.
     pub(crate) fn read(fields: &Fields<'_>) -> Result<Option<Framing>, Fault> {
-        let mut lengths = fields.all("content-length");
+        let mut lengths = fields.values("content-length");
         let length = lengths.next();
         if lengths.next().is_some() {
             return Err(Fault::new(400, "bad-length", "more than one Content-Length field"));
         }
-        let mut codings = fields.all("transfer-encoding");
+        let mut codings = fields.values("transfer-encoding");
         match (length, codings.next(), codings.next()) {
             // A peer may read the other of two lengths, which allows request smuggling (RFC 9112, section
             // 11.2).
@@ -53,9 +53,9 @@
 /// Whether the sender of a head allows the connection to be reused (RFC 9112, section 9.3).
 pub(crate) fn keeps_alive(minor_version: u8, fields: &Fields<'_>) -> bool {
     if minor_version == 1 {
-        !fields.lists("connection", "close")
+        !fields.list_contains("connection", "close")
     } else {
-        fields.lists("connection", "keep-alive")
+        fields.list_contains("connection", "keep-alive")
     }
 }
 
