--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -87,7 +87,7 @@
         self.machines.push(Some(machine));
         let index = self.machines.len() - 1;
         self.call(index, |machine, now, transport| machine.start(now, transport));
-        self.settle();
+        self.process_pending();
         index
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Carries out pending commands and delivers the resulting notifications until none are left.
-    fn settle(&mut self) {
+    fn process_pending(&mut self) {
         loop {
             while let Some(conn) = self.sockets.dirty.pop() {
                 self.sockets.flush(conn);
@@ -163,13 +163,13 @@
             if self.poll_is_stale() {
                 self.poll(Duration::ZERO)?;
             }
-            self.fire(timer);
-            self.settle();
+            self.handle_timer(timer);
+            self.process_pending();
         }
         Ok(())
     }
 
-    fn fire(&mut self, timer: Timer) {
+    fn handle_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Machine { machine, wake } => {
                 self.call(machine, |machine, now, transport| machine.woken(now, transport, wake));
@@ -248,7 +248,7 @@
         } else {
             self.transfer(machine, conn, flags);
         }
-        self.settle();
+        self.process_pending();
     }
 
     fn read_datagrams(&mut self, machine: usize, conn: Conn) {
@@ -264,7 +264,7 @@
             self.call(machine, |machine, now, transport| {
                 machine.datagram_received(now, transport, conn, bytes);
             });
-            self.settle();
+            self.process_pending();
         }
         self.read_buffer = buffer;
     }
@@ -365,7 +365,7 @@
                     self.call(machine, |machine, now, transport| {
                         machine.accepted(now, transport, conn, listener);
                     });
-                    self.settle();
+                    self.process_pending();
                 }
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     // epoll is level-triggered: without the pause it would report the listener again at once,
