--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -103,7 +103,7 @@
     () => {
         fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
         fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
-            transport.cut(conn);
+            transport.abort(conn);
         }
         fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
     };
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -94,8 +94,8 @@
             self.timeout_at = now + READ_TIMEOUT;
         }
         self.decoder.feed(bytes);
-        if self.phase == Phase::AwaitingAnswer && self.decoder.waiting() > MAX_PIPELINED_BYTES {
-            transport.reading(conn, false);
+        if self.phase == Phase::AwaitingAnswer && self.decoder.buffered_bytes() > MAX_PIPELINED_BYTES {
+            transport.set_reading(conn, false);
         }
     }
 
@@ -139,7 +139,7 @@
         if keep_alive {
             self.phase = Phase::Reading;
             self.timeout_at = now + WRITE_TIMEOUT;
-            transport.reading(conn, !self.peer_half_closed);
+            transport.set_reading(conn, !self.peer_half_closed);
         } else {
             self.close(now, transport, conn);
         }
@@ -147,7 +147,7 @@
 
     /// Answers a malformed request and closes the connection, as the start of the next request is unknown.
     pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
-        transport.write(conn, &encode::problem_answer(fault, None, None, false));
+        transport.write(conn, &encode::problem_response(fault, None, None, false));
         self.close(now, transport, conn);
     }
 
@@ -162,7 +162,7 @@
         self.peer_half_closed = true;
         if self.phase == Phase::Reading {
             match self.decoder.finish(&mut self.reader) {
-                Err(fault) if self.decoder.in_body() || self.decoder.waiting() > 0 => {
+                Err(fault) if self.decoder.in_body() || self.decoder.buffered_bytes() > 0 => {
                     self.refuse(now, transport, conn, &fault);
                 }
                 _ => self.close(now, transport, conn),
@@ -193,7 +193,7 @@
         }
         let has_unsent = transport.unsent(conn) > 0;
         if self.phase == Phase::Closing || has_unsent {
-            transport.cut(conn);
+            transport.abort(conn);
             return TimeoutCheck::Closed;
         }
         if self.decoder.idle() && now < self.timeout_at + IDLE_TIMEOUT - WRITE_TIMEOUT {
--- a/crates/gateway/src/client/event.rs
+++ b/crates/gateway/src/client/event.rs
@@ -3,7 +3,7 @@
 use applepond_http::Fault;
 use applepond_http::cloudevent::{self, EventSink, Reader};
 use applepond_http::decode::{Fields, Visitor};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use std::rc::Rc;
 
 /// The event of a request, filled in as its attributes are read.
@@ -16,7 +16,7 @@
     /// The client has marked it as a retry.
     pub(crate) is_retry: bool,
     /// All attributes as header lines for the worker, in one buffer to avoid two strings for each.
-    pub(crate) fields: Lines,
+    pub(crate) fields: HeaderLines,
     /// Names of the attributes that the deployment reads by name.
     attribute_names: Rc<[String]>,
     /// Values of these attributes, in the same order.
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -14,7 +14,7 @@
 use crate::client::Answer;
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use applepond::interface::{CustomerId, FunctionId, Micros, RequestId};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 use applepond_reactor::{Conn, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
 use applepond_workflow::run::StepTimes;
@@ -83,7 +83,7 @@
     /// `Retry-After` of the step that ended last, if it has one.
     retry_after: Option<Micros>,
     /// Header fields, media type and data of its event, copied to the event of each step.
-    fields: Lines,
+    fields: HeaderLines,
     media_type: Option<String>,
     data: Rc<Vec<u8>>,
     /// Undos that have not finished.
@@ -99,12 +99,14 @@
 
 impl ActiveWorkflow {
     /// Returns the answer of a finished step, from memory or from its stored form.
-    fn answer_of(&self, step: StepId) -> Option<(Lines, Vec<u8>)> {
+    fn answer_of(&self, step: StepId) -> Option<(HeaderLines, Vec<u8>)> {
         if let Some(finished) = self.last_finished.as_ref().filter(|finished| finished.step == step) {
             return Some((finished.answer.fields.clone(), finished.answer.body.clone()));
         }
         let end = self.stored.steps.get(&(step.0 as u32))?.outcome.as_ref()?;
-        end.response.as_ref().map(|answer| (Lines::of(answer.header_lines.clone()), answer.body.clone()))
+        end.response
+            .as_ref()
+            .map(|answer| (HeaderLines::from_bytes(answer.header_lines.clone()), answer.body.clone()))
     }
 
     /// Whether its run has ended, no step is in flight, and no undo is pending.
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -10,7 +10,7 @@
 use applepond_http::Fault;
 use applepond_http::cloudevent::{EventSink, Reader};
 use applepond_http::decode::{Decoder, Fields, Side, Visitor};
-use applepond_http::encode::Lines;
+use applepond_http::encode::HeaderLines;
 
 /// Maximum size of a response's head; a larger response is invalid.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -36,7 +36,7 @@
     /// Loads in progress or queued at the worker, if reported.
     pub(crate) reported_loads: Option<f64>,
     /// Header fields for the client: the result event's attributes and its media type.
-    pub(crate) fields: Lines,
+    pub(crate) fields: HeaderLines,
     pub(crate) body: Vec<u8>,
     /// The response is a CloudEvent.
     pub(crate) is_event: bool,
@@ -53,7 +53,7 @@
             same_function_in_flight: 0,
             reported_in_flight: None,
             reported_loads: None,
-            fields: Lines::default(),
+            fields: HeaderLines::default(),
             body: Vec::new(),
             is_event: false,
             keep_alive: None,
--- a/crates/gateway/tests/attempt_outcome.rs
+++ b/crates/gateway/tests/attempt_outcome.rs
@@ -23,7 +23,7 @@
 #[test_case(SendProgress::NothingSent, true, Closed::Reset, true; "closed by the worker while idle")]
 #[test_case(SendProgress::NothingSent, false, Closed::Reset, false; "new connection: the worker fails")]
 #[test_case(SendProgress::Sent, true, Closed::Reset, false; "a byte was sent: it may have run")]
-#[test_case(SendProgress::NotConnected, false, Closed::Never, false; "refused")]
+#[test_case(SendProgress::NotConnected, false, Closed::NotEstablished, false; "refused")]
 fn only_an_unsent_attempt_on_a_reused_connection_is_resent(
     progress: SendProgress,
     reused: bool,
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -60,7 +60,7 @@
 }
 
 // An at-most-once request must not be sent to another worker once a byte of it has been sent.
-#[test_case(false, Closed::Never, 2, None; "never connected: sent elsewhere")]
+#[test_case(false, Closed::NotEstablished, 2, None; "never connected: sent elsewhere")]
 #[test_case(true, Closed::Reset, 1, Some(502); "connected and sent: may have run")]
 #[test_case(true, Closed::Ended, 1, Some(502); "closed by the worker after it was sent")]
 fn an_at_most_once_request_is_resent_only_if_nothing_was_sent(
