--- a/crates/http/src/cloudevent.rs
+++ b/crates/http/src/cloudevent.rs
@@ -45,19 +45,19 @@
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
     if name.is_empty() || name.len() > MAX_NAME_CHARS || !name.bytes().all(allowed) {
         let shown: String = name.chars().take(MAX_NAME_CHARS).collect();
-        return Err(Fault::new(400, "bad-attribute", format!("'{shown}' is not a valid attribute name")));
+        return Err(Fault::new(400, "bad-attribute", format!("'{shown}' is no name of an attribute")));
     }
     if value.len() > MAX_VALUE_BYTES {
-        let detail = format!("attribute '{name}' exceeds the limit of {MAX_VALUE_BYTES} bytes");
+        let detail = format!("attribute '{name}' may have {MAX_VALUE_BYTES} bytes");
         return Err(Fault::new(400, "bad-attribute", detail));
     }
     // Strings must not contain control characters (specification, section 2.4).
     if value.chars().any(char::is_control) {
-        let detail = format!("attribute '{name}' contains a control character");
+        let detail = format!("attribute '{name}' holds a control character");
         return Err(Fault::new(400, "control-character", detail));
     }
     if name == "specversion" && value != "1.0" {
-        let detail = format!("unsupported specversion '{}'; use 1.0", value.escape_default());
+        let detail = format!("specversion 1.0 is spoken here, not '{}'", value.escape_default());
         return Err(Fault::new(422, "bad-specversion", detail));
     }
     if let Some(index) = REQUIRED.iter().position(|required| *required == name) {
@@ -92,14 +92,10 @@
             return Ok(reader);
         }
         if essence.starts_with("application/cloudevents-batch") {
-            return Err(Fault::new(
-                415,
-                "batch-mode",
-                "batched events are not supported; send one event per request",
-            ));
+            return Err(Fault::new(415, "batch-mode", "events are taken one by one, not in batches"));
         }
         if essence.starts_with("application/cloudevents") {
-            return Err(Fault::new(415, "bad-format", "unsupported event format; only JSON is supported"));
+            return Err(Fault::new(415, "bad-format", "the only event format known is JSON"));
         }
         for (name, value) in fields.iter() {
             let prefix = name.get(..FIELD_PREFIX.len());
@@ -109,11 +105,7 @@
             let name = name[FIELD_PREFIX.len()..].to_ascii_lowercase();
             let value = percent_decode(value).decode_utf8();
             let value = value.map_err(|_| {
-                Fault::new(
-                    400,
-                    "bad-attribute",
-                    format!("attribute '{name}' is not UTF-8 after percent-decoding"),
-                )
+                Fault::new(400, "bad-attribute", format!("attribute '{name}' is not UTF-8 once decoded"))
             })?;
             check_attribute(&name, &value, &mut reader.seen)?;
             sink.attribute(&name, &value);
@@ -141,9 +133,9 @@
             sink.data(self.media_type.as_deref(), bytes);
             return Ok(());
         }
-        let event = serde_json::from_slice(&bytes)
-            .map_err(|error| bad_json(format!("the event is not valid JSON: {error}")))?;
-        let Value::Object(event) = event else { return Err(bad_json("the event is not a JSON object")) };
+        let event =
+            serde_json::from_slice(&bytes).map_err(|error| bad_json(format!("the event: {error}")))?;
+        let Value::Object(event) = event else { return Err(bad_json("the event is no JSON object")) };
         let media_type = self.visit_attributes(&event, sink)?;
         visit_data(&event, media_type.as_deref(), sink)
     }
@@ -163,7 +155,7 @@
                 Value::String(text) => text.clone(),
                 Value::Bool(_) | Value::Number(_) if !value.is_f64() => value.to_string(),
                 _ => {
-                    let detail = format!("attribute '{name}' is not a string, integer or boolean");
+                    let detail = format!("attribute '{name}' is neither text, whole number nor truth value");
                     return Err(Fault::new(400, "bad-attribute", detail));
                 }
             };
@@ -190,11 +182,11 @@
     sink: &mut dyn EventSink,
 ) -> Result<(), Fault> {
     match (event.get("data"), event.get("data_base64")) {
-        (Some(_), Some(_)) => return Err(bad_json("both data and data_base64 are given")),
+        (Some(_), Some(_)) => return Err(bad_json("data and data_base64 exclude each other")),
         (None, None) => sink.data(media_type, Vec::new()),
         (None, Some(text)) => {
             let bytes = text.as_str().and_then(|text| base64::prelude::BASE64_STANDARD.decode(text).ok());
-            let bytes = bytes.ok_or_else(|| bad_json("data_base64 is not valid base64"))?;
+            let bytes = bytes.ok_or_else(|| bad_json("data_base64 is no base64 text"))?;
             sink.data(media_type, bytes);
         }
         (Some(data), None) => {
--- a/crates/http/src/decode.rs
+++ b/crates/http/src/decode.rs
@@ -263,7 +263,7 @@
                 self.state = State::ChunkSize;
                 Ok(Progress::Continue)
             }
-            _ => Err(Fault::new(400, "bad-chunk", "the data of a chunk is not followed by a line end")),
+            _ => Err(Fault::new(400, "bad-chunk", "a chunk does not end where its size says")),
         }
     }
 
@@ -283,7 +283,7 @@
         match self.state {
             State::UntilClose => self.end_message(visitor),
             State::Head if self.undecoded().iter().all(|byte| matches!(byte, b'\r' | b'\n')) => Ok(()),
-            _ => Err(Fault::new(400, "cut-short", "the connection ended before the message was complete")),
+            _ => Err(Fault::new(400, "cut-short", "the connection ended inside a message")),
         }
     }
 
@@ -294,11 +294,7 @@
     }
 
     fn body_too_large(&self) -> Fault {
-        Fault::new(
-            413,
-            "body-too-large",
-            format!("the body exceeds the limit of {} bytes", self.max_body_bytes),
-        )
+        Fault::new(413, "body-too-large", format!("a body may have {} bytes", self.max_body_bytes))
     }
 
     /// Passes buffered bytes of the body to the visitor, at most `limit`, and returns their number.
@@ -324,7 +320,7 @@
             return Err(Fault::new(
                 400,
                 "long-line",
-                format!("a line of the chunked body exceeds the limit of {limit} bytes"),
+                format!("a line of a chunked body may have {limit} bytes"),
             ));
         }
         Ok(found)
@@ -343,7 +339,7 @@
         let length = found.unwrap_or(undecoded.len());
         self.searched = if found.is_some() { 0 } else { undecoded.len() };
         if length > self.max_head_bytes {
-            let detail = format!("the head exceeds the limit of {} bytes", self.max_head_bytes);
+            let detail = format!("a head may have {} bytes", self.max_head_bytes);
             return Err(Fault::new(431, "head-too-large", detail));
         }
         Ok(found)
@@ -372,12 +368,12 @@
         let mut head = httparse::Request::new(&mut table);
         head.parse(&self.undecoded()[..length]).map_err(head_fault)?;
         let (Some(method), Some(target), Some(version)) = (head.method, head.path, head.version) else {
-            return Err(Fault::new(400, "bad-head", "the request line is incomplete"));
+            return Err(Fault::new(400, "bad-head", "the request line is not whole"));
         };
         let fields = Fields(head.headers);
         // A request must name its host exactly once (RFC 9112, section 3.2).
         if version == 1 && fields.values("host").count() != 1 {
-            return Err(Fault::new(400, "bad-host", "the request must have exactly one Host field"));
+            return Err(Fault::new(400, "bad-host", "one Host field is wanted"));
         }
         let framing = Framing::read(&fields)?.unwrap_or(Framing::Length(0));
         // A body whose declared length exceeds the limit is rejected before any of it is read.
@@ -397,7 +393,7 @@
         let mut head = httparse::Response::new(&mut table);
         head.parse(&self.undecoded()[..length]).map_err(head_fault)?;
         let (Some(status), Some(version)) = (head.code, head.version) else {
-            return Err(Fault::new(400, "bad-head", "the status line is incomplete"));
+            return Err(Fault::new(400, "bad-head", "the status line is not whole"));
         };
         if (100..200).contains(&status) {
             return Ok(None);
@@ -418,9 +414,9 @@
 fn head_fault(error: httparse::Error) -> Fault {
     match error {
         httparse::Error::TooManyHeaders => {
-            Fault::new(431, "head-too-large", format!("the head exceeds the limit of {MAX_FIELDS} fields"))
+            Fault::new(431, "head-too-large", format!("a head may have {MAX_FIELDS} fields"))
         }
-        httparse::Error::Version => Fault::new(505, "bad-version", "unsupported HTTP version; use HTTP/1.1"),
-        error => Fault::new(400, "bad-head", format!("malformed head: {error}")),
+        httparse::Error::Version => Fault::new(505, "bad-version", "HTTP/1.1 is spoken here"),
+        error => Fault::new(400, "bad-head", format!("the head cannot be read: {error}")),
     }
 }
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -23,20 +23,20 @@
         let mut lengths = fields.values("content-length");
         let length = lengths.next();
         if lengths.next().is_some() {
-            return Err(Fault::new(400, "bad-length", "more than one Content-Length field"));
+            return Err(Fault::new(400, "bad-length", "one Content-Length is wanted"));
         }
         let mut codings = fields.values("transfer-encoding");
         match (length, codings.next(), codings.next()) {
             // A peer may read the other of two lengths, which allows request smuggling (RFC 9112, section
             // 11.2).
             (Some(_), Some(_), _) => {
-                Err(Fault::new(400, "two-lengths", "both Content-Length and Transfer-Encoding are given"))
+                Err(Fault::new(400, "two-lengths", "Content-Length and Transfer-Encoding exclude each other"))
             }
             (None, Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") => {
                 Ok(Some(Framing::Chunked))
             }
             (None, Some(_), _) => {
-                Err(Fault::new(501, "bad-coding", "unsupported transfer coding; only chunked is supported"))
+                Err(Fault::new(501, "bad-coding", "the only transfer coding known is chunked"))
             }
             (None, None, _) => Ok(None),
             (Some(digits), None, _) => content_length(digits).map(|size| Some(Framing::Length(size))),
@@ -47,7 +47,7 @@
 fn content_length(digits: &[u8]) -> Result<u64, Fault> {
     let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_digit);
     let size = plain.then(|| std::str::from_utf8(digits).ok()?.parse().ok()).flatten();
-    size.ok_or_else(|| Fault::new(400, "bad-length", "Content-Length is not a non-negative integer"))
+    size.ok_or_else(|| Fault::new(400, "bad-length", "Content-Length is not a whole number"))
 }
 
 /// Whether the sender of a head allows the connection to be reused (RFC 9112, section 9.3).
@@ -61,7 +61,7 @@
 
 /// Parses a chunk-size line, including its line end. Chunk extensions are ignored.
 pub(crate) fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
-    let bad = || Fault::new(400, "bad-chunk", "the size of a chunk is not a hexadecimal number");
+    let bad = || Fault::new(400, "bad-chunk", "a chunk's size is not a hexadecimal number");
     let line = line.strip_suffix(b"\r\n").ok_or_else(bad)?;
     let digits = line.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let after = line[digits..].iter().find(|byte| !matches!(byte, b' ' | b'\t'));
