--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -5,7 +5,7 @@
     Actions, AttemptResult, CustomerId, Endpoint, EndpointListKind, FunctionId, Micros, Outcome, RackId,
     RequestArrival, RequestId, TimerToken, WorkerId, WorkerStatus, WorkloadId, ZoneId,
 };
-use applepond_platform::fault::Unfit;
+use applepond_platform::errors::InputError;
 use applepond_platform::fields::{
     Read, array, fault, mark, maybe, number_or, object, position, text, time, time_or_none, whole,
 };
@@ -92,14 +92,14 @@
     /// # Errors
     /// Fails on a batch that is not in form, with the instance and the field at fault. Earlier events of the
     /// batch have taken effect; the caller has to end.
-    pub fn batch(&mut self, line: &str) -> Result<String, Unfit> {
-        let batch: Value =
-            serde_json::from_str(line).map_err(|e| Unfit::NoJson(e.to_string()).at("batch"))?;
-        let now = time(&batch, "ts").map_err(|why| why.at("batch"))?;
+    pub fn batch(&mut self, line: &str) -> Result<String, InputError> {
+        let batch: Value = serde_json::from_str(line)
+            .map_err(|e| InputError::InvalidJson(e.to_string()).in_context("batch"))?;
+        let now = time(&batch, "ts").map_err(|why| why.in_context("batch"))?;
         let mut parts = Vec::new();
-        for part in array(&batch, "parts").map_err(|why| why.at("batch"))? {
-            let number = whole(part, "router").map_err(|why| why.at("batch"))?;
-            let at_instance = |why: Unfit| why.at(format!("instance {number}"));
+        for part in array(&batch, "parts").map_err(|why| why.in_context("batch"))? {
+            let number = whole(part, "router").map_err(|why| why.in_context("batch"))?;
+            let at_instance = |why: InputError| why.in_context(format!("instance {number}"));
             let mut actions = Vec::new();
             for event in array(part, "arrivals").map_err(at_instance)? {
                 actions.extend(self.event(number, now, event).map_err(at_instance)?);
@@ -127,8 +127,8 @@
             self.instances.remove(&number);
             return Ok(Vec::new());
         }
-        let instance = self.instances.get_mut(&number).ok_or_else(|| Unfit::NotBooted(op.to_owned()))?;
-        instance.event(now, op, event).map_err(|why| why.at(format!("'{op}'")))
+        let instance = self.instances.get_mut(&number).ok_or_else(|| InputError::NotBooted(op.to_owned()))?;
+        instance.event(now, op, event).map_err(|why| why.in_context(format!("'{op}'")))
     }
 }
 
@@ -163,7 +163,7 @@
             "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
             // Nothing is decided on these yet: no probe, message or order to load is ever sent.
             "probed" | "whisper" | "stands" => {}
-            other => return Err(Unfit::Event(other.to_owned())),
+            other => return Err(InputError::UnknownEvent(other.to_owned())),
         }
         Ok(std::mem::take(&mut reply.actions))
     }
@@ -175,7 +175,7 @@
         "FULL" => EndpointListKind::Full,
         "SAVED" => EndpointListKind::Saved,
         "FAILED" => EndpointListKind::Failed,
-        other => return Err(Unfit::field("kind", format!("'{other}' is not known"))),
+        other => return Err(InputError::field("kind", format!("'{other}' is not known"))),
     })
 }
 
@@ -228,7 +228,7 @@
         251 => Outcome::ConnectionLost,
         250 => Outcome::Cancelled,
         249 => Outcome::Superseded,
-        other => return Err(Unfit::field("code", format!("{other} is not known"))),
+        other => return Err(InputError::field("code", format!("{other} is not known"))),
     })
 }
 
@@ -241,7 +241,7 @@
             "Ready" => WorkerStatus::Ready,
             "Terminating" => WorkerStatus::Draining,
             "Gone" => WorkerStatus::Gone,
-            other => return Err(Unfit::field("condition", format!("'{other}' is not known"))),
+            other => return Err(InputError::field("condition", format!("'{other}' is not known"))),
         },
         up_since: time_or_none(entry, "up-since")?,
         zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -2,7 +2,7 @@
 use crate::errors::{USAGE_ERROR, print_error};
 use applepond_node::{ExitReason, Node, ProcessEvent};
 use applepond_platform::config::{self, Start};
-use applepond_platform::fault::Unfit;
+use applepond_platform::errors::InputError;
 use applepond_reactor::Reactor;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::cell::Cell;
@@ -17,10 +17,13 @@
 const MAX_TURN: Duration = Duration::from_secs(1);
 
 /// Reads the configuration.
-fn read(file: &Path) -> Result<Start, Unfit> {
-    let unread = |error: std::io::Error| Unfit::Unread { file: file.to_owned(), why: error.to_string() };
+fn read(file: &Path) -> Result<Start, InputError> {
+    let unread = |error: std::io::Error| InputError::FileUnreadable {
+        file: file.to_owned(),
+        reason: error.to_string(),
+    };
     let text = std::fs::read(file).map_err(unread)?;
-    config::start(&text).map_err(|why| why.at(file.display()))
+    config::start(&text).map_err(|why| why.in_context(file.display()))
 }
 
 /// Asked by the machine for what the process has been told by signals since.
--- a/crates/cli/tests/errors.rs
+++ b/crates/cli/tests/errors.rs
@@ -22,8 +22,8 @@
     put(&mut all, "gateway", applepond_gateway::errors::EndpointListError::each());
     put(&mut all, "gateway", applepond_gateway::errors::ReloadError::each());
     put(&mut all, "prefix_cache", applepond_prefix_cache::Unfit::EACH.to_vec());
-    put(&mut all, "platform", applepond_platform::fault::Unfit::each());
-    put(&mut all, "platform", applepond_platform::fault::NoAnswer::each());
+    put(&mut all, "platform", applepond_platform::errors::InputError::each());
+    put(&mut all, "platform", applepond_platform::errors::NameServiceError::each());
     put(&mut all, "storage", applepond_storage::StorageError::each());
     put(&mut all, "gossip", applepond_gossip::PublishError::ALL.to_vec());
     put(&mut all, "gossip", applepond_gossip::MessageError::ALL.to_vec());
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -239,7 +239,7 @@
     let new = if good {
         Ok(Box::new(start(&new)))
     } else {
-        Err(applepond_platform::fault::Unfit::NoJson(String::new()))
+        Err(applepond_platform::errors::InputError::InvalidJson(String::new()))
     };
     sim.process_events.borrow_mut().push(ProcessEvent::ConfigReplaced(new));
     sim.advance(S);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
 //! A router's configuration file, read at its start and again when the file is replaced.
-use crate::fault::Unfit;
+use crate::errors::InputError;
 use crate::fields::{
     Read, array, fault, mark, maybe, number, number_or, object, text, time, time_or_none, whole,
 };
@@ -67,7 +67,8 @@
 /// # Errors
 /// The text is not JSON, or a field is absent or not valid.
 pub fn start(text: &[u8]) -> Read<Start> {
-    let file: Value = serde_json::from_slice(text).map_err(|error| Unfit::NoJson(error.to_string()))?;
+    let file: Value =
+        serde_json::from_slice(text).map_err(|error| InputError::InvalidJson(error.to_string()))?;
     let settings = object(&file, "settings")?;
     let allowed = object(settings, "allowed")?;
     let limits = object(&file, "limits")?;
@@ -133,7 +134,7 @@
             "in_service" => WorkerStatus::Ready,
             "terminating" => WorkerStatus::Draining,
             "terminated" => WorkerStatus::Gone,
-            other => return Err(Unfit::field("phase", format!("'{other}' is not known"))),
+            other => return Err(InputError::field("phase", format!("'{other}' is not known"))),
         },
         up_since: time_or_none(entry, "up_since_ms")?,
         zone: zone.map(ZoneId),
--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/errors.rs
@@ -5,9 +5,9 @@
 
 /// Why a file of the operators or a part of it is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum Unfit {
+pub enum InputError {
     /// A field is absent or not valid.
-    #[error("field '{field}': {want}")]
+    #[error("field '{field}': {problem}")]
     #[diagnostic(
         code(platform::field),
         help("put right that field of the configuration; until then the old one holds, if there was one")
@@ -16,7 +16,7 @@
         /// Name of the field.
         field: String,
         /// What has to stand there.
-        want: String,
+        problem: String,
     },
     /// The text is not JSON, with the parser's reason.
     #[error("not JSON: {0}")]
@@ -24,18 +24,18 @@
         code(platform::no_json),
         help("look whether the file was cut or written by hand; it is read as a whole or not at all")
     )]
-    NoJson(String),
+    InvalidJson(String),
     /// A part of a file is not valid.
-    #[error("{place}: {why}")]
+    #[error("{context}: {error}")]
     #[diagnostic(
         code(platform::part),
         help("the part named in front is at fault; the rest of the words say why")
     )]
-    At {
+    InContext {
         /// The part.
-        place: String,
+        context: String,
         /// What is wrong with it.
-        why: Box<Unfit>,
+        error: Box<InputError>,
     },
     /// An event came for an instance that has not been started.
     #[error("'{0}' before any 'boot'")]
@@ -52,87 +52,87 @@
             "the caller and this program are of versions that do not fit; use the program that came with it"
         )
     )]
-    Event(String),
+    UnknownEvent(String),
     /// The file could not be read.
-    #[error("{}: {why}", file.display())]
+    #[error("{}: {reason}", file.display())]
     #[diagnostic(code(platform::unread), help("look whether the file is there and this process may read it"))]
-    Unread {
+    FileUnreadable {
         /// The file.
         file: PathBuf,
         /// The reason given by the operating system.
-        why: String,
+        reason: String,
     },
 }
 
-impl Unfit {
+impl InputError {
     /// The fault that a field is not what is wanted.
-    pub fn field(field: &str, want: impl Into<String>) -> Self {
-        Unfit::Field { field: field.to_owned(), want: want.into() }
+    pub fn field(field: &str, problem: impl Into<String>) -> Self {
+        InputError::Field { field: field.to_owned(), problem: problem.into() }
     }
 
     /// The same fault, in this part of the file.
-    pub fn at(self, place: impl std::fmt::Display) -> Self {
-        Unfit::At { place: place.to_string(), why: Box::new(self) }
+    pub fn in_context(self, context: impl std::fmt::Display) -> Self {
+        InputError::InContext { context: context.to_string(), error: Box::new(self) }
     }
 
     /// One of each, for the table of codes.
-    pub fn each() -> Vec<Unfit> {
+    pub fn each() -> Vec<InputError> {
         let none = String::new;
         vec![
-            Unfit::field("", ""),
-            Unfit::NoJson(none()),
-            Unfit::NoJson(none()).at(""),
-            Unfit::NotBooted(none()),
-            Unfit::Event(none()),
-            Unfit::Unread { file: PathBuf::new(), why: none() },
+            InputError::field("", ""),
+            InputError::InvalidJson(none()),
+            InputError::InvalidJson(none()).in_context(""),
+            InputError::NotBooted(none()),
+            InputError::UnknownEvent(none()),
+            InputError::FileUnreadable { file: PathBuf::new(), reason: none() },
         ]
     }
 }
 
 /// Why an answer of the name service is not accepted. The query is repeated at once.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
-pub enum NoAnswer {
+pub enum NameServiceError {
     /// It is not a DNS message.
     #[error("cannot be read: {0}")]
     #[diagnostic(
         code(names::unreadable),
         help("seldom: the network; often: look which name service answers at that address")
     )]
-    Unreadable(String),
+    InvalidMessage(String),
     /// It does not belong to the query.
     #[error("answers another question")]
     #[diagnostic(code(names::another), help("a late answer; often: look for a path that is slow or repeats"))]
-    Another,
+    UnrelatedAnswer,
     /// It is truncated.
     #[error("is cut short")]
     #[diagnostic(
         code(names::cut),
         help("the list does not fit into the service's answers: have it send larger ones")
     )]
-    Cut,
+    Truncated,
     /// It reports a failure of the service.
     #[error("reports {0}")]
     #[diagnostic(code(names::reports), help("look at the name service; the last list holds meanwhile"))]
-    Reports(String),
+    ServerFailure(String),
     /// It has no SOA record, whose serial orders lists.
     #[error("names no serial")]
     #[diagnostic(
         code(names::no_serial),
         help("the service's zone has no SOA in its answers: without a serial no list can be told newer")
     )]
-    NoSerial,
+    MissingSerial,
 }
 
-impl NoAnswer {
+impl NameServiceError {
     /// One of each, for the table of codes.
-    pub fn each() -> Vec<NoAnswer> {
+    pub fn each() -> Vec<NameServiceError> {
         let none = String::new;
         vec![
-            NoAnswer::Unreadable(none()),
-            NoAnswer::Another,
-            NoAnswer::Cut,
-            NoAnswer::Reports(none()),
-            NoAnswer::NoSerial,
+            NameServiceError::InvalidMessage(none()),
+            NameServiceError::UnrelatedAnswer,
+            NameServiceError::Truncated,
+            NameServiceError::ServerFailure(none()),
+            NameServiceError::MissingSerial,
         ]
     }
 }
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -1,17 +1,17 @@
 //! Readers of single fields of a decoded JSON object; a fault names the field.
-use crate::fault::Unfit;
+use crate::errors::InputError;
 use applepond::interface::Micros;
 use serde_json::Value;
 
 /// A value, or why the file is not valid.
-pub type Read<T> = Result<T, Unfit>;
+pub type Read<T> = Result<T, InputError>;
 
 /// The fault that the field of this name is not what is wanted.
 ///
 /// # Errors
 /// Always.
 pub fn fault<T>(name: &str, wanted: &str) -> Read<T> {
-    Err(Unfit::field(name, wanted))
+    Err(InputError::field(name, wanted))
 }
 
 /// The field, or none where it is absent or null.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod call;
 pub mod config;
-pub mod fault;
+pub mod errors;
 pub mod fields;
 pub mod line;
 pub mod names;
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/names.rs
@@ -1,6 +1,6 @@
 //! The name service: queries for the list of model servers and what an answer says (RFC 1035, RFC 2782).
 use crate::config::Member;
-use crate::fault::NoAnswer;
+use crate::errors::NameServiceError;
 use crate::rows::Words;
 use applepond::interface::{Endpoint, RackId, WorkerId, WorkerStatus, ZoneId};
 use simple_dns::rdata::{RData, SRV};
@@ -39,14 +39,15 @@
 ///
 /// # Errors
 /// The bytes are no DNS message, not the answer to this query, truncated, a failure, or without a serial.
-pub fn answer(bytes: &[u8], id: u16, words: &Words) -> Result<Told, NoAnswer> {
-    let packet = Packet::parse(bytes).map_err(|error| NoAnswer::Unreadable(format!("{error:?}")))?;
+pub fn answer(bytes: &[u8], id: u16, words: &Words) -> Result<Told, NameServiceError> {
+    let packet =
+        Packet::parse(bytes).map_err(|error| NameServiceError::InvalidMessage(format!("{error:?}")))?;
     check(&packet, id)?;
     let serial = packet.name_servers.iter().find_map(|record| match &record.rdata {
         RData::SOA(soa) => Some(u64::from(soa.serial)),
         _ => None,
     });
-    let index = serial.ok_or(NoAnswer::NoSerial)?;
+    let index = serial.ok_or(NameServiceError::MissingSerial)?;
     let hosts = Hosts::read(&packet);
     let mut list = Told { index, members: Vec::new(), left_out: 0 };
     for record in &packet.answers {
@@ -60,15 +61,15 @@
 }
 
 /// Checks that the packet is a complete answer to the query of this id.
-fn check(packet: &Packet<'_>, id: u16) -> Result<(), NoAnswer> {
+fn check(packet: &Packet<'_>, id: u16) -> Result<(), NameServiceError> {
     if packet.id() != id || !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(NoAnswer::Another);
+        return Err(NameServiceError::UnrelatedAnswer);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Err(NoAnswer::Cut);
+        return Err(NameServiceError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(NoAnswer::Reports(format!("{:?}", packet.rcode())));
+        return Err(NameServiceError::ServerFailure(format!("{:?}", packet.rcode())));
     }
     Ok(())
 }
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/rows.rs
@@ -1,6 +1,6 @@
 //! The start-up configuration from the operators' settings, read alike for the simulator's first message and
 //! for a real router's configuration.
-use crate::fault::Unfit;
+use crate::errors::InputError;
 use crate::fields::{Read, array, mark, maybe, number_or, object, text, time, time_or_none};
 use applepond::interface::{
     AttemptPolicy, CustomerConfig, IdempotencyScope, LoadState, RetrySafety, SlowStartRules, StartupConfig,
@@ -26,7 +26,7 @@
     /// A row without a name, or a name that is no text.
     pub fn read(setup: &Value) -> Read<Self> {
         let texts = |list| -> Read<Vec<String>> {
-            let wanted = || Unfit::field(list, "texts are wanted");
+            let wanted = || InputError::field(list, "texts are wanted");
             rows(setup, list).map(|row| row.as_str().map(str::to_owned).ok_or_else(wanted)).collect()
         };
         let names = |list| -> Read<Vec<String>> {
@@ -98,11 +98,11 @@
                 "all" => IdempotencyScope::Everywhere,
                 "zone" => IdempotencyScope::Zone,
                 "cell" => IdempotencyScope::Rack,
-                other => return Err(Unfit::field("group", format!("'{other}' is not known"))),
+                other => return Err(InputError::field("group", format!("'{other}' is not known"))),
             },
             window: time(row, "window")?,
         },
-        other => return Err(Unfit::field("idempotency", format!("'{other}' is not known"))),
+        other => return Err(InputError::field("idempotency", format!("'{other}' is not known"))),
     };
     Ok(WorkloadConfig {
         retry_safety,
