--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -7,7 +7,8 @@
 };
 use applepond_platform::errors::InputError;
 use applepond_platform::fields::{
-    Read, array, fault, mark, maybe, number_or, object, position, text, time, time_or_none, whole,
+    InputResult, array, flag, invalid_field, name_index, number_or, object, optional, text, time,
+    time_or_zero, unsigned,
 };
 use applepond_platform::rows::{Words, copy_note, startup};
 use serde_json::{Value, json};
@@ -98,7 +99,7 @@
         let now = time(&batch, "ts").map_err(|why| why.in_context("batch"))?;
         let mut parts = Vec::new();
         for part in array(&batch, "parts").map_err(|why| why.in_context("batch"))? {
-            let number = whole(part, "router").map_err(|why| why.in_context("batch"))?;
+            let number = unsigned(part, "router").map_err(|why| why.in_context("batch"))?;
             let at_instance = |why: InputError| why.in_context(format!("instance {number}"));
             let mut actions = Vec::new();
             for event in array(part, "arrivals").map_err(at_instance)? {
@@ -111,12 +112,12 @@
         Ok(json!({ "parts": parts }).to_string())
     }
 
-    fn event(&mut self, number: u64, now: Micros, event: &Value) -> Read<Vec<Value>> {
+    fn event(&mut self, number: u64, now: Micros, event: &Value) -> InputResult<Vec<Value>> {
         let op = text(event, "op")?;
         if op == "boot" {
             let setup = object(event, "setup")?;
             let names = Names { words: Words::read(setup)?, ..Names::default() };
-            let rows = startup(setup, whole(event, "salt")?)?;
+            let rows = startup(setup, unsigned(event, "salt")?)?;
             let mut reply = Reply { names: &names, actions: Vec::new() };
             let control = Control::new(now, rows, &mut reply);
             let actions = reply.actions;
@@ -133,10 +134,10 @@
 }
 
 impl Instance {
-    fn event(&mut self, now: Micros, op: &str, event: &Value) -> Read<Vec<Value>> {
+    fn event(&mut self, now: Micros, op: &str, event: &Value) -> InputResult<Vec<Value>> {
         // Names come first, so that an id is known before anything is ordered for it.
         if op == "endpoints" {
-            for entry in maybe(event, "members").and_then(Value::as_array).into_iter().flatten() {
+            for entry in optional(event, "members").and_then(Value::as_array).into_iter().flatten() {
                 let name = text(entry, "server")?;
                 self.names.workers.entry(WorkerId::named(name)).or_insert_with(|| name.to_owned());
             }
@@ -160,7 +161,7 @@
             }
             "streaming" => control.response_started(request(event)?),
             "expired" => control.client_disconnected(reply, request(event)?),
-            "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
+            "wakeup" => control.timer_fired(reply, TimerToken(unsigned(event, "token")?)),
             // Nothing is decided on these yet: no probe, message or order to load is ever sent.
             "probed" | "whisper" | "stands" => {}
             other => return Err(InputError::UnknownEvent(other.to_owned())),
@@ -169,7 +170,7 @@
     }
 }
 
-fn list_kind(event: &Value) -> Read<EndpointListKind> {
+fn list_kind(event: &Value) -> InputResult<EndpointListKind> {
     Ok(match text(event, "kind")? {
         "INCREMENTAL" => EndpointListKind::Changes,
         "FULL" => EndpointListKind::Full,
@@ -179,45 +180,45 @@
     })
 }
 
-fn endpoints(event: &Value, names: &Names) -> Read<Vec<Endpoint>> {
-    let entries = maybe(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+fn endpoints(event: &Value, names: &Names) -> InputResult<Vec<Endpoint>> {
+    let entries = optional(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
     entries.iter().map(|entry| endpoint(entry, names)).collect()
 }
 
-fn arrival(event: &Value, names: &Names) -> Read<RequestArrival> {
-    let customer = match maybe(event, "customer") {
+fn arrival(event: &Value, names: &Names) -> InputResult<RequestArrival> {
+    let customer = match optional(event, "customer") {
         None => None,
         Some(value) if value.as_u64() == Some(0) => None,
-        Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
+        Some(_) => Some(CustomerId(name_index(&names.words.customers, event, "customer")?)),
     };
     Ok(RequestArrival {
         request: request(event)?,
         function: FunctionId::named(text(event, "model")?),
-        workload: WorkloadId(position(&names.words.workloads, event, "type")?),
+        workload: WorkloadId(name_index(&names.words.workloads, event, "type")?),
         customer,
         time_left: time(event, "left")?,
-        retry: mark(event, "retry")?,
+        retry: flag(event, "retry")?,
         concurrency: number_or(event, "at-once", 1.0)? as u32,
-        load_time: maybe(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
+        load_time: optional(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
         priority_factor: 1.0,
     })
 }
 
-fn attempt_result(event: &Value) -> Read<AttemptResult> {
+fn attempt_result(event: &Value) -> InputResult<AttemptResult> {
     let detail = number_or(event, "detail", 0.0)? as u32;
-    let usage = maybe(event, "usage").unwrap_or(&Value::Null);
+    let usage = optional(event, "usage").unwrap_or(&Value::Null);
     Ok(AttemptResult {
         outcome: outcome(event)?,
-        request_ended: mark(event, "terminal")?,
-        elapsed: time_or_none(event, "elapsed")?,
+        request_ended: flag(event, "terminal")?,
+        elapsed: time_or_zero(event, "elapsed")?,
         load_state: copy_note(detail & LOAD_STATE_MASK),
         same_function_in_flight: detail >> LOAD_STATE_BITS,
-        reported_in_flight: maybe(usage, "concurrent").and_then(Value::as_f64),
-        reported_loads: maybe(usage, "x1").and_then(Value::as_f64),
+        reported_in_flight: optional(usage, "concurrent").and_then(Value::as_f64),
+        reported_loads: optional(usage, "x1").and_then(Value::as_f64),
     })
 }
 
-fn outcome(event: &Value) -> Read<Outcome> {
+fn outcome(event: &Value) -> InputResult<Outcome> {
     Ok(match number_or(event, "code", 0.0)? as i64 {
         0 => Outcome::Finished,
         1 => Outcome::NotLoaded,
@@ -232,9 +233,9 @@
     })
 }
 
-fn endpoint(entry: &Value, names: &Names) -> Read<Endpoint> {
+fn endpoint(entry: &Value, names: &Names) -> InputResult<Endpoint> {
     let position_of =
-        |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
+        |list: &[String], name| optional(entry, name).map(|_| name_index(list, entry, name)).transpose();
     Ok(Endpoint {
         worker: WorkerId::named(text(entry, "server")?),
         status: match text(entry, "condition")? {
@@ -243,14 +244,14 @@
             "Gone" => WorkerStatus::Gone,
             other => return Err(InputError::field("condition", format!("'{other}' is not known"))),
         },
-        up_since: time_or_none(entry, "up-since")?,
+        up_since: time_or_zero(entry, "up-since")?,
         zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
         rack: RackId(number_or(entry, "group", 0.0)? as i64),
         weight: number_or(entry, "nominal", 1.0)?,
     })
 }
 
-fn request(from: &Value) -> Read<RequestId> {
+fn request(from: &Value) -> InputResult<RequestId> {
     let id = text(from, "msg-id")?;
-    id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "36 characters are wanted"))
+    id.as_bytes().try_into().map(RequestId).or_else(|_| invalid_field("msg-id", "36 characters are wanted"))
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,8 @@
 //! A router's configuration file, read at its start and again when the file is replaced.
 use crate::errors::InputError;
 use crate::fields::{
-    Read, array, fault, mark, maybe, number, number_or, object, text, time, time_or_none, whole,
+    InputResult, array, flag, invalid_field, number, number_or, object, optional, text, time, time_or_zero,
+    unsigned,
 };
 use crate::rows::{self, Words};
 use applepond::interface::{
@@ -66,7 +67,7 @@
 ///
 /// # Errors
 /// The text is not JSON, or a field is absent or not valid.
-pub fn start(text: &[u8]) -> Read<Start> {
+pub fn start(text: &[u8]) -> InputResult<Start> {
     let file: Value =
         serde_json::from_slice(text).map_err(|error| InputError::InvalidJson(error.to_string()))?;
     let settings = object(&file, "settings")?;
@@ -83,7 +84,7 @@
         name: text_in(&file, "name")?,
         listen: address(&file, "listen")?,
         names: address(&file, "names")?,
-        descriptors: whole(limits, "sockets")? as usize,
+        descriptors: unsigned(limits, "sockets")? as usize,
         memory: (number(limits, "memory_mb")? * 1024.0 * 1024.0) as usize,
         rows: rows::startup(settings, seed)?,
         terms: Terms {
@@ -91,41 +92,44 @@
             connect_limit: time(allowed, "connect-timeout")?,
             idle_limit: time(allowed, "idle-close")?,
         },
-        deadlines: array(settings, "lanes")?.iter().map(|row| time(row, "deadline")).collect::<Read<_>>()?,
-        index: whole(known, "index")?,
+        deadlines: array(settings, "lanes")?
+            .iter()
+            .map(|row| time(row, "deadline"))
+            .collect::<InputResult<_>>()?,
+        index: unsigned(known, "index")?,
         words,
         known: events,
     })
 }
 
-fn text_in(from: &Value, name: &str) -> Read<String> {
+fn text_in(from: &Value, name: &str) -> InputResult<String> {
     text(from, name).map(str::to_owned)
 }
 
-fn text_of_hex(from: &Value, name: &str) -> Read<u64> {
-    u64::from_str_radix(text(from, name)?, 16).or_else(|_| fault(name, "16 hex digits are wanted"))
+fn text_of_hex(from: &Value, name: &str) -> InputResult<u64> {
+    u64::from_str_radix(text(from, name)?, 16).or_else(|_| invalid_field(name, "16 hex digits are wanted"))
 }
 
-fn address(from: &Value, name: &str) -> Read<SocketAddr> {
-    text(from, name)?.parse().or_else(|_| fault(name, "an address with a port is wanted"))
+fn address(from: &Value, name: &str) -> InputResult<SocketAddr> {
+    text(from, name)?.parse().or_else(|_| invalid_field(name, "an address with a port is wanted"))
 }
 
 /// One event of the endpoint list.
-fn update(event: &Value, words: &Words) -> Read<(EndpointListKind, Vec<Member>)> {
+fn update(event: &Value, words: &Words) -> InputResult<(EndpointListKind, Vec<Member>)> {
     let list = object(event, "endpoints")?;
-    let kind = if mark(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
+    let kind = if flag(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
     let members = array(list, "members")?;
     if members.len() > MAX_MEMBERS {
-        return fault("members", "fewer are wanted");
+        return invalid_field("members", "fewer are wanted");
     }
-    Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<Read<_>>()?))
+    Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<InputResult<_>>()?))
 }
 
-fn member(entry: &Value, words: &Words) -> Read<Member> {
+fn member(entry: &Value, words: &Words) -> InputResult<Member> {
     let name = text_in(entry, "id")?;
     // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
     // start.
-    let zone = maybe(entry, "locality").and_then(Value::as_str);
+    let zone = optional(entry, "locality").and_then(Value::as_str);
     let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
     let worker = WorkerId::named(&name);
     let listed = Endpoint {
@@ -136,15 +140,15 @@
             "terminated" => WorkerStatus::Gone,
             other => return Err(InputError::field("phase", format!("'{other}' is not known"))),
         },
-        up_since: time_or_none(entry, "up_since_ms")?,
+        up_since: time_or_zero(entry, "up_since_ms")?,
         zone: zone.map(ZoneId),
-        rack: match maybe(entry, "cell") {
+        rack: match optional(entry, "cell") {
             Some(_) => RackId(number(entry, "cell")? as i64),
             None => RackId::unshared(worker),
         },
         weight: number_or(entry, "size", 1.0)?,
     };
-    let address = match maybe(entry, "host_port") {
+    let address = match optional(entry, "host_port") {
         // Nothing connects to one that has gone.
         None if listed.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
