--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -10,7 +10,7 @@
     InputResult, array, flag, invalid_field, name_index, number_or, object, optional, text, time,
     time_or_zero, unsigned,
 };
-use applepond_platform::rows::{Words, copy_note, startup};
+use applepond_platform::startup::{ConfigNames, load_state_from_code, startup_config};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -35,7 +35,7 @@
 struct Names {
     workers: BTreeMap<WorkerId, String>,
     functions: BTreeMap<FunctionId, String>,
-    words: Words,
+    words: ConfigNames,
 }
 
 /// Collects the actions of one event as the simulator's messages, in their order.
@@ -116,10 +116,10 @@
         let op = text(event, "op")?;
         if op == "boot" {
             let setup = object(event, "setup")?;
-            let names = Names { words: Words::read(setup)?, ..Names::default() };
-            let rows = startup(setup, unsigned(event, "salt")?)?;
+            let names = Names { words: ConfigNames::read(setup)?, ..Names::default() };
+            let config = startup_config(setup, unsigned(event, "salt")?)?;
             let mut reply = Reply { names: &names, actions: Vec::new() };
-            let control = Control::new(now, rows, &mut reply);
+            let control = Control::new(now, config, &mut reply);
             let actions = reply.actions;
             self.instances.insert(number, Instance { control, names });
             return Ok(actions);
@@ -211,7 +211,7 @@
         outcome: outcome(event)?,
         request_ended: flag(event, "terminal")?,
         elapsed: time_or_zero(event, "elapsed")?,
-        load_state: copy_note(detail & LOAD_STATE_MASK),
+        load_state: load_state_from_code(detail & LOAD_STATE_MASK),
         same_function_in_flight: detail >> LOAD_STATE_BITS,
         reported_in_flight: optional(usage, "concurrent").and_then(Value::as_f64),
         reported_loads: optional(usage, "x1").and_then(Value::as_f64),
--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -4,7 +4,7 @@
 //! Owned here: the query that waits for an answer, and the index of the last list that was taken.
 use applepond::interface::Micros;
 use applepond_platform::names::{self, Told};
-use applepond_platform::rows::Words;
+use applepond_platform::startup::ConfigNames;
 use applepond_reactor::{Conn, Transport};
 use oorandom::Rand32;
 use std::net::SocketAddr;
@@ -97,7 +97,7 @@
         transport: &mut dyn Transport,
         conn: Conn,
         bytes: &[u8],
-        words: &Words,
+        words: &ConfigNames,
     ) -> Option<Told> {
         let query = self.query.filter(|query| query.conn == conn)?;
         match names::answer(bytes, query.id, words) {
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,7 +1,7 @@
 //! Calls of clients: one HTTP/1.1 request each, read strictly. What a client did not send in this form is
 //! never forwarded.
 use crate::line;
-use crate::rows::Words;
+use crate::startup::ConfigNames;
 use applepond::interface::{
     CustomerId, FunctionId, Micros, RequestArrival, RequestId, RetrySafety, StartupConfig, WorkloadId,
 };
@@ -30,7 +30,7 @@
 /// One request while it comes in.
 pub struct Incoming<'a> {
     /// The names that the configuration's indices stand for.
-    pub words: &'a Words,
+    pub words: &'a ConfigNames,
     /// The configuration.
     pub rows: &'a StartupConfig,
     /// µs that clients of each workload wait at most.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
     InputResult, array, flag, invalid_field, number, number_or, object, optional, text, time, time_or_zero,
     unsigned,
 };
-use crate::rows::{self, Words};
+use crate::startup::{ConfigNames, startup_config};
 use applepond::interface::{
     Endpoint, EndpointListKind, Micros, RackId, StartupConfig, WorkerId, WorkerStatus, ZoneId,
 };
@@ -52,7 +52,7 @@
     /// Start-up configuration of the decisions.
     pub rows: StartupConfig,
     /// The names that its indices stand for.
-    pub words: Words,
+    pub words: ConfigNames,
     /// How connections to model servers are to be used.
     pub terms: Terms,
     /// µs that clients of each workload wait at most.
@@ -74,7 +74,7 @@
     let allowed = object(settings, "allowed")?;
     let limits = object(&file, "limits")?;
     let seed = text_of_hex(&file, "seed")?;
-    let words = Words::read(settings)?;
+    let words = ConfigNames::read(settings)?;
     let known = object(&file, "known")?;
     let mut events = Vec::new();
     for event in array(known, "updates")? {
@@ -86,7 +86,7 @@
         names: address(&file, "names")?,
         descriptors: unsigned(limits, "sockets")? as usize,
         memory: (number(limits, "memory_mb")? * 1024.0 * 1024.0) as usize,
-        rows: rows::startup(settings, seed)?,
+        rows: startup_config(settings, seed)?,
         terms: Terms {
             streams: (number_or(allowed, "multiplex", 1.0)? as usize).max(1),
             connect_limit: time(allowed, "connect-timeout")?,
@@ -115,7 +115,7 @@
 }
 
 /// One event of the endpoint list.
-fn update(event: &Value, words: &Words) -> InputResult<(EndpointListKind, Vec<Member>)> {
+fn update(event: &Value, words: &ConfigNames) -> InputResult<(EndpointListKind, Vec<Member>)> {
     let list = object(event, "endpoints")?;
     let kind = if flag(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
     let members = array(list, "members")?;
@@ -125,7 +125,7 @@
     Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<InputResult<_>>()?))
 }
 
-fn member(entry: &Value, words: &Words) -> InputResult<Member> {
+fn member(entry: &Value, words: &ConfigNames) -> InputResult<Member> {
     let name = text_in(entry, "id")?;
     // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
     // start.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,4 +9,4 @@
 pub mod fields;
 pub mod line;
 pub mod names;
-pub mod rows;
+pub mod startup;
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/names.rs
@@ -1,7 +1,7 @@
 //! The name service: queries for the list of model servers and what an answer says (RFC 1035, RFC 2782).
 use crate::config::Member;
 use crate::errors::NameServiceError;
-use crate::rows::Words;
+use crate::startup::ConfigNames;
 use applepond::interface::{Endpoint, RackId, WorkerId, WorkerStatus, ZoneId};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QTYPE, Question, RCODE, TYPE};
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The bytes are no DNS message, not the answer to this query, truncated, a failure, or without a serial.
-pub fn answer(bytes: &[u8], id: u16, words: &Words) -> Result<Told, NameServiceError> {
+pub fn answer(bytes: &[u8], id: u16, words: &ConfigNames) -> Result<Told, NameServiceError> {
     let packet =
         Packet::parse(bytes).map_err(|error| NameServiceError::InvalidMessage(format!("{error:?}")))?;
     check(&packet, id)?;
@@ -98,7 +98,7 @@
     }
 
     /// The model server of one SRV record; none where its other records are missing or not valid.
-    fn member(&self, srv: &SRV<'_>, words: &Words) -> Option<Member> {
+    fn member(&self, srv: &SRV<'_>, words: &ConfigNames) -> Option<Member> {
         let target = srv.target.to_string().to_ascii_lowercase();
         let address = SocketAddr::new(IpAddr::V4(*self.addresses.get(&target)?), srv.port);
         let attributes = self.attributes.get(&target)?;
--- a/crates/platform/src/rows.rs
+++ b/crates/platform/src/startup.rs
@@ -10,7 +10,7 @@
 
 /// The names that the indices of the configuration stand for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Words {
+pub struct ConfigNames {
     /// Names of the workloads, by `WorkloadId`.
     pub workloads: Vec<String>,
     /// Names of the customers, by `CustomerId`.
@@ -19,7 +19,7 @@
     pub zones: Vec<String>,
 }
 
-impl Words {
+impl ConfigNames {
     /// Reads them from the settings; a list that is absent is empty.
     ///
     /// # Errors
@@ -32,7 +32,7 @@
         let names = |list| -> InputResult<Vec<String>> {
             rows(setup, list).map(|row| text(row, "name").map(str::to_owned)).collect()
         };
-        Ok(Words { workloads: names("lanes")?, customers: names("projects")?, zones: texts("zones")? })
+        Ok(ConfigNames { workloads: names("lanes")?, customers: names("projects")?, zones: texts("zones")? })
     }
 }
 
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// A field that is absent or not valid.
-pub fn startup(setup: &Value, seed: u64) -> InputResult<StartupConfig> {
+pub fn startup_config(setup: &Value, seed: u64) -> InputResult<StartupConfig> {
     let allowed = object(setup, "allowed")?;
     let rules = object(setup, "rules")?;
     let specifics = optional(setup, "specifics").unwrap_or(&Value::Null);
@@ -113,7 +113,7 @@
 }
 
 /// What a note in the simulator's protocol says of the function's copy on a worker.
-pub fn copy_note(note: u32) -> LoadState {
+pub fn load_state_from_code(note: u32) -> LoadState {
     match note {
         1 => LoadState::Loaded,
         2 => LoadState::LoadStarted,
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -6,7 +6,7 @@
 };
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part, id_text};
-use applepond_platform::rows::Words;
+use applepond_platform::startup::{ConfigNames, startup_config};
 use applepond_platform::{config, line, names};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, RCODE, ResourceRecord};
@@ -81,13 +81,13 @@
     Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nX-Extras: memory_mb:512;lanes:2;load_ms:80.5\r\n\
     Content-Length: 2\r\n\r\nhi";
 
-fn rows() -> (Words, StartupConfig, Vec<Micros>) {
+fn rows() -> (ConfigNames, StartupConfig, Vec<Micros>) {
     let settings = serde_json::json!({"allowed": {}, "rules": {}, "zones": ["room-1", "room-2"],
         "lanes": [{"name": "quote", "idempotency": "idempotent", "on-time": 1},
             {"name": "hold", "idempotency": "deduplicated", "group": "all", "window": 3000, "on-time": 1}],
         "projects": [{"name": "huts", "quota-per-s": 4}]});
-    let words = Words::read(&settings).expect("good settings");
-    (words, applepond_platform::rows::startup(&settings, 1).expect("good settings"), vec![1_600_000; 2])
+    let words = ConfigNames::read(&settings).expect("good settings");
+    (words, startup_config(&settings, 1).expect("good settings"), vec![1_600_000; 2])
 }
 
 /// A request, its head and body; an error is the status of what is no call.
