--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,7 +1,7 @@
 //! `node`: one real router of the operators' platform.
 use crate::errors::{USAGE_ERROR, print_error};
 use applepond_node::{ExitReason, Node, ProcessEvent};
-use applepond_platform::config::{self, Start};
+use applepond_platform::config::{self, NodeConfig};
 use applepond_platform::errors::InputError;
 use applepond_reactor::Reactor;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -17,7 +17,7 @@
 const MAX_TURN: Duration = Duration::from_secs(1);
 
 /// Reads the configuration.
-fn read(file: &Path) -> Result<Start, InputError> {
+fn read(file: &Path) -> Result<NodeConfig, InputError> {
     let unread = |error: std::io::Error| InputError::FileUnreadable {
         file: file.to_owned(),
         reason: error.to_string(),
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -6,7 +6,7 @@
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
 use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part};
-use applepond_platform::config::Start;
+use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Conn, Transport};
 
 /// Bytes of a head at most (431 beyond): calls have a few hundred.
@@ -128,12 +128,12 @@
         &mut self,
         transport: &mut dyn Transport,
         conn: Conn,
-        config: &Start,
+        config: &NodeConfig,
     ) -> Option<Result<ClientRequest, Fault>> {
         if self.phase != Phase::Reading {
             return None;
         }
-        let Start { words, rows, deadlines, .. } = config;
+        let NodeConfig { words, rows, deadlines, .. } = config;
         let mut incoming = Incoming { words, rows, deadlines, part: &mut self.part };
         match self.decoder.step(&mut incoming) {
             Ok(Step::Done) => {
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -3,7 +3,7 @@
 //! Enters here: the start, the tick, and what the process is told by signals.
 use super::{Node, TICK_INTERVAL};
 use applepond::interface::Micros;
-use applepond_platform::config::Start;
+use applepond_platform::config::NodeConfig;
 use applepond_platform::errors::InputError;
 use applepond_reactor::{Conn, Transport};
 use std::io::ErrorKind;
@@ -19,7 +19,7 @@
 /// What the process is told from outside.
 pub enum ProcessEvent {
     /// The configuration file was replaced; an error says why it cannot be used.
-    ConfigReplaced(Result<Box<Start>, InputError>),
+    ConfigReplaced(Result<Box<NodeConfig>, InputError>),
     /// It is to shut down.
     ShutDown,
 }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -21,7 +21,7 @@
 use applepond_gateway::deferred::{DeferredCall, DeferredCalls, FiredTimer};
 use applepond_gateway::request_table::{Action, ActionQueue, RequestTable};
 use applepond_platform::call::id_text;
-use applepond_platform::config::Start;
+use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
@@ -65,7 +65,7 @@
 
 /// One router of the platform.
 pub struct Node {
-    config: Start,
+    config: NodeConfig,
     /// Every routing decision.
     control: Control,
     /// What `Control` has ordered and is not carried out yet.
@@ -100,7 +100,7 @@
     /// polled at each tick; `on_exit` is called when nothing is left to do after a shutdown.
     pub fn new(
         now: Micros,
-        config: Start,
+        config: NodeConfig,
         process_events: Box<dyn FnMut() -> Option<ProcessEvent>>,
         on_exit: Box<dyn FnMut(ExitReason)>,
     ) -> Self {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use applepond::interface::WorkerStatus;
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_node::{ExitReason, Node, ProcessEvent};
-use applepond_platform::config::{self, Start};
+use applepond_platform::config::{self, NodeConfig};
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros};
 use serde_json::{Value, json};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
@@ -47,7 +47,7 @@
     })
 }
 
-pub fn start(file: &Value) -> Start {
+pub fn start(file: &Value) -> NodeConfig {
     config::start(file.to_string().as_bytes()).expect("a good configuration")
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// Has the name service tell this list, as an event after all others.
-    pub fn update_list(&mut self, start: &Start) {
+    pub fn update_list(&mut self, start: &NodeConfig) {
         self.advance(300 * MS);
         let (conn, _, question) = self.transport.datagrams.last().expect("it asks").clone();
         let answer = answer(u16::from_be_bytes([question[0], question[1]]), 2, start);
@@ -166,7 +166,7 @@
 }
 
 /// An answer of the name service; model servers that are gone have no records.
-pub fn answer(id: u16, serial: u32, start: &Start) -> Vec<u8> {
+pub fn answer(id: u16, serial: u32, start: &NodeConfig) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     packet.set_flags(PacketFlag::RESPONSE);
     let record = |name: &str, data| {
--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -1,7 +1,7 @@
 //! A node on real sockets, in the test's own thread, with model servers and clients played by hand.
 use super::{answer, call, file, name, start, word};
 use applepond_node::{Node, ProcessEvent};
-use applepond_platform::config::Start;
+use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
 use serde_json::Value;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -402,7 +402,7 @@
     }
 
     /// Has the name service tell this list, as an event after all others, once it is asked.
-    pub fn update_list(&mut self, start: &Start) {
+    pub fn update_list(&mut self, start: &NodeConfig) {
         let mut question = [0; 512];
         let mut asked = None;
         // What was asked before is not waited for any more.
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -38,7 +38,7 @@
 
 /// All that one router starts with.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct NodeConfig {
     /// Name of the router.
     pub name: String,
     /// Where it listens for clients.
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The text is not JSON, or a field is absent or not valid.
-pub fn start(text: &[u8]) -> InputResult<Start> {
+pub fn start(text: &[u8]) -> InputResult<NodeConfig> {
     let file: Value =
         serde_json::from_slice(text).map_err(|error| InputError::InvalidJson(error.to_string()))?;
     let settings = object(&file, "settings")?;
@@ -80,7 +80,7 @@
     for event in array(known, "updates")? {
         events.push(update(event, &words)?);
     }
-    Ok(Start {
+    Ok(NodeConfig {
         name: text_in(&file, "name")?,
         listen: address(&file, "listen")?,
         names: address(&file, "names")?,
