--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -5,7 +5,7 @@
 use applepond::interface::{Micros, RequestId};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
-use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part};
+use applepond_platform::call::{CallVisitor, MAX_BODY_BYTES, ParsedRequest, RequestKind};
 use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Conn, Transport};
 
@@ -50,7 +50,7 @@
 /// A complete request of a client.
 pub(crate) struct ClientRequest {
     /// What is asked.
-    pub(crate) ask: Ask,
+    pub(crate) kind: RequestKind,
     pub(crate) body: Vec<u8>,
     /// When its first byte arrived, or earlier: the client's time runs from there.
     pub(crate) first_byte_at: Micros,
@@ -59,7 +59,7 @@
 /// One client connection.
 pub(crate) struct ClientConnection {
     decoder: Decoder,
-    part: Part,
+    parsed: ParsedRequest,
     pub(crate) phase: Phase,
     /// The request whose answer is awaited, if it has gone to `Control`.
     pub(crate) request: Option<RequestId>,
@@ -81,8 +81,8 @@
     /// A connection that was accepted now.
     pub(crate) fn new(now: Micros) -> Self {
         ClientConnection {
-            decoder: Decoder::new(Side::Server, MAX_HEAD_BYTES, BODY_MOST),
-            part: Part::default(),
+            decoder: Decoder::new(Side::Server, MAX_HEAD_BYTES, MAX_BODY_BYTES),
+            parsed: ParsedRequest::default(),
             phase: Phase::Reading,
             request: None,
             is_idle: false,
@@ -133,21 +133,22 @@
         if self.phase != Phase::Reading {
             return None;
         }
-        let NodeConfig { words, rows, deadlines, .. } = config;
-        let mut incoming = Incoming { words, rows, deadlines, part: &mut self.part };
-        match self.decoder.step(&mut incoming) {
+        let NodeConfig { names, startup, deadlines, .. } = config;
+        let mut visitor = CallVisitor { names, startup, deadlines, parsed: &mut self.parsed };
+        match self.decoder.step(&mut visitor) {
             Ok(Step::Done) => {
                 self.phase = Phase::AwaitingAnswer;
                 if self.decoder.waiting() > 0 {
                     self.next_first_byte_at.get_or_insert(self.last_bytes_at);
                 }
-                let ask = self.part.ask.take().expect("the decoder gives a head before its request's end");
+                let kind =
+                    self.parsed.kind.take().expect("the decoder gives a head before its request's end");
                 let first_byte_at = self.first_byte_at.unwrap_or(self.last_bytes_at);
-                let body = std::mem::take(&mut self.part.body);
-                Some(Ok(ClientRequest { ask, body, first_byte_at }))
+                let body = std::mem::take(&mut self.parsed.body);
+                Some(Ok(ClientRequest { kind, body, first_byte_at }))
             }
             Ok(Step::More) => {
-                if std::mem::take(&mut self.part.go_on) {
+                if std::mem::take(&mut self.parsed.awaits_continue) {
                     transport.write(conn, encode::CONTINUE);
                 }
                 None
@@ -169,7 +170,7 @@
         if self.phase != Phase::AwaitingAnswer {
             return;
         }
-        let keep_alive = self.part.keep && !last && self.dropped_bytes == 0;
+        let keep_alive = self.parsed.keep_alive && !last && self.dropped_bytes == 0;
         let mut head = encode::response(reply.status);
         if let Some(wait) = reply.retry_after {
             head = head.number("Back-Off-Ms", wait.div_ceil(1000));
--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -3,7 +3,7 @@
 //!
 //! Owned here: the query that waits for an answer, and the index of the last list that was taken.
 use applepond::interface::Micros;
-use applepond_platform::names::{self, Told};
+use applepond_platform::name_service::{self, EndpointList};
 use applepond_platform::startup::ConfigNames;
 use applepond_reactor::{Conn, Transport};
 use oorandom::Rand32;
@@ -82,7 +82,7 @@
         match transport.datagrams(self.service) {
             Some(conn) => {
                 let id = self.rng.rand_u32() as u16;
-                transport.datagram(conn, &names::query(id));
+                transport.datagram(conn, &name_service::query(id));
                 self.query = Some(Query { conn, id, sent_at: now });
             }
             // No descriptor is left for a query: what is known has to do.
@@ -97,10 +97,10 @@
         transport: &mut dyn Transport,
         conn: Conn,
         bytes: &[u8],
-        words: &ConfigNames,
-    ) -> Option<Told> {
+        names: &ConfigNames,
+    ) -> Option<EndpointList> {
         let query = self.query.filter(|query| query.conn == conn)?;
-        match names::answer(bytes, query.id, words) {
+        match name_service::read_answer(bytes, query.id, names) {
             Ok(list) if list.index >= self.index => {
                 self.end_query(transport, now + QUERY_INTERVAL);
                 let is_newer = list.index > self.index;
--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -21,7 +21,7 @@
 impl Node {
     /// Starts an attempt that `Control` ordered.
     pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
-        let max_attempts = self.config.rows.attempt_policy.max_attempts;
+        let max_attempts = self.config.startup.attempt_policy.max_attempts;
         match self.requests.start_attempt(now, dispatch, max_attempts) {
             Some(Started::InFlight(attempt)) => {
                 self.set_timeout_timer(now, transport);
@@ -93,7 +93,7 @@
             // Another answer to an earlier attempt of the request may still arrive here under the same id,
             // also where it has had one.
             let is_used = earlier.iter().any(|attempt| attempt.connection == Some(*conn));
-            is_fresh && !is_used && connection.load() < self.config.terms.streams
+            is_fresh && !is_used && connection.load() < self.config.connection_config.max_concurrent_attempts
         });
         let has_descriptors = self.connections.len() < self.max_connections;
         let max_spread = if has_descriptors { self.max_connections / self.ready_workers } else { 0 };
@@ -105,7 +105,7 @@
 
     fn open_connection(&mut self, now: Micros, transport: &mut dyn Transport, worker: WorkerId) -> Conn {
         let record = self.workers.get_mut(worker).expect("place_attempt has found it ready");
-        let conn = transport.connect(record.address, self.config.terms.connect_limit);
+        let conn = transport.connect(record.address, self.config.connection_config.connect_timeout);
         record.connections.push(conn);
         self.connections.insert(conn, WorkerConnection::new(now, worker));
         conn
@@ -123,7 +123,7 @@
 
     /// Idle time after which this side closes a connection to a model server.
     pub(super) fn idle_timeout(&self) -> Micros {
-        (self.config.terms.idle_limit as f64 * IDLE_TIMEOUT_PART) as Micros
+        (self.config.connection_config.server_idle_timeout as f64 * IDLE_TIMEOUT_PART) as Micros
     }
 
     /// Writes what is queued on a connection, as far as the kernel takes it: what it has not started to take
@@ -170,7 +170,7 @@
         }
         let mut bytes = request.data.head.clone();
         let time_left = request.deadline.saturating_sub(now);
-        line::rest(&mut bytes, time_left.div_ceil(1000), &request.data.body);
+        line::run_tail(&mut bytes, time_left.div_ceil(1000), &request.data.body);
         let taken = transport.offer(conn, &bytes);
         let Some(connection) = self.connections.get_mut(&conn) else { return false };
         if taken == 0 {
@@ -203,7 +203,7 @@
         let conn = state.connection;
         request.timed_out |= outcome == Outcome::TimedOut;
         // Whether the request may have another attempt after this one, but not beside it.
-        let hedging_allowed = self.config.rows.attempt_policy.hedging_allowed;
+        let hedging_allowed = self.config.startup.attempt_policy.hedging_allowed;
         let must_be_alone = outcome == Outcome::Cancelled && !request.ended && !hedging_allowed;
         let mut outcome = outcome;
         if let Some(conn) = conn
@@ -213,7 +213,7 @@
                 outcome = attempt_outcome::on_local_end_unsent(outcome);
             } else if connection.in_flight.remove(&attempt.request).is_some() {
                 let mut bytes = Vec::new();
-                line::undo(&mut bytes, id_text(&attempt.request));
+                line::cancel(&mut bytes, id_text(&attempt.request));
                 connection.queue.push_back(QueuedWrite::Bytes(bytes));
                 self.unflushed.push(conn);
                 if must_be_alone {
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -5,7 +5,7 @@
 use crate::client::{ClientConnection, ClientRequest, Phase, Reply};
 use applepond::interface::{Micros, RequestArrival};
 use applepond_http::Fault;
-use applepond_platform::call::{Ask, id_text};
+use applepond_platform::call::{RequestKind, id_text};
 use applepond_reactor::{Conn, Transport};
 
 /// Time kept back for an answer's way to the client, whose time counts from when it sent its call.
@@ -59,10 +59,10 @@
         {
             self.client_timeouts.remove(conn, client);
             match request {
-                Ok(ClientRequest { ask: Ask::Check, .. }) => {
+                Ok(ClientRequest { kind: RequestKind::HealthCheck, .. }) => {
                     return self.answer_client(now, transport, conn, &Reply::status_only(200));
                 }
-                Ok(ClientRequest { ask: Ask::Job(mut arrival, head), body, first_byte_at }) => {
+                Ok(ClientRequest { kind: RequestKind::Call(mut arrival, head), body, first_byte_at }) => {
                     let spent = now.saturating_sub(first_byte_at) + RESPONSE_MARGIN;
                     arrival.time_left = arrival.time_left.saturating_sub(spent).max(1);
                     let data = RequestData { client: Some(conn), head, body };
--- a/crates/node/src/node/endpoints.rs
+++ b/crates/node/src/node/endpoints.rs
@@ -1,7 +1,7 @@
 //! The endpoint list, from the configuration at the start and from the name service after that.
 use super::Node;
 use applepond::interface::{Endpoint, EndpointListKind, Micros};
-use applepond_platform::config::Member;
+use applepond_platform::config::ListedWorker;
 use applepond_reactor::Transport;
 
 impl Node {
@@ -11,13 +11,13 @@
         now: Micros,
         transport: &mut dyn Transport,
         kind: EndpointListKind,
-        list: &[Member],
+        list: &[ListedWorker],
     ) {
         for conn in self.workers.apply(kind, list) {
             self.drain_connection(now, transport, conn);
         }
         self.ready_workers = self.workers.count_ready().max(1);
-        let entries: Vec<Endpoint> = list.iter().map(|member| member.listed.clone()).collect();
+        let entries: Vec<Endpoint> = list.iter().map(|worker| worker.endpoint.clone()).collect();
         self.control.advance_to(now);
         self.control.endpoints_updated(&mut self.actions, kind, &entries);
     }
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -78,8 +78,8 @@
     fn process_event(&mut self, now: Micros, transport: &mut dyn Transport, event: ProcessEvent) {
         match event {
             ProcessEvent::ConfigReplaced(Ok(config)) => {
-                tracing::info!(name_service = %config.names, "a new configuration holds");
-                self.name_service.set_service(transport, config.names);
+                tracing::info!(name_service = %config.name_service, "a new configuration holds");
+                self.name_service.set_service(transport, config.name_service);
             }
             ProcessEvent::ConfigReplaced(Err(error)) => {
                 tracing::warn!(%error, "the old configuration holds");
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -105,22 +105,27 @@
         on_exit: Box<dyn FnMut(ExitReason)>,
     ) -> Self {
         let mut actions = ActionQueue::default();
-        let control = Control::new(now, config.rows.clone(), &mut actions);
+        let control = Control::new(now, config.startup.clone(), &mut actions);
         Node {
             control,
             actions,
             requests: RequestTable::default(),
             clients: FxHashMap::default(),
-            max_clients: config.descriptors * CLIENT_EIGHTHS / 8,
+            max_clients: config.max_descriptors * CLIENT_EIGHTHS / 8,
             client_timeouts: ClientTimeouts::default(),
             readable_clients: VecDeque::new(),
             stalled_clients: BTreeSet::new(),
             connections: FxHashMap::default(),
-            max_connections: config.descriptors * WORKER_EIGHTHS / 8,
+            max_connections: config.max_descriptors * WORKER_EIGHTHS / 8,
             unflushed: Vec::new(),
             workers: Workers::default(),
             ready_workers: 1,
-            name_service: NameServiceWatch::new(now, config.names, config.index, config.rows.seed),
+            name_service: NameServiceWatch::new(
+                now,
+                config.name_service,
+                config.list_index,
+                config.startup.seed,
+            ),
             deferred: DeferredCalls::default(),
             process_events,
             shutdown_since: None,
@@ -219,7 +224,7 @@
 
 impl Machine for Node {
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
-        for (kind, list) in std::mem::take(&mut self.config.known) {
+        for (kind, list) in std::mem::take(&mut self.config.list_events) {
             self.endpoints_updated(now, transport, kind, &list);
         }
         self.listen(now, transport, now + lifecycle::LISTEN_TIMEOUT);
@@ -271,12 +276,12 @@
     }
 
     fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        let words = &self.config.words;
-        if let Some(list) = self.name_service.datagram_received(now, transport, conn, bytes, words) {
+        let names = &self.config.names;
+        if let Some(list) = self.name_service.datagram_received(now, transport, conn, bytes, names) {
             if list.left_out > 0 {
                 tracing::warn!(left_out = list.left_out, "servers of the list lack records");
             }
-            self.endpoints_updated(now, transport, EndpointListKind::Full, &list.members);
+            self.endpoints_updated(now, transport, EndpointListKind::Full, &list.workers);
         }
         self.settle(now, transport);
     }
--- a/crates/node/src/worker_connection.rs
+++ b/crates/node/src/worker_connection.rs
@@ -62,7 +62,7 @@
     pub(crate) probe_answered: bool,
 }
 
-impl line::Words for Received {
+impl line::LineHandler for Received {
     fn answer(&mut self, id: &str, result: AttemptResult, body: Vec<u8>) {
         // An id of another form was never sent from here.
         if id.len() == ID_LENGTH {
@@ -70,7 +70,7 @@
         }
     }
 
-    fn works(&mut self, _: &str) {
+    fn echo_answered(&mut self, _: &str) {
         self.probe_answered = true;
     }
 }
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,7 +1,7 @@
 //! The model servers: one record each, found by its id, and what an endpoint list does to it. An id, not an
 //! address, is who a model server is.
 use applepond::interface::{EndpointListKind, Micros, WorkerId, WorkerStatus};
-use applepond_platform::config::Member;
+use applepond_platform::config::ListedWorker;
 use applepond_reactor::Conn;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -41,29 +41,29 @@
 
     /// Takes a list. Gives the connections that are to be drained: they lead to another process than the one
     /// that the list names, or to one that takes nothing new.
-    pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[Member]) -> Vec<Conn> {
+    pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[ListedWorker]) -> Vec<Conn> {
         let mut to_drain = Vec::new();
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<WorkerId> = list.iter().map(|member| member.listed.worker).collect();
+            let named: BTreeSet<WorkerId> = list.iter().map(|worker| worker.endpoint.worker).collect();
             for (_, record) in self.0.iter_mut().filter(|(worker, _)| !named.contains(worker)) {
                 record.status = WorkerStatus::Gone;
                 to_drain.append(&mut record.connections);
             }
         }
-        for Member { address, listed, .. } in list {
-            let record = self.0.entry(listed.worker).or_insert_with(|| WorkerRecord {
+        for ListedWorker { address, endpoint, .. } in list {
+            let record = self.0.entry(endpoint.worker).or_insert_with(|| WorkerRecord {
                 address: *address,
-                status: listed.status,
-                up_since: listed.up_since,
+                status: endpoint.status,
+                up_since: endpoint.up_since,
                 connections: Vec::new(),
             });
-            let is_same_process = record.address == *address && record.up_since == listed.up_since;
-            if !is_same_process || listed.status != WorkerStatus::Ready {
+            let is_same_process = record.address == *address && record.up_since == endpoint.up_since;
+            if !is_same_process || endpoint.status != WorkerStatus::Ready {
                 to_drain.append(&mut record.connections);
             }
-            (record.address, record.status) = (*address, listed.status);
-            if listed.status == WorkerStatus::Ready {
-                record.up_since = listed.up_since;
+            (record.address, record.status) = (*address, endpoint.status);
+            if endpoint.status == WorkerStatus::Ready {
+                record.up_since = endpoint.up_since;
             }
         }
         self.0.retain(|_, record| record.status != WorkerStatus::Gone);
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -172,12 +172,12 @@
     let record = |name: &str, data| {
         ResourceRecord::new(Name::new(name).expect("a name").into_owned(), CLASS::IN, 0, data)
     };
-    let members = start.known.iter().flat_map(|(_, list)| list);
-    for member in members.filter(|m| m.listed.status != WorkerStatus::Gone) {
+    let members = start.list_events.iter().flat_map(|(_, list)| list);
+    for member in members.filter(|m| m.endpoint.status != WorkerStatus::Gone) {
         let target = format!("{}.room-1.hosts", member.name);
         let SocketAddr::V4(at) = member.address else { continue };
         let name = Name::new(&target).expect("a name").into_owned();
-        let priority = u16::from(member.listed.status != WorkerStatus::Ready);
+        let priority = u16::from(member.endpoint.status != WorkerStatus::Ready);
         let srv = SRV { priority, weight: 1305, port: at.port(), target: name };
         packet.answers.push(record("_rpc._tcp.mesh.local", RData::SRV(srv)));
         packet.additional_records.push(record(&target, RData::A(A { address: (*at.ip()).into() })));
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -367,7 +367,7 @@
     for member in file["known"]["updates"][0]["endpoints"]["members"].as_array_mut().expect("two") {
         member.as_object_mut().expect("an entry").remove("cell");
     }
-    let racks: Vec<_> = start(&file).known[0].1.iter().map(|member| member.listed.rack).collect();
+    let racks: Vec<_> = start(&file).list_events[0].1.iter().map(|worker| worker.endpoint.rack).collect();
     assert_ne!(racks[0], racks[1]);
 }
 
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -9,7 +9,7 @@
 use applepond_http::decode::{Fields, Visitor};
 
 /// Limit of bytes in a call's body.
-pub const BODY_MOST: u64 = 16 * 1024;
+pub const MAX_BODY_BYTES: u64 = 16 * 1024;
 /// Limit of characters in a number of a head: the largest figures in use have seven digits.
 const MAX_NUMBER_CHARS: usize = 12;
 /// Limit of requests that one copy may run at a time: past it the figure is taken for nonsense.
@@ -20,39 +20,39 @@
 const MAX_MEMORY_MB: f64 = 1e9;
 
 /// What a request asks for.
-pub enum Ask {
+pub enum RequestKind {
     /// A health check: whether this router serves.
-    Check,
+    HealthCheck,
     /// A call: its arrival for the decisions, and the first part of the line that runs it.
-    Job(RequestArrival, Vec<u8>),
+    Call(RequestArrival, Vec<u8>),
 }
 
 /// One request while it comes in.
-pub struct Incoming<'a> {
+pub struct CallVisitor<'a> {
     /// The names that the configuration's indices stand for.
-    pub words: &'a ConfigNames,
+    pub names: &'a ConfigNames,
     /// The configuration.
-    pub rows: &'a StartupConfig,
+    pub startup: &'a StartupConfig,
     /// µs that clients of each workload wait at most.
     pub deadlines: &'a [Micros],
     /// What has come of it so far.
-    pub part: &'a mut Part,
+    pub parsed: &'a mut ParsedRequest,
 }
 
 /// What has come of a request so far.
 #[derive(Default)]
-pub struct Part {
+pub struct ParsedRequest {
     /// What it asks for, once its head has come.
-    pub ask: Option<Ask>,
+    pub kind: Option<RequestKind>,
     /// The body so far.
     pub body: Vec<u8>,
     /// The client lets the connection persist; known at the end.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The client waits for `100 Continue` before it sends its body.
-    pub go_on: bool,
+    pub awaits_continue: bool,
 }
 
-fn bad(detail: &str) -> Fault {
+fn bad_call(detail: &str) -> Fault {
     Fault::new(400, "bad-call", detail)
 }
 
@@ -102,9 +102,9 @@
         let mut call = CallFields::default();
         for (name, value) in fields.iter() {
             let Some(slot) = call.slot(name) else { continue };
-            let value = std::str::from_utf8(value).map_err(|_| bad("a field is no text"))?;
+            let value = std::str::from_utf8(value).map_err(|_| bad_call("a field is no text"))?;
             if slot.replace(value.trim()).is_some() {
-                return Err(bad("a field stands twice"));
+                return Err(bad_call("a field stands twice"));
             }
         }
         Ok(call)
@@ -130,22 +130,22 @@
     names.iter().position(|known| Some(&**known) == name)
 }
 
-impl Incoming<'_> {
-    fn call(&self, target: &str, fields: &Fields<'_>) -> Result<Ask, Fault> {
+impl CallVisitor<'_> {
+    fn call(&self, target: &str, fields: &Fields<'_>) -> Result<RequestKind, Fault> {
         let function = target.strip_prefix("/do/").and_then(|path| path.strip_suffix("/fire"));
         let function = function.ok_or_else(|| Fault::new(404, "no-such-path", "calls go to /do/"))?;
         if !is_hex(function, 16) {
-            return Err(bad("a function is named by 16 hex digits"));
+            return Err(bad_call("a function is named by 16 hex digits"));
         }
         let call = CallFields::read(fields)?;
         let id = call.request_id.filter(|id| is_hex(id, 16));
-        let id = id.ok_or_else(|| bad("Request-Id: 16 hex digits are wanted"))?;
-        let workload = index_of(&self.words.workloads, call.workload);
-        let workload = workload.ok_or_else(|| bad("X-Class is not known"))?;
+        let id = id.ok_or_else(|| bad_call("Request-Id: 16 hex digits are wanted"))?;
+        let workload = index_of(&self.names.workloads, call.workload);
+        let workload = workload.ok_or_else(|| bad_call("X-Class is not known"))?;
         let customer = self.customer(call.customer)?;
         let time_left = self.time_left(call.time_left_ms, workload)?;
         if !matches!(call.retry, None | Some("1")) {
-            return Err(bad("Attempt-Again: 1 is wanted, or nothing"));
+            return Err(bad_call("Attempt-Again: 1 is wanted, or nothing"));
         }
         let key = self.idempotency_key(call.idempotency_key, workload)?;
         let mut arrival = RequestArrival {
@@ -160,16 +160,16 @@
             priority_factor: 1.0,
         };
         read_extras(call.extras.unwrap_or(""), &mut arrival)?;
-        let head = line::head(id, &self.words.workloads[workload], function, key);
-        Ok(Ask::Job(arrival, head))
+        let head = line::run_head(id, &self.names.workloads[workload], function, key);
+        Ok(RequestKind::Call(arrival, head))
     }
 
     fn customer(&self, name: Option<&str>) -> Result<Option<CustomerId>, Fault> {
-        match index_of(&self.words.customers, name) {
+        match index_of(&self.names.customers, name) {
             Some(index) => Ok(Some(CustomerId(index))),
             // Where the settings name no customers, whatever a client calls itself has no quota.
-            None if self.words.customers.is_empty() => Ok(None),
-            None => Err(bad("Account is not known")),
+            None if self.names.customers.is_empty() => Ok(None),
+            None => Err(bad_call("Account is not known")),
         }
     }
 
@@ -177,15 +177,15 @@
     fn time_left(&self, ms: Option<&str>, workload: usize) -> Result<Micros, Fault> {
         let longest_ms = self.deadlines[workload] as f64 / 1000.0;
         let ms = ms.and_then(number).filter(|ms| *ms >= 1.0 && *ms <= longest_ms.max(1.0));
-        let ms = ms.ok_or_else(|| bad("Budget-Ms: a number in range is wanted"))?;
+        let ms = ms.ok_or_else(|| bad_call("Budget-Ms: a number in range is wanted"))?;
         Ok((ms * 1000.0) as Micros)
     }
 
     fn idempotency_key<'a>(&self, key: Option<&'a str>, workload: usize) -> Result<Option<&'a str>, Fault> {
-        let needs_key = matches!(self.rows.workloads[workload].retry_safety, RetrySafety::Keyed { .. });
+        let needs_key = matches!(self.startup.workloads[workload].retry_safety, RetrySafety::Keyed { .. });
         match key {
-            Some(key) if !is_hex(key, 32) => Err(bad("Once-Key: 32 hex digits are wanted")),
-            None if needs_key => Err(bad("Once-Key is wanted")),
+            Some(key) if !is_hex(key, 32) => Err(bad_call("Once-Key: 32 hex digits are wanted")),
+            None if needs_key => Err(bad_call("Once-Key is wanted")),
             key => Ok(key),
         }
     }
@@ -194,8 +194,8 @@
 /// Reads the figures of a call's copy, which have the form `name:value;name:value`.
 fn read_extras(extras: &str, arrival: &mut RequestArrival) -> Result<(), Fault> {
     for pair in extras.split(';').filter(|pair| !pair.is_empty()) {
-        let (name, value) = pair.split_once(':').ok_or_else(|| bad("X-Extras: pairs are wanted"))?;
-        let value = number(value).ok_or_else(|| bad("X-Extras: numbers are wanted"))?;
+        let (name, value) = pair.split_once(':').ok_or_else(|| bad_call("X-Extras: pairs are wanted"))?;
+        let value = number(value).ok_or_else(|| bad_call("X-Extras: numbers are wanted"))?;
         let in_range = match name {
             "lanes" => {
                 arrival.concurrency = value as u32;
@@ -209,41 +209,43 @@
             _ => true,
         };
         if !in_range {
-            return Err(bad("X-Extras: a figure is out of range"));
+            return Err(bad_call("X-Extras: a figure is out of range"));
         }
     }
     Ok(())
 }
 
-impl Visitor for Incoming<'_> {
+impl Visitor for CallVisitor<'_> {
     fn request(&mut self, method: &str, target: &str, fields: &Fields<'_>) -> Result<(), Fault> {
-        *self.part = Part::default();
-        self.part.ask = Some(match (method, target) {
-            ("GET", "/check") => Ask::Check,
+        *self.parsed = ParsedRequest::default();
+        self.parsed.kind = Some(match (method, target) {
+            ("GET", "/check") => RequestKind::HealthCheck,
             ("POST", _) => self.call(target, fields)?,
             _ => return Err(Fault::new(405, "bad-method", "calls are posted")),
         });
         match fields.get("expect") {
             None => {}
-            Some(expected) if expected.eq_ignore_ascii_case("100-continue") => self.part.go_on = true,
+            Some(expected) if expected.eq_ignore_ascii_case("100-continue") => {
+                self.parsed.awaits_continue = true
+            }
             Some(_) => return Err(Fault::new(417, "bad-expectation", "100-continue is the one known")),
         }
         Ok(())
     }
 
     fn response(&mut self, _: u16, _: &Fields<'_>) -> Result<(), Fault> {
-        Err(bad("a request is wanted"))
+        Err(bad_call("a request is wanted"))
     }
 
     fn body(&mut self, bytes: &[u8]) -> Result<(), Fault> {
-        self.part.go_on = false;
-        self.part.body.extend_from_slice(bytes);
+        self.parsed.awaits_continue = false;
+        self.parsed.body.extend_from_slice(bytes);
         Ok(())
     }
 
-    fn end(&mut self, keep: bool) -> Result<(), Fault> {
-        self.part.go_on = false;
-        self.part.keep = keep;
+    fn end(&mut self, keep_alive: bool) -> Result<(), Fault> {
+        self.parsed.awaits_continue = false;
+        self.parsed.keep_alive = keep_alive;
         Ok(())
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -12,28 +12,28 @@
 use std::net::SocketAddr;
 
 /// Limit of model servers in one list: beyond it the file is taken for broken rather than for a fleet.
-const MAX_MEMBERS: usize = 20_000;
+const MAX_LISTED_WORKERS: usize = 20_000;
 
 /// A model server of an endpoint list.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct ListedWorker {
     /// Its name.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// What the list says of it.
-    pub listed: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// How connections to model servers are to be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct ConnectionConfig {
     /// Attempts that one connection carries at a time; 1 at the least.
-    pub streams: usize,
+    pub max_concurrent_attempts: usize,
     /// µs within which a connection has to be established.
-    pub connect_limit: Micros,
+    pub connect_timeout: Micros,
     /// µs after which model servers close an idle connection.
-    pub idle_limit: Micros,
+    pub server_idle_timeout: Micros,
 }
 
 /// All that one router starts with.
@@ -44,23 +44,23 @@
     /// Where it listens for clients.
     pub listen: SocketAddr,
     /// Address of the name service.
-    pub names: SocketAddr,
+    pub name_service: SocketAddr,
     /// Descriptors that the process may hold.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that the process may hold.
     pub memory: usize,
     /// Start-up configuration of the decisions.
-    pub rows: StartupConfig,
+    pub startup: StartupConfig,
     /// The names that its indices stand for.
-    pub words: ConfigNames,
+    pub names: ConfigNames,
     /// How connections to model servers are to be used.
-    pub terms: Terms,
+    pub connection_config: ConnectionConfig,
     /// µs that clients of each workload wait at most.
     pub deadlines: Vec<Micros>,
     /// Number of the last event of the endpoint list.
-    pub index: u64,
+    pub list_index: u64,
     /// The events of the endpoint list up to now, the oldest first.
-    pub known: Vec<(EndpointListKind, Vec<Member>)>,
+    pub list_events: Vec<(EndpointListKind, Vec<ListedWorker>)>,
 }
 
 /// Reads a configuration.
@@ -73,40 +73,40 @@
     let settings = object(&file, "settings")?;
     let allowed = object(settings, "allowed")?;
     let limits = object(&file, "limits")?;
-    let seed = text_of_hex(&file, "seed")?;
-    let words = ConfigNames::read(settings)?;
+    let seed = hex_number(&file, "seed")?;
+    let names = ConfigNames::read(settings)?;
     let known = object(&file, "known")?;
     let mut events = Vec::new();
     for event in array(known, "updates")? {
-        events.push(update(event, &words)?);
+        events.push(list_event(event, &names)?);
     }
     Ok(NodeConfig {
-        name: text_in(&file, "name")?,
+        name: owned_text(&file, "name")?,
         listen: address(&file, "listen")?,
-        names: address(&file, "names")?,
-        descriptors: unsigned(limits, "sockets")? as usize,
+        name_service: address(&file, "names")?,
+        max_descriptors: unsigned(limits, "sockets")? as usize,
         memory: (number(limits, "memory_mb")? * 1024.0 * 1024.0) as usize,
-        rows: startup_config(settings, seed)?,
-        terms: Terms {
-            streams: (number_or(allowed, "multiplex", 1.0)? as usize).max(1),
-            connect_limit: time(allowed, "connect-timeout")?,
-            idle_limit: time(allowed, "idle-close")?,
+        startup: startup_config(settings, seed)?,
+        connection_config: ConnectionConfig {
+            max_concurrent_attempts: (number_or(allowed, "multiplex", 1.0)? as usize).max(1),
+            connect_timeout: time(allowed, "connect-timeout")?,
+            server_idle_timeout: time(allowed, "idle-close")?,
         },
         deadlines: array(settings, "lanes")?
             .iter()
             .map(|row| time(row, "deadline"))
             .collect::<InputResult<_>>()?,
-        index: unsigned(known, "index")?,
-        words,
-        known: events,
+        list_index: unsigned(known, "index")?,
+        names,
+        list_events: events,
     })
 }
 
-fn text_in(from: &Value, name: &str) -> InputResult<String> {
+fn owned_text(from: &Value, name: &str) -> InputResult<String> {
     text(from, name).map(str::to_owned)
 }
 
-fn text_of_hex(from: &Value, name: &str) -> InputResult<u64> {
+fn hex_number(from: &Value, name: &str) -> InputResult<u64> {
     u64::from_str_radix(text(from, name)?, 16).or_else(|_| invalid_field(name, "16 hex digits are wanted"))
 }
 
@@ -115,24 +115,24 @@
 }
 
 /// One event of the endpoint list.
-fn update(event: &Value, words: &ConfigNames) -> InputResult<(EndpointListKind, Vec<Member>)> {
+fn list_event(event: &Value, names: &ConfigNames) -> InputResult<(EndpointListKind, Vec<ListedWorker>)> {
     let list = object(event, "endpoints")?;
     let kind = if flag(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
-    let members = array(list, "members")?;
-    if members.len() > MAX_MEMBERS {
+    let workers = array(list, "members")?;
+    if workers.len() > MAX_LISTED_WORKERS {
         return invalid_field("members", "fewer are wanted");
     }
-    Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<InputResult<_>>()?))
+    Ok((kind, workers.iter().map(|entry| listed_worker(entry, names)).collect::<InputResult<_>>()?))
 }
 
-fn member(entry: &Value, words: &ConfigNames) -> InputResult<Member> {
-    let name = text_in(entry, "id")?;
+fn listed_worker(entry: &Value, names: &ConfigNames) -> InputResult<ListedWorker> {
+    let name = owned_text(entry, "id")?;
     // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
     // start.
     let zone = optional(entry, "locality").and_then(Value::as_str);
-    let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
+    let zone = zone.and_then(|zone| names.zones.iter().position(|known| known == zone));
     let worker = WorkerId::named(&name);
-    let listed = Endpoint {
+    let endpoint = Endpoint {
         worker,
         status: match text(entry, "phase")? {
             "in_service" => WorkerStatus::Ready,
@@ -150,8 +150,8 @@
     };
     let address = match optional(entry, "host_port") {
         // Nothing connects to one that has gone.
-        None if listed.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
+        None if endpoint.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
-    Ok(Member { name, address, listed })
+    Ok(ListedWorker { name, address, endpoint })
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod errors;
 pub mod fields;
 pub mod line;
-pub mod names;
+pub mod name_service;
 pub mod startup;
--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -7,16 +7,16 @@
 use std::io::Write;
 
 /// Receives what a line of a model server says.
-pub trait Words {
+pub trait LineHandler {
     /// The end of an attempt. Only a finished one has a body; `elapsed` and `request_ended` are for the
     /// owner of the attempt to fill in.
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>);
     /// The answer to `echo`, with its tag: the connection works.
-    fn works(&mut self, tag: &str);
+    fn echo_answered(&mut self, tag: &str);
 }
 
 /// The first part of a line that runs a request, which is the same for each of its attempts.
-pub fn head(id: &str, workload: &str, function: &str, idempotency_key: Option<&str>) -> Vec<u8> {
+pub fn run_head(id: &str, workload: &str, function: &str, idempotency_key: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(192);
     let _ = write!(
         out,
@@ -35,7 +35,7 @@
 ///
 /// # Panics
 /// Never: the buffer is made to fit the encoded body.
-pub fn rest(out: &mut Vec<u8>, budget_ms: u64, body: &[u8]) {
+pub fn run_tail(out: &mut Vec<u8>, budget_ms: u64, body: &[u8]) {
     let _ = write!(out, r#""budget":{budget_ms}}},"content":""#);
     let from = out.len();
     out.resize(from + body.len().div_ceil(3) * 4, 0);
@@ -45,7 +45,7 @@
 }
 
 /// A line that cancels an attempt.
-pub fn undo(out: &mut Vec<u8>, id: &str) {
+pub fn cancel(out: &mut Vec<u8>, id: &str) {
     let _ = writeln!(out, r#"{{"verb":"UNDO","rid":{}}}"#, Value::from(id));
 }
 
@@ -54,7 +54,7 @@
     let _ = writeln!(out, r#"{{"verb":"ECHO","rid":{}}}"#, Value::from(tag));
 }
 
-fn spoilt(why: &str) -> Fault {
+fn invalid_line(why: &str) -> Fault {
     Fault::new(502, "spoilt-line", why)
 }
 
@@ -62,10 +62,10 @@
 ///
 /// # Errors
 /// The line is not JSON, names no request or no known verb, or its body is not base64.
-pub fn read(line: &[u8], words: &mut dyn Words) -> Result<(), Fault> {
-    let line: Value = serde_json::from_slice(line).map_err(|_| spoilt("no JSON"))?;
+pub fn read(line: &[u8], handler: &mut dyn LineHandler) -> Result<(), Fault> {
+    let line: Value = serde_json::from_slice(line).map_err(|_| invalid_line("no JSON"))?;
     let text = |name: &str| line.get(name).and_then(Value::as_str);
-    let id = text("rid").ok_or_else(|| spoilt("no id"))?;
+    let id = text("rid").ok_or_else(|| invalid_line("no id"))?;
     let outcome = match text("verb") {
         Some("OK") => Outcome::Finished,
         Some("MISS") => Outcome::NotLoaded,
@@ -73,19 +73,19 @@
         Some("ERR") => Outcome::Error,
         Some("VOID") => Outcome::Superseded,
         Some("UP") => {
-            words.works(id);
+            handler.echo_answered(id);
             return Ok(());
         }
-        _ => return Err(spoilt("no known word")),
+        _ => return Err(invalid_line("no known word")),
     };
     let body = match (outcome, text("content")) {
         (Outcome::Finished, Some(content)) => {
-            STANDARD.decode(content).map_err(|_| spoilt("the body is no base64"))?
+            STANDARD.decode(content).map_err(|_| invalid_line("the body is no base64"))?
         }
         _ => Vec::new(),
     };
     let attributes = line.get("attrs").unwrap_or(&Value::Null);
-    words.answer(id, attempt_result(outcome, attributes), body);
+    handler.answer(id, attempt_result(outcome, attributes), body);
     Ok(())
 }
 
@@ -103,8 +103,8 @@
         elapsed: 0,
         load_state: load_state(attributes),
         same_function_in_flight: same_function.filter(|count| *count >= 0.0).map_or(0, |count| count as u32),
-        reported_in_flight: reported(report, "concurrent"),
-        reported_loads: reported(report, "x1"),
+        reported_in_flight: reported_value(report, "concurrent"),
+        reported_loads: reported_value(report, "x1"),
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// A figure of a load report, which has the form `name:value;name:value`.
-fn reported(report: &str, name: &str) -> Option<f64> {
+fn reported_value(report: &str, name: &str) -> Option<f64> {
     let mut pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
     let (_, value) = pairs.find(|(found, _)| found.trim() == name)?;
     value.trim().parse::<f64>().ok().filter(|value| value.is_finite())
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/name_service.rs
@@ -1,5 +1,5 @@
 //! The name service: queries for the list of model servers and what an answer says (RFC 1035, RFC 2782).
-use crate::config::Member;
+use crate::config::ListedWorker;
 use crate::errors::NameServiceError;
 use crate::startup::ConfigNames;
 use applepond::interface::{Endpoint, RackId, WorkerId, WorkerStatus, ZoneId};
@@ -11,7 +11,7 @@
 /// The name under which the whole list is found.
 const SERVICE: &str = "_rpc._tcp.mesh.local";
 /// SRV weights are whole numbers: they hold the listed weight times this.
-const WEIGHT_PARTS: f64 = 10.0;
+const WEIGHT_SCALE: f64 = 10.0;
 
 /// A query for the whole list.
 ///
@@ -26,11 +26,11 @@
 
 /// The endpoint list of one answer.
 #[derive(Debug)]
-pub struct Told {
+pub struct EndpointList {
     /// Number of the last event that the list holds.
     pub index: u64,
     /// The model servers.
-    pub members: Vec<Member>,
+    pub workers: Vec<ListedWorker>,
     /// Model servers left out, as their records were incomplete.
     pub left_out: usize,
 }
@@ -39,21 +39,21 @@
 ///
 /// # Errors
 /// The bytes are no DNS message, not the answer to this query, truncated, a failure, or without a serial.
-pub fn answer(bytes: &[u8], id: u16, words: &ConfigNames) -> Result<Told, NameServiceError> {
+pub fn read_answer(bytes: &[u8], id: u16, names: &ConfigNames) -> Result<EndpointList, NameServiceError> {
     let packet =
         Packet::parse(bytes).map_err(|error| NameServiceError::InvalidMessage(format!("{error:?}")))?;
-    check(&packet, id)?;
+    check_answer(&packet, id)?;
     let serial = packet.name_servers.iter().find_map(|record| match &record.rdata {
         RData::SOA(soa) => Some(u64::from(soa.serial)),
         _ => None,
     });
     let index = serial.ok_or(NameServiceError::MissingSerial)?;
-    let hosts = Hosts::read(&packet);
-    let mut list = Told { index, members: Vec::new(), left_out: 0 };
+    let hosts = HostRecords::read(&packet);
+    let mut list = EndpointList { index, workers: Vec::new(), left_out: 0 };
     for record in &packet.answers {
         let RData::SRV(srv) = &record.rdata else { continue };
-        match hosts.member(srv, words) {
-            Some(member) => list.members.push(member),
+        match hosts.worker(srv, names) {
+            Some(worker) => list.workers.push(worker),
             None => list.left_out += 1,
         }
     }
@@ -61,7 +61,7 @@
 }
 
 /// Checks that the packet is a complete answer to the query of this id.
-fn check(packet: &Packet<'_>, id: u16) -> Result<(), NameServiceError> {
+fn check_answer(packet: &Packet<'_>, id: u16) -> Result<(), NameServiceError> {
     if packet.id() != id || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(NameServiceError::UnrelatedAnswer);
     }
@@ -78,14 +78,14 @@
 type Attributes = HashMap<String, Option<String>>;
 
 /// The A and TXT records of an answer, by name.
-struct Hosts {
+struct HostRecords {
     addresses: HashMap<String, Ipv4Addr>,
     attributes: HashMap<String, Attributes>,
 }
 
-impl Hosts {
-    fn read(packet: &Packet<'_>) -> Hosts {
-        let mut hosts = Hosts { addresses: HashMap::new(), attributes: HashMap::new() };
+impl HostRecords {
+    fn read(packet: &Packet<'_>) -> HostRecords {
+        let mut hosts = HostRecords { addresses: HashMap::new(), attributes: HashMap::new() };
         for record in packet.additional_records.iter().chain(&packet.answers) {
             let name = || record.name.to_string().to_ascii_lowercase();
             match &record.rdata {
@@ -98,7 +98,7 @@
     }
 
     /// The model server of one SRV record; none where its other records are missing or not valid.
-    fn member(&self, srv: &SRV<'_>, words: &ConfigNames) -> Option<Member> {
+    fn worker(&self, srv: &SRV<'_>, names: &ConfigNames) -> Option<ListedWorker> {
         let target = srv.target.to_string().to_ascii_lowercase();
         let address = SocketAddr::new(IpAddr::V4(*self.addresses.get(&target)?), srv.port);
         let attributes = self.attributes.get(&target)?;
@@ -107,17 +107,17 @@
         let attribute = |name: &str| attributes.get(name).and_then(Option::as_deref);
         let number = |name: &str| attribute(name).map_or(Some(0), |value| value.parse::<u64>().ok());
         let worker = WorkerId::named(name);
-        let listed = Endpoint {
+        let endpoint = Endpoint {
             worker,
             status: if srv.priority == 0 { WorkerStatus::Ready } else { WorkerStatus::Draining },
             up_since: number("started")?.checked_mul(1000)?,
-            zone: words.zones.iter().position(|known| known == zone).map(ZoneId),
+            zone: names.zones.iter().position(|known| known == zone).map(ZoneId),
             rack: match attribute("cell") {
                 Some(_) => RackId(number("cell")? as i64),
                 None => RackId::unshared(worker),
             },
-            weight: f64::from(srv.weight) / WEIGHT_PARTS,
+            weight: f64::from(srv.weight) / WEIGHT_SCALE,
         };
-        Some(Member { name: name.to_owned(), address, listed })
+        Some(ListedWorker { name: name.to_owned(), address, endpoint })
     }
 }
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -5,9 +5,9 @@
     WorkerStatus, ZoneId,
 };
 use applepond_http::decode::{Decoder, Side, Step};
-use applepond_platform::call::{Ask, BODY_MOST, Incoming, Part, id_text};
+use applepond_platform::call::{CallVisitor, MAX_BODY_BYTES, ParsedRequest, RequestKind, id_text};
 use applepond_platform::startup::{ConfigNames, startup_config};
-use applepond_platform::{config, line, names};
+use applepond_platform::{config, line, name_service};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, RCODE, ResourceRecord};
 use test_case::test_case;
@@ -17,11 +17,11 @@
 #[derive(Default)]
 struct Answers(Vec<(String, AttemptResult, Vec<u8>)>, usize);
 
-impl line::Words for Answers {
+impl line::LineHandler for Answers {
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         self.0.push((id.into(), answer, body));
     }
-    fn works(&mut self, _: &str) {
+    fn echo_answered(&mut self, _: &str) {
         self.1 += 1;
     }
 }
@@ -66,8 +66,8 @@
 
 #[test]
 fn a_line_that_runs_a_request() {
-    let mut out = line::head("9b1f", "call", "7f3a", Some("5c"));
-    line::rest(&mut out, 1500, b"\x00\xff!");
+    let mut out = line::run_head("9b1f", "call", "7f3a", Some("5c"));
+    line::run_tail(&mut out, 1500, b"\x00\xff!");
     let line: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
     let want = serde_json::json!({"verb": "DO", "rid": "9b1f", "content": "AP8h",
         "attrs": {"queue": "call", "path": "7f3a", "uniq": "5c", "budget": 1500}});
@@ -81,25 +81,26 @@
     Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nX-Extras: memory_mb:512;lanes:2;load_ms:80.5\r\n\
     Content-Length: 2\r\n\r\nhi";
 
-fn rows() -> (ConfigNames, StartupConfig, Vec<Micros>) {
+fn config() -> (ConfigNames, StartupConfig, Vec<Micros>) {
     let settings = serde_json::json!({"allowed": {}, "rules": {}, "zones": ["room-1", "room-2"],
         "lanes": [{"name": "quote", "idempotency": "idempotent", "on-time": 1},
             {"name": "hold", "idempotency": "deduplicated", "group": "all", "window": 3000, "on-time": 1}],
         "projects": [{"name": "huts", "quota-per-s": 4}]});
-    let words = ConfigNames::read(&settings).expect("good settings");
-    (words, startup_config(&settings, 1).expect("good settings"), vec![1_600_000; 2])
+    let names = ConfigNames::read(&settings).expect("good settings");
+    (names, startup_config(&settings, 1).expect("good settings"), vec![1_600_000; 2])
 }
 
 /// A request, its head and body; an error is the status of what is no call.
 fn asked(request: &str) -> Result<(RequestArrival, Vec<u8>, Vec<u8>), u16> {
-    let (words, rows, deadlines) = rows();
-    let mut part = Part::default();
-    let mut decoder = Decoder::new(Side::Server, 8192, BODY_MOST);
+    let (names, config, deadlines) = config();
+    let mut parsed = ParsedRequest::default();
+    let mut decoder = Decoder::new(Side::Server, 8192, MAX_BODY_BYTES);
     decoder.feed(request.as_bytes());
-    let mut incoming = Incoming { words: &words, rows: &rows, deadlines: &deadlines, part: &mut part };
-    match decoder.step(&mut incoming) {
-        Ok(Step::Done) => match part.ask {
-            Some(Ask::Job(arrival, head)) => Ok((arrival, head, part.body)),
+    let mut visitor =
+        CallVisitor { names: &names, startup: &config, deadlines: &deadlines, parsed: &mut parsed };
+    match decoder.step(&mut visitor) {
+        Ok(Step::Done) => match parsed.kind {
+            Some(RequestKind::Call(arrival, head)) => Ok((arrival, head, parsed.body)),
             _ => Err(200),
         },
         Ok(Step::More) => Err(100),
@@ -186,21 +187,21 @@
 #[test]
 fn a_list() {
     let bytes = reply(Some(41), &[ONE, Entry("s-2.room-1.hosts", 1, "started=0", true)], |_| ());
-    let list = names::answer(&bytes, 7, &rows().0).expect("a good answer");
-    assert_eq!((list.index, list.members.len(), list.left_out), (41, 2, 0));
-    let first = &list.members[0];
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a good answer");
+    assert_eq!((list.index, list.workers.len(), list.left_out), (41, 2, 0));
+    let first = &list.workers[0];
     assert_eq!((first.name.as_str(), first.address.to_string()), ("s-00c41f7a", "10.1.0.9:8443".into()));
-    let listed = &first.listed;
-    assert_eq!((listed.zone, listed.rack, listed.weight), (Some(ZoneId(1)), RackId(2), 130.5));
-    assert_eq!((listed.up_since, listed.status), (5_000, WorkerStatus::Ready));
-    assert_eq!(list.members[1].listed.status, WorkerStatus::Draining);
+    let endpoint = &first.endpoint;
+    assert_eq!((endpoint.zone, endpoint.rack, endpoint.weight), (Some(ZoneId(1)), RackId(2), 130.5));
+    assert_eq!((endpoint.up_since, endpoint.status), (5_000, WorkerStatus::Ready));
+    assert_eq!(list.workers[1].endpoint.status, WorkerStatus::Draining);
 }
 
 #[test]
 fn an_entry_without_its_records_is_left_out() {
     let bytes = reply(Some(41), &[Entry("s-3.room-1.hosts", 0, "started=0", false), ONE], |_| ());
-    let list = names::answer(&bytes, 7, &rows().0).expect("the rest is good");
-    assert_eq!((list.members.len(), list.left_out), (1, 1));
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("the rest is good");
+    assert_eq!((list.workers.len(), list.left_out), (1, 1));
 }
 
 // One whose cell is not given shares with nobody what it has seen: not with another such, nor with cell 0.
@@ -214,8 +215,8 @@
             }
         }
     });
-    let list = names::answer(&bytes, 7, &rows().0).expect("a good answer");
-    let racks: Vec<RackId> = list.members.iter().map(|m| m.listed.rack).collect();
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a good answer");
+    let racks: Vec<RackId> = list.workers.iter().map(|m| m.endpoint.rack).collect();
     assert!(racks.len() == 2 && racks[0] != racks[1] && !racks.contains(&RackId(0)), "{racks:?}");
 }
 
@@ -225,14 +226,18 @@
 #[test_case(|p| *p.rcode_mut() = RCODE::ServerFailure; "a failure")]
 #[test_case(|p| p.name_servers.clear(); "without a serial")]
 fn an_answer_that_is_no_list(change: fn(&mut Packet)) {
-    assert!(names::answer(&reply(Some(41), &[ONE], change), 7, &rows().0).is_err());
+    assert!(name_service::read_answer(&reply(Some(41), &[ONE], change), 7, &config().0).is_err());
 }
 
 #[test]
 fn cut_anywhere_it_is_no_list() {
     let bytes = reply(Some(41), &[ONE], |_| ());
     for length in 0..bytes.len() {
-        assert!(names::answer(&bytes[..length], 7, &rows().0).is_err(), "{length} bytes of {}", bytes.len());
+        assert!(
+            name_service::read_answer(&bytes[..length], 7, &config().0).is_err(),
+            "{length} bytes of {}",
+            bytes.len()
+        );
     }
 }
 
@@ -243,12 +248,12 @@
     bytes[7] = 1;
     let at = bytes.len() as u8;
     bytes.splice(12..12, [0xc0, 12, 0, 33, 0, 1, 0, 0, 0, 0, 0, 0]);
-    assert!(at > 12 && names::answer(&bytes, 7, &rows().0).is_err());
+    assert!(at > 12 && name_service::read_answer(&bytes, 7, &config().0).is_err());
 }
 
 #[test]
 fn a_question_is_asked_in_the_service_s_form() {
-    let bytes = names::query(0x1234);
+    let bytes = name_service::query(0x1234);
     let packet = Packet::parse(&bytes).expect("a packet");
     assert_eq!((packet.id(), packet.questions.len()), (0x1234, 1));
     assert_eq!(packet.questions[0].qname.to_string(), "_rpc._tcp.mesh.local");
