--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -1,12 +1,13 @@
-//! Why a configuration, a batch of events or an answer is not accepted, and what an operator can do about it.
+//! Errors of the codecs: rejected configurations, event batches and name service answers, each with advice
+//! for the operator.
 use miette::Diagnostic;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a file of the operators or a part of it is not accepted.
+/// A configuration file or a batch of events was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum InputError {
-    /// A field is absent or not valid.
+    /// A field is missing or invalid.
     #[error("field '{field}': {problem}")]
     #[diagnostic(
         code(platform::field),
@@ -15,36 +16,36 @@
     Field {
         /// Name of the field.
         field: String,
-        /// What has to stand there.
+        /// Why it is invalid.
         problem: String,
     },
-    /// The text is not JSON, with the parser's reason.
+    /// The text is not JSON; carries the parser's message.
     #[error("not JSON: {0}")]
     #[diagnostic(
         code(platform::no_json),
         help("look whether the file was cut or written by hand; it is read as a whole or not at all")
     )]
     InvalidJson(String),
-    /// A part of a file is not valid.
+    /// An error with the part of the input in which it occurred.
     #[error("{context}: {error}")]
     #[diagnostic(
         code(platform::part),
         help("the part named in front is at fault; the rest of the words say why")
     )]
     InContext {
-        /// The part.
+        /// The part of the input, such as a file or an instance.
         context: String,
-        /// What is wrong with it.
+        /// The underlying error.
         error: Box<InputError>,
     },
-    /// An event came for an instance that has not been started.
+    /// An event arrived for an instance that has not been started.
     #[error("'{0}' before any 'boot'")]
     #[diagnostic(
         code(platform::not_booted),
         help("each instance is told 'boot' first: the caller is at fault, or its first batch was lost")
     )]
     NotBooted(String),
-    /// An event of an unknown kind.
+    /// The kind of event is unknown.
     #[error("event '{0}' is not known")]
     #[diagnostic(
         code(platform::event),
@@ -59,23 +60,23 @@
     FileUnreadable {
         /// The file.
         file: PathBuf,
-        /// The reason given by the operating system.
+        /// The operating system's error message.
         reason: String,
     },
 }
 
 impl InputError {
-    /// The fault that a field is not what is wanted.
+    /// Creates the error for an invalid field.
     pub fn field(field: &str, problem: impl Into<String>) -> Self {
         InputError::Field { field: field.to_owned(), problem: problem.into() }
     }
 
-    /// The same fault, in this part of the file.
+    /// Adds the part of the input in which the error occurred.
     pub fn in_context(self, context: impl std::fmt::Display) -> Self {
         InputError::InContext { context: context.to_string(), error: Box::new(self) }
     }
 
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of error codes.
     pub fn each() -> Vec<InputError> {
         let none = String::new;
         vec![
@@ -89,33 +90,33 @@
     }
 }
 
-/// Why an answer of the name service is not accepted. The query is repeated at once.
+/// An answer of the name service was rejected. The query is repeated without delay.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum NameServiceError {
-    /// It is not a DNS message.
-    #[error("cannot be read: {0}")]
+    /// The datagram is not a valid DNS message.
+    #[error("invalid DNS message: {0}")]
     #[diagnostic(
         code(names::unreadable),
         help("seldom: the network; often: look which name service answers at that address")
     )]
     InvalidMessage(String),
-    /// It does not belong to the query.
-    #[error("answers another question")]
+    /// The message does not answer the pending query.
+    #[error("answer does not match the pending query")]
     #[diagnostic(code(names::another), help("a late answer; often: look for a path that is slow or repeats"))]
     UnrelatedAnswer,
-    /// It is truncated.
-    #[error("is cut short")]
+    /// The answer is truncated.
+    #[error("answer is truncated")]
     #[diagnostic(
         code(names::cut),
         help("the list does not fit into the service's answers: have it send larger ones")
     )]
     Truncated,
-    /// It reports a failure of the service.
-    #[error("reports {0}")]
+    /// The service reports a failure; carries the response code.
+    #[error("name service reports {0}")]
     #[diagnostic(code(names::reports), help("look at the name service; the last list holds meanwhile"))]
     ServerFailure(String),
-    /// It has no SOA record, whose serial orders lists.
-    #[error("names no serial")]
+    /// The answer has no SOA record, whose serial number orders the lists.
+    #[error("answer has no SOA record with a serial number")]
     #[diagnostic(
         code(names::no_serial),
         help("the service's zone has no SOA in its answers: without a serial no list can be told newer")
@@ -124,7 +125,7 @@
 }
 
 impl NameServiceError {
-    /// One of each, for the table of codes.
+    /// One value of each variant, for the table of error codes.
     pub fn each() -> Vec<NameServiceError> {
         let none = String::new;
         vec![
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' protocol as codecs without I/O: a router's configuration, calls of clients, lines to and
-//! from model servers, answers of the name service. Nothing here decides.
+//! Codecs of the operators' platform, without I/O: the configuration of a router, client calls, the line
+//! protocol of the model servers and the name service's DNS answers. Routing decisions are made elsewhere.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
