--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -1,5 +1,5 @@
-//! The start-up configuration from the operators' settings, read alike for the simulator's first message and
-//! for a real router's configuration.
+//! Reads the start-up configuration from the operators' settings. The simulator's first message and a real
+//! router's configuration file use the same format.
 use crate::errors::InputError;
 use crate::fields::{InputResult, array, flag, number_or, object, optional, text, time, time_or_zero};
 use applepond::interface::{
@@ -8,43 +8,49 @@
 };
 use serde_json::Value;
 
-/// The names that the indices of the configuration stand for.
+/// The names behind the indices of the start-up configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigNames {
-    /// Names of the workloads, by `WorkloadId`.
+    /// Workload names, by `WorkloadId`.
     pub workloads: Vec<String>,
-    /// Names of the customers, by `CustomerId`.
+    /// Customer names, by `CustomerId`.
     pub customers: Vec<String>,
-    /// Names of the zones, by `ZoneId`.
+    /// Zone names, by `ZoneId`.
     pub zones: Vec<String>,
 }
 
 impl ConfigNames {
-    /// Reads them from the settings; a list that is absent is empty.
+    /// Reads the names from the settings. An absent list counts as empty.
     ///
     /// # Errors
-    /// A row without a name, or a name that is no text.
+    /// An entry has no name, or its name is not a string.
     pub fn read(setup: &Value) -> InputResult<Self> {
-        let texts = |list| -> InputResult<Vec<String>> {
-            let wanted = || InputError::field(list, "texts are wanted");
-            rows(setup, list).map(|row| row.as_str().map(str::to_owned).ok_or_else(wanted)).collect()
+        let strings = |list| -> InputResult<Vec<String>> {
+            let not_a_string = || InputError::field(list, "expected strings");
+            entries(setup, list)
+                .map(|entry| entry.as_str().map(str::to_owned).ok_or_else(not_a_string))
+                .collect()
         };
         let names = |list| -> InputResult<Vec<String>> {
-            rows(setup, list).map(|row| text(row, "name").map(str::to_owned)).collect()
+            entries(setup, list).map(|entry| text(entry, "name").map(str::to_owned)).collect()
         };
-        Ok(ConfigNames { workloads: names("lanes")?, customers: names("projects")?, zones: texts("zones")? })
+        Ok(ConfigNames {
+            workloads: names("lanes")?,
+            customers: names("projects")?,
+            zones: strings("zones")?,
+        })
     }
 }
 
-/// The rows of a list in the settings; none where it is absent.
-fn rows<'a>(setup: &'a Value, list: &str) -> impl Iterator<Item = &'a Value> {
+/// The entries of a list in the settings; none if the list is absent.
+fn entries<'a>(setup: &'a Value, list: &str) -> impl Iterator<Item = &'a Value> {
     optional(setup, list).and_then(Value::as_array).into_iter().flatten()
 }
 
-/// Reads the start-up configuration of one router; `seed` is that of its random generator.
+/// Reads the start-up configuration of one router. `seed` seeds its random number generator.
 ///
 /// # Errors
-/// A field that is absent or not valid.
+/// A required field is absent, or a field is invalid.
 pub fn startup_config(setup: &Value, seed: u64) -> InputResult<StartupConfig> {
     let allowed = object(setup, "allowed")?;
     let rules = object(setup, "rules")?;
@@ -54,7 +60,7 @@
         router_index: number_or(setup, "self-index", 0.0)? as u64,
         router_count: (number_or(setup, "group-size", 1.0)? as u64).max(1),
         workloads: array(setup, "lanes")?.iter().map(workload).collect::<InputResult<_>>()?,
-        customers: rows(setup, "projects").map(customer).collect::<InputResult<_>>()?,
+        customers: entries(setup, "projects").map(customer).collect::<InputResult<_>>()?,
         attempt_policy: attempt_policy(allowed)?,
         slow_start: slow_start(rules)?,
         over_quota_factor: number_or(setup, "over-share-worth", 1.0)?,
@@ -85,36 +91,36 @@
     })
 }
 
-fn customer(row: &Value) -> InputResult<CustomerConfig> {
-    Ok(CustomerConfig { requests_per_second: number_or(row, "quota-per-s", 0.0)? })
+fn customer(entry: &Value) -> InputResult<CustomerConfig> {
+    Ok(CustomerConfig { requests_per_second: number_or(entry, "quota-per-s", 0.0)? })
 }
 
-fn workload(row: &Value) -> InputResult<WorkloadConfig> {
-    let retry_safety = match text(row, "idempotency")? {
+fn workload(entry: &Value) -> InputResult<WorkloadConfig> {
+    let retry_safety = match text(entry, "idempotency")? {
         "idempotent" => RetrySafety::Idempotent,
         "at_most_once" => RetrySafety::AtMostOnce,
         "deduplicated" => RetrySafety::Keyed {
-            scope: match text(row, "group")? {
+            scope: match text(entry, "group")? {
                 "all" => IdempotencyScope::Everywhere,
                 "zone" => IdempotencyScope::Zone,
                 "cell" => IdempotencyScope::Rack,
-                other => return Err(InputError::field("group", format!("'{other}' is not known"))),
+                other => return Err(InputError::field("group", format!("unknown value '{other}'"))),
             },
-            window: time(row, "window")?,
+            window: time(entry, "window")?,
         },
-        other => return Err(InputError::field("idempotency", format!("'{other}' is not known"))),
+        other => return Err(InputError::field("idempotency", format!("unknown value '{other}'"))),
     };
     Ok(WorkloadConfig {
         retry_safety,
-        latency_objective: time(row, "on-time")?,
-        priority_weight: number_or(row, "worth", 1.0)?,
-        late_priority_factor: number_or(row, "late-worth", 0.0)?,
+        latency_objective: time(entry, "on-time")?,
+        priority_weight: number_or(entry, "worth", 1.0)?,
+        late_priority_factor: number_or(entry, "late-worth", 0.0)?,
     })
 }
 
-/// What a note in the simulator's protocol says of the function's copy on a worker.
-pub fn load_state_from_code(note: u32) -> LoadState {
-    match note {
+/// The load state of a function on a worker, from its code in the simulator's protocol.
+pub fn load_state_from_code(code: u32) -> LoadState {
+    match code {
         1 => LoadState::Loaded,
         2 => LoadState::LoadStarted,
         3 => LoadState::LoadPending,
