--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! A router's configuration file, read at its start and again when the file is replaced.
+//! The configuration file of a router, read at start-up and again when it is replaced.
 use crate::errors::InputError;
 use crate::fields::{
     InputResult, array, flag, invalid_field, number, number_or, object, optional, text, time, time_or_zero,
@@ -11,62 +11,62 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Limit of model servers in one list: beyond it the file is taken for broken rather than for a fleet.
+/// Maximum number of model servers in one list. A longer list is treated as a corrupt file.
 const MAX_LISTED_WORKERS: usize = 20_000;
 
-/// A model server of an endpoint list.
+/// A model server in an endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedWorker {
-    /// Its name.
+    /// Name of the model server, from which its id is derived.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it accepts connections.
     pub address: SocketAddr,
-    /// What the list says of it.
+    /// The endpoint as reported to `Control`.
     pub endpoint: Endpoint,
 }
 
-/// How connections to model servers are to be used.
+/// Limits for connections to model servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionConfig {
-    /// Attempts that one connection carries at a time; 1 at the least.
+    /// Maximum number of concurrent attempts on one connection; at least 1.
     pub max_concurrent_attempts: usize,
-    /// µs within which a connection has to be established.
+    /// Time within which a connection must be established.
     pub connect_timeout: Micros,
-    /// µs after which model servers close an idle connection.
+    /// Time after which model servers close an idle connection.
     pub server_idle_timeout: Micros,
 }
 
-/// All that one router starts with.
+/// The configuration of one router.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// Name of the router.
     pub name: String,
-    /// Where it listens for clients.
+    /// Address on which it listens for clients.
     pub listen: SocketAddr,
     /// Address of the name service.
     pub name_service: SocketAddr,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may hold.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// Start-up configuration of the decisions.
+    /// Start-up configuration of `Control`.
     pub startup: StartupConfig,
-    /// The names that its indices stand for.
+    /// The names behind the indices of `startup`.
     pub names: ConfigNames,
-    /// How connections to model servers are to be used.
+    /// Limits for connections to model servers.
     pub connection_config: ConnectionConfig,
-    /// µs that clients of each workload wait at most.
+    /// Longest deadline of each workload's clients.
     pub deadlines: Vec<Micros>,
-    /// Number of the last event of the endpoint list.
+    /// Index of the last event in `list_events`.
     pub list_index: u64,
-    /// The events of the endpoint list up to now, the oldest first.
+    /// The endpoint list events so far, oldest first.
     pub list_events: Vec<(EndpointListKind, Vec<ListedWorker>)>,
 }
 
-/// Reads a configuration.
+/// Parses a configuration file.
 ///
 /// # Errors
-/// The text is not JSON, or a field is absent or not valid.
+/// The text is not JSON, or a field is absent or invalid.
 pub fn start(text: &[u8]) -> InputResult<NodeConfig> {
     let file: Value =
         serde_json::from_slice(text).map_err(|error| InputError::InvalidJson(error.to_string()))?;
@@ -94,7 +94,7 @@
         },
         deadlines: array(settings, "lanes")?
             .iter()
-            .map(|row| time(row, "deadline"))
+            .map(|lane| time(lane, "deadline"))
             .collect::<InputResult<_>>()?,
         list_index: unsigned(known, "index")?,
         names,
@@ -107,28 +107,27 @@
 }
 
 fn hex_number(from: &Value, name: &str) -> InputResult<u64> {
-    u64::from_str_radix(text(from, name)?, 16).or_else(|_| invalid_field(name, "16 hex digits are wanted"))
+    u64::from_str_radix(text(from, name)?, 16).or_else(|_| invalid_field(name, "expected 16 hex digits"))
 }
 
 fn address(from: &Value, name: &str) -> InputResult<SocketAddr> {
-    text(from, name)?.parse().or_else(|_| invalid_field(name, "an address with a port is wanted"))
+    text(from, name)?.parse().or_else(|_| invalid_field(name, "expected an address with a port"))
 }
 
-/// One event of the endpoint list.
+/// Reads one endpoint list event.
 fn list_event(event: &Value, names: &ConfigNames) -> InputResult<(EndpointListKind, Vec<ListedWorker>)> {
     let list = object(event, "endpoints")?;
     let kind = if flag(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
     let workers = array(list, "members")?;
     if workers.len() > MAX_LISTED_WORKERS {
-        return invalid_field("members", "fewer are wanted");
+        return invalid_field("members", "too many entries");
     }
     Ok((kind, workers.iter().map(|entry| listed_worker(entry, names)).collect::<InputResult<_>>()?))
 }
 
 fn listed_worker(entry: &Value, names: &ConfigNames) -> InputResult<ListedWorker> {
     let name = owned_text(entry, "id")?;
-    // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
-    // start.
+    // An unknown zone counts as no zone, as in answers of the name service, and does not prevent a start.
     let zone = optional(entry, "locality").and_then(Value::as_str);
     let zone = zone.and_then(|zone| names.zones.iter().position(|known| known == zone));
     let worker = WorkerId::named(&name);
@@ -138,7 +137,7 @@
             "in_service" => WorkerStatus::Ready,
             "terminating" => WorkerStatus::Draining,
             "terminated" => WorkerStatus::Gone,
-            other => return Err(InputError::field("phase", format!("'{other}' is not known"))),
+            other => return Err(InputError::field("phase", format!("unknown value '{other}'"))),
         },
         up_since: time_or_zero(entry, "up_since_ms")?,
         zone: zone.map(ZoneId),
@@ -149,7 +148,7 @@
         weight: number_or(entry, "size", 1.0)?,
     };
     let address = match optional(entry, "host_port") {
-        // Nothing connects to one that has gone.
+        // A server that is gone needs no address: nothing connects to it.
         None if endpoint.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
