--- a/crates/platform/src/line.rs
+++ b/crates/platform/src/line.rs
@@ -1,4 +1,4 @@
-//! Lines to model servers and their answers: one JSON object a line.
+//! The line protocol of the model servers: one JSON object per line, in both directions.
 use applepond::interface::{AttemptResult, LoadState, Outcome};
 use applepond_http::Fault;
 use base64::Engine;
@@ -6,16 +6,16 @@
 use serde_json::Value;
 use std::io::Write;
 
-/// Receives what a line of a model server says.
+/// Receives the decoded lines of a model server.
 pub trait LineHandler {
-    /// The end of an attempt. Only a finished one has a body; `elapsed` and `request_ended` are for the
-    /// owner of the attempt to fill in.
+    /// An attempt has ended. Only a finished attempt has a body. `elapsed` and `request_ended` are left for
+    /// the owner of the attempt to fill in.
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>);
-    /// The answer to `echo`, with its tag: the connection works.
+    /// The server has answered the health check with this tag, so the connection works.
     fn echo_answered(&mut self, tag: &str);
 }
 
-/// The first part of a line that runs a request, which is the same for each of its attempts.
+/// The first part of the line that runs a request. It is the same for all attempts of the request.
 pub fn run_head(id: &str, workload: &str, function: &str, idempotency_key: Option<&str>) -> Vec<u8> {
     let mut out = Vec::with_capacity(192);
     let _ = write!(
@@ -31,41 +31,42 @@
     out
 }
 
-/// The rest of such a line: the time that the attempt has, and the body.
+/// The rest of the line that runs a request: the time left for the attempt, and the body.
 ///
 /// # Panics
-/// Never: the buffer is made to fit the encoded body.
+/// Never: the buffer is sized for the encoded body.
 pub fn run_tail(out: &mut Vec<u8>, budget_ms: u64, body: &[u8]) {
     let _ = write!(out, r#""budget":{budget_ms}}},"content":""#);
     let from = out.len();
     out.resize(from + body.len().div_ceil(3) * 4, 0);
-    let written = STANDARD.encode_slice(body, &mut out[from..]).expect("the buffer was made to fit");
+    let written =
+        STANDARD.encode_slice(body, &mut out[from..]).expect("the buffer is sized for the encoded body");
     out.truncate(from + written);
     out.extend_from_slice(b"\"}\n");
 }
 
-/// A line that cancels an attempt.
+/// Appends a line that cancels an attempt.
 pub fn cancel(out: &mut Vec<u8>, id: &str) {
     let _ = writeln!(out, r#"{{"verb":"UNDO","rid":{}}}"#, Value::from(id));
 }
 
-/// A line that asks whether the connection works.
+/// Appends a health check of the connection, which the server answers with the same tag.
 pub fn echo(out: &mut Vec<u8>, tag: &str) {
     let _ = writeln!(out, r#"{{"verb":"ECHO","rid":{}}}"#, Value::from(tag));
 }
 
-fn invalid_line(why: &str) -> Fault {
-    Fault::new(502, "spoilt-line", why)
+fn invalid_line(detail: &str) -> Fault {
+    Fault::new(502, "spoilt-line", detail)
 }
 
-/// Reads one line.
+/// Decodes one line and passes it to `handler`.
 ///
 /// # Errors
-/// The line is not JSON, names no request or no known verb, or its body is not base64.
+/// The line is not JSON, has no request id or no known verb, or its body is not base64.
 pub fn read(line: &[u8], handler: &mut dyn LineHandler) -> Result<(), Fault> {
-    let line: Value = serde_json::from_slice(line).map_err(|_| invalid_line("no JSON"))?;
+    let line: Value = serde_json::from_slice(line).map_err(|_| invalid_line("line is not JSON"))?;
     let text = |name: &str| line.get(name).and_then(Value::as_str);
-    let id = text("rid").ok_or_else(|| invalid_line("no id"))?;
+    let id = text("rid").ok_or_else(|| invalid_line("line has no request id"))?;
     let outcome = match text("verb") {
         Some("OK") => Outcome::Finished,
         Some("MISS") => Outcome::NotLoaded,
@@ -76,11 +77,11 @@
             handler.echo_answered(id);
             return Ok(());
         }
-        _ => return Err(invalid_line("no known word")),
+        _ => return Err(invalid_line("line has no known verb")),
     };
     let body = match (outcome, text("content")) {
         (Outcome::Finished, Some(content)) => {
-            STANDARD.decode(content).map_err(|_| invalid_line("the body is no base64"))?
+            STANDARD.decode(content).map_err(|_| invalid_line("body is not base64"))?
         }
         _ => Vec::new(),
     };
@@ -89,7 +90,7 @@
     Ok(())
 }
 
-/// What the attributes of an answer say; what is absent or not valid counts as not reported.
+/// Reads the attributes of an answer. Absent and invalid attributes count as not reported.
 fn attempt_result(outcome: Outcome, attributes: &Value) -> AttemptResult {
     let same_function = match attributes.get("same") {
         Some(Value::String(text)) => text.parse::<f64>().ok(),
@@ -118,7 +119,7 @@
     }
 }
 
-/// A figure of a load report, which has the form `name:value;name:value`.
+/// Returns one value of a load report of the form `name:value;name:value`.
 fn reported_value(report: &str, name: &str) -> Option<f64> {
     let mut pairs = report.split(';').filter_map(|pair| pair.split_once(':'));
     let (_, value) = pairs.find(|(found, _)| found.trim() == name)?;
