--- a/crates/platform/src/name_service.rs
+++ b/crates/platform/src/name_service.rs
@@ -1,4 +1,5 @@
-//! The name service: queries for the list of model servers and what an answer says (RFC 1035, RFC 2782).
+//! Codec of the name service: DNS queries for the list of model servers, and their answers (RFC 1035,
+//! RFC 2782).
 use crate::config::ListedWorker;
 use crate::errors::NameServiceError;
 use crate::startup::ConfigNames;
@@ -8,37 +9,38 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The name under which the whole list is found.
+/// The DNS name whose SRV records hold the complete list.
 const SERVICE: &str = "_rpc._tcp.mesh.local";
-/// SRV weights are whole numbers: they hold the listed weight times this.
+/// An SRV weight is the server's weight multiplied by this, as SRV weights are integers.
 const WEIGHT_SCALE: f64 = 10.0;
 
-/// A query for the whole list.
+/// Encodes a query for the complete list.
 ///
 /// # Panics
-/// Never: the question is a constant that fits a message.
+/// Never: the question is constant and fits into a message.
 pub fn query(id: u16) -> Vec<u8> {
     let mut packet = Packet::new_query(id);
     let service = Name::new_unchecked(SERVICE);
     packet.questions.push(Question::new(service, QTYPE::TYPE(TYPE::SRV), CLASS::IN.into(), false));
-    packet.build_bytes_vec().expect("a fixed question fits")
+    packet.build_bytes_vec().expect("the constant question fits into a message")
 }
 
-/// The endpoint list of one answer.
+/// The endpoint list from one answer.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// Number of the last event that the list holds.
+    /// Index of the last event included in the list; the serial number of the SOA record.
     pub index: u64,
     /// The model servers.
     pub workers: Vec<ListedWorker>,
-    /// Model servers left out, as their records were incomplete.
+    /// Number of model servers left out because their records were incomplete or invalid.
     pub left_out: usize,
 }
 
-/// Reads the answer to the query of this id.
+/// Decodes the answer to the query with this id.
 ///
 /// # Errors
-/// The bytes are no DNS message, not the answer to this query, truncated, a failure, or without a serial.
+/// The bytes are not a DNS message or not the answer to this query, or the answer is truncated, reports a
+/// failure or has no serial number.
 pub fn read_answer(bytes: &[u8], id: u16, names: &ConfigNames) -> Result<EndpointList, NameServiceError> {
     let packet =
         Packet::parse(bytes).map_err(|error| NameServiceError::InvalidMessage(format!("{error:?}")))?;
@@ -60,7 +62,7 @@
     Ok(list)
 }
 
-/// Checks that the packet is a complete answer to the query of this id.
+/// Checks that the packet is a complete, successful answer to the query with this id.
 fn check_answer(packet: &Packet<'_>, id: u16) -> Result<(), NameServiceError> {
     if packet.id() != id || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(NameServiceError::UnrelatedAnswer);
@@ -74,10 +76,10 @@
     Ok(())
 }
 
-/// Attributes of a TXT record: `name=value`, or a name alone.
+/// The attributes of a TXT record, each `name=value` or just a name.
 type Attributes = HashMap<String, Option<String>>;
 
-/// The A and TXT records of an answer, by name.
+/// The A and TXT records of an answer, by host name.
 struct HostRecords {
     addresses: HashMap<String, Ipv4Addr>,
     attributes: HashMap<String, Attributes>,
@@ -97,7 +99,7 @@
         hosts
     }
 
-    /// The model server of one SRV record; none where its other records are missing or not valid.
+    /// The model server of one SRV record, or `None` if its A or TXT record is missing or invalid.
     fn worker(&self, srv: &SRV<'_>, names: &ConfigNames) -> Option<ListedWorker> {
         let target = srv.target.to_string().to_ascii_lowercase();
         let address = SocketAddr::new(IpAddr::V4(*self.addresses.get(&target)?), srv.port);
