--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,5 +1,5 @@
-//! Calls of clients: one HTTP/1.1 request each, read strictly. What a client did not send in this form is
-//! never forwarded.
+//! Client calls, one HTTP/1.1 request each. Parsing is strict: a request that does not have the expected form
+//! is never forwarded.
 use crate::line;
 use crate::startup::ConfigNames;
 use applepond::interface::{
@@ -8,47 +8,47 @@
 use applepond_http::Fault;
 use applepond_http::decode::{Fields, Visitor};
 
-/// Limit of bytes in a call's body.
+/// Maximum size of a call's body.
 pub const MAX_BODY_BYTES: u64 = 16 * 1024;
-/// Limit of characters in a number of a head: the largest figures in use have seven digits.
+/// Maximum length of a number in a header field. The largest numbers in use have seven digits.
 const MAX_NUMBER_CHARS: usize = 12;
-/// Limit of requests that one copy may run at a time: past it the figure is taken for nonsense.
+/// Maximum number of concurrent requests per function copy. A larger value is rejected as invalid.
 const MAX_CONCURRENCY: f64 = 4096.0;
-/// Limit of ms that a load may take.
+/// Maximum load time of a function.
 const MAX_LOAD_MS: f64 = 600_000.0;
-/// Limit of MB that a copy may have.
+/// Maximum memory of a function copy.
 const MAX_MEMORY_MB: f64 = 1e9;
 
-/// What a request asks for.
+/// The kind of a request.
 pub enum RequestKind {
-    /// A health check: whether this router serves.
+    /// A health check of this router.
     HealthCheck,
-    /// A call: its arrival for the decisions, and the first part of the line that runs it.
+    /// A call: its arrival for `Control`, and the first part of the line that runs it on a model server.
     Call(RequestArrival, Vec<u8>),
 }
 
-/// One request while it comes in.
+/// Collects one request from the HTTP decoder.
 pub struct CallVisitor<'a> {
-    /// The names that the configuration's indices stand for.
+    /// The names behind the indices of the configuration.
     pub names: &'a ConfigNames,
-    /// The configuration.
+    /// The start-up configuration.
     pub startup: &'a StartupConfig,
-    /// µs that clients of each workload wait at most.
+    /// Longest deadline of each workload's clients.
     pub deadlines: &'a [Micros],
-    /// What has come of it so far.
+    /// The request as received so far.
     pub parsed: &'a mut ParsedRequest,
 }
 
-/// What has come of a request so far.
+/// A request as received so far.
 #[derive(Default)]
 pub struct ParsedRequest {
-    /// What it asks for, once its head has come.
+    /// The kind of the request, known once its head has been read.
     pub kind: Option<RequestKind>,
-    /// The body so far.
+    /// The part of the body received so far.
     pub body: Vec<u8>,
-    /// The client lets the connection persist; known at the end.
+    /// Whether the client keeps the connection open; known at the end of the request.
     pub keep_alive: bool,
-    /// The client waits for `100 Continue` before it sends its body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub awaits_continue: bool,
 }
 
@@ -56,36 +56,36 @@
     Fault::new(400, "bad-call", detail)
 }
 
-/// Whether a text has so many lower-case hex digits.
+/// Whether the text consists of exactly this many lower-case hex digits.
 fn is_hex(text: &str, digits: usize) -> bool {
     text.len() == digits && text.bytes().all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte))
 }
 
-/// A number as a head may carry it: digits, with a fraction or without.
+/// Parses a decimal number without sign or exponent, as allowed in header fields.
 fn number(text: &str) -> Option<f64> {
     let plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     (plain && !text.is_empty() && text.len() <= MAX_NUMBER_CHARS).then(|| text.parse().ok()).flatten()
 }
 
-/// A request's id for the decisions, padded with zeros.
+/// Converts the id sent by a client to the id used by `Control`, padded with zeros.
 ///
 /// # Panics
-/// If the text has more than 36 bytes.
+/// If the text is longer than 36 bytes.
 pub fn request_id(text: &str) -> RequestId {
     let mut id = [b'0'; 36];
     id[..text.len()].copy_from_slice(text.as_bytes());
     RequestId(id)
 }
 
-/// The id as it came.
+/// The id as sent by the client.
 ///
 /// # Panics
-/// If the id was not made by `request_id` from a text of 16 characters.
+/// If the id was not made by [`request_id`] from a text of 16 characters.
 pub fn id_text(request: &RequestId) -> &str {
-    std::str::from_utf8(&request.0[..16]).expect("ids came in as text")
+    std::str::from_utf8(&request.0[..16]).expect("request ids are made from text")
 }
 
-/// The fields of a call as they came, each at most once.
+/// The raw header fields of a call. Each may occur only once.
 #[derive(Default)]
 struct CallFields<'a> {
     request_id: Option<&'a str>,
@@ -110,7 +110,7 @@
         Ok(call)
     }
 
-    /// Where the value of a field of this name belongs; none where it is not part of a call.
+    /// The slot for the value of the named header field, or `None` if calls do not use the field.
     fn slot(&mut self, name: &str) -> Option<&mut Option<&'a str>> {
         let slots = [
             ("request-id", &mut self.request_id),
@@ -125,7 +125,6 @@
     }
 }
 
-/// Index of a name.
 fn index_of(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|known| Some(&**known) == name)
 }
@@ -167,13 +166,13 @@
     fn customer(&self, name: Option<&str>) -> Result<Option<CustomerId>, Fault> {
         match index_of(&self.names.customers, name) {
             Some(index) => Ok(Some(CustomerId(index))),
-            // Where the settings name no customers, whatever a client calls itself has no quota.
+            // Without customers in the settings, any customer name is accepted and has no quota.
             None if self.names.customers.is_empty() => Ok(None),
             None => Err(bad_call("Account is not known")),
         }
     }
 
-    /// The time that the client has, in µs: at least 1 ms, and what its workload has at most.
+    /// The client's remaining time: at least 1 ms, and at most the deadline of the workload.
     fn time_left(&self, ms: Option<&str>, workload: usize) -> Result<Micros, Fault> {
         let longest_ms = self.deadlines[workload] as f64 / 1000.0;
         let ms = ms.and_then(number).filter(|ms| *ms >= 1.0 && *ms <= longest_ms.max(1.0));
@@ -191,7 +190,7 @@
     }
 }
 
-/// Reads the figures of a call's copy, which have the form `name:value;name:value`.
+/// Reads the requirements of the function, given as `name:value;name:value`.
 fn read_extras(extras: &str, arrival: &mut RequestArrival) -> Result<(), Fault> {
     for pair in extras.split(';').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once(':').ok_or_else(|| bad_call("X-Extras: pairs are wanted"))?;
