--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,16 +1,16 @@
-//! One router of the platform, as a machine without I/O: connections, bytes and timers come in through
-//! [`Machine`], and what is to be written or connected goes out through [`Transport`].
+//! One router of the platform, as a state machine without I/O. Events of connections, bytes and timers arrive
+//! through [`Machine`]; writes and new connections go out through [`Transport`].
 //!
-//! Every event runs the same way: its method updates this machine's state and calls `Control`, which queues
-//! actions; [`Node::settle`] then carries out actions, and what follows from them, until nothing is left to
-//! do.
+//! All events are handled in the same way: the event's method updates the node's state and calls `Control`,
+//! which queues actions. [`Node::settle`] then carries out these actions, and all that follow from them,
+//! until none is left.
 //!
-//! Where to look, by event:
-//! - a client connects, sends, or hangs up: `clients`;
-//! - `Control` orders an attempt, or its timeout is over: `attempts`;
-//! - a model server answers, its connection ends, or is silent: `worker_connections`;
+//! Modules by event:
+//! - a client connects, sends bytes or hangs up: `clients`;
+//! - `Control` sends or cancels an attempt, or an attempt times out: `attempts`;
+//! - a model server answers, falls silent, or its connection closes: `worker_connections`;
 //! - the endpoint list changes: `endpoints`;
-//! - a tick, a signal to the process, the shutdown: `lifecycle`.
+//! - ticks, signals to the process, and shutdown: `lifecycle`.
 use crate::client::{ClientConnection, Reply};
 use crate::client_timeouts::ClientTimeouts;
 use crate::name_service::NameServiceWatch;
@@ -35,69 +35,69 @@
 
 pub use lifecycle::{ExitReason, ProcessEvent};
 
-/// Time between two looks at connections, the name service and signals.
+/// Interval of the checks of connections, the name service and signals.
 const TICK_INTERVAL: Micros = 50_000;
-/// Eighths of the descriptors for clients (the platform's own take a third of all at most) and for model
-/// servers; the rest is for the process itself and for connections that are being closed.
+/// Eighths of the file descriptors for clients, of which the platform's own use at most a third of all
+/// descriptors, and for model servers. The rest is for the process itself and for closing connections.
 const CLIENT_EIGHTHS: usize = 4;
 const WORKER_EIGHTHS: usize = 3;
 
-/// What the request table keeps of a request for the node.
+/// The node's data about a request in the request table.
 struct RequestData {
     client: Option<Conn>,
-    /// The line that runs it, up to the time that it has.
+    /// The first part of the line that runs the request, up to the time left.
     head: Vec<u8>,
     body: Vec<u8>,
 }
 
-/// What a node has open, for tests and for the end of the process.
+/// Numbers of open requests and connections, for tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenCounts {
-    /// Requests that have not ended or have attempts in flight.
+    /// Requests that have not ended, or that still have attempts in flight.
     pub requests: usize,
     /// Client connections.
     pub clients: usize,
     /// Connections to model servers.
     pub worker_connections: usize,
-    /// Model servers that the list names.
+    /// Model servers in the endpoint list.
     pub workers: usize,
 }
 
 /// One router of the platform.
 pub struct Node {
     config: NodeConfig,
-    /// Every routing decision.
+    /// Makes all routing decisions.
     control: Control,
-    /// What `Control` has ordered and is not carried out yet.
+    /// Actions of `Control` that have not been carried out yet.
     actions: ActionQueue,
     requests: RequestTable<RequestData>,
     clients: FxHashMap<Conn, ClientConnection>,
     max_clients: usize,
     client_timeouts: ClientTimeouts,
-    /// Clients whose answer has gone out and whose next request may have arrived already.
+    /// Clients that have been answered and whose next request may have been received already.
     readable_clients: VecDeque<Conn>,
-    /// Clients with a request that waits for the endpoint list, as this process has stood still.
+    /// Clients with requests that wait for a fresh endpoint list after a pause of this process.
     stalled_clients: BTreeSet<Conn>,
     connections: FxHashMap<Conn, WorkerConnection>,
     max_connections: usize,
-    /// Connections to model servers that may have something to write.
+    /// Connections to model servers that may have queued writes.
     unflushed: Vec<Conn>,
     workers: Workers,
-    /// Model servers that take attempts; at least one.
+    /// Number of model servers that accept attempts; at least 1, as it is used as a divisor.
     ready_workers: usize,
     name_service: NameServiceWatch,
     deferred: DeferredCalls<Node>,
-    /// Polled at each tick.
+    /// Polled for signals to the process at each tick.
     process_events: Box<dyn FnMut() -> Option<ProcessEvent>>,
-    /// When this process was told to shut down.
+    /// When this process was asked to shut down.
     shutdown_since: Option<Micros>,
     listener: Option<(Listener, SocketAddr)>,
     on_exit: Box<dyn FnMut(ExitReason)>,
 }
 
 impl Node {
-    /// A node that has not started; the reactor starts it. `now` is the reactor's clock. `process_events` is
-    /// polled at each tick; `on_exit` is called when nothing is left to do after a shutdown.
+    /// Creates a node, which the reactor starts. `now` is the time of the reactor's clock. `process_events`
+    /// is polled at each tick. `on_exit` is called when a shutdown is complete or the address is unavailable.
     pub fn new(
         now: Micros,
         config: NodeConfig,
@@ -135,12 +135,12 @@
         }
     }
 
-    /// Where it listens, as long as it does.
+    /// The address on which the node listens, or `None` while it does not.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.listener.map(|(_, address)| address)
     }
 
-    /// What it has open.
+    /// Counts open requests and connections.
     pub fn open_counts(&self) -> OpenCounts {
         OpenCounts {
             requests: self.requests.len(),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Has `call` made after `delay`.
+    /// Schedules `call` to run after `delay`.
     fn schedule(
         &mut self,
         now: Micros,
@@ -161,7 +161,7 @@
         self.deferred.schedule(now, transport, delay, call);
     }
 
-    /// Carries out what `Control` ordered and what follows from it, until nothing is left.
+    /// Carries out the queued actions and all that follow from them.
     fn settle(&mut self, now: Micros, transport: &mut dyn Transport) {
         if !self.stalled_clients.is_empty() && !self.name_service.is_stale(now) {
             self.readable_clients.extend(std::mem::take(&mut self.stalled_clients));
@@ -198,12 +198,12 @@
                 DeferredCalls::<Node>::schedule_control(now, transport, delay, token);
             }
             Action::Log(text) => tracing::info!(target: "module", "{text}"),
-            // The list is polled for at each tick anyway.
+            // The endpoint list is polled at each tick anyway.
             Action::WatchEndpoints => {}
         }
     }
 
-    /// Ends a request, the first time only, and answers its client.
+    /// Ends a request and answers its client. Has no effect on a request that has already ended.
     fn finish_request(
         &mut self,
         now: Micros,
@@ -256,7 +256,8 @@
     }
 
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        // Clients and model servers alike close both sides when they close one: no answer is due, none comes.
+        // Clients and model servers never close one direction only: the client expects no response any more,
+        // and the model server sends no more answers.
         if self.clients.contains_key(&conn) {
             transport.cut(conn);
             self.client_closed(now, conn);
@@ -295,7 +296,8 @@
 
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         if DeferredCalls::<Node>::is_control(wake) && self.name_service.is_stale(now) {
-            // What `Control` would send now would not be sent: the timer waits for the endpoint list.
+            // No attempt is sent while the endpoint list is stale, so the timer is postponed until it is
+            // fresh.
             transport.wake_at(now + TICK_INTERVAL, wake);
         } else {
             match self.deferred.fired(wake) {
