--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: they are put on a connection with capacity, written, ended by a cancel or a timeout, and closed
-//! exactly once towards `Control`.
+//! The life of an attempt: it is queued on a connection with capacity, written, possibly cancelled or timed
+//! out, and reported to `Control` as closed exactly once.
 //!
-//! Enters here: `Control`'s orders to send and to cancel, the timer of attempts' timeouts, and each
-//! connection that can be written to.
+//! Entry points: `Control`'s actions to send and to cancel, the timer for attempt timeouts, and connections
+//! that become writable.
 use super::Node;
 use crate::worker_connection::{QueuedWrite, WorkerConnection};
 use applepond::interface::{AttemptResult, Micros, Outcome, WorkerId};
@@ -12,14 +12,15 @@
 use applepond_platform::line;
 use applepond_reactor::{Conn, Transport};
 
-/// Attempts on one connection as long as there are descriptors for another: they are lost together.
+/// Maximum number of attempts on one connection while descriptors for another are available. It is low
+/// because all attempts on a connection are lost together.
 const MAX_SHARED_ATTEMPTS: usize = 4;
-/// Part of the time after which model servers close idle connections at which this side does: a call must not
-/// cross their closing.
-const IDLE_TIMEOUT_PART: f64 = 0.75;
+/// Idle timeout as a fraction of the model servers' own, so that no call is sent on a connection that the
+/// server is closing.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
 impl Node {
-    /// Starts an attempt that `Control` ordered.
+    /// Starts an attempt requested by `Control`.
     pub(super) fn start_attempt(&mut self, now: Micros, transport: &mut dyn Transport, dispatch: &Dispatch) {
         let max_attempts = self.config.startup.attempt_policy.max_attempts;
         match self.requests.start_attempt(now, dispatch, max_attempts) {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Sets the timer for the attempt that times out first, unless one fires early enough anyway.
+    /// Sets the timer for the next attempt timeout, unless an earlier timer is already set.
     fn set_timeout_timer(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some(at) = self.requests.next_timer() {
             let end_timed_out = |node: &mut Node, now, transport: &mut dyn Transport| {
@@ -49,7 +50,7 @@
         self.set_timeout_timer(now, transport);
     }
 
-    /// Puts an attempt on a connection that has capacity for it, a new one if need be.
+    /// Queues an attempt on a connection with capacity, opening a new one if necessary.
     pub(super) fn place_attempt(&mut self, now: Micros, transport: &mut dyn Transport, attempt: AttemptId) {
         let Some(request) = self.requests.get(attempt.request) else { return };
         let worker = request.attempts[attempt.index].worker;
@@ -65,7 +66,7 @@
                 return self.place_attempt(now, transport, attempt);
             }
             None => {
-                // That there is no descriptor is not this server's fault.
+                // Running out of descriptors must not count as a failure of this server.
                 let connections = self.connections.len();
                 tracing::warn!(connections, "no descriptor is left for a connection to a server");
                 return self.close_with(now, attempt, Outcome::Superseded);
@@ -80,9 +81,10 @@
         self.unflushed.push(conn);
     }
 
-    /// The open connection to a ready worker that an attempt is put on: the fullest that is not full, so that
-    /// connections seldom become idle. All attempts on one are lost with it, so one is full with a few of
-    /// them, as long as there are descriptors for more connections; then the emptiest is taken.
+    /// Selects an open connection to a ready worker for an attempt. While descriptors for more connections
+    /// are available, a connection takes only [`MAX_SHARED_ATTEMPTS`], as all are lost with it, and the most
+    /// loaded one below that limit is chosen so that connections rarely become idle. Otherwise the least
+    /// loaded one is chosen.
     fn select_connection(&self, now: Micros, attempt: AttemptId, worker: WorkerId) -> Option<Conn> {
         let earlier = &self.requests.get(attempt.request)?.attempts[..attempt.index];
         let record = self.workers.ready(worker)?;
@@ -90,8 +92,8 @@
         let usable = record.connections.iter().copied().filter(|conn| {
             let connection = &self.connections[conn];
             let is_fresh = connection.load() > 0 || now < connection.last_used + idle_timeout;
-            // Another answer to an earlier attempt of the request may still arrive here under the same id,
-            // also where it has had one.
+            // A connection that carried an earlier attempt of the request may still deliver an answer to it,
+            // even a second one, which has the same id.
             let is_used = earlier.iter().any(|attempt| attempt.connection == Some(*conn));
             is_fresh && !is_used && connection.load() < self.config.connection_config.max_concurrent_attempts
         });
@@ -104,14 +106,14 @@
     }
 
     fn open_connection(&mut self, now: Micros, transport: &mut dyn Transport, worker: WorkerId) -> Conn {
-        let record = self.workers.get_mut(worker).expect("place_attempt has found it ready");
+        let record = self.workers.get_mut(worker).expect("place_attempt checks that the worker is ready");
         let conn = transport.connect(record.address, self.config.connection_config.connect_timeout);
         record.connections.push(conn);
         self.connections.insert(conn, WorkerConnection::new(now, worker));
         conn
     }
 
-    /// Cuts the connection that has been idle longest, for one that is needed; false where none is idle.
+    /// Cuts the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
     fn cut_longest_idle(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         let oldest = idle.map(|(conn, connection)| (connection.last_used, *conn)).min();
@@ -123,24 +125,24 @@
 
     /// Idle time after which this side closes a connection to a model server.
     pub(super) fn idle_timeout(&self) -> Micros {
-        (self.config.connection_config.server_idle_timeout as f64 * IDLE_TIMEOUT_PART) as Micros
+        (self.config.connection_config.server_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros
     }
 
-    /// Writes what is queued on a connection, as far as the kernel takes it: what it has not started to take
-    /// can still be taken back.
+    /// Writes the queue of a connection, as far as the kernel accepts it. An attempt of which the kernel has
+    /// accepted no byte can still be withdrawn.
     pub(super) fn flush(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         while let Some(connection) = self.connections.get_mut(&conn).filter(|connection| connection.connected)
             && let Some(write) = connection.queue.pop_front()
         {
             connection.last_used = now;
-            let takes_more = match write {
+            let is_writable = match write {
                 QueuedWrite::Bytes(bytes) => {
                     let taken = transport.offer(conn, &bytes);
                     self.requeue_rest(conn, &bytes, taken)
                 }
                 QueuedWrite::Attempt(attempt) => self.write_attempt(now, transport, conn, attempt),
             };
-            if !takes_more {
+            if !is_writable {
                 return;
             }
         }
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Writes the line of an attempt; false where the kernel takes no more.
+    /// Writes the line of an attempt. Returns false if the kernel accepts no more bytes.
     fn write_attempt(
         &mut self,
         now: Micros,
@@ -160,10 +162,10 @@
         attempt: AttemptId,
     ) -> bool {
         let Some(request) = self.requests.get(attempt.request) else { return true };
-        // Guards against an attempt that starts though nobody waits for its request any more, also where
-        // those that have started may not be cancelled; against a repeat that a model server would not
-        // recognise any more when its connection is established late or takes nothing; and against a server
-        // that drained, or went, while this process stood still and queried no list.
+        // Does not start an attempt whose request has ended, even if started attempts may not be cancelled;
+        // nor a repeat that the model server would no longer recognise as one because the connection was
+        // established late or was blocked; nor any attempt after a pause of this process, in which the
+        // server may have drained or gone without an update of the list.
         if !request.may_start(now, attempt.index) || self.name_service.is_stale(now) {
             self.close_with(now, attempt, Outcome::Superseded);
             return true;
@@ -184,7 +186,7 @@
         self.requeue_rest(conn, &bytes, taken)
     }
 
-    /// Puts back what the kernel has not taken; true where it has taken all.
+    /// Queues the bytes that the kernel has not accepted. Returns true if it has accepted all.
     fn requeue_rest(&mut self, conn: Conn, bytes: &[u8], taken: usize) -> bool {
         if taken >= bytes.len() {
             return true;
@@ -195,14 +197,14 @@
         false
     }
 
-    /// Ends an attempt from this side, by a cancel or because it has timed out. What has not been sent is
-    /// taken back and has never run; what has been sent is cancelled by a line.
+    /// Ends an attempt that is cancelled or has timed out. An unsent attempt is withdrawn and has never run;
+    /// one that was sent, at least in part, is cancelled by a line to the server.
     pub(super) fn end_attempt(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         let Some(state) = request.attempts.get(attempt.index).filter(|state| !state.closed) else { return };
         let conn = state.connection;
         request.timed_out |= outcome == Outcome::TimedOut;
-        // Whether the request may have another attempt after this one, but not beside it.
+        // The request may have another attempt after this one, but not concurrently.
         let hedging_allowed = self.config.startup.attempt_policy.hedging_allowed;
         let must_be_alone = outcome == Outcome::Cancelled && !request.ended && !hedging_allowed;
         let mut outcome = outcome;
@@ -217,8 +219,8 @@
                 connection.queue.push_back(QueuedWrite::Bytes(bytes));
                 self.unflushed.push(conn);
                 if must_be_alone {
-                    // Guards against two attempts in flight where that is forbidden: this one closes when the
-                    // line that cancels it has been sent.
+                    // Prevents two concurrent attempts where hedging is not allowed: this attempt is reported
+                    // as closed only when the line that cancels it has been sent.
                     connection.cancelling.push(attempt);
                     return;
                 }
@@ -229,12 +231,12 @@
         self.close_with(now, attempt, outcome);
     }
 
-    /// Closes an attempt of which no answer tells more than its outcome.
+    /// Closes an attempt of which only the outcome is known.
     pub(super) fn close_with(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         self.close_attempt(now, attempt, attempt_result(outcome));
     }
 
-    /// Reports the end of an attempt to `Control`, the first time only.
+    /// Reports the end of an attempt to `Control`. Has no effect on an attempt that is already closed.
     pub(super) fn close_attempt(&mut self, now: Micros, attempt: AttemptId, result: AttemptResult) {
         let request = self.requests.get(attempt.request);
         let worker = request.map(|request| request.attempts[attempt.index].worker.0);
