--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -1,6 +1,6 @@
-//! Client connections: accepted, read, answered, and let go when they time out or are too many.
+//! Client connections: accepting, reading, answering, and closing on a timeout or when there are too many.
 //!
-//! Enters here: the reactor's events of client connections.
+//! Entry points: the reactor's events of client connections.
 use super::{Node, RequestData};
 use crate::client::{ClientConnection, ClientRequest, Phase, Reply};
 use applepond::interface::{Micros, RequestArrival};
@@ -8,14 +8,15 @@
 use applepond_platform::call::{RequestKind, id_text};
 use applepond_reactor::{Conn, Transport};
 
-/// Time kept back for an answer's way to the client, whose time counts from when it sent its call.
+/// Time reserved for network latency: the client's deadline counts from when it sends its call to when it
+/// receives the response.
 const RESPONSE_MARGIN: Micros = 10_000;
 
 impl Node {
-    /// A client has connected.
+    /// Handles a new client connection.
     pub(super) fn client_accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
-        // A client that hangs up wants no answer: its hang-up is reported ahead of its bytes, so that what it
-        // asked for is not sent any more.
+        // A client that hangs up needs no response. Its hang-up is reported before its unread bytes, so that
+        // its requests are not sent to a model server.
         transport.hangup_first(conn);
         let client = ClientConnection::new(now);
         self.client_timeouts.insert(conn, &client);
@@ -23,7 +24,7 @@
         self.cut_excess_clients(now, transport);
     }
 
-    /// Bytes of a client have arrived.
+    /// Handles bytes received from a client.
     pub(super) fn client_bytes(
         &mut self,
         now: Micros,
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Takes the requests that are complete, as far as answers allow. While the endpoint list is stale the
-    /// client waits.
+    /// Reads the complete requests of a client, up to the first one whose response is pending. Waits while
+    /// the endpoint list is stale.
     pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         if self.name_service.is_stale(now) {
             self.stalled_clients.insert(conn);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Hands a request to `Control`.
+    /// Registers a request and passes it to `Control`.
     fn start_request(
         &mut self,
         now: Micros,
@@ -84,7 +85,7 @@
     ) {
         let request = arrival.request;
         if self.requests.get(request).is_some() {
-            // Another request with an open id: which of the two an answer belongs to could not be told.
+            // The id belongs to an open request: answers to the two could not be told apart.
             return self.answer_client(now, transport, conn, &Reply::status_only(409));
         }
         tracing::debug!(
@@ -105,7 +106,7 @@
         self.control.request_arrived(&mut self.actions, arrival);
     }
 
-    /// Answers a client; its next request is read when the current event has been handled.
+    /// Answers a client. Its next request is read after the current event has been handled.
     pub(super) fn answer_client(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
         self.readable_clients.push_back(conn);
     }
 
-    /// Answers what is no call, and closes the connection.
+    /// Answers an invalid request with an error and closes the connection.
     fn refuse_client(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
         tracing::debug!(reason = fault.reason, detail = fault.detail, "request refused");
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -127,7 +128,7 @@
         self.client_timeouts.insert(conn, client);
     }
 
-    /// A client has gone: no answer is due to it, and its request ends.
+    /// Removes a client that has disconnected or was cut, and ends its request.
     pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
         let Some(client) = self.clients.remove(&conn) else { return };
         self.client_timeouts.remove(conn, &client);
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Cuts connections that have timed out, and where there are too many, the least valuable ones. Never one
-    /// that waits for its answer.
+    /// Cuts client connections that have timed out and, if there are too many, the least valuable ones. Never
+    /// cuts one that waits for a response.
     pub(super) fn cut_excess_clients(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             let too_many = self.clients.len() > self.max_clients;
