--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -1,6 +1,7 @@
-//! Connections to model servers: their answers, their ends, and the health check of those that are silent.
+//! Events of connections to model servers: answers, disconnects, draining, and health checks of silent
+//! connections.
 //!
-//! Enters here: bytes, half-closes and closes of worker connections, and the tick.
+//! Entry points: bytes, half-closes and closes of worker connections, and the tick.
 use super::Node;
 use crate::client::Reply;
 use crate::worker_connection::{QueuedWrite, Received};
@@ -10,17 +11,17 @@
 use applepond_platform::line;
 use applepond_reactor::{Conn, Transport};
 
-/// Silence of a connection on which answers are due after which it is sent a health check: most answers take
-/// less.
+/// Time without received bytes after which a connection with pending answers is sent a health check. Most
+/// answers take less.
 const PROBE_AFTER_SILENCE: Micros = 250_000;
-/// Time in which a working connection answers it: far above the way there and back, and above the pauses of a
-/// model server that is merely busy.
+/// Time within which a health check must be answered: far above the round-trip time, and above the pauses of
+/// a model server that is only busy.
 const PROBE_TIMEOUT: Micros = 500_000;
-/// The tag of the one health check that a connection may have open.
+/// Tag of the health check. A connection has at most one pending.
 const PROBE_TAG: &str = "works";
 
 impl Node {
-    /// Bytes of a model server have arrived.
+    /// Handles bytes received from a model server.
     pub(super) fn worker_bytes(
         &mut self,
         now: Micros,
@@ -38,7 +39,7 @@
         for answer in received.answers {
             let request = answer.request;
             let connection = self.connections.get_mut(&conn);
-            // Cancelled, answered twice, or never sent: nobody waits for it.
+            // Ignores answers to attempts that were cancelled, already answered, or never sent.
             let Some(index) = connection.and_then(|connection| connection.in_flight.remove(&request)) else {
                 continue;
             };
@@ -49,19 +50,19 @@
             self.close_attempt(now, AttemptId { request, index }, answer.result);
         }
         if let Err(fault) = read {
-            tracing::debug!(reason = fault.reason, detail = fault.detail, "a connection to a server is cut");
+            tracing::debug!(reason = fault.reason, detail = fault.detail, "invalid line from a model server");
             self.cut_connection(now, transport, conn);
         }
     }
 
-    /// Cuts a connection that cannot be used any more: what has been sent on it may have run.
+    /// Cuts a connection that is unusable or no longer needed. Attempts that were sent on it may have run.
     pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         transport.cut(conn);
         self.worker_disconnected(now, transport, conn);
     }
 
-    /// A connection is gone. Of what was queued on it nothing had been sent: it goes out on another
-    /// connection, unless this one was never established.
+    /// Handles the loss of a connection. Attempts in flight may have run and are closed. Queued attempts have
+    /// not been sent: they move to another connection, or fail if this one was never established.
     pub(super) fn worker_disconnected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(connection) = self.connections.remove(&conn) else { return };
         if !connection.in_flight.is_empty() {
@@ -92,31 +93,31 @@
         }
     }
 
-    /// A connection carries nothing new any more: what is queued on it is taken back, what has been sent may
-    /// come to its end.
+    /// Drains a connection: withdraws queued attempts and lets those in flight complete.
     pub(super) fn drain_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.draining = true;
-        let mut taken_back = Vec::new();
+        let mut withdrawn = Vec::new();
         for write in std::mem::take(&mut connection.queue) {
             match write {
-                QueuedWrite::Attempt(attempt) => taken_back.push(attempt),
+                QueuedWrite::Attempt(attempt) => withdrawn.push(attempt),
                 QueuedWrite::Bytes(_) => connection.queue.push_back(write),
             }
         }
-        for attempt in taken_back {
+        for attempt in withdrawn {
             self.close_with(now, attempt, Outcome::Superseded);
         }
         self.check_connection(now, transport, conn);
     }
 
-    /// Cuts a connection that is of no more use: drained, idle too long, or one on which answers are due and
-    /// that does not even answer a health check. Guards against peers that vanish silently.
+    /// Cuts a connection that is drained, has been idle for too long or has not answered a health check, and
+    /// sends a health check if answers are overdue. This detects peers that vanish without closing.
     pub(super) fn check_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let idle_timeout = self.idle_timeout();
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let is_useless = match connection.probed_at {
-            // Also where no answer is due any more: or lines that cancel would pile up on a dead connection.
+            // Also if no answer is pending any more: otherwise lines that cancel attempts would accumulate on
+            // a dead connection.
             Some(probed_at) if now >= probed_at + PROBE_TIMEOUT => true,
             _ => {
                 let has_expired = now >= connection.last_used + idle_timeout;
