--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -1,6 +1,6 @@
-//! The life of the process: it listens, looks at everything once a tick, and shuts down gracefully.
+//! Start, periodic checks and graceful shutdown of the node.
 //!
-//! Enters here: the start, the tick, and what the process is told by signals.
+//! Entry points: the start, the tick, and the signals to the process.
 use super::{Node, TICK_INTERVAL};
 use applepond::interface::Micros;
 use applepond_platform::config::NodeConfig;
@@ -8,35 +8,36 @@
 use applepond_reactor::{Conn, Transport};
 use std::io::ErrorKind;
 
-/// Time in which the process before this one may still hold the address: a start has failed after 30 s.
+/// Time to wait for a previous process to release the address. The platform counts a start as failed after
+/// 30 s.
 pub(super) const LISTEN_TIMEOUT: Micros = 20_000_000;
-/// Time after the order to shut down during which new connections and calls still come, and some to spare.
+/// Time after the shutdown request during which new connections and calls may still arrive, with a margin.
 const GRACE_PERIOD: Micros = 900_000;
-/// Time after the order to shut down at which whatever is still open is answered: the platform counts the
-/// longest deadline as 3 s where it is longer, and kills 0.7 s after that.
+/// Time after the shutdown request when all open requests are answered. The platform waits for the longest
+/// deadline, but at most 3 s, and kills the process 0.7 s after that.
 const ANSWER_ALL_AFTER: Micros = 3_300_000;
 
-/// What the process is told from outside.
+/// A signal to the process.
 pub enum ProcessEvent {
-    /// The configuration file was replaced; an error says why it cannot be used.
+    /// The configuration file was replaced; holds the error if the new file is invalid.
     ConfigReplaced(Result<Box<NodeConfig>, InputError>),
-    /// It is to shut down.
+    /// The process is asked to shut down.
     ShutDown,
 }
 
-/// Why a node has come to its end.
+/// Why a node has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// It was told to shut down, and no answer is due.
+    /// The node was asked to shut down, and all requests have been answered.
     ShutDown,
-    /// It cannot listen at its address.
+    /// The node cannot listen on its address.
     AddressUnavailable,
 }
 
 impl Node {
-    /// Listens, as soon as the process before this one has given the address back.
+    /// Starts listening. Retries until `until` while a previous process still holds the address.
     pub(super) fn listen(&mut self, now: Micros, transport: &mut dyn Transport, until: Micros) {
-        // One more than are kept open, so that a new one is seen and takes the place of another.
+        // One more than the limit, so that a new connection is accepted and can replace an existing one.
         match transport.listen(self.config.listen, self.max_clients + 1) {
             Ok((listener, address)) => {
                 tracing::info!(%address, "listening");
@@ -56,7 +57,7 @@
         }
     }
 
-    /// One look at everything that no event tells of, and the next after [`TICK_INTERVAL`].
+    /// Checks everything that causes no event by itself, and schedules the next tick.
     pub(super) fn tick(&mut self, now: Micros, transport: &mut dyn Transport) {
         while let Some(event) = (self.process_events)() {
             self.process_event(now, transport, event);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// What is to be done so long after the order to shut down.
+    /// Takes the shutdown steps that are due. `since` is the time of the shutdown request.
     fn shut_down(&mut self, now: Micros, transport: &mut dyn Transport, since: Micros) {
         if now >= since + ANSWER_ALL_AFTER {
             self.control.advance_to(now);
@@ -99,12 +100,13 @@
         }
     }
 
-    /// Comes to the end once no answer is due any more: whoever has connected is still read, and each answer
-    /// is with the kernel and its client has closed too, or what the kernel has not delivered would go with
-    /// the process. Each connection takes one request more at the most, and its timeout bounds its silence.
+    /// Closes the listener and idle clients, and exits once all requests have ended and all clients have
+    /// disconnected. Clients that have already connected are still served. An answer written to the kernel
+    /// may be lost if the process exits before the client has closed its side. The wait is bounded: each
+    /// connection is given at most one more request, and silent connections time out.
     fn close_all(&mut self, now: Micros, transport: &mut dyn Transport) {
         if let Some((listener, _)) = self.listener.take() {
-            // Whoever connected last is reported only after this call, and may be due an answer.
+            // Connections still in the accept queue are reported after this call and must be answered.
             return transport.stop_accepting(listener, true);
         }
         for conn in self.client_timeouts.idle() {
