--- a/crates/node/src/node/endpoints.rs
+++ b/crates/node/src/node/endpoints.rs
@@ -1,11 +1,12 @@
-//! The endpoint list, from the configuration at the start and from the name service after that.
+//! Updates of the endpoint list: from the configuration at start-up, then from the name service.
 use super::Node;
 use applepond::interface::{Endpoint, EndpointListKind, Micros};
 use applepond_platform::config::ListedWorker;
 use applepond_reactor::Transport;
 
 impl Node {
-    /// Takes a list: connections to servers that take nothing new are drained, and `Control` is told.
+    /// Applies an endpoint list: drains connections to servers that accept no new attempts, and notifies
+    /// `Control`.
     pub(super) fn endpoints_updated(
         &mut self,
         now: Micros,
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,22 +1,21 @@
-//! The model servers: one record each, found by its id, and what an endpoint list does to it. An id, not an
-//! address, is who a model server is.
+//! The model servers in the endpoint list. A model server is identified by its id, not by its address.
 use applepond::interface::{EndpointListKind, Micros, WorkerId, WorkerStatus};
 use applepond_platform::config::ListedWorker;
 use applepond_reactor::Conn;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The one record of a model server.
+/// The state of one model server.
 pub(crate) struct WorkerRecord {
     pub(crate) address: SocketAddr,
     pub(crate) status: WorkerStatus,
-    /// When its process started; another value is another process.
+    /// Start time of its process. A different start time means a different process.
     pub(crate) up_since: Micros,
-    /// Connections that may carry new attempts.
+    /// Connections on which new attempts may be sent.
     pub(crate) connections: Vec<Conn>,
 }
 
-/// All model servers that the list names.
+/// All model servers in the endpoint list, by id.
 #[derive(Default)]
 pub(crate) struct Workers(BTreeMap<WorkerId, WorkerRecord>);
 
@@ -25,7 +24,7 @@
         self.0.get_mut(&worker)
     }
 
-    /// The record of a model server that takes new attempts.
+    /// The record of a model server, if it accepts new attempts.
     pub(crate) fn ready(&self, worker: WorkerId) -> Option<&WorkerRecord> {
         self.0.get(&worker).filter(|record| record.status == WorkerStatus::Ready)
     }
@@ -34,18 +33,18 @@
         self.0.len()
     }
 
-    /// How many take new attempts.
+    /// Number of model servers that accept new attempts.
     pub(crate) fn count_ready(&self) -> usize {
         self.0.values().filter(|record| record.status == WorkerStatus::Ready).count()
     }
 
-    /// Takes a list. Gives the connections that are to be drained: they lead to another process than the one
-    /// that the list names, or to one that takes nothing new.
+    /// Applies an endpoint list. Returns the connections to drain: those to a process that has been replaced,
+    /// and those to a model server that accepts no new attempts.
     pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[ListedWorker]) -> Vec<Conn> {
         let mut to_drain = Vec::new();
         if kind != EndpointListKind::Changes {
-            let named: BTreeSet<WorkerId> = list.iter().map(|worker| worker.endpoint.worker).collect();
-            for (_, record) in self.0.iter_mut().filter(|(worker, _)| !named.contains(worker)) {
+            let listed: BTreeSet<WorkerId> = list.iter().map(|worker| worker.endpoint.worker).collect();
+            for (_, record) in self.0.iter_mut().filter(|(worker, _)| !listed.contains(worker)) {
                 record.status = WorkerStatus::Gone;
                 to_drain.append(&mut record.connections);
             }
