--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -1,7 +1,5 @@
-//! The client side: one request at a time on a connection, and its answer.
-//!
-//! Each [`ClientConnection`] owns the state of one connection. When it times out is kept beside it, in
-//! `client_timeouts`.
+//! The state of one client connection, which handles one request at a time. Timeouts of all client
+//! connections are tracked in `client_timeouts`.
 use applepond::interface::{Micros, RequestId};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
@@ -9,30 +7,30 @@
 use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Conn, Transport};
 
-/// Bytes of a head at most (431 beyond): calls have a few hundred.
+/// Maximum size of a request head; a larger one is answered with status 431. Calls have a few hundred bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Time in which a new connection must have brought a complete request, and an answer must have been taken:
-/// the platform wants to see silent clients off within three seconds.
+/// Time within which a new connection must send a complete request, and a client must receive the last
+/// response. The platform requires that silent clients are disconnected within 3 s.
 pub(crate) const SILENCE_TIMEOUT: Micros = 2_000_000;
-/// Time that a connection may be idle between two requests: clients close theirs after four seconds, some
-/// never do.
+/// Maximum idle time between two requests. Most clients close their connections after 4 s, some never do.
 const IDLE_TIMEOUT: Micros = 6_000_000;
-/// Bytes of later requests that may wait behind one that is being answered. What comes beyond is read and
-/// dropped, as the client's end could not be seen behind it, and the connection is closed with the answer.
+/// Maximum number of buffered bytes of pipelined requests. Bytes beyond that are read and dropped, as a
+/// hang-up behind unread bytes would not be detected, and the connection is closed with the response.
 const MAX_PIPELINED_BYTES: usize = 32 * 1024;
-/// Bytes dropped at most before the connection is cut: a platform's client sends one request at a time.
+/// Maximum number of dropped bytes before the connection is cut. The platform's clients do not pipeline.
 const MAX_DROPPED_BYTES: usize = 1024 * 1024;
 
+/// The phase of a client connection.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Phase {
     Reading,
-    /// A request is complete; its answer is awaited.
+    /// A request has been read and its response is pending.
     AwaitingAnswer,
-    /// Nothing more is read; the connection is closed once its answer is out.
+    /// Further bytes are ignored; the connection is closed once its response has been written.
     Closing,
 }
 
-/// The answer to a request.
+/// The response to a request.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     /// Sent as `Back-Off-Ms`.
@@ -41,44 +39,42 @@
 }
 
 impl Reply {
-    /// An answer without a body.
+    /// A response without a body.
     pub(crate) fn status_only(status: u16) -> Self {
         Reply { status, retry_after: None, body: Vec::new() }
     }
 }
 
-/// A complete request of a client.
+/// A complete request from a client.
 pub(crate) struct ClientRequest {
-    /// What is asked.
     pub(crate) kind: RequestKind,
     pub(crate) body: Vec<u8>,
-    /// When its first byte arrived, or earlier: the client's time runs from there.
+    /// When its first byte arrived, or earlier. The client's deadline counts from there.
     pub(crate) first_byte_at: Micros,
 }
 
-/// One client connection.
+/// A client connection.
 pub(crate) struct ClientConnection {
     decoder: Decoder,
     parsed: ParsedRequest,
     pub(crate) phase: Phase,
-    /// The request whose answer is awaited, if it has gone to `Control`.
+    /// The request whose response is pending, if it was passed to `Control`.
     pub(crate) request: Option<RequestId>,
-    /// It has been answered before, and nothing of its next request is here.
+    /// Whether a request has been answered and nothing of the next one has been received.
     pub(crate) is_idle: bool,
-    /// Bytes of later requests that were dropped.
+    /// Number of dropped bytes of pipelined requests.
     dropped_bytes: usize,
-    /// When the first byte arrived of the request that is read or awaits its answer, and of the one behind
-    /// it.
+    /// Arrival of the first byte of the current request, and of the pipelined request behind it.
     first_byte_at: Option<Micros>,
     next_first_byte_at: Option<Micros>,
-    /// When the last bytes arrived.
+    /// Arrival of the last bytes.
     last_bytes_at: Micros,
-    /// When the timeout of the current phase is over.
+    /// When the current phase times out.
     pub(crate) timeout_at: Micros,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection accepted at `now`.
     pub(crate) fn new(now: Micros) -> Self {
         ClientConnection {
             decoder: Decoder::new(Side::Server, MAX_HEAD_BYTES, MAX_BODY_BYTES),
@@ -94,12 +90,12 @@
         }
     }
 
-    /// Whether nothing of a request has arrived since the last one was complete.
+    /// Whether no byte of an incomplete request has been received.
     pub(crate) fn is_between_requests(&self) -> bool {
         self.decoder.idle()
     }
 
-    /// Takes bytes that arrived at `arrived_at` or later; false where the connection is to be cut.
+    /// Processes bytes that arrived at `arrived_at` or later. Returns false if the connection must be cut.
     pub(crate) fn feed(&mut self, now: Micros, arrived_at: Micros, bytes: &[u8]) -> bool {
         if self.phase == Phase::Closing {
             return true;
@@ -123,7 +119,8 @@
         self.dropped_bytes <= MAX_DROPPED_BYTES
     }
 
-    /// The next complete request, if the one before has been answered; a fault where it cannot be read.
+    /// Returns the next complete request once the previous one has been answered, or an error if the request
+    /// is invalid.
     pub(crate) fn next_request(
         &mut self,
         transport: &mut dyn Transport,
@@ -141,8 +138,11 @@
                 if self.decoder.waiting() > 0 {
                     self.next_first_byte_at.get_or_insert(self.last_bytes_at);
                 }
-                let kind =
-                    self.parsed.kind.take().expect("the decoder gives a head before its request's end");
+                let kind = self
+                    .parsed
+                    .kind
+                    .take()
+                    .expect("the decoder reports the head before the end of a request");
                 let first_byte_at = self.first_byte_at.unwrap_or(self.last_bytes_at);
                 let body = std::mem::take(&mut self.parsed.body);
                 Some(Ok(ClientRequest { kind, body, first_byte_at }))
@@ -157,8 +157,7 @@
         }
     }
 
-    /// Answers the request that awaits it; what comes after it is read next, unless this is the `last` answer
-    /// that the process gives here.
+    /// Answers the current request. If `last` is set, the connection is closed after the response.
     pub(crate) fn answer(
         &mut self,
         now: Micros,
@@ -190,13 +189,14 @@
         }
     }
 
-    /// Answers what is no call, and closes the connection: where the next request starts is not known.
+    /// Answers an invalid request with an error and closes the connection, as the start of the next request
+    /// is unknown.
     pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
         transport.write(conn, &encode::problem_answer(fault, None, None, false));
         self.close(now, transport, conn);
     }
 
-    /// Nothing more is read; the connection is closed once all that was written is out.
+    /// Stops reading; the connection is closed once everything written has been sent.
     pub(crate) fn close(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.phase = Phase::Closing;
         self.is_idle = false;
