--- a/crates/node/src/client_timeouts.rs
+++ b/crates/node/src/client_timeouts.rs
@@ -1,27 +1,27 @@
-//! The timeouts of client connections, and which connection makes room for another when there are too many.
+//! Timeouts of client connections, and the choice of the connection to close when there are too many.
 //!
-//! Owned here: every client connection that does not wait for an answer, by the end of its timeout. A
-//! connection must be removed before its phase or its timeout changes, and inserted again after that.
+//! Holds every client connection that does not wait for a response, ordered by timeout. A connection must be
+//! removed before its phase or timeout changes and inserted again afterwards.
 use crate::client::{ClientConnection, Phase, SILENCE_TIMEOUT};
 use applepond::interface::Micros;
 use applepond_reactor::Conn;
 use std::collections::BTreeSet;
 
-/// Age from which on a new connection that has brought nothing may make room for others: a call follows its
-/// connection at once, give or take the way.
+/// Minimum age at which a new, silent connection may be closed in favour of others. Clients send a call
+/// immediately after connecting, so it arrives within the network latency.
 const NEW_CONNECTION_GRACE: Micros = 200_000;
 
-/// Connections by the end of their timeout; the first times out first.
+/// Connections ordered by timeout, the earliest first.
 type ByTimeout = BTreeSet<(Micros, Conn)>;
 
-/// Connections that do not wait for an answer.
+/// Client connections that do not wait for a response.
 #[derive(Default)]
 pub(crate) struct ClientTimeouts {
-    /// Those that have brought nothing yet.
+    /// Connections that have not sent anything yet.
     silent: ByTimeout,
-    /// Those that are idle between two requests.
+    /// Connections that are idle between two requests.
     idle: ByTimeout,
-    /// Those within a request, or closing.
+    /// Connections within a request, or closing.
     active: ByTimeout,
 }
 
@@ -42,22 +42,22 @@
         }
     }
 
-    /// A connection that has timed out.
+    /// Returns a connection that has timed out.
     pub(crate) fn expired(&self, now: Micros) -> Option<Conn> {
         let first = |set: &ByTimeout| set.first().filter(|(timeout_at, _)| *timeout_at <= now).copied();
         let [silent, idle, active] = [&self.silent, &self.idle, &self.active].map(first);
         silent.or(active).or(idle).map(|(_, conn)| conn)
     }
 
-    /// Those that are idle between two requests.
+    /// All connections that are idle between two requests.
     pub(crate) fn idle(&self) -> Vec<Conn> {
         self.idle.iter().map(|(_, conn)| *conn).collect()
     }
 
-    /// The connection that makes room for another: the longest silent, the longest idle, then the longest
-    /// within a request. One that has just come is the last, or a flood of idle ones would shut out whoever
-    /// still has to send its request. One that still has to take part of an answer, `has_unsent`, goes only
-    /// when it times out.
+    /// Selects the connection to close when there are too many: the one that has been silent longest, else
+    /// idle longest, else within a request longest. New connections come last, as otherwise a flood of idle
+    /// connections would displace clients that are about to send their request. Connections with an unsent
+    /// part of a response (`has_unsent`) are closed only when they time out.
     pub(crate) fn least_valuable(&self, now: Micros, has_unsent: impl Fn(Conn) -> bool) -> Option<Conn> {
         let first = |set: &ByTimeout| set.iter().find(|(_, conn)| !has_unsent(*conn)).copied();
         let is_old = |timeout_at: Micros| now + SILENCE_TIMEOUT >= timeout_at + NEW_CONNECTION_GRACE;
