--- a/crates/node/src/worker_connection.rs
+++ b/crates/node/src/worker_connection.rs
@@ -1,70 +1,68 @@
-//! Connections to model servers: many attempts on each, their lines as long as the kernel has not taken them,
-//! and answers as they come in.
-//!
-//! Owned here: which attempts a connection has in flight, what waits to be written, and the line that has not
-//! arrived completely.
+//! The state of one connection to a model server, which carries many attempts at a time: the attempts in
+//! flight, the queue of writes that the kernel has not accepted, and the partially received line.
 use applepond::interface::{AttemptResult, Micros, RequestId, WorkerId};
 use applepond_gateway::request_table::AttemptId;
 use applepond_http::Fault;
 use applepond_platform::{call, line};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of one answer's line at most: twice what a body of the largest call takes in base64, and some.
+/// Maximum length of a line: more than twice the largest call's body in base64.
 const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Length of the ids that this router sends.
+/// Length of the request ids sent by this router.
 const ID_LENGTH: usize = 16;
 
-/// What waits to be written.
+/// A write that waits for the kernel.
 pub(crate) enum QueuedWrite {
-    /// The line that runs this attempt, of which nothing has been written: it can be taken back.
+    /// The line that runs this attempt. No byte of it has been written, so it can be withdrawn.
     Attempt(AttemptId),
-    /// Bytes that must follow what has been written.
+    /// Bytes that must be written: the rest of a line, a cancellation or a health check.
     Bytes(Vec<u8>),
 }
 
-/// One connection.
+/// A connection to a model server.
 pub(crate) struct WorkerConnection {
     pub(crate) worker: WorkerId,
-    /// It is established.
+    /// Whether the connection is established.
     pub(crate) connected: bool,
     pub(crate) opened_at: Micros,
-    /// It carries nothing new any more, and is closed when no answer is due on it.
+    /// Whether it accepts no new attempts and is closed once no answer is pending.
     pub(crate) draining: bool,
-    /// Attempts of which at least a byte has been sent, by request: a model server returns an id only once.
+    /// Attempts of which at least one byte has been sent, as attempt indices by request id. Answers carry
+    /// only the request id, so each id is used at most once per connection.
     pub(crate) in_flight: BTreeMap<RequestId, usize>,
     pub(crate) queue: VecDeque<QueuedWrite>,
-    /// Attempts that close as soon as all of the queue has been sent: the lines that cancel them wait in it.
+    /// Attempts whose cancellation is in `queue`. They are closed once all of it has been sent.
     pub(crate) cancelling: Vec<AttemptId>,
-    /// When it last had something to write.
+    /// When a write was last attempted.
     pub(crate) last_used: Micros,
     /// When bytes last arrived.
     pub(crate) last_received: Micros,
-    /// When it was sent a health check, until that is answered.
+    /// When the pending health check was queued, if there is one.
     pub(crate) probed_at: Option<Micros>,
-    /// The line that has not arrived completely.
+    /// The line that has been received only in part.
     partial_line: Vec<u8>,
-    /// Bytes of it that hold no line end.
+    /// Length of the prefix of `partial_line` that contains no line end.
     searched: usize,
 }
 
-/// An answer to an attempt.
+/// A model server's answer to an attempt.
 pub(crate) struct WorkerAnswer {
     pub(crate) request: RequestId,
     pub(crate) result: AttemptResult,
     pub(crate) body: Vec<u8>,
 }
 
-/// What arrived on a connection, in its order.
+/// The lines received on a connection, decoded.
 #[derive(Default)]
 pub(crate) struct Received {
     pub(crate) answers: Vec<WorkerAnswer>,
-    /// A health check was answered.
+    /// Whether a health check was answered.
     pub(crate) probe_answered: bool,
 }
 
 impl line::LineHandler for Received {
     fn answer(&mut self, id: &str, result: AttemptResult, body: Vec<u8>) {
-        // An id of another form was never sent from here.
+        // An id of another length was not sent by this router.
         if id.len() == ID_LENGTH {
             self.answers.push(WorkerAnswer { request: call::request_id(id), result, body });
         }
@@ -76,7 +74,7 @@
 }
 
 impl WorkerConnection {
-    /// A connection that is being established.
+    /// Creates the state of a connection that is being established.
     pub(crate) fn new(now: Micros, worker: WorkerId) -> Self {
         WorkerConnection {
             worker,
@@ -94,23 +92,23 @@
         }
     }
 
-    /// Attempts on it, sent or queued.
+    /// Number of attempts on the connection, sent or queued.
     pub(crate) fn load(&self) -> usize {
         let queued = self.queue.iter().filter(|write| matches!(write, QueuedWrite::Attempt(_)));
         self.in_flight.len() + queued.count()
     }
 
-    /// Whether an answer is due on it, or a line that cancels an attempt is to be sent.
+    /// Whether an answer is pending, or a line that cancels an attempt has to be sent.
     pub(crate) fn has_open_attempts(&self) -> bool {
         !self.in_flight.is_empty() || !self.cancelling.is_empty()
     }
 
-    /// Whether nothing at all depends on it.
+    /// Whether the connection has no attempts and nothing to write.
     pub(crate) fn is_idle(&self) -> bool {
         self.load() == 0 && self.queue.is_empty() && !self.has_open_attempts()
     }
 
-    /// Takes back an attempt of which nothing has been sent; false where it is not queued.
+    /// Withdraws an attempt that has not been sent. Returns false if it is not in the queue.
     pub(crate) fn remove_queued(&mut self, attempt: AttemptId) -> bool {
         let is_attempt =
             |write: &QueuedWrite| matches!(write, QueuedWrite::Attempt(queued) if *queued == attempt);
@@ -118,7 +116,7 @@
         position.is_some_and(|index| self.queue.remove(index).is_some())
     }
 
-    /// Reads bytes that have arrived into `received`. What can be read before a fault counts.
+    /// Decodes received bytes into `received`. Lines before an invalid one are kept.
     pub(crate) fn feed(&mut self, bytes: &[u8], received: &mut Received) -> Result<(), Fault> {
         self.partial_line.extend_from_slice(bytes);
         let mut start = 0;
@@ -134,7 +132,7 @@
         self.partial_line.drain(..start);
         self.searched = self.partial_line.len();
         if self.partial_line.len() > MAX_LINE_BYTES {
-            return Err(Fault::new(502, "long-line", "an answer's line does not end"));
+            return Err(Fault::new(502, "long-line", "line exceeds the maximum length"));
         }
         if self.partial_line.is_empty() && self.partial_line.capacity() > MAX_LINE_BYTES {
             self.partial_line = Vec::new();
