--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -1,7 +1,7 @@
-//! The name service, which holds the endpoint list: it is queried again and again, and its answers are
-//! believed only in the order of their index.
+//! Watches the endpoint list by polling the name service. Answers with a lower index than the current list
+//! are ignored.
 //!
-//! Owned here: the query that waits for an answer, and the index of the last list that was taken.
+//! Holds the pending query and the index of the current list.
 use applepond::interface::Micros;
 use applepond_platform::name_service::{self, EndpointList};
 use applepond_platform::startup::ConfigNames;
@@ -9,17 +9,19 @@
 use oorandom::Rand32;
 use std::net::SocketAddr;
 
-/// Time between two queries: an event counts as known 1.5 s after it happened, and two answers may get lost.
+/// Interval between two queries. Routers must know an event 1.5 s after it happened, even if two answers in a
+/// row are lost.
 const QUERY_INTERVAL: Micros = 250_000;
-/// Time after which an answer is not awaited any more: many times the way there and back.
+/// Time after which a query has failed: many times the round-trip time.
 const QUERY_TIMEOUT: Micros = 200_000;
-/// Time before the next query after one that brought nothing: a service in trouble is not flooded.
+/// Delay of the next query after a rejected answer, to avoid flooding a service in trouble.
 const QUERY_RETRY_DELAY: Micros = 50_000;
-/// Time after a query that was answered or timed out after which this process must have stood still: twice
-/// what lies between two queries, and less than the 1.5 s after which an event counts as known.
+/// Age of the last completed query at which the list is stale, which only happens if this process was paused:
+/// more than twice the longest time between two queries, and less than the 1.5 s after which events must be
+/// known.
 const STALE_AFTER: Micros = 1_000_000;
 
-/// A query that waits for its answer.
+/// A pending query.
 #[derive(Clone, Copy)]
 struct Query {
     conn: Conn,
@@ -27,33 +29,32 @@
     sent_at: Micros,
 }
 
-/// The watch on the name service.
+/// Polls the name service for the endpoint list.
 pub(crate) struct NameServiceWatch {
     service: SocketAddr,
     rng: Rand32,
-    /// Index of the last list that was taken.
+    /// Index of the current list.
     index: u64,
     query: Option<Query>,
-    /// When the next query is due.
     next_query_at: Micros,
-    /// When the last query was sent that has been answered or has timed out.
+    /// When the last completed query, answered or timed out, was sent.
     last_query_at: Micros,
 }
 
 impl NameServiceWatch {
-    /// A watch that starts from the list with this index.
+    /// Creates a watch that starts from the list with this index.
     pub(crate) fn new(now: Micros, service: SocketAddr, index: u64, seed: u64) -> Self {
         let rng = Rand32::new(seed);
         NameServiceWatch { service, rng, index, query: None, next_query_at: 0, last_query_at: now }
     }
 
-    /// Whether this process has not queried for so long that a server may have drained, and gone, without its
-    /// knowledge. A service that does not answer makes nothing stale: it has been queried.
+    /// Whether this process has not queried for so long that a server may have drained and gone unnoticed.
+    /// The list does not become stale because the service is silent, only because it has not been queried.
     pub(crate) fn is_stale(&self, now: Micros) -> bool {
         now > self.last_query_at + STALE_AFTER
     }
 
-    /// Another address from now on; the indices continue.
+    /// Changes the address of the name service. The list index is kept.
     pub(crate) fn set_service(&mut self, transport: &mut dyn Transport, service: SocketAddr) {
         if self.service != service {
             self.service = service;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Ends the query that waits, if one does; the next is due at `next_query_at`.
+    /// Ends the pending query, if any, and schedules the next one.
     fn end_query(&mut self, transport: &mut dyn Transport, next_query_at: Micros) {
         if let Some(query) = self.query.take() {
             transport.cut(query.conn);
@@ -70,8 +71,8 @@
         self.next_query_at = next_query_at;
     }
 
-    /// Sends a query if one is due: with a new id and from a new port each time, so that no late or forged
-    /// answer fits it.
+    /// Sends a query if one is due. Each query has a new id and source port, so that late or forged answers
+    /// do not match.
     pub(crate) fn poll(&mut self, now: Micros, transport: &mut dyn Transport) {
         if self.query.is_some_and(|query| now >= query.sent_at + QUERY_TIMEOUT) {
             self.end_query(transport, now);
@@ -85,12 +86,12 @@
                 transport.datagram(conn, &name_service::query(id));
                 self.query = Some(Query { conn, id, sent_at: now });
             }
-            // No descriptor is left for a query: what is known has to do.
+            // No descriptor is available for a query: continues with the current list.
             None => self.last_query_at = now,
         }
     }
 
-    /// A datagram has arrived: the list, if it is one and newer than what is known.
+    /// Handles a received datagram. Returns the list if it is newer than the current one.
     pub(crate) fn datagram_received(
         &mut self,
         now: Micros,
@@ -113,7 +114,7 @@
                 None
             }
             Err(error) => {
-                tracing::debug!(%error, "an answer of the name service is not taken");
+                tracing::debug!(%error, "answer of the name service rejected");
                 self.end_query(transport, now + QUERY_RETRY_DELAY);
                 None
             }
