--- a/crates/node/tests/client_limits.rs
+++ b/crates/node/tests/client_limits.rs
@@ -1,52 +1,53 @@
-//! Timeouts of clients, and which connection makes room for another.
+//! Client timeouts and limits, and the choice of the connection to close when there are too many.
 //!
-//! Each case runs the node on real sockets: the bad order lies in the kernel before the router looks. The
-//! rows of docs/ends.md name these cases.
+//! Each test runs the node on real sockets and brings events into an unfavourable order in the kernel before
+//! the router polls. docs/ends.md lists these tests by name.
 mod common;
-use common::sockets::{SocketNode, owed};
+use common::sockets::{SocketNode, client_with_unread_answers};
 use common::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// Clients that have asked and lie idle, the oldest first, as many as are kept open.
+/// Connects this many clients that are answered and then stay idle, oldest first.
 fn idle(rig: &mut SocketNode, count: usize) -> Vec<TcpStream> {
     (0..count)
         .map(|_| {
             let mut client = rig.client();
             client.write_all(b"GET /check HTTP/1.1\r\nHost: a\r\n\r\n").expect("written");
             let mut buffer = [0; 1024];
-            rig.quiet();
+            rig.settle();
             assert!(client.read(&mut buffer).expect("an answer") > 0);
             client
         })
         .collect()
 }
 
-// A newcomer is accepted in the batch in which a request comes on the connection that would make room.
+// A new connection is accepted in the same batch as a request on the connection that would be closed for it.
+// The request must be served.
 #[test]
 fn an_unread_request_is_not_cut_for_a_newcomer() {
-    let mut rig = SocketNode::new(1, |file| file["limits"]["sockets"] = 16.into());
+    let mut rig = SocketNode::new(1, |config_json| config_json["limits"]["sockets"] = 16.into());
     let mut clients = idle(&mut rig, 8);
-    rig.quiet();
-    let _newcomer = TcpStream::connect(rig.at).expect("it listens");
+    rig.settle();
+    let _newcomer = TcpStream::connect(rig.address).expect("the node listens");
     let mut oldest = clients.remove(0);
     oldest.write_all(call("quote", 1).as_bytes()).expect("written");
-    let connection = rig.carries(1);
-    rig.peers[connection].send(&word("OK", 1));
+    let connection = rig.connection_of(1);
+    rig.peers[connection].send(&answer_line("OK", 1));
     let mut answer = [0; 1024];
-    rig.quiet();
+    rig.settle();
     let n = oldest.read(&mut answer).expect("an answer");
     assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
 }
 
-// There are fewer descriptors than model servers: the connection that has lain idle longest makes room, not
-// one that owes an answer, and that none was left is not the fault of the server that needs one.
+// There are fewer descriptors than model servers. The connection that has been idle longest is closed, never
+// one with a pending answer, and the lack of a descriptor does not count against the server that needs one.
 #[test]
 fn the_longest_idle_connection_makes_room_for_another_server() {
-    let mut rig = SocketNode::new(8, |file| file["limits"]["sockets"] = 16.into());
-    let (mut owed, first) = rig.carried("quote", 1);
+    let mut rig = SocketNode::new(8, |config_json| config_json["limits"]["sockets"] = 16.into());
+    let (mut pending, first) = rig.send_call("quote", 1);
     let mut id = 2;
     let mut reached = std::collections::BTreeSet::new();
     while reached.len() < 8 {
@@ -54,82 +55,84 @@
         let mut client = rig.client();
         let function = format!("{id:016x}");
         client.write_all(call("quote", id).replace(FUNCTION, &function).as_bytes()).expect("written");
-        let connection = rig.carries(id);
+        let connection = rig.connection_of(id);
         reached.insert(rig.peers[connection].stream.local_addr().expect("connected"));
-        rig.peers[connection].send(&word("OK", id));
+        rig.peers[connection].send(&answer_line("OK", id));
         let (mut answer, conns) = ([0; 1024], rig.node.borrow().open_counts().worker_connections);
         assert!(conns <= 6, "{conns} connections");
-        rig.quiet();
+        rig.settle();
         let n = client.read(&mut answer).expect("an answer");
         assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
         id += 1;
     }
-    rig.peers[first].send(&word("OK", 1));
-    rig.quiet();
+    rig.peers[first].send(&answer_line("OK", 1));
+    rig.settle();
     let mut answer = [0; 1024];
-    let n = owed.read(&mut answer).expect("an answer");
+    let n = pending.read(&mut answer).expect("an answer");
     assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
 }
 
-// The connection that has lain idle longest has not been delivered all of its answers.
+// The connection that has been idle longest still has undelivered responses. It must not be closed.
 #[test]
 fn an_untaken_answer_is_not_cut_for_a_newcomer() {
-    let mut rig = SocketNode::new(1, |file| file["limits"]["sockets"] = 16.into());
-    let mut client = owed(&mut rig);
+    let mut rig = SocketNode::new(1, |config_json| config_json["limits"]["sockets"] = 16.into());
+    let mut client = client_with_unread_answers(&mut rig);
     let _others = idle(&mut rig, 12);
-    rig.reads_big(&mut client, 40);
+    rig.read_large_answers(&mut client, 40);
 }
 
-// An answer lies in the kernel when the request's time runs out while the router stands still: it counts,
-// each time.
+// The request times out while the router is paused, but its answer is already pending in the kernel. The
+// answer must be used, every time.
 #[test]
 fn an_answer_in_the_kernel_counts_before_a_late_timeout() {
     let mut rig = SocketNode::new(1, |_| ());
     let mut client = rig.client();
     let short = call("confirm", 1).replace("Budget-Ms: 2000", "Budget-Ms: 400");
     client.write_all(short.as_bytes()).expect("written");
-    let connection = rig.carries(1);
-    rig.peers[connection].send(&word("OK", 1));
-    rig.stands_still(500 * MS);
-    rig.quiet();
+    let connection = rig.connection_of(1);
+    rig.peers[connection].send(&answer_line("OK", 1));
+    rig.pause(500 * MS);
+    rig.settle();
     let mut answer = [0; 1024];
     let n = client.read(&mut answer).expect("an answer");
     assert!(answer[..n].starts_with(b"HTTP/1.1 200"));
 }
 
-// Silent clients, and one amid its request, are off within three seconds.
+// A silent client and one with an incomplete request are disconnected within 3 s.
 #[test]
 fn silent_and_idle_clients_are_cut() {
     let mut rig = SocketNode::new(1, |_| ());
     let begun = Instant::now();
     let (_silent, mut half) = (rig.client(), rig.client());
     half.write_all(&call("quote", 1).as_bytes()[..60]).expect("written");
-    rig.until("off", |rig| rig.node.borrow().open_counts().clients == 0);
+    rig.wait_until("clients disconnected", |rig| rig.node.borrow().open_counts().clients == 0);
     assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
 }
 
-// What a client is told in the end: a refusal only where no attempt can have run, or running twice harms
-// nothing.
+// A rejection (503) invites a retry. It is given only if no attempt can have run, or running twice is
+// harmless.
 #[test_case("confirm", "ERR", "502"; "at-most-once, and it may have run")]
 #[test_case("confirm", "MISS", "503"; "at-most-once, and it has not")]
 #[test_case("hold", "ERR", "502"; "keyed, by its group alone")]
 #[test_case("quote", "ERR", "503"; "idempotent")]
 fn a_rejection_is_given_only_where_a_retry_is_harmless(workload: &str, verb: &str, status: &str) {
-    let mut rig = SocketNode::new(1, |file| file["settings"]["allowed"]["attempts-cap"] = 1.into());
-    let (client, connection) = rig.carried(workload, 1);
-    rig.peers[connection].send(&word(verb, 1));
-    rig.leaves();
-    let answer = rig.rest(client);
+    let mut rig =
+        SocketNode::new(1, |config_json| config_json["settings"]["allowed"]["attempts-cap"] = 1.into());
+    let (client, connection) = rig.send_call(workload, 1);
+    rig.peers[connection].send(&answer_line(verb, 1));
+    rig.shut_down();
+    let answer = rig.read_to_end(client);
     assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{answer}");
 }
 
-// A client's further try comes to another router: the key is the same, so the model servers know it.
+// A client retries at another router. Both routers pass on its idempotency key, so that the model servers
+// recognise the retry.
 #[test]
 fn a_retry_at_another_router_keeps_its_key() {
     let key = r#""uniq":"5c0f6e1a2b3d4c59a8b7c6d5e4f30211""#;
     for id in [1, 2] {
         let mut rig = SocketNode::new(1, |_| ());
-        let (_client, connection) = rig.carried("hold", id);
+        let (_client, connection) = rig.send_call("hold", id);
         assert!(rig.peers[connection].text.contains(key), "{}", rig.peers[connection].text);
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A node on a simulated network, with clients and model servers played by hand; `sockets` has one on real
-//! sockets.
-#![allow(dead_code)] // each table of cases uses its own part
+//! Test fixtures: a node on a simulated network, with the test acting as clients and model servers. The
+//! module `sockets` has the equivalent on real sockets.
+#![allow(dead_code)] // no test file uses all of it
 use applepond::interface::WorkerStatus;
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_node::{ExitReason, Node, ProcessEvent};
@@ -19,10 +19,10 @@
 pub const S: Micros = 1_000_000;
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// A configuration with this many model servers, `s-1` and on.
-pub fn file(servers: u16) -> Value {
-    let lane = |name: &str, effect: &str| {
-        json!({"name": name, "idempotency": effect, "group": "cell", "window": 3000.0, "on-time": 600.0,
+/// The JSON of a configuration with this many model servers, named `s-1`, `s-2` and so on.
+pub fn config_json(servers: u16) -> Value {
+    let workload = |name: &str, idempotency: &str| {
+        json!({"name": name, "idempotency": idempotency, "group": "cell", "window": 3000.0, "on-time": 600.0,
             "deadline": 2000.0, "worth": 1.0, "late-worth": 0.1})
     };
     let member = |n: u16| {
@@ -38,8 +38,8 @@
             "allowed": {"attempts-cap": 5, "cancel": true, "connect-timeout": 250.0, "idle-close": 15000.0,
                 "max-retry-after": 1000.0, "multiplex": 32, "retry-after": true, "second-copies": true},
             "group-size": 1, "self-index": 0, "over-share-worth": 0.1, "weights": "nominal",
-            "lanes": [lane("quote", "idempotent"), lane("hold", "deduplicated"),
-                lane("confirm", "at_most_once")],
+            "lanes": [workload("quote", "idempotent"), workload("hold", "deduplicated"),
+                workload("confirm", "at_most_once")],
             "projects": [{"name": "huts", "quota-per-s": 400.0}],
             "rules": {"cold-from": 0.2, "fall": 1000.0, "fall-multiple": 2.5, "warm-within": 14000.0},
             "specifics": {"keep": 4000.0, "says-company": true}, "zones": ["room-1", "room-2"]
@@ -47,8 +47,8 @@
     })
 }
 
-pub fn start(file: &Value) -> NodeConfig {
-    config::start(file.to_string().as_bytes()).expect("a good configuration")
+pub fn parse_config(config_json: &Value) -> NodeConfig {
+    config::start(config_json.to_string().as_bytes()).expect("valid configuration")
 }
 
 pub struct SimulatedNode {
@@ -56,28 +56,28 @@
     pub transport: SimulatedTransport,
     pub now: Micros,
     pub process_events: Rc<RefCell<Vec<ProcessEvent>>>,
-    pub over: Rc<Cell<bool>>,
+    pub exited: Rc<Cell<bool>>,
 }
 
 impl SimulatedNode {
     pub fn new(servers: u16) -> Self {
-        Self::with(&file(servers))
+        Self::with(&config_json(servers))
     }
 
-    pub fn with(file: &Value) -> Self {
+    pub fn with(config_json: &Value) -> Self {
         let now = 1_000 * S;
-        let (process_events, over) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(false)));
-        let (told, ends) = (process_events.clone(), over.clone());
+        let (process_events, exited) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(false)));
+        let (pending_events, exit_flag) = (process_events.clone(), exited.clone());
         let node = Node::new(
             now,
-            start(file),
-            Box::new(move || told.borrow_mut().pop()),
-            Box::new(move |end| ends.set(end == ExitReason::ShutDown)),
+            parse_config(config_json),
+            Box::new(move || pending_events.borrow_mut().pop()),
+            Box::new(move |reason| exit_flag.set(reason == ExitReason::ShutDown)),
         );
-        let mut bench =
-            SimulatedNode { node, transport: SimulatedTransport::default(), now, process_events, over };
-        bench.node.start(now, &mut bench.transport);
-        bench
+        let mut simulated =
+            SimulatedNode { node, transport: SimulatedTransport::default(), now, process_events, exited };
+        simulated.node.start(now, &mut simulated.transport);
+        simulated
     }
 
     pub fn advance(&mut self, time: Micros) {
@@ -99,14 +99,14 @@
         self.node.bytes(self.now, &mut self.transport, conn, bytes);
     }
 
-    /// A new client with a call of this workload and id.
+    /// Connects a new client that sends a call with this workload and id.
     pub fn send_call(&mut self, workload: &str, id: u64) -> Conn {
         let conn = self.connect_client();
         self.send(conn, call(workload, id).as_bytes());
         conn
     }
 
-    /// Connections to model servers that were opened so far; those in the making are let stand.
+    /// All connections opened to model servers so far. Establishes those that are still connecting.
     pub fn worker_connections(&mut self) -> Vec<Conn> {
         let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
         for conn in &all {
@@ -118,14 +118,14 @@
     }
 
     pub fn address(&self, connection: Conn) -> SocketAddr {
-        self.transport.connects.iter().find(|(c, _)| *c == connection).expect("it was opened").1
+        self.transport.connects.iter().find(|(c, _)| *c == connection).expect("unknown connection").1
     }
 
-    /// Has the name service tell this list, as an event after all others.
-    pub fn update_list(&mut self, start: &NodeConfig) {
+    /// Lets the name service answer the next query with this list, as a new event.
+    pub fn update_list(&mut self, config: &NodeConfig) {
         self.advance(300 * MS);
-        let (conn, _, question) = self.transport.datagrams.last().expect("it asks").clone();
-        let answer = answer(u16::from_be_bytes([question[0], question[1]]), 2, start);
+        let (conn, _, question) = self.transport.datagrams.last().expect("the node sends queries").clone();
+        let answer = dns_answer(u16::from_be_bytes([question[0], question[1]]), 2, config);
         self.node.datagram_received(self.now, &mut self.transport, conn, &answer);
     }
 
@@ -137,7 +137,7 @@
         self.transport.statuses(conn)
     }
 
-    /// Words and ids that a model server was told on a connection.
+    /// The verb and request id of each complete line sent to a model server on a connection.
     pub fn lines(&self, connection: Conn) -> Vec<(String, String)> {
         let text = self.transport.told(connection);
         let whole = text.split_inclusive('\n').filter(|l| l.ends_with('\n'));
@@ -148,31 +148,34 @@
             .collect()
     }
 
-    /// How often this request was sent, over all connections.
-    pub fn runs(&self, id: u64) -> usize {
+    /// How often this request was sent, on all connections together.
+    pub fn send_count(&self, id: u64) -> usize {
         let worker_connections = self.transport.connects.iter();
         worker_connections
             .flat_map(|(c, _)| self.lines(*c))
-            .filter(|(verb, rid)| verb == "DO" && *rid == name(id))
+            .filter(|(verb, rid)| verb == "DO" && *rid == request_id(id))
             .count()
     }
 
-    /// The connection that carries a request, with the last of its attempts.
-    pub fn carries(&mut self, id: u64) -> Conn {
+    /// The connection that carries the last attempt of a request.
+    pub fn connection_of(&mut self, id: u64) -> Conn {
         let worker_connections = self.worker_connections();
-        let on = worker_connections.iter().rev().find(|c| self.lines(**c).contains(&("DO".into(), name(id))));
-        *on.expect("the job has been sent")
+        let on = worker_connections
+            .iter()
+            .rev()
+            .find(|c| self.lines(**c).contains(&("DO".into(), request_id(id))));
+        *on.expect("the request has been sent")
     }
 }
 
-/// An answer of the name service; model servers that are gone have no records.
-pub fn answer(id: u16, serial: u32, start: &NodeConfig) -> Vec<u8> {
+/// An answer of the name service. Model servers that are gone have no records.
+pub fn dns_answer(id: u16, serial: u32, config: &NodeConfig) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     packet.set_flags(PacketFlag::RESPONSE);
     let record = |name: &str, data| {
         ResourceRecord::new(Name::new(name).expect("a name").into_owned(), CLASS::IN, 0, data)
     };
-    let members = start.list_events.iter().flat_map(|(_, list)| list);
+    let members = config.list_events.iter().flat_map(|(_, list)| list);
     for member in members.filter(|m| m.endpoint.status != WorkerStatus::Gone) {
         let target = format!("{}.room-1.hosts", member.name);
         let SocketAddr::V4(at) = member.address else { continue };
@@ -190,25 +193,25 @@
     packet.build_bytes_vec_compressed().expect("a packet")
 }
 
-pub fn name(id: u64) -> String {
+pub fn request_id(id: u64) -> String {
     format!("{id:016x}")
 }
 
 pub fn call(workload: &str, id: u64) -> String {
-    let mark = if workload == "hold" { "Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n" } else { "" };
+    let key_header = if workload == "hold" { "Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n" } else { "" };
     format!(
         "POST /do/{FUNCTION}/fire HTTP/1.1\r\nHost: app.svc\r\nX-Class: {workload}\r\nRequest-Id: {}\r\n\
-         Budget-Ms: 2000\r\nAccount: huts\r\nX-Extras: memory_mb:512;lanes:64;load_ms:100\r\n{mark}\
+         Budget-Ms: 2000\r\nAccount: huts\r\nX-Extras: memory_mb:512;lanes:64;load_ms:100\r\n{key_header}\
          Content-Length: 2\r\n\r\nhi",
-        name(id)
+        request_id(id)
     )
 }
 
-/// A model server's answer; a good one has the body "ok".
-pub fn word(verb: &str, id: u64) -> String {
+/// A model server's answer line with the body `ok`.
+pub fn answer_line(verb: &str, id: u64) -> String {
     format!(
         "{{\"verb\":\"{verb}\",\"rid\":\"{}\",\"attrs\":{{\"detail\":\"hit\",\"same\":3}},\
          \"content\":\"b2s=\"}}\n",
-        name(id)
+        request_id(id)
     )
 }
--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -1,5 +1,6 @@
-//! A node on real sockets, in the test's own thread, with model servers and clients played by hand.
-use super::{answer, call, file, name, start, word};
+//! Test fixture: a node on real sockets in the test's own thread, with the test acting as model servers and
+//! clients.
+use super::{answer_line, call, config_json, dns_answer, parse_config, request_id};
 use applepond_node::{Node, ProcessEvent};
 use applepond_platform::config::NodeConfig;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
@@ -11,11 +12,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A machine that the test looks into while a reactor hosts it, how many clients it was told of, and what is
-/// done once after bytes that it was told.
-struct Shared(Rc<RefCell<Node>>, Rc<Cell<usize>>, Amid);
+/// A node that the test can inspect while the reactor runs it. Holds the node, the number of accepted
+/// clients, and a hook that is run once, after the next received bytes.
+struct ObservedNode(Rc<RefCell<Node>>, Rc<Cell<usize>>, Hook);
 
-impl Machine for Shared {
+impl Machine for ObservedNode {
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.0.borrow_mut().start(now, transport);
     }
@@ -28,8 +29,8 @@
     }
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         self.0.borrow_mut().bytes(now, transport, conn, bytes);
-        if let Some(act) = self.2.borrow_mut().take() {
-            act();
+        if let Some(hook) = self.2.borrow_mut().take() {
+            hook();
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
@@ -49,19 +50,19 @@
     }
 }
 
-/// Longest wait for what a test waits for: beyond it the test has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a wait fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A model server's end of one connection.
+/// A model server's end of a connection.
 pub struct Peer {
     pub stream: TcpStream,
     pub text: String,
-    /// Questions whether the connection works that were answered.
+    /// Number of health checks that were answered.
     echoes: usize,
 }
 
 impl Peer {
-    /// Reads what is there; false once the router has ended.
+    /// Reads all available bytes. Returns false once the router has closed the connection.
     pub fn read(&mut self) -> bool {
         let mut buffer = [0; 64 * 1024];
         loop {
@@ -74,30 +75,32 @@
         }
     }
 
-    /// Reads a little of what is there.
-    pub fn sips(&mut self) {
+    /// Reads a small part of the available bytes.
+    pub fn read_some(&mut self) {
         let mut buffer = [0; 1024];
         if let Ok(n) = self.stream.read(&mut buffer) {
             self.text.push_str(std::str::from_utf8(&buffer[..n]).expect("lines are text"));
         }
     }
 
-    /// Bytes that the router has handed to its kernel: those read here, and those that wait at either end.
-    pub fn handed(&self) -> usize {
+    /// Bytes that the router's kernel has accepted: those read here, and those queued at either end.
+    pub fn bytes_sent_to(&self) -> usize {
         let (own, router) = (self.stream.local_addr(), self.stream.peer_addr());
-        let (own, router) = (hex(own.expect("connected")), hex(router.expect("connected")));
-        let waits = |row: &[String], at: usize| {
-            let bytes = row[4].split(':').nth(at).expect("two figures");
+        let (own, router) =
+            (proc_net_address(own.expect("connected")), proc_net_address(router.expect("connected")));
+        let queued = |row: &[String], index: usize| {
+            let bytes = row[4].split(':').nth(index).expect("two queue lengths");
             usize::from_str_radix(bytes, 16).expect("hex")
         };
-        let all = sockets();
-        let row =
-            |from: &str, to: &str| all.iter().find(|rig| rig[1] == from && rig[2] == to).expect("it stands");
-        self.text.len() + waits(row(&own, &router), 1) + waits(row(&router, &own), 0)
+        let all = tcp_table();
+        let row = |from: &str, to: &str| {
+            all.iter().find(|row| row[1] == from && row[2] == to).expect("open connection")
+        };
+        self.text.len() + queued(row(&own, &router), 1) + queued(row(&router, &own), 0)
     }
 
-    /// Reads, and tells how often it has been asked whether the connection works.
-    fn reads_echoes(&mut self) -> usize {
+    /// Reads all available bytes and returns the number of health checks received so far.
+    fn count_echoes(&mut self) -> usize {
         self.read();
         self.text.matches("\"ECHO\"").count().max(self.echoes)
     }
@@ -106,75 +109,82 @@
         self.stream.write_all(line.as_bytes()).expect("the router reads");
     }
 
-    /// How often it was told this of a request.
-    pub fn told(&self, verb: &str, id: u64) -> usize {
-        let is = |l: &&str| l.starts_with(&format!("{{\"verb\":\"{verb}\",\"rid\":\"{}\"", name(id)));
-        self.text.lines().filter(is).count()
+    /// How often a line with this verb was received for a request.
+    pub fn line_count(&self, verb: &str, id: u64) -> usize {
+        let matches =
+            |l: &&str| l.starts_with(&format!("{{\"verb\":\"{verb}\",\"rid\":\"{}\"", request_id(id)));
+        self.text.lines().filter(matches).count()
     }
 }
 
-/// Closes a client of a router that listens here and waits until its kernel knows of it.
-pub fn hang_up(at: SocketAddr, client: TcpStream) {
+/// Closes a client connection and waits until the kernel of the router at this address has processed it.
+pub fn hang_up(address: SocketAddr, client: TcpStream) {
     let own = client.local_addr().expect("connected");
     drop(client);
-    let end = Instant::now() + PATIENCE;
-    // Its own end, in the state that the peer has closed.
-    while sockets().iter().all(|row| row[1..4] != [&*hex(at), &*hex(own), "08"]) {
-        assert!(Instant::now() < end, "the end has not come");
+    let end = Instant::now() + WAIT_TIMEOUT;
+    // The router's end of the connection, in the state CLOSE_WAIT.
+    while tcp_table()
+        .iter()
+        .all(|row| row[1..4] != [&*proc_net_address(address), &*proc_net_address(own), "08"])
+    {
+        assert!(Instant::now() < end, "the router's kernel did not see the close in time");
     }
 }
 
-/// The kernel's table of connections, by columns: its own end, the peer's, state, bytes that wait.
-fn sockets() -> Vec<Vec<String>> {
+/// The rows of the kernel's table of TCP connections. Columns 1 to 4 are the local address, the peer's
+/// address, the state and the queue lengths.
+fn tcp_table() -> Vec<Vec<String>> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
     let row = |line: &str| line.split_whitespace().map(str::to_owned).collect();
     table.lines().skip(1).map(row).collect()
 }
 
-/// An address as that table has it.
-fn hex(at: SocketAddr) -> String {
-    match at {
-        SocketAddr::V4(at) => format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port()),
-        SocketAddr::V6(_) => unreachable!("IPv4 alone"),
+/// An address in the format of that table.
+fn proc_net_address(address: SocketAddr) -> String {
+    match address {
+        SocketAddr::V4(address) => {
+            format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
+        }
+        SocketAddr::V6(_) => unreachable!("the tests use IPv4 only"),
     }
 }
 
-/// Done once, amid a tick.
-pub type Amid = Rc<RefCell<Option<Box<dyn FnOnce()>>>>;
+/// A function that is run once, while the node handles an event.
+pub type Hook = Rc<RefCell<Option<Box<dyn FnOnce()>>>>;
 
-/// What model servers do between two turns.
+/// How the model servers behave between two turns of the reactor.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Doing {
-    /// They read, and say that their connections work.
-    Serves,
-    /// They read nothing and say all the same that they work.
-    Full,
-    /// They say nothing.
-    Mute,
-    /// They accept no connection.
-    Shut,
+pub enum ServerBehavior {
+    /// They read, and answer health checks.
+    Serving,
+    /// They read nothing, but send answers to health checks.
+    NotReading,
+    /// They send nothing.
+    Silent,
+    /// They accept no connections.
+    NotAccepting,
 }
 
-/// A router on real sockets that lives only while the test turns it: whatever clients and model servers do
-/// between two turns lies in the kernel when it looks, as after a standstill.
+/// A router on real sockets that runs only during [`SocketNode::turn`]. Whatever clients and model servers do
+/// between two turns is pending in the kernel when the router polls again, as after a pause of the process.
 pub struct SocketNode {
     pub reactor: Reactor,
     pub node: Rc<RefCell<Node>>,
-    /// Clients that were accepted so far.
+    /// Number of clients accepted so far.
     pub clients: Rc<Cell<usize>>,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub servers: Vec<TcpListener>,
     pub peers: Vec<Peer>,
-    pub names: UdpSocket,
-    pub file: Value,
+    pub name_service: UdpSocket,
+    pub config_json: Value,
     pub process_events: Rc<RefCell<Vec<ProcessEvent>>>,
-    pub over: Rc<Cell<bool>>,
-    /// Done once when the machine next asks for news: after sockets were read, amid its tick.
-    pub amid: Amid,
-    /// Done once after the next bytes that the machine is told, amid a batch.
-    pub between: Amid,
-    /// What model servers do.
-    pub doing: Doing,
+    pub exited: Rc<Cell<bool>>,
+    /// Run once during the node's next tick, after sockets have been read.
+    pub on_tick: Hook,
+    /// Run once after the next bytes that the node receives, within a batch of events.
+    pub after_bytes: Hook,
+    /// How the model servers behave.
+    pub server_behavior: ServerBehavior,
 }
 
 impl SocketNode {
@@ -186,190 +196,193 @@
 
     pub fn new(servers: u16, change: impl FnOnce(&mut Value)) -> Self {
         let listeners: Vec<_> =
-            (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-        Self::at(listeners, change)
+            (0..servers).map(|_| TcpListener::bind("127.0.0.1:0").expect("free port")).collect();
+        Self::with_servers(listeners, change)
     }
 
-    pub fn at(servers: Vec<TcpListener>, change: impl FnOnce(&mut Value)) -> Self {
-        let names = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        names.set_nonblocking(true).expect("set");
-        let mut file = file(servers.len() as u16);
-        file["listen"] = "127.0.0.1:0".into();
-        file["names"] = names.local_addr().expect("bound").to_string().into();
+    pub fn with_servers(servers: Vec<TcpListener>, change: impl FnOnce(&mut Value)) -> Self {
+        let name_service = UdpSocket::bind("127.0.0.1:0").expect("free port");
+        name_service.set_nonblocking(true).expect("socket option set");
+        let mut config_json = config_json(servers.len() as u16);
+        config_json["listen"] = "127.0.0.1:0".into();
+        config_json["names"] = name_service.local_addr().expect("bound").to_string().into();
         for (n, server) in servers.iter().enumerate() {
-            server.set_nonblocking(true).expect("set");
-            let at = server.local_addr().expect("bound").to_string();
-            file["known"]["updates"][0]["endpoints"]["members"][n]["host_port"] = at.into();
+            server.set_nonblocking(true).expect("socket option set");
+            let address = server.local_addr().expect("bound").to_string();
+            config_json["known"]["updates"][0]["endpoints"]["members"][n]["host_port"] = address.into();
         }
-        change(&mut file);
+        change(&mut config_json);
         let mut reactor = Reactor::new().expect("epoll");
-        let (process_events, over) =
+        let (process_events, exited) =
             (Rc::new(RefCell::new(Vec::<ProcessEvent>::new())), Rc::new(Cell::new(false)));
-        let amid: Amid = Rc::default();
-        let (told, ends, first) = (process_events.clone(), over.clone(), amid.clone());
+        let on_tick: Hook = Rc::default();
+        let (pending_events, exit_flag, hook) = (process_events.clone(), exited.clone(), on_tick.clone());
         let node = Node::new(
             reactor.now(),
-            start(&file),
+            parse_config(&config_json),
             Box::new(move || {
-                if let Some(act) = first.borrow_mut().take() {
-                    act();
+                if let Some(run) = hook.borrow_mut().take() {
+                    run();
                 }
-                told.borrow_mut().pop()
+                pending_events.borrow_mut().pop()
             }),
-            Box::new(move |_| ends.set(true)),
+            Box::new(move |_| exit_flag.set(true)),
         );
         let node = Rc::new(RefCell::new(node));
         let clients: Rc<Cell<usize>> = Rc::default();
-        let between: Amid = Rc::default();
-        reactor.add(Box::new(Shared(node.clone(), clients.clone(), between.clone())));
-        let at = node.borrow().local_address().expect("it listens");
+        let after_bytes: Hook = Rc::default();
+        reactor.add(Box::new(ObservedNode(node.clone(), clients.clone(), after_bytes.clone())));
+        let address = node.borrow().local_address().expect("the node listens");
         SocketNode {
             reactor,
             node,
             clients,
-            at,
+            address,
             servers,
             peers: Vec::new(),
-            names,
-            file,
+            name_service,
+            config_json,
             process_events,
-            over,
-            amid,
-            between,
-            doing: Doing::Serves,
+            exited,
+            on_tick,
+            after_bytes,
+            server_behavior: ServerBehavior::Serving,
         }
     }
 
     pub fn turn(&mut self) {
-        if self.over.get() {
-            // The process has ended.
+        if self.exited.get() {
+            // The node has exited.
             self.reactor.remove(0);
         }
         self.reactor.turn(Duration::from_millis(5)).expect("a turn");
-        self.accepts();
+        self.accept_connections();
         for peer in &mut self.peers {
-            let asked = match self.doing {
-                Doing::Serves => peer.reads_echoes(),
-                Doing::Full => peer.echoes + 1,
-                Doing::Mute | Doing::Shut => peer.echoes,
+            let received = match self.server_behavior {
+                ServerBehavior::Serving => peer.count_echoes(),
+                ServerBehavior::NotReading => peer.echoes + 1,
+                ServerBehavior::Silent | ServerBehavior::NotAccepting => peer.echoes,
             };
-            for _ in std::mem::replace(&mut peer.echoes, asked)..asked {
+            for _ in std::mem::replace(&mut peer.echoes, received)..received {
                 let _ = peer.stream.write_all(b"{\"verb\":\"UP\",\"rid\":\"works\"}\n");
             }
         }
     }
 
-    /// Model servers accept who has connected.
-    fn accepts(&mut self) {
-        for server in self.servers.iter().filter(|_| self.doing != Doing::Shut) {
+    /// Accepts pending connections at the model servers.
+    fn accept_connections(&mut self) {
+        for server in self.servers.iter().filter(|_| self.server_behavior != ServerBehavior::NotAccepting) {
             while let Ok((stream, _)) = server.accept() {
-                stream.set_nonblocking(true).expect("set");
+                stream.set_nonblocking(true).expect("socket option set");
                 self.peers.push(Peer { stream, text: String::new(), echoes: 0 });
             }
         }
     }
 
-    /// Nothing waits in the kernel: events come in the order in which they are made from now on.
-    pub fn quiet(&mut self) {
+    /// Lets the router handle everything pending in the kernel, so that later events are seen in their order.
+    pub fn settle(&mut self) {
         self.turn();
         self.turn();
     }
 
-    pub fn until(&mut self, what: &str, mut done: impl FnMut(&mut Self) -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Turns the reactor until `done` returns true. `what` describes the condition if the wait fails.
+    pub fn wait_until(&mut self, what: &str, mut done: impl FnMut(&mut Self) -> bool) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !done(self) {
-            assert!(Instant::now() < end, "did not come: {what}");
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             self.turn();
         }
     }
 
-    /// A client that the router has accepted.
+    /// Connects a client and waits until the router has accepted it.
     pub fn client(&mut self) -> TcpStream {
-        self.accepted(TcpStream::connect(self.at).expect("it listens"))
+        self.accepted(TcpStream::connect(self.address).expect("the node listens"))
     }
 
-    /// The same, whose kernel keeps few bytes for it.
+    /// Connects a client with a small receive buffer and waits until the router has accepted it.
     pub fn small_client(&mut self) -> TcpStream {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_recv_buffer_size(2048).and_then(|()| socket.set_tcp_mss(536)).expect("set");
-        socket.connect(&self.at.into()).expect("it listens");
+        socket.set_recv_buffer_size(2048).and_then(|()| socket.set_tcp_mss(536)).expect("socket option set");
+        socket.connect(&self.address.into()).expect("the node listens");
         self.accepted(socket.into())
     }
 
     fn accepted(&mut self, stream: TcpStream) -> TcpStream {
         let before = self.clients.get();
-        self.until("accepted", |rig| rig.clients.get() > before);
+        self.wait_until("accepted", |rig| rig.clients.get() > before);
         stream
     }
 
-    /// A client whose request a model server has, and on which connection.
-    pub fn carried(&mut self, workload: &str, id: u64) -> (TcpStream, usize) {
+    /// Connects a client that sends a call, and waits until a model server has received it. Returns the
+    /// client and the index of the server's connection.
+    pub fn send_call(&mut self, workload: &str, id: u64) -> (TcpStream, usize) {
         let mut client = self.client();
-        client.write_all(call(workload, id).as_bytes()).expect("it reads");
-        (client, self.carries(id))
+        client.write_all(call(workload, id).as_bytes()).expect("written");
+        (client, self.connection_of(id))
     }
 
-    /// Lets the router stand still: all that happens meanwhile lies in the kernel when it looks again.
-    pub fn stands_still(&self, time: Micros) {
+    /// Pauses the router. Everything that happens meanwhile is pending in the kernel when it polls again.
+    pub fn pause(&self, time: Micros) {
         std::thread::sleep(Duration::from_micros(time));
     }
 
-    /// The router runs on for so long, with nothing that it is told.
-    pub fn runs_for(&mut self, time: Micros) {
+    /// Runs the router for this time without further input.
+    pub fn run_for(&mut self, time: Micros) {
         let end = Instant::now() + Duration::from_micros(time);
-        self.until("time", |_| Instant::now() >= end);
+        self.wait_until("time", |_| Instant::now() >= end);
     }
 
-    pub fn leaves(&mut self) {
+    pub fn shut_down(&mut self) {
         self.process_events.borrow_mut().push(ProcessEvent::ShutDown);
     }
 
-    /// Reads so many answers with a body of 30,000 bytes on a connection that stays open.
-    pub fn reads_big(&mut self, client: &mut TcpStream, answers: usize) {
-        client.set_nonblocking(true).expect("set");
+    /// Reads this many answers with a body of 30,000 bytes each, on a connection that stays open.
+    pub fn read_large_answers(&mut self, client: &mut TcpStream, answers: usize) {
+        client.set_nonblocking(true).expect("socket option set");
         let mut all = Vec::new();
-        self.until("all answers", |_| {
+        self.wait_until("all answers", |_| {
             if let Err(e) = client.read_to_end(&mut all) {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock, "cut off after {} bytes", all.len());
             }
-            all.iter().filter(|sim| **sim == b'x').count() == 30_000 * answers
+            all.iter().filter(|byte| **byte == b'x').count() == 30_000 * answers
         });
     }
 
-    /// The connection on which a model server has been told to run this.
-    pub fn carries(&mut self, id: u64) -> usize {
-        let on = |rig: &SocketNode| rig.peers.iter().rposition(|peer| peer.told("DO", id) > 0);
-        self.until("sent on", |rig| on(rig).is_some());
-        on(self).expect("just seen")
+    /// Waits until a request has been sent. Returns the index of the last connection that carries it.
+    pub fn connection_of(&mut self, id: u64) -> usize {
+        let connection = |rig: &SocketNode| rig.peers.iter().rposition(|peer| peer.line_count("DO", id) > 0);
+        self.wait_until("request sent", |rig| connection(rig).is_some());
+        connection(self).expect("checked above")
     }
 
-    /// Which model server the first connection leads to; the router does not look meanwhile.
-    pub fn home(&mut self) -> usize {
+    /// Index of the model server of the first connection. Waits for that connection without a turn of the
+    /// router.
+    pub fn first_connected_server(&mut self) -> usize {
         while self.peers.is_empty() {
-            self.accepts();
+            self.accept_connections();
         }
         let at = self.peers[0].stream.local_addr().expect("connected");
-        let found = self.servers.iter().position(|server| server.local_addr().is_ok_and(|own| own == at));
-        found.expect("one of them")
+        let index = self.servers.iter().position(|server| server.local_addr().is_ok_and(|own| own == at));
+        index.expect("a model server of the test")
     }
 
-    /// One request from start to end, so that a connection to its model server stands.
-    pub fn served(&mut self, id: u64) {
-        let (mut client, connection) = self.carried("quote", id);
-        self.peers[connection].send(&word("OK", id));
-        client.set_nonblocking(true).expect("set");
+    /// Runs one request to completion, so that a connection to its model server is established.
+    pub fn complete_request(&mut self, id: u64) {
+        let (mut client, connection) = self.send_call("quote", id);
+        self.peers[connection].send(&answer_line("OK", id));
+        client.set_nonblocking(true).expect("socket option set");
         let mut all = Vec::new();
-        self.until("answered", |_| {
+        self.wait_until("answered", |_| {
             let _ = client.read_to_end(&mut all);
             all.ends_with(b"ok")
         });
     }
 
-    /// What a client still reads, up to the end of its connection.
-    pub fn rest(&mut self, mut client: TcpStream) -> String {
-        client.set_nonblocking(true).expect("set");
+    /// Reads from a client until the router closes the connection.
+    pub fn read_to_end(&mut self, mut client: TcpStream) -> String {
+        client.set_nonblocking(true).expect("socket option set");
         let mut all = Vec::new();
-        self.until("the end", |_| match client.read_to_end(&mut all) {
+        self.wait_until("end of connection", |_| match client.read_to_end(&mut all) {
             Ok(_) => true,
             Err(e) => {
                 assert_eq!(e.kind(), ErrorKind::WouldBlock, "cut off after {} bytes", all.len());
@@ -379,13 +392,13 @@
         String::from_utf8(all).expect("answers are text")
     }
 
-    /// Closes a client and waits until the router's kernel knows of it, without a turn.
-    pub fn hangs_up(&self, client: TcpStream) {
-        hang_up(self.at, client);
+    /// Closes a client and waits until the router's kernel has processed it, without a turn of the router.
+    pub fn hang_up(&self, client: TcpStream) {
+        hang_up(self.address, client);
     }
 
-    /// Ends the router, and all that model servers were ever told, connection by connection.
-    pub fn ends(mut self) -> Vec<Peer> {
+    /// Stops the router. Returns all connections of the model servers with everything received on them.
+    pub fn stop(mut self) -> Vec<Peer> {
         self.turn();
         let SocketNode { reactor, node, servers, mut peers, .. } = self;
         drop((reactor, node));
@@ -395,41 +408,42 @@
             }
         }
         for peer in &mut peers {
-            peer.stream.set_nonblocking(false).expect("set");
+            peer.stream.set_nonblocking(false).expect("socket option set");
             while peer.read() {}
         }
         peers
     }
 
-    /// Has the name service tell this list, as an event after all others, once it is asked.
-    pub fn update_list(&mut self, start: &NodeConfig) {
-        let mut question = [0; 512];
-        let mut asked = None;
-        // What was asked before is not waited for any more.
-        while self.names.recv_from(&mut question).is_ok() {}
-        self.until("a question", |rig| {
-            asked = rig.names.recv_from(&mut question).ok();
-            asked.is_some()
+    /// Waits for a query of the name service and answers it with this list, as a new event.
+    pub fn update_list(&mut self, config: &NodeConfig) {
+        let mut buffer = [0; 512];
+        let mut query = None;
+        // Discards earlier queries, which have timed out.
+        while self.name_service.recv_from(&mut buffer).is_ok() {}
+        self.wait_until("query", |rig| {
+            query = rig.name_service.recv_from(&mut buffer).ok();
+            query.is_some()
         });
-        let (_, from) = asked.expect("just seen");
-        let answer = answer(u16::from_be_bytes([question[0], question[1]]), 2, start);
-        self.names.send_to(&answer, from).expect("sent");
+        let (_, from) = query.expect("checked above");
+        let answer = dns_answer(u16::from_be_bytes([buffer[0], buffer[1]]), 2, config);
+        self.name_service.send_to(&answer, from).expect("sent");
     }
 }
 
-/// A model server whose kernel keeps few bytes, and the router's few for it: segments are small.
-pub fn small_server() -> TcpListener {
-    let server = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// A model server with a small receive buffer and small segments, so that the router's kernel buffers little
+/// for it.
+pub fn server_with_small_buffers() -> TcpListener {
+    let server = TcpListener::bind("127.0.0.1:0").expect("free port");
     let socket = SockRef::from(&server);
-    socket.set_recv_buffer_size(4096).and_then(|()| socket.set_tcp_mss(536)).expect("set");
+    socket.set_recv_buffer_size(4096).and_then(|()| socket.set_tcp_mss(536)).expect("socket option set");
     server
 }
 
-/// A model server whose queue of connections is full: those that come now do not stand.
-pub fn full_server() -> (TcpListener, Vec<TcpStream>) {
+/// A model server with a full accept queue, so that new connections are not established.
+pub fn server_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a port");
+    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("free port");
     let server = TcpListener::from(socket);
     let at = server.local_addr().expect("bound");
     let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
@@ -437,20 +451,20 @@
     (server, queue)
 }
 
-/// A good answer of 30,000 bytes, more than a small client's kernel takes.
-pub fn big(id: u64) -> String {
-    word("OK", id).replace("b2s=", &"eHh4".repeat(10_000))
+/// An answer line with a body of 30,000 bytes, more than the receive buffer of a small client holds.
+pub fn large_answer(id: u64) -> String {
+    answer_line("OK", id).replace("b2s=", &"eHh4".repeat(10_000))
 }
 
-/// How often model servers were told this of a request, over all connections.
-pub fn told(peers: &[Peer], verb: &str, id: u64) -> usize {
-    peers.iter().map(|peer| peer.told(verb, id)).sum()
+/// How often a line with this verb was received for a request, on all connections together.
+pub fn line_count(peers: &[Peer], verb: &str, id: u64) -> usize {
+    peers.iter().map(|peer| peer.line_count(verb, id)).sum()
 }
 
-/// Fills a connection to a model server that reads nothing: clients whose lines wait here, behind one that
-/// has left in part, and the next id.
-pub fn fills(rig: &mut SocketNode) -> (Vec<TcpStream>, u64) {
-    rig.doing = Doing::Full;
+/// Fills the connection to a model server that reads nothing. Returns the clients whose request lines are
+/// queued in the router behind a partially sent one, and the next unused request id.
+pub fn fill_connection(rig: &mut SocketNode) -> (Vec<TcpStream>, u64) {
+    rig.server_behavior = ServerBehavior::NotReading;
     let long = |id| {
         let head = call("quote", id).replace("Content-Length: 2", "Content-Length: 16000");
         head.replace("\r\n\r\nhi", &format!("\r\n\r\n{}", "y".repeat(16_000)))
@@ -460,30 +474,31 @@
     while clients.len() < 3 {
         let mut client = rig.client();
         client.write_all(long(next).as_bytes()).expect("written");
-        rig.until("connected", |rig| rig.peers.len() == 1);
+        rig.wait_until("connected", |rig| rig.peers.len() == 1);
         for _ in 0..20 {
-            rig.peers[0].send(&word("OK", next));
+            rig.peers[0].send(&answer_line("OK", next));
             rig.turn();
         }
-        // That answer is nobody's as long as its line has not begun to leave.
+        // The answer is ignored if no byte of the request's line has been sent.
         if rig.node.borrow().open_counts().requests > open + clients.len() {
             clients.push(client);
         }
         next += 1;
-        assert!(next < 100, "the connection takes all");
+        assert!(next < 100, "the connection does not fill up");
     }
     (clients, next)
 }
 
-/// A client that reads nothing, of forty requests that have been answered: most of it waits in the router.
-pub fn owed(rig: &mut SocketNode) -> TcpStream {
+/// A client that has sent forty requests, which have been answered, and reads nothing: most of the responses
+/// are still buffered in the router.
+pub fn client_with_unread_answers(rig: &mut SocketNode) -> TcpStream {
     let mut client = rig.small_client();
     let calls: String = (1..=40).map(|id| call("quote", id)).collect();
     client.write_all(calls.as_bytes()).expect("written");
     for id in 1..=40 {
-        let connection = rig.carries(id);
-        rig.peers[connection].send(&big(id));
+        let connection = rig.connection_of(id);
+        rig.peers[connection].send(&large_answer(id));
     }
-    rig.until("all answered", |rig| rig.node.borrow().open_counts().requests == 0);
+    rig.wait_until("all answered", |rig| rig.node.borrow().open_counts().requests == 0);
     client
 }
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Lines and header lines of both sides: callers and model servers read them by name.
+//! Snapshots of the lines sent to model servers and the responses sent to clients, which both parse by name.
 mod common;
 use common::*;
 
@@ -6,9 +6,9 @@
 fn a_call_and_its_answer() {
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("hold", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     let line = sim.transport.told(connection);
-    sim.send(connection, word("OK", 1).as_bytes());
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     let answer = sim.transport.told(client).replace("\r\n", "\n");
     insta::assert_snapshot!("answered", format!("{line}\n----\n{answer}"));
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -1,4 +1,4 @@
-//! One router on a simulated network: hard cases, each by what its peers see.
+//! One router on a simulated network. Each test checks what clients and model servers observe.
 mod common;
 use applepond_node::ProcessEvent;
 use applepond_reactor::Closed;
@@ -10,7 +10,7 @@
 fn a_call_is_sent_and_its_answer_returned() {
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("hold", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     let line = sim.transport.told(connection);
     for wanted in [
         r#""queue":"hold""#,
@@ -21,7 +21,7 @@
     ] {
         assert!(line.contains(wanted), "{wanted} in {line}");
     }
-    sim.send(connection, word("OK", 1).as_bytes());
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     assert_eq!(sim.statuses(client), [200]);
     assert!(sim.transport.told(client).ends_with("\r\n\r\nok"));
 }
@@ -34,16 +34,16 @@
     assert_eq!(sim.statuses(client), [200]);
 }
 
-// What has left on a lost connection may have run; what has not goes out on another.
+// An attempt sent on a lost connection may have run, so only an idempotent request is sent again.
 #[test_case("quote", &[], 2; "idempotent: once more, elsewhere")]
 #[test_case("confirm", &[502], 1; "at-most-once: may have run")]
-fn what_was_sent_on_a_lost_connection_may_have_run(workload: &str, told: &[u16], runs: usize) {
+fn what_was_sent_on_a_lost_connection_may_have_run(workload: &str, statuses: &[u16], runs: usize) {
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call(workload, 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     sim.disconnect(connection, Closed::Reset);
     sim.worker_connections();
-    assert_eq!((sim.statuses(client).as_slice(), sim.runs(1)), (told, runs));
+    assert_eq!((sim.statuses(client).as_slice(), sim.send_count(1)), (statuses, runs));
 }
 
 #[test]
@@ -52,12 +52,13 @@
     let client = sim.send_call("confirm", 1);
     let first = sim.transport.connects[0].0;
     sim.disconnect(first, Closed::Never);
-    let connection = sim.carries(1);
-    sim.send(connection, word("OK", 1).as_bytes());
-    assert_eq!((sim.statuses(client), sim.runs(1)), (vec![200], 1));
+    let connection = sim.connection_of(1);
+    sim.send(connection, answer_line("OK", 1).as_bytes());
+    assert_eq!((sim.statuses(client), sim.send_count(1)), (vec![200], 1));
 }
 
-// A line of which the kernel took nothing is taken back; one byte, and it may have run.
+// A line of which the kernel accepted no byte is withdrawn. If it accepted one byte, the request may have
+// run.
 #[test_case(0, 503; "nothing has left")]
 #[test_case(1, 502; "a byte has left, and the connection does not say that it works")]
 fn a_timed_out_line_of_which_nothing_was_sent_did_not_run(room: usize, status: u16) {
@@ -78,24 +79,27 @@
         sim.worker_connections();
     }
     let loads: Vec<usize> = sim.worker_connections().iter().map(|c| sim.lines(*c).len()).collect();
-    assert!(loads.iter().all(|n| *n <= 4), "a lost connection takes few along: {loads:?}");
-    assert!(loads.len() <= 4, "and they are not opened without need: {loads:?}");
+    assert!(loads.iter().all(|n| *n <= 4), "too many attempts share a connection: {loads:?}");
+    assert!(loads.len() <= 4, "too many connections were opened: {loads:?}");
 }
 
-// Other answers than the one asked for harm nothing.
-#[test_case("", &word("OK", 1); "a second copy")]
-#[test_case(&word("OK", 99), ""; "an unknown id ahead")]
+// Duplicate and unsolicited answers are ignored.
+#[test_case("", &answer_line("OK", 1); "a second copy")]
+#[test_case(&answer_line("OK", 99), ""; "an unknown id ahead")]
 #[test_case("{\"verb\":\"UP\",\"rid\":\"x\"}\n", ""; "an echo that nobody asked for")]
 fn answers_that_nobody_waits_for_change_nothing(ahead: &str, behind: &str) {
     let mut sim = SimulatedNode::new(1);
     let clients = [sim.send_call("confirm", 1), sim.send_call("confirm", 2)];
-    let connection = sim.carries(1);
-    sim.send(connection, format!("{ahead}{}{behind}{}", word("OK", 1), word("OK", 2)).as_bytes());
+    let connection = sim.connection_of(1);
+    sim.send(
+        connection,
+        format!("{ahead}{}{behind}{}", answer_line("OK", 1), answer_line("OK", 2)).as_bytes(),
+    );
     assert_eq!(clients.map(|c| sim.statuses(c)), [vec![200], vec![200]]);
     assert!(!sim.transport.cut.contains(&connection));
 }
 
-// What cannot be read ends the connection, and is not passed on.
+// An invalid line closes the connection and is not passed to the client.
 #[test_case(b"\x00\xff\x13\x37\n"; "noise")]
 #[test_case(b"{\"verb\":\"OK\",\"rid\":\"0000000000000001\",\"content\":\"b2s\"}\n"; "no base64")]
 #[test_case(b"{\"verb\":\"FINE\",\"rid\":\"0000000000000001\"}\n"; "an unknown word")]
@@ -103,20 +107,20 @@
 fn an_unreadable_line_ends_its_connection(bytes: &[u8]) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     sim.send(connection, bytes);
     assert!(sim.transport.cut.contains(&connection));
-    assert_eq!(sim.statuses(client), [502], "it may have run");
+    assert_eq!(sim.statuses(client), [502], "the request may have run");
 }
 
 #[test]
 fn a_request_is_cancelled_when_its_client_goes() {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     sim.disconnect(client, Closed::Reset);
-    assert_eq!(sim.lines(connection).last(), Some(&("UNDO".into(), name(1))));
-    sim.send(connection, word("OK", 1).as_bytes());
+    assert_eq!(sim.lines(connection).last(), Some(&("UNDO".into(), request_id(1))));
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     assert_eq!(sim.statuses(client), [0u16; 0]);
 }
 
@@ -125,41 +129,44 @@
     let mut sim = SimulatedNode::new(1);
     let (client, other) = (sim.send_call("quote", 1), sim.send_call("quote", 1));
     assert_eq!(sim.statuses(other), [409]);
-    let connection = sim.carries(1);
-    sim.send(connection, word("OK", 1).as_bytes());
-    assert_eq!((sim.statuses(client), sim.runs(1)), (vec![200], 1));
+    let connection = sim.connection_of(1);
+    sim.send(connection, answer_line("OK", 1).as_bytes());
+    assert_eq!((sim.statuses(client), sim.send_count(1)), (vec![200], 1));
 }
 
-// A connection that owes answers and says nothing is asked whether it works, and cut when it does not say so.
+// A silent connection with pending answers is sent a health check, and cut if it does not answer.
 #[test_case(true, &[]; "it works: the job is long")]
 #[test_case(false, &[502]; "it does not")]
-fn a_silent_connection_is_cut_unless_it_answers_the_health_check(works: bool, told: &[u16]) {
+fn a_silent_connection_is_cut_unless_it_answers_the_health_check(works: bool, statuses: &[u16]) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     sim.advance(300 * MS);
     assert_eq!(sim.lines(connection).last().map(|(verb, _)| verb.as_str()), Some("ECHO"));
     if works {
         sim.send(connection, b"{\"verb\":\"UP\",\"rid\":\"works\"}\n");
     }
     sim.advance(550 * MS);
-    assert_eq!((sim.statuses(client).as_slice(), sim.transport.cut.contains(&connection)), (told, !works));
+    assert_eq!(
+        (sim.statuses(client).as_slice(), sim.transport.cut.contains(&connection)),
+        (statuses, !works)
+    );
 }
 
 #[test]
 fn an_idle_connection_is_closed_before_its_server_does() {
     let mut sim = SimulatedNode::new(1);
     sim.send_call("quote", 1);
-    let connection = sim.carries(1);
-    sim.send(connection, word("OK", 1).as_bytes());
+    let connection = sim.connection_of(1);
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     sim.advance(11 * S);
     assert_eq!((sim.lines(connection).len(), sim.transport.cut.contains(&connection)), (1, false));
     sim.advance(S);
     assert!(sim.transport.cut.contains(&connection));
 }
 
-// Where there are too many connections, whoever has just come may still ask: the longest silent goes, else
-// the longest idle, never one whose request is open.
+// With too many connections, a new client can still send its request: the connection that has been silent
+// longest is closed, else the one idle longest, never one with an open request.
 #[test_case(0; "all others asked once and stay")]
 #[test_case(100; "some never ask")]
 fn the_longest_silent_connection_makes_room(silent: usize) {
@@ -174,15 +181,15 @@
     sim.advance(300 * MS);
     let fresh: Vec<_> = (0..50).map(|_| sim.connect_client()).collect();
     for (conn, id) in fresh.iter().zip(2_000..) {
-        assert!(!sim.transport.cut.contains(conn), "it has just come");
+        assert!(!sim.transport.cut.contains(conn), "a new connection must not be cut");
         sim.send(*conn, call("quote", id).as_bytes());
     }
     let first = mute.first().copied();
     assert!(first.is_none_or(|c| sim.transport.cut.contains(&c)) && !sim.transport.cut.contains(&open));
 }
 
-// After the word to stop: what comes is served and the last on its connection, and the process ends once
-// nothing is held.
+// After a shutdown request, further calls are served and close their connections. The node exits once all
+// clients have disconnected.
 #[test]
 fn a_shutdown_serves_what_comes_and_awaits_its_clients() {
     let mut sim = SimulatedNode::new(1);
@@ -193,107 +200,111 @@
     let late = sim.send_call("quote", 2);
     sim.advance(500 * MS);
     for id in [1, 2] {
-        let connection = sim.carries(id);
-        sim.send(connection, word("OK", id).as_bytes());
+        let connection = sim.connection_of(id);
+        sim.send(connection, answer_line("OK", id).as_bytes());
     }
     for client in [early, late] {
         assert_eq!(sim.statuses(client), [200]);
         assert!(sim.transport.told(client).contains("Connection: close"));
     }
-    assert!(!sim.over.get(), "new calls may still come");
+    assert!(!sim.exited.get(), "new calls may still come");
     sim.advance(S);
-    assert!(!sim.over.get(), "the clients have not taken their answers yet");
+    assert!(!sim.exited.get(), "the clients have not closed their connections yet");
     sim.disconnect(early, Closed::Ended);
     sim.advance(100 * MS);
-    assert!(!sim.over.get(), "one still has not");
+    assert!(!sim.exited.get(), "one client is still connected");
     sim.disconnect(late, Closed::Ended);
     sim.advance(100 * MS);
-    assert!(sim.over.get());
+    assert!(sim.exited.get());
 }
 
 #[test]
 fn a_shutdown_waits_for_requests_in_flight() {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.carries(1);
+    let connection = sim.connection_of(1);
     sim.process_events.borrow_mut().push(ProcessEvent::ShutDown);
     for _ in 0..3 {
         sim.advance(400 * MS);
         sim.send(connection, b"{\"verb\":\"UP\",\"rid\":\"works\"}\n");
     }
-    assert!(!sim.over.get());
-    sim.send(connection, word("OK", 1).as_bytes());
+    assert!(!sim.exited.get());
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     sim.advance(100 * MS);
-    assert!(!sim.over.get() && sim.transport.finished.contains(&client), "its answer is still on the way");
+    assert!(
+        !sim.exited.get() && sim.transport.finished.contains(&client),
+        "its response may still be in transit"
+    );
     sim.advance(2 * S);
-    assert!(sim.over.get(), "and who never takes it is not waited for without end");
+    assert!(sim.exited.get(), "the wait for a client that never closes is bounded");
 }
 
-// A new configuration moves the name service; one that cannot be read changes nothing.
+// A new configuration changes the address of the name service. An invalid one changes nothing.
 #[test_case(true, "127.0.2.9:5301"; "moved")]
 #[test_case(false, "127.0.2.1:5300"; "cannot be read")]
-fn a_new_configuration_moves_the_name_service(good: bool, asked: &str) {
+fn a_new_configuration_moves_the_name_service(good: bool, queried: &str) {
     let mut sim = SimulatedNode::new(1);
-    let mut new = file(1);
+    let mut new = config_json(1);
     new["names"] = "127.0.2.9:5301".into();
     let new = if good {
-        Ok(Box::new(start(&new)))
+        Ok(Box::new(parse_config(&new)))
     } else {
         Err(applepond_platform::errors::InputError::InvalidJson(String::new()))
     };
     sim.process_events.borrow_mut().push(ProcessEvent::ConfigReplaced(new));
     sim.advance(S);
-    assert_eq!(sim.transport.datagrams.last().map(|(_, to, _)| to.to_string()), Some(asked.to_owned()));
+    assert_eq!(sim.transport.datagrams.last().map(|(_, to, _)| to.to_string()), Some(queried.to_owned()));
     let client = sim.send_call("quote", 1);
-    let connection = sim.carries(1);
-    sim.send(connection, word("OK", 1).as_bytes());
+    let connection = sim.connection_of(1);
+    sim.send(connection, answer_line("OK", 1).as_bytes());
     assert_eq!(sim.statuses(client), [200]);
 }
 
-// The name service is asked again soon, with another id, until a newer list comes.
+// A query without an answer is repeated soon, with a new id from a new port.
 #[test]
 fn a_lost_answer_of_the_name_service_is_queried_again() {
     let mut sim = SimulatedNode::new(1);
     sim.advance(S);
-    let asked: Vec<_> =
+    let queries: Vec<_> =
         sim.transport.datagrams.iter().map(|(conn, _, bytes)| (*conn, bytes[..2].to_vec())).collect();
-    assert!((4..=8).contains(&asked.len()), "{}", asked.len());
-    assert!(asked.windows(2).all(|w| w[0].0 != w[1].0 && w[0].1 != w[1].1), "from new ports, with new ids");
-    assert!(asked[..asked.len() - 1].iter().all(|(conn, _)| sim.transport.cut.contains(conn)));
+    assert!((4..=8).contains(&queries.len()), "{}", queries.len());
+    assert!(queries.windows(2).all(|w| w[0].0 != w[1].0 && w[0].1 != w[1].1), "from new ports, with new ids");
+    assert!(queries[..queries.len() - 1].iter().all(|(conn, _)| sim.transport.cut.contains(conn)));
 }
 
-// Rule 3 and the identity of servers, by what the list says next.
+// Rule 3 and the identity of servers: one that drains, is gone or is replaced by another at the same address
+// receives no new requests, while its requests in flight complete.
 #[test_case(|list| list[0]["phase"] = "terminating".into(), true; "draining")]
 #[test_case(|list| list[0]["phase"] = "terminated".into(), true; "gone")]
 #[test_case(|list| list[0]["id"] = "s-new".into(), false; "a new one at the old address")]
 fn a_server_that_drains_or_is_replaced_gets_nothing_new(change: fn(&mut serde_json::Value), ends: bool) {
     let mut sim = SimulatedNode::new(1);
     let first = sim.send_call("quote", 1);
-    let connection = sim.carries(1);
-    let mut file = file(1);
-    change(&mut file["known"]["updates"][0]["endpoints"]["members"]);
-    sim.update_list(&start(&file));
-    sim.send(connection, word("OK", 1).as_bytes());
-    assert_eq!(sim.statuses(first), [200], "what is out may come to its end");
+    let connection = sim.connection_of(1);
+    let mut config_json = config_json(1);
+    change(&mut config_json["known"]["updates"][0]["endpoints"]["members"]);
+    sim.update_list(&parse_config(&config_json));
+    sim.send(connection, answer_line("OK", 1).as_bytes());
+    assert_eq!(sim.statuses(first), [200], "requests in flight complete");
     sim.advance(100 * MS);
-    assert!(sim.transport.cut.contains(&connection), "and then its connection goes");
+    assert!(sim.transport.cut.contains(&connection), "and then the connection is closed");
     sim.send_call("quote", 2);
     sim.worker_connections();
-    assert_eq!(sim.runs(2), usize::from(!ends));
-    assert!(ends || sim.carries(2) != connection);
+    assert_eq!(sim.send_count(2), usize::from(!ends));
+    assert!(ends || sim.connection_of(2) != connection);
 }
 
-// What waits for a connection to a server that is drained meanwhile is taken back.
+// An attempt that waits for a connection is withdrawn if its server is drained meanwhile.
 #[test]
 fn nothing_is_sent_to_a_server_that_drains_while_it_is_connected() {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let mut file = file(1);
-    file["known"]["updates"][0]["endpoints"]["members"][0]["phase"] = "terminating".into();
-    sim.update_list(&start(&file));
+    let mut config_json = config_json(1);
+    config_json["known"]["updates"][0]["endpoints"]["members"][0]["phase"] = "terminating".into();
+    sim.update_list(&parse_config(&config_json));
     sim.worker_connections();
     sim.advance(2 * S);
-    assert_eq!((sim.runs(1), sim.statuses(client)), (0, vec![503]));
+    assert_eq!((sim.send_count(1), sim.statuses(client)), (0, vec![503]));
 }
 
 #[test]
@@ -305,7 +316,7 @@
     assert!(clients.iter().all(|c| sim.transport.cut.contains(c)));
 }
 
-// Many ids, functions and servers: what is kept of each goes with it.
+// Runs many requests, each with its own id and function. No state may remain after they have ended.
 #[test]
 fn nothing_is_kept_of_what_has_ended() {
     let mut sim = SimulatedNode::new(4);
@@ -314,9 +325,9 @@
         for n in 0..50 {
             let id = round * 50 + n;
             let client = sim.connect_client();
-            sim.send(client, call("quote", id).replace(FUNCTION, &name(id)).as_bytes());
-            let connection = sim.carries(id);
-            sim.send(connection, word("OK", id).as_bytes());
+            sim.send(client, call("quote", id).replace(FUNCTION, &request_id(id)).as_bytes());
+            let connection = sim.connection_of(id);
+            sim.send(connection, answer_line("OK", id).as_bytes());
             assert_eq!(sim.statuses(client), [200]);
             sim.disconnect(client, Closed::Reset);
             sim.advance(20 * MS);
@@ -336,7 +347,7 @@
     );
 }
 
-// A connection that takes nothing is cut also when nobody waits for it any more.
+// A blocked connection is cut even if its only request has been cancelled.
 #[test]
 fn a_connection_that_takes_nothing_is_cut() {
     let mut sim = SimulatedNode::new(1);
@@ -350,28 +361,29 @@
     assert!(sim.transport.cut.contains(&connection));
 }
 
-// The events of the start tell that a model server has gone, and not where it was.
+// In the configuration's list events, a server that is gone may have no address.
 #[test]
 fn a_gone_server_needs_no_address() {
-    let mut file = file(2);
+    let mut config_json = config_json(2);
     let gone = json!({"index": 2, "endpoints": {"members": [{"id": "s-1", "phase": "terminated"}]}});
-    file["known"]["updates"].as_array_mut().expect("events").push(gone);
-    let sim = SimulatedNode::with(&file);
+    config_json["known"]["updates"].as_array_mut().expect("events").push(gone);
+    let sim = SimulatedNode::with(&config_json);
     assert_eq!(sim.node.open_counts().workers, 1);
 }
 
-// The list of the start names no cells: no two model servers are in the same one, as far as is known.
+// Servers without a cell in the configuration's list must not be treated as sharing one.
 #[test]
 fn servers_without_a_cell_share_none() {
-    let mut file = file(2);
-    for member in file["known"]["updates"][0]["endpoints"]["members"].as_array_mut().expect("two") {
+    let mut config_json = config_json(2);
+    for member in config_json["known"]["updates"][0]["endpoints"]["members"].as_array_mut().expect("two") {
         member.as_object_mut().expect("an entry").remove("cell");
     }
-    let racks: Vec<_> = start(&file).list_events[0].1.iter().map(|worker| worker.endpoint.rack).collect();
+    let racks: Vec<_> =
+        parse_config(&config_json).list_events[0].1.iter().map(|worker| worker.endpoint.rack).collect();
     assert_ne!(racks[0], racks[1]);
 }
 
-// No descriptor is left for a question to the name service: what is known has to do.
+// No descriptor is available for a query of the name service. The node continues with the current list.
 #[test]
 fn the_known_list_holds_without_a_descriptor_for_a_query() {
     let mut sim = SimulatedNode::new(1);
@@ -379,5 +391,5 @@
     sim.advance(5 * S);
     sim.send_call("quote", 1);
     sim.worker_connections();
-    assert_eq!(sim.runs(1), 1);
+    assert_eq!(sim.send_count(1), 1);
 }
--- a/crates/node/tests/shutdown.rs
+++ b/crates/node/tests/shutdown.rs
@@ -1,9 +1,9 @@
-//! What a process that shuts down owes its clients, and delivers.
+//! Shutdown: all clients are answered, and their responses are delivered.
 //!
-//! Each case runs the node on real sockets: the bad order lies in the kernel before the router looks. The
-//! rows of docs/ends.md name these cases.
+//! Each test runs the node on real sockets and brings events into an unfavourable order in the kernel before
+//! the router polls. docs/ends.md lists these tests by name.
 mod common;
-use common::sockets::{SocketNode, big, owed};
+use common::sockets::{SocketNode, client_with_unread_answers, large_answer};
 use common::*;
 use std::cell::RefCell;
 use std::io::Write;
@@ -11,100 +11,101 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-// An answer is in the router's own buffer when the time to end has come.
+// A response is still in the router's buffer when the grace period is over. The node waits for the client.
 #[test]
 fn a_shutdown_awaits_clients_that_still_take_their_answers() {
     let mut rig = SocketNode::new(1, |_| ());
-    let mut client = owed(&mut rig);
-    rig.leaves();
+    let mut client = client_with_unread_answers(&mut rig);
+    rig.shut_down();
     let begun = Instant::now();
-    rig.until("1.2 s", |rig| rig.over.get() || begun.elapsed() > Duration::from_millis(1200));
-    assert!(!rig.over.get(), "it still owes");
-    rig.reads_big(&mut client, 40);
+    rig.wait_until("1.2 s", |rig| rig.exited.get() || begun.elapsed() > Duration::from_millis(1200));
+    assert!(!rig.exited.get(), "responses are still undelivered");
+    rig.read_large_answers(&mut client, 40);
     drop(client);
-    rig.until("the end", |rig| rig.over.get());
+    rig.wait_until("exit", |rig| rig.exited.get());
 }
 
-// Bytes that come between the last look at the sockets and the end of the process would turn its close into a
-// reset, which takes the rest of the answer along: the connection is ended first, the client's end awaited.
+// If bytes arrive between the last poll of the sockets and the exit, closing the socket causes a reset, which
+// discards the rest of the response. The router must shut down its side first and wait for the client's
+// close.
 #[test]
 fn a_shutdown_with_unread_bytes_delivers_its_answers() {
     let mut rig = SocketNode::new(1, |_| ());
     let mut client = rig.small_client();
     client.write_all(call("quote", 1).as_bytes()).expect("written");
-    let connection = rig.carries(1);
-    rig.leaves();
+    let connection = rig.connection_of(1);
+    rig.shut_down();
     let begun = Instant::now();
-    rig.until("1 s", |_| begun.elapsed() > Duration::from_secs(1));
+    rig.wait_until("1 s", |_| begun.elapsed() > Duration::from_secs(1));
     let mut more = client.try_clone().expect("a descriptor");
-    *rig.amid.borrow_mut() = Some(Box::new(move || more.write_all(b"more").expect("it stands")));
-    rig.peers[connection].send(&big(1));
-    rig.until("the tick", |rig| rig.amid.borrow().is_none());
-    rig.quiet();
-    let answer = rig.rest(client);
+    *rig.on_tick.borrow_mut() = Some(Box::new(move || more.write_all(b"more").expect("open connection")));
+    rig.peers[connection].send(&large_answer(1));
+    rig.wait_until("tick", |rig| rig.on_tick.borrow().is_none());
+    rig.settle();
+    let answer = rig.read_to_end(client);
     assert!(answer.starts_with("HTTP/1.1 200") && answer.matches('x').count() == 30_000, "{}", answer.len());
-    rig.until("the end", |rig| rig.over.get());
+    rig.wait_until("exit", |rig| rig.exited.get());
 }
 
-// Clients connect and ask between the router's look at the sockets and its tick, up to the one in which it
-// stops listening: each is answered.
+// Clients connect and send requests between the router's poll of the sockets and its tick, up to the tick in
+// which it stops listening. All of them must be answered.
 #[test]
 fn a_shutdown_answers_clients_in_the_accept_queue() {
     let mut rig = SocketNode::new(1, |_| ());
-    rig.served(1);
-    rig.leaves();
-    let asked: Rc<RefCell<Vec<TcpStream>>> = Rc::default();
+    rig.complete_request(1);
+    rig.shut_down();
+    let clients: Rc<RefCell<Vec<TcpStream>>> = Rc::default();
     let (mut next, mut served) = (2, 2);
     while rig.node.borrow().local_address().is_some() || served < next {
-        if rig.amid.borrow().is_none() && rig.node.borrow().local_address().is_some() {
-            let (at, id, asked) = (rig.at, next, asked.clone());
-            *rig.amid.borrow_mut() = Some(Box::new(move || {
-                let mut client = TcpStream::connect(at).expect("it listens");
+        if rig.on_tick.borrow().is_none() && rig.node.borrow().local_address().is_some() {
+            let (at, id, clients) = (rig.address, next, clients.clone());
+            *rig.on_tick.borrow_mut() = Some(Box::new(move || {
+                let mut client = TcpStream::connect(at).expect("the node listens");
                 client.write_all(call("quote", id).as_bytes()).expect("written");
-                asked.borrow_mut().push(client);
+                clients.borrow_mut().push(client);
             }));
             next += 1;
         }
         rig.turn();
-        if served as usize - 2 < asked.borrow().len() {
-            let connection = rig.carries(served);
-            rig.peers[connection].send(&word("OK", served));
+        if served as usize - 2 < clients.borrow().len() {
+            let connection = rig.connection_of(served);
+            rig.peers[connection].send(&answer_line("OK", served));
             served += 1;
         }
     }
-    let asked = asked.take();
-    assert!(asked.len() > 10, "{}", asked.len());
-    for client in asked {
-        let answer = rig.rest(client);
+    let clients = clients.take();
+    assert!(clients.len() > 10, "{}", clients.len());
+    for client in clients {
+        let answer = rig.read_to_end(client);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    rig.until("the end", |rig| rig.over.get());
+    rig.wait_until("exit", |rig| rig.exited.get());
 }
 
-// The one client of a quiet router connects and asks amid the very tick in which the router stops listening:
-// nobody else is there, and nothing seems to be owed.
+// The only client of an idle router connects and sends a request during the tick in which the router stops
+// listening, when no request or client is known to the router.
 #[test]
 fn a_shutdown_answers_a_client_that_connects_in_its_last_tick() {
     let mut rig = SocketNode::new(1, |_| ());
-    rig.served(1);
-    rig.leaves();
-    rig.until("told to, and nobody is there", |rig| {
+    rig.complete_request(1);
+    rig.shut_down();
+    rig.wait_until("shutdown requested, and no clients", |rig| {
         rig.process_events.borrow().is_empty() && rig.node.borrow().open_counts().clients == 0
     });
-    let at = rig.at;
-    let asked: Rc<RefCell<Option<TcpStream>>> = Rc::default();
-    let put = asked.clone();
-    *rig.amid.borrow_mut() = Some(Box::new(move || {
-        let mut client = TcpStream::connect(at).expect("it listens");
+    let at = rig.address;
+    let last_client: Rc<RefCell<Option<TcpStream>>> = Rc::default();
+    let slot = last_client.clone();
+    *rig.on_tick.borrow_mut() = Some(Box::new(move || {
+        let mut client = TcpStream::connect(at).expect("the node listens");
         client.write_all(call("quote", 2).as_bytes()).expect("written");
-        *put.borrow_mut() = Some(client);
+        *slot.borrow_mut() = Some(client);
     }));
-    rig.stands_still(1_000 * MS);
-    rig.until("the tick", |rig| rig.node.borrow().local_address().is_none());
-    assert!(!rig.over.get(), "it owes an answer");
-    let connection = rig.carries(2);
-    rig.peers[connection].send(&word("OK", 2));
-    let answer = rig.rest(asked.take().expect("it has connected"));
+    rig.pause(1_000 * MS);
+    rig.wait_until("tick", |rig| rig.node.borrow().local_address().is_none());
+    assert!(!rig.exited.get(), "a response is pending");
+    let connection = rig.connection_of(2);
+    rig.peers[connection].send(&answer_line("OK", 2));
+    let answer = rig.read_to_end(last_client.take().expect("the client has connected"));
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    rig.until("the end", |rig| rig.over.get());
+    rig.wait_until("exit", |rig| rig.exited.get());
 }
