--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -1,5 +1,5 @@
-//! Lines of model servers, calls of clients, the configuration and answers of the name service: what is read,
-//! and what is not taken.
+//! Codecs of the line protocol, client calls, name service answers and the configuration: valid input is
+//! decoded, invalid input is rejected.
 use applepond::interface::{
     AttemptResult, CustomerId, LoadState, Micros, Outcome, RackId, RequestArrival, StartupConfig,
     WorkerStatus, ZoneId,
@@ -14,10 +14,11 @@
 
 // ---- Lines -----------------------------------------------------------------------------------
 
+/// The answers received, and the number of health checks answered.
 #[derive(Default)]
-struct Answers(Vec<(String, AttemptResult, Vec<u8>)>, usize);
+struct ReceivedLines(Vec<(String, AttemptResult, Vec<u8>)>, usize);
 
-impl line::LineHandler for Answers {
+impl line::LineHandler for ReceivedLines {
     fn answer(&mut self, id: &str, answer: AttemptResult, body: Vec<u8>) {
         self.0.push((id.into(), answer, body));
     }
@@ -29,13 +30,13 @@
 type Answer = (Outcome, LoadState, u32, Option<f64>, Option<f64>, Vec<u8>);
 
 fn read_answer(line: &str) -> Option<Answer> {
-    let mut answers = Answers::default();
-    line::read(line.as_bytes(), &mut answers).ok()?;
-    let (_, a, body) = answers.0.pop()?;
+    let mut received = ReceivedLines::default();
+    line::read(line.as_bytes(), &mut received).ok()?;
+    let (_, a, body) = received.0.pop()?;
     Some((a.outcome, a.load_state, a.same_function_in_flight, a.reported_in_flight, a.reported_loads, body))
 }
 
-// Reports come under the names that the settings give them, which are not those of the protocol's example.
+// Load reports use the names from the settings, which differ from those in the protocol's example.
 #[test_case(
     r#"{"verb":"OK","rid":"a","attrs":{"detail":"hit","same":"3","use":"x1:2;concurrent:7"},
         "content":"b2s="}"#,
@@ -50,8 +51,8 @@
     (Outcome::Error, LoadState::LoadPending, 0, None, None, vec![]); "a report that is none")]
 #[test_case(r#"{"verb":"VOID","rid":"a"}"#,
     (Outcome::Superseded, LoadState::Unreported, 0, None, None, vec![]); "void")]
-fn an_answer_line(line: &str, want: Answer) {
-    assert_eq!(read_answer(line), Some(want));
+fn answer_lines_are_decoded(line: &str, expected: Answer) {
+    assert_eq!(read_answer(line), Some(expected));
 }
 
 #[test_case(""; "empty")]
@@ -60,23 +61,23 @@
 #[test_case(r#"{"verb":"OK","content":""}"#; "no id")]
 #[test_case(r#"{"verb":"FINE","rid":"a"}"#; "unknown word")]
 #[test_case(r#"{"verb":"OK","rid":"a","content":"b2s"}"#; "no base64")]
-fn a_line_that_is_no_answer(line: &str) {
-    assert!(line::read(line.as_bytes(), &mut Answers::default()).is_err());
+fn invalid_answer_lines_are_rejected(line: &str) {
+    assert!(line::read(line.as_bytes(), &mut ReceivedLines::default()).is_err());
 }
 
 #[test]
-fn a_line_that_runs_a_request() {
+fn a_run_line_has_all_attributes() {
     let mut out = line::run_head("9b1f", "call", "7f3a", Some("5c"));
     line::run_tail(&mut out, 1500, b"\x00\xff!");
     let line: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
-    let want = serde_json::json!({"verb": "DO", "rid": "9b1f", "content": "AP8h",
+    let expected = serde_json::json!({"verb": "DO", "rid": "9b1f", "content": "AP8h",
         "attrs": {"queue": "call", "path": "7f3a", "uniq": "5c", "budget": 1500}});
-    assert_eq!((line, out.last()), (want, Some(&b'\n')));
+    assert_eq!((line, out.last()), (expected, Some(&b'\n')));
 }
 
 // ---- Calls -----------------------------------------------------------------------------------
 
-const GOOD: &str = "POST /do/7f3a9c21e0b4d655/fire HTTP/1.1\r\nHost: a\r\nX-Class: hold\r\n\
+const VALID_CALL: &str = "POST /do/7f3a9c21e0b4d655/fire HTTP/1.1\r\nHost: a\r\nX-Class: hold\r\n\
     Request-Id: 9b1f03aa5c7e2d41\r\nBudget-Ms: 1500\r\nAccount: huts\r\nAttempt-Again: 1\r\n\
     Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nX-Extras: memory_mb:512;lanes:2;load_ms:80.5\r\n\
     Content-Length: 2\r\n\r\nhi";
@@ -86,12 +87,12 @@
         "lanes": [{"name": "quote", "idempotency": "idempotent", "on-time": 1},
             {"name": "hold", "idempotency": "deduplicated", "group": "all", "window": 3000, "on-time": 1}],
         "projects": [{"name": "huts", "quota-per-s": 4}]});
-    let names = ConfigNames::read(&settings).expect("good settings");
-    (names, startup_config(&settings, 1).expect("good settings"), vec![1_600_000; 2])
+    let names = ConfigNames::read(&settings).expect("valid settings");
+    (names, startup_config(&settings, 1).expect("valid settings"), vec![1_600_000; 2])
 }
 
-/// A request, its head and body; an error is the status of what is no call.
-fn asked(request: &str) -> Result<(RequestArrival, Vec<u8>, Vec<u8>), u16> {
+/// The arrival, line head and body of a call, or the status of the response to an invalid one.
+fn decode_call(request: &str) -> Result<(RequestArrival, Vec<u8>, Vec<u8>), u16> {
     let (names, config, deadlines) = config();
     let mut parsed = ParsedRequest::default();
     let mut decoder = Decoder::new(Side::Server, 8192, MAX_BODY_BYTES);
@@ -109,8 +110,8 @@
 }
 
 #[test]
-fn a_call() {
-    let (arrival, head, body) = asked(GOOD).expect("a good call");
+fn a_valid_call_is_decoded() {
+    let (arrival, head, body) = decode_call(VALID_CALL).expect("a valid call");
     assert_eq!(
         (id_text(&arrival.request), arrival.workload.0, body),
         ("9b1f03aa5c7e2d41", 1, b"hi".to_vec())
@@ -142,13 +143,15 @@
 #[test_case("Content-Length: 2", "Content-Length: -2", 400; "negative length")]
 #[test_case("Content-Length: 2", "Content-Length: 60000000", 413; "a huge body, on its head")]
 #[test_case("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked", 400; "two lengths")]
-fn a_request_that_is_no_call(old: &str, new: &str, status: u16) {
-    assert!(GOOD.contains(old));
-    assert_eq!(asked(&GOOD.replace(old, new)).err(), Some(status));
+fn invalid_calls_are_rejected(old: &str, new: &str, status: u16) {
+    assert!(VALID_CALL.contains(old));
+    assert_eq!(decode_call(&VALID_CALL.replace(old, new)).err(), Some(status));
 }
 
 // ---- The name service ------------------------------------------------------------------------
 
+/// A model server in an answer: its host name, SRV priority, TXT attribute for the start time, and whether it
+/// has a TXT record.
 struct Entry(&'static str, u16, &'static str, bool);
 
 fn reply(serial: Option<u32>, entries: &[Entry], change: impl FnOnce(&mut Packet)) -> Vec<u8> {
@@ -156,11 +159,11 @@
     packet.set_flags(PacketFlag::RESPONSE);
     let record =
         |name: &'static str, data| ResourceRecord::new(Name::new_unchecked(name), CLASS::IN, 0, data);
-    for Entry(target, priority, started, whole) in entries {
+    for Entry(target, priority, started, has_txt) in entries {
         let srv = SRV { priority: *priority, weight: 1305, port: 8443, target: Name::new_unchecked(target) };
         packet.answers.push(record("_rpc._tcp.mesh.local", RData::SRV(srv)));
         packet.additional_records.push(record(target, RData::A(A { address: 0x0a01_0009 })));
-        if *whole {
+        if *has_txt {
             let txt = TXT::new().with_string("kind=std").and_then(|t| t.with_string("cell=2"));
             let txt = txt.and_then(|t| t.with_string(started)).expect("short texts");
             packet.additional_records.push(record(target, RData::TXT(txt)));
@@ -185,9 +188,9 @@
 const ONE: Entry = Entry("s-00c41f7a.room-2.hosts", 0, "started=5", true);
 
 #[test]
-fn a_list() {
+fn a_list_is_decoded() {
     let bytes = reply(Some(41), &[ONE, Entry("s-2.room-1.hosts", 1, "started=0", true)], |_| ());
-    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a good answer");
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a valid answer");
     assert_eq!((list.index, list.workers.len(), list.left_out), (41, 2, 0));
     let first = &list.workers[0];
     assert_eq!((first.name.as_str(), first.address.to_string()), ("s-00c41f7a", "10.1.0.9:8443".into()));
@@ -198,13 +201,13 @@
 }
 
 #[test]
-fn an_entry_without_its_records_is_left_out() {
+fn a_server_without_its_records_is_left_out() {
     let bytes = reply(Some(41), &[Entry("s-3.room-1.hosts", 0, "started=0", false), ONE], |_| ());
-    let list = name_service::read_answer(&bytes, 7, &config().0).expect("the rest is good");
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a valid answer");
     assert_eq!((list.workers.len(), list.left_out), (1, 1));
 }
 
-// One whose cell is not given shares with nobody what it has seen: not with another such, nor with cell 0.
+// A server without a cell must not be treated as sharing one: not with another such server, nor with cell 0.
 #[test]
 fn an_entry_without_its_cell() {
     let two = [ONE, Entry("s-2.room-1.hosts", 0, "started=0", true)];
@@ -215,7 +218,7 @@
             }
         }
     });
-    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a good answer");
+    let list = name_service::read_answer(&bytes, 7, &config().0).expect("a valid answer");
     let racks: Vec<RackId> = list.workers.iter().map(|m| m.endpoint.rack).collect();
     assert!(racks.len() == 2 && racks[0] != racks[1] && !racks.contains(&RackId(0)), "{racks:?}");
 }
@@ -225,12 +228,12 @@
 #[test_case(|p| p.set_flags(PacketFlag::TRUNCATION); "marked as cut short")]
 #[test_case(|p| *p.rcode_mut() = RCODE::ServerFailure; "a failure")]
 #[test_case(|p| p.name_servers.clear(); "without a serial")]
-fn an_answer_that_is_no_list(change: fn(&mut Packet)) {
+fn invalid_answers_are_rejected(change: fn(&mut Packet)) {
     assert!(name_service::read_answer(&reply(Some(41), &[ONE], change), 7, &config().0).is_err());
 }
 
 #[test]
-fn cut_anywhere_it_is_no_list() {
+fn truncated_answers_are_rejected() {
     let bytes = reply(Some(41), &[ONE], |_| ());
     for length in 0..bytes.len() {
         assert!(
@@ -241,10 +244,11 @@
     }
 }
 
+// A compressed name that points at itself must not cause an endless loop.
 #[test]
-fn a_name_that_points_at_itself() {
+fn a_name_that_points_at_itself_is_rejected() {
     let mut bytes = reply(Some(41), &[], |_| ());
-    // One answer more in the header, whose name is a pointer to itself.
+    // Adds an answer whose name is a compression pointer to itself.
     bytes[7] = 1;
     let at = bytes.len() as u8;
     bytes.splice(12..12, [0xc0, 12, 0, 33, 0, 1, 0, 0, 0, 0, 0, 0]);
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn a_question_is_asked_in_the_service_s_form() {
+fn a_query_asks_for_the_complete_list() {
     let bytes = name_service::query(0x1234);
     let packet = Packet::parse(&bytes).expect("a packet");
     assert_eq!((packet.id(), packet.questions.len()), (0x1234, 1));
@@ -264,7 +268,7 @@
 #[test_case("", "not JSON"; "empty")]
 #[test_case("{}", "field 'settings'"; "no settings")]
 #[test_case(r#"{"settings":{"allowed":{}},"limits":{}}"#, "field 'seed'"; "no seed")]
-fn a_text_that_is_no_configuration(text: &str, why: &str) {
-    let fault = config::start(text.as_bytes()).expect_err("a fault");
-    assert!(fault.to_string().contains(why), "{fault}");
+fn invalid_configurations_are_rejected(text: &str, message: &str) {
+    let error = config::start(text.as_bytes()).expect_err("an invalid configuration");
+    assert!(error.to_string().contains(message), "{error}");
 }
