--- a/crates/node/src/worker_connection.rs
+++ b/crates/node/src/worker_connection.rs
@@ -42,7 +42,7 @@
     /// The line that has been received only in part.
     partial_line: Vec<u8>,
     /// Length of the prefix of `partial_line` that contains no line end.
-    searched: usize,
+    searched_len: usize,
 }
 
 /// A model server's answer to an attempt.
@@ -88,7 +88,7 @@
             last_received: now,
             probed_at: None,
             partial_line: Vec::new(),
-            searched: 0,
+            searched_len: 0,
         }
     }
 
@@ -120,17 +120,17 @@
     pub(crate) fn feed(&mut self, bytes: &[u8], received: &mut Received) -> Result<(), Fault> {
         self.partial_line.extend_from_slice(bytes);
         let mut start = 0;
-        while let Some(end) = self.partial_line[self.searched..].iter().position(|byte| *byte == b'\n') {
-            let end = self.searched + end;
+        while let Some(end) = self.partial_line[self.searched_len..].iter().position(|byte| *byte == b'\n') {
+            let end = self.searched_len + end;
             let line = &self.partial_line[start..end];
             tracing::trace!(line = %String::from_utf8_lossy(line), "line received");
             let read = line::read(line, received);
             start = end + 1;
-            self.searched = start;
+            self.searched_len = start;
             read?;
         }
         self.partial_line.drain(..start);
-        self.searched = self.partial_line.len();
+        self.searched_len = self.partial_line.len();
         if self.partial_line.len() > MAX_LINE_BYTES {
             return Err(Fault::new(502, "long-line", "line exceeds the maximum length"));
         }
