--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -12,11 +12,11 @@
 pub const MAX_BODY_BYTES: u64 = 16 * 1024;
 /// Maximum length of a number in a header field. The largest numbers in use have seven digits.
 const MAX_NUMBER_CHARS: usize = 12;
-/// Maximum number of concurrent requests per function copy. A larger value is rejected as invalid.
+/// Maximum number of concurrent requests per function instance. A larger value is rejected as invalid.
 const MAX_CONCURRENCY: f64 = 4096.0;
 /// Maximum load time of a function.
 const MAX_LOAD_MS: f64 = 600_000.0;
-/// Maximum memory of a function copy.
+/// Maximum memory of a function instance.
 const MAX_MEMORY_MB: f64 = 1e9;
 
 /// The kind of a request.
@@ -130,7 +130,7 @@
 }
 
 impl CallVisitor<'_> {
-    fn call(&self, target: &str, fields: &Fields<'_>) -> Result<RequestKind, Fault> {
+    fn parse_call(&self, target: &str, fields: &Fields<'_>) -> Result<RequestKind, Fault> {
         let function = target.strip_prefix("/do/").and_then(|path| path.strip_suffix("/fire"));
         let function = function.ok_or_else(|| Fault::new(404, "no-such-path", "calls go to /do/"))?;
         if !is_hex(function, 16) {
@@ -219,7 +219,7 @@
         *self.parsed = ParsedRequest::default();
         self.parsed.kind = Some(match (method, target) {
             ("GET", "/check") => RequestKind::HealthCheck,
-            ("POST", _) => self.call(target, fields)?,
+            ("POST", _) => self.parse_call(target, fields)?,
             _ => return Err(Fault::new(405, "bad-method", "calls are posted")),
         });
         match fields.get("expect") {
