--- a/crates/node/tests/deadline.rs
+++ b/crates/node/tests/deadline.rs
@@ -45,27 +45,30 @@
     client.write_all(&text.as_bytes()[..cut]).expect("written");
     rig.settle();
     rig.run_for(600 * MS);
-    let by = begun.elapsed();
+    let elapsed = begun.elapsed();
     client.write_all(&text.as_bytes()[cut..]).expect("written");
     rig.connection_of(2);
-    assert_within(&rig, 2, begun, by);
+    assert_within(&rig, 2, begun, elapsed);
 }
 
 // The router is paused while a request is pending in the kernel, on an established or a new connection. The
 // pause counts towards the deadline.
 #[test_case(true; "on a connection that stands")]
 #[test_case(false; "on a new one")]
-fn a_deadline_counts_through_a_standstill(stands: bool) {
+fn a_deadline_counts_through_a_standstill(is_established: bool) {
     let mut rig = SocketNode::new(1, |_| ());
     rig.complete_request(1);
-    let mut client =
-        if stands { rig.client() } else { TcpStream::connect(rig.address).expect("the node listens") };
+    let mut client = if is_established {
+        rig.client()
+    } else {
+        TcpStream::connect(rig.address).expect("the node listens")
+    };
     let begun = Instant::now();
     client.write_all(call("quote", 2).as_bytes()).expect("written");
     rig.pause(400 * MS);
-    let by = begun.elapsed();
+    let elapsed = begun.elapsed();
     rig.connection_of(2);
-    assert_within(&rig, 2, begun, by);
+    assert_within(&rig, 2, begun, elapsed);
 }
 
 // A connection to the server is established late. The deadline sent is the time left when the line is
@@ -82,12 +85,12 @@
     client.write_all(call("quote", 2).as_bytes()).expect("written");
     rig.wait_until("connecting", |rig| rig.node.borrow().open_counts().worker_connections == 1);
     rig.run_for(500 * MS);
-    let by = begun.elapsed();
+    let elapsed = begun.elapsed();
     // The kernel retries the connection about 1 s after its first attempt.
     drop(queue);
     rig.server_behavior = ServerBehavior::Serving;
     rig.connection_of(2);
-    assert_within(&rig, 2, begun, by);
+    assert_within(&rig, 2, begun, elapsed);
 }
 
 // A client pipelines a second request while the first is pending. The time before the second one is read
@@ -99,10 +102,10 @@
     let begun = Instant::now();
     client.write_all(call("quote", 2).as_bytes()).expect("written");
     rig.run_for(600 * MS);
-    let by = begun.elapsed();
+    let elapsed = begun.elapsed();
     rig.peers[connection].send(&answer_line("OK", 1));
     rig.connection_of(2);
-    assert_within(&rig, 2, begun, by);
+    assert_within(&rig, 2, begun, elapsed);
 }
 
 // The endpoint list is empty. A request on a new connection is rejected, also during a shutdown.
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -172,7 +172,7 @@
 fn the_longest_silent_connection_makes_room(silent: usize) {
     let mut sim = SimulatedNode::new(1);
     let open = sim.send_call("quote", 1_000);
-    let mute: Vec<_> = (0..silent).map(|_| sim.connect_client()).collect();
+    let silent_clients: Vec<_> = (0..silent).map(|_| sim.connect_client()).collect();
     for _ in 0..127 - silent {
         sim.advance(2 * MS);
         let idle = sim.connect_client();
@@ -184,7 +184,7 @@
         assert!(!sim.transport.cut.contains(conn), "a new connection must not be cut");
         sim.send(*conn, call("quote", id).as_bytes());
     }
-    let first = mute.first().copied();
+    let first = silent_clients.first().copied();
     assert!(first.is_none_or(|c| sim.transport.cut.contains(&c)) && !sim.transport.cut.contains(&open));
 }
 
