--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -110,9 +110,9 @@
         self.check_connection(now, transport, conn);
     }
 
-    /// Cuts a connection that is drained, has been idle for too long or has not answered a health check. Sends
-    /// a health check if answers are pending and the connection is silent, to detect peers that vanish without
-    /// closing it.
+    /// Cuts a connection that is drained, has been idle for too long or has not answered a health check.
+    /// Sends a health check if answers are pending and the connection is silent, to detect peers that vanish
+    /// without closing it.
     pub(super) fn check_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let idle_timeout = self.idle_timeout();
         let Some(connection) = self.connections.get_mut(&conn) else { return };
