--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -5,11 +5,12 @@
     Actions, AttemptResult, CustomerId, Endpoint, EndpointListKind, FunctionId, Micros, Outcome, RackId,
     RequestArrival, RequestId, TimerToken, WorkerId, WorkerStatus, WorkloadId, ZoneId,
 };
-use applepond_platform::fault::Unfit;
+use applepond_platform::errors::InputError;
 use applepond_platform::fields::{
-    Read, array, fault, mark, maybe, number_or, object, position, text, time, time_or_none, whole,
+    InputResult, array, flag, invalid_field, name_index, number_or, object, optional, text, time,
+    time_or_zero, unsigned,
 };
-use applepond_platform::rows::{Words, copy_note, startup};
+use applepond_platform::startup::{ConfigNames, load_state_from_code, startup_config};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -35,7 +36,7 @@
 struct Names {
     workers: BTreeMap<WorkerId, String>,
     functions: BTreeMap<FunctionId, String>,
-    words: Words,
+    words: ConfigNames,
 }
 
 /// Collects the actions of one event, in order, as messages to the simulator.
@@ -94,14 +95,14 @@
     /// # Errors
     /// A malformed batch; the error names the instance and the field. Earlier events of the batch have taken
     /// effect, so the caller has to stop.
-    pub fn handle_batch(&mut self, line: &str) -> Result<String, Unfit> {
-        let batch: Value =
-            serde_json::from_str(line).map_err(|error| Unfit::NoJson(error.to_string()).at("batch"))?;
-        let now = time(&batch, "ts").map_err(|error| error.at("batch"))?;
+    pub fn handle_batch(&mut self, line: &str) -> Result<String, InputError> {
+        let batch: Value = serde_json::from_str(line)
+            .map_err(|error| InputError::InvalidJson(error.to_string()).in_context("batch"))?;
+        let now = time(&batch, "ts").map_err(|error| error.in_context("batch"))?;
         let mut parts = Vec::new();
-        for part in array(&batch, "parts").map_err(|error| error.at("batch"))? {
-            let number = whole(part, "router").map_err(|error| error.at("batch"))?;
-            let in_instance = |error: Unfit| error.at(format!("instance {number}"));
+        for part in array(&batch, "parts").map_err(|error| error.in_context("batch"))? {
+            let number = unsigned(part, "router").map_err(|error| error.in_context("batch"))?;
+            let in_instance = |error: InputError| error.in_context(format!("instance {number}"));
             let mut actions = Vec::new();
             for event in array(part, "arrivals").map_err(in_instance)? {
                 actions.extend(self.handle_event(number, now, event).map_err(in_instance)?);
@@ -113,14 +114,14 @@
         Ok(json!({ "parts": parts }).to_string())
     }
 
-    fn handle_event(&mut self, number: u64, now: Micros, event: &Value) -> Read<Vec<Value>> {
+    fn handle_event(&mut self, number: u64, now: Micros, event: &Value) -> InputResult<Vec<Value>> {
         let op = text(event, "op")?;
         if op == "boot" {
             let setup = object(event, "setup")?;
-            let names = Names { words: Words::read(setup)?, ..Names::default() };
-            let rows = startup(setup, whole(event, "salt")?)?;
+            let names = Names { words: ConfigNames::read(setup)?, ..Names::default() };
+            let config = startup_config(setup, unsigned(event, "salt")?)?;
             let mut reply = ReplyBuilder { names: &names, actions: Vec::new() };
-            let control = Control::new(now, rows, &mut reply);
+            let control = Control::new(now, config, &mut reply);
             let actions = reply.actions;
             self.instances.insert(number, Instance { control, names });
             return Ok(actions);
@@ -129,16 +130,16 @@
             self.instances.remove(&number);
             return Ok(Vec::new());
         }
-        let instance = self.instances.get_mut(&number).ok_or_else(|| Unfit::NotBooted(op.to_owned()))?;
-        instance.handle_event(now, op, event).map_err(|error| error.at(format!("'{op}'")))
+        let instance = self.instances.get_mut(&number).ok_or_else(|| InputError::NotBooted(op.to_owned()))?;
+        instance.handle_event(now, op, event).map_err(|error| error.in_context(format!("'{op}'")))
     }
 }
 
 impl Instance {
-    fn handle_event(&mut self, now: Micros, op: &str, event: &Value) -> Read<Vec<Value>> {
+    fn handle_event(&mut self, now: Micros, op: &str, event: &Value) -> InputResult<Vec<Value>> {
         // Names are recorded before the event is handled, as its actions look them up by id.
         if op == "endpoints" {
-            for entry in maybe(event, "members").and_then(Value::as_array).into_iter().flatten() {
+            for entry in optional(event, "members").and_then(Value::as_array).into_iter().flatten() {
                 let name = text(entry, "server")?;
                 self.names.workers.entry(WorkerId::named(name)).or_insert_with(|| name.to_owned());
             }
@@ -162,65 +163,65 @@
             }
             "streaming" => control.response_started(request(event)?),
             "expired" => control.client_disconnected(reply, request(event)?),
-            "wakeup" => control.timer_fired(reply, TimerToken(whole(event, "token")?)),
+            "wakeup" => control.timer_fired(reply, TimerToken(unsigned(event, "token")?)),
             // Events of probes, messages and load orders. They are ignored, as the router sends none of these
             // yet.
             "probed" | "whisper" | "stands" => {}
-            other => return Err(Unfit::Event(other.to_owned())),
+            other => return Err(InputError::UnknownEvent(other.to_owned())),
         }
         Ok(std::mem::take(&mut reply.actions))
     }
 }
 
-fn list_kind(event: &Value) -> Read<EndpointListKind> {
+fn list_kind(event: &Value) -> InputResult<EndpointListKind> {
     Ok(match text(event, "kind")? {
         "INCREMENTAL" => EndpointListKind::Changes,
         "FULL" => EndpointListKind::Full,
         "SAVED" => EndpointListKind::Saved,
         "FAILED" => EndpointListKind::Failed,
-        other => return Err(Unfit::field("kind", format!("unknown kind of list '{other}'"))),
+        other => return Err(InputError::field("kind", format!("unknown kind of list '{other}'"))),
     })
 }
 
-fn endpoints(event: &Value, names: &Names) -> Read<Vec<Endpoint>> {
-    let entries = maybe(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
+fn endpoints(event: &Value, names: &Names) -> InputResult<Vec<Endpoint>> {
+    let entries = optional(event, "members").and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
     entries.iter().map(|entry| endpoint(entry, names)).collect()
 }
 
-fn arrival(event: &Value, names: &Names) -> Read<RequestArrival> {
-    let customer = match maybe(event, "customer") {
+fn arrival(event: &Value, names: &Names) -> InputResult<RequestArrival> {
+    let customer = match optional(event, "customer") {
         None => None,
         Some(value) if value.as_u64() == Some(0) => None,
-        Some(_) => Some(CustomerId(position(&names.words.customers, event, "customer")?)),
+        Some(_) => Some(CustomerId(name_index(&names.words.customers, event, "customer")?)),
     };
     Ok(RequestArrival {
         request: request(event)?,
         function: FunctionId::named(text(event, "model")?),
-        workload: WorkloadId(position(&names.words.workloads, event, "type")?),
+        workload: WorkloadId(name_index(&names.words.workloads, event, "type")?),
         customer,
         time_left: time(event, "left")?,
-        retry: mark(event, "retry")?,
+        retry: flag(event, "retry")?,
         concurrency: number_or(event, "at-once", 1.0)? as u32,
-        load_time: maybe(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
+        load_time: optional(event, "start-ms").map(|_| time(event, "start-ms")).transpose()?,
         priority_factor: 1.0,
     })
 }
 
-fn attempt_result(event: &Value) -> Read<AttemptResult> {
+fn attempt_result(event: &Value) -> InputResult<AttemptResult> {
     let detail = number_or(event, "detail", 0.0)? as u32;
-    let usage = maybe(event, "usage").unwrap_or(&Value::Null);
+    let usage = optional(event, "usage").unwrap_or(&Value::Null);
     Ok(AttemptResult {
         outcome: outcome(event)?,
-        request_ended: mark(event, "terminal")?,
-        elapsed: time_or_none(event, "elapsed")?,
-        load_state: copy_note(detail & LOAD_STATE_MASK),
+        request_ended: flag(event, "terminal")?,
+        elapsed: time_or_zero(event, "elapsed")?,
+        load_state: load_state_from_code(detail & LOAD_STATE_MASK),
         same_function_in_flight: detail >> LOAD_STATE_BITS,
-        reported_in_flight: maybe(usage, "concurrent").and_then(Value::as_f64),
-        reported_loads: maybe(usage, "x1").and_then(Value::as_f64),
+        reported_in_flight: optional(usage, "concurrent").and_then(Value::as_f64),
+        reported_loads: optional(usage, "x1").and_then(Value::as_f64),
     })
 }
 
-fn outcome(event: &Value) -> Read<Outcome> {
+fn outcome(event: &Value) -> InputResult<Outcome> {
     Ok(match number_or(event, "code", 0.0)? as i64 {
         0 => Outcome::Finished,
         1 => Outcome::NotLoaded,
@@ -231,29 +232,34 @@
         251 => Outcome::ConnectionLost,
         250 => Outcome::Cancelled,
         249 => Outcome::Superseded,
-        other => return Err(Unfit::field("code", format!("unknown outcome code {other}"))),
+        other => return Err(InputError::field("code", format!("unknown outcome code {other}"))),
     })
 }
 
-fn endpoint(entry: &Value, names: &Names) -> Read<Endpoint> {
+fn endpoint(entry: &Value, names: &Names) -> InputResult<Endpoint> {
     let position_of =
-        |list: &[String], name| maybe(entry, name).map(|_| position(list, entry, name)).transpose();
+        |list: &[String], name| optional(entry, name).map(|_| name_index(list, entry, name)).transpose();
     Ok(Endpoint {
         worker: WorkerId::named(text(entry, "server")?),
         status: match text(entry, "condition")? {
             "Ready" => WorkerStatus::Ready,
             "Terminating" => WorkerStatus::Draining,
             "Gone" => WorkerStatus::Gone,
-            other => return Err(Unfit::field("condition", format!("unknown worker condition '{other}'"))),
+            other => {
+                return Err(InputError::field("condition", format!("unknown worker condition '{other}'")));
+            }
         },
-        up_since: time_or_none(entry, "up-since")?,
+        up_since: time_or_zero(entry, "up-since")?,
         zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
         rack: RackId(number_or(entry, "group", 0.0)? as i64),
         weight: number_or(entry, "nominal", 1.0)?,
     })
 }
 
-fn request(from: &Value) -> Read<RequestId> {
+fn request(from: &Value) -> InputResult<RequestId> {
     let id = text(from, "msg-id")?;
-    id.as_bytes().try_into().map(RequestId).or_else(|_| fault("msg-id", "expected an id of 36 characters"))
+    id.as_bytes()
+        .try_into()
+        .map(RequestId)
+        .or_else(|_| invalid_field("msg-id", "expected an id of 36 characters"))
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,152 +1,156 @@
-//! A router's configuration file, read at its start and again when the file is replaced.
-use crate::fault::Unfit;
+//! The configuration file of a router, read at start-up and again when it is replaced.
+use crate::errors::InputError;
 use crate::fields::{
-    Read, array, fault, mark, maybe, number, number_or, object, text, time, time_or_none, whole,
+    InputResult, array, flag, invalid_field, number, number_or, object, optional, text, time, time_or_zero,
+    unsigned,
 };
-use crate::rows::{self, Words};
+use crate::startup::{ConfigNames, startup_config};
 use applepond::interface::{
     Endpoint, EndpointListKind, Micros, RackId, StartupConfig, WorkerId, WorkerStatus, ZoneId,
 };
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Limit of model servers in one list: beyond it the file is taken for broken rather than for a fleet.
-const MAX_MEMBERS: usize = 20_000;
+/// Maximum number of model servers in one list. A longer list is treated as a corrupt file.
+const MAX_LISTED_WORKERS: usize = 20_000;
 
-/// A model server of an endpoint list.
+/// A model server in an endpoint list.
 #[derive(Clone, Debug)]
-pub struct Member {
-    /// Its name.
+pub struct ListedWorker {
+    /// Name of the model server, from which its id is derived.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it accepts connections.
     pub address: SocketAddr,
-    /// What the list says of it.
-    pub listed: Endpoint,
+    /// The endpoint as reported to `Control`.
+    pub endpoint: Endpoint,
 }
 
-/// How connections to model servers are to be used.
+/// Limits for connections to model servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
-    /// Attempts that one connection carries at a time; 1 at the least.
-    pub streams: usize,
-    /// µs within which a connection has to be established.
-    pub connect_limit: Micros,
-    /// µs after which model servers close an idle connection.
-    pub idle_limit: Micros,
+pub struct ConnectionConfig {
+    /// Maximum number of concurrent attempts on one connection; at least 1.
+    pub max_concurrent_attempts: usize,
+    /// Time within which a connection must be established.
+    pub connect_timeout: Micros,
+    /// Time after which model servers close an idle connection.
+    pub server_idle_timeout: Micros,
 }
 
-/// All that one router starts with.
+/// The configuration of one router.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct NodeConfig {
     /// Name of the router.
     pub name: String,
-    /// Where it listens for clients.
+    /// Address on which it listens for clients.
     pub listen: SocketAddr,
     /// Address of the name service.
-    pub names: SocketAddr,
-    /// Descriptors that the process may hold.
-    pub descriptors: usize,
-    /// Bytes of memory that the process may hold.
+    pub name_service: SocketAddr,
+    /// Maximum number of file descriptors that the process may have open.
+    pub max_descriptors: usize,
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// Start-up configuration of the decisions.
-    pub rows: StartupConfig,
-    /// The names that its indices stand for.
-    pub words: Words,
-    /// How connections to model servers are to be used.
-    pub terms: Terms,
-    /// µs that clients of each workload wait at most.
+    /// Start-up configuration of `Control`.
+    pub startup: StartupConfig,
+    /// The names behind the indices of `startup`.
+    pub names: ConfigNames,
+    /// Limits for connections to model servers.
+    pub connection_config: ConnectionConfig,
+    /// Longest deadline of each workload's clients.
     pub deadlines: Vec<Micros>,
-    /// Number of the last event of the endpoint list.
-    pub index: u64,
-    /// The events of the endpoint list up to now, the oldest first.
-    pub known: Vec<(EndpointListKind, Vec<Member>)>,
+    /// Index of the last event in `list_events`.
+    pub list_index: u64,
+    /// The endpoint list events so far, oldest first.
+    pub list_events: Vec<(EndpointListKind, Vec<ListedWorker>)>,
 }
 
-/// Reads a configuration.
+/// Parses a configuration file.
 ///
 /// # Errors
-/// The text is not JSON, or a field is absent or not valid.
-pub fn start(text: &[u8]) -> Read<Start> {
-    let file: Value = serde_json::from_slice(text).map_err(|error| Unfit::NoJson(error.to_string()))?;
+/// The text is not JSON, or a field is absent or invalid.
+pub fn start(text: &[u8]) -> InputResult<NodeConfig> {
+    let file: Value =
+        serde_json::from_slice(text).map_err(|error| InputError::InvalidJson(error.to_string()))?;
     let settings = object(&file, "settings")?;
     let allowed = object(settings, "allowed")?;
     let limits = object(&file, "limits")?;
-    let seed = text_of_hex(&file, "seed")?;
-    let words = Words::read(settings)?;
+    let seed = hex_number(&file, "seed")?;
+    let names = ConfigNames::read(settings)?;
     let known = object(&file, "known")?;
     let mut events = Vec::new();
     for event in array(known, "updates")? {
-        events.push(update(event, &words)?);
+        events.push(list_event(event, &names)?);
     }
-    Ok(Start {
-        name: text_in(&file, "name")?,
+    Ok(NodeConfig {
+        name: owned_text(&file, "name")?,
         listen: address(&file, "listen")?,
-        names: address(&file, "names")?,
-        descriptors: whole(limits, "sockets")? as usize,
+        name_service: address(&file, "names")?,
+        max_descriptors: unsigned(limits, "sockets")? as usize,
         memory: (number(limits, "memory_mb")? * 1024.0 * 1024.0) as usize,
-        rows: rows::startup(settings, seed)?,
-        terms: Terms {
-            streams: (number_or(allowed, "multiplex", 1.0)? as usize).max(1),
-            connect_limit: time(allowed, "connect-timeout")?,
-            idle_limit: time(allowed, "idle-close")?,
+        startup: startup_config(settings, seed)?,
+        connection_config: ConnectionConfig {
+            max_concurrent_attempts: (number_or(allowed, "multiplex", 1.0)? as usize).max(1),
+            connect_timeout: time(allowed, "connect-timeout")?,
+            server_idle_timeout: time(allowed, "idle-close")?,
         },
-        deadlines: array(settings, "lanes")?.iter().map(|row| time(row, "deadline")).collect::<Read<_>>()?,
-        index: whole(known, "index")?,
-        words,
-        known: events,
+        deadlines: array(settings, "lanes")?
+            .iter()
+            .map(|lane| time(lane, "deadline"))
+            .collect::<InputResult<_>>()?,
+        list_index: unsigned(known, "index")?,
+        names,
+        list_events: events,
     })
 }
 
-fn text_in(from: &Value, name: &str) -> Read<String> {
+fn owned_text(from: &Value, name: &str) -> InputResult<String> {
     text(from, name).map(str::to_owned)
 }
 
-fn text_of_hex(from: &Value, name: &str) -> Read<u64> {
-    u64::from_str_radix(text(from, name)?, 16).or_else(|_| fault(name, "16 hex digits are wanted"))
+fn hex_number(from: &Value, name: &str) -> InputResult<u64> {
+    u64::from_str_radix(text(from, name)?, 16).or_else(|_| invalid_field(name, "expected 16 hex digits"))
 }
 
-fn address(from: &Value, name: &str) -> Read<SocketAddr> {
-    text(from, name)?.parse().or_else(|_| fault(name, "an address with a port is wanted"))
+fn address(from: &Value, name: &str) -> InputResult<SocketAddr> {
+    text(from, name)?.parse().or_else(|_| invalid_field(name, "expected an address with a port"))
 }
 
-/// One event of the endpoint list.
-fn update(event: &Value, words: &Words) -> Read<(EndpointListKind, Vec<Member>)> {
+/// Reads one endpoint list event.
+fn list_event(event: &Value, names: &ConfigNames) -> InputResult<(EndpointListKind, Vec<ListedWorker>)> {
     let list = object(event, "endpoints")?;
-    let kind = if mark(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
-    let members = array(list, "members")?;
-    if members.len() > MAX_MEMBERS {
-        return fault("members", "fewer are wanted");
+    let kind = if flag(list, "complete")? { EndpointListKind::Full } else { EndpointListKind::Changes };
+    let workers = array(list, "members")?;
+    if workers.len() > MAX_LISTED_WORKERS {
+        return invalid_field("members", "too many entries");
     }
-    Ok((kind, members.iter().map(|entry| member(entry, words)).collect::<Read<_>>()?))
+    Ok((kind, workers.iter().map(|entry| listed_worker(entry, names)).collect::<InputResult<_>>()?))
 }
 
-fn member(entry: &Value, words: &Words) -> Read<Member> {
-    let name = text_in(entry, "id")?;
-    // As in answers of the name service, a zone that the settings do not name is none, and does not prevent a
-    // start.
-    let zone = maybe(entry, "locality").and_then(Value::as_str);
-    let zone = zone.and_then(|zone| words.zones.iter().position(|known| known == zone));
+fn listed_worker(entry: &Value, names: &ConfigNames) -> InputResult<ListedWorker> {
+    let name = owned_text(entry, "id")?;
+    // An unknown zone counts as no zone, as in answers of the name service, and does not prevent a start.
+    let zone = optional(entry, "locality").and_then(Value::as_str);
+    let zone = zone.and_then(|zone| names.zones.iter().position(|known| known == zone));
     let worker = WorkerId::named(&name);
-    let listed = Endpoint {
+    let endpoint = Endpoint {
         worker,
         status: match text(entry, "phase")? {
             "in_service" => WorkerStatus::Ready,
             "terminating" => WorkerStatus::Draining,
             "terminated" => WorkerStatus::Gone,
-            other => return Err(Unfit::field("phase", format!("'{other}' is not known"))),
+            other => return Err(InputError::field("phase", format!("unknown value '{other}'"))),
         },
-        up_since: time_or_none(entry, "up_since_ms")?,
+        up_since: time_or_zero(entry, "up_since_ms")?,
         zone: zone.map(ZoneId),
-        rack: match maybe(entry, "cell") {
+        rack: match optional(entry, "cell") {
             Some(_) => RackId(number(entry, "cell")? as i64),
             None => RackId::unshared(worker),
         },
         weight: number_or(entry, "size", 1.0)?,
     };
-    let address = match maybe(entry, "host_port") {
-        // Nothing connects to one that has gone.
-        None if listed.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
+    let address = match optional(entry, "host_port") {
+        // A server that is gone needs no address: nothing connects to it.
+        None if endpoint.status == WorkerStatus::Gone => SocketAddr::from(([0, 0, 0, 0], 0)),
         _ => address(entry, "host_port")?,
     };
-    Ok(Member { name, address, listed })
+    Ok(ListedWorker { name, address, endpoint })
 }
--- a/crates/platform/src/names.rs
+++ b/crates/platform/src/name_service.rs
@@ -1,90 +1,93 @@
-//! The name service: queries for the list of model servers and what an answer says (RFC 1035, RFC 2782).
-use crate::config::Member;
-use crate::fault::NoAnswer;
-use crate::rows::Words;
+//! Codec of the name service: DNS queries for the list of model servers, and their answers (RFC 1035,
+//! RFC 2782).
+use crate::config::ListedWorker;
+use crate::errors::NameServiceError;
+use crate::startup::ConfigNames;
 use applepond::interface::{Endpoint, RackId, WorkerId, WorkerStatus, ZoneId};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QTYPE, Question, RCODE, TYPE};
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The name under which the whole list is found.
+/// The DNS name whose SRV records hold the complete list.
 const SERVICE: &str = "_rpc._tcp.mesh.local";
-/// SRV weights are whole numbers: they hold the listed weight times this.
-const WEIGHT_PARTS: f64 = 10.0;
+/// An SRV weight is the server's weight multiplied by this, as SRV weights are integers.
+const WEIGHT_SCALE: f64 = 10.0;
 
-/// A query for the whole list.
+/// Encodes a query for the complete list.
 ///
 /// # Panics
-/// Never: the question is a constant that fits a message.
+/// Never: the question is constant and fits into a message.
 pub fn query(id: u16) -> Vec<u8> {
     let mut packet = Packet::new_query(id);
     let service = Name::new_unchecked(SERVICE);
     packet.questions.push(Question::new(service, QTYPE::TYPE(TYPE::SRV), CLASS::IN.into(), false));
-    packet.build_bytes_vec().expect("a fixed question fits")
+    packet.build_bytes_vec().expect("the constant question fits into a message")
 }
 
-/// The endpoint list of one answer.
+/// The endpoint list from one answer.
 #[derive(Debug)]
-pub struct Told {
-    /// Number of the last event that the list holds.
+pub struct EndpointList {
+    /// Index of the last event included in the list; the serial number of the SOA record.
     pub index: u64,
     /// The model servers.
-    pub members: Vec<Member>,
-    /// Model servers left out, as their records were incomplete.
+    pub workers: Vec<ListedWorker>,
+    /// Number of model servers left out because their records were incomplete or invalid.
     pub left_out: usize,
 }
 
-/// Reads the answer to the query of this id.
+/// Decodes the answer to the query with this id.
 ///
 /// # Errors
-/// The bytes are no DNS message, not the answer to this query, truncated, a failure, or without a serial.
-pub fn answer(bytes: &[u8], id: u16, words: &Words) -> Result<Told, NoAnswer> {
-    let packet = Packet::parse(bytes).map_err(|error| NoAnswer::Unreadable(format!("{error:?}")))?;
-    check(&packet, id)?;
+/// The bytes are not a DNS message or not the answer to this query, or the answer is truncated, reports a
+/// failure or has no serial number.
+pub fn read_answer(bytes: &[u8], id: u16, names: &ConfigNames) -> Result<EndpointList, NameServiceError> {
+    let packet =
+        Packet::parse(bytes).map_err(|error| NameServiceError::InvalidMessage(format!("{error:?}")))?;
+    check_answer(&packet, id)?;
     let serial = packet.name_servers.iter().find_map(|record| match &record.rdata {
         RData::SOA(soa) => Some(u64::from(soa.serial)),
         _ => None,
     });
-    let index = serial.ok_or(NoAnswer::NoSerial)?;
-    let hosts = Hosts::read(&packet);
-    let mut list = Told { index, members: Vec::new(), left_out: 0 };
+    let index = serial.ok_or(NameServiceError::MissingSerial)?;
+    let hosts = HostRecords::read(&packet);
+    let mut list = EndpointList { index, workers: Vec::new(), left_out: 0 };
     for record in &packet.answers {
         let RData::SRV(srv) = &record.rdata else { continue };
-        match hosts.member(srv, words) {
-            Some(member) => list.members.push(member),
+        match hosts.worker(srv, names) {
+            Some(worker) => list.workers.push(worker),
             None => list.left_out += 1,
         }
     }
     Ok(list)
 }
 
-/// Checks that the packet is a complete answer to the query of this id.
-fn check(packet: &Packet<'_>, id: u16) -> Result<(), NoAnswer> {
+/// Checks that the packet is a complete, successful answer to the query with this id.
+fn check_answer(packet: &Packet<'_>, id: u16) -> Result<(), NameServiceError> {
     if packet.id() != id || !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(NoAnswer::Another);
+        return Err(NameServiceError::UnrelatedAnswer);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Err(NoAnswer::Cut);
+        return Err(NameServiceError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(NoAnswer::Reports(format!("{:?}", packet.rcode())));
+        return Err(NameServiceError::ServerFailure(format!("{:?}", packet.rcode())));
     }
     Ok(())
 }
 
-/// Attributes of a TXT record: `name=value`, or a name alone.
+/// The attributes of a TXT record, each `name=value` or just a name.
 type Attributes = HashMap<String, Option<String>>;
 
-/// The A and TXT records of an answer, by name.
-struct Hosts {
+/// The A and TXT records of an answer, by host name.
+struct HostRecords {
     addresses: HashMap<String, Ipv4Addr>,
     attributes: HashMap<String, Attributes>,
 }
 
-impl Hosts {
-    fn read(packet: &Packet<'_>) -> Hosts {
-        let mut hosts = Hosts { addresses: HashMap::new(), attributes: HashMap::new() };
+impl HostRecords {
+    fn read(packet: &Packet<'_>) -> HostRecords {
+        let mut hosts = HostRecords { addresses: HashMap::new(), attributes: HashMap::new() };
         for record in packet.additional_records.iter().chain(&packet.answers) {
             let name = || record.name.to_string().to_ascii_lowercase();
             match &record.rdata {
@@ -96,8 +99,8 @@
         hosts
     }
 
-    /// The model server of one SRV record; none where its other records are missing or not valid.
-    fn member(&self, srv: &SRV<'_>, words: &Words) -> Option<Member> {
+    /// The model server of one SRV record, or `None` if its A or TXT record is missing or invalid.
+    fn worker(&self, srv: &SRV<'_>, names: &ConfigNames) -> Option<ListedWorker> {
         let target = srv.target.to_string().to_ascii_lowercase();
         let address = SocketAddr::new(IpAddr::V4(*self.addresses.get(&target)?), srv.port);
         let attributes = self.attributes.get(&target)?;
@@ -106,17 +109,17 @@
         let attribute = |name: &str| attributes.get(name).and_then(Option::as_deref);
         let number = |name: &str| attribute(name).map_or(Some(0), |value| value.parse::<u64>().ok());
         let worker = WorkerId::named(name);
-        let listed = Endpoint {
+        let endpoint = Endpoint {
             worker,
             status: if srv.priority == 0 { WorkerStatus::Ready } else { WorkerStatus::Draining },
             up_since: number("started")?.checked_mul(1000)?,
-            zone: words.zones.iter().position(|known| known == zone).map(ZoneId),
+            zone: names.zones.iter().position(|known| known == zone).map(ZoneId),
             rack: match attribute("cell") {
                 Some(_) => RackId(number("cell")? as i64),
                 None => RackId::unshared(worker),
             },
-            weight: f64::from(srv.weight) / WEIGHT_PARTS,
+            weight: f64::from(srv.weight) / WEIGHT_SCALE,
         };
-        Some(Member { name: name.to_owned(), address, listed })
+        Some(ListedWorker { name: name.to_owned(), address, endpoint })
     }
 }
