--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -160,8 +160,8 @@
             return Err(ExitCode::FAILURE);
         }
     }
-    let is_ending = Box::new(move || requested.load(Ordering::Relaxed));
-    reactor.add(Box::new(fleet.machine.with_end(is_ending)));
+    let is_shutting_down = Box::new(move || requested.load(Ordering::Relaxed));
+    reactor.add(Box::new(fleet.machine.with_shutdown(is_shutting_down)));
     let view = fleet.view;
     Ok(Box::new(move || view.borrow().members.local_record().status == MemberStatus::Left))
 }
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -1,37 +1,38 @@
-//! The envelope of a datagram: version, keyed hash, sender, receiver, sequence number.
+//! The envelope of a datagram: version, keyed hash, sender, receiver and sequence number.
 //!
-//! A datagram is one byte of version, 16 bytes of hash (BLAKE3 under the fleet's key, over all that follows),
-//! the sender's instance id, the receiver (0: whoever it reaches) and the sender's sequence number, each as
-//! eight bytes in little-endian order, then a message. What does not open is counted by reason and dropped;
-//! nothing is answered. An envelope proves that a holder of the key wrote the message, and its place in the
-//! order of one sender; it hides nothing.
+//! A datagram consists of one version byte, a 16-byte hash (BLAKE3 keyed with the fleet's key, over
+//! everything that follows), the sender's instance id, the receiver (0: any router) and the sender's sequence
+//! number, each a little-endian `u64`, and the message. A datagram that fails a check is dropped without a
+//! reply and counted by reason. An envelope proves that a holder of the key sent the message and where it
+//! stands in that sender's sequence; it does not encrypt the message.
 use std::collections::BTreeMap;
 
-/// Limit of bytes in a datagram: every path carries so many without fragmentation.
+/// Maximum size of a datagram in bytes, small enough to avoid IP fragmentation on any path.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Bytes that an envelope adds to a message.
 pub const OVERHEAD_BYTES: usize = 1 + HASH_BYTES + 3 * 8;
-/// The version that is written and read.
+/// The envelope version that this program writes and accepts.
 const VERSION: u8 = 1;
-/// Bytes of the hash in a datagram: 128 bits cannot be guessed within the life of a key.
+/// Length of the truncated hash in bytes: 128 bits cannot be guessed within the lifetime of a key.
 const HASH_BYTES: usize = 16;
-/// Sequence numbers below a sender's highest that are told apart: as many as it sends within a second or two.
+/// Number of sequence numbers below a sender's highest that the replay filter tracks: about as many as one
+/// router sends in one to two seconds.
 const REPLAY_WINDOW: u64 = 64;
-/// Limit of senders whose sequence numbers are remembered: twice the routers of the largest fleet measured,
-/// and some. The one that has been silent for longest is evicted; its old datagrams could be replayed from
-/// then on.
+/// Maximum number of senders tracked by the replay filter, more than twice the size of the largest fleet
+/// measured. Beyond it, the sender that has been silent for longest is evicted, after which its old datagrams
+/// could be replayed.
 const MAX_SENDERS: usize = 8_192;
 
-/// Bytes of a secret at the least.
+/// Minimum length of a secret in bytes; a shorter one can be guessed.
 const MIN_SECRET_BYTES: usize = 16;
 
-/// A secret that all routers of a fleet share.
+/// A hash key that all routers of a fleet share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetKey([u8; 32]);
 
 impl FleetKey {
-    /// Derives a key from a secret of any length, as a file holds it; white space at both ends does not
-    /// count. None where fewer than 16 bytes are left: such a secret can be guessed.
+    /// Derives a key from the contents of a key file, ignoring leading and trailing white space. Returns
+    /// `None` if fewer than 16 bytes remain.
     pub fn from_secret(secret: &[u8]) -> Option<FleetKey> {
         let secret = secret.trim_ascii();
         (secret.len() >= MIN_SECRET_BYTES)
@@ -42,13 +43,13 @@
         blake3::keyed_hash(&self.0, bytes)
     }
 
-    /// Whether the first bytes of the hash are these; compared in constant time, as the library compares
-    /// whole hashes.
+    /// Returns whether `hash` is the truncated hash of `bytes`. The comparison takes constant time, because
+    /// `blake3::Hash` compares full hashes that way.
     fn matches(&self, bytes: &[u8], hash: &[u8]) -> bool {
-        let wanted = self.hash(bytes);
-        let mut found = *wanted.as_bytes();
-        found[..HASH_BYTES].copy_from_slice(hash);
-        wanted == blake3::Hash::from_bytes(found)
+        let expected = self.hash(bytes);
+        let mut actual = *expected.as_bytes();
+        actual[..HASH_BYTES].copy_from_slice(hash);
+        expected == blake3::Hash::from_bytes(actual)
     }
 }
 
@@ -58,31 +59,31 @@
     }
 }
 
-/// The receiver of a message that is for one process of a router alone: a process that is started later under
-/// the same name does not accept it.
-pub fn process(router: u64, instance_id: u64) -> u64 {
+/// Receiver id of one process of a router. A message sealed for it is rejected by a process that starts later
+/// under the same router name.
+pub fn process_receiver(router: u64, instance_id: u64) -> u64 {
     let mut mixed = router ^ instance_id.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     (mixed ^ (mixed >> 32)) | 1
 }
 
-/// Why a datagram is dropped.
+/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// Shorter than an envelope, or longer than any datagram.
+    /// Shorter than an envelope, or longer than [`MAX_DATAGRAM_BYTES`].
     Malformed,
-    /// Of a version that this program does not read.
+    /// The envelope version is not supported.
     UnknownVersion,
-    /// No key of this router made its hash: forged, damaged, or another fleet's.
+    /// The hash matches none of this router's keys: forged, corrupted, or from another fleet.
     NotAuthentic,
-    /// For another receiver.
+    /// Addressed to another receiver.
     WrongReceiver,
-    /// A datagram of this sequence number has come from this sender before, or it is too old to tell.
+    /// The sequence number was already received from this sender, or is below the replay window.
     Replayed,
 }
 
 impl DropReason {
-    /// The reason's name on the state page.
+    /// Returns the reason's name on the state page.
     pub fn as_str(self) -> &'static str {
         match self {
             DropReason::Malformed => "torn",
@@ -94,21 +95,22 @@
     }
 }
 
-/// The sequence numbers that have come from one sender.
+/// Replay filter for one sender.
 struct Sender {
     highest: u64,
-    /// Which of the numbers below the highest have come, the next lower one in the lowest bit.
+    /// Bitmap of the sequence numbers received below `highest`; bit 0 is `highest - 1`.
     below: u64,
-    /// Order of its last datagram among all, to find the sender that has been silent for longest.
+    /// Value of `Envelopes::opened` at its last datagram, to find the sender that has been silent for
+    /// longest.
     last_order: u64,
 }
 
 impl Sender {
-    /// Takes a sequence number down; false where it has come before or is too old to tell.
+    /// Records a sequence number. Returns false if it was already received or is below the replay window.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let shift = sequence - self.highest;
-            // The highest until now becomes one of those below.
+            // The previous highest number moves into the bitmap.
             self.below = if shift > REPLAY_WINDOW {
                 0
             } else if shift == REPLAY_WINDOW {
@@ -128,33 +130,33 @@
     }
 }
 
-/// Seals and opens datagrams for one process of a router.
+/// Seals and opens the datagrams of one router process.
 pub struct Envelopes {
     /// Instance id of this process.
     instance_id: u64,
     /// This router.
     router: u64,
-    /// The datagram opened last was for this process alone.
+    /// The datagram opened last was addressed to this process, not to any process of this router.
     last_was_for_process: bool,
-    /// The first one seals; each opens.
+    /// The first key seals; any of them opens.
     keys: Vec<FleetKey>,
-    /// Sequence number of the datagram sealed last.
+    /// Sequence number of the last datagram sealed.
     sequence: u64,
-    /// Datagrams opened so far.
+    /// Number of authentic datagrams for this router that other processes have sent.
     opened: u64,
-    /// Senders by their instance id.
+    /// Replay filters by the sender's instance id.
     senders: BTreeMap<u64, Sender>,
     dropped: BTreeMap<DropReason, u64>,
 }
 
 impl Envelopes {
-    /// For the process with this instance id of this router. The first key seals, every key opens: during a
-    /// change of keys there are two.
+    /// Creates the envelopes of one process of `router`. The first key seals and any key opens; two keys are
+    /// configured during a key rotation.
     ///
     /// # Panics
-    /// If there is no key.
+    /// If `keys` is empty.
     pub fn new(instance_id: u64, router: u64, keys: Vec<FleetKey>) -> Self {
-        assert!(!keys.is_empty(), "a fleet has a key");
+        assert!(!keys.is_empty(), "a fleet needs at least one key");
         Envelopes {
             instance_id,
             router,
@@ -167,14 +169,15 @@
         }
     }
 
-    /// Replaces the keys, unless there is none.
+    /// Replaces the keys; an empty list is ignored.
     pub fn set_keys(&mut self, keys: Vec<FleetKey>) {
         if !keys.is_empty() {
             self.keys = keys;
         }
     }
 
-    /// A message as a datagram for a receiver, or for whoever it reaches (0). None where it is too long.
+    /// Wraps a message into a datagram for `receiver` (0: any router). Returns `None` if the message is too
+    /// long.
     pub fn seal(&mut self, receiver: u64, message: &[u8]) -> Option<Vec<u8>> {
         if OVERHEAD_BYTES + message.len() > MAX_DATAGRAM_BYTES {
             return None;
@@ -191,10 +194,10 @@
         Some(bytes)
     }
 
-    /// The message of a datagram, after its sender's instance id.
+    /// Checks a datagram and returns its sender's instance id and its message.
     ///
     /// # Errors
-    /// Why the datagram is dropped.
+    /// Returns the reason for which the datagram is dropped.
     pub fn open<'a>(&mut self, bytes: &'a [u8]) -> Result<(u64, &'a [u8]), DropReason> {
         let opened = self.check(bytes);
         if let Err(reason) = opened {
@@ -217,7 +220,7 @@
         let (instance_id, rest) = split_number(sealed);
         let (receiver, rest) = split_number(rest);
         let (sequence, message) = split_number(rest);
-        let for_process = receiver == process(self.router, self.instance_id);
+        let for_process = receiver == process_receiver(self.router, self.instance_id);
         if receiver != 0 && receiver != self.router && !for_process {
             return Err(DropReason::WrongReceiver);
         }
@@ -226,7 +229,7 @@
         Ok((instance_id, message))
     }
 
-    /// Guards against a datagram that was recorded and is sent again.
+    /// Rejects a datagram that was recorded and is sent again.
     fn check_replay(&mut self, instance_id: u64, sequence: u64) -> Result<(), DropReason> {
         if instance_id == self.instance_id {
             return Err(DropReason::Replayed);
@@ -246,19 +249,20 @@
         Ok(())
     }
 
-    /// Whether the datagram opened last was for this process alone, and not for whoever it reaches.
-    pub fn was_for_me(&self) -> bool {
+    /// Returns whether the datagram opened last was addressed to this process, rather than to this router or
+    /// to any router.
+    pub fn last_was_for_process(&self) -> bool {
         self.last_was_for_process
     }
 
-    /// How many were dropped, by reason.
+    /// Number of datagrams dropped, by reason.
     pub fn dropped(&self) -> &BTreeMap<DropReason, u64> {
         &self.dropped
     }
 }
 
-/// The number at the beginning of a sealed part, which holds three of them, and what follows it.
+/// Splits off the first `u64`. The caller has checked that `bytes` is long enough.
 fn split_number(bytes: &[u8]) -> (u64, &[u8]) {
-    let (number, rest) = bytes.split_first_chunk::<8>().expect("the length of a datagram is checked first");
+    let (number, rest) = bytes.split_first_chunk::<8>().expect("the datagram's length was checked");
     (u64::from_le_bytes(*number), rest)
 }
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -1,5 +1,5 @@
-//! The machine that connects membership and shared state with the socket; nothing is decided here.
-use crate::envelope::{Envelopes, FleetKey, process};
+//! The reactor machine that connects membership and shared state to the UDP socket.
+use crate::envelope::{Envelopes, FleetKey, process_receiver};
 use crate::page::log_change;
 use crate::shared_state::SharedState;
 use applepond_membership::{
@@ -10,83 +10,85 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// µs between two attempts to open the port: descriptors or memory may be there again.
+/// Delay in µs before the port is opened again after a failure, which may be a temporary lack of descriptors
+/// or memory.
 const OPEN_RETRY_DELAY: Micros = 1_000_000;
-/// Messages whose first byte is at least this begin with a protocol tag of the shared state; those of
-/// membership begin with a small number.
+/// Smallest protocol tag of a shared-state message. A message whose first byte is lower belongs to the
+/// membership protocol.
 const FIRST_PROTOCOL_TAG: u8 = 0xb0;
-/// The receiver of datagrams for whatever router they reach.
+/// Receiver id that every router accepts.
 const ANY_RECEIVER: u64 = 0;
 
-/// Timer: opens the port.
+/// Timer that retries opening the port.
 const OPEN_TIMER: Wake = Wake(0);
-/// Timer: wakes the membership.
+/// Timer of the membership protocol.
 const MEMBERSHIP_TIMER: Wake = Wake(1);
-/// Timer: wakes the shared state.
+/// Timer of the shared state.
 const SHARED_STATE_TIMER: Wake = Wake(2);
 
-/// What the machine shares with the rest of the process.
+/// State that the machine shares with the rest of the process.
 pub struct FleetView {
-    /// Who is a member of the fleet.
+    /// The membership protocol and its view of the fleet.
     pub members: Membership,
-    /// State that the routers share; none where a test looks at membership alone.
+    /// State shared between routers; `None` in tests that cover membership alone.
     pub shared: Option<SharedState>,
     pub(crate) envelopes: Envelopes,
-    /// Datagrams sent.
+    /// Datagrams sealed for sending.
     pub(crate) sent: u64,
-    /// Datagrams among them that the kernel did not take.
+    /// Datagrams of `sent` that the kernel did not accept.
     pub(crate) unsent: u64,
-    /// Messages that could not be read.
+    /// Messages that could not be decoded or had no recipient.
     pub(crate) unreadable: u64,
 }
 
 impl FleetView {
-    /// Replaces seeds and keys; datagrams under another key are not accepted from now on.
+    /// Replaces seeds and keys. Datagrams sealed with any other key are rejected from now on.
     pub fn reconfigure(&mut self, seeds: Vec<SocketAddr>, keys: Vec<FleetKey>) {
         self.members.set_seeds(seeds);
         self.envelopes.set_keys(keys);
     }
 }
 
-/// What a router starts with.
+/// Configuration of a [`FleetMachine`].
 pub struct FleetMachineConfig {
-    /// Its name.
+    /// Name of the router.
     pub name: String,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: String,
-    /// Where it listens for datagrams; others reach it there.
+    /// UDP address on which it listens, and which it advertises to other routers.
     pub listen: SocketAddr,
-    /// Addresses of routers that it asks for the others.
+    /// Addresses of routers that it contacts to discover the others.
     pub seeds: Vec<SocketAddr>,
-    /// Keys of the fleet; the first one seals.
+    /// Keys of the fleet; the first one seals, any of them opens.
     pub keys: Vec<FleetKey>,
-    /// A proxy of a fault-injection scenario: every datagram goes there, its receiver's address in front.
+    /// Proxy of a fault-injection scenario. All datagrams are sent to it, prefixed with the receiver's
+    /// address.
     pub proxy: Option<SocketAddr>,
-    /// Safeguards of the membership that are enabled.
+    /// Safeguards of the membership protocol that are enabled.
     pub safeguards: Safeguards,
 }
 
-/// The fleet's part of a router.
+/// The reactor machine of the fleet runtime.
 pub struct FleetMachine {
     listen: SocketAddr,
     proxy: Option<SocketAddr>,
-    /// The socket, once it is open.
+    /// The UDP socket, once it is open.
     socket: Option<Conn>,
     view: Rc<RefCell<FleetView>>,
-    /// The time of the membership's timer, so that none is set twice.
+    /// When the membership timer fires, so that it is not set twice.
     membership_timer: Micros,
-    /// The same for the shared state.
+    /// When the shared-state timer fires.
     shared_state_timer: Micros,
-    /// Whether this process is to end, which is then announced.
-    is_ending: Box<dyn FnMut() -> bool>,
+    /// Returns true once the process is shutting down, so that the router leaves the fleet.
+    is_shutting_down: Box<dyn FnMut() -> bool>,
 }
 
-/// Actions of one call, carried out when it returns.
+/// Actions that the state machines request during one call, carried out when it returns.
 #[derive(Default)]
 struct PendingActions {
-    /// Messages of the membership, with the address that each is for.
+    /// Membership messages, each with the address of its receiver.
     membership: Vec<(SocketAddr, Vec<u8>)>,
-    /// Messages of the shared state, with the router that each is for.
+    /// Shared-state messages, each with the router that receives it.
     shared: Vec<(RouterId, Vec<u8>)>,
     changes: Vec<Change>,
 }
@@ -101,13 +103,13 @@
 }
 
 impl FleetMachine {
-    /// The machine and the view that the rest of the process shares. `seed` is for random numbers, and new at
-    /// each start, as the instance id that is made of it has to be.
+    /// Creates the machine and the view that it shares with the rest of the process. `seed` seeds the random
+    /// numbers. The instance id is derived from it, so that it must differ at each start.
     pub fn new(now: Micros, config: FleetMachineConfig, seed: u64) -> (Self, Rc<RefCell<FleetView>>) {
         let FleetMachineConfig { name, zone, listen, seeds, keys, proxy, safeguards } = config;
         let instance_id = InstanceId(seed | 1);
-        // Later starts have higher incarnations as far as the clock goes on; where it went back, the others
-        // say so.
+        // The clock gives a later start a higher incarnation. After the clock has been set back, other
+        // routers report the higher incarnation that they know.
         let identity = LocalIdentity { name, zone, address: listen, instance_id, incarnation: now };
         let envelopes = Envelopes::new(instance_id.0, RouterId::named(&identity.name).0, keys);
         let members = Membership::new(now, identity, seeds, seed).with_guards(safeguards);
@@ -120,21 +122,22 @@
             view: view.clone(),
             membership_timer: 0,
             shared_state_timer: 0,
-            is_ending: Box::new(|| false),
+            is_shutting_down: Box::new(|| false),
         };
         (machine, view)
     }
 
-    /// Sets what is asked at every wake-up of the membership, whether this process is to end.
-    pub fn with_end(mut self, is_ending: Box<dyn FnMut() -> bool>) -> Self {
-        self.is_ending = is_ending;
+    /// Sets the function that tells whether the process is shutting down. It is called at every wake-up of
+    /// the membership protocol.
+    pub fn with_shutdown(mut self, is_shutting_down: Box<dyn FnMut() -> bool>) -> Self {
+        self.is_shutting_down = is_shutting_down;
         self
     }
 
     fn open(&mut self, now: Micros, transport: &mut dyn Transport) {
         match transport.bind_datagrams(self.listen) {
             Ok((socket, at)) => {
-                tracing::info!(%at, "fleet: the port is open");
+                tracing::info!(%at, "fleet: UDP port opened");
                 self.socket = Some(socket);
             }
             Err(error) => {
@@ -142,14 +145,14 @@
                     at = %self.listen,
                     %error,
                     reason = "fleet-port",
-                    "fleet: the port cannot be opened, which is tried again"
+                    "fleet: the UDP port could not be opened; retrying"
                 );
                 transport.wake_at(now + OPEN_RETRY_DELAY, OPEN_TIMER);
             }
         }
     }
 
-    /// Makes a call and carries out its actions.
+    /// Calls into the state machines and carries out the actions that they request.
     fn call(
         &mut self,
         now: Micros,
@@ -173,13 +176,14 @@
         shared: Vec<(RouterId, Vec<u8>)>,
     ) {
         for (address, message) in membership {
-            // Whose an address is may have changed: the message itself says whom it is for.
+            // Another router may have taken over the address, so the membership message itself names its
+            // receiver.
             self.send_datagram(transport, view, address, ANY_RECEIVER, &message);
         }
         for (to, message) in shared {
-            // For one process alone: the one that is known under the name.
+            // Addressed to the process that currently holds the router's name.
             let Some(record) = view.members.record(to) else { continue };
-            let (address, receiver) = (record.address, process(to.0, record.instance_id.0));
+            let (address, receiver) = (record.address, process_receiver(to.0, record.instance_id.0));
             self.send_datagram(transport, view, address, receiver, &message);
         }
     }
@@ -193,16 +197,16 @@
         message: &[u8],
     ) {
         let Some(sealed) = view.envelopes.seal(receiver, message) else { return };
-        let taken = match (self.socket, self.proxy) {
+        let accepted = match (self.socket, self.proxy) {
             (Some(socket), None) => transport.datagram_to(socket, address, &sealed),
             (Some(socket), Some(proxy)) => {
-                let front = format!("{address}\n");
-                transport.datagram_to(socket, proxy, &[front.as_bytes(), &sealed].concat())
+                let prefix = format!("{address}\n");
+                transport.datagram_to(socket, proxy, &[prefix.as_bytes(), &sealed].concat())
             }
             (None, _) => false,
         };
         view.sent += 1;
-        view.unsent += u64::from(!taken);
+        view.unsent += u64::from(!accepted);
     }
 
     fn set_timers(&mut self, now: Micros, transport: &mut dyn Transport, view: &FleetView) {
@@ -214,7 +218,7 @@
         let Some(shared) = &view.shared else { return };
         let next_wakeup = shared.next_wakeup();
         let next = shared.next_disk_poll(now).map_or(next_wakeup, |poll| poll.min(next_wakeup));
-        // A timer that is set already and fires sooner sets the next one.
+        // A pending timer that fires earlier calls this function again, which sets the next one.
         if self.shared_state_timer <= now || next < self.shared_state_timer {
             self.shared_state_timer = next;
             transport.wake_at(next, SHARED_STATE_TIMER);
@@ -242,8 +246,10 @@
                 *unreadable += u64::from(members.handle_message(now, message, actions).is_err());
                 return;
             }
-            // Guards against a message that was recorded before this process: it is for another one.
-            let from = members.router_of_instance(InstanceId(instance_id)).filter(|_| envelopes.was_for_me());
+            // Rejects a message recorded before this process started, which is addressed to its predecessor.
+            let from = members
+                .router_of_instance(InstanceId(instance_id))
+                .filter(|_| envelopes.last_was_for_process());
             match (from, shared) {
                 (Some(from), Some(shared)) => {
                     actions.shared.extend(shared.handle_message(now, from, message));
@@ -262,9 +268,9 @@
                 }
             }),
             _ => {
-                let is_ending = (self.is_ending)();
+                let is_shutting_down = (self.is_shutting_down)();
                 self.call(now, transport, |view, actions| {
-                    if is_ending && view.members.local_record().status != MemberStatus::Left {
+                    if is_shutting_down && view.members.local_record().status != MemberStatus::Left {
                         view.members.leave(now, actions);
                     } else if now >= view.members.next_deadline() {
                         view.members.handle_timeout(now, actions);
