--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -1,5 +1,5 @@
-//! The disks of a router: the acceptor's vote and the snapshot, each in a thread of its own, so that a slow
-//! disk delays only what is written to it.
+//! Disk threads of a router. The acceptor's vote and the snapshot are written by separate threads, so that a
+//! slow disk delays neither the reactor nor the other file.
 mod acceptor;
 mod snapshot;
 
@@ -13,91 +13,93 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Limit of requests that wait for the acceptor's disk; one more is lost, as on the network, and repeated by
-/// its sender.
+/// Maximum number of requests queued for the acceptor's thread. Further requests are dropped, as they might
+/// be on the network, and their senders retry.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// Limit of events that wait to be taken; a thread that has more waits.
+/// Capacity of the event queue; a thread blocks while it is full.
 const MAX_PENDING_EVENTS: usize = 4 * MAX_PENDING_REQUESTS;
 
-/// The value that the fleet agrees on. Bytes, so that versions can differ in what they know.
+/// The replicated value. It is opaque to consensus, so that routers of different versions can share a
+/// register.
 pub type AgreedState = Vec<u8>;
 
-/// A fault that a disk has in a fault-injection scenario.
+/// A disk fault that a fault-injection scenario injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// Each write takes this long.
+    /// Delays each write by this time.
     Late(Duration),
-    /// Reports writes as done that are not.
+    /// Reports writes as completed without performing them.
     Lies,
-    /// Rejects each write.
+    /// Fails each write, as a full disk does.
     Full,
 }
 
-/// What the threads have to report.
+/// An event reported by a disk thread.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// Answers of the acceptor, each with its receiver.
+    /// Replies of the acceptor, each with its receiver.
     Messages(Vec<(RouterId, Vec<u8>)>),
-    /// Why the acceptor does not vote, if it does not.
+    /// The error that keeps the acceptor from voting, or `None` if it votes.
     AcceptorError(Option<AcceptorError>),
-    /// The first event of the snapshot's thread.
+    /// The snapshot file has been read, which is the first event of its thread.
     SnapshotRead {
-        /// The snapshot that was there at the start.
+        /// The snapshot found at start-up.
         snapshot: Option<Vec<u8>>,
-        /// What is wrong with its file.
+        /// The error of the snapshot file, if it has one.
         error: Option<StorageError>,
     },
-    /// A snapshot has been written, or why it has not.
+    /// A snapshot has been written, or the error that prevented it.
     SnapshotWritten(Option<StorageError>),
 }
 
-/// Disks as the router sees them: calls hand over and return at once.
+/// Non-blocking access to the disks: each call hands its work over to a thread and returns at once.
 pub trait Disks {
-    /// Hands a request over to the acceptor; false where too many wait.
+    /// Queues a request for the acceptor. Returns false if the queue is full or there is no acceptor.
     fn submit_acceptor_request(&mut self, message: &[u8]) -> bool;
-    /// Replaces the snapshot; false while the one before is being written.
+    /// Queues a snapshot that replaces the file. Returns false if an earlier one is still queued or there is
+    /// no file.
     fn write_snapshot(&mut self, bytes: Vec<u8>) -> bool;
-    /// The next event, if there is one.
+    /// Takes the next event, if there is one.
     fn next_event(&mut self) -> Option<DiskEvent>;
-    /// Whether an event is still to come for what was handed over.
+    /// Returns whether an event is outstanding for work that was handed over.
     fn has_pending(&self) -> bool;
-    /// Which run of the kernel this is, and its clock in µs.
+    /// Returns the kernel's boot id and the time since boot in µs.
     fn boot(&self) -> (Option<BootId>, Micros);
 }
 
-/// What the threads of one process need to know.
+/// Configuration of the disk threads.
 #[derive(Clone, Debug)]
 pub struct DiskConfig {
     /// This router.
     pub router: RouterId,
-    /// The number of the fleet, which a vote has to be of.
+    /// Number of the fleet's bootstrap; a vote file of another one is rejected.
     pub fleet: u64,
-    /// The number of a vote file that is created now.
+    /// Id given to the vote file if it is created at this start.
     pub new_file: InstanceId,
-    /// File of the acceptor's vote; none where this router is not a replica.
+    /// File of the acceptor's vote; `None` if this router is not a replica.
     pub votes: Option<PathBuf>,
-    /// File of the snapshot; none where there is none.
+    /// File of the snapshot; `None` if no snapshots are written.
     pub snapshot: Option<PathBuf>,
-    /// A fault for scenarios.
+    /// Disk fault to inject.
     pub fault: DiskFault,
 }
 
-/// The threads of one process.
+/// The disk threads of one process.
 pub struct DiskThreads {
     acceptor_requests: Option<SyncSender<Vec<u8>>>,
     snapshots: Option<SyncSender<Vec<u8>>>,
     events: Receiver<DiskEvent>,
-    /// Events that are still to come for what was handed over.
+    /// Number of outstanding events for work that was handed over.
     pending: usize,
     boot: Option<BootId>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DiskThreads {
-    /// Starts a thread for each file of the configuration.
+    /// Starts a thread for each file that is configured.
     pub fn new(config: DiskConfig) -> Self {
         let (events, received_events) = sync_channel(MAX_PENDING_EVENTS);
         let mut disks = DiskThreads {
@@ -122,7 +124,7 @@
         disks
     }
 
-    /// Starts a thread, whose first event is pending.
+    /// Starts a thread, which reports its first event without being asked.
     fn spawn(&mut self, run: impl FnOnce() + Send + 'static) {
         self.pending += 1;
         self.threads.push(std::thread::spawn(run));
@@ -147,7 +149,8 @@
     fn next_event(&mut self) -> Option<DiskEvent> {
         match self.events.try_recv() {
             Ok(event) => {
-                // The acceptor reports its errors beside its answers, but for the first report.
+                // An acceptor error reported after start-up is not counted in `pending`, hence
+                // `saturating_sub`.
                 self.pending = self.pending.saturating_sub(1);
                 Some(event)
             }
@@ -165,7 +168,8 @@
 }
 
 impl Drop for DiskThreads {
-    /// What was handed over is still written, unless the disk hangs: its thread ends with the process then.
+    /// Closes the queues without joining the threads. They finish the writes already queued, unless the disk
+    /// hangs or the process ends first.
     fn drop(&mut self) {
         self.acceptor_requests = None;
         self.snapshots = None;
@@ -173,13 +177,13 @@
     }
 }
 
-/// The id that the kernel drew when it started.
+/// Reads the kernel's random boot id.
 fn boot_id() -> Option<BootId> {
     let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
     u128::from_str_radix(&text.trim().replace('-', ""), 16).ok().map(BootId)
 }
 
-/// µs since the kernel started, sleep included.
+/// Time since boot in µs, including suspend.
 fn boot_clock() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     time.tv_sec as Micros * 1_000_000 + time.tv_nsec as Micros / 1_000
--- a/crates/fleet/src/disk/acceptor.rs
+++ b/crates/fleet/src/disk/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor's thread: answers requests one by one, each after its vote is on the disk.
+//! The acceptor's thread. It handles requests one at a time and replies only after its vote is on disk.
 use super::{AgreedState, DiskConfig, DiskEvent, DiskFault};
 use applepond_consensus::message::{self, MessageWriter};
 use applepond_consensus::{AcceptorError, AcceptorState, AcceptorStorage, RegisterState, Replica};
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender};
 
-/// The vote on a disk that may have a fault.
+/// Storage of the vote that injects the configured disk fault.
 struct FaultyStorage {
     file: AcceptorFile,
     fault: DiskFault,
@@ -24,16 +24,16 @@
     }
 }
 
-/// In place of a file that could not be opened.
-struct NoStorage;
+/// Stands in for a vote file that could not be opened; every write fails.
+struct UnavailableStorage;
 
-impl AcceptorStorage<RegisterState<AgreedState>> for NoStorage {
+impl AcceptorStorage<RegisterState<AgreedState>> for UnavailableStorage {
     fn persist(&mut self, _: &AcceptorState<RegisterState<AgreedState>>) -> Result<(), AcceptorError> {
         Err(AcceptorError::WriteFailed)
     }
 }
 
-/// Runs until the router is gone.
+/// Runs until the router drops its end of either channel.
 pub(super) fn run(
     file: &Path,
     config: &DiskConfig,
@@ -46,16 +46,16 @@
         return;
     }
     while let Ok(request) = requests.recv() {
-        let mut answers = MessageWriter::new(config.router);
-        // A request that cannot be read is not answered.
-        let _ = message::handle_acceptor_request(&request, &mut replica, storage.as_mut(), &mut answers);
+        let mut replies = MessageWriter::new(config.router);
+        // A malformed request gets no reply.
+        let _ = message::handle_acceptor_request(&request, &mut replica, storage.as_mut(), &mut replies);
         if replica.error() != reported {
             reported = replica.error();
             if events.send(DiskEvent::AcceptorError(reported)).is_err() {
                 return;
             }
         }
-        if events.send(DiskEvent::Messages(answers.messages)).is_err() {
+        if events.send(DiskEvent::Messages(replies.messages)).is_err() {
             return;
         }
     }
@@ -63,13 +63,13 @@
 
 type OpenedStorage = Box<dyn AcceptorStorage<RegisterState<AgreedState>>>;
 
-/// Opens the file; one that cannot be read makes a replica that does not vote.
+/// Opens the vote file. If it cannot be read, the replica does not vote.
 fn open(file: &Path, config: &DiskConfig) -> (OpenedStorage, Replica<AgreedState>) {
     match AcceptorFile::open(file, config.new_file) {
         Ok(OpenedAcceptor { file, disk, state }) => {
             let storage = FaultyStorage { file, fault: config.fault };
             (Box::new(storage), Replica::new(config.fleet, disk, Ok(state)))
         }
-        Err(error) => (Box::new(NoStorage), Replica::new(config.fleet, config.new_file, Err(error))),
+        Err(error) => (Box::new(UnavailableStorage), Replica::new(config.fleet, config.new_file, Err(error))),
     }
 }
--- a/crates/fleet/src/disk/snapshot.rs
+++ b/crates/fleet/src/disk/snapshot.rs
@@ -1,13 +1,13 @@
-//! The snapshot's thread: reads the file at the start, then replaces it as snapshots come.
+//! The snapshot thread. It reads the file at start-up and then replaces it with each snapshot it receives.
 use super::{DiskEvent, DiskFault};
 use applepond_storage::{SnapshotFile, StorageError};
 use std::path::Path;
 use std::sync::mpsc::{Receiver, SyncSender};
 
-/// A snapshot file, with what was wrong with it when it was opened.
+/// An opened snapshot file and the error found in it, or the error that kept it from being opened.
 type OpenedFile = Result<(SnapshotFile, Option<StorageError>), StorageError>;
 
-/// Runs until the router is gone.
+/// Runs until the router drops its end of either channel.
 pub(super) fn run(
     file: &Path,
     fault: DiskFault,
@@ -19,7 +19,7 @@
         return;
     }
     while let Ok(bytes) = snapshots.recv() {
-        // A directory that was missing may be there by now.
+        // A missing directory may have been created since the last attempt.
         if opened.is_err() {
             opened = SnapshotFile::open(file);
         }
@@ -30,7 +30,7 @@
     }
 }
 
-/// The snapshot that was there at the start.
+/// Reads the snapshot found at start-up.
 fn read(opened: &OpenedFile) -> DiskEvent {
     let (snapshot, error) = match opened {
         Ok((file, error)) => match file.read() {
