--- a/crates/cli/src/fleet/injection.rs
+++ b/crates/cli/src/fleet/injection.rs
@@ -33,7 +33,7 @@
             has_seeded_bug: safeguards.is_some() || recovery.is_some() || one_router_pins,
             safeguards: safeguards.unwrap_or(Safeguards::ALL),
             recovery: recovery.unwrap_or(RecoveryGuards::ALL),
-            prefixes: PrefixGuards { several: !one_router_pins },
+            prefixes: PrefixGuards { bounds_router_fraction: !one_router_pins },
         }
     }
 
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -81,7 +81,7 @@
     let shared_config = shared_state_config(config, &view.borrow());
     let disks = Box::new(disks);
     let shared = SharedState::new(now, shared_config, observations.clone(), disks, seed.rotate_left(31))
-        .with_guards(faults.recovery.peers, faults.recovery.alone)
+        .with_recovery_guards(faults.recovery.peers, faults.recovery.alone)
         .with_prefix_guards(faults.prefixes);
     view.borrow_mut().shared = Some(shared);
     Ok(FleetParts { machine, view, observations })
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -1,5 +1,7 @@
-//! State that the routers share beside membership: gossip, the agreed register, and recovery after a restart.
-//! Messages are for one process each and begin with their protocol's tag; nothing is decided here.
+//! State that routers share besides membership: gossip, the consensus register and recovery after a restart.
+//!
+//! Each message is addressed to one process and begins with the tag of its protocol, by which it is
+//! dispatched to the state machine that handles it.
 mod disk_events;
 mod page;
 mod prefixes;
@@ -19,37 +21,39 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// µs between two looks for events of the disks while one is pending.
+/// Interval in µs at which disk events are polled while one is outstanding.
 const DISK_POLL_INTERVAL: Micros = 2_000;
-/// Gossip: the newest version of the agreed state that a router has seen, by the number of the bootstrap.
+/// Gossip kind for the newest version of the agreed state that a router has seen, keyed by the bootstrap
+/// number.
 const SEEN_VERSION: Kind = Kind(1);
-/// µs for which that counts: it only ever forbids, and who published it publishes it again.
+/// Lifetime of such an entry in µs. It may be long, because a seen version only forbids older ones, and its
+/// publisher refreshes it.
 const SEEN_VERSION_LIFETIME: Micros = 600_000_000;
-/// µs after which it is published again.
+/// Interval in µs after which the entry is published again.
 const SEEN_VERSION_REFRESH: Micros = 200_000_000;
 
-/// What a router needs to know of itself and its role.
+/// Configuration of a [`SharedState`].
 pub struct SharedStateConfig {
     /// This router.
     pub router: RouterId,
-    /// Its process.
+    /// Instance id of this process.
     pub instance_id: InstanceId,
-    /// Its incarnation in the membership.
+    /// Incarnation of this router in the membership protocol.
     pub incarnation: u64,
-    /// The replicas that the settings name; none where nothing is agreed on.
+    /// Replicas named in the settings; empty if consensus is not used.
     pub replicas: Vec<RouterId>,
-    /// Number of the bootstrap: state of another one is not accepted.
+    /// Number of the bootstrap; state of another bootstrap is rejected.
     pub bootstrap: u64,
-    /// It has a file for its vote.
+    /// This router is a replica: it has a vote file.
     pub is_replica: bool,
-    /// It has a file for its snapshot.
+    /// This router has a snapshot file.
     pub has_snapshot: bool,
-    /// What prefixes cost, where they are pinned.
+    /// Cost model of prompt prefixes; `None` if none are pinned.
     pub prefix_terms: Option<Terms>,
 }
 
-/// The words of the log for a stage of recovery, which the operators' pages name.
-fn logged_stage_text(stage: &Stage) -> String {
+/// Name of a recovery stage in the log. The operations documentation lists these names.
+fn logged_stage_name(stage: &Stage) -> String {
     match stage {
         Stage::Requesting => "Asking".to_owned(),
         Stage::Recovered(peers) => format!("Told({peers})"),
@@ -57,42 +61,42 @@
     }
 }
 
-/// A message with its receiver.
+/// A message and its receiver.
 type Message = (RouterId, Vec<u8>);
 
-/// The state of one router.
+/// Shared state of one router.
 pub struct SharedState {
     router: RouterId,
     gossip: Gossip,
-    /// The agreed state; none where the settings name no replicas.
+    /// The consensus register; `None` if the settings name no replicas.
     register: Option<Register<AgreedState>>,
     recovery: PeerRecovery,
-    /// What the router remembers of workers and functions.
+    /// Observations of workers and functions that survive a restart.
     observations: Rc<RefCell<ObservationStore>>,
     disks: Box<dyn Disks>,
     /// Number of the bootstrap.
     bootstrap: u64,
     /// When the next snapshot is due.
     next_snapshot: Micros,
-    /// Digest of the membership view that gossip knows.
+    /// Digest of the membership view last passed to gossip.
     view_digest: Option<u64>,
-    /// The version that was last published as seen, and when.
+    /// The seen version last published, and when it was published.
     published_version: Option<(InstanceId, u64)>,
     published_at: Micros,
-    /// Stage of the recovery that was last logged.
+    /// Recovery stage last logged.
     logged_stage: Stage,
-    /// Why there is no agreement, as it was last logged.
+    /// Reason for the lack of agreement last logged.
     logged_unavailable: Option<Unavailable>,
     prefixes: Option<Prefixes>,
-    /// Messages that could not be read.
+    /// Messages that could not be decoded.
     unreadable: u64,
-    /// Why the snapshot's file is of no use.
+    /// Last error of the snapshot file.
     snapshot_error: Option<String>,
-    /// Snapshots written so far.
+    /// Number of snapshots written.
     snapshots_written: u64,
 }
 
-/// Messages that the state machines send.
+/// Collects the messages that the state machines send.
 #[derive(Default)]
 struct Messages(Vec<Message>);
 
@@ -108,7 +112,7 @@
     }
 }
 
-/// Passes a recovery message on to the state machine.
+/// Passes a decoded recovery message on to the state machine.
 struct RecoveryHandler<'a> {
     now: Micros,
     recovery: &'a mut PeerRecovery,
@@ -133,7 +137,7 @@
 }
 
 impl SharedState {
-    /// The state of a router that starts now. `seed` is for random numbers.
+    /// Creates the state of a router that starts at `now`. `seed` seeds the random numbers.
     pub fn new(
         now: Micros,
         config: SharedStateConfig,
@@ -169,23 +173,25 @@
         }
     }
 
-    /// The same with these guards of the recovery alone, and without peers where `alone`, for scenarios.
-    pub fn with_guards(mut self, guards: recovery::Guards, alone: bool) -> Self {
+    /// Replaces the guards of the recovery, and disables recovery from peers if `without_peers` is set. For
+    /// fault-injection scenarios.
+    pub fn with_recovery_guards(mut self, guards: recovery::Guards, without_peers: bool) -> Self {
         self.recovery = self.recovery.with_guards(guards);
-        if alone {
+        if without_peers {
             self.recovery = self.recovery.without_peers();
         }
         self
     }
 
-    /// Sets the replicas that the settings name: the register changes to them one by one, by agreement.
+    /// Sets the replicas named in the settings. The register replaces its replicas one at a time, by
+    /// consensus.
     pub fn set_replicas(&mut self, replicas: &[RouterId]) {
         if let Some(register) = self.register.as_mut().filter(|_| !replicas.is_empty()) {
             register.set_configured_replicas(replicas);
         }
     }
 
-    /// When `wake` is to be called next, events of disks aside.
+    /// Returns when to call `wake` next, apart from disk events.
     pub fn next_wakeup(&self) -> Micros {
         let register = self.register.as_ref().map_or(Micros::MAX, Register::next_wakeup);
         let prefixes = self.prefixes.as_ref().map_or(Micros::MAX, Prefixes::next_wakeup);
@@ -193,12 +199,12 @@
         self.gossip.next_deadline().min(prefixes).min(register).min(recovery).min(self.next_snapshot)
     }
 
-    /// When to look for events of the disks, while one is pending.
+    /// Returns when to poll for disk events, if one is outstanding.
     pub fn next_disk_poll(&self, now: Micros) -> Option<Micros> {
         self.disks.has_pending().then_some(now + DISK_POLL_INTERVAL)
     }
 
-    /// Does all that is due; returns messages for other routers.
+    /// Runs all work that is due. Returns messages for other routers.
     pub fn wake(&mut self, now: Micros, members: &Membership) -> Vec<Message> {
         let mut messages = Messages::default();
         self.handle_disk_events(now, &mut messages);
@@ -231,18 +237,18 @@
         let (boot, at) = self.disks.boot();
         let bytes =
             recovery::encode_snapshot(self.router.0, boot, at, now, self.observations.borrow().facts());
-        // While the one before is being written this one is left out: the next is younger.
+        // Dropped if the previous snapshot is still being written, as the next one will be newer.
         self.disks.write_snapshot(bytes);
     }
 
-    /// Handles a message that was sealed for this process; returns messages for other routers.
+    /// Handles a message that was sealed for this process. Returns messages for other routers.
     pub fn handle_message(&mut self, now: Micros, from: RouterId, message: &[u8]) -> Vec<Message> {
         let messages = self.dispatch(now, from, message);
         self.report_changes(now);
         self.handle_own_messages(now, messages)
     }
 
-    /// Handles messages of this router to itself, which need no network; returns the others.
+    /// Delivers messages that this router sent to itself, bypassing the network. Returns the others.
     fn handle_own_messages(&mut self, now: Micros, messages: Vec<Message>) -> Vec<Message> {
         let (mut others, mut pending) = (Vec::new(), messages);
         while let Some((to, message)) = pending.pop() {
@@ -255,10 +261,10 @@
         others
     }
 
-    /// Passes a message on to the state machine that it is for.
+    /// Dispatches a message by its protocol tag. Returns the messages sent in response.
     fn dispatch(&mut self, now: Micros, from: RouterId, message: &[u8]) -> Vec<Message> {
         let mut messages = Messages::default();
-        let was_read = match message.first() {
+        let was_decoded = match message.first() {
             Some(&gossip::PROTOCOL_MARKER) => {
                 self.gossip.handle_message(now, from, message, &mut messages).is_ok()
             }
@@ -277,37 +283,37 @@
             }
             _ => false,
         };
-        self.unreadable += u64::from(!was_read);
+        self.unreadable += u64::from(!was_decoded);
         messages.0
     }
 
-    /// Whether the message could be read.
+    /// Returns whether the message could be decoded.
     fn handle_register_message(&mut self, now: Micros, message: &[u8], messages: &mut Messages) -> bool {
         let seen = self.versions_seen(now);
         let mut written = MessageWriter::new(self.router);
-        let was_read = self.register.as_mut().is_some_and(|register| {
+        let was_decoded = self.register.as_mut().is_some_and(|register| {
             let written = &mut written;
             consensus::message::handle_register_message(message, register, now, &seen, written).is_ok()
         });
         messages.0.extend(written.messages);
-        was_read
+        was_decoded
     }
 
-    /// The versions of the agreed state that other routers have seen, for this bootstrap.
+    /// Versions of the agreed state that routers have published as seen, for this bootstrap.
     fn versions_seen(&self, now: Micros) -> Vec<(InstanceId, u64)> {
         let entries = self.gossip.entries_for_key(now, SEEN_VERSION, Key(self.bootstrap));
         entries.filter_map(|entry| postcard::from_bytes(entry.value).ok()).collect()
     }
 
-    /// Publishes the newest version seen, and logs what has changed.
+    /// Publishes the newest version seen, and logs changes of availability and recovery.
     fn report_changes(&mut self, now: Micros) {
         self.publish_version(now);
         self.log_availability(now);
         if self.recovery.stage() != self.logged_stage {
             self.logged_stage = self.recovery.stage();
             let requests = self.recovery.requests_sent();
-            let stage = logged_stage_text(&self.logged_stage);
-            tracing::info!(reason = "comeback", %stage, asks = requests, "recovery: over");
+            let stage = logged_stage_name(&self.logged_stage);
+            tracing::info!(reason = "comeback", %stage, asks = requests, "recovery: stage changed");
         }
     }
 
@@ -321,7 +327,7 @@
         self.published_version = seen;
         self.published_at = now;
         let value = postcard::to_stdvec(&seen.unwrap_or((InstanceId(0), 0))).unwrap_or_default();
-        // It is small, and replaces the one before, so that there is always room.
+        // Cannot fail: the value is small and replaces the previous one, so that it always fits.
         let _ = self.gossip.publish(now, SEEN_VERSION, Key(self.bootstrap), &value);
     }
 
@@ -335,7 +341,7 @@
         if let Some(why) = &unavailable {
             let code = why.code().map(|code| code.to_string());
             let help = why.help().map(|help| help.to_string());
-            tracing::warn!(reason = "standstill", ?code, %why, ?help, "consensus: no agreement");
+            tracing::warn!(reason = "standstill", ?code, %why, ?help, "consensus: agreed state unavailable");
         }
         self.logged_unavailable = unavailable;
     }
--- a/crates/fleet/src/shared_state/disk_events.rs
+++ b/crates/fleet/src/shared_state/disk_events.rs
@@ -1,4 +1,4 @@
-//! What the disks report: answers of the acceptor, the snapshot of the last run, errors.
+//! Handling of disk events: replies of the acceptor, the snapshot of the previous run, and errors.
 use super::{Messages, SharedState};
 use crate::disk::DiskEvent;
 use applepond_reactor::Micros;
@@ -9,7 +9,7 @@
     pub(super) fn handle_disk_events(&mut self, now: Micros, messages: &mut Messages) {
         while let Some(event) = self.disks.next_event() {
             match event {
-                DiskEvent::Messages(answers) => messages.0.extend(answers),
+                DiskEvent::Messages(replies) => messages.0.extend(replies),
                 DiskEvent::AcceptorError(error) => {
                     if let Some(register) = &mut self.register {
                         register.set_acceptor_error(error);
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Takes over the facts of the snapshot that was found at the start.
+    /// Imports the facts of the snapshot that was found at start-up.
     fn load_snapshot(&mut self, now: Micros, snapshot: Option<Vec<u8>>, error: Option<StorageError>) {
         let (boot, at) = self.disks.boot();
-        let read =
+        let decoded =
             snapshot.map(|bytes| recovery::decode_snapshot(self.router.0, boot, at, &bytes)).transpose();
-        let why = match (&read, &error) {
+        let why = match (&decoded, &error) {
             (Err(why), _) => Some(why.to_string()),
             (_, Some(error)) => Some(error.to_string()),
             _ => None,
@@ -36,14 +36,14 @@
             tracing::warn!(
                 reason = "snapshot-unusable",
                 why,
-                "recovery: the snapshot cannot be used, facts come from peers or not at all"
+                "recovery: the snapshot is unusable; relying on peers for recovery"
             );
         }
         self.snapshot_error = why;
-        if let Ok(Some(facts)) = read
+        if let Ok(Some(facts)) = decoded
             && !facts.is_empty()
         {
-            tracing::info!(reason = "snapshot", facts = facts.len(), "recovery: a snapshot has been loaded");
+            tracing::info!(reason = "snapshot", facts = facts.len(), "recovery: snapshot loaded");
             self.observations.borrow_mut().import(now, &facts);
             self.recovery.snapshot_loaded(now);
         }
@@ -55,7 +55,7 @@
             tracing::warn!(
                 reason = "snapshot-not-written",
                 why,
-                "recovery: the snapshot could not be written, routing goes on"
+                "recovery: the snapshot could not be written; routing is not affected"
             );
         }
         self.snapshot_error = Some(why);
--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -1,4 +1,4 @@
-//! Prompt prefixes: this router's counts of their uses, and the agreed list of pinned ones.
+//! Prompt prefixes: usage counts of this router, and the replicated list of pinned prefixes.
 use super::SharedState;
 use applepond::interface::FunctionId;
 use applepond_gossip::{Gossip, Key, Kind};
@@ -6,37 +6,37 @@
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 
-/// Gossip: a router's counts of prefixes in one window of time, by the window's number modulo those that
-/// count.
+/// Gossip kind for a router's usage counts in one time window. The key is the window number modulo the number
+/// of windows in use.
 pub(super) const COUNTS: Kind = Kind(2);
-/// µs between two evaluations of the counts of all routers, at the leader.
+/// Interval in µs at which the leader evaluates the counts of all routers.
 const EVALUATION_INTERVAL: Micros = 1_000_000;
-/// Limit of prefixes whose size is known; a further one is never pinned.
+/// Maximum number of prefixes whose size is recorded. A prefix of unknown size is never pinned.
 const MAX_SIZES: usize = 8_192;
 
 /// Guards that a fault-injection scenario can disable.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixGuards {
-    /// No router accounts for more than its part of the uses.
-    pub several: bool,
+    /// Bounds the fraction of the total usage that a single router can account for.
+    pub bounds_router_fraction: bool,
 }
 
 impl PrefixGuards {
     /// All guards enabled.
-    pub const ALL: PrefixGuards = PrefixGuards { several: true };
+    pub const ALL: PrefixGuards = PrefixGuards { bounds_router_fraction: true };
 }
 
-/// What this router knows of prefixes.
+/// State of the prefix cache on this router.
 pub(super) struct Prefixes {
-    /// Its own counts.
+    /// Usage counts of this router.
     counts: Panes,
     /// Decides which prefixes are pinned.
     pins: Pins,
-    /// Sizes of prefixes, in the unit that the requests use.
+    /// Sizes of prefixes, in the unit that requests use.
     sizes: BTreeMap<OpeningId, u32>,
-    /// The agreed list as of its last reading.
+    /// The agreed list of pins, as last decoded.
     list: List,
-    /// Version of the agreed state that holds it.
+    /// Version of the agreed state from which `list` was decoded.
     version: u64,
     /// When the counts of all routers were last evaluated.
     evaluated: Micros,
@@ -56,29 +56,30 @@
         }
     }
 
-    /// When the present window of the counts ends.
+    /// When the current count window ends.
     pub(super) fn next_wakeup(&self) -> Micros {
         self.counts.next()
     }
 
-    /// Prefixes that the agreed list pins.
+    /// Number of prefixes that the agreed list pins.
     pub(super) fn pinned(&self) -> usize {
         self.list.pins.len()
     }
 
-    /// The next list, where the counts of all routers call for a change.
+    /// Returns the list to propose, if the counts of all routers call for a change.
     fn next_list(&mut self, now: Micros, gossip: &Gossip) -> Option<List> {
         let counts = gossip.entries(now, COUNTS).filter_map(|entry| {
             Panes::read(entry.key.0, entry.value).ok().map(|counts| (entry.origin, counts))
         });
-        let counted = if self.guards.several { Panes::fleet(counts) } else { Panes::unbounded(counts) };
+        let usage =
+            if self.guards.bounds_router_fraction { Panes::fleet(counts) } else { Panes::unbounded(counts) };
         let sizes = &self.sizes;
-        self.pins.next(now, &self.list, &counted, |id| sizes.get(&id).copied())
+        self.pins.next(now, &self.list, &usage, |id| sizes.get(&id).copied())
     }
 }
 
 impl SharedState {
-    /// Counts a request that was accepted and begins with this prefix; 0 where its size is not known.
+    /// Counts an accepted request that begins with this prefix. A `size` of 0 means unknown.
     pub fn record_prefix_use(&mut self, name: &str, size: u32) {
         let Some(prefixes) = &mut self.prefixes else { return };
         let id = prefix_id(name);
@@ -88,25 +89,25 @@
         }
     }
 
-    /// For how many µs the worker of a request that is sent now may keep this prefix; none where it is not
-    /// pinned.
+    /// Returns for how many µs the worker of a request sent now may keep this prefix, or `None` if the prefix
+    /// is not pinned.
     pub fn prefix_lease(&self, now: Micros, name: &str) -> Option<Micros> {
         let prefixes = self.prefixes.as_ref()?;
         let lease = self.register.as_ref()?.lease(now)?;
-        // Guards against a list that is not the one agreed on now.
+        // The decoded list may be older than the agreed state.
         let is_current = lease.state.version == prefixes.version;
         let list = if is_current { &prefixes.list } else { &List::read(&lease.state.value).ok()? };
         list.rides(now, lease.expires_at, prefix_id(name))
     }
 
-    /// Sets how many workers there are, which decides how many prefixes are worth a pin.
+    /// Sets the number of ready workers, on which the number of prefixes worth pinning depends.
     pub fn set_ready_workers(&mut self, ready: usize) {
         if let Some(prefixes) = &mut self.prefixes {
             prefixes.pins.terms().workers = ready.max(1) as f64;
         }
     }
 
-    /// The same with these guards alone, for scenarios.
+    /// Replaces the prefix guards, for fault-injection scenarios.
     pub fn with_prefix_guards(mut self, guards: PrefixGuards) -> Self {
         if let Some(prefixes) = &mut self.prefixes {
             prefixes.guards = guards;
@@ -114,12 +115,13 @@
         self
     }
 
-    /// Publishes counts whose window has ended, and proposes the next list where this router is the leader.
+    /// Publishes the counts of a window that has ended and, on the leader, proposes a new list of pins if
+    /// needed.
     pub(super) fn update_prefixes(&mut self, now: Micros) {
         let Some(prefixes) = &mut self.prefixes else { return };
         if let Some(counts) = prefixes.counts.wake(now) {
             let key = Key(counts.pane % PANES);
-            // Counts never grow beyond the size for which gossip has room.
+            // Cannot fail: the encoded counts never exceed the size limit of a gossip value.
             let _ = self.gossip.publish(now, COUNTS, key, &Panes::write(&counts));
         }
         let Some(register) = &mut self.register else { return };
@@ -128,14 +130,14 @@
             prefixes.version = lease.state.version;
             prefixes.list = List::read(&lease.state.value).unwrap_or_default();
         }
-        // An evaluation reads all counts of all routers, and this is called every other millisecond.
+        // An evaluation reads the counts of all routers, and this function may be called every 2 ms.
         if !register.is_leader(now) || now < prefixes.evaluated + EVALUATION_INTERVAL {
             return;
         }
         prefixes.evaluated = now;
         if let Some(list) = prefixes.next_list(now, &self.gossip) {
             let pins = list.pins.len();
-            tracing::info!(reason = "openings", pins, "prefix cache: another list of pins is proposed");
+            tracing::info!(reason = "openings", pins, "prefix cache: proposing a new list of pins");
             register.propose(now, prefixes.version, list.write());
         }
     }
