--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the routers of a fleet have in common: membership, gossip, agreed state and recovery, on one UDP
-//! port.
+//! Runtime of the router fleet: membership, gossip, consensus and recovery, multiplexed over one UDP port.
 //!
-//! [`FleetMachine`] connects these state machines with the socket, the disks, the log and the state page;
-//! datagrams are authenticated by a keyed hash ([`envelope`]). `serve` runs it where the settings have a
-//! `fleet` block, and nothing else does. Nothing is decided here.
+//! [`FleetMachine`] connects these state machines to the socket, the disk threads, the log and the state
+//! page; a keyed hash authenticates every datagram ([`envelope`]). Only `serve` runs it, and only if the
+//! settings have a `fleet` block. This crate performs I/O and dispatch; the protocol decisions are made in
+//! the state machines.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
--- a/crates/fleet/src/page.rs
+++ b/crates/fleet/src/page.rs
@@ -1,10 +1,10 @@
-//! The fleet's part of the state page, and one line of the log for each change of membership.
+//! The fleet section of the state page, and the log lines for membership changes.
 use crate::machine::FleetView;
 use applepond_membership::{Change, MemberView};
 use applepond_reactor::Micros;
 use serde_json::{Map, Value, json};
 
-/// The view for the state page; times in it are µs.
+/// Renders the fleet section of the state page. Times are in µs.
 pub fn page(view: &FleetView, now: Micros) -> Value {
     let members = &view.members;
     let dropped: Map<String, Value> = view
@@ -30,7 +30,7 @@
         "lame": member.link_fault.map(|fault| format!("{fault:?}").to_lowercase())})
 }
 
-/// Writes a change to the log: one arm for each kind, which is why the function is long.
+/// Logs a membership change. The function is long because it has one arm for each kind of change.
 pub(crate) fn log_change(change: &Change) {
     match change {
         Change::StatusChanged { name, previous, current, accusers } => {
@@ -41,7 +41,7 @@
                 was = previous,
                 is = current.as_str(),
                 by = accusers.join(","),
-                "fleet: the status of a router has changed"
+                "fleet: router status changed"
             );
         }
         Change::LinkFaultChanged { name, previous, current } => {
@@ -50,34 +50,46 @@
                 router = name,
                 was = ?previous,
                 is = ?current,
-                "fleet: a link to a router works in one direction only, or does again"
+                "fleet: link fault to a router changed"
             );
         }
         Change::ProcessStalled(time) => {
             tracing::warn!(reason = "fleet-stood-still", us = time, "fleet: this process was stalled");
         }
         Change::Isolated(isolated) => {
-            tracing::warn!(reason = "fleet-deaf", deaf = isolated, "fleet: all neighbours are silent");
+            tracing::warn!(
+                reason = "fleet-deaf",
+                deaf = isolated,
+                "fleet: all neighbours silent, or heard again"
+            );
         }
         Change::Rejoined(incarnation) => {
-            tracing::warn!(reason = "fleet-returned", incarnation, "fleet: this router had been removed");
+            tracing::warn!(
+                reason = "fleet-returned",
+                incarnation,
+                "fleet: rejoined after having been removed"
+            );
         }
         Change::NameLost { holder } => {
-            tracing::error!(reason = "fleet-refused", %holder, "fleet: another process has this name");
+            tracing::error!(
+                reason = "fleet-refused",
+                %holder,
+                "fleet: another process holds the name of this router"
+            );
         }
         Change::NameContested { name, claimant } => {
             tracing::error!(
                 reason = "fleet-taken",
                 router = name,
                 by = %claimant,
-                "fleet: another process wants a name that is taken"
+                "fleet: another process claims a name that is in use"
             );
         }
         Change::TableFull { name } => {
             tracing::error!(
                 reason = "fleet-full",
                 router = name,
-                "fleet: more routers than the membership table has room for"
+                "fleet: the membership table is full; a router was not added"
             );
         }
     }
--- a/crates/fleet/src/query.rs
+++ b/crates/fleet/src/query.rs
@@ -1,4 +1,4 @@
-//! Asks a running router for its view of the fleet.
+//! Client that reads a running router's view of the fleet.
 use miette::Diagnostic;
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -6,13 +6,13 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Limit of the time for connecting, and for each read of the answer.
+/// Timeout for connecting, and for each read of the response.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a router's view cannot be shown.
+/// Why a router's view of the fleet could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum QueryError {
-    /// The router does not answer.
+    /// The router could not be reached or did not respond.
     #[error("{at}: {why}")]
     #[diagnostic(
         code(fleet::unreached),
@@ -21,18 +21,18 @@
         )
     )]
     Unreached {
-        /// The address that was asked.
+        /// The address that was queried.
         at: SocketAddr,
         /// The reason given by the operating system.
         why: String,
     },
-    /// The answer is not a state page.
-    #[error("{at}: no state page: {why}")]
+    /// The response is not a state page.
+    #[error("{at}: the response is not a state page: {why}")]
     #[diagnostic(code(fleet::no_page), help("something else listens there, or a router of another version"))]
     NoPage {
-        /// The address that was asked.
+        /// The address that was queried.
         at: SocketAddr,
-        /// Why the answer cannot be read.
+        /// Why the response could not be parsed.
         why: String,
     },
     /// The router is not part of a fleet.
@@ -42,7 +42,7 @@
 }
 
 impl QueryError {
-    /// One of each, for the table of codes.
+    /// One instance of each variant, for the error code reference.
     pub fn each() -> Vec<QueryError> {
         let (at, why) = (SocketAddr::from(([127, 0, 0, 1], 0)), String::new());
         vec![
@@ -53,10 +53,11 @@
     }
 }
 
-/// The `fleet` part of the state page of the router that listens for events at this address.
+/// Reads the `fleet` section of the state page of the router that listens for events at this address.
 ///
 /// # Errors
-/// The router cannot be reached, does not answer with a state page, or is not part of a fleet.
+/// Returns an error if the router cannot be reached, does not respond with a state page, or is not part of a
+/// fleet.
 pub fn query(at: SocketAddr) -> Result<Value, QueryError> {
     let unreached = |error: std::io::Error| QueryError::Unreached { at, why: error.to_string() };
     let mut connection = TcpStream::connect_timeout(&at, TIMEOUT).map_err(unreached)?;
