--- a/crates/cli/src/errors.rs
+++ b/crates/cli/src/errors.rs
@@ -1,9 +1,9 @@
-//! How errors of the command line reach an operator.
+//! Error output and exit status of the command line.
 
-/// Exit status for a command line, settings or a file that are not valid.
+/// Exit status for invalid arguments, settings or input files.
 pub(crate) const USAGE_ERROR: u8 = 2;
 
-/// Prints an error as an operator reads it: what happened, and what to do about it. `context` comes in front.
+/// Prints an error to standard error, followed by its help text and code. `context` precedes the message.
 pub(crate) fn print_error(context: &str, error: &dyn miette::Diagnostic) {
     eprintln!("{context}{error}");
     if let Some(help) = error.help() {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `applepond`: runs a router, checks settings, and runs test doubles and fault-injection
+//! The `applepond` program: runs routers, checks settings, and runs test doubles and fault-injection
 //! scenarios.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
@@ -29,49 +29,49 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs one router instance.
+    /// Runs one router.
     Serve {
-        /// The instance's settings, HCL.
+        /// Settings file, in HCL.
         #[arg(long)]
         settings: PathBuf,
-        /// Listens here instead of where the settings say.
+        /// Overrides the listen address of the settings.
         #[arg(long)]
         listen: Option<SocketAddr>,
-        /// Form of the log on standard error.
+        /// Format of the log on standard error.
         #[arg(long, value_enum, default_value_t = LogFormat::Text)]
         log: LogFormat,
-        /// Breaks a rule on purpose, to prove the auditor of a drill.
+        /// Enables a seeded bug, to verify that a scenario detects it.
         #[arg(long, hide = true)]
         plant: Option<String>,
-        /// Sends the datagrams of its fleet through a rig that stands between the routers.
+        /// Sends all fleet datagrams to this proxy, which forwards them and injects network faults.
         #[arg(long, hide = true)]
         fleet_through: Option<SocketAddr>,
-        /// What its disks do: late-MS, lies or full.
+        /// Disk fault to inject: late-MS, lies or full.
         #[arg(long, hide = true, value_parser = fleet::disk_fault)]
         disk: Option<DiskFault>,
-        /// Ends with the process that started it: a drill that is broken off leaves no router behind.
+        /// Ends with its parent process, so that an interrupted scenario leaves no router running.
         #[arg(long, hide = true)]
         with_parent: bool,
     },
-    /// Runs one real router of the operators' platform, as its environment says.
+    /// Runs one router of the operators' platform, configured through its environment.
     Node {
-        /// The configuration, JSON.
+        /// Configuration file, in JSON.
         #[arg(long, env = "PROXY_CONFIG")]
         config: PathBuf,
     },
-    /// Asks a running router of its fleet.
+    /// Shows the fleet as a running router sees it.
     Fleet {
         #[command(subcommand)]
         command: fleet::FleetCommand,
     },
-    /// Reads settings and reports every fault by line and column.
+    /// Checks a settings file and reports every error by line and column.
     Check { file: PathBuf },
-    /// Runs a stand-in of an outside system, for trying things out by hand.
+    /// Runs a test double of an external system, for manual testing.
     Standin {
         #[command(subcommand)]
         fake: fakes::Fake,
     },
-    /// Plays a scripted day against a fleet on loopback and judges it.
+    /// Runs a fault-injection scenario against a fleet on loopback and checks its rules.
     Drill {
         #[command(subcommand)]
         scenario: scenario::Scenario,
@@ -85,7 +85,7 @@
                 serve::end_with_parent();
             }
             let faults = FaultInjection::new(plant.as_deref(), fleet_through, disk.unwrap_or_default());
-            // A seeded bug of the fleet is not one of the gateway as well.
+            // The name belongs to either the fleet or the gateway.
             let seeded_bug = plant.filter(|_| !faults.has_seeded_bug());
             serve::serve(&ServeOptions { settings, listen, log, seeded_bug, faults })
         }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one router instance.
+//! The `serve` command, which runs one router.
 use crate::errors::{USAGE_ERROR, print_error};
 use crate::fleet::{self, FaultInjection, FleetParts};
 use crate::settings;
@@ -19,57 +19,58 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Longest wait of one turn: nothing but events ends it earlier.
+/// Maximum time that one turn of the reactor waits for events.
 const MAX_TURN: Duration = Duration::from_secs(1);
 
-/// Form of the log.
+/// Format of the log.
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum LogFormat {
-    /// A line of text an event.
+    /// One line of text per event.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What the command line says of an instance.
+/// Command-line options of `serve`.
 pub(crate) struct ServeOptions {
-    /// File of the settings.
+    /// The settings file.
     pub(crate) settings: PathBuf,
-    /// Listens here instead of where the settings say.
+    /// Overrides the listen address of the settings.
     pub(crate) listen: Option<SocketAddr>,
     pub(crate) log: LogFormat,
-    /// Name of a bug that the gateway is to have, for scenarios.
+    /// Name of a seeded bug to enable in the gateway, for fault-injection scenarios.
     pub(crate) seeded_bug: Option<String>,
-    /// Faults of its fleet, for scenarios.
+    /// Faults to inject into the fleet runtime, for fault-injection scenarios.
     pub(crate) faults: FaultInjection,
 }
 
-/// Has the kernel end this process when its parent ends. A parent that is killed outright cannot do it.
+/// Makes the kernel kill this process when its parent ends, which also covers a parent that is killed and
+/// cannot clean up.
 pub(crate) fn end_with_parent() {
     let signal = rustix::process::Signal::KILL;
     if let Err(error) = rustix::process::set_parent_process_death_signal(Some(signal)) {
-        eprintln!("cannot be tied to the parent process: {error}");
+        eprintln!("cannot set the parent-death signal: {error}");
     }
 }
 
-/// Serves until the process is told to end.
+/// Serves until the process is asked to shut down.
 pub(crate) fn serve(options: &ServeOptions) -> ExitCode {
     run(options).unwrap_or_else(|status| status)
 }
 
-/// The parts of an instance in the order in which they are made, which is why the function is long. The error
-/// is an exit status too: what was wrong has been printed or logged.
+/// Sets up the parts of a router in the order of their dependencies, which makes the function long. The error
+/// is an exit status as well; its cause has already been printed or logged.
 fn run(options: &ServeOptions) -> Result<ExitCode, ExitCode> {
     let mut deployment = settings::read(&options.settings).map_err(ExitCode::from)?;
     deployment.listen = options.listen.unwrap_or(deployment.listen);
     init_log(options.log);
     let mut reactor = Reactor::new().map_err(|error| {
-        tracing::error!(%error, "no epoll instance");
+        tracing::error!(%error, "cannot create the epoll instance");
         ExitCode::FAILURE
     })?;
     let store = open_workflow_store(&deployment)?;
     let reload = settings::reload_on_hangup(&options.settings, options.listen).map_err(|error| {
-        tracing::error!(%error, "SIGHUP cannot be waited for");
+        tracing::error!(%error, "cannot install the SIGHUP handler");
         ExitCode::FAILURE
     })?;
     let fleet = deployment.fleet.as_ref();
@@ -112,25 +113,28 @@
     }
 }
 
-/// Opens the file in which workflows are recorded, where the settings name one.
+/// Opens the workflow store, if the settings name one.
 fn open_workflow_store(deployment: &Deployment) -> Result<Option<Box<DiskStore>>, ExitCode> {
     let Some(file) = &deployment.workflow_store else {
         let mut steps = deployment.workflows.iter().flat_map(|workflow| &workflow.plan.steps);
         if steps.any(|step| step.effect != RetrySafety::Idempotent) {
-            tracing::warn!(reason = "no-record", "chains with effects are not recorded: a kill forgets them");
+            tracing::warn!(
+                reason = "no-record",
+                "workflows with side effects are not recorded; a crash loses them"
+            );
         }
         return Ok(None);
     };
     match DiskStore::open(file) {
         Ok(store) => Ok(Some(Box::new(store))),
         Err(error) => {
-            print_error("the record of chains cannot be used: ", &error);
+            print_error("the workflow store cannot be used: ", &error);
             Err(ExitCode::from(USAGE_ERROR))
         }
     }
 }
 
-/// Prints the address of the gateway once it listens, for whoever started this process.
+/// Prints the gateway's address once it listens, for the process that started this one.
 fn announce(is_listening: Rc<Cell<bool>>) -> Box<dyn FnMut(SocketAddr)> {
     Box::new(move |at| {
         is_listening.set(true);
@@ -144,19 +148,19 @@
     match SEEDED_BUGS.iter().find(|(known, _, _)| *known == name) {
         Some((_, bug, _)) => Ok(Box::new(BuggyMachine::new(gateway, *bug))),
         None => {
-            eprintln!("--plant {name}: no such fault");
+            eprintln!("--plant {name}: no such seeded bug");
             Err(ExitCode::from(USAGE_ERROR))
         }
     }
 }
 
-/// Has the router leave its fleet on SIGTERM and SIGINT, which would otherwise end the process at once.
-/// Returns whether it has left.
+/// Makes the router leave its fleet on SIGTERM and SIGINT, which would otherwise end the process at once.
+/// Returns a function that tells whether it has left.
 fn leave_on_signal(reactor: &mut Reactor, fleet: FleetParts) -> Result<Box<dyn Fn() -> bool>, ExitCode> {
     let requested = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         if let Err(error) = signal_hook::flag::register(signal, requested.clone()) {
-            tracing::error!(%error, "SIGTERM cannot be waited for");
+            tracing::error!(%error, "cannot install the shutdown signal handler");
             return Err(ExitCode::FAILURE);
         }
     }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! `check`, and the settings file of `serve`.
+//! The `check` command, and loading of the settings file for `serve`.
 use crate::errors::USAGE_ERROR;
 use applepond_gateway::errors::ReloadError;
 use applepond_gateway::{ConfigSource, Deployment};
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Reads a settings file. Its faults are printed; the error is the exit status.
+/// Reads a settings file. Errors in it are printed, and the exit status is returned.
 pub(crate) fn read(file: &Path) -> Result<Deployment, u8> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{}: {error}", file.display());
@@ -23,7 +23,7 @@
     })
 }
 
-/// Checks a settings file.
+/// Checks a settings file and prints a summary of it.
 pub(crate) fn check(file: &Path) -> ExitCode {
     let deployment = match read(file) {
         Ok(deployment) => deployment,
@@ -38,7 +38,8 @@
     ExitCode::SUCCESS
 }
 
-/// Reads the settings file again after each SIGHUP; the faults of a file are printed, and it changes nothing.
+/// Returns a source of new settings that rereads the file after each SIGHUP. Errors in the file are printed,
+/// and the current settings stay in force.
 pub(crate) fn reload_on_hangup(file: &Path, listen: Option<SocketAddr>) -> std::io::Result<ConfigSource> {
     let requested = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGHUP, requested.clone())?;
