--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,4 @@
-//! `node`: one real router of the operators' platform.
+//! The `node` command, which runs one router of the operators' platform.
 use crate::errors::{USAGE_ERROR, print_error};
 use applepond_node::{ExitReason, Node, ProcessEvent};
 use applepond_platform::config::{self, Start};
@@ -13,31 +13,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Longest wait of one turn: the machine's own tick ends it earlier.
+/// Maximum time that one turn of the reactor waits for events; the machine's own timer ends it earlier.
 const MAX_TURN: Duration = Duration::from_secs(1);
 
-/// Reads the configuration.
+/// Reads the configuration file.
 fn read(file: &Path) -> Result<Start, Unfit> {
     let unread = |error: std::io::Error| Unfit::Unread { file: file.to_owned(), why: error.to_string() };
     let text = std::fs::read(file).map_err(unread)?;
     config::start(&text).map_err(|why| why.at(file.display()))
 }
 
-/// Asked by the machine for what the process has been told by signals since.
-fn signals(file: PathBuf) -> std::io::Result<Box<dyn FnMut() -> Option<ProcessEvent>>> {
-    let (again, leave) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-    signal_hook::flag::register(SIGHUP, again.clone())?;
-    signal_hook::flag::register(SIGTERM, leave.clone())?;
-    signal_hook::flag::register(SIGINT, leave.clone())?;
+/// Installs signal handlers. Returns a function that yields the next event signalled since its last call.
+fn install_signal_handlers(file: PathBuf) -> std::io::Result<Box<dyn FnMut() -> Option<ProcessEvent>>> {
+    let (reload, shut_down) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    signal_hook::flag::register(SIGHUP, reload.clone())?;
+    signal_hook::flag::register(SIGTERM, shut_down.clone())?;
+    signal_hook::flag::register(SIGINT, shut_down.clone())?;
     Ok(Box::new(move || {
-        if again.swap(false, Ordering::Relaxed) {
+        if reload.swap(false, Ordering::Relaxed) {
             return Some(ProcessEvent::ConfigReplaced(read(&file).map(Box::new)));
         }
-        leave.swap(false, Ordering::Relaxed).then_some(ProcessEvent::ShutDown)
+        shut_down.swap(false, Ordering::Relaxed).then_some(ProcessEvent::ShutDown)
     }))
 }
 
-/// Runs a router by this configuration until it is told to end.
+/// Runs a router with this configuration until it exits.
 pub(crate) fn node(file: PathBuf) -> ExitCode {
     let start = match read(&file) {
         Ok(start) => start,
@@ -49,23 +49,29 @@
     let filter = tracing_subscriber::EnvFilter::try_from_default_env()
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
     tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
-    let (mut reactor, news) = match Reactor::new().and_then(|reactor| Ok((reactor, signals(file)?))) {
-        Ok(both) => both,
-        Err(error) => {
-            tracing::error!(%error, "cannot begin");
-            return ExitCode::FAILURE;
-        }
-    };
-    let over = Rc::new(Cell::new(None));
-    let ends = over.clone();
-    reactor.add(Box::new(Node::new(reactor.now(), start, news, Box::new(move |end| ends.set(Some(end))))));
-    while over.get().is_none() {
+    let (mut reactor, process_events) =
+        match Reactor::new().and_then(|reactor| Ok((reactor, install_signal_handlers(file)?))) {
+            Ok(started) => started,
+            Err(error) => {
+                tracing::error!(%error, "startup failed");
+                return ExitCode::FAILURE;
+            }
+        };
+    let exit_reason = Rc::new(Cell::new(None));
+    let reported_reason = exit_reason.clone();
+    reactor.add(Box::new(Node::new(
+        reactor.now(),
+        start,
+        process_events,
+        Box::new(move |reason| reported_reason.set(Some(reason))),
+    )));
+    while exit_reason.get().is_none() {
         if let Err(error) = reactor.turn(MAX_TURN) {
             tracing::error!(%error, "epoll");
             return ExitCode::FAILURE;
         }
     }
-    match over.get() {
+    match exit_reason.get() {
         Some(ExitReason::AddressUnavailable) => ExitCode::FAILURE,
         _ => ExitCode::SUCCESS,
     }
