--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -1,4 +1,4 @@
-//! `standin`: a test double of an outside system, for trying things out by hand.
+//! The `standin` command, which runs a test double of an external system for manual testing.
 use crate::errors::USAGE_ERROR;
 use applepond_fakes::hosts::{Hosts, Row};
 use applepond_fakes::ledger::Ledger;
@@ -13,10 +13,10 @@
 
 const MS: Micros = 1_000;
 
-/// The systems that have a test double.
+/// The available test doubles.
 #[derive(Subcommand)]
 pub(crate) enum Fake {
-    /// A worker that loads functions on demand and answers with a price.
+    /// A worker that loads functions on demand and responds with a price.
     Worker {
         #[arg(long)]
         listen: SocketAddr,
@@ -26,38 +26,39 @@
         cores: usize,
         #[arg(long, default_value_t = 8000)]
         memory_mb: u64,
-        /// ms that a load takes beside its fetch.
+        /// Time in ms that loading a function takes in addition to fetching it.
         #[arg(long, default_value_t = 200)]
         load_ms: u64,
-        /// The model store to fetch from; without it a load takes no fetch.
+        /// Address of the model store; without it, functions load without a fetch.
         #[arg(long)]
         store: Option<SocketAddr>,
-        /// Misbehaves from the start: fail-fast, hang, stall, cut-answers, garbage, no-handshakes,
-        /// refuse-all, two-answers. While it runs, `POST /-/mood?NAME` changes it; `well` mends it.
+        /// Initial misbehaviour: fail-fast, hang, stall, cut-answers, garbage, no-handshakes, refuse-all or
+        /// two-answers. `POST /-/mood?NAME` changes it at run time; `well` restores normal operation.
         #[arg(long)]
         mood: Option<String>,
     },
-    /// A model store. `POST /-/stop?MS` stops it for so many ms.
+    /// A model store. `POST /-/stop?MS` stops it for that many ms.
     Store {
         #[arg(long)]
         listen: SocketAddr,
         #[arg(long, default_value_t = 150)]
         fetch_ms: u64,
-        /// Fetches at a time; more are turned away.
+        /// Maximum number of concurrent fetches; further ones are rejected.
         #[arg(long, default_value_t = 16)]
         most: usize,
     },
-    /// A host list that names the given workers ready. `POST /-/standing?NAME=draining` changes one.
+    /// An endpoint list that reports the given workers as ready. `POST /-/standing?NAME=draining` changes
+    /// one.
     Hosts {
         #[arg(long)]
         listen: SocketAddr,
-        /// NAME=ADDRESS, once for each worker.
+        /// NAME=ADDRESS of a worker; may be repeated.
         #[arg(long = "worker")]
         workers: Vec<String>,
     },
 }
 
-/// Runs it until the process ends.
+/// Runs a test double until the process is killed.
 pub(crate) fn run(fake: Fake) -> ExitCode {
     let machine = match machine(fake) {
         Ok(machine) => machine,
@@ -82,7 +83,7 @@
         Fake::Worker { listen, name, cores, memory_mb, load_ms, store, mood } => {
             let mut build = worker_build(name, listen, store);
             (build.cores, build.memory_mb, build.load) = (cores, memory_mb, load_ms * MS);
-            let script = mood.map(|name| mood_from_start(&name)).transpose()?;
+            let script = mood.map(|name| initial_mood(&name)).transpose()?;
             Box::new(Worker::new(build, script.into_iter().collect(), ledger, Rc::default()))
         }
         Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
@@ -93,7 +94,7 @@
     })
 }
 
-/// A worker that is warm at once and never overloaded, with the defaults of the command line.
+/// Returns the build of a worker that is warm at once and never overloaded, with the command-line defaults.
 fn worker_build(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> Build {
     Build {
         name: Rc::from(name),
@@ -116,14 +117,14 @@
     }
 }
 
-fn mood_from_start(name: &str) -> Result<(Micros, Turn), clap::Error> {
+fn initial_mood(name: &str) -> Result<(Micros, Turn), clap::Error> {
     let mood = Mood::named(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
     Ok((0, Turn::Mood(mood)))
 }
 
-/// A row of the list, of NAME=ADDRESS.
+/// Parses NAME=ADDRESS into a row of the endpoint list.
 fn host_row(text: &str) -> Result<Row, clap::Error> {
-    let invalid = || invalid_value(format!("--worker {text}: NAME=ADDRESS is wanted"));
+    let invalid = || invalid_value(format!("--worker {text}: expected NAME=ADDRESS"));
     let (name, address) = text.split_once('=').ok_or_else(invalid)?;
     Ok(Row {
         name: Rc::from(name),
