--- a/crates/cli/src/fleet/adapters.rs
+++ b/crates/cli/src/fleet/adapters.rs
@@ -1,4 +1,4 @@
-//! The fleet's state as the gateway uses it.
+//! Adapters that implement the gateway's interfaces on the fleet's state.
 use applepond::interface::{FunctionId, WorkerHistory, WorkerId, WorkerStatus};
 use applepond_fleet::FleetView;
 use applepond_gateway::{
@@ -9,7 +9,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The fleet's counts of prompt prefixes, and the leases of pinned ones.
+/// Usage counts of prompt prefixes, and leases of pinned ones.
 pub(super) struct FleetPrefixes(pub(super) Rc<RefCell<FleetView>>);
 
 impl PrefixTracker for FleetPrefixes {
@@ -28,10 +28,10 @@
     }
 }
 
-/// What the router remembers of workers and functions over a restart.
+/// History of workers, functions and traffic that survives a restart.
 pub(super) struct ObservedHistory {
     pub(super) observations: Rc<RefCell<ObservationStore>>,
-    /// A drain that was announced before the restart still holds.
+    /// Whether a drain announced before the restart still applies.
     pub(super) keeps_drains: bool,
 }
 
--- a/crates/cli/src/fleet/injection.rs
+++ b/crates/cli/src/fleet/injection.rs
@@ -1,4 +1,4 @@
-//! Faults and seeded bugs that a fault-injection scenario gives the fleet's part of a router.
+//! Faults and seeded bugs that a fault-injection scenario injects into the fleet runtime.
 use applepond_fleet::PrefixGuards;
 use applepond_fleet::disk::DiskFault;
 use applepond_membership::Safeguards;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a scenario does to the fleet's part of a router.
+/// Faults and seeded bugs of the fleet runtime.
 pub(crate) struct FaultInjection {
-    /// Where all datagrams go, instead of to the other routers.
+    /// Proxy that receives all datagrams in place of the other routers.
     pub(crate) proxy: Option<SocketAddr>,
     pub(crate) disk: DiskFault,
-    /// Safeguards of the membership that are enabled.
+    /// Safeguards of the membership protocol that are enabled.
     pub(crate) safeguards: Safeguards,
-    /// How it recovers after a restart.
+    /// Guards of the recovery that are enabled.
     pub(crate) recovery: RecoveryGuards,
     /// Guards of the prefix counts that are enabled.
     pub(crate) prefixes: PrefixGuards,
@@ -22,7 +22,8 @@
 }
 
 impl FaultInjection {
-    /// The faults of the command line; a seeded bug takes a guard out, unless it is none of the fleet's.
+    /// Creates the faults given on the command line. A seeded bug disables a guard, unless it is one of the
+    /// gateway's.
     pub(crate) fn new(seeded_bug: Option<&str>, proxy: Option<SocketAddr>, disk: DiskFault) -> Self {
         let safeguards = seeded_bug.and_then(Safeguards::without);
         let recovery = seeded_bug.and_then(RecoveryGuards::without);
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Whether the bug that was named is one of the fleet's.
+    /// Returns whether the seeded bug belongs to the fleet runtime.
     pub(crate) fn has_seeded_bug(&self) -> bool {
         self.has_seeded_bug
     }
@@ -47,22 +48,22 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RecoveryGuards {
     pub(crate) peers: Guards,
-    /// No peer is asked.
-    pub(crate) alone: bool,
-    /// A drain that was announced before the restart still holds.
+    /// Disables recovery from peers.
+    pub(crate) without_peers: bool,
+    /// Whether a drain announced before the restart still applies.
     pub(crate) keeps_drains: bool,
 }
 
 impl RecoveryGuards {
-    /// All enabled.
+    /// All guards enabled.
     pub(crate) const ALL: RecoveryGuards =
-        RecoveryGuards { peers: Guards::ALL, alone: false, keeps_drains: true };
+        RecoveryGuards { peers: Guards::ALL, without_peers: false, keeps_drains: true };
 
-    /// Without the guard that the seeded bug of this name takes out; none for another bug.
+    /// Returns all guards except the one that this seeded bug disables, or `None` for any other bug.
     fn without(seeded_bug: &str) -> Option<RecoveryGuards> {
         let all = RecoveryGuards::ALL;
         match seeded_bug {
-            "no-peers" => Some(RecoveryGuards { alone: true, ..all }),
+            "no-peers" => Some(RecoveryGuards { without_peers: true, ..all }),
             "forgets-drains" => Some(RecoveryGuards { keeps_drains: false, ..all }),
             "empty-is-zero" => {
                 Some(RecoveryGuards { peers: Guards { reports_empty: false, ..Guards::ALL }, ..all })
@@ -76,15 +77,15 @@
     }
 }
 
-/// Reads a disk's fault from the command line.
-pub(crate) fn disk_fault(word: &str) -> Result<DiskFault, clap::Error> {
+/// Parses the disk fault given on the command line.
+pub(crate) fn disk_fault(value: &str) -> Result<DiskFault, clap::Error> {
     let late = |ms: &str| ms.parse().ok().map(|ms| DiskFault::Late(Duration::from_millis(ms)));
-    match word {
+    match value {
         "lies" => Ok(DiskFault::Lies),
         "full" => Ok(DiskFault::Full),
-        _ => word
+        _ => value
             .strip_prefix("late-")
             .and_then(late)
-            .ok_or_else(|| clap::Error::raw(ErrorKind::InvalidValue, "late-MS, lies or full\n")),
+            .ok_or_else(|| clap::Error::raw(ErrorKind::InvalidValue, "expected late-MS, lies or full\n")),
     }
 }
--- a/crates/cli/src/fleet/live_count.rs
+++ b/crates/cli/src/fleet/live_count.rs
@@ -1,4 +1,4 @@
-//! The number of live routers as a part of the deployment.
+//! Feeds the number of live routers into the deployment.
 use super::{keys, replicas};
 use applepond_fleet::FleetView;
 use applepond_gateway::errors::ReloadError;
@@ -10,10 +10,11 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Gives the gateway the live count as a new deployment, by the same way as new settings.
+/// Wraps `reload` so that a change of the number of live routers reaches the gateway as a new deployment, the
+/// way new settings do.
 ///
-/// With those of a file come its seeds and keys; where a key cannot be read, or another part needs a restart,
-/// nothing of the file is taken.
+/// New settings also update the seeds, keys and replicas of the fleet. If a key cannot be read or a change
+/// needs a restart, none of the new settings take effect.
 pub(crate) fn with_live_count(
     view: Rc<RefCell<FleetView>>,
     mut current: Deployment,
@@ -23,11 +24,11 @@
     let mut max_routers = current.startup.router_count;
     let mut count = DampedCount::new(max_routers as usize);
     Box::new(move || {
-        let mut is_new = false;
+        let mut is_reloaded = false;
         match reload() {
             None => {}
             Some(Err(error)) => return Some(Err(error)),
-            // What cannot be merged is rejected by the gateway with its own error.
+            // The gateway rejects settings that cannot be merged and reports why.
             Some(Ok(new)) => match merge(&current, new.clone()) {
                 Err(_) => return Some(Ok(new)),
                 Ok(merged) => {
@@ -36,7 +37,7 @@
                     }
                     max_routers = merged.startup.router_count;
                     current = merged;
-                    is_new = true;
+                    is_reloaded = true;
                 }
             },
         }
@@ -44,11 +45,11 @@
         let live = view.borrow().members.live_count();
         let now = started.elapsed().as_micros() as Micros;
         current.startup.router_count = count.share_count(now, live, max_routers as usize) as u64;
-        (is_new || previous != current.startup.router_count).then(|| Ok(current.clone()))
+        (is_reloaded || previous != current.startup.router_count).then(|| Ok(current.clone()))
     })
 }
 
-/// Takes seeds, keys and replicas over into the running fleet.
+/// Applies the seeds, keys and replicas to the running fleet.
 fn reconfigure(view: &RefCell<FleetView>, deployment: &Deployment) -> Result<(), ReloadError> {
     let Some(config) = &deployment.fleet else { return Ok(()) };
     let keys = keys(config)?;
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet's part of a router that serves, and the command `fleet`.
+//! Set-up of the fleet runtime for `serve`, and the `fleet` command.
 mod adapters;
 mod injection;
 mod live_count;
@@ -23,18 +23,18 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The fleet's part of one process.
+/// Fleet runtime of one process.
 pub(crate) struct FleetParts {
-    /// For the reactor.
+    /// The machine to add to the reactor.
     pub(crate) machine: FleetMachine,
-    /// What the rest of the process looks at.
+    /// State that the machine shares with the rest of the process.
     pub(crate) view: Rc<RefCell<FleetView>>,
-    /// What the router remembers of workers and functions.
+    /// Observations of workers and functions that survive a restart.
     observations: Rc<RefCell<ObservationStore>>,
 }
 
 impl FleetParts {
-    /// Connects the gateway with the fleet.
+    /// Connects the gateway to the fleet.
     pub(crate) fn attach(&self, gateway: Gateway, faults: &FaultInjection) -> Gateway {
         let view = self.view.clone();
         let history = ObservedHistory {
@@ -48,10 +48,10 @@
     }
 }
 
-/// Makes the fleet's part of a process by its settings.
+/// Creates the fleet runtime from its settings.
 ///
 /// # Errors
-/// A key that cannot be read, or a kernel without random numbers.
+/// Returns an error if a key cannot be read or the kernel provides no random numbers.
 pub(crate) fn start(
     config: &FleetConfig,
     now: Micros,
@@ -81,7 +81,7 @@
     let shared_config = shared_state_config(config, &view.borrow());
     let disks = Box::new(disks);
     let shared = SharedState::new(now, shared_config, observations.clone(), disks, seed.rotate_left(31))
-        .with_recovery_guards(faults.recovery.peers, faults.recovery.alone)
+        .with_recovery_guards(faults.recovery.peers, faults.recovery.without_peers)
         .with_prefix_guards(faults.prefixes);
     view.borrow_mut().shared = Some(shared);
     Ok(FleetParts { machine, view, observations })
@@ -97,11 +97,11 @@
         bootstrap: bootstrap_number(config),
         is_replica: config.votes_file.is_some(),
         has_snapshot: config.snapshot_file.is_some(),
-        prefix_terms: config.prefix_cache.as_ref().map(prefix_terms),
+        prefix_terms: config.prefix_cache.as_ref().map(prefix_cost_model),
     }
 }
 
-/// Reads the keys of a fleet from their files.
+/// Reads the keys of the fleet from their files.
 fn keys(config: &FleetConfig) -> Result<Vec<FleetKey>, ReloadError> {
     config.key_files.iter().map(|file| key(file)).collect()
 }
@@ -109,21 +109,21 @@
 fn key(file: &Path) -> Result<FleetKey, ReloadError> {
     let invalid = |reason| ReloadError::KeyFile { file: file.display().to_string(), reason };
     let secret = std::fs::read(file).map_err(|error| invalid(error.to_string()))?;
-    let too_short = || invalid("a key of 16 bytes at least is wanted".to_owned());
+    let too_short = || invalid("the key must have at least 16 bytes".to_owned());
     FleetKey::from_secret(&secret).ok_or_else(too_short)
 }
 
-/// One number for a fleet's bootstrap: votes of another one are not accepted.
+/// Derives the number that identifies the fleet's bootstrap. Votes of another bootstrap are rejected.
 fn bootstrap_number(config: &FleetConfig) -> u64 {
     config.bootstrap_epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0xacc0_4d00
 }
 
-/// The replicas of the agreed state.
+/// Replicas of the agreed state that the settings name.
 fn replicas(config: &FleetConfig) -> Vec<RouterId> {
     config.voters.iter().map(|name| RouterId::named(name)).collect()
 }
 
-fn prefix_terms(config: &PrefixCacheConfig) -> Terms {
+fn prefix_cost_model(config: &PrefixCacheConfig) -> Terms {
     Terms {
         prepare: config.prepare_time as f64,
         bytes: 1.0,
--- a/crates/cli/src/fleet/query.rs
+++ b/crates/cli/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! `fleet`: what a running router says of its fleet.
+//! The `fleet` command, which shows the fleet as a running router sees it.
 use crate::errors::print_error;
 use applepond_fleet::query;
 use clap::Subcommand;
@@ -6,21 +6,21 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Questions to a running router.
+/// Queries to a running router.
 #[derive(Subcommand)]
 pub(crate) enum FleetCommand {
-    /// The routers that it knows, and what it takes them for.
+    /// Lists the routers that it knows, with their status.
     Members {
-        /// Where the router listens for events.
+        /// Address on which the router listens for events.
         #[arg(long)]
         at: SocketAddr,
-        /// Prints its view as one JSON object.
+        /// Prints the view as one JSON object.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Asks and prints the answer.
+/// Queries the router and prints its view.
 pub(crate) fn run(command: &FleetCommand) -> ExitCode {
     let FleetCommand::Members { at, json } = command;
     match query(*at) {
