--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -1,6 +1,6 @@
-//! `drill bad-day`.
-use super::report::{broken_as_json, ends_as_json, ends_in_words, print_rules};
-use super::{NotPlayed, Outcome, is_known_bug, play, print_progress, setup};
+//! The `drill bad-day` scenario: a sequence of faults.
+use super::report::{broken_as_json, outcomes_as_json, outcomes_as_text, print_rules};
+use super::{NotRun, Outcome, is_known_bug, print_progress, run_in_directory, setup};
 use applepond_scenarios::bad_day::{self, Report};
 use applepond_scenarios::process::Setup;
 use applepond_scenarios::seeded_bugs::SEEDED_BUGS;
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::path::PathBuf;
 
-/// µs of a window of the table.
+/// Length in µs of a window in the printed table.
 const WINDOW: u64 = 2_000_000;
 
 #[derive(Args)]
@@ -19,63 +19,62 @@
     routers: u64,
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(4..=100))]
     workers: u64,
-    /// Routers that are killed and started again.
+    /// Number of routers that are killed and restarted.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(0..=20))]
     die: u64,
-    /// The routers know of each other and count those that are there.
+    /// Runs the routers as a fleet, which counts its live members.
     #[arg(long)]
     fleet: bool,
-    /// Breaks a rule on purpose: lost-answer, double-answer, effect-twice, send-to-drained,
-    /// push-cold-over.
+    /// Seeded bug to enable: lost-answer, double-answer, effect-twice, send-to-drained or push-cold-over.
     #[arg(long)]
     plant: Option<String>,
     /// Prints the result as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keeps settings and logs of the routers in this folder.
+    /// Directory in which to keep the settings and logs of the routers.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-pub(super) fn run(args: BadDayArgs) -> Result<Outcome, NotPlayed> {
+pub(super) fn run(args: BadDayArgs) -> Result<Outcome, NotRun> {
     let BadDayArgs { seed, routers, workers, die, fleet, plant, json, keep } = args;
     if let Some(name) = plant.as_deref().filter(|name| !is_known_bug(name)) {
         let known: Vec<&str> = SEEDED_BUGS.iter().map(|(known, _, _)| *known).collect();
-        eprintln!("--plant {name}: one of {} is wanted", known.join(", "));
-        return Err(NotPlayed);
+        eprintln!("--plant {name}: one of {} is expected", known.join(", "));
+        return Err(NotRun);
     }
     let setup = setup(seed, routers, workers, plant).map_err(|error| {
-        eprintln!("this program's own file: {error}");
-        NotPlayed
+        eprintln!("cannot locate the executable of this program: {error}");
+        NotRun
     })?;
     let setup = Setup { dying_routers: die as usize, fleet, ..setup };
     let mut progress = |line: &str| print_progress(json, line);
-    let report = play(keep.as_deref(), |folder| bad_day::play(&setup, folder, &mut progress))?;
+    let report = run_in_directory(keep.as_deref(), |folder| bad_day::play(&setup, folder, &mut progress))?;
     if json {
         print_json(&report, seed);
     } else {
         print_table(&report, seed);
     }
-    Ok(Outcome::of(!report.holds()))
+    Ok(Outcome::from_breach(!report.holds()))
 }
 
 fn print_table(report: &Report, seed: u64) {
     println!("\nbad day, seed {seed}");
-    println!("  {:>7}  {:>5}  {:>7}  what happened", "from s", "jobs", "in time");
+    println!("  {:>7}  {:>5}  {:>7}  events", "from s", "jobs", "in time");
     for (index, (requests, in_time)) in report.windows.iter().enumerate() {
         if *requests == 0 {
             continue;
         }
         let from = index as u64 * WINDOW;
-        let within = report.story.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
-        let story: Vec<&str> = within.map(|(_, what)| what.as_str()).collect();
-        let part = 100.0 * *in_time as f64 / *requests as f64;
-        println!("  {:>7}  {requests:>5}  {part:>6.1}%  {}", index * 2, story.join("; "));
+        let in_window = report.story.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
+        let events: Vec<&str> = in_window.map(|(_, event)| event.as_str()).collect();
+        let percent = 100.0 * *in_time as f64 / *requests as f64;
+        println!("  {:>7}  {requests:>5}  {percent:>6.1}%  {}", index * 2, events.join("; "));
     }
-    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.got));
+    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
     let verdict = &report.verdict;
     println!(
-        "  {} exchanges, {} attempts begun, {} repeats dropped by racks, {} fetches; median {} ms, \
+        "  {} exchanges, {} attempts started, {} duplicates dropped by racks, {} fetches; median {} ms, \
          p99 {} ms",
         verdict.exchanges,
         verdict.attempts,
@@ -89,9 +88,9 @@
 
 fn print_json(report: &Report, seed: u64) {
     let verdict = &report.verdict;
-    let all = json!({"seed": seed, "holds": report.holds(), "got": ends_as_json(&report.got),
+    let result = json!({"seed": seed, "holds": report.holds(), "got": outcomes_as_json(&report.got),
         "broken": broken_as_json(verdict), "exchanges": verdict.exchanges, "executions": verdict.attempts,
         "fetches": verdict.fetches, "median_us": report.took.0, "p99_us": report.took.1,
         "windows": report.windows});
-    println!("{all}");
+    println!("{result}");
 }
--- a/crates/cli/src/scenario/membership.rs
+++ b/crates/cli/src/scenario/membership.rs
@@ -1,6 +1,6 @@
-//! `drill members`.
+//! The `drill members` scenario: fleet membership under faults.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, play, print_progress, setup};
+use super::{NotRun, Outcome, print_progress, run_in_directory, setup};
 use applepond_scenarios::membership::{self, Report, SCENES, SEEDED_BUGS};
 use clap::Args;
 use serde_json::{Value, json};
@@ -12,28 +12,29 @@
     seed: u64,
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(5..=100))]
     routers: u64,
-    /// Plays these faults alone; several may be given.
+    /// Fault to inject; may be repeated. All are injected by default.
     #[arg(long, value_parser = SCENES)]
     fault: Vec<String>,
-    /// Takes a guard out in every router, to prove the drill.
+    /// Seeded bug: disables this guard in every router, to verify that the scenario detects it.
     #[arg(long, value_parser = SEEDED_BUGS.map(|(name, _)| name))]
     plant: Option<String>,
     /// Prints the result as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keeps settings and logs of the routers in this folder.
+    /// Directory in which to keep the settings and logs of the routers.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-pub(super) fn run(args: MembershipArgs) -> Result<Outcome, NotPlayed> {
+pub(super) fn run(args: MembershipArgs) -> Result<Outcome, NotRun> {
     let MembershipArgs { seed, routers, fault, plant, json, keep } = args;
-    let is_wanted = |scene: &&&str| fault.is_empty() || fault.iter().any(|wanted| wanted == **scene);
-    let scenes: Vec<&'static str> = SCENES.iter().filter(is_wanted).copied().collect();
-    let setup = setup(seed, routers, 0, plant).map_err(|_| NotPlayed)?;
+    let is_selected = |scene: &&&str| fault.is_empty() || fault.iter().any(|name| name == **scene);
+    let scenes: Vec<&'static str> = SCENES.iter().filter(is_selected).copied().collect();
+    let setup = setup(seed, routers, 0, plant).map_err(|_| NotRun)?;
     let mut progress = |scene: &str| print_progress(json, scene);
-    let report = play(keep.as_deref(), |folder| membership::play(&setup, &scenes, folder, &mut progress))?;
-    // A seeded bug is recognized by the rule that it breaks.
+    let report =
+        run_in_directory(keep.as_deref(), |folder| membership::play(&setup, &scenes, folder, &mut progress))?;
+    // A seeded bug is identified by the rule that it breaks.
     let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
     let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
     if json {
@@ -43,12 +44,12 @@
         print_table(&report, &looks_like);
     }
     if report.unplayed.len() == scenes.len() {
-        return Err(NotPlayed);
+        return Err(NotRun);
     }
-    Ok(Outcome::of(!report.broken.is_empty()))
+    Ok(Outcome::from_breach(!report.broken.is_empty()))
 }
 
-/// ms in which this part, in percent, of the kills were known.
+/// Returns the time in ms within which `percent` of the observations had detected a kill.
 fn known_within(report: &Report, percent: usize) -> Option<u64> {
     report.known.get(report.known.len().saturating_sub(1) * percent / 100).copied()
 }
@@ -66,12 +67,12 @@
 }
 
 fn print_table(report: &Report, looks_like: &[&str]) {
-    if let (Some(median), Some(most)) = (known_within(report, 50), known_within(report, 99)) {
-        println!("  a kill is known after {median} ms (median), {most} ms (99 %)");
+    if let (Some(median), Some(p99)) = (known_within(report, 50), known_within(report, 99)) {
+        println!("  a kill is detected after {median} ms (median), {p99} ms (99 %)");
     }
     for (scene, ms) in &report.healed {
-        println!("  one view {ms} ms after {scene}");
+        println!("  views converged {ms} ms after {scene}");
     }
-    report.unplayed.iter().for_each(|scene| println!("  not played, more routers are wanted: {scene}"));
+    report.unplayed.iter().for_each(|scene| println!("  not run, needs more routers: {scene}"));
     print_breaches(&report.broken, looks_like);
 }
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! `drill`: plays a fault-injection scenario, prints what came of it, and exits 0 only if all rules held and
-//! no request went unanswered.
+//! The `drill` command. It runs a fault-injection scenario, prints the result, and exits with status 0 only
+//! if all rules held and every request was answered.
 mod bad_day;
 mod membership;
 mod prefixes;
@@ -16,31 +16,33 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// The scenarios; their words on the command line are those of `name`.
+/// The available scenarios. Those with a `name` attribute keep an older name on the command line.
 #[derive(Subcommand)]
 pub(crate) enum Scenario {
-    /// One bad day: a jump, a late list, a drained wave, a lost hall, a store stop, bad workers, a killed
-    /// router.
+    /// A sequence of faults: a load spike, a stale endpoint list, a rolling drain, the loss of a zone, an
+    /// outage of the model store, faulty workers and a killed router.
     BadDay(bad_day::BadDayArgs),
-    /// Chains on one clock, beside desks that call the same steps one by one with fixed limits.
+    /// Workflows with one deadline, compared with clients that call the same steps one by one with fixed
+    /// timeouts.
     #[command(name = "chains")]
     Workflows(workflows::WorkflowArgs),
-    /// Routers that know of each other: kills, losses, pauses, cuts, stops, each judged from outside.
+    /// Fleet membership under kills, packet loss, pauses, one-way and slow links, stops and partitions.
     #[command(name = "members")]
     Membership(membership::MembershipArgs),
-    /// Most routers die and come back with requests under way; judged from sockets.
+    /// Recovery after most routers are killed and restarted while requests are in flight.
     #[command(name = "comeback")]
     Recovery(recovery::RecoveryArgs),
-    /// Jobs that begin alike: what pinned openings save, and who can have one pinned; judged at the workers.
+    /// Requests with common prompt prefixes: what pinning saves, and whether one router alone can cause a
+    /// pin.
     #[command(name = "openings")]
     Prefixes(prefixes::PrefixArgs),
-    /// One hall of three is cut, its clients keep asking, it comes back.
+    /// One zone of three is partitioned while its clients keep retrying, and then comes back.
     RetryStorm(retry_storm::RetryStormArgs),
 }
 
-/// Plays the scenario.
+/// Runs the scenario.
 pub(crate) fn run(scenario: Scenario) -> ExitCode {
-    let played = match scenario {
+    let result = match scenario {
         Scenario::BadDay(args) => bad_day::run(args),
         Scenario::Workflows(args) => workflows::run(&args),
         Scenario::Membership(args) => membership::run(args),
@@ -48,30 +50,30 @@
         Scenario::Prefixes(args) => prefixes::run(args),
         Scenario::RetryStorm(args) => retry_storm::run(&args),
     };
-    match played {
+    match result {
         Ok(Outcome::RulesHeld) => ExitCode::SUCCESS,
         Ok(Outcome::RuleBroken) => ExitCode::FAILURE,
-        // What is wrong has been printed.
-        Err(NotPlayed) => ExitCode::from(USAGE_ERROR),
+        // The cause has already been printed.
+        Err(NotRun) => ExitCode::from(USAGE_ERROR),
     }
 }
 
-/// What came of a scenario.
+/// Outcome of a scenario that ran to its end.
 enum Outcome {
     RulesHeld,
     RuleBroken,
 }
 
 impl Outcome {
-    fn of(is_broken: bool) -> Self {
+    fn from_breach(is_broken: bool) -> Self {
         if is_broken { Outcome::RuleBroken } else { Outcome::RulesHeld }
     }
 }
 
-/// A scenario could not be played; why has been printed.
-struct NotPlayed;
+/// The scenario could not be run; the cause has been printed.
+struct NotRun;
 
-/// The routers of a scenario: processes of this program.
+/// Returns the set-up of a scenario, whose routers are processes of this program.
 fn setup(seed: u64, routers: u64, workers: u64, seeded_bug: Option<String>) -> std::io::Result<Setup> {
     Ok(Setup {
         program: std::env::current_exe()?,
@@ -85,28 +87,28 @@
     })
 }
 
-/// Whether the gateway has a seeded bug of this name.
+/// Returns whether the gateway has a seeded bug of this name.
 fn is_known_bug(name: &str) -> bool {
     SEEDED_BUGS.iter().any(|(known, _, _)| *known == name)
 }
 
-/// Plays in the folder that is to be kept, or in one that is removed afterwards.
-fn play<R>(
+/// Runs a scenario in the directory to keep, or in a temporary one that is removed afterwards.
+fn run_in_directory<R>(
     keep: Option<&Path>,
-    play: impl FnOnce(&Path) -> Result<R, ScenarioError>,
-) -> Result<R, NotPlayed> {
-    let own = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
-    let played = play(keep.unwrap_or(&own));
+    run: impl FnOnce(&Path) -> Result<R, ScenarioError>,
+) -> Result<R, NotRun> {
+    let temporary = std::env::temp_dir().join(format!("applepond-drill-{}", std::process::id()));
+    let result = run(keep.unwrap_or(&temporary));
     if keep.is_none() {
-        let _ = std::fs::remove_dir_all(&own);
+        let _ = std::fs::remove_dir_all(&temporary);
     }
-    played.map_err(|error| {
-        print_error("the drill could not be played: ", &error);
-        NotPlayed
+    result.map_err(|error| {
+        print_error("the scenario could not be run: ", &error);
+        NotRun
     })
 }
 
-/// Prints a line of progress, unless the result is to be the only output.
+/// Prints a line of progress to standard error, unless the result is printed as JSON.
 fn print_progress(json: bool, line: &str) {
     if !json {
         eprintln!("{line}");
--- a/crates/cli/src/scenario/prefixes.rs
+++ b/crates/cli/src/scenario/prefixes.rs
@@ -1,6 +1,6 @@
-//! `drill openings`.
+//! The `drill openings` scenario: pinning of prompt prefixes.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, play, print_progress, setup};
+use super::{NotRun, Outcome, print_progress, run_in_directory, setup};
 use applepond_scenarios::prefixes::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
 use applepond_scenarios::process::Setup;
 use clap::Args;
@@ -15,31 +15,33 @@
     routers: u64,
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(6..=40))]
     workers: u64,
-    /// What happens in the middle of it.
+    /// Fault to inject in the middle of the run.
     #[arg(long, value_parser = FAULTS, default_value = "none")]
     fault: String,
-    /// `lru` pins nothing; `both` plays one after the other.
+    /// Caching policy: `lru` pins nothing, `merged` pins by the merged counts of all routers, `both` runs one
+    /// after the other.
     #[arg(long, value_parser = ["lru", "merged", "both"], default_value = "both")]
     way: String,
-    /// Takes a guard out in every router, to prove the drill.
+    /// Seeded bug: disables this guard in every router, to verify that the scenario detects it.
     #[arg(long, value_parser = SEEDED_BUGS.map(|(name, _)| name))]
     plant: Option<String>,
-    /// Prints each play as one JSON object.
+    /// Prints the result of each run as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keeps settings and logs of the routers in this folder.
+    /// Directory in which to keep the settings and logs of the routers.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-pub(super) fn run(args: PrefixArgs) -> Result<Outcome, NotPlayed> {
-    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
+pub(super) fn run(args: PrefixArgs) -> Result<Outcome, NotRun> {
+    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotRun)?;
     let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
     for way in WAYS.iter().copied().filter(|way| args.way == "both" || args.way == *way) {
         let options = Options { setup: &setup, fault: &args.fault, way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| prefixes::play(&options, folder, &mut progress))?;
+        let report =
+            run_in_directory(args.keep.as_deref(), |folder| prefixes::play(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
         let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
@@ -50,7 +52,7 @@
             print_breaches(&report.broken, &looks_like);
         }
     }
-    Ok(Outcome::of(is_broken))
+    Ok(Outcome::from_breach(is_broken))
 }
 
 fn print_json(args: &PrefixArgs, way: &str, report: &Report, looks_like: &[&str]) {
@@ -69,8 +71,8 @@
         args.seed, args.routers, args.fault, report.requests
     );
     println!(
-        "  last 20 s: {:.1} % in time, {:.1} s of preparing for {} openings; {} came with a lease, {} at \
-         one worker at most",
+        "  last 20 s: {:.1} % in time, {:.1} s spent preparing {} prefixes; {} had a lease, at most {} at \
+         one worker",
         100.0 * report.in_time,
         report.preparing_seconds,
         report.prepared,
--- a/crates/cli/src/scenario/recovery.rs
+++ b/crates/cli/src/scenario/recovery.rs
@@ -1,6 +1,6 @@
-//! `drill comeback`.
+//! The `drill comeback` scenario: recovery after mass restarts.
 use super::report::print_breaches;
-use super::{NotPlayed, Outcome, play, print_progress, setup};
+use super::{NotRun, Outcome, print_progress, run_in_directory, setup};
 use applepond_scenarios::process::Setup;
 use applepond_scenarios::recovery::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
 use clap::Args;
@@ -15,43 +15,44 @@
     routers: u64,
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(6..=40))]
     workers: u64,
-    /// Who dies and what is left of their disks.
+    /// Which routers are killed, and what remains of their disks.
     #[arg(long, value_parser = FAULTS, default_value = "kill")]
     fault: String,
-    /// What a router may start from; `all` plays each.
+    /// What a router recovers from after its restart; `all` runs each.
     #[arg(long, default_value = "both")]
     way: String,
-    /// Takes a guard out in every router, to prove the drill; it is played in the fault that shows it.
+    /// Seeded bug: disables this guard in every router, and selects the fault that exposes it.
     #[arg(long, value_parser = SEEDED_BUGS.map(|(name, ..)| name))]
     plant: Option<String>,
-    /// Prints each play as one JSON object.
+    /// Prints the result of each run as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Keeps settings and logs of the routers in this folder.
+    /// Directory in which to keep the settings and logs of the routers.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-pub(super) fn run(args: RecoveryArgs) -> Result<Outcome, NotPlayed> {
+pub(super) fn run(args: RecoveryArgs) -> Result<Outcome, NotRun> {
     let mut ways: Vec<&str> =
         WAYS.iter().copied().filter(|way| args.way == "all" || args.way == **way).collect();
     if ways.is_empty() {
-        eprintln!("--way {}: one of {} or all is wanted", args.way, WAYS.join(", "));
-        return Err(NotPlayed);
+        eprintln!("--way {}: one of {} or all is expected", args.way, WAYS.join(", "));
+        return Err(NotRun);
     }
     let mut fault = args.fault.as_str();
-    // A seeded bug is played in the fault and the way that show it.
+    // A seeded bug determines the fault and the recovery source that expose it.
     let bug = SEEDED_BUGS.iter().find(|(name, ..)| Some(*name) == args.plant.as_deref());
     if let Some((_, _, shown_in, way)) = bug {
         (fault, ways) = (shown_in, vec![*way]);
     }
-    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
+    let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotRun)?;
     let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
     for way in ways {
         let options = Options { setup: &setup, fault, way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| recovery::play(&options, folder, &mut progress))?;
+        let report =
+            run_in_directory(args.keep.as_deref(), |folder| recovery::play(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
         let looks_like = SEEDED_BUGS.iter().filter(|(_, rule, ..)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, ..)| *name).collect();
@@ -62,7 +63,7 @@
             print_breaches(&report.broken, &looks_like);
         }
     }
-    Ok(Outcome::of(is_broken))
+    Ok(Outcome::from_breach(is_broken))
 }
 
 fn print_json(args: &RecoveryArgs, options: &Options<'_>, report: &Report, looks_like: &[&str]) {
@@ -87,19 +88,21 @@
         args.seed, args.routers, options.fault, options.way, report.requests
     );
     println!(
-        "  in time: {:.1} % before, {:.1} % while they are dead, {:.1} % in the 2 s after the last start",
+        "  in time: {:.1} % before, {:.1} % while routers are down, {:.1} % in the 2 s after the last start",
         100.0 * before,
         100.0 * dead,
         100.0 * after
     );
-    let whole =
-        report.recovered_after.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
+    let recovered =
+        report.recovered_after.map_or("not within the scenario".to_owned(), |ms| format!("after {ms} ms"));
     println!(
-        "  service whole again {whole}; {} cold workers fell; {} jobs to a drain, {} after the grace",
+        "  service recovered {recovered}; {} cold workers overloaded; {} requests to a draining worker, {} \
+         of them after the grace period",
         report.overloaded_cold, report.strays, report.strays_after_grace
     );
     println!(
-        "  fetches in a tenth of a second at most {} before, {} after; asks to one router {}, in all {}",
+        "  fetches per 100 ms: at most {} before, {} after; recovery requests: at most {} per 100 ms to \
+         one router, {} in all",
         report.fetches_before, report.fetches_after, report.most_asks, report.asks
     );
 }
--- a/crates/cli/src/scenario/report.rs
+++ b/crates/cli/src/scenario/report.rs
@@ -1,32 +1,33 @@
-//! Parts of the output that several scenarios have.
+//! Output shared by several scenarios.
 use applepond_fakes::client::Got;
 use applepond_scenarios::audit::Verdict;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// What each rule asks, in a few words.
+/// Summaries of rules 1 to 5.
 const RULES: [&str; 5] = [
-    "one final answer for each job, in time, nothing after",
-    "no effect twice",
-    "nothing new to a draining or gone worker past the grace",
-    "no cold worker pushed over",
-    "orders to load rationed (the routers give none)",
+    "one final response per request, in time, and nothing after it",
+    "no effect executed twice",
+    "no new attempt at a draining or removed worker after the grace period",
+    "no cold worker overloaded",
+    "load orders rationed (the routers issue none)",
 ];
-/// Limit of breaches of one rule that are printed.
+/// Maximum number of breaches printed per rule.
 const MAX_BREACHES: usize = 5;
 
-/// Ends as clients saw them, by their names, as JSON.
-pub(super) fn ends_as_json(ends: &BTreeMap<Got, usize>) -> Map<String, Value> {
-    ends.iter().map(|(end, count)| (format!("{end:?}"), json!(count))).collect()
+/// Renders the outcomes seen by clients as JSON, by name.
+pub(super) fn outcomes_as_json(outcomes: &BTreeMap<Got, usize>) -> Map<String, Value> {
+    outcomes.iter().map(|(outcome, count)| (format!("{outcome:?}"), json!(count))).collect()
 }
 
-/// Ends as clients saw them, in words.
-pub(super) fn ends_in_words(ends: &BTreeMap<Got, usize>) -> String {
-    let words: Vec<String> = ends.iter().map(|(end, count)| format!("{count} {end:?}")).collect();
-    words.join(", ")
+/// Renders the outcomes seen by clients as text.
+pub(super) fn outcomes_as_text(outcomes: &BTreeMap<Got, usize>) -> String {
+    let counts: Vec<String> =
+        outcomes.iter().map(|(outcome, count)| format!("{count} {outcome:?}")).collect();
+    counts.join(", ")
 }
 
-/// What was broken, as JSON.
+/// Renders the broken rules as JSON.
 pub(super) fn broken_as_json(verdict: &Verdict) -> Vec<Value> {
     let broken = verdict.broken.iter();
     broken.map(|(rule, (times, faults))| json!({"rule": rule, "times": times, "faults": faults})).collect()
@@ -50,7 +51,7 @@
     }
 }
 
-/// Prints the breaches of rules that have names, and the seeded bugs that look like them.
+/// Prints the breaches of named rules, and the seeded bugs that would cause them.
 pub(super) fn print_breaches(broken: &BTreeMap<&'static str, Vec<String>>, looks_like: &[&str]) {
     for (rule, breaches) in broken {
         println!("  BROKEN {} time(s): {rule}", breaches.len());
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -1,6 +1,6 @@
-//! `drill retry-storm`.
-use super::report::{broken_as_json, ends_as_json, ends_in_words, print_rules};
-use super::{NotPlayed, Outcome, play, print_progress, setup};
+//! The `drill retry-storm` scenario: retries of clients after a partition.
+use super::report::{broken_as_json, outcomes_as_json, outcomes_as_text, print_rules};
+use super::{NotRun, Outcome, print_progress, run_in_directory, setup};
 use applepond_scenarios::chart;
 use applepond_scenarios::retry_storm::{self, Cut, Options, Report};
 use clap::Args;
@@ -11,51 +11,51 @@
 pub(crate) struct RetryStormArgs {
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Clients in all; each keeps to the router of its hall.
+    /// Total number of clients; each uses the router of its zone only.
     #[arg(long, default_value_t = 5000, value_parser = clap::value_parser!(u64).range(10..=100_000))]
     clients: u64,
-    /// Whether connections to the cut hall hang or are refused.
+    /// Whether connections to the partitioned zone hang or are refused.
     #[arg(long, value_parser = ["hang", "refuse"], default_value = "refuse")]
     cut: String,
-    /// s of the cut.
+    /// Duration of the partition in s.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..=80))]
     seconds: u64,
-    /// Share of the clients that follow no advice and ask ten times a second.
+    /// Fraction of the clients that ignore Retry-After and retry ten times a second.
     #[arg(long, default_value_t = 0.5)]
     ignore: f64,
-    /// `both` plays the same storm with damping and then without it.
+    /// Whether the routers damp retries; `both` runs the scenario with damping and then without it.
     #[arg(long, value_parser = ["on", "off", "both"], default_value = "on")]
     damping: String,
-    /// s watched after the cut.
+    /// Observation time after the partition in s.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(10..=600))]
     after: u64,
-    /// Restarts one more router, in another hall, in the middle of the storm.
+    /// Restarts a router of another zone in the middle of the retry storm.
     #[arg(long)]
     restart: bool,
-    /// Prints a row a second.
+    /// Prints one row per second.
     #[arg(long)]
     rows: bool,
-    /// Prints each play as one JSON object.
+    /// Prints the result of each run as one JSON object.
     #[arg(long)]
     json: bool,
-    /// Draws service and arrivals over time into this SVG file.
+    /// SVG file to which to draw service and arrivals over time.
     #[arg(long)]
     chart: Option<PathBuf>,
 }
 
-pub(super) fn run(args: &RetryStormArgs) -> Result<Outcome, NotPlayed> {
+pub(super) fn run(args: &RetryStormArgs) -> Result<Outcome, NotRun> {
     if !(0.0..=1.0).contains(&args.ignore) {
-        eprintln!("--ignore {}: a share from 0 to 1 is wanted", args.ignore);
-        return Err(NotPlayed);
+        eprintln!("--ignore {}: a fraction from 0 to 1 is expected", args.ignore);
+        return Err(NotRun);
     }
-    let setup = setup(args.seed, 3, 12, None).map_err(|_| NotPlayed)?;
-    let plays: &[(&str, bool)] = match args.damping.as_str() {
+    let setup = setup(args.seed, 3, 12, None).map_err(|_| NotRun)?;
+    let runs: &[(&str, bool)] = match args.damping.as_str() {
         "on" => &[("damping on", true)],
         "off" => &[("damping off", false)],
         _ => &[("damping on", true), ("damping off", false)],
     };
     let mut reports = Vec::new();
-    for (name, damping) in plays {
+    for (name, damping) in runs {
         let options = Options {
             setup: &setup,
             cut: if args.cut == "hang" { Cut::Hang } else { Cut::Refuse },
@@ -67,7 +67,7 @@
             restart: args.restart,
         };
         let mut progress = |line: &str| print_progress(args.json, &format!("{name}: {line}"));
-        let report = play(None, |folder| retry_storm::play(&options, folder, &mut progress))?;
+        let report = run_in_directory(None, |folder| retry_storm::play(&options, folder, &mut progress))?;
         if args.json {
             println!("{}", as_json(name, args.seed, &report));
         } else {
@@ -79,15 +79,15 @@
     if let Some(file) = &args.chart {
         write_chart(file, &reports)?;
     }
-    Ok(Outcome::of(reports.iter().any(|(_, report)| !report.verdict.broken.is_empty())))
+    Ok(Outcome::from_breach(reports.iter().any(|(_, report)| !report.verdict.broken.is_empty())))
 }
 
-fn write_chart(file: &Path, reports: &[(&str, Report)]) -> Result<(), NotPlayed> {
-    let plays: Vec<(&str, &Report)> = reports.iter().map(|(name, report)| (*name, report)).collect();
-    let written = chart::draw(&plays).and_then(|svg| Ok(std::fs::write(file, svg)?));
+fn write_chart(file: &Path, reports: &[(&str, Report)]) -> Result<(), NotRun> {
+    let runs: Vec<(&str, &Report)> = reports.iter().map(|(name, report)| (*name, report)).collect();
+    let written = chart::draw(&runs).and_then(|svg| Ok(std::fs::write(file, svg)?));
     written.map_err(|error| {
         eprintln!("{}: {error}", file.display());
-        NotPlayed
+        NotRun
     })
 }
 
@@ -96,7 +96,7 @@
         "peak": report.peak, "pushed_back": report.rejected, "fetches": report.fetches,
         "functions": report.functions,
         "executions_each": {"before": report.attempts.0, "after": report.attempts.1},
-        "got": ends_as_json(&report.got), "broken": broken_as_json(&report.verdict),
+        "got": outcomes_as_json(&report.got), "broken": broken_as_json(&report.verdict),
         "cut": [report.cut.0, report.cut.1], "seconds": report.seconds})
 }
 
@@ -104,27 +104,29 @@
     if rows {
         print_seconds(report);
     }
-    let recovery = report.recovery.map_or("not seen".to_owned(), |seconds| format!("{seconds} s"));
-    println!("  service before the cut {:.1} %; recovery after {recovery}", 100.0 * report.before);
+    let recovery = report.recovery.map_or("not observed".to_owned(), |seconds| format!("{seconds} s"));
+    println!("  service before the partition {:.1} %; recovery after {recovery}", 100.0 * report.before);
     println!(
-        "  peak {} asked a second; {} pushed back; {} fetches after the cut for {} functions in use",
+        "  peak {} exchanges/s; {} rejections; {} fetches after the partition for {} functions in use",
         report.peak, report.rejected, report.fetches, report.functions
     );
     println!(
-        "  attempts begun for each job answered in time: {:.2} before the cut, {:.2} in the 10 s after it",
+        "  attempts per request answered in time: {:.2} before the partition, {:.2} in the 10 s after it",
         report.attempts.0, report.attempts.1
     );
-    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.got));
+    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
     print_rules(&report.verdict);
 }
 
 fn print_seconds(report: &Report) {
-    for (second, (requests, in_time, asked)) in report.seconds.iter().enumerate() {
+    for (second, (requests, in_time, exchanges)) in report.seconds.iter().enumerate() {
         let event = match second {
             _ if second == report.cut.0 => "cut",
             _ if second == report.cut.1 => "back",
             _ => "",
         };
-        println!("  {second:>4} s {requests:>5} jobs {in_time:>5} in time {asked:>6} asked  {event}");
+        println!(
+            "  {second:>4} s {requests:>5} requests {in_time:>5} in time {exchanges:>6} exchanges  {event}"
+        );
     }
 }
