--- a/crates/cli/tests/switch.rs
+++ b/crates/cli/tests/switch.rs
@@ -1,4 +1,4 @@
-//! A running process takes new settings by SIGHUP, there and back, with a request under way.
+//! A running router switches to new settings on SIGHUP, and back, with a request in flight.
 mod common;
 use common::*;
 use rustix::process::{Pid, Signal, kill_process};
@@ -6,8 +6,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 
-/// Looks at the state page at most: each waits for nothing but its answer.
-const LOOKS: usize = 200_000;
+/// Maximum number of polls of the state page; there is no pause between them.
+const MAX_POLLS: usize = 200_000;
+
 fn event(kind: &str, id: &str) -> String {
     format!(
         "POST /events HTTP/1.1\r\nHost: a\r\nConnection: close\r\nce-specversion: 1.0\r\nce-id: {id}\r\n\
@@ -15,14 +16,14 @@
     )
 }
 
-/// Has it read its file again, and looks until the state page says what came of it.
-fn switch(serve: &Serve, file: &Path, text: &str, (wanted, times): (&str, u64)) {
+/// Replaces the settings file, sends SIGHUP, and polls the state page until `counter` has the expected value.
+fn switch(router: &RouterProcess, file: &Path, text: &str, (counter, value): (&str, u64)) {
     let new = file.with_extension("new");
     std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, file)).expect("a file");
-    let pid = Pid::from_child(&serve.child);
-    kill_process(pid, Signal::HUP).expect("it runs");
-    let seen = (0..LOOKS).any(|_| state(serve.at)["settings"][wanted] == times);
-    assert!(seen, "{wanted} {times} on the state page");
+    let pid = Pid::from_child(&router.child);
+    kill_process(pid, Signal::HUP).expect("router runs");
+    let seen = (0..MAX_POLLS).any(|_| state_page(router.at)["settings"][counter] == value);
+    assert!(seen, "{counter} {value} on the state page");
 }
 
 fn settings(worker: SocketAddr, workload: &str, rest: &str) -> String {
@@ -34,10 +35,10 @@
     )
 }
 
-/// Takes one request that came to a worker; its answer is the caller's to give.
-fn request(worker: &TcpListener) -> TcpStream {
+/// Accepts a connection at the worker and reads one request. The caller writes the response.
+fn accept_request(worker: &TcpListener) -> TcpStream {
     let (mut conn, _) = worker.accept().expect("a connection");
-    conn.set_read_timeout(Some(PATIENCE)).expect("a time");
+    conn.set_read_timeout(Some(READ_TIMEOUT)).expect("a time");
     let mut got = Vec::new();
     let mut byte = [0];
     while !got.ends_with(b"\r\n\r\n{}") {
@@ -47,37 +48,46 @@
     conn
 }
 
-const DONE: &[u8] =
+const WORKER_RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nConnection: close\r\nce-specversion: 1.0\r\nce-id: r\r\nce-source: /w\r\n\
     ce-type: result\r\nContent-Length: 2\r\n\r\n{}";
 
 #[test]
-fn a_process_takes_new_settings_there_and_back() {
+fn settings_switch_and_switch_back() {
     let worker = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = worker.local_addr().expect("bound");
     let file: PathBuf = std::env::temp_dir().join(format!("applepond-switch-{}.hcl", std::process::id()));
     let old = settings(at, "book", "");
     let new = settings(at, "pay", "limits_shared = true\npermits {\n second_copies = false\n}");
     std::fs::write(&file, &old).expect("a file");
-    let serve = serve(&file, &[]);
-    let early = ask(serve.at, &event("book", "1"));
-    let mut conn = request(&worker);
-    switch(&serve, &file, &new, ("switched", 1));
-    assert!(told(ask(serve.at, &event("book", "2"))).contains(" 422 "), "left out by the new settings");
-    conn.write_all(DONE).expect("it waits");
-    assert!(told(early).contains(" 200 OK"), "taken before the switch, answered after it");
-    // A file with a fault, and one with a key that only a restart can change: nothing is switched.
-    switch(&serve, &file, "listen = 5", ("kept", 1));
-    switch(&serve, &file, &new.replace("zones", "seed = 9\nzones"), ("kept", 2));
-    let middle = ask(serve.at, &event("pay", "3"));
-    let mut conn = request(&worker);
-    switch(&serve, &file, &old, ("switched", 2));
-    conn.write_all(DONE).expect("it waits");
-    assert!(told(middle).contains(" 200 OK"), "and on the way back");
-    let late = ask(serve.at, &event("book", "2"));
-    request(&worker).write_all(DONE).expect("it waits");
-    assert!(told(late).contains(" 200 OK"));
+    let router = start_router(&file, &[]);
+    let before_switch = send_request(router.at, &event("book", "1"));
+    let mut conn = accept_request(&worker);
+    switch(&router, &file, &new, ("switched", 1));
+    assert!(
+        read_response(send_request(router.at, &event("book", "2"))).contains(" 422 "),
+        "type unknown to the new settings"
+    );
+    conn.write_all(WORKER_RESPONSE).expect("router waits for the response");
+    assert!(
+        read_response(before_switch).contains(" 200 OK"),
+        "accepted before the switch, answered after it"
+    );
+    // An invalid file, and one that changes a setting which needs a restart: both are rejected.
+    switch(&router, &file, "listen = 5", ("kept", 1));
+    switch(&router, &file, &new.replace("zones", "seed = 9\nzones"), ("kept", 2));
+    let before_return = send_request(router.at, &event("pay", "3"));
+    let mut conn = accept_request(&worker);
+    switch(&router, &file, &old, ("switched", 2));
+    conn.write_all(WORKER_RESPONSE).expect("router waits for the response");
+    assert!(
+        read_response(before_return).contains(" 200 OK"),
+        "accepted before the switch back, answered after it"
+    );
+    let after_return = send_request(router.at, &event("book", "2"));
+    accept_request(&worker).write_all(WORKER_RESPONSE).expect("router waits for the response");
+    assert!(read_response(after_return).contains(" 200 OK"));
     worker.set_nonblocking(true).expect("a listener");
-    assert!(worker.accept().is_err(), "three jobs, three attempts");
+    assert!(worker.accept().is_err(), "three requests, three attempts");
     std::fs::remove_file(&file).expect("written above");
 }
