--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -1,4 +1,5 @@
-//! What the operators' page of the standing test asks of the one process of `applepond node`, from outside.
+//! Tests of an `applepond node` process over its sockets, for the requirements of the operators' standing
+//! test.
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -7,9 +8,9 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-struct Node(Child);
+struct NodeProcess(Child);
 
-impl Drop for Node {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -36,8 +37,8 @@
             "specifics": {"keep": 4000.0, "says-company": true}, "zones": ["room-1"]}})
 }
 
-/// The same with one model server in service.
-fn with_server(listen: SocketAddr, server: SocketAddr) -> Value {
+/// Settings with one model server in service.
+fn settings_with_server(listen: SocketAddr, server: SocketAddr) -> Value {
     let mut file = settings(listen);
     let member = json!({"id": "s-1", "host_port": server.to_string(), "locality": "room-1", "flavor": "std",
         "cell": 0, "phase": "in_service", "size": 4.0, "up_since_ms": 0});
@@ -45,18 +46,18 @@
     file
 }
 
-/// A model server that answers each request with its class, until the router ends.
-fn serves(server: TcpListener) {
+/// Runs a model server that responds with OK to each request, until the router exits.
+fn spawn_model_server(server: TcpListener) {
     std::thread::spawn(move || {
         for stream in server.incoming() {
             let mut stream = stream.expect("a connection");
             let lines = BufReader::new(stream.try_clone().expect("a descriptor")).lines();
             std::thread::spawn(move || {
                 for line in lines.map_while(Result::ok) {
-                    let line: Value = serde_json::from_str(&line).expect("a line is JSON");
-                    let answer = json!({"verb": "OK", "rid": line["rid"], "attrs": {"detail": "hit"},
+                    let line: Value = serde_json::from_str(&line).expect("a line of JSON");
+                    let response = json!({"verb": "OK", "rid": line["rid"], "attrs": {"detail": "hit"},
                         "content": "b2s="});
-                    if line["verb"] == "DO" && writeln!(stream, "{answer}").is_err() {
+                    if line["verb"] == "DO" && writeln!(stream, "{response}").is_err() {
                         return;
                     }
                 }
@@ -65,37 +66,37 @@
     });
 }
 
-/// The status of one call on a connection of its own.
-fn status(at: SocketAddr, call: &str) -> Option<String> {
+/// Sends a request on a new connection and returns the status code of the response.
+fn response_status(at: SocketAddr, request: &str) -> Option<String> {
     let mut conn = TcpStream::connect(at).ok()?;
     conn.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
-    conn.write_all(call.as_bytes()).ok()?;
+    conn.write_all(request.as_bytes()).ok()?;
     let mut head = [0; 12];
     conn.read_exact(&mut head).ok()?;
     Some(String::from_utf8_lossy(&head[9..]).into_owned())
 }
 
-/// The process with this configuration, which is written to a file of its own.
-fn started(name: &str, config: &str, log: Stdio) -> (Node, PathBuf) {
+/// Starts a node with this configuration, which is written to a temporary file.
+fn start_node(name: &str, config: &str, log: Stdio) -> (NodeProcess, PathBuf) {
     let file = std::env::temp_dir().join(format!("applepond-node-{}-{name}.json", std::process::id()));
     std::fs::write(&file, config).expect("a file");
-    let mut line = Command::new(env!("CARGO_BIN_EXE_applepond"));
-    line.arg("node").env("PROXY_CONFIG", &file).stdout(Stdio::null()).stderr(log);
-    (Node(line.spawn().expect("it starts")), file)
+    let mut command = Command::new(env!("CARGO_BIN_EXE_applepond"));
+    command.arg("node").env("PROXY_CONFIG", &file).stdout(Stdio::null()).stderr(log);
+    (NodeProcess(command.spawn().expect("node starts")), file)
 }
 
-fn ready(at: SocketAddr) {
+fn wait_until_ready(at: SocketAddr) {
     let end = Instant::now() + Duration::from_secs(20);
-    while !check(at).is_some_and(|answer| answer.starts_with("HTTP/1.1 200")) {
-        assert!(Instant::now() < end, "it answers the check");
+    while !health_check(at).is_some_and(|response| response.starts_with("HTTP/1.1 200")) {
+        assert!(Instant::now() < end, "health check succeeds");
     }
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-fn check(at: SocketAddr) -> Option<String> {
+fn health_check(at: SocketAddr) -> Option<String> {
     let mut conn = TcpStream::connect(at).ok()?;
     conn.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     conn.write_all(b"GET /check HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").ok()?;
@@ -104,45 +105,45 @@
     Some(all)
 }
 
-fn entries(folder: &str) -> Vec<String> {
-    let read = std::fs::read_dir(folder).expect("the process runs");
+fn directory_entries(directory: &str) -> Vec<String> {
+    let read = std::fs::read_dir(directory).expect("the process runs");
     read.flatten().map(|entry| entry.path().display().to_string()).collect()
 }
 
-// The bench leads a process' calls of the C library to itself, which a static one does not make.
+// The operators' test bench intercepts calls of the C library, which works only with dynamic linking.
 #[test]
-fn linked_against_the_c_library() {
+fn dynamically_linked_to_the_c_library() {
     let program = std::fs::read(env!("CARGO_BIN_EXE_applepond")).expect("built");
-    let holds = |text: &[u8]| program.windows(text.len()).any(|w| w == text);
-    assert!(holds(b"/ld-linux") && holds(b"libc.so.6\0"), "an interpreter and the library by name");
+    let contains = |text: &[u8]| program.windows(text.len()).any(|window| window == text);
+    assert!(contains(b"/ld-linux") && contains(b"libc.so.6\0"), "the interpreter and libc are named");
 }
 
-// One process that starts no other; sockets over IPv4, and what epoll needs.
+// The node starts no other process, and uses neither io_uring nor Unix sockets.
 #[test]
-fn one_process_and_plain_sockets() {
-    let free = free();
-    let (node, file) = started("plain", &config(free), Stdio::null());
-    ready(free);
-    let own = format!("/proc/{}", node.0.id());
-    for task in entries(&format!("{own}/task")) {
+fn single_process_with_inet_sockets() {
+    let at = free_address();
+    let (node, file) = start_node("plain", &config(at), Stdio::null());
+    wait_until_ready(at);
+    let proc_directory = format!("/proc/{}", node.0.id());
+    for task in directory_entries(&format!("{proc_directory}/task")) {
         let children = std::fs::read_to_string(Path::new(&task).join("children")).unwrap_or_default();
-        assert_eq!(children.trim(), "", "no other process");
+        assert_eq!(children.trim(), "", "no child process");
     }
-    let local = std::fs::read_to_string("/proc/net/unix").expect("a table");
-    for fd in entries(&format!("{own}/fd")) {
-        let Ok(to) = std::fs::read_link(&fd) else { continue };
-        let to = to.display().to_string();
-        assert!(!to.contains("io_uring"), "{to}");
-        if let Some(inode) = to.strip_prefix("socket:[").and_then(|t| t.strip_suffix(']')) {
-            let same = |line: &str| line.split_whitespace().nth(6) == Some(inode);
-            assert!(!local.lines().any(same), "a Unix socket: nobody comes to one");
+    let unix_sockets = std::fs::read_to_string("/proc/net/unix").expect("a table");
+    for fd in directory_entries(&format!("{proc_directory}/fd")) {
+        let Ok(target) = std::fs::read_link(&fd) else { continue };
+        let target = target.display().to_string();
+        assert!(!target.contains("io_uring"), "{target}");
+        if let Some(inode) = target.strip_prefix("socket:[").and_then(|rest| rest.strip_suffix(']')) {
+            let has_inode = |line: &str| line.split_whitespace().nth(6) == Some(inode);
+            assert!(!unix_sockets.lines().any(has_inode), "a Unix socket");
         }
     }
     std::fs::remove_file(&file).expect("written above");
 }
 
-/// One call; nobody serves it, so it is answered once its start target has passed.
-fn call(id: u64) -> String {
+/// A request. Without a model server it is answered once its start target has passed.
+fn request(id: u64) -> String {
     format!(
         "POST /do/7f3a9c2e7f3a9c2e/fire HTTP/1.1\r\nHost: app.svc\r\nX-Class: quote\r\n\
          Request-Id: {id:016x}\r\nBudget-Ms: 2000\r\nAccount: huts\r\n\
@@ -151,89 +152,94 @@
     )
 }
 
-/// What a client still reads, and whether its connection ended properly.
-fn rest(mut conn: TcpStream) -> (String, bool) {
+/// Reads a connection to its end. Returns the text and whether the connection was closed without an error.
+fn read_to_close(mut conn: TcpStream) -> (String, bool) {
     conn.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
-    let mut all = Vec::new();
-    let ended = conn.read_to_end(&mut all).is_ok();
-    (String::from_utf8_lossy(&all).into_owned(), ended)
+    let mut bytes = Vec::new();
+    let closed = conn.read_to_end(&mut bytes).is_ok();
+    (String::from_utf8_lossy(&bytes).into_owned(), closed)
 }
 
-// Connections that are open through a restart: one that is idle, one with half a request, one whose answer is
-// owed. After SIGTERM each request that was begun gets its one final answer and the process ends by itself; a
-// kill answers nobody, and nobody waits for it.
+// Stops a node with an idle connection, a half-sent request and a pending request. After SIGTERM, each
+// started request gets exactly one final response and the process exits. After SIGKILL there are no
+// responses, and all connections end at once.
 #[test]
 fn restarts_with_open_connections() {
     for signal in [rustix::process::Signal::TERM, rustix::process::Signal::KILL] {
-        let free = free();
-        let (mut node, file) = started(&format!("{signal:?}"), &config(free), Stdio::null());
-        ready(free);
-        let open = || TcpStream::connect(free).expect("it listens");
-        let (idle, mut half, mut owed) = (open(), open(), open());
-        let (first, second) = (call(1), call(2));
-        half.write_all(&first.as_bytes()[..60]).expect("it reads");
-        owed.write_all(second.as_bytes()).expect("it reads");
-        // The router has the whole of the second: its answer to a later check says so.
-        assert!(check(free).is_some());
-        let begun = Instant::now();
-        rustix::process::kill_process(rustix::process::Pid::from_child(&node.0), signal).expect("it runs");
-        let later = half.write_all(&first.as_bytes()[60..]).is_ok();
-        let (idle, half, owed) = (rest(idle), rest(half), rest(owed));
-        let status = node.0.wait().expect("it ends");
+        let at = free_address();
+        let (mut node, file) = start_node(&format!("{signal:?}"), &config(at), Stdio::null());
+        wait_until_ready(at);
+        let open = || TcpStream::connect(at).expect("node listens");
+        let (idle, mut half_sent, mut pending) = (open(), open(), open());
+        let (first, second) = (request(1), request(2));
+        half_sent.write_all(&first.as_bytes()[..60]).expect("request sent");
+        pending.write_all(second.as_bytes()).expect("request sent");
+        // The response to a later health check shows that the router has received all of the second request.
+        assert!(health_check(at).is_some());
+        let start = Instant::now();
+        rustix::process::kill_process(rustix::process::Pid::from_child(&node.0), signal).expect("node runs");
+        let sent_rest = half_sent.write_all(&first.as_bytes()[60..]).is_ok();
+        let (idle, half_sent, pending) =
+            (read_to_close(idle), read_to_close(half_sent), read_to_close(pending));
+        let status = node.0.wait().expect("node exits");
         if signal == rustix::process::Signal::TERM {
-            assert_eq!(idle, (String::new(), true), "nothing was asked on it");
-            for (answer, _) in [&half, &owed] {
-                assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
+            assert_eq!(idle, (String::new(), true), "the idle connection gets no response");
+            for (response, _) in [&half_sent, &pending] {
+                assert_eq!(response.matches("HTTP/1.1 ").count(), 1, "{response}");
                 assert!(
-                    answer.starts_with("HTTP/1.1 503") && answer.contains("Connection: close"),
-                    "{answer}"
+                    response.starts_with("HTTP/1.1 503") && response.contains("Connection: close"),
+                    "{response}"
                 );
             }
-            assert!(later && status.success() && begun.elapsed() < Duration::from_secs(6), "{status}");
+            assert!(sent_rest && status.success() && start.elapsed() < Duration::from_secs(6), "{status}");
         } else {
-            assert!([&idle, &half, &owed].iter().all(|(answer, _)| answer.is_empty()), "killed outright");
-            assert!(begun.elapsed() < Duration::from_secs(2), "and nobody waits");
+            assert!(
+                [&idle, &half_sent, &pending].iter().all(|(response, _)| response.is_empty()),
+                "no response after SIGKILL"
+            );
+            assert!(start.elapsed() < Duration::from_secs(2), "connections end at once");
         }
         std::fs::remove_file(&file).expect("written above");
     }
 }
 
-// The process before this one still holds the address: a restart waits for it, and is ready once it is free.
+// While the previous process still holds the address, a restarted node waits for it and is ready once it is
+// free.
 #[test]
-fn an_address_that_is_still_in_use() {
+fn waits_for_an_address_in_use() {
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = held.local_addr().expect("bound");
-    let (mut node, file) = started("held", &config(at), Stdio::piped());
+    let (mut node, file) = start_node("held", &config(at), Stdio::piped());
     let log = BufReader::new(node.0.stderr.take().expect("piped"));
-    let mut lines = log.lines().map(|line| line.expect("a log of text"));
-    assert!(lines.any(|line| line.contains("the address is still in use")), "it says so and goes on");
+    let mut lines = log.lines().map(|line| line.expect("a log line"));
+    assert!(lines.any(|line| line.contains("the address is still in use")), "the wait is logged");
     drop(held);
-    assert!(lines.any(|line| line.contains("listening")), "it does once it can");
-    ready(at);
+    assert!(lines.any(|line| line.contains("listening")), "the node listens once the address is free");
+    wait_until_ready(at);
     std::fs::remove_file(&file).expect("written above");
 }
 
-// Signals that come together and more than once: each is taken, and the process ends once, by itself. It has
-// no list and its name service is silent.
+// Repeated signals of several kinds are all handled, and the process shuts down cleanly once. It has no
+// endpoint list, and its name service does not respond.
 #[test]
-fn signals_together() {
+fn repeated_signals() {
     use rustix::process::{Pid, Signal, kill_process};
-    let at = free();
-    let (mut node, file) = started("signals", &config(at), Stdio::null());
-    ready(at);
-    let mut owed = TcpStream::connect(at).expect("it listens");
-    owed.write_all(call(1).as_bytes()).expect("it reads");
-    assert!(check(at).is_some());
+    let at = free_address();
+    let (mut node, file) = start_node("signals", &config(at), Stdio::null());
+    wait_until_ready(at);
+    let mut pending = TcpStream::connect(at).expect("node listens");
+    pending.write_all(request(1).as_bytes()).expect("request sent");
+    assert!(health_check(at).is_some());
     for signal in [Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM, Signal::INT] {
-        kill_process(Pid::from_child(&node.0), signal).expect("it runs");
+        kill_process(Pid::from_child(&node.0), signal).expect("node runs");
     }
-    let (answer, ended) = rest(owed);
-    assert!(ended && answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(node.0.wait().expect("it ends").success());
+    let (response, closed) = read_to_close(pending);
+    assert!(closed && response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(node.0.wait().expect("node exits").success());
     std::fs::remove_file(&file).expect("written above");
 }
 
-/// What another customer's settings hold and lack.
+/// Settings of a customer without tenants and zones, with a few options only.
 fn harbour(file: &mut Value) {
     let own = &mut file["settings"];
     own["lanes"] = json!([
@@ -245,6 +251,7 @@
     own.as_object_mut().expect("an object").remove("specifics");
 }
 
+/// Settings of a customer whose classes deduplicate by key, with a tenant that has no quota.
 fn archive(file: &mut Value) {
     let own = &mut file["settings"];
     own["lanes"] = json!([
@@ -258,120 +265,121 @@
     own["group-size"] = 3.into();
 }
 
+/// Leaves the settings unchanged.
 fn as_is(_: &mut Value) {}
 
-// The settings of three customers: each one's classes and tenants are served by the terms that they name,
-// those of another are refused.
+// With the settings of each of three customers, the customer's own classes and tenants are served within
+// their deadlines, and those of another customer are rejected.
 #[test_case("as-is", as_is, &[("quote", "huts", 2000)], ("berth", "huts"); "one class")]
 #[test_case(
     "harbour", harbour, &[("berth", "whoever", 800), ("crane", "", 900)], ("quote", "huts");
-    "no tenants, zones that are not named, little that is allowed"
+    "no tenants or zones, few options"
 )]
 #[test_case(
     "archive", archive, &[("file", "town", 30_000), ("stamp", "parish", 1000), ("seal", "town", 60)],
-    ("seal", "huts"); "keyed classes and a tenant without a share"
+    ("seal", "huts"); "keyed classes and a tenant without a quota"
 )]
-fn another_customer(name: &str, change: fn(&mut Value), own: &[(&str, &str, u64)], other: (&str, &str)) {
+fn customer_settings(name: &str, change: fn(&mut Value), own: &[(&str, &str, u64)], other: (&str, &str)) {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = free();
-    let mut file = with_server(at, server.local_addr().expect("bound"));
-    serves(server);
+    let at = free_address();
+    let mut file = settings_with_server(at, server.local_addr().expect("bound"));
+    spawn_model_server(server);
     change(&mut file);
-    let (_node, file) = started(name, &file.to_string(), Stdio::null());
-    ready(at);
-    let ask = |n: usize, class: &str, account: &str, budget: u64| {
-        let call = call(n as u64).replace("X-Class: quote", &format!("X-Class: {class}"));
-        let call = call.replace("Account: huts", &format!("Account: {account}"));
+    let (_node, file) = start_node(name, &file.to_string(), Stdio::null());
+    wait_until_ready(at);
+    let send = |n: usize, class: &str, account: &str, budget: u64| {
+        let request = request(n as u64).replace("X-Class: quote", &format!("X-Class: {class}"));
+        let request = request.replace("Account: huts", &format!("Account: {account}"));
         let key = "Once-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\nContent-Length";
-        let call = call.replace("Content-Length", key).replace("2000", &budget.to_string());
-        status(at, &call).expect("an answer")
+        let request = request.replace("Content-Length", key).replace("2000", &budget.to_string());
+        response_status(at, &request).expect("a response")
     };
     for (n, (class, account, budget)) in own.iter().enumerate() {
-        assert_eq!(ask(n, class, account, *budget), "200", "{class} of {account}");
-        assert_eq!(ask(n, class, account, budget + 2), "400", "more time than {class} has");
+        assert_eq!(send(n, class, account, *budget), "200", "{class} of {account}");
+        assert_eq!(send(n, class, account, budget + 2), "400", "budget above the deadline of {class}");
     }
-    assert_eq!(ask(99, other.0, other.1, 50), "400", "another customer's");
+    assert_eq!(send(99, other.0, other.1, 50), "400", "class or tenant of another customer");
     std::fs::remove_file(&file).expect("written above");
 }
 
-// The name service says nothing and idle clients come by the hundreds, with as many descriptors as the
-// settings name and no more: the list is still asked for, a model server still connected to, and whoever asks
-// is served.
+// Hundreds of idle clients connect while the name service does not respond and the descriptor limit is that
+// of the settings. The node still queries the name service, connects to the model server and serves requests.
 #[test]
-fn a_crowd_that_fills_the_descriptors() {
+fn idle_clients_at_the_descriptor_limit() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let names = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let at = free();
-    let mut file = with_server(at, server.local_addr().expect("bound"));
-    serves(server);
+    let at = free_address();
+    let mut file = settings_with_server(at, server.local_addr().expect("bound"));
+    spawn_model_server(server);
     file["limits"]["sockets"] = 64.into();
     file["names"] = names.local_addr().expect("bound").to_string().into();
-    let (node, file) = started("crowd", &file.to_string(), Stdio::null());
+    let (node, file) = start_node("crowd", &file.to_string(), Stdio::null());
     let limit = rustix::process::Rlimit { current: Some(64), maximum: Some(64) };
     let pid = rustix::process::Pid::from_child(&node.0);
-    rustix::process::prlimit(Some(pid), rustix::process::Resource::Nofile, limit).expect("it runs");
-    ready(at);
-    let crowd: Vec<_> = (0..300).map(|_| TcpStream::connect(at).expect("it listens")).collect();
+    rustix::process::prlimit(Some(pid), rustix::process::Resource::Nofile, limit).expect("node runs");
+    wait_until_ready(at);
+    let idle_clients: Vec<_> = (0..300).map(|_| TcpStream::connect(at).expect("node listens")).collect();
     names.set_nonblocking(true).expect("set");
     let mut question = [0; 512];
     while names.recv(&mut question).is_ok() {}
     names.set_nonblocking(false).expect("set");
     names.set_read_timeout(Some(Duration::from_secs(5))).expect("a time");
     for n in 0..5 {
-        names.recv(&mut question).expect("it asks on");
+        names.recv(&mut question).expect("the name service is queried again");
         let end = Instant::now() + Duration::from_secs(10);
-        while status(at, &call(n)).is_none_or(|status| status != "200") {
-            assert!(Instant::now() < end, "who asks is served");
+        while response_status(at, &request(n)).is_none_or(|status| status != "200") {
+            assert!(Instant::now() < end, "requests are served");
         }
     }
-    let held = entries(&format!("/proc/{}/fd", node.0.id())).len();
-    assert!(held <= 64 && crowd.len() == 300, "{held} descriptors");
+    let open = directory_entries(&format!("/proc/{}/fd", node.0.id())).len();
+    assert!(open <= 64 && idle_clients.len() == 300, "{open} descriptors");
     std::fs::remove_file(&file).expect("written above");
 }
 
-/// Clock ticks of the processor that a process has used.
-fn ticks(node: &Node) -> u64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.0.id())).expect("it runs");
+/// CPU time that a process has used, in clock ticks.
+fn cpu_ticks(node: &NodeProcess) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.0.id())).expect("node runs");
     let fields = stat.rsplit(')').next().expect("a name ends").split_whitespace();
     fields.skip(11).take(2).map(|field| field.parse::<u64>().expect("a number")).sum()
 }
 
-// Fewer descriptors than the settings name: accepting and asking fail for a while, without eating the
-// processor, and once the crowd has gone whoever asks is served and the list is asked for.
+// With fewer descriptors than the settings allow for, accepting clients and querying the name service fail
+// for a while, without busy looping. Both work again once the idle clients have left.
 #[test]
-fn no_descriptor_is_left() {
+fn descriptors_exhausted() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let names = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let at = free();
-    let mut file = with_server(at, server.local_addr().expect("bound"));
-    serves(server);
+    let at = free_address();
+    let mut file = settings_with_server(at, server.local_addr().expect("bound"));
+    spawn_model_server(server);
     file["names"] = names.local_addr().expect("bound").to_string().into();
-    let (node, file) = started("emfile", &file.to_string(), Stdio::null());
-    ready(at);
+    let (node, file) = start_node("emfile", &file.to_string(), Stdio::null());
+    wait_until_ready(at);
     let limit = rustix::process::Rlimit { current: Some(16), maximum: Some(16) };
     let pid = rustix::process::Pid::from_child(&node.0);
-    rustix::process::prlimit(Some(pid), rustix::process::Resource::Nofile, limit).expect("it runs");
-    let crowd: Vec<_> = (0..100).map(|_| TcpStream::connect(at).expect("its kernel takes them")).collect();
-    let own = format!("/proc/{}/fd", node.0.id());
+    rustix::process::prlimit(Some(pid), rustix::process::Resource::Nofile, limit).expect("node runs");
+    let idle_clients: Vec<_> =
+        (0..100).map(|_| TcpStream::connect(at).expect("the kernel accepts connections")).collect();
+    let descriptors = format!("/proc/{}/fd", node.0.id());
     let end = Instant::now() + Duration::from_secs(10);
-    while entries(&own).len() < 16 {
-        assert!(Instant::now() < end, "the crowd fills them");
+    while directory_entries(&descriptors).len() < 16 {
+        assert!(Instant::now() < end, "the idle clients use all descriptors");
     }
-    let (before, begun) = (ticks(&node), Instant::now());
+    let (before, start) = (cpu_ticks(&node), Instant::now());
     std::thread::sleep(Duration::from_millis(500));
-    // A tick is 10 ms: a thread that spins would use nearly all of them.
-    let (used, passed) = (ticks(&node) - before, begun.elapsed().as_millis() as u64 / 10);
-    assert!(used * 2 < passed, "{used} of {passed} ticks");
-    drop(crowd);
+    // A tick is 10 ms. A busy loop would use nearly all of the elapsed ticks.
+    let (used, elapsed) = (cpu_ticks(&node) - before, start.elapsed().as_millis() as u64 / 10);
+    assert!(used * 2 < elapsed, "{used} of {elapsed} ticks");
+    drop(idle_clients);
     let end = Instant::now() + Duration::from_secs(10);
-    while status(at, &call(1)).is_none_or(|status| status != "200") {
-        assert!(Instant::now() < end, "who asks is served");
+    while response_status(at, &request(1)).is_none_or(|status| status != "200") {
+        assert!(Instant::now() < end, "requests are served");
     }
     let mut question = [0; 512];
     names.set_nonblocking(true).expect("set");
     while names.recv(&mut question).is_ok() {}
     names.set_nonblocking(false).expect("set");
     names.set_read_timeout(Some(Duration::from_secs(5))).expect("a time");
-    names.recv(&mut question).expect("it asks on");
+    names.recv(&mut question).expect("the name service is queried again");
     std::fs::remove_file(&file).expect("written above");
 }
