--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -124,7 +124,7 @@
         disks
     }
 
-    /// Starts a thread, which reports its first event without being asked.
+    /// Starts a thread. The event that it reports on starting is outstanding from now on.
     fn spawn(&mut self, run: impl FnOnce() + Send + 'static) {
         self.pending += 1;
         self.threads.push(std::thread::spawn(run));
--- a/crates/fleet/tests/envelope.rs
+++ b/crates/fleet/tests/envelope.rs
@@ -3,7 +3,6 @@
     DropReason, Envelopes, FleetKey, MAX_DATAGRAM_BYTES, OVERHEAD_BYTES, process_receiver,
 };
 use proptest::prelude::*;
-use std::collections::BTreeSet;
 use test_case::test_case;
 
 fn test_key(n: u8) -> FleetKey {
@@ -126,7 +125,8 @@
     fn sequence_numbers_behave_as_a_set(order in proptest::collection::vec(0usize..200, 1..300)) {
         let mut sender = sender_envelopes();
         let all: Vec<Vec<u8>> = (0..200).map(|_| sender.seal(7, b"x").expect("short")).collect();
-        let (mut router, mut seen, mut highest) = (receiver_envelopes(1), BTreeSet::new(), 0);
+        let (mut router, mut seen, mut highest) =
+            (receiver_envelopes(1), std::collections::BTreeSet::new(), 0);
         for n in order {
             let too_old = highest > n && highest - n > 64;
             prop_assert_eq!(router.open(&all[n]).is_ok(), !too_old && seen.insert(n));
