--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -36,7 +36,7 @@
 struct Names {
     workers: BTreeMap<WorkerId, String>,
     functions: BTreeMap<FunctionId, String>,
-    words: ConfigNames,
+    config: ConfigNames,
 }
 
 /// Collects the actions of one event, in order, as messages to the simulator.
@@ -118,7 +118,7 @@
         let op = text(event, "op")?;
         if op == "boot" {
             let setup = object(event, "setup")?;
-            let names = Names { words: ConfigNames::read(setup)?, ..Names::default() };
+            let names = Names { config: ConfigNames::read(setup)?, ..Names::default() };
             let config = startup_config(setup, unsigned(event, "salt")?)?;
             let mut reply = ReplyBuilder { names: &names, actions: Vec::new() };
             let control = Control::new(now, config, &mut reply);
@@ -192,12 +192,12 @@
     let customer = match optional(event, "customer") {
         None => None,
         Some(value) if value.as_u64() == Some(0) => None,
-        Some(_) => Some(CustomerId(name_index(&names.words.customers, event, "customer")?)),
+        Some(_) => Some(CustomerId(name_index(&names.config.customers, event, "customer")?)),
     };
     Ok(RequestArrival {
         request: request(event)?,
         function: FunctionId::named(text(event, "model")?),
-        workload: WorkloadId(name_index(&names.words.workloads, event, "type")?),
+        workload: WorkloadId(name_index(&names.config.workloads, event, "type")?),
         customer,
         time_left: time(event, "left")?,
         retry: flag(event, "retry")?,
@@ -250,7 +250,7 @@
             }
         },
         up_since: time_or_zero(entry, "up-since")?,
-        zone: position_of(&names.words.zones, "rack-zone")?.map(ZoneId),
+        zone: position_of(&names.config.zones, "rack-zone")?.map(ZoneId),
         rack: RackId(number_or(entry, "group", 0.0)? as i64),
         weight: number_or(entry, "nominal", 1.0)?,
     })
--- a/crates/admission/src/accept_limiter.rs
+++ b/crates/admission/src/accept_limiter.rs
@@ -7,7 +7,7 @@
 /// connections take at most an eighth of a core.
 const RATE_PER_S: f64 = 2_000.0;
 
-/// Connections that are accepted at once after a quiet period: the number of an ordinary second.
+/// Connections that may be accepted at once after a quiet period: as many as arrive in an ordinary second.
 const BURST: f64 = 400.0;
 
 /// Tokens required before accepting is resumed: resuming for every single connection would cost as much as
--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -20,7 +20,7 @@
 /// Upper bound of the limit as a multiple of the completion rate: an unused limit would grow without bound.
 const MAX_OVER_COMPLETIONS: f64 = 2.0;
 
-/// Number of steps after which an unused limit is obsolete.
+/// Number of step intervals after which an unused limit is obsolete.
 const MAX_AGE_STEPS: Micros = 6;
 
 /// Results of admitted work since the last step.
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -109,7 +109,7 @@
     /// Whether the request is admitted only after all others.
     fn is_low(self) -> bool {
         match self.timing {
-            // A retry at its scheduled time does not count against the budget.
+            // A retry at its scheduled time was promised that slot, even if its client is over the budget.
             RetryTiming::OnTime => false,
             RetryTiming::Unscheduled => self.is_over_budget,
             RetryTiming::Early => true,
--- a/crates/admission/src/retry_after.rs
+++ b/crates/admission/src/retry_after.rs
@@ -54,13 +54,14 @@
         let penalty = f64::from(1u32 << early_retries.min(MAX_DOUBLINGS));
         let wait = (slot * penalty) * (1.0 + MAX_JITTER * random);
         if wait <= longest as f64 {
-            // A slot is taken only by a wait before the deadline, so none is lost to clients that give up.
+            // Only a wait within the limit takes a slot, so none is lost to clients that give up.
             if early_retries == 0 {
                 self.queue_end = now as f64 + slot;
             }
             return Some(wait as Micros);
         }
-        // The queue exceeds the longest wait: a random wait below it, or all would arrive at its end.
+        // The queue is longer than the longest wait. The wait is drawn at random from its upper half, as
+        // otherwise all further retries would arrive together at its end.
         Some(MIN_WAIT_US + ((longest - MIN_WAIT_US) as f64 * (0.5 + random / 2.0)) as Micros)
     }
 
--- a/crates/admission/src/traffic_monitor.rs
+++ b/crates/admission/src/traffic_monitor.rs
@@ -119,7 +119,7 @@
     first_attempts: Rate,
     retries: Rate,
     /// Highest number of recent retries of a single client.
-    heaviest_client: f64,
+    max_client_retries: f64,
     /// Requests that completed.
     pub completed: Rate,
     /// Requests rejected by the routing module.
@@ -161,7 +161,8 @@
     }
 
     /// Restores the usual rates from before a restart, unless this process has itself observed enough of
-    /// the hour. They have the least weight at which they are used, so that new observations soon prevail.
+    /// the hour. They count as observed for the shortest time that suffices, so that new observations soon
+    /// prevail.
     pub fn restore_baseline(&mut self, now: Micros, arrivals_per_s: f64, connections_per_s: f64) {
         let usual = &mut self.baseline[Self::hour(now)];
         if usual.observed < MIN_OBSERVED_US {
@@ -183,7 +184,7 @@
     pub fn record_arrival(&mut self, now: Micros, is_retry: bool, client_retries: f64) {
         if is_retry {
             self.retries.add(now);
-            self.heaviest_client = self.heaviest_client.max(client_retries);
+            self.max_client_retries = self.max_client_retries.max(client_retries);
         } else {
             self.first_attempts.add(now);
         }
@@ -210,9 +211,9 @@
         let (first_attempts, retries) = self.rates(now);
         let arrivals = first_attempts + retries;
         if retries >= MIN_RATE_PER_S && retries >= self.retry_threshold(now) * arrivals {
-            // Retries within the time constant of the rate.
+            // The rate covers the retries of about one time constant.
             let is_one_client =
-                self.heaviest_client >= ONE_CLIENT_FRACTION * retries * RATE_TIME_CONSTANT_US / 1e6;
+                self.max_client_retries >= ONE_CLIENT_FRACTION * retries * RATE_TIME_CONSTANT_US / 1e6;
             return if is_one_client { TrafficClass::Loop } else { TrafficClass::Storm };
         }
         let Some((usual, _)) = self.usual(now) else { return TrafficClass::Calm };
@@ -250,7 +251,7 @@
         if self.class.is_none_or(|(class, _)| class != observed) {
             self.class = Some((observed, now));
             if !observed.is_retry_overload() {
-                self.heaviest_client = 0.0;
+                self.max_client_retries = 0.0;
             }
         }
         if observed == TrafficClass::Calm {
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -35,7 +35,8 @@
     pub residual: f64,
 }
 
-/// Minimum number of points of a fit. Two points would fit any form exactly, so that none could be rejected.
+/// Minimum number of points of a fit. A form with a slope fits any two points exactly, so that it could not
+/// be rejected.
 pub const MIN_POINTS: usize = 3;
 
 impl Fit {
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -27,8 +27,8 @@
         }
         let mut codings = fields.values("transfer-encoding");
         match (length, codings.next(), codings.next()) {
-            // A peer may read the other of two lengths, which allows request smuggling (RFC 9112, section
-            // 11.2).
+            // A proxy in between may find the end of the body by the other of the two, which allows request
+            // smuggling (RFC 9112, section 11.2).
             (Some(_), Some(_), _) => {
                 Err(Fault::new(400, "two-lengths", "Content-Length and Transfer-Encoding exclude each other"))
             }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -9,8 +9,9 @@
 
 /// Maximum size of a request head; a larger one is answered with status 431. Calls have a few hundred bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Time within which a new connection must send a complete request, and a client must receive the last
-/// response. The platform requires that silent clients are disconnected within 3 s.
+/// Time within which a new connection must send its first byte, a request must be complete after its first
+/// byte, and a closing connection must be closed by the client. The platform requires that silent clients are
+/// disconnected within 3 s.
 pub(crate) const SILENCE_TIMEOUT: Micros = 2_000_000;
 /// Maximum idle time between two requests. Most clients close their connections after 4 s, some never do.
 const IDLE_TIMEOUT: Micros = 6_000_000;
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -8,8 +8,8 @@
 use std::io;
 use std::time::Duration;
 
-/// Events taken from the kernel by one poll. It is as large as a high limit of descriptors, because events
-/// are ordered by priority only within one poll.
+/// Maximum number of events taken from the kernel by one poll. It is as large as a high limit on descriptors,
+/// because events are ordered by priority only within one poll.
 const MAX_EVENTS_PER_POLL: usize = 4096;
 /// Age of the last poll, and lateness of a timer, in µs above which the sockets are polled again before
 /// anything else is handled. A busy turn takes far less.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Permitted numbers of replicas; with none there is no consensus.
+/// Permitted numbers of replicas. With 0 there is no consensus.
 const REPLICA_COUNTS: [usize; 4] = [0, 1, 3, 5];
 /// Two keys are in use during a key rotation.
 const MAX_KEYS: usize = 2;
