--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -17,8 +17,7 @@
 /// Delay of the next query after a rejected answer, to avoid flooding a service in trouble.
 const QUERY_RETRY_DELAY: Micros = 50_000;
 /// Age of the last completed query at which the list is stale, which only happens if this process was paused:
-/// more than twice the longest time between two queries, and less than the 1.5 s after which events must be
-/// known.
+/// twice the longest time between two queries, and less than the 1.5 s after which events must be known.
 const STALE_AFTER: Micros = 1_000_000;
 
 /// A pending query.
@@ -109,7 +108,11 @@
                 is_newer.then_some(list)
             }
             Ok(list) => {
-                tracing::debug!(index = list.index, known_index = self.index, "an older list");
+                tracing::debug!(
+                    index = list.index,
+                    known_index = self.index,
+                    "endpoint list ignored: older than the current one"
+                );
                 self.end_query(transport, now + QUERY_RETRY_DELAY);
                 None
             }
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -79,11 +79,11 @@
     fn process_event(&mut self, now: Micros, transport: &mut dyn Transport, event: ProcessEvent) {
         match event {
             ProcessEvent::ConfigReplaced(Ok(config)) => {
-                tracing::info!(name_service = %config.name_service, "a new configuration holds");
+                tracing::info!(name_service = %config.name_service, "configuration replaced");
                 self.name_service.set_service(transport, config.name_service);
             }
             ProcessEvent::ConfigReplaced(Err(error)) => {
-                tracing::warn!(%error, "the old configuration holds");
+                tracing::warn!(%error, "new configuration rejected; the previous one stays in effect");
             }
             ProcessEvent::ShutDown => _ = self.shutdown_since.get_or_insert(now),
         }
--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -71,7 +71,7 @@
                 lost = connection.in_flight.len(),
                 silent_us = now - connection.last_received,
                 age_us = now - connection.opened_at,
-                "a connection that owed answers is gone"
+                "connection to a model server lost with answers pending"
             );
         }
         if let Some(record) = self.workers.get_mut(connection.worker) {
