--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -41,10 +41,11 @@
 }
 
 #[test_case(&[r#"{"op":"wakeup","token":1}"#], "instance 3: 'wakeup' before any 'boot'"; "never booted")]
-#[test_case(&[BOOT, NO_TOKEN], "instance 3: 'wakeup': field 'token': a whole number is wanted"; "missing")]
-#[test_case(&[BOOT, TEXT_TOKEN], "field 'token': a whole number is wanted"; "wrong type")]
+#[test_case(&[BOOT, NO_TOKEN], "instance 3: 'wakeup': field 'token': expected an unsigned integer";
+    "missing")]
+#[test_case(&[BOOT, TEXT_TOKEN], "field 'token': expected an unsigned integer"; "wrong type")]
 #[test_case(&[BOOT, SHORT_ID], "field 'msg-id': expected an id of 36 characters"; "short id")]
-#[test_case(&[BOOT, r#"{"op":"tea"}"#], "event 'tea' is not known"; "unknown event")]
+#[test_case(&[BOOT, r#"{"op":"tea"}"#], "unknown event 'tea'"; "unknown event")]
 #[test_case(&["{"], "not JSON"; "not JSON")]
 fn malformed_input_is_rejected(events: &[&str], expected: &str) {
     let error = batch(&mut Host::default(), events).expect_err("an error");
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -11,7 +11,7 @@
     #[error("field '{field}': {problem}")]
     #[diagnostic(
         code(platform::field),
-        help("put right that field of the configuration; until then the old one holds, if there was one")
+        help("correct this field; until then the previous configuration, if any, stays in effect")
     )]
     Field {
         /// Name of the field.
@@ -23,14 +23,14 @@
     #[error("not JSON: {0}")]
     #[diagnostic(
         code(platform::no_json),
-        help("look whether the file was cut or written by hand; it is read as a whole or not at all")
+        help("check whether the file is truncated or was edited by hand; no part of it is used")
     )]
     InvalidJson(String),
     /// An error with the part of the input in which it occurred.
     #[error("{context}: {error}")]
     #[diagnostic(
         code(platform::part),
-        help("the part named in front is at fault; the rest of the words say why")
+        help("correct the part of the input that the message names first; the rest of it gives the reason")
     )]
     InContext {
         /// The part of the input, such as a file or an instance.
@@ -42,21 +42,24 @@
     #[error("'{0}' before any 'boot'")]
     #[diagnostic(
         code(platform::not_booted),
-        help("each instance is told 'boot' first: the caller is at fault, or its first batch was lost")
+        help(
+            "'boot' must be the first event of each instance: check the caller, and whether a batch was lost"
+        )
     )]
     NotBooted(String),
     /// The kind of event is unknown.
-    #[error("event '{0}' is not known")]
+    #[error("unknown event '{0}'")]
     #[diagnostic(
         code(platform::event),
-        help(
-            "the caller and this program are of versions that do not fit; use the program that came with it"
-        )
+        help("the versions of the caller and of this program do not match; use those of the same release")
     )]
     UnknownEvent(String),
     /// The file could not be read.
     #[error("{}: {reason}", file.display())]
-    #[diagnostic(code(platform::unread), help("look whether the file is there and this process may read it"))]
+    #[diagnostic(
+        code(platform::unread),
+        help("check that the file exists and that this process may read it")
+    )]
     FileUnreadable {
         /// The file.
         file: PathBuf,
@@ -97,29 +100,41 @@
     #[error("invalid DNS message: {0}")]
     #[diagnostic(
         code(names::unreadable),
-        help("seldom: the network; often: look which name service answers at that address")
+        help("if rare, a network fault; if frequent, check which service answers at the configured address")
     )]
     InvalidMessage(String),
     /// The message does not answer the pending query.
     #[error("answer does not match the pending query")]
-    #[diagnostic(code(names::another), help("a late answer; often: look for a path that is slow or repeats"))]
+    #[diagnostic(
+        code(names::another),
+        help(
+            "a late or repeated answer; if frequent, look for a slow network path or one that repeats packets"
+        )
+    )]
     UnrelatedAnswer,
     /// The answer is truncated.
     #[error("answer is truncated")]
     #[diagnostic(
         code(names::cut),
-        help("the list does not fit into the service's answers: have it send larger ones")
+        help(
+            "the endpoint list does not fit into one answer: configure the name service to send larger ones"
+        )
     )]
     Truncated,
     /// The service reports a failure; carries the response code.
     #[error("name service reports {0}")]
-    #[diagnostic(code(names::reports), help("look at the name service; the last list holds meanwhile"))]
+    #[diagnostic(
+        code(names::reports),
+        help("check the name service; meanwhile the last endpoint list stays in use")
+    )]
     ServerFailure(String),
     /// The answer has no SOA record, whose serial number orders the lists.
     #[error("answer has no SOA record with a serial number")]
     #[diagnostic(
         code(names::no_serial),
-        help("the service's zone has no SOA in its answers: without a serial no list can be told newer")
+        help(
+            "have the name service send its zone's SOA record: the serial number shows which list is newer"
+        )
     )]
     MissingSerial,
 }
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -70,7 +70,7 @@
 pub fn unsigned(from: &Value, name: &str) -> InputResult<u64> {
     optional(from, name)
         .and_then(Value::as_u64)
-        .map_or_else(|| invalid_field(name, "a whole number is wanted"), Ok)
+        .map_or_else(|| invalid_field(name, "expected an unsigned integer"), Ok)
 }
 
 /// The field as a boolean; false if it is absent.
--- a/crates/platform/tests/codecs.rs
+++ b/crates/platform/tests/codecs.rs
@@ -48,7 +48,7 @@
 #[test_case(r#"{"verb":"MISS","rid":"a","attrs":{"detail":"spawn_failed"}}"#,
     (Outcome::NotLoaded, LoadState::LoadFailed, 0, None, None, vec![]); "a load that failed")]
 #[test_case(r#"{"verb":"ERR","rid":"a","attrs":{"detail":"pending","use":"concurrent:x;x1:-"}}"#,
-    (Outcome::Error, LoadState::LoadPending, 0, None, None, vec![]); "a report that is none")]
+    (Outcome::Error, LoadState::LoadPending, 0, None, None, vec![]); "an invalid report")]
 #[test_case(r#"{"verb":"VOID","rid":"a"}"#,
     (Outcome::Superseded, LoadState::Unreported, 0, None, None, vec![]); "void")]
 fn answer_lines_are_decoded(line: &str, expected: Answer) {
@@ -59,7 +59,7 @@
 #[test_case("{"; "cut off")]
 #[test_case(r#"["OK"]"#; "no object")]
 #[test_case(r#"{"verb":"OK","content":""}"#; "no id")]
-#[test_case(r#"{"verb":"FINE","rid":"a"}"#; "unknown word")]
+#[test_case(r#"{"verb":"FINE","rid":"a"}"#; "unknown verb")]
 #[test_case(r#"{"verb":"OK","rid":"a","content":"b2s"}"#; "no base64")]
 fn invalid_answer_lines_are_rejected(line: &str) {
     assert!(line::read(line.as_bytes(), &mut ReceivedLines::default()).is_err());
