--- a/crates/node/tests/client_hangup.rs
+++ b/crates/node/tests/client_hangup.rs
@@ -112,7 +112,7 @@
 
 // The client hangs up while its attempt waits for a connection to be established.
 #[test_case(true; "attempts may be cancelled")]
-#[test_case(false; "they may not: what has not begun is taken back all the same")]
+#[test_case(false; "they may not, but an attempt that has not started is withdrawn")]
 fn a_hang_up_while_connecting_takes_the_attempt_back(cancel: bool) {
     let mut rig =
         SocketNode::new(1, |config_json| config_json["settings"]["allowed"]["cancel"] = cancel.into());
@@ -198,7 +198,7 @@
 // next attempt. The first one's connection is blocked until the model server reads again or the connection is
 // cut.
 #[test_case(ServerBehavior::Serving, 2; "it reads on")]
-#[test_case(ServerBehavior::Silent, 2; "it does not even say that the connection works")]
+#[test_case(ServerBehavior::Silent, 2; "it does not answer health checks")]
 #[test_case(ServerBehavior::NotReading, 1; "it never reads")]
 fn the_next_attempt_waits_for_the_cancel_of_the_first(then: ServerBehavior, sent: usize) {
     let mut rig = SocketNode::with_servers(
--- a/crates/node/tests/client_limits.rs
+++ b/crates/node/tests/client_limits.rs
@@ -113,7 +113,7 @@
 // harmless.
 #[test_case("confirm", "ERR", "502"; "at-most-once, and it may have run")]
 #[test_case("confirm", "MISS", "503"; "at-most-once, and it has not")]
-#[test_case("hold", "ERR", "502"; "keyed, by its group alone")]
+#[test_case("hold", "ERR", "502"; "keyed, within a cell only")]
 #[test_case("quote", "ERR", "503"; "idempotent")]
 fn a_rejection_is_given_only_where_a_retry_is_harmless(workload: &str, verb: &str, status: &str) {
     let mut rig =
--- a/crates/node/tests/deadline.rs
+++ b/crates/node/tests/deadline.rs
@@ -33,8 +33,8 @@
 }
 
 // A request arrives in two pieces. The deadline counts from the first byte, not from the complete request.
-#[test_case(20; "amid its head")]
-#[test_case(usize::MAX; "amid its body")]
+#[test_case(20; "within its head")]
+#[test_case(usize::MAX; "within its body")]
 fn a_deadline_counts_from_the_first_byte(cut: usize) {
     let mut rig = SocketNode::new(1, |_| ());
     rig.complete_request(1);
@@ -53,7 +53,7 @@
 
 // The router is paused while a request is pending in the kernel, on an established or a new connection. The
 // pause counts towards the deadline.
-#[test_case(true; "on a connection that stands")]
+#[test_case(true; "on an established connection")]
 #[test_case(false; "on a new one")]
 fn a_deadline_counts_through_a_standstill(is_established: bool) {
     let mut rig = SocketNode::new(1, |_| ());
@@ -109,8 +109,8 @@
 }
 
 // The endpoint list is empty. A request on a new connection is rejected, also during a shutdown.
-#[test_case(false; "while it runs on")]
-#[test_case(true; "while it leaves")]
+#[test_case(false; "while the router runs")]
+#[test_case(true; "during a shutdown")]
 fn requests_are_rejected_when_no_server_is_listed(shutting_down: bool) {
     let mut rig = SocketNode::new(0, |_| ());
     let mut client = TcpStream::connect(rig.address).expect("the node listens");
@@ -127,9 +127,9 @@
 
 // A request has a later deadline than the process, which is killed 3.7 s after SIGTERM. It is answered before
 // that, whether it is queued or in flight.
-#[test_case(0, "quote", "503"; "held")]
-#[test_case(1, "quote", "503"; "out, and may be repeated")]
-#[test_case(1, "confirm", "502"; "out, and may not be")]
+#[test_case(0, "quote", "503"; "queued")]
+#[test_case(1, "quote", "503"; "in flight, and may be repeated")]
+#[test_case(1, "confirm", "502"; "in flight, and may not be repeated")]
 fn a_shutdown_answers_requests_whose_deadline_is_beyond_it(servers: u16, workload: &str, status: &str) {
     let mut rig = SocketNode::new(servers, |config_json| {
         for lane in 0..3 {
--- a/crates/node/tests/name_service.rs
+++ b/crates/node/tests/name_service.rs
@@ -46,8 +46,8 @@
 
 // A server starts to drain while the router is paused. Requests pending after the pause must not be sent to
 // it: the endpoint list is queried first.
-#[test_case(Pending::Request; "a request has come")]
-#[test_case(Pending::Connection; "a connection stands")]
+#[test_case(Pending::Request; "a request has arrived")]
+#[test_case(Pending::Connection; "a connection is established")]
 #[test_case(Pending::ServerError; "the other server has failed")]
 fn nothing_new_is_sent_by_a_list_from_before_a_standstill(what: Pending) {
     let mut rig = SocketNode::new(2, |config_json| {
@@ -94,25 +94,25 @@
 
 // The name service is silent after a pause of the router. The router continues with the current list, and the
 // wait for the name service uses up no attempt.
-#[test_case(false; "a request has come")]
-#[test_case(true; "a request is held")]
-fn requests_go_on_after_a_standstill_when_the_name_service_is_silent(held: bool) {
+#[test_case(false; "a request has arrived")]
+#[test_case(true; "a request is queued")]
+fn requests_go_on_after_a_standstill_when_the_name_service_is_silent(is_queued: bool) {
     let mut rig = SocketNode::new(1, |config_json| {
         config_json["settings"]["lanes"][0]["on-time"] = 4000.0.into();
         config_json["settings"]["lanes"][0]["deadline"] = 5000.0.into();
-        config_json["settings"]["allowed"]["attempts-cap"] = (1 + usize::from(held)).into();
+        config_json["settings"]["allowed"]["attempts-cap"] = (1 + usize::from(is_queued)).into();
     });
     rig.complete_request(1);
     let mut client = rig.client();
     let long_call = call("quote", 2).replace("Budget-Ms: 2000", "Budget-Ms: 5000");
     client.write_all(long_call.as_bytes()).expect("written");
-    if held {
+    if is_queued {
         let connection = rig.connection_of(2);
         rig.peers[connection].send(&answer_line("BUSY", 2));
         rig.settle();
     }
     rig.pause(1_100 * MS);
-    rig.wait_until("request sent", |rig| line_count(&rig.peers, "DO", 2) == 1 + usize::from(held));
+    rig.wait_until("request sent", |rig| line_count(&rig.peers, "DO", 2) == 1 + usize::from(is_queued));
     let connection = rig.connection_of(2);
     rig.peers[connection].send(&answer_line("OK", 2));
     rig.shut_down();
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -59,8 +59,8 @@
 
 // A line of which the kernel accepted no byte is withdrawn. If it accepted one byte, the request may have
 // run.
-#[test_case(0, 503; "nothing has left")]
-#[test_case(1, 502; "a byte has left, and the connection does not say that it works")]
+#[test_case(0, 503; "no byte was sent")]
+#[test_case(1, 502; "one byte was sent, and health checks are not answered")]
 fn a_timed_out_line_of_which_nothing_was_sent_did_not_run(room: usize, status: u16) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
@@ -84,9 +84,9 @@
 }
 
 // Duplicate and unsolicited answers are ignored.
-#[test_case("", &answer_line("OK", 1); "a second copy")]
+#[test_case("", &answer_line("OK", 1); "the same answer twice")]
 #[test_case(&answer_line("OK", 99), ""; "an unknown id ahead")]
-#[test_case("{\"verb\":\"UP\",\"rid\":\"x\"}\n", ""; "an echo that nobody asked for")]
+#[test_case("{\"verb\":\"UP\",\"rid\":\"x\"}\n", ""; "an unsolicited health check answer")]
 fn answers_that_nobody_waits_for_change_nothing(ahead: &str, behind: &str) {
     let mut sim = SimulatedNode::new(1);
     let clients = [sim.send_call("confirm", 1), sim.send_call("confirm", 2)];
@@ -102,7 +102,7 @@
 // An invalid line closes the connection and is not passed to the client.
 #[test_case(b"\x00\xff\x13\x37\n"; "noise")]
 #[test_case(b"{\"verb\":\"OK\",\"rid\":\"0000000000000001\",\"content\":\"b2s\"}\n"; "no base64")]
-#[test_case(b"{\"verb\":\"FINE\",\"rid\":\"0000000000000001\"}\n"; "an unknown word")]
+#[test_case(b"{\"verb\":\"FINE\",\"rid\":\"0000000000000001\"}\n"; "an unknown verb")]
 #[test_case(&[b'x'; 100_000]; "a line that does not end")]
 fn an_unreadable_line_ends_its_connection(bytes: &[u8]) {
     let mut sim = SimulatedNode::new(1);
@@ -135,8 +135,8 @@
 }
 
 // A silent connection with pending answers is sent a health check, and cut if it does not answer.
-#[test_case(true, &[]; "it works: the job is long")]
-#[test_case(false, &[502]; "it does not")]
+#[test_case(true, &[]; "answered: the request takes long")]
+#[test_case(false, &[502]; "not answered")]
 fn a_silent_connection_is_cut_unless_it_answers_the_health_check(works: bool, statuses: &[u16]) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
@@ -167,8 +167,8 @@
 
 // With too many connections, a new client can still send its request: the connection that has been silent
 // longest is closed, else the one idle longest, never one with an open request.
-#[test_case(0; "all others asked once and stay")]
-#[test_case(100; "some never ask")]
+#[test_case(0; "all others sent a request and are idle")]
+#[test_case(100; "some never send a request")]
 fn the_longest_silent_connection_makes_room(silent: usize) {
     let mut sim = SimulatedNode::new(1);
     let open = sim.send_call("quote", 1_000);
@@ -207,7 +207,7 @@
         assert_eq!(sim.statuses(client), [200]);
         assert!(sim.transport.told(client).contains("Connection: close"));
     }
-    assert!(!sim.exited.get(), "new calls may still come");
+    assert!(!sim.exited.get(), "new calls may still arrive");
     sim.advance(S);
     assert!(!sim.exited.get(), "the clients have not closed their connections yet");
     sim.disconnect(early, Closed::Ended);
@@ -272,8 +272,8 @@
     assert!(queries[..queries.len() - 1].iter().all(|(conn, _)| sim.transport.cut.contains(conn)));
 }
 
-// Rule 3 and the identity of servers: one that drains, is gone or is replaced by another at the same address
-// receives no new requests, while its requests in flight complete.
+// A server that drains, is gone (rule 3 of the audit) or is replaced by another at the same address receives
+// no new requests, while its requests in flight complete.
 #[test_case(|list| list[0]["phase"] = "terminating".into(), true; "draining")]
 #[test_case(|list| list[0]["phase"] = "terminated".into(), true; "gone")]
 #[test_case(|list| list[0]["id"] = "s-new".into(), false; "a new one at the old address")]
