--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -34,7 +34,10 @@
 #[error("malformed message: truncated, followed by trailing bytes, or with invalid contents")]
 #[diagnostic(
     code(accord::unreadable),
-    help("a router of another version, or a broken path: compare the versions of the routers")
+    help(
+        "a router runs another version, or the network path corrupts messages: compare the versions of the \
+         routers"
+    )
 )]
 pub struct MalformedMessage;
 
--- a/crates/consensus/src/unavailable.rs
+++ b/crates/consensus/src/unavailable.rs
@@ -11,7 +11,9 @@
     #[error("no quorum: {responding} of {total} replicas respond, a majority is required")]
     #[diagnostic(
         code(accord::too_few),
-        help("start the routers named in 'keepers' or mend the way to them; nothing is lost meanwhile")
+        help(
+            "start the routers named in 'keepers', or restore the network to them; nothing is lost meanwhile"
+        )
     )]
     NoQuorum {
         /// The number of replicas that responded.
@@ -24,8 +26,9 @@
     #[diagnostic(
         code(accord::majority_lost),
         help(
-            "bring back the disks of those keepers; if they are lost for good, stop all keepers, remove \
-             their 'votes' files, raise 'founding' in the fleet block of all routers and start them again"
+            "restore the disks of the routers named in 'keepers' that lost theirs; if they are lost for \
+             good, stop all routers named in 'keepers', remove their 'votes' files, raise 'founding' in the \
+             fleet block of all routers and start them again"
         )
     )]
     MajorityLost {
@@ -39,8 +42,8 @@
     #[diagnostic(
         code(accord::remembered),
         help(
-            "bring back the keepers' 'votes' files; if they are lost for good, raise 'founding' in the \
-             fleet block of all routers"
+            "restore the 'votes' files of the routers named in 'keepers'; if they are lost for good, raise \
+             'founding' in the fleet block of all routers"
         )
     )]
     StateForgotten,
@@ -49,8 +52,8 @@
     #[diagnostic(
         code(accord::past),
         help(
-            "somebody has put back copies of the keepers' disks: stop all keepers, remove their 'votes' \
-             files, raise 'founding' in the fleet block of all routers and start them again"
+            "the 'votes' files were restored from old copies: stop all routers named in 'keepers', remove \
+             their 'votes' files, raise 'founding' in the fleet block of all routers and start them again"
         )
     )]
     StateRolledBack,
@@ -60,14 +63,15 @@
     #[diagnostic(
         code(accord::keeper_in_doubt),
         help(
-            "not-written: make room or mend the disk and start this router again. Others: stop it, remove \
-             its 'votes' file and start it again; the others take it in as a new keeper"
+            "not-written: free space on the disk or repair it, and restart this router. Other reasons: stop \
+             this router, remove its 'votes' file and start it again; the other routers named in 'keepers' \
+             admit it as a new replica"
         )
     )]
     AcceptorFailed(&'static str),
     /// The register was just bootstrapped, and leases on an earlier one may not have expired yet.
     #[error("the register was just bootstrapped; waiting for leases on an earlier one to expire")]
-    #[diagnostic(code(accord::ripens), help("nothing: it passes within seconds"))]
+    #[diagnostic(code(accord::ripens), help("nothing: the leases expire within seconds"))]
     BootstrapPending,
 }
 
--- a/crates/gossip/src/error.rs
+++ b/crates/gossip/src/error.rs
@@ -9,9 +9,7 @@
     #[error("the value has {0} bytes; at most {max} can be published", max = crate::MAX_VALUE_BYTES)]
     #[diagnostic(
         code(tallies::long),
-        help(
-            "a fault of the program: report it with the line of the log; routing goes on without the entry"
-        )
+        help("this is a bug: report it together with the log line; routing continues without the entry")
     )]
     ValueTooLong(usize),
     /// This router already publishes this many bytes; with the entry it would exceed
@@ -19,7 +17,10 @@
     #[error("no room for the entry: this router publishes {0} of {max} bytes", max = crate::MAX_ORIGIN_BYTES)]
     #[diagnostic(
         code(tallies::full),
-        help("fewer workers or functions a router, or a shorter list of openings; what is told stays told")
+        help(
+            "have fewer workers or functions per router, or a shorter list of pinned prefixes; entries \
+             published before stay"
+        )
     )]
     OriginFull(usize),
 }
@@ -31,21 +32,30 @@
     #[error("malformed message: truncated, with trailing bytes or with invalid contents")]
     #[diagnostic(
         code(tallies::unreadable),
-        help("a router of another version, or a broken path: compare the versions of the routers")
+        help(
+            "a router runs another version, or the network path corrupts messages: compare the versions of \
+             the routers"
+        )
     )]
     Malformed,
     /// An incarnation or a sequence number is not below [`MAX_NUMBER`](crate::MAX_NUMBER).
     #[error("an incarnation or a sequence number in the message is out of range")]
     #[diagnostic(
         code(tallies::beyond),
-        help("somebody with the fleet's key makes messages up: change the key files of all routers")
+        help(
+            "someone who has the fleet's key forges messages: replace the key, see 'key_files' in the fleet \
+             block, on all routers"
+        )
     )]
     NumberOutOfRange,
     /// Its entries would exceed the limit on bytes or origins.
     #[error("the entries in the message exceed the limit on bytes or origins")]
     #[diagnostic(
         code(tallies::no_room),
-        help("look which origin tells so much (state page) and restart it; all others are told as before")
+        help(
+            "find the router that publishes so much (state page) and restart it; the entries of all others \
+             are not affected"
+        )
     )]
     LimitExceeded,
 }
--- a/crates/prefix_cache/src/error.rs
+++ b/crates/prefix_cache/src/error.rs
@@ -9,21 +9,24 @@
     #[error("published prefix counts cannot be decoded")]
     #[diagnostic(
         code(openings::unreadable),
-        help("a router of another version: compare the versions of the routers; its counts are left out")
+        help("a router runs another version: compare the versions of the routers; its counts are left out")
     )]
     MalformedCounts,
     /// Published counts contradict the bounds of a sketch.
     #[error("published prefix counts contradict the bounds of a sketch")]
     #[diagnostic(
         code(openings::unsound),
-        help("somebody with the fleet's key makes counts up: change the key files of all routers")
+        help(
+            "someone who has the fleet's key forges counts: replace the key, see 'key_files' in the fleet \
+             block, on all routers"
+        )
     )]
     InvalidCounts,
     /// An agreed list cannot be decoded, or has more than [`MAX_PINS`](crate::MAX_PINS) pins.
     #[error("the agreed list of pinned prefixes cannot be decoded or has too many pins")]
     #[diagnostic(
         code(openings::no_list),
-        help("routers of different versions agree on it: no opening is pinned until all are of one")
+        help("the routers run different versions: no prefix is pinned until all run the same one")
     )]
     InvalidList,
 }
--- a/crates/recovery/src/error.rs
+++ b/crates/recovery/src/error.rs
@@ -10,14 +10,17 @@
     #[error("the snapshot is corrupt: it was truncated, altered or overwritten")]
     #[diagnostic(
         code(comeback::spoilt),
-        help("nothing at once: it is written anew within seconds; if it happens again, replace the disk")
+        help(
+            "nothing at first: a new snapshot is written within seconds; if it happens again, replace the \
+             disk"
+        )
     )]
     Corrupt,
     /// The snapshot has this format version, which is not supported.
     #[error("the snapshot has format version {0}, which is not supported")]
     #[diagnostic(
         code(comeback::other_form),
-        help("nothing: a newer version wrote it, and it is written anew within seconds")
+        help("nothing: a newer version wrote it, and a new snapshot is written within seconds")
     )]
     UnsupportedFormat(u16),
     /// The snapshot belongs to another router or fleet.
@@ -25,13 +28,13 @@
     #[diagnostic(
         code(comeback::foreign),
         help(
-            "look which file 'snapshot' in the fleet block names: two routers may share it, or it was copied"
+            "check which file 'snapshot' in the fleet block names: two routers may share it, or it was copied"
         )
     )]
     WrongRouter,
-    /// The size of the snapshot in bytes, which exceeds the maximum.
+    /// The snapshot has this many bytes, more than [`MAX_SNAPSHOT_BYTES`](crate::MAX_SNAPSHOT_BYTES).
     #[error("the snapshot has {0} bytes, more than the maximum")]
-    #[diagnostic(code(comeback::long), help("look which file 'snapshot' in the fleet block names"))]
+    #[diagnostic(code(comeback::long), help("check which file 'snapshot' in the fleet block names"))]
     TooLarge(usize),
 }
 
@@ -50,6 +53,9 @@
 #[error("malformed message: truncated, followed by trailing bytes, or with invalid contents")]
 #[diagnostic(
     code(comeback::unreadable),
-    help("a router of another version, or a broken path: compare the versions of the routers")
+    help(
+        "a router runs another version, or the network path corrupts messages: compare the versions of the \
+         routers"
+    )
 )]
 pub struct MalformedMessage;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -11,8 +11,9 @@
     #[diagnostic(
         code(record::unopened),
         help(
-            "look whether the folder is there and may be written, and whether the file is of this program; a \
-              snapshot that is spoilt is put beside as .spoilt and begun anew, a record of chains is not"
+            "check that the directory exists and is writable, and that the file is one of this program; a \
+             damaged snapshot is renamed to end in .spoilt and a new one is begun, but the file named in \
+             'record' is never replaced"
         )
     )]
     OpenFailed {
@@ -25,7 +26,7 @@
     #[error("{}: failed to read: {why}", file.display())]
     #[diagnostic(
         code(record::unread),
-        help("the disk or the file is damaged: replace the disk, or put the file aside and start again")
+        help("the disk or the file is damaged: replace the disk, or move the file away and start again")
     )]
     ReadFailed {
         /// The file.
@@ -37,7 +38,7 @@
     #[error("{}: failed to write: {why}", file.display())]
     #[diagnostic(
         code(record::not_written),
-        help("make room on the disk, or mend it; what was written before is still there")
+        help("free space on the disk, or repair it; what was written before is still there")
     )]
     WriteFailed {
         /// The file.
@@ -50,8 +51,8 @@
     #[diagnostic(
         code(record::full),
         help(
-            "chains that have come to their end are dropped after their time; until then raise the pace at \
-              which they end, or take fewer"
+            "the records of finished workflows ('chain' in the settings) are removed when they expire; until \
+             then let workflows finish faster, or accept fewer"
         )
     )]
     Full {
