--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Persists the state before it is answered for. After a failed write the content of the file is unknown,
-    /// so the acceptor abstains from then on.
+    /// Persists the state, which has to happen before the request is answered. After a failed write the
+    /// content of the file is unknown, so the acceptor abstains from then on.
     fn persist(
         &mut self,
         state: AcceptorState<V>,
@@ -167,7 +167,7 @@
         if ballot < previous {
             return Err(Rejection::Superseded { promised: previous });
         }
-        // A duplicate of the request gets the same response; there is nothing to write.
+        // A duplicate of the request is answered again; there is nothing to write.
         if ballot > previous {
             self.persist(AcceptorState { promised: ballot, ..self.state.clone() }, storage)?;
         }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -55,7 +55,7 @@
 pub const LEADER_TIMEOUT: Micros = 1_200_000;
 /// The interval between requests for the current state, in µs.
 pub const LEASE_REQUEST_INTERVAL: Micros = 700_000;
-/// The maximum drift between two clocks, as the divisor of a duration.
+/// The maximum relative drift between two clocks: one part in this number.
 pub const CLOCK_DRIFT_DIVISOR: u64 = 1_000;
 /// The time from process start until a register may be bootstrapped, in µs. Routers that have seen an
 /// earlier register have been heard from by then.
--- a/crates/consensus/src/proposer.rs
+++ b/crates/consensus/src/proposer.rs
@@ -196,7 +196,7 @@
         if !self.awaits(promise.ballot, false) || !self.counts(replica) {
             return None;
         }
-        // A rolled-back acceptor must not count: it has forgotten values that a majority including it
+        // A rolled-back acceptor must not count: it may have forgotten values that a majority including it
         // accepted.
         match self.known_promises.get(&replica) {
             Some(known) if *known == promise.ballot => return None,
--- a/crates/consensus/src/reconfigurable_proposer.rs
+++ b/crates/consensus/src/reconfigurable_proposer.rs
@@ -268,7 +268,8 @@
         if promise.ballot != self.ballot || !is_preparing || self.stale.contains(&replica) {
             return None;
         }
-        // A rolled-back replica must not count: it has forgotten states that a quorum including it accepted.
+        // A rolled-back replica must not count: it may have forgotten states that a quorum including it
+        // accepted.
         match self.known_promises.get(&replica) {
             Some(known) if *known == promise.ballot => return None,
             Some(known) if promise.previous < *known => {
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -16,7 +16,7 @@
 pub struct RegisterState<V> {
     /// Assigned when the register is bootstrapped. Versions of different registers cannot be compared.
     pub register_id: InstanceId,
-    /// Incremented with each change of the value or of the replicas.
+    /// Incremented with each change of the value or of the replicas, and once after the bootstrap.
     pub version: u64,
     /// The replicas that hold the value.
     pub replicas: Vec<ReplicaId>,
--- a/crates/gossip/src/gossip/mod.rs
+++ b/crates/gossip/src/gossip/mod.rs
@@ -107,7 +107,8 @@
     // ---- Publishing and reading ----------------------------------------------------------------
 
     fn local_origin(&self) -> &Origin {
-        // Always present: inserted by `new`, and `expire` skips it.
+        // Always present: inserted by `new`. `expire` drops only departed origins, and `set_live_members`
+        // never marks the local one as departed.
         &self.origins[&self.local_id]
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,8 +8,9 @@
 //! - Every router exchanges heartbeats with a few neighbours ([`Rings`]). All routers that share a view agree
 //!   on which routers are neighbours.
 //! - A router that is silent for longer than the heartbeat timeout, both directly and through others, is
-//!   suspected by each of its neighbours independently. It is declared dead only if a quorum of votes stands
-//!   for the suspicion timeout. Until then it may refute the suspicion under a higher incarnation.
+//!   suspected by each of its neighbours independently. It is declared dead only if a quorum of votes, at
+//!   least two, stands for the suspicion timeout. Until then it may refute the suspicion under a higher
+//!   incarnation.
 //! - The view is a hint about which routers are live. Safety must never depend on it.
 //!
 //! See `docs/membership.md` for the design and its alternatives.
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -151,7 +151,7 @@
         let is_dead = |peer: &&Peer| peer.record.status == MemberStatus::Dead;
         let dead: Vec<SocketAddr> =
             self.peers.values().filter(is_dead).map(|peer| peer.record.address).collect();
-        // A joining router keeps asking active routers, because those that knew its record may have lost it.
+        // A joining router keeps asking active routers: those that knew more at first may have lost it since.
         let is_joining = self.local.status == MemberStatus::Joining;
         let helpers: Vec<SocketAddr> = if is_joining { active().collect() } else { Vec::new() };
         for candidates in [seeds, dead, helpers] {
--- a/crates/membership/src/membership/failure_detector.rs
+++ b/crates/membership/src/membership/failure_detector.rs
@@ -78,7 +78,7 @@
     fn diagnose_link(&self, peer: &Peer, silence: Silence, timeout: Micros) -> Option<LinkFault> {
         match (silence.direct > timeout, silence.overall > timeout) {
             (true, false) => Some(LinkFault::In),
-            // No router hears the peer, which says nothing about the link.
+            // No router hears the peer, which says nothing new about the link: the last diagnosis stays.
             (true, true) => peer.link_fault,
             (false, _) => {
                 let silent_to_peer = peer.last_receipt_by_peer.is_some_and(|at| self.now >= at + timeout);
--- a/crates/membership/src/membership/peer.rs
+++ b/crates/membership/src/membership/peer.rs
@@ -11,7 +11,7 @@
     /// Later votes of the same voter have higher numbers.
     pub(super) sequence: u64,
     pub(super) opinion: Opinion,
-    /// When the vote arrived here.
+    /// When this router received the vote or, for its own vote, cast it.
     pub(super) cast_at: Micros,
 }
 
--- a/crates/membership/src/membership/table.rs
+++ b/crates/membership/src/membership/table.rs
@@ -103,7 +103,8 @@
         if peer.link_fault == Some(LinkFault::In) {
             return ObservedStatus::Unreachable;
         }
-        // No other router has suspected the peer during this time, so this router's link may have failed.
+        // If the peer were dead, several routers would have suspected it by now: this router's link may have
+        // failed.
         if self.silence(peer).direct > 2 * self.heartbeat_timeout(peer) {
             let is_neighbour = self.neighbours.contains(&id);
             return if is_neighbour { ObservedStatus::Unreachable } else { ObservedStatus::Alive };
--- a/crates/membership/src/membership/takeover.rs
+++ b/crates/membership/src/membership/takeover.rs
@@ -12,7 +12,7 @@
 pub(super) struct PendingTakeover {
     newcomer: SocketAddr,
     instance_id: InstanceId,
-    /// Time until which an answer of the holder refuses the newcomer.
+    /// From this time on, the newcomer takes the name over if it asks again.
     deadline: Micros,
 }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -229,7 +229,7 @@
     NameContested { claimant: SocketAddr },
 }
 
-/// A decoded update, as they follow the body.
+/// One decoded update. The updates of a message follow its body.
 enum Update {
     Record(Record),
     Suspicion(Suspicion),
--- a/crates/membership/src/rings.rs
+++ b/crates/membership/src/rings.rs
@@ -52,7 +52,7 @@
 
     /// The neighbours of a router, in ascending order of ids. The router itself need not be on the rings.
     ///
-    /// In a fleet so small that a router could have all others as neighbours, it does.
+    /// In a fleet of at most `2 * RING_COUNT + 1` routers, these are all other routers.
     pub fn neighbours_of(&self, id: RouterId) -> Vec<RouterId> {
         let mut found: Vec<RouterId> = Vec::with_capacity(2 * RING_COUNT);
         if self.len() <= 2 * RING_COUNT + 1 {
--- a/crates/prefix_cache/src/pins.rs
+++ b/crates/prefix_cache/src/pins.rs
@@ -18,7 +18,7 @@
     pub bytes_per_unit: f64,
     /// Number of workers that keep a pinned prefix.
     pub workers: f64,
-    /// Preparation time in µs per second that a byte of memory at each worker has to save to be worth its
+    /// Preparation time in µs per second that one byte of memory at one worker has to save to be worth its
     /// use.
     pub price_per_byte: f64,
     /// Maximum memory in bytes that pins may take at a worker.
--- a/crates/quota/src/guards.rs
+++ b/crates/quota/src/guards.rs
@@ -10,7 +10,7 @@
     pub lease_from_request: bool,
     /// Expiry of the lease is checked whenever the share is spent.
     pub checks_at_spend: bool,
-    /// A newly granted share starts without tokens.
+    /// A newly granted share brings no tokens: they only accrue over time.
     pub moves_no_tokens: bool,
     /// An allocator grants only within the authority of a confirmed term, and a new one first waits until
     /// the leases of its predecessor have expired.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,9 @@
 //! Fleet-wide budgets, divided among the routers according to their needs.
 //!
-//! Of each budget every router owns a floor, and leases a share above it. The sum of all shares in force
-//! never exceeds the total, even if messages are lost or delayed and processes are paused or killed: the
-//! lessee measures its lease from before it sent the request, the allocator from after it granted, and the
-//! lease is checked whenever the share is spent. Only monotonic clocks are used, which drift apart by
+//! Each router may always use a floor of each budget, and leases a share above it. The sum of all shares in
+//! force never exceeds the total, even if messages are lost or delayed and processes are paused or killed:
+//! the lessee measures its lease from before it sent the request, the allocator from after it granted, and
+//! the lease is checked whenever the share is spent. Only monotonic clocks are used, which drift apart by
 //! [`CLOCK_DRIFT`] at most. Liveness and need decide how the total is divided, but never affect whether the
 //! limit holds.
 //!
@@ -39,14 +39,15 @@
 pub const ALLOCATOR_TIMEOUT: Micros = 1_500_000;
 /// The maximum relative drift between the clocks of two machines, ten times that of a quartz clock.
 pub const CLOCK_DRIFT: f64 = 0.001;
-/// The maximum number of requests whose send times a lessee remembers, more than fit into one lease.
+/// The maximum number of requests whose send times a lessee remembers: more than it sends in the duration of
+/// one lease.
 pub const MAX_REMEMBERED_REQUESTS: usize = 16;
 /// The maximum number of unexpired leases per lessee. At the limit nothing is granted until some expire.
 pub const MAX_LEASES_PER_LESSEE: usize = 32;
 /// The maximum number of lessees of an allocator. Further routers are limited to their floors.
 pub const MAX_LESSEES: usize = 8_192;
-/// The stated need exceeds the demand by this fraction (as a divisor). A small one, since it is taken from
-/// the other lessees.
+/// The stated need exceeds the demand by one part in this number. The margin is small because the other
+/// lessees cannot use it.
 pub const NEED_MARGIN_DIVISOR: u64 = 32;
 /// The capacity of a token bucket, as the time in µs in which the share fills it. The burst of all routers
 /// together is this much of the total, plus [`MIN_BURST`] for each router.
--- a/crates/quota/src/service/election.rs
+++ b/crates/quota/src/service/election.rs
@@ -17,7 +17,7 @@
         let mut requests = ReplicaRequests { replicas: &self.config.replicas, actions };
         if !proposer.is_idle() {
             if now >= proposer.next_wakeup() {
-                // `wake` may start a new round, whose confirmation is valid from this time.
+                // `wake` may start a new round: the authority that it confirms is measured from this time.
                 self.round_started_at = now;
                 proposer.wake(now, &mut requests);
             }
@@ -62,7 +62,8 @@
         storage: &mut dyn AcceptorStorage<Term>,
         actions: &mut dyn QuotaActions,
     ) {
-        // A replica does not vote for a term with other settings, so they cannot be used without a majority.
+        // A replica does not vote for a term with other settings, so that budgets are only divided by
+        // settings that a majority of the replicas has.
         if term.settings_digest != self.config.digest() {
             self.mismatch = Some((from, now));
             return;
--- a/crates/recovery/src/fact.rs
+++ b/crates/recovery/src/fact.rs
@@ -21,7 +21,7 @@
     /// The load time of a function, in µs.
     LoadTime,
     /// The normal traffic of this router, by subject: first attempts per second, connections per second, and
-    /// the pace of the fleet. Never shared.
+    /// the fleet's completion rate. Never shared.
     TrafficBaseline,
     /// A request, identified by its digest, was told to retry after this many ms. Never shared.
     ScheduledRetry,
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -52,5 +52,6 @@
 pub const MIN_RETRY_DELAY: Micros = 100_000;
 /// The maximum retry delay that a deferred peer is given, in µs.
 pub const MAX_RETRY_DELAY: Micros = 1_000_000;
-/// The maximum number of facts in one message. A fact takes up to 32 bytes, in addition to the header.
+/// The maximum number of facts in one message. Each fact takes up to 32 bytes, and the message has other
+/// parts besides.
 pub const FACTS_PER_PAGE: usize = 32;
--- a/crates/recovery/src/observation_store.rs
+++ b/crates/recovery/src/observation_store.rs
@@ -8,15 +8,15 @@
 /// single request first.
 const EJECTION_WEIGHT_THRESHOLD: f64 = 0.5;
 
-/// The maximum number of scheduled retries that are kept. The oldest, which are mostly past, go first.
+/// The maximum number of scheduled retries that are kept. Beyond it the oldest are removed, as they are over.
 const MAX_SCHEDULED_RETRIES: usize = 1_024;
 
 /// The kinds of facts that make up a worker's history.
 const WORKER_HISTORY_KINDS: [FactKind; 4] =
     [FactKind::ConcurrencyLimit, FactKind::QueueingDelay, FactKind::ErrorRate, FactKind::Ejected];
 
-/// The normal traffic of a router: first attempts per second, connections opened per second, and the pace of
-/// the fleet as observed by this router.
+/// The normal traffic of a router: first attempts per second, connections opened per second, and the best
+/// recent completion rate of the fleet as observed by this router, in requests per second.
 pub type TrafficBaseline = [f64; 3];
 
 /// This router's state from before its restart: its traffic baseline, and the requests with pending retries
--- a/crates/recovery/src/peer_recovery/mod.rs
+++ b/crates/recovery/src/peer_recovery/mod.rs
@@ -115,7 +115,7 @@
         self.stage
     }
 
-    /// The number of requests sent, not counting requests for further pages.
+    /// The number of requests sent. Of the requests for further pages, only repeated ones are counted.
     pub fn requests_sent(&self) -> u32 {
         self.requests_sent
     }
--- a/crates/recovery/src/peer_recovery/responder.rs
+++ b/crates/recovery/src/peer_recovery/responder.rs
@@ -57,8 +57,8 @@
         facts: &Facts,
         actions: &mut dyn Actions,
     ) {
-        // A recovering router must not send its incomplete facts: the peer would take missing facts for
-        // information.
+        // A recovering router must not send its incomplete facts: the peer would conclude that the missing
+        // ones do not exist.
         if self.guards.reports_empty && !self.can_serve(now) {
             actions.send(from, message::encode_empty(self.router, number));
             return;
