--- a/crates/consensus/tests/acceptor.rs
+++ b/crates/consensus/tests/acceptor.rs
@@ -61,7 +61,7 @@
     assert_eq!(restarted.state(), &disk.stored.unwrap_or(AcceptorState::empty(FLEET)));
 }
 
-#[test_case(Err(AcceptorError::Corrupt), AcceptorError::Corrupt; "torn")]
+#[test_case(Err(AcceptorError::Corrupt), AcceptorError::Corrupt; "corrupt")]
 #[test_case(Ok(Some(AcceptorState::empty(FLEET + 1))), AcceptorError::WrongFleet; "of another fleet")]
 fn an_acceptor_without_a_usable_file_abstains(
     found: Result<Option<AcceptorState<Marks>>, AcceptorError>,
@@ -74,8 +74,8 @@
     assert_eq!((acceptor.error(), disk.stored), (Some(error), None));
 }
 
-// If an acceptor's disk is restored from an old copy, the acceptor must not count towards a majority: it has
-// forgotten values that a majority including it accepted.
+// If an acceptor's disk is restored from an old copy, the acceptor must not count towards a majority: it may
+// have forgotten values that a majority including it accepted.
 #[test]
 fn a_rolled_back_acceptor_does_not_count() {
     let ids = [ReplicaIndex(0), ReplicaIndex(1), ReplicaIndex(2)];
--- a/crates/consensus/tests/fault_points/main.rs
+++ b/crates/consensus/tests/fault_points/main.rs
@@ -10,7 +10,7 @@
 /// The number of operator interventions: repaired replicas, and bootstraps of the whole register.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Done {
-    mended: usize,
+    repaired: usize,
     bootstrapped: usize,
 }
 
@@ -44,7 +44,7 @@
     let mut agreed = converges_on(network, text);
     if !agreed {
         let many = follow_help(network);
-        done.mended += many;
+        done.repaired += many;
         agreed = many > 0 && converges_on(network, text);
     }
     let reasons = (0..3).filter_map(|n| network.unavailable_reason(n)).collect::<Vec<_>>();
@@ -100,7 +100,7 @@
     let (network, done) = run(None);
     assert_eq!(done, Ok(Done::default()), "without a fault no intervention is necessary");
     let points = network.points.count;
-    let (mut runs, mut mended, mut bootstrapped, mut failed) = (0, 0, 0, Vec::new());
+    let (mut runs, mut repaired, mut bootstrapped, mut failed) = (0, 0, 0, Vec::new());
     for point in (1..=points).filter(|p| one.as_ref().is_none_or(|one| *one == p.to_string())) {
         for fault in FAULTS.into_iter().filter(|f| kind.as_ref().is_none_or(|k| *k == format!("{f:?}"))) {
             let (network, done) = run(Some((point, fault)));
@@ -109,7 +109,7 @@
             let line = format!("POINT={point} KIND={fault:?} (seed {SEED}, {what})");
             match done {
                 Ok(done) => {
-                    mended += usize::from(done.mended > 0);
+                    repaired += usize::from(done.repaired > 0);
                     bootstrapped += usize::from(done.bootstrapped > 0);
                     // Only faults of a replica's disk may require an operator.
                     if done != Done::default() && !what.contains("writes its state") {
@@ -122,7 +122,7 @@
     }
     let bad = failed.len();
     println!(
-        "{points} points, {runs} runs, {mended} repaired, {bootstrapped} bootstrapped again, {bad} failed"
+        "{points} points, {runs} runs, {repaired} repaired, {bootstrapped} bootstrapped again, {bad} failed"
     );
     failed
         .iter()
--- a/crates/consensus/tests/reconfiguration.rs
+++ b/crates/consensus/tests/reconfiguration.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A world in which the first proposer has bootstrapped the register.
+    /// A model in which the first proposer has bootstrapped the register.
     fn bootstrapped(guards: Guards, acceptors: usize, proposers: usize, remaining: [u8; 4]) -> Self {
         let mut world = World::new(guards, acceptors, proposers, [9; 4]);
         world.step(&Step::Begin(0)).expect("sound");
@@ -133,7 +133,8 @@
         }
     }
 
-    /// The next state after the one that was read: appends the proposer's mark and reconfigures one replica.
+    /// The next state after the one that was read: appends the proposer's mark, and continues a
+    /// reconfiguration or starts one of a single replica.
     fn next(&mut self, c: usize, read: Value) -> Value {
         let mut next = RegisterState { version: read.version + 1, ..read.clone() };
         if !next.value.contains(&self.marks[c]) {
--- a/crates/consensus/tests/register.rs
+++ b/crates/consensus/tests/register.rs
@@ -100,11 +100,11 @@
     network.advance(S);
     network.start(other);
     let new = network.disks[other].id;
-    let taken_in = |p: &SimulatedNetwork| {
+    let is_admitted = |p: &SimulatedNetwork| {
         p.state_of(4)
             .is_some_and(|a| a.previous_replicas.is_empty() && a.replicas.iter().any(|s| s.disk == new))
     };
-    assert!(network.run_until(8 * S, taken_in));
+    assert!(network.run_until(8 * S, is_admitted));
     assert!(network.all_hold("a"));
     assert_safe(&network);
 }
@@ -157,8 +157,8 @@
     network.kill(other);
     network.disks[other] = old;
     network.start(other);
-    let doubt = Unavailable::AcceptorFailed("older");
-    assert!(network.run_until(4 * S, |p| p.unavailable_reason(other) == Some(doubt.clone())));
+    let reason = Unavailable::AcceptorFailed("older");
+    assert!(network.run_until(4 * S, |p| p.unavailable_reason(other) == Some(reason.clone())));
     assert!(network.run_until(4 * S, |p| p.all_hold("b")));
     assert_safe(&network);
 }
--- a/crates/quota/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -37,7 +37,7 @@
     pub inbox: VecDeque<Vec<u8>>,
     pub disk: Disk,
     unspent_demand: f64,
-    /// When the process went silent. After a while the others consider it dead.
+    /// Since when the process has been killed or paused. After 3 s the others consider it dead.
     pub silent_since: Option<u64>,
 }
 
@@ -173,10 +173,10 @@
             let is_alive = process.is_running && process.paused_until <= now;
             process.silent_since = if is_alive { None } else { process.silent_since.or(Some(now)) };
         }
-        let gone = |p: &Process| p.silent_since.is_some_and(|since| now > since + 3 * S);
+        let seems_dead = |p: &Process| p.silent_since.is_some_and(|since| now > since + 3 * S);
         let wrong: Vec<bool> =
             (0..self.all.len()).map(|_| self.loss > 0.0 && self.rng.rand_float() < 0.01).collect();
-        self.all.iter().zip(wrong).map(|(p, wrong)| gone(p) == wrong).collect()
+        self.all.iter().zip(wrong).map(|(p, wrong)| seems_dead(p) == wrong).collect()
     }
 
     pub fn step(&mut self) {
--- a/crates/recovery/tests/fault_points/simulation.rs
+++ b/crates/recovery/tests/fault_points/simulation.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Handles a message at one process: the time, the process and its outgoing messages.
+/// Passes a decoded message to a process. The fields are the time, the process and its outgoing messages.
 struct MessageHandler<'a>(u64, &'a mut Process, &'a mut Out);
 
 impl MessageVisitor for MessageHandler<'_> {
--- a/crates/storage/tests/record.rs
+++ b/crates/storage/tests/record.rs
@@ -17,7 +17,7 @@
 fn a_step_without_an_outcome_is_sent_again_only_where_safe(
     effect: RetrySafety,
     later_s: u64,
-    want: Option<StepStatus>,
+    expected: Option<StepStatus>,
 ) {
     let step = Step {
         name: "a".into(),
@@ -34,5 +34,5 @@
     let sent = StepRecord { sent_at: 100 * S, outcome: None };
     let record = WorkflowRecord { steps: BTreeMap::from([(0, sent)]), ..WorkflowRecord::default() };
     let got = recorded_steps(&record, &plan, (100 + later_s) * S);
-    assert_eq!(got.get(&StepId(0)).map(|(how, _)| *how), want);
+    assert_eq!(got.get(&StepId(0)).map(|(status, _)| *status), expected);
 }
--- a/crates/storage/tests/snapshot_file.rs
+++ b/crates/storage/tests/snapshot_file.rs
@@ -19,7 +19,7 @@
 #[test]
 fn a_damaged_file_is_put_aside() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (file, damaged) = (folder.path().join("snapshot"), folder.path().join("bent"));
+    let (file, damaged) = (folder.path().join("snapshot"), folder.path().join("damaged"));
     let (mut opened, _) = SnapshotFile::open(&file).expect("a new file");
     (0..20u8).for_each(|n| opened.write(&[n; 3_000]).expect("room"));
     drop(opened);
@@ -37,7 +37,7 @@
     let (mut opened, fault) = SnapshotFile::open(&damaged).expect("recreated");
     assert!(matches!(fault, Some(StorageError::OpenFailed { .. })));
     opened.write(b"new").expect("room");
-    assert!(folder.path().join("bent.spoilt").exists());
+    assert!(folder.path().join("damaged.spoilt").exists());
     let nowhere = folder.path().join("no/such/folder");
     assert!(SnapshotFile::open(&nowhere).is_err());
 }
