--- a/crates/rendezvous/tests/order.rs
+++ b/crates/rendezvous/tests/order.rs
@@ -195,14 +195,18 @@
         walk(&members, &mut prefix, key, 2);
         longest = longest.max(prefix.len());
     }
-    assert!(longest <= 4 * INITIAL_PREFIX_LEN, "{longest} kept for two places");
+    assert!(longest <= 4 * INITIAL_PREFIX_LEN, "{longest} entries after walking two members");
     let mut prefix = Prefix::default();
     walk(&members, &mut prefix, 3, 3_000);
     assert!(prefix.len() >= 3_000);
     for _ in 0..200 {
         walk(&members, &mut prefix, 3, 2);
     }
-    assert!(prefix.len() <= 8 * INITIAL_PREFIX_LEN, "{} kept long after a long walk", prefix.len());
+    assert!(
+        prefix.len() <= 8 * INITIAL_PREFIX_LEN,
+        "{} entries, though only two members were walked lately",
+        prefix.len()
+    );
 }
 
 #[test]
--- a/crates/wait_queue/src/lib.rs
+++ b/crates/wait_queue/src/lib.rs
@@ -118,7 +118,8 @@
         self.never_sent.get(&function).and_then(|set| set.first()).map(|key| key.0.0)
     }
 
-    /// The first request without an attempt of each function, and every request with an earlier attempt.
+    /// The first request without an attempt of each function, and every request with an earlier attempt, in
+    /// queue order.
     pub fn dispatch_candidates(&self) -> BTreeSet<Key<R>> {
         let first = self.never_sent.values().filter_map(|set| set.first());
         first.chain(&self.sent_before).copied().collect()
@@ -131,7 +132,7 @@
     }
 
     /// The workload's requests with a deadline of at most `until`.
-    pub fn deadline_until(&self, workload: W, until: u64) -> impl Iterator<Item = Key<R>> {
+    pub fn with_deadline_until(&self, workload: W, until: u64) -> impl Iterator<Item = Key<R>> {
         let set = self.deadlines.get(&workload).into_iter().flatten();
         set.take_while(move |(deadline, _)| *deadline <= until).map(|(_, key)| *key)
     }
--- a/crates/wait_queue/tests/plain.rs
+++ b/crates/wait_queue/tests/plain.rs
@@ -52,7 +52,7 @@
         prop_assert_eq!(queue.dispatch_candidates().into_iter().collect::<Vec<_>>(), candidates);
         for w in 0..2 {
             let due = keys(&plain, |_, queued| queued.workload == w && queued.deadline <= at);
-            prop_assert_eq!(sorted(queue.deadline_until(w, at)), due);
+            prop_assert_eq!(sorted(queue.with_deadline_until(w, at)), due);
             let on_time = keys(&plain, |k, queued| queued.workload == w && !queued.late && k.1 < at);
             prop_assert_eq!(sorted(queue.on_time_before(w, at)), on_time);
         }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -196,7 +196,7 @@
             self.queue.remove(&self.queue_key(id));
             self.send_and_schedule_hedge(actions, id, worker);
         } else if arrival.time_left <= GIVE_UP_MARGIN + TICK_INTERVAL {
-            // The deadline falls before a tick could end the request.
+            // The next tick may come too late to end the request before its deadline.
             self.give_up(actions, id);
         }
     }
@@ -404,7 +404,8 @@
         self.workers.schedule_expiry(id);
     }
 
-    /// Evicts functions from a full table, together with what idle workers hold for them.
+    /// Evicts functions from a full table, and removes their entries at workers without an attempt of them in
+    /// flight.
     fn evict_functions(&mut self) {
         for (id, evicted) in self.functions.evict(MAX_FUNCTIONS / EVICTION_DIVISOR) {
             for worker in &evicted.workers {
--- a/src/control/outlier_ejection.rs
+++ b/src/control/outlier_ejection.rs
@@ -129,8 +129,8 @@
             && self.workloads.any_other_than(RetrySafety::AtMostOnce)
     }
 
-    /// Ejects workers that owe several overdue responses and have returned nothing since those attempts
-    /// were sent.
+    /// Ejects workers with several overdue responses that have returned nothing since those attempts were
+    /// sent.
     pub(super) fn eject_silent_workers(&mut self, actions: &mut dyn Actions) {
         let mut overdue: BTreeMap<WorkerId, u32> = BTreeMap::new();
         for attempt in self.in_flight.values() {
--- a/src/control/quota.rs
+++ b/src/control/quota.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{CustomerConfig, CustomerId, Micros};
 
-/// Bucket capacity, as microseconds of the customer's quota.
+/// Bucket capacity, as the time in microseconds in which the quota fills an empty bucket.
 const BURST_WINDOW_MICROS: f64 = 2_000_000.0;
 /// Minimum bucket capacity, however small the quota: one request.
 const MIN_BURST: f64 = 1.0;
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -34,8 +34,8 @@
 }
 
 impl AttemptBudget {
-    /// Earns tokens for an arriving request. A client's retry earns none; otherwise a retry storm would
-    /// increase the number of attempts per request.
+    /// Earns tokens for an arriving request. A client's retry earns none; otherwise the router's own
+    /// hedged attempts and retries would increase with a retry storm.
     pub fn earn(&mut self, is_client_retry: bool) {
         let earned = if is_client_retry { 0.0 } else { TOKENS_PER_REQUEST };
         self.tokens = (self.tokens + earned).min(MAX_TOKENS);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The time at which the request may no longer start another attempt.
+/// The time from which on no further attempt of the request may be started.
 pub(super) fn no_attempt_after(request: &Request) -> Micros {
     let first_sent_at = request.possibly_executed().map(|attempt| attempt.sent_at).min();
     match (first_sent_at, request.retry_safety) {
--- a/src/control/shedding.rs
+++ b/src/control/shedding.rs
@@ -48,7 +48,7 @@
         let mut due: BTreeSet<QueueKey> = overdue.collect();
         for (id, workload) in self.workloads.iter() {
             let done_at = self.now + workload.service_time() as Micros;
-            due.extend(self.queue.deadline_until(id, done_at.max(self.now + GIVE_UP_MARGIN)));
+            due.extend(self.queue.with_deadline_until(id, done_at.max(self.now + GIVE_UP_MARGIN)));
             due.extend(self.queue.on_time_before(id, done_at.saturating_sub(workload.latency_objective)));
         }
         due
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -33,9 +33,9 @@
     /// Whether the warm-up budget of a worker allows this request now.
     ///
     /// If this router's share of the budget is less than one request, admission is random, with a
-    /// probability based on how many requests the router expects for the worker within the window. WaitQueue
-    /// requests count as well; otherwise a backlog would reach the worker all at once. Each request makes a
-    /// single draw per worker, however often it is evaluated.
+    /// probability based on how many requests the router expects for the worker within the window.
+    /// Requests that already wait count as well; otherwise a backlog would reach the worker all at once. Each
+    /// request makes a single draw per worker, however often it is evaluated.
     pub(super) fn warmup_budget_allows(&self, id: WorkerId, worker: &Worker, request: &Request) -> bool {
         let capacity_share = self.capacity_share(worker);
         if capacity_share >= 1.0 {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// A request, identified by the id that its client assigned.
+/// A request, identified by the id given to it in [`RequestArrival::request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub [u8; 36]);
 
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -116,7 +116,7 @@
     }
 
     /// Requests of all routers at the worker. With many routers, this router's own requests are a small
-    /// part, so the reported ones are included.
+    /// part, so the others' requests, as reported or estimated, are included.
     pub(crate) fn total_in_flight(&self, tick: u64) -> f64 {
         self.running() + self.others_in_flight.at(tick)
     }
--- a/tests/mechanisms.rs
+++ b/tests/mechanisms.rs
@@ -30,7 +30,7 @@
     let mut quotas = quotas();
     assert_eq!(taken_at_once(&mut quotas, START), 10);
     assert_eq!(taken_at_once(&mut quotas, START + S), 5, "refilled at five a second");
-    assert_eq!(taken_at_once(&mut quotas, START + 60 * S), 10, "idle time is not saved up beyond it");
+    assert_eq!(taken_at_once(&mut quotas, START + 60 * S), 10, "idle time adds no tokens beyond the burst");
 }
 
 #[test]
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn bounded_load_is_a_multiple_of_the_mean_above_a_free_part() {
+fn bounded_load_is_a_multiple_of_the_mean_above_a_fixed_minimum() {
     assert_eq!(bounded_load(0.0, 1.0), 5.0);
     assert_eq!(bounded_load(4.0, 2.0), 17.0);
 }
