--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 /// Maximum number of workers in one list; a longer one is considered corrupt. Twice the 30,000 workers of the
-/// largest fleet the design is sized for (docs/CAPACITY.md).
+/// fleet that the design is sized for (docs/CAPACITY.md).
 pub const MAX_WORKERS: usize = 60_000;
 
 /// An established connection without an attempt.
@@ -242,7 +242,7 @@
 /// Parses one element of `workers`.
 fn read_worker(worker: &Value, zones: &[String]) -> Result<NamedEndpoint, EndpointListError> {
     let name = worker["name"].as_str().filter(|name| !name.is_empty());
-    let name = name.ok_or_else(|| EndpointListError::field("name", "missing or empty"))?;
+    let name = name.ok_or_else(|| EndpointListError::field("name", "expected a non-empty string"))?;
     let address = worker["address"].as_str().and_then(|address| address.parse().ok());
     let no_address =
         || EndpointListError::field("address", format!("worker {name} has no IP address with a port"));
@@ -251,7 +251,11 @@
         Some("ready") => WorkerStatus::Ready,
         Some("draining") => WorkerStatus::Draining,
         Some("gone") => WorkerStatus::Gone,
-        other => return Err(EndpointListError::field("standing", format!("worker {name} is {other:?}"))),
+        other => {
+            let expected = "expected \"ready\", \"draining\" or \"gone\"";
+            let problem = format!("worker {name}: {expected}, found {other:?}");
+            return Err(EndpointListError::field("standing", problem));
+        }
     };
     let zone = worker["zone"].as_str().and_then(|zone| zones.iter().position(|known| known == zone));
     let id = WorkerId::named(name);
--- a/crates/gateway/src/errors.rs
+++ b/crates/gateway/src/errors.rs
@@ -8,13 +8,16 @@
 pub enum EndpointListError {
     /// The line is not valid JSON.
     #[error("invalid JSON: {0}")]
-    #[diagnostic(code(list::no_json), help("look whether the address of 'hosts' is the host list's"))]
+    #[diagnostic(
+        code(list::no_json),
+        help("check that 'hosts' is the address of the endpoint list's server")
+    )]
     NotJson(String),
     /// A field is missing or has an invalid value.
     #[error("'{field}': {problem}")]
     #[diagnostic(
         code(list::field),
-        help("the host list's writer is at fault, or of another version; the last good list holds")
+        help("check the endpoint list's server and its version; the last valid list stays in force")
     )]
     Field {
         /// The path of the field.
@@ -26,7 +29,7 @@
     #[error("too many workers: {found}, limit is {max}")]
     #[diagnostic(
         code(list::too_many),
-        help("look whether the list repeats itself; a fleet this large needs parts of its own")
+        help("check the list for repeated entries; a fleet of this size has to be split")
     )]
     TooMany {
         /// Workers in the message.
@@ -58,16 +61,14 @@
     #[error("the settings file is invalid")]
     #[diagnostic(
         code(settings::faults),
-        help("the lines before say which, by line and column; 'applepond check FILE' says them again")
+        help("see the faults printed before, by line and column; 'applepond check FILE' prints them again")
     )]
     InvalidFile,
     /// A key file of the fleet is unusable.
     #[error("{file}: {reason}")]
     #[diagnostic(
         code(settings::key_file),
-        help(
-            "a key file has 16 bytes at least and can be read by this process; put it right and send SIGHUP"
-        )
+        help("make the key file readable by this process and at least 16 bytes long, and send SIGHUP")
     )]
     KeyFile {
         /// The file's path.
@@ -77,13 +78,13 @@
     },
     /// The kernel's random number generator failed.
     #[error("cannot get random numbers: {0}")]
-    #[diagnostic(code(settings::no_random), help("look at the machine: its kernel gives no random numbers"))]
+    #[diagnostic(code(settings::no_random), help("check the machine: its kernel provides no random numbers"))]
     NoRandomNumbers(String),
     /// Settings were changed that require a restart; their keys, separated by commas.
     #[error("changing these settings requires a restart: {0}")]
     #[diagnostic(
         code(settings::restart),
-        help("restart this router with the file, or put those keys back as they were")
+        help("restart this router with the new file, or restore the previous values of these keys")
     )]
     RestartRequired(String),
 }
