--- a/crates/gateway/src/deployment.rs
+++ b/crates/gateway/src/deployment.rs
@@ -91,7 +91,7 @@
     pub pinned_units: u64,
     /// Preparation time that one unit pinned at a worker must save to be worth its memory, in µs per second.
     pub price: f64,
-    /// How long a worker caches a prefix that is not pinned after its last use.
+    /// How long a worker caches an unpinned prefix after its last use.
     pub retention: Micros,
 }
 
--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -151,8 +151,8 @@
         self.apply_endpoint_update(now, transport, update);
     }
 
-    /// Cuts connections to workers that were removed, replaced or are draining, and passes the new entries to
-    /// `Control`. History may override the status in the list.
+    /// Cuts idle connections to workers that were removed, replaced or moved or are draining, and passes the
+    /// new entries to `Control`. History may override the status in the list.
     fn apply_endpoint_update(&mut self, now: Micros, transport: &mut dyn Transport, update: EndpointUpdate) {
         for conn in &update.disconnect {
             self.workers.cut(transport, *conn);
--- a/crates/gateway/src/gateway/extensions.rs
+++ b/crates/gateway/src/gateway/extensions.rs
@@ -18,7 +18,7 @@
     pub first_attempts_per_second: f64,
     /// New client connections per second.
     pub connections_per_second: f64,
-    /// Requests finished per second.
+    /// Best recent rate at which the fleet finished requests, per second, as observed by this router.
     pub pace: f64,
 }
 
--- a/crates/gateway/src/gateway/overload.rs
+++ b/crates/gateway/src/gateway/overload.rs
@@ -24,21 +24,21 @@
     /// The state page's section on retry storms: the traffic state and when it began, the rates that it is
     /// derived from, admission counts, and compliance with `Retry-After`.
     pub(super) fn storm_state(&self, now: Micros) -> serde_json::Value {
-        let watch = self.admission.traffic_monitor();
-        let (first_attempts, retries) = watch.rates(now);
+        let monitor = self.admission.traffic_monitor();
+        let (first_attempts, retries) = monitor.rates(now);
         let (admitted, shed, queue_time) = self.admission.totals(now);
-        let (too_many_opened, too_many_early) = watch.storm_indications(now);
+        let (too_many_opened, too_many_early) = monitor.storm_indications(now);
         serde_json::json!({
-            "called": format!("{:?}", watch.class()).to_lowercase(), "since-us": watch.since(),
+            "called": format!("{:?}", monitor.class()).to_lowercase(), "since-us": monitor.since(),
             "damped": self.is_shedding(), "first-tries-per-s": first_attempts, "retries-per-s": retries,
-            "usual-per-s": watch.usual(now).map(|usual| usual.0),
+            "usual-per-s": monitor.usual(now).map(|usual| usual.0),
             "pace-per-s": self.admission.best_completion_rate(now),
             "let-in": admitted, "would-send-back": shed, "line-us": queue_time,
-            "connections": {"opened-per-s": watch.connections.per_s(now),
-                "usual-per-s": watch.usual(now).map(|usual| usual.1), "speak-for-a-storm": too_many_opened,
+            "connections": {"opened-per-s": monitor.connections.per_s(now),
+                "usual-per-s": monitor.usual(now).map(|usual| usual.1), "speak-for-a-storm": too_many_opened,
                 "door-closed": self.admission.accept_limiter().pauses()},
-            "advice": {"followed-per-s": watch.on_time_retries.per_s(now),
-                "not-kept-per-s": watch.early_retries.per_s(now),
+            "advice": {"followed-per-s": monitor.on_time_retries.per_s(now),
+                "not-kept-per-s": monitor.early_retries.per_s(now),
                 "speaks-for-a-storm": too_many_early},
         })
     }
--- a/crates/gateway/src/gateway/workflow/completion.rs
+++ b/crates/gateway/src/gateway/workflow/completion.rs
@@ -86,10 +86,10 @@
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
-        ended: RunOutcome,
+        outcome: RunOutcome,
     ) {
         let Some(workflow) = self.workflows.active.get_mut(&request) else { return };
-        let (last_step, answer) = match ended {
+        let (last_step, answer) = match outcome {
             RunOutcome::Finished(step) => (step, workflow.finished_answer(step)),
             RunOutcome::Rejected(step, cause) => {
                 // A retry starts again from the first step.
@@ -104,16 +104,16 @@
                 (step, workflow.failed_answer(step, cause))
             }
         };
-        self.workflows.counters.count_end(ended);
-        let is_finished = matches!(ended, RunOutcome::Finished(_));
+        self.workflows.counters.count_end(outcome);
+        let is_finished = matches!(outcome, RunOutcome::Finished(_));
         let did_work = workflow.last_finished.is_some() || workflow.is_stored;
-        self.workflows.pace.run_ended(now, is_finished, did_work && !is_finished);
+        self.workflows.run_limiter.run_ended(now, is_finished, did_work && !is_finished);
         workflow.log_end(now, last_step, &answer);
         workflow.is_answered = true;
         let clients = std::mem::take(&mut workflow.clients);
         let key = workflow.key.clone();
         // At-most-once regardless of the failed step's retry safety: earlier steps may have run, so the
-        // answer is always cached and replayed.
+        // answer of a failed workflow is replayed instead of running it again.
         self.record_end(now, &key, RetrySafety::AtMostOnce, &answer);
         self.answer_clients(now, transport, clients, &answer);
     }
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -42,7 +42,7 @@
         let resumed = self.load_stored(now, &key, &plan, digest, &event)?;
         let admitted = self.admit(now, &event, plan.steps[0].workload, time_left)?;
         if resumed.as_ref().is_none_or(|stored| stored.steps.is_empty()) {
-            self.check_pace(now, &event.id, &admitted, time_left)?;
+            self.check_start_rate(now, &event.id, &admitted, time_left)?;
         }
         self.counters.accepted += 1;
         self.workflows.counters.accepted += 1;
@@ -103,17 +103,17 @@
     }
 
     /// Rejects a new workflow while workflows are started faster than they end.
-    fn check_pace(
+    fn check_start_rate(
         &mut self,
         now: Micros,
         id: &str,
         admitted: &Admitted,
         time_left: Micros,
     ) -> Result<(), Rc<Answer>> {
-        if self.workflows.pace.admit(now) {
+        if self.workflows.run_limiter.admit(now) {
             return Ok(());
         }
-        self.workflows.counters.rejected_for_pace += 1;
+        self.workflows.counters.rejected_for_rate += 1;
         let wait = self.admission.schedule_retry(now, admitted.client_digest, admitted.digest, time_left);
         let wait = wait.filter(|_| self.deployment.startup.attempt_policy.retry_after_allowed);
         let detail = "as many chains run as come to their end; a retry does no harm";
@@ -180,7 +180,7 @@
     /// workflow rejected at once is answered like any other.
     pub(super) fn start_workflow(&mut self, now: Micros, request: RequestId, workflow: ActiveWorkflow) {
         self.workflows.active.insert(request, workflow);
-        let commands = self.with_run(now, request, |run, needs| run.begin(now, needs));
+        let commands = self.with_run(now, request, |run, step_times| run.begin(now, step_times));
         self.workflows.started.push_back(StartedWorkflow { request, commands });
     }
 }
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -127,7 +127,7 @@
 /// A finished workflow that must be stored before it is answered.
 struct UnansweredWorkflow {
     request: RequestId,
-    ended: RunOutcome,
+    outcome: RunOutcome,
 }
 
 /// Counters since the start of the instance.
@@ -140,7 +140,7 @@
     /// Rejected because their steps cannot finish in the time left.
     rejected_for_time: u64,
     /// Rejected because workflows were started faster than they end.
-    rejected_for_pace: u64,
+    rejected_for_rate: u64,
     steps: u64,
     undos: u64,
     /// Resumed from the store with steps that may have run.
@@ -150,8 +150,8 @@
 }
 
 impl Counters {
-    fn count_end(&mut self, ended: RunOutcome) {
-        match ended {
+    fn count_end(&mut self, outcome: RunOutcome) {
+        match outcome {
             RunOutcome::Finished(_) => self.finished += 1,
             RunOutcome::Rejected(_, cause) => {
                 self.rejected += 1;
@@ -173,7 +173,7 @@
     /// Estimated durations of functions, to decide whether a step can finish in time.
     times: TimeEstimates,
     /// Limits the rate of new workflows.
-    pace: RunLimiter,
+    run_limiter: RunLimiter,
     counters: Counters,
     pub(super) store: Box<dyn WorkflowStore>,
     /// Steps to be sent after the next write.
@@ -194,7 +194,7 @@
             ended_steps: VecDeque::new(),
             started: VecDeque::new(),
             times: TimeEstimates::new(cache_lifetime),
-            pace: RunLimiter::default(),
+            run_limiter: RunLimiter::default(),
             counters: Counters::default(),
             store: Box::new(MemoryStore::default()),
             unsent: Vec::new(),
@@ -219,8 +219,8 @@
         let counters = &self.counters;
         serde_json::json!({"open": self.active.len(), "taken": counters.accepted,
             "finished": counters.finished, "pushed-back": counters.rejected, "failed": counters.failed,
-            "refused-for-time": counters.rejected_for_time, "held-back": counters.rejected_for_pace,
-            "allowed-per-s": self.pace.allowed(), "steps": counters.steps, "undos": counters.undos,
+            "refused-for-time": counters.rejected_for_time, "held-back": counters.rejected_for_rate,
+            "allowed-per-s": self.run_limiter.allowed(), "steps": counters.steps, "undos": counters.undos,
             "functions-known": self.times.function_count(),
             "record": {"resumed": counters.recorded_steps, "writes": counters.writes,
                 "not-written": counters.failed_writes}})
--- a/crates/gateway/src/gateway/workflow/steps.rs
+++ b/crates/gateway/src/gateway/workflow/steps.rs
@@ -30,7 +30,8 @@
 }
 
 impl Gateway {
-    /// Executes the commands of a workflow's run in order; then closes the workflow if it is done.
+    /// Executes the commands of a workflow's run in order. Then, if the workflow is done, marks its record as
+    /// closed if it is stored, and otherwise drops the workflow.
     pub(in crate::gateway) fn run_commands(
         &mut self,
         now: Micros,
@@ -45,7 +46,7 @@
                 }
                 Command::Wait { step, until } => self.wait_for_step(now, transport, request, step, until),
                 Command::Cancel(step) => self.cancel_step(now, transport, request, step),
-                Command::End(ended) => self.end_or_queue_workflow(now, transport, request, ended),
+                Command::End(outcome) => self.end_or_queue_workflow(now, transport, request, outcome),
                 Command::Undo { step, function } => self.begin_undo(now, request, step, function),
             }
         }
@@ -88,7 +89,8 @@
         until: Micros,
     ) {
         let retry = move |gateway: &mut Gateway, now, transport: &mut dyn Transport| {
-            let commands = gateway.with_run(now, request, |run, needs| run.retry_step(now, step, needs));
+            let commands =
+                gateway.with_run(now, request, |run, step_times| run.retry_step(now, step, step_times));
             gateway.run_commands(now, transport, request, commands);
         };
         self.schedule(now, transport, until.saturating_sub(now), Box::new(retry));
@@ -110,14 +112,14 @@
         now: Micros,
         transport: &mut dyn Transport,
         request: RequestId,
-        ended: RunOutcome,
+        outcome: RunOutcome,
     ) {
         match self.workflows.active.get_mut(&request) {
-            Some(workflow) if workflow.is_stored && matches!(ended, RunOutcome::Finished(_)) => {
+            Some(workflow) if workflow.is_stored && matches!(outcome, RunOutcome::Finished(_)) => {
                 workflow.stored.closed = true;
-                self.workflows.unanswered.push(UnansweredWorkflow { request, ended });
+                self.workflows.unanswered.push(UnansweredWorkflow { request, outcome });
             }
-            _ => self.end_workflow(now, transport, request, ended),
+            _ => self.end_workflow(now, transport, request, outcome),
         }
     }
 
@@ -171,7 +173,8 @@
         function: String,
         deadline: Micros,
     ) {
-        let priority_factor = self.with_run(now, request, |run, needs| run.priority_factor(now, needs));
+        let priority_factor =
+            self.with_run(now, request, |run, step_times| run.priority_factor(now, step_times));
         let Some(workflow) = self.workflows.active.get(&request) else { return };
         let id = FunctionId::named(&function);
         let on_end: OnStepEnd = Box::new(move |gateway, now, transport, end| {
@@ -212,8 +215,8 @@
         let retry_after = end.answer.retry_after;
         let answer = end.answer.clone();
         let read_field = move |name: &str| result_field(&answer.body, name);
-        let commands = self.with_run(now, request, |run, needs| {
-            run.step_ended(now, step, outcome, retry_after, &read_field, needs)
+        let commands = self.with_run(now, request, |run, step_times| {
+            run.step_ended(now, step, outcome, retry_after, &read_field, step_times)
         });
         self.run_commands(now, transport, request, commands);
     }
--- a/crates/gateway/src/gateway/workflow/store.rs
+++ b/crates/gateway/src/gateway/workflow/store.rs
@@ -38,7 +38,7 @@
         // These have finished, so they are answered as finished even if the write failed.
         for pending in unanswered {
             let request = pending.request;
-            self.end_workflow(now, transport, request, pending.ended);
+            self.end_workflow(now, transport, request, pending.outcome);
             if is_written {
                 self.workflows.drop_closed(&BTreeSet::from([request]));
             }
@@ -54,7 +54,8 @@
             if let Some(workflow) = self.workflows.active.get_mut(&request) {
                 workflow.stored.steps.remove(&(step.0 as u32));
             }
-            let commands = self.with_run(now, request, |run, needs| run.store_failed(now, step, needs));
+            let commands =
+                self.with_run(now, request, |run, step_times| run.store_failed(now, step, step_times));
             self.run_commands(now, transport, request, commands);
         }
         true
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -30,7 +30,7 @@
     pub worker: WorkerId,
     /// Timeout of the attempt, from now.
     pub timeout: Micros,
-    /// The time from which on the attempt must not be started.
+    /// The time from which on the first byte of the attempt must not be sent.
     pub start_deadline: Micros,
 }
 
@@ -101,7 +101,7 @@
     pub sent_at: Micros,
     /// When it times out.
     times_out_at: Micros,
-    /// The time from which on it must not be started.
+    /// The time from which on its first byte must not be sent.
     start_deadline: Micros,
     /// Its current or last connection.
     pub connection: Option<Conn>,
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -128,7 +128,7 @@
 // Restored facts must not be stored as new measurements, which would renew their age; only a worker that has
 // responded is measured anew.
 #[test]
-fn what_was_learned_elsewhere_is_not_stored_as_measured_here() {
+fn restored_facts_are_not_stored_as_new_measurements() {
     let (mut sim, store) = gateway_with_facts(&[
         fact(FactKind::ConcurrencyLimit, "w1", 3.0),
         fact(FactKind::ConcurrencyLimit, "w2", 3.0),
