--- a/src/control/routing.rs
+++ b/src/control/routing.rs
@@ -94,7 +94,7 @@
 
 /// Progress of a selection.
 #[derive(Default)]
-struct Probe {
+struct Progress {
     home: Option<Home>,
     /// The home is only presumed to have the function loaded.
     home_is_presumed_loaded: bool,
@@ -201,26 +201,26 @@
     /// Walks the hash order and decides from the result.
     fn choose(&self, order: &mut Prefix<WorkerId>) -> Option<Choice> {
         let remaining_rate = self.control.other_routers_rate(self.request.function);
-        let mut probe = Probe { remaining_rate, ..Probe::default() };
-        while probe.loaded.is_none() {
-            let loaded_only = self.needs_only_loaded(&probe);
-            let Some((position, ranked)) = self.next_ranked(&mut probe, order, loaded_only) else { break };
-            if let Some(candidate) = self.candidate(&mut probe, position, &ranked, loaded_only) {
-                self.consider(&mut probe, &candidate);
+        let mut progress = Progress { remaining_rate, ..Progress::default() };
+        while progress.loaded.is_none() {
+            let loaded_only = self.needs_only_loaded(&progress);
+            let Some((position, ranked)) = self.next_ranked(&mut progress, order, loaded_only) else { break };
+            if let Some(candidate) = self.candidate(&mut progress, position, &ranked, loaded_only) {
+                self.consider(&mut progress, &candidate);
             }
         }
-        self.decide(&probe)
+        self.decide(&progress)
     }
 
     /// Whether only workers that have the function loaded can still change the decision: the home is known,
     /// and an overflow worker is either known or not wanted.
-    fn needs_only_loaded(&self, probe: &Probe) -> bool {
-        if probe.home.is_none() {
+    fn needs_only_loaded(&self, progress: &Progress) -> bool {
+        if progress.home.is_none() {
             return false;
         }
-        let none_diverted = probe.remaining_rate <= self.rate_per_weight * self.control.fleet.min_weight;
-        probe.examined >= MAX_EXAMINED
-            || none_diverted && (probe.overflow.is_some() || !self.overflow_may_start_load())
+        let none_diverted = progress.remaining_rate <= self.rate_per_weight * self.control.fleet.min_weight;
+        progress.examined >= MAX_EXAMINED
+            || none_diverted && (progress.overflow.is_some() || !self.overflow_may_start_load())
     }
 
     fn overflow_may_start_load(&self) -> bool {
@@ -231,33 +231,33 @@
     /// the function loaded matter, those are ranked directly and returned with position 0.
     fn next_ranked(
         &self,
-        probe: &mut Probe,
+        progress: &mut Progress,
         order: &mut Prefix<WorkerId>,
         loaded_only: bool,
     ) -> Option<(usize, Ranked<WorkerId>)> {
         let control = self.control;
         let (ready, function) = (control.workers.ready(), self.request.function);
-        let left = ready.len().saturating_sub(probe.position);
+        let left = ready.len().saturating_sub(progress.position);
         let is_long = left > LONG_ORDER_FACTOR * (1 + self.function.workers.len());
         if loaded_only
             && is_long
-            && probe.loaded_only.is_none()
-            && let Some(first) = order.get(ready, function, probe.position)
+            && progress.loaded_only.is_none()
+            && let Some(first) = order.get(ready, function, progress.position)
         {
-            probe.loaded_only = Some(control.loaded_from(function, &first).into_iter());
+            progress.loaded_only = Some(control.loaded_from(function, &first).into_iter());
         }
-        let found = match &mut probe.loaded_only {
+        let found = match &mut progress.loaded_only {
             Some(loaded) => (0, loaded.next()?),
-            None => (probe.position, order.get(ready, function, probe.position)?),
+            None => (progress.position, order.get(ready, function, progress.position)?),
         };
-        probe.position += 1;
+        progress.position += 1;
         Some(found)
     }
 
     /// Turns a worker in the order into a candidate; `None` if it is skipped.
     fn candidate(
         &self,
-        probe: &mut Probe,
+        progress: &mut Progress,
         position: usize,
         ranked: &Ranked<WorkerId>,
         loaded_only: bool,
@@ -265,26 +265,26 @@
         let control = self.control;
         let id = ranked.member;
         let rate = self.rate_per_weight * ranked.weight;
-        let is_diverted = self.is_diverted(probe.remaining_rate, rate, position);
+        let is_diverted = self.is_diverted(progress.remaining_rate, rate, position);
         if control.workers.is_suspect(&id) && control.skips_worker(&control.workers[&id], self.request) {
             return None;
         }
         if is_diverted {
-            probe.remaining_rate -= rate;
+            progress.remaining_rate -= rate;
             return None;
         }
-        probe.examined += 1;
+        progress.examined += 1;
         let worker = &control.workers[&id];
         let known = worker.functions.get(&self.request.function).map(Box::as_ref);
         let is_known_loaded = known.is_some_and(|known| known.loaded_until > control.now);
         // If other routers are presumed to keep the function loaded at its home, this router benefits from
         // that too.
         let is_presumed_loaded = !is_known_loaded
-            && probe.home.is_none()
-            && self.other_routers_keep_loaded(probe.remaining_rate.min(rate))
+            && progress.home.is_none()
+            && self.other_routers_keep_loaded(progress.remaining_rate.min(rate))
             && control.capacity_share(worker) >= 1.0;
         let is_loaded = is_known_loaded || is_presumed_loaded;
-        if !is_loaded && (loaded_only || probe.overflow.is_some()) {
+        if !is_loaded && (loaded_only || progress.overflow.is_some()) {
             return None;
         }
         Some(Candidate { id, worker, known, is_loaded, is_presumed_loaded })
@@ -302,15 +302,15 @@
         rate * self.control.config.cache_lifetime as f64 >= KEEP_ALIVE_REQUESTS
     }
 
-    /// Updates the probe with a candidate.
-    fn consider(&self, probe: &mut Probe, candidate: &Candidate<'_>) {
+    /// Records what a candidate changes in the progress of the selection.
+    fn consider(&self, progress: &mut Progress, candidate: &Candidate<'_>) {
         let load = self.load_of(candidate);
         let has_capacity = !self.is_full_for_function(&load)
             && !self.is_overloaded(candidate, &load)
             && self.accepts(candidate);
-        if probe.home.is_none() {
-            probe.home_is_presumed_loaded = candidate.is_presumed_loaded;
-            probe.home = Some(Home {
+        if progress.home.is_none() {
+            progress.home_is_presumed_loaded = candidate.is_presumed_loaded;
+            progress.home = Some(Home {
                 id: candidate.id,
                 is_loaded: candidate.is_loaded,
                 has_capacity,
@@ -321,11 +321,11 @@
             return;
         }
         if candidate.is_loaded {
-            probe.loaded = Some(candidate.id);
-        } else if probe.overflow.is_none()
-            && (self.is_idle(candidate) || probe.home.as_ref().is_none_or(|home| !home.is_loaded))
+            progress.loaded = Some(candidate.id);
+        } else if progress.overflow.is_none()
+            && (self.is_idle(candidate) || progress.home.as_ref().is_none_or(|home| !home.is_loaded))
         {
-            probe.overflow = Some(candidate.id);
+            progress.overflow = Some(candidate.id);
         }
     }
 
@@ -388,28 +388,28 @@
         in_flight <= IDLE_SHARE * self.control.fleet.in_flight_per_weight * worker.weight
     }
 
-    /// Chooses a worker from the probe's result.
-    fn decide(&self, probe: &Probe) -> Option<Choice> {
-        let home = probe.home.as_ref()?;
-        if let Some(worker) = probe.loaded
+    /// Chooses a worker once the hash order has been examined.
+    fn decide(&self, progress: &Progress) -> Option<Choice> {
+        let home = progress.home.as_ref()?;
+        if let Some(worker) = progress.loaded
             && worker == home.id
         {
-            return Some(Choice { worker, is_presumed_loaded: probe.home_is_presumed_loaded });
+            return Some(Choice { worker, is_presumed_loaded: progress.home_is_presumed_loaded });
         }
         let chosen = |worker| Choice { worker, is_presumed_loaded: false };
         let joins_load =
-            probe.loaded.is_none() && self.control.loads.is_loading(self.request.function, home.id);
+            progress.loaded.is_none() && self.control.loads.is_loading(self.request.function, home.id);
         let may_load_at_home = joins_load || !self.load_in_progress && self.may_start_load;
         if !home.is_loaded && home.has_capacity && may_load_at_home {
             return Some(chosen(home.id));
         }
-        if probe.loaded.is_some() {
-            return probe.loaded.map(chosen);
+        if progress.loaded.is_some() {
+            return progress.loaded.map(chosen);
         }
         if !self.overflow_may_start_load() || home.is_loaded && self.waits_for_home(home) {
             return None;
         }
-        probe.overflow.map(chosen)
+        progress.overflow.map(chosen)
     }
 
     /// Whether overflow should briefly wait for a home that has the function loaded and may soon have
