--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -3,7 +3,7 @@
 //! The contract of docs/gateway.md: a rejection may be retried by anybody, and so may a connection that was
 //! never established; what broke off in between only where the request is idempotent.
 use crate::http_peer::{HttpPeer, Message};
-use crate::ledger::{Event, Ledger, Saw};
+use crate::ledger::{Event, Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
@@ -221,7 +221,7 @@
         transport.write(conn, &bytes);
         let (router, event) = (exchange.router as u64, Event::from(format!("{} {}", p.source, p.id)));
         let limit = p.at + p.limit;
-        self.ledger.write(now, Saw::Asked { exchange: *number, router, event, limit });
+        self.ledger.record(now, Observation::RequestSent { exchange: *number, router, event, limit });
     }
 
     /// Retries after `wait` µs, where there is time and an attempt left; whether there is.
@@ -244,11 +244,11 @@
 
     fn answered(&mut self, now: Micros, transport: &mut dyn Transport, number: u64, answer: &Message) {
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else {
-            return self.ledger.write(now, Saw::Stray { exchange: number });
+            return self.ledger.record(now, Observation::UnexpectedBytes { exchange: number });
         };
         exchange.open = false;
         let (request, conn, router, twin) = (exchange.request, exchange.conn, exchange.router, exchange.twin);
-        self.ledger.write(now, Saw::Answered { exchange: number, status: answer.status });
+        self.ledger.record(now, Observation::ResponseReceived { exchange: number, status: answer.status });
         if answer.keep {
             self.idle.push((router, conn));
         }
@@ -289,7 +289,7 @@
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
         exchange.open = false;
         let (request, router, twin) = (exchange.request, exchange.router, exchange.twin);
-        self.ledger.write(now, Saw::Cut { exchange: number });
+        self.ledger.record(now, Observation::ConnectionLost { exchange: number });
         let stays = self.plan[request].stays;
         let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
         let wait = stays.unwrap_or(FAILOVER_DELAY);
@@ -324,7 +324,7 @@
         let number = *number;
         match peer.receive(bytes) {
             Some(answers) => answers.iter().for_each(|a| self.answered(now, transport, number, a)),
-            None => self.ledger.write(now, Saw::Stray { exchange: number }),
+            None => self.ledger.record(now, Observation::UnexpectedBytes { exchange: number }),
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
@@ -345,7 +345,7 @@
                     exchange.open = false;
                     transport.cut(exchange.conn);
                     self.peers.remove(&exchange.conn);
-                    self.ledger.write(now, Saw::Left { exchange: *number });
+                    self.ledger.record(now, Observation::ClientLeft { exchange: *number });
                 }
                 self.settle(now, request, Got::Left);
             }
@@ -355,7 +355,7 @@
                 let (request, conn) = (exchange.request, exchange.conn);
                 transport.cut(conn);
                 self.peers.remove(&conn);
-                self.ledger.write(now, Saw::GaveUp { exchange: number });
+                self.ledger.record(now, Observation::ClientTimedOut { exchange: number });
                 self.settle(now, request, Got::Broken);
             }
             None => {}
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: knows when workers run, drain and are gone, and sends it late to whoever watches.
 use crate::http_peer::HttpPeer;
-use crate::ledger::{Ledger, Saw};
+use crate::ledger::{Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
@@ -78,7 +78,8 @@
         transport.write(conn, &encode::chunk(line.as_bytes()));
         for row in rows {
             let (worker, ready) = (row.name.clone(), row.standing == "ready");
-            self.ledger.write(now, Saw::Told { router, worker, ready, started: row.started });
+            self.ledger
+                .record(now, Observation::EndpointSent { router, worker, ready, started: row.started });
         }
     }
 }
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -8,9 +8,9 @@
 
 /// One observation.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Saw {
+pub enum Observation {
     /// The endpoint list wrote this to a router.
-    Told {
+    EndpointSent {
         /// Index of the router.
         router: u64,
         /// Name of the worker.
@@ -21,7 +21,7 @@
         started: u64,
     },
     /// A worker received a complete request.
-    Came {
+    RequestReceived {
         /// Name of the worker.
         worker: Rc<str>,
         /// Its rack.
@@ -32,21 +32,21 @@
         event: Event,
     },
     /// It rejected the request without running it.
-    TurnedAway {
+    RequestRejected {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
     /// The request began to run: its effect counts from here.
-    Began {
+    RequestStarted {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
     /// A request came with a lease that pins its prefix.
-    Pinned {
+    PrefixPinned {
         /// Name of the worker.
         worker: Rc<str>,
         /// Index of the router.
@@ -55,7 +55,7 @@
         opening: Rc<str>,
     },
     /// It prepared a prefix, which took so many µs of a core.
-    Prepared {
+    PrefixPrepared {
         /// Name of the worker.
         worker: Rc<str>,
         /// Name of the prefix.
@@ -64,38 +64,38 @@
         took: Micros,
     },
     /// The request finished; one that was cancelled does not.
-    Done {
+    RequestFinished {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
     /// A repeat that the worker's rack dropped.
-    Dropped {
+    DuplicateDropped {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
     /// Its process started.
-    Rose {
+    WorkerStarted {
         /// Name of the worker.
         worker: Rc<str>,
     },
     /// A cold worker was overloaded and died; the router of each request that it had lately.
-    Fell {
+    WorkerOverloaded {
         /// Name of the worker.
         worker: Rc<str>,
         /// A router for each of these requests.
         by: Vec<u64>,
     },
     /// The store accepted or rejected a fetch.
-    Fetch {
+    ModelFetch {
         /// Whether it was accepted.
         taken: bool,
     },
     /// The client wrote an exchange's request to a router.
-    Asked {
+    RequestSent {
         /// Number of the exchange.
         exchange: u64,
         /// Index of the router.
@@ -106,29 +106,29 @@
         limit: Micros,
     },
     /// An answer came: its status, and whether the exchange was still open.
-    Answered {
+    ResponseReceived {
         /// Number of the exchange.
         exchange: u64,
         /// The status of the answer.
         status: u16,
     },
     /// Bytes came that belong to no exchange that is open.
-    Stray {
+    UnexpectedBytes {
         /// Number of the exchange.
         exchange: u64,
     },
     /// The connection ended without an answer.
-    Cut {
+    ConnectionLost {
         /// Number of the exchange.
         exchange: u64,
     },
     /// The client left before its answer, on purpose.
-    Left {
+    ClientLeft {
         /// Number of the exchange.
         exchange: u64,
     },
     /// The client's time was up.
-    GaveUp {
+    ClientTimedOut {
         /// Number of the exchange.
         exchange: u64,
     },
@@ -136,16 +136,16 @@
 
 /// The observations of all test doubles; clones share them.
 #[derive(Clone, Default)]
-pub struct Ledger(Rc<RefCell<Vec<(Micros, Saw)>>>);
+pub struct Ledger(Rc<RefCell<Vec<(Micros, Observation)>>>);
 
 impl Ledger {
     /// Adds an observation.
-    pub fn write(&self, now: Micros, saw: Saw) {
-        self.0.borrow_mut().push((now, saw));
+    pub fn record(&self, now: Micros, observation: Observation) {
+        self.0.borrow_mut().push((now, observation));
     }
 
     /// Calls with all observations so far, each with its time.
-    pub fn read<T>(&self, call: impl FnOnce(&[(Micros, Saw)]) -> T) -> T {
+    pub fn read<T>(&self, call: impl FnOnce(&[(Micros, Observation)]) -> T) -> T {
         call(&self.0.borrow())
     }
 }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,7 +1,7 @@
 //! The model store: GET /model/NAME. It is slower the more fetches run at once, rejects fetches past a limit,
 //! and can stop.
 use crate::http_peer::HttpPeer;
-use crate::ledger::{Ledger, Saw};
+use crate::ledger::{Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
@@ -60,7 +60,7 @@
             return transport.wake_at(now, Wake(u64::MAX));
         }
         let taken = fetching < self.most && !stopped;
-        self.ledger.write(now, Saw::Fetch { taken });
+        self.ledger.record(now, Observation::ModelFetch { taken });
         if stopped {
             transport.finish(conn);
         } else if !taken {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -8,7 +8,7 @@
 pub use build::{Build, Mood, Turn};
 
 use crate::http_peer::HttpPeer;
-use crate::ledger::{Event, Ledger, Saw};
+use crate::ledger::{Event, Ledger, Observation};
 use answer::{Answer, Facts};
 use applepond_http::decode::Side;
 use applepond_http::encode;
@@ -126,7 +126,7 @@
     /// Its process starts.
     fn start_process(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.started = now;
-        self.ledger.write(now, Saw::Rose { worker: self.build.name.clone() });
+        self.ledger.record(now, Observation::WorkerStarted { worker: self.build.name.clone() });
         self.listener = transport.listen(self.build.listen, 10_000).ok().map(|(listener, _)| listener);
     }
 
@@ -191,7 +191,7 @@
             let (worker, event, mut work) = (self.build.name.clone(), request.event.clone(), request.work);
             let prefix = request.prefix.clone();
             self.queue.retain(|waiting| *waiting != conn);
-            self.ledger.write(now, Saw::Began { worker, event });
+            self.ledger.record(now, Observation::RequestStarted { worker, event });
             work += prefix.map_or(0, |prefix| self.prepare(now, &prefix));
             let at = now + (work as f64 / self.warmth(now)) as Micros;
             self.set_timer(transport, at, Timer::Done(conn, self.life));
@@ -206,7 +206,7 @@
             copy.last_used = now;
         }
         let (worker, event) = (self.build.name.clone(), request.event.clone());
-        self.ledger.write(now, Saw::Done { worker, event: event.clone() });
+        self.ledger.record(now, Observation::RequestFinished { worker, event: event.clone() });
         self.facts = Facts::of(&event);
         if request.keyed {
             self.rack.borrow_mut().insert(request.event.clone(), now + self.build.window);
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -3,7 +3,7 @@
 use super::prefixes::RequestPrefix;
 use super::{Copy, Mood, Request, Timer, Worker};
 use crate::http_peer::{HttpPeer, Message};
-use crate::ledger::{Event, Saw};
+use crate::ledger::{Event, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Conn, Micros, Transport};
@@ -27,11 +27,14 @@
         let event: Event = Rc::from(format!("{} {}", asked.field("ce-source"), asked.field("ce-id")));
         let router = asked.number("applepond-router").unwrap_or(0);
         let (worker, rack) = (self.build.name.clone(), self.build.rack);
-        self.ledger.write(now, Saw::Came { worker: worker.clone(), rack, router, event: event.clone() });
+        self.ledger.record(
+            now,
+            Observation::RequestReceived { worker: worker.clone(), rack, router, event: event.clone() },
+        );
         let work = asked.number("ce-workms").unwrap_or(20) * 1000;
         if self.is_overloaded(now, router, work) {
             let by = self.recent.iter().map(|recent| recent.router).collect();
-            self.ledger.write(now, Saw::Fell { worker, by });
+            self.ledger.record(now, Observation::WorkerOverloaded { worker, by });
             return self.die(transport);
         }
         if self.misbehaves(now, transport, conn, asked, &event) {
@@ -39,7 +42,7 @@
         }
         let keyed = asked.field("ce-fingerprint") == "true";
         if keyed && self.rack.borrow().get(&event).is_some_and(|until| now < *until) {
-            self.ledger.write(now, Saw::Dropped { worker, event });
+            self.ledger.record(now, Observation::DuplicateDropped { worker, event });
             let answer = Answer { status: 200, outcome: "", copy: "", same_function: 0 };
             return self.answer(transport, conn, &answer);
         }
@@ -54,7 +57,7 @@
         let prefix = RequestPrefix::read(asked);
         if let Some(prefix) = prefix.as_ref().filter(|prefix| prefix.lease > 0) {
             let (worker, opening) = (self.build.name.clone(), prefix.name.clone());
-            self.ledger.write(now, Saw::Pinned { worker, router, opening });
+            self.ledger.record(now, Observation::PrefixPinned { worker, router, opening });
         }
         let request = Request { event, function, work, keyed, copy, same_function, running: false, prefix };
         self.requests.insert(conn, request);
@@ -85,7 +88,7 @@
             Mood::Hang => {}
             Mood::FailFast(share) if self.rng.rand_float() < share => {
                 let worker = self.build.name.clone();
-                self.ledger.write(now, Saw::Began { worker, event: event.clone() });
+                self.ledger.record(now, Observation::RequestStarted { worker, event: event.clone() });
                 let answer = Answer { status: 500, outcome: "", copy: "", same_function: 0 };
                 self.answer(transport, conn, &answer);
             }
@@ -107,7 +110,7 @@
         same_function: usize,
     ) {
         let worker = self.build.name.clone();
-        self.ledger.write(now, Saw::TurnedAway { worker, event: event.clone() });
+        self.ledger.record(now, Observation::RequestRejected { worker, event: event.clone() });
         self.answer(transport, conn, &Answer { status: 503, outcome: "full", copy: "", same_function });
     }
 
--- a/crates/fakes/src/worker/prefixes.rs
+++ b/crates/fakes/src/worker/prefixes.rs
@@ -1,7 +1,7 @@
 //! Prompt prefixes that a worker keeps prepared.
 use super::Worker;
 use crate::http_peer::Message;
-use crate::ledger::Saw;
+use crate::ledger::Observation;
 use applepond_reactor::Micros;
 use std::rc::Rc;
 
@@ -62,7 +62,7 @@
             .insert(prefix.name.clone(), Prepared { size: prefix.size, last_used: now, pinned_until });
         let took = prefix.size * self.build.prepare;
         let (worker, opening) = (self.build.name.clone(), prefix.name.clone());
-        self.ledger.write(now, Saw::Prepared { worker, opening, took });
+        self.ledger.record(now, Observation::PrefixPrepared { worker, opening, took });
         took
     }
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use applepond_fakes::client::{Client, Got, Planned, Results};
-use applepond_fakes::ledger::{Ledger, Saw};
+use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Build, Mood, Turn, Worker};
 use applepond_gateway::Gateway;
 use applepond_reactor::{Micros, Reactor};
@@ -122,10 +122,18 @@
     fleet.reactor.add(Box::new(client));
     until(&mut fleet.reactor, || results.borrow().done == 1_000);
     fleet.ledger.read(|seen| {
-        let count = |what: fn(&Saw) -> bool| seen.iter().filter(|(_, saw)| what(saw)).count();
-        assert_eq!(count(|s| matches!(s, Saw::Asked { .. })), 1_000);
-        assert_eq!(count(|s| matches!(s, Saw::Answered { .. })), 1_000);
-        assert_eq!(count(|s| matches!(s, Saw::Stray { .. } | Saw::Cut { .. } | Saw::GaveUp { .. })), 0);
+        let count = |what: fn(&Observation) -> bool| seen.iter().filter(|(_, saw)| what(saw)).count();
+        assert_eq!(count(|s| matches!(s, Observation::RequestSent { .. })), 1_000);
+        assert_eq!(count(|s| matches!(s, Observation::ResponseReceived { .. })), 1_000);
+        assert_eq!(
+            count(|s| matches!(
+                s,
+                Observation::UnexpectedBytes { .. }
+                    | Observation::ConnectionLost { .. }
+                    | Observation::ClientTimedOut { .. }
+            )),
+            0
+        );
     });
     let ends = ends(&results.borrow());
     let ok = ends.get(&Got::Finished).unwrap_or(&0) + ends.get(&Got::Late).unwrap_or(&0);
@@ -151,7 +159,7 @@
             let event = format!("/desk {n}");
             let began = seen
                 .iter()
-                .filter(|(_, s)| matches!(s, Saw::Began { event: e, .. } if **e == *event))
+                .filter(|(_, s)| matches!(s, Observation::RequestStarted { event: e, .. } if **e == *event))
                 .count();
             assert!(began <= 1, "{event} began {began} times");
         }
@@ -170,7 +178,9 @@
         Client::new(requests, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
     let ledger = fleet.ledger.clone();
-    until(&mut fleet.reactor, || ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Saw::Began { .. }))));
+    until(&mut fleet.reactor, || {
+        ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Observation::RequestStarted { .. })))
+    });
     // The first machine added is the first worker.
     fleet.reactor.remove(0);
     until(&mut fleet.reactor, || results.borrow().done == 20);
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -1,6 +1,6 @@
 //! The audit: judges the rules from what test doubles and clients saw on their sockets, and from nothing
 //! else.
-use applepond_fakes::ledger::{Event, Saw};
+use applepond_fakes::ledger::{Event, Observation};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -84,7 +84,7 @@
 }
 
 /// Judges a ledger by these terms.
-pub fn judge(ledger: &[(Micros, Saw)], terms: &Terms) -> Verdict {
+pub fn judge(ledger: &[(Micros, Observation)], terms: &Terms) -> Verdict {
     let mut verdict = Verdict::default();
     answers(ledger, terms, &mut verdict);
     effects(ledger, terms, &mut verdict);
@@ -103,26 +103,26 @@
 }
 
 /// Rule 1: one answer to each exchange, in time, nothing after.
-fn answers(ledger: &[(Micros, Saw)], terms: &Terms, verdict: &mut Verdict) {
+fn answers(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
     let mut open: BTreeMap<u64, Exchange> = BTreeMap::new();
     for (at, saw) in ledger {
         match saw {
-            Saw::Asked { exchange, router, limit, .. } => {
+            Observation::RequestSent { exchange, router, limit, .. } => {
                 verdict.exchanges += 1;
                 let asked = Exchange { asked: *at, router: *router, deadline: *limit, ended: false };
                 open.insert(*exchange, asked);
             }
-            Saw::Answered { exchange, status } => {
+            Observation::ResponseReceived { exchange, status } => {
                 let Some(answered) = open.get_mut(exchange) else { continue };
                 check_answer(*exchange, answered, *at, *status, verdict);
             }
-            Saw::Stray { exchange } => {
+            Observation::UnexpectedBytes { exchange } => {
                 verdict.fault(1, format!("more came after the answer to exchange {exchange}"));
             }
-            Saw::Left { exchange } => {
+            Observation::ClientLeft { exchange } => {
                 open.remove(exchange);
             }
-            Saw::Cut { exchange } | Saw::GaveUp { exchange } => {
+            Observation::ConnectionLost { exchange } | Observation::ClientTimedOut { exchange } => {
                 let Some(Exchange { asked, router, ended, .. }) = open.get_mut(exchange) else { continue };
                 let is_explained = terms.outages.iter().any(|outage| outage.explains(*router, *asked, *at));
                 if !std::mem::replace(ended, true) && !is_explained {
@@ -157,29 +157,29 @@
 }
 
 /// Rule 2: no effect twice, and no rejection of what has run.
-fn effects(ledger: &[(Micros, Saw)], terms: &Terms, verdict: &mut Verdict) {
+fn effects(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
     // By event, the arrival of each attempt that began.
     let mut begun: BTreeMap<&Event, Vec<Arrival>> = BTreeMap::new();
     let mut arrivals: BTreeMap<(&Rc<str>, &Event), Arrival> = BTreeMap::new();
     let mut asked: BTreeMap<u64, &Event> = BTreeMap::new();
     for (at, saw) in ledger {
         match saw {
-            Saw::Came { worker, rack, event, .. } => {
+            Observation::RequestReceived { worker, rack, event, .. } => {
                 arrivals.insert((worker, event), Arrival { at: *at, rack: *rack });
             }
-            Saw::Dropped { .. } => verdict.dropped_repeats += 1,
-            Saw::Fetch { taken: true } => verdict.fetches += 1,
-            Saw::Began { worker, event } => {
+            Observation::DuplicateDropped { .. } => verdict.dropped_repeats += 1,
+            Observation::ModelFetch { taken: true } => verdict.fetches += 1,
+            Observation::RequestStarted { worker, event } => {
                 verdict.attempts += 1;
                 let Some(arrival) = arrivals.get(&(worker, event)) else { continue };
                 let attempts = begun.entry(event).or_default();
                 attempts.push(*arrival);
                 check_attempts(event, attempts, terms, verdict);
             }
-            Saw::Asked { exchange, event, .. } => {
+            Observation::RequestSent { exchange, event, .. } => {
                 asked.insert(*exchange, event);
             }
-            Saw::Answered { exchange, status: 503 } => {
+            Observation::ResponseReceived { exchange, status: 503 } => {
                 let Some(event) = asked.get(exchange) else { continue };
                 let effect = terms.effects.get(*event);
                 if effect != Some(&Effect::Idempotent) && begun.contains_key(event) {
@@ -210,17 +210,17 @@
 }
 
 /// Rule 3: nothing new to a draining or gone worker past the grace.
-fn drains(ledger: &[(Micros, Saw)], terms: &Terms, verdict: &mut Verdict) {
+fn drains(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
     let mut notified: BTreeMap<(u64, &Rc<str>), Micros> = BTreeMap::new();
     for (at, saw) in ledger {
         match saw {
-            Saw::Told { router, worker, ready: true, .. } => {
+            Observation::EndpointSent { router, worker, ready: true, .. } => {
                 notified.remove(&(*router, worker));
             }
-            Saw::Told { router, worker, ready: false, .. } => {
+            Observation::EndpointSent { router, worker, ready: false, .. } => {
                 notified.entry((*router, worker)).or_insert(*at);
             }
-            Saw::Came { worker, router, event, .. } => {
+            Observation::RequestReceived { worker, router, event, .. } => {
                 let since = notified.get(&(*router, worker)).map(|since| at - since);
                 if let Some(since) = since.filter(|since| *since > terms.grace + PAUSE_SLACK) {
                     let ms = since / 1000;
@@ -234,18 +234,18 @@
 }
 
 /// Rule 4: no cold worker overloaded, unless the routers had not been notified that it started.
-fn cold(ledger: &[(Micros, Saw)], verdict: &mut Verdict) {
+fn cold(ledger: &[(Micros, Observation)], verdict: &mut Verdict) {
     let mut started: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
     let mut notified: BTreeMap<(u64, &Rc<str>), Micros> = BTreeMap::new();
     for (at, saw) in ledger {
         match saw {
-            Saw::Rose { worker } => {
+            Observation::WorkerStarted { worker } => {
                 started.insert(worker, *at);
             }
-            Saw::Told { router, worker, ready: true, .. } => {
+            Observation::EndpointSent { router, worker, ready: true, .. } => {
                 notified.insert((*router, worker), *at);
             }
-            Saw::Fell { worker, by } => {
+            Observation::WorkerOverloaded { worker, by } => {
                 let since = started.get(worker).copied().unwrap_or(0);
                 let knows = |router: &&u64| {
                     notified.get(&(**router, worker)).is_some_and(|notified| *notified >= since)
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -9,7 +9,7 @@
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{Got, Planned, Results};
-use applepond_fakes::ledger::{Ledger, Saw};
+use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -259,11 +259,11 @@
     ledger.read(|ledger| {
         for (at, saw) in ledger {
             match saw {
-                Saw::Prepared { took, .. } if *at >= from => {
+                Observation::PrefixPrepared { took, .. } if *at >= from => {
                     report.prepared += 1;
                     report.preparing_seconds += *took as f64 / 1e6;
                 }
-                Saw::Pinned { worker, opening, .. } => {
+                Observation::PrefixPinned { worker, opening, .. } => {
                     loops += usize::from(**opening == *LOOP);
                     let held = leases.entry(worker.clone()).or_default();
                     held.retain(|_, last| *at < *last + LEASE_TIME + LEASE_SLACK);
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -11,7 +11,7 @@
 use crate::testbed::Testbed;
 use applepond_fakes::client::{Got, Results};
 use applepond_fakes::hosts::Row;
-use applepond_fakes::ledger::{Ledger, Saw};
+use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Mood, Turn};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
@@ -360,9 +360,11 @@
         let mut tenths: BTreeMap<Micros, usize> = BTreeMap::new();
         for (at, saw) in ledger {
             match saw {
-                Saw::Fetch { taken: true } => *tenths.entry(at / (100 * MS)).or_default() += 1,
-                Saw::Fell { .. } => report.overloaded_cold += 1,
-                Saw::Came { worker, router, .. } if *worker == draining.name && *at > last => {
+                Observation::ModelFetch { taken: true } => *tenths.entry(at / (100 * MS)).or_default() += 1,
+                Observation::WorkerOverloaded { .. } => report.overloaded_cold += 1,
+                Observation::RequestReceived { worker, router, .. }
+                    if *worker == draining.name && *at > last =>
+                {
                     let outage = outages.iter().find(|outage| outage.router == *router);
                     let after = outage.map(|outage| at.saturating_sub(outage.until));
                     report.strays += usize::from(after.is_some());
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -7,7 +7,7 @@
 use crate::process::{Router, Setup};
 use crate::testbed::Testbed;
 use applepond_fakes::client::{Got, Planned, Results};
-use applepond_fakes::ledger::{Ledger, Saw};
+use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{self, Mood};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
@@ -351,10 +351,10 @@
     ledger.read(|seen| {
         for (at, saw) in seen.iter().filter(|(at, _)| *at >= times.begin && *at < times.end) {
             match saw {
-                Saw::Asked { .. } => report.seconds[times.second(*at)].2 += 1,
-                Saw::Began { .. } => begun[times.second(*at)] += 1,
-                Saw::Answered { status: 503 | 429, .. } => report.rejected += 1,
-                Saw::Fetch { taken: true } if *at >= times.heal => report.fetches += 1,
+                Observation::RequestSent { .. } => report.seconds[times.second(*at)].2 += 1,
+                Observation::RequestStarted { .. } => begun[times.second(*at)] += 1,
+                Observation::ResponseReceived { status: 503 | 429, .. } => report.rejected += 1,
+                Observation::ModelFetch { taken: true } if *at >= times.heal => report.fetches += 1,
                 _ => {}
             }
         }
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -6,7 +6,7 @@
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{Follow, Got, Planned, Results};
-use applepond_fakes::ledger::{Event, Ledger, Saw};
+use applepond_fakes::ledger::{Event, Ledger, Observation};
 use applepond_reactor::Micros;
 use applepond_storage::{DiskStore, WorkflowStore};
 use oorandom::Rand64;
@@ -308,9 +308,9 @@
 }
 
 /// Workflows of which a step with an effect began.
-fn workflows_with_effect(seen: &[(Micros, Saw)]) -> BTreeSet<String> {
-    let workflow = |saw: &Saw| {
-        let Saw::Began { event, .. } = saw else { return None };
+fn workflows_with_effect(seen: &[(Micros, Observation)]) -> BTreeSet<String> {
+    let workflow = |saw: &Observation| {
+        let Observation::RequestStarted { event, .. } = saw else { return None };
         let (workflow, step) = event.rsplit_once('/')?;
         (step != "price").then(|| workflow.to_owned())
     };
@@ -318,11 +318,15 @@
 }
 
 /// Rule 6: no step begun or running past its workflow's deadline; undos have their own.
-fn check_deadlines(seen: &[(Micros, Saw)], deadlines: &BTreeMap<String, Micros>, verdict: &mut Verdict) {
+fn check_deadlines(
+    seen: &[(Micros, Observation)],
+    deadlines: &BTreeMap<String, Micros>,
+    verdict: &mut Verdict,
+) {
     for (at, saw) in seen {
         let (event, what) = match saw {
-            Saw::Began { event, .. } => (event, "begun"),
-            Saw::Done { event, .. } => (event, "still running"),
+            Observation::RequestStarted { event, .. } => (event, "begun"),
+            Observation::RequestFinished { event, .. } => (event, "still running"),
             _ => continue,
         };
         let Some((workflow, step)) = event.rsplit_once('/') else { continue };
--- a/crates/scenarios/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -1,7 +1,7 @@
 //! Cases of single modules of this package.
 
 mod audit {
-    use applepond_fakes::ledger::Saw;
+    use applepond_fakes::ledger::Observation;
     use applepond_reactor::Micros;
     use applepond_scenarios::audit::{Effect, Outage, Terms, judge};
 
@@ -14,40 +14,42 @@
         Rc::from(text)
     }
 
-    fn came(event: &str, rack: i64) -> Saw {
-        Saw::Came { worker: name("w"), rack, router: 0, event: name(event) }
+    fn came(event: &str, rack: i64) -> Observation {
+        Observation::RequestReceived { worker: name("w"), rack, router: 0, event: name(event) }
     }
 
-    fn began(event: &str) -> Saw {
-        Saw::Began { worker: name("w"), event: name(event) }
+    fn began(event: &str) -> Observation {
+        Observation::RequestStarted { worker: name("w"), event: name(event) }
     }
 
-    fn asked(event: &str) -> Saw {
-        Saw::Asked { exchange: 1, router: 0, event: name(event), limit: 4 * S }
+    fn asked(event: &str) -> Observation {
+        Observation::RequestSent { exchange: 1, router: 0, event: name(event), limit: 4 * S }
     }
 
-    fn notified(ready: bool) -> Saw {
-        Saw::Told { router: 0, worker: name("w"), ready, started: 1 }
+    fn notified(ready: bool) -> Observation {
+        Observation::EndpointSent { router: 0, worker: name("w"), ready, started: 1 }
     }
 
-    fn answered(status: u16) -> Saw {
-        Saw::Answered { exchange: 1, status }
+    fn answered(status: u16) -> Observation {
+        Observation::ResponseReceived { exchange: 1, status }
     }
 
-    fn fell() -> Saw {
-        Saw::Fell { worker: name("w"), by: vec![0, 0, 1] }
+    fn overloaded() -> Observation {
+        Observation::WorkerOverloaded { worker: name("w"), by: vec![0, 0, 1] }
     }
 
     // Each story with the one rule that it breaks, beside its sound twin.
     #[test_case(vec![(0, asked("q")), (S, answered(200))], None; "answered")]
     #[test_case(vec![(0, asked("q")), (S, answered(200)), (S, answered(200))], Some(1); "answered twice")]
-    #[test_case(vec![(0, asked("q")), (S, answered(200)), (S, Saw::Stray { exchange: 1 })], Some(1); "stray")]
+    #[test_case(vec![(0, asked("q")), (S, answered(200)), (S, Observation::UnexpectedBytes { exchange: 1 })],
+        Some(1); "stray")]
     #[test_case(vec![(0, asked("q")), (5 * S, answered(200))], Some(1); "too late")]
-    #[test_case(vec![(0, asked("q")), (S, Saw::Cut { exchange: 1 })], Some(1); "cut")]
-    #[test_case(vec![(0, asked("q")), (5 * S, Saw::GaveUp { exchange: 1 })], Some(1); "never answered")]
+    #[test_case(vec![(0, asked("q")), (S, Observation::ConnectionLost { exchange: 1 })], Some(1); "cut")]
+    #[test_case(vec![(0, asked("q")), (5 * S, Observation::ClientTimedOut { exchange: 1 })],
+        Some(1); "never answered")]
     #[test_case(vec![(0, asked("q"))], Some(1); "left open")]
-    #[test_case(vec![(0, asked("q")), (S, Saw::Left { exchange: 1 })], None; "client left")]
-    #[test_case(vec![(9 * S, asked("q")), (9 * S, Saw::Cut { exchange: 1 })], None;
+    #[test_case(vec![(0, asked("q")), (S, Observation::ClientLeft { exchange: 1 })], None; "client left")]
+    #[test_case(vec![(9 * S, asked("q")), (9 * S, Observation::ConnectionLost { exchange: 1 })], None;
     "cut by the drill's kill")]
     #[test_case(vec![(0, came("q", 1)), (1, began("q")), (2, came("q", 2)), (3, began("q"))], None;
         "idempotent twice")]
@@ -67,11 +69,11 @@
     #[test_case(vec![(0, notified(false)), (S, notified(false)), (2 * S + S / 2, came("q", 1))], Some(3);
         "told again, the first notice counts")]
     #[test_case(vec![(0, notified(false)), (S, notified(true)), (3 * S, came("q", 1))], None; "ready again")]
-    #[test_case(vec![(0, Saw::Rose { worker: name("w") }), (1, notified(true)), (2, fell())], Some(4);
-    "pushed over")]
-    #[test_case(vec![(0, notified(true)), (1, Saw::Rose { worker: name("w") }), (2, fell())], None;
-        "pushed over before any was told that it started")]
-    fn each_story_breaks_its_rule_alone(ledger: Vec<(Micros, Saw)>, rule: Option<u8>) {
+    #[test_case(vec![(0, Observation::WorkerStarted { worker: name("w") }), (1, notified(true)),
+        (2, overloaded())], Some(4); "pushed over")]
+    #[test_case(vec![(0, notified(true)), (1, Observation::WorkerStarted { worker: name("w") }),
+        (2, overloaded())], None; "pushed over before any was told that it started")]
+    fn each_story_breaks_its_rule_alone(ledger: Vec<(Micros, Observation)>, rule: Option<u8>) {
         let effects = [("q", Effect::Idempotent), ("h", Effect::Keyed), ("c", Effect::AtMostOnce)];
         let terms = Terms {
             grace: 2 * S,
