--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -72,7 +72,7 @@
         let part = 100.0 * *in_time as f64 / *requests as f64;
         println!("  {:>7}  {requests:>5}  {part:>6.1}%  {}", index * 2, story.join("; "));
     }
-    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.got));
+    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.outcomes));
     let verdict = &report.verdict;
     println!(
         "  {} exchanges, {} attempts begun, {} repeats dropped by racks, {} fetches; median {} ms, \
@@ -89,7 +89,7 @@
 
 fn print_json(report: &Report, seed: u64) {
     let verdict = &report.verdict;
-    let all = json!({"seed": seed, "holds": report.holds(), "got": ends_as_json(&report.got),
+    let all = json!({"seed": seed, "holds": report.holds(), "got": ends_as_json(&report.outcomes),
         "broken": broken_as_json(verdict), "exchanges": verdict.exchanges, "executions": verdict.attempts,
         "fetches": verdict.fetches, "median_us": report.took.0, "p99_us": report.took.1,
         "windows": report.windows});
--- a/crates/cli/src/scenario/report.rs
+++ b/crates/cli/src/scenario/report.rs
@@ -1,5 +1,5 @@
 //! Parts of the output that several scenarios have.
-use applepond_fakes::client::Got;
+use applepond_fakes::client::RequestOutcome;
 use applepond_scenarios::audit::Verdict;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 const MAX_BREACHES: usize = 5;
 
 /// Ends as clients saw them, by their names, as JSON.
-pub(super) fn ends_as_json(ends: &BTreeMap<Got, usize>) -> Map<String, Value> {
+pub(super) fn ends_as_json(ends: &BTreeMap<RequestOutcome, usize>) -> Map<String, Value> {
     ends.iter().map(|(end, count)| (format!("{end:?}"), json!(count))).collect()
 }
 
 /// Ends as clients saw them, in words.
-pub(super) fn ends_in_words(ends: &BTreeMap<Got, usize>) -> String {
+pub(super) fn ends_in_words(ends: &BTreeMap<RequestOutcome, usize>) -> String {
     let words: Vec<String> = ends.iter().map(|(end, count)| format!("{count} {end:?}")).collect();
     words.join(", ")
 }
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -96,7 +96,7 @@
         "peak": report.peak, "pushed_back": report.rejected, "fetches": report.fetches,
         "functions": report.functions,
         "executions_each": {"before": report.attempts.0, "after": report.attempts.1},
-        "got": ends_as_json(&report.got), "broken": broken_as_json(&report.verdict),
+        "got": ends_as_json(&report.outcomes), "broken": broken_as_json(&report.verdict),
         "cut": [report.cut.0, report.cut.1], "seconds": report.seconds})
 }
 
@@ -114,7 +114,7 @@
         "  attempts begun for each job answered in time: {:.2} before the cut, {:.2} in the 10 s after it",
         report.attempts.0, report.attempts.1
     );
-    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.got));
+    println!("  ends of jobs as clients saw them: {}", ends_in_words(&report.outcomes));
     print_rules(&report.verdict);
 }
 
--- a/crates/cli/src/scenario/workflows.rs
+++ b/crates/cli/src/scenario/workflows.rs
@@ -102,7 +102,7 @@
 fn print_json(args: &WorkflowArgs, load: f64, name: &str, report: &Report) {
     let (unanswered, on_record) = (report.unanswered, report.unanswered_on_record);
     let all = json!({"seed": args.seed, "load": load, "play": name, "chains": report.workflows,
-        "finished": report.finished, "steps": report.steps, "got": ends_as_json(&report.got),
+        "finished": report.finished, "steps": report.steps, "got": ends_as_json(&report.outcomes),
         "broken": broken_as_json(&report.verdict),
         "unanswered": {"begun": unanswered, "on-record": on_record}});
     println!("{all}");
@@ -114,7 +114,7 @@
         "  {} of {} chains finished in time; {} steps begun at workers",
         report.finished, report.workflows, report.steps
     );
-    println!("  ends as the desks saw them: {}", ends_in_words(&report.got));
+    println!("  ends as the desks saw them: {}", ends_in_words(&report.outcomes));
     print_rules(&report.verdict);
     print_rule(&report.verdict, 6, ON_TIME);
     if args.kills > 0 {
--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -69,7 +69,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Got {
+pub enum RequestOutcome {
     /// There was no answer.
     #[default]
     Nothing,
@@ -102,7 +102,7 @@
 #[derive(Default)]
 pub struct Results {
     /// For each request its end, and after how many µs.
-    pub got: Vec<(Got, Micros)>,
+    pub outcomes: Vec<(RequestOutcome, Micros)>,
     /// Requests that have ended.
     pub done: usize,
 }
@@ -135,7 +135,8 @@
         routers: Rc<RefCell<Vec<SocketAddr>>>,
         ledger: Ledger,
     ) -> (Self, Rc<RefCell<Results>>) {
-        let results = Rc::new(RefCell::new(Results { got: vec![Default::default(); plan.len()], done: 0 }));
+        let results =
+            Rc::new(RefCell::new(Results { outcomes: vec![Default::default(); plan.len()], done: 0 }));
         let client = Client {
             tries: vec![0; plan.len()],
             plan,
@@ -156,10 +157,10 @@
         transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
     }
 
-    fn settle(&self, now: Micros, request: usize, got: Got) {
+    fn settle(&self, now: Micros, request: usize, got: RequestOutcome) {
         let mut results = self.results.borrow_mut();
-        if results.got[request].0 == Got::Nothing {
-            results.got[request] = (got, now - self.plan[request].at);
+        if results.outcomes[request].0 == RequestOutcome::Nothing {
+            results.outcomes[request] = (got, now - self.plan[request].at);
             results.done += 1;
         }
     }
@@ -167,7 +168,7 @@
     fn ask(&mut self, now: Micros, transport: &mut dyn Transport, request: usize, router: usize, twin: bool) {
         let planned = &self.plan[request];
         if now >= planned.at + planned.limit {
-            return self.settle(now, request, Got::Nothing);
+            return self.settle(now, request, RequestOutcome::Nothing);
         }
         let idle = self.idle.iter().position(|(r, _)| *r == router);
         let at = self.routers.borrow()[router];
@@ -263,7 +264,11 @@
                         self.tries[request] = 1;
                         self.ask(now, transport, request, router, false);
                     }
-                    None => self.settle(now, request, if late { Got::Late } else { Got::Finished }),
+                    None => self.settle(
+                        now,
+                        request,
+                        if late { RequestOutcome::Late } else { RequestOutcome::Finished },
+                    ),
                 }
             }
             503 | 429 if !twin => {
@@ -273,12 +278,12 @@
                 let own = self.plan[request].stays.filter(|_| self.plan[request].ignores);
                 let wait = own.unwrap_or(retry_after);
                 if !self.retry(now, transport, request, router, wait) {
-                    self.settle(now, request, Got::PushedBack);
+                    self.settle(now, request, RequestOutcome::PushedBack);
                 }
             }
             503 | 429 => {}
-            502 | 504 => self.settle(now, request, Got::Killed),
-            other => self.settle(now, request, Got::Other(other)),
+            502 | 504 => self.settle(now, request, RequestOutcome::Killed),
+            other => self.settle(now, request, RequestOutcome::Other(other)),
         }
     }
 
@@ -296,7 +301,7 @@
         let may = never || self.plan[request].idempotent;
         let goes_on = twin || may && self.retry(now, transport, request, elsewhere, wait);
         if !goes_on {
-            self.settle(now, request, Got::Broken);
+            self.settle(now, request, RequestOutcome::Broken);
         }
     }
 }
@@ -337,7 +342,8 @@
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.wakes[wake.0 as usize].take() {
-            Some(Then::Ask { request, .. }) if self.results.borrow().got[request].0 != Got::Nothing => {}
+            Some(Then::Ask { request, .. })
+                if self.results.borrow().outcomes[request].0 != RequestOutcome::Nothing => {}
             Some(Then::Ask { request, router, twin }) => self.ask(now, transport, request, router, twin),
             Some(Then::Leave(request)) => {
                 let mine = self.exchanges.iter_mut().filter(|(_, e)| e.request == request && e.open);
@@ -347,7 +353,7 @@
                     self.peers.remove(&exchange.conn);
                     self.ledger.record(now, Observation::ClientLeft { exchange: *number });
                 }
-                self.settle(now, request, Got::Left);
+                self.settle(now, request, RequestOutcome::Left);
             }
             Some(Then::GiveUp(number)) => {
                 let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
@@ -356,7 +362,7 @@
                 transport.cut(conn);
                 self.peers.remove(&conn);
                 self.ledger.record(now, Observation::ClientTimedOut { exchange: number });
-                self.settle(now, request, Got::Broken);
+                self.settle(now, request, RequestOutcome::Broken);
             }
             None => {}
         }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The instance on real loopback sockets, with stand-ins for workers and clients in the same reactor.
 mod common;
 
-use applepond_fakes::client::{Client, Got, Planned, Results};
+use applepond_fakes::client::{Client, Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Build, Mood, Turn, Worker};
 use applepond_gateway::Gateway;
@@ -79,9 +79,9 @@
     panic!("what the test waits for did not come");
 }
 
-fn ends(results: &Results) -> BTreeMap<Got, usize> {
+fn ends(results: &Results) -> BTreeMap<RequestOutcome, usize> {
     let mut ends = BTreeMap::new();
-    results.got.iter().for_each(|(got, _)| *ends.entry(*got).or_default() += 1);
+    results.outcomes.iter().for_each(|(got, _)| *ends.entry(*got).or_default() += 1);
     ends
 }
 
@@ -136,18 +136,19 @@
         );
     });
     let ends = ends(&results.borrow());
-    let ok = ends.get(&Got::Finished).unwrap_or(&0) + ends.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 500 && ok + ends.get(&Got::PushedBack).unwrap_or(&0) == 1_000, "{ends:?}");
+    let ok =
+        ends.get(&RequestOutcome::Finished).unwrap_or(&0) + ends.get(&RequestOutcome::Late).unwrap_or(&0);
+    assert!(ok >= 500 && ok + ends.get(&RequestOutcome::PushedBack).unwrap_or(&0) == 1_000, "{ends:?}");
 }
 
 // Workers that break off, hang, talk nonsense: an at-most-once request begins once and has its one answer.
-#[test_case(Mood::CutAnswers, &[Got::Killed, Got::PushedBack]; "cut")]
-#[test_case(Mood::Garbage, &[Got::Killed, Got::PushedBack]; "garbage")]
-#[test_case(Mood::FailFast(1.0), &[Got::Killed, Got::PushedBack]; "fail")]
-#[test_case(Mood::Hang, &[Got::Killed, Got::PushedBack]; "hang")]
-#[test_case(Mood::TwoAnswers, &[Got::Finished, Got::PushedBack]; "two answers")]
-#[test_case(Mood::RefuseAll, &[Got::PushedBack, Got::PushedBack]; "full")]
-fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, wanted: &[Got]) {
+#[test_case(Mood::CutAnswers, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "cut")]
+#[test_case(Mood::Garbage, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "garbage")]
+#[test_case(Mood::FailFast(1.0), &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "fail")]
+#[test_case(Mood::Hang, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "hang")]
+#[test_case(Mood::TwoAnswers, &[RequestOutcome::Finished, RequestOutcome::PushedBack]; "two answers")]
+#[test_case(Mood::RefuseAll, &[RequestOutcome::PushedBack, RequestOutcome::PushedBack]; "full")]
+fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, wanted: &[RequestOutcome]) {
     let mut fleet = fleet(3, &[(0, Turn::Mood(mood))]);
     let at = fleet.reactor.now() + 50 * MS;
     let plan = (0..40).map(|n| planned(at + n as Micros * 5 * MS, n, "confirm")).collect();
@@ -185,8 +186,9 @@
     fleet.reactor.remove(0);
     until(&mut fleet.reactor, || results.borrow().done == 20);
     let ends = ends(&results.borrow());
-    let ok = ends.get(&Got::Finished).unwrap_or(&0) + ends.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 15 && !ends.contains_key(&Got::Broken), "{ends:?}");
+    let ok =
+        ends.get(&RequestOutcome::Finished).unwrap_or(&0) + ends.get(&RequestOutcome::Late).unwrap_or(&0);
+    assert!(ok >= 15 && !ends.contains_key(&RequestOutcome::Broken), "{ends:?}");
 }
 
 // Clients that send a byte at a time and clients that never read: the others are served as if they were not
@@ -213,7 +215,7 @@
         }
         results.borrow().done == 100
     });
-    assert_eq!(ends(&results.borrow()), [(Got::Finished, 100)].into());
+    assert_eq!(ends(&results.borrow()), [(RequestOutcome::Finished, 100)].into());
 }
 
 #[test]
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -5,7 +5,7 @@
 use crate::fleet_settings::fleet_block;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Got, Planned, Results};
+use applepond_fakes::client::{Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::Event;
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     /// The audit's judgement.
     pub verdict: Verdict,
     /// How many requests ended in which way, as clients saw it.
-    pub got: BTreeMap<Got, usize>,
+    pub outcomes: BTreeMap<RequestOutcome, usize>,
     /// By window: requests, and those answered within their latency objective.
     pub windows: Vec<(usize, usize)>,
     /// What happened, with µs since the first request.
@@ -42,7 +42,8 @@
 impl Report {
     /// Whether all rules held and no request went unanswered.
     pub fn holds(&self) -> bool {
-        self.verdict.broken.is_empty() && self.got.get(&Got::Nothing).is_none_or(|count| *count == 0)
+        self.verdict.broken.is_empty()
+            && self.outcomes.get(&RequestOutcome::Nothing).is_none_or(|count| *count == 0)
     }
 }
 
@@ -147,22 +148,22 @@
 }
 
 fn report(day: &Day, begin: Micros, results: &Results, verdict: Verdict) -> Report {
-    let mut got = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     let mut windows = vec![(0, 0); (day::LENGTH / WINDOW) as usize + 1];
     let mut took: Vec<Micros> = Vec::new();
-    for (request, (end, after)) in day.requests.iter().zip(&results.got) {
-        *got.entry(*end).or_default() += 1;
+    for (request, (end, after)) in day.requests.iter().zip(&results.outcomes) {
+        *outcomes.entry(*end).or_default() += 1;
         let window = &mut windows[((request.at - begin) / WINDOW) as usize];
         window.0 += 1;
-        if *end == Got::Finished {
+        if *end == RequestOutcome::Finished {
             window.1 += 1;
         }
-        if matches!(end, Got::Finished | Got::Late) {
+        if matches!(end, RequestOutcome::Finished | RequestOutcome::Late) {
             took.push(*after);
         }
     }
     took.sort_unstable();
     let percentile = |percent: usize| took.get(took.len() * percent / 100).copied().unwrap_or(0);
     let story = day.story.iter().map(|(at, what)| (at - begin, what.clone())).collect();
-    Report { verdict, got, windows, story, took: (percentile(50), percentile(99)) }
+    Report { verdict, outcomes, windows, story, took: (percentile(50), percentile(99)) }
 }
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -8,7 +8,7 @@
 use crate::fleet_settings::fleet_block;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Got, Planned, Results};
+use applepond_fakes::client::{Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
@@ -243,9 +243,9 @@
 
 /// Share of the requests from this moment on that were answered in time.
 fn share_in_time(requests: &[Planned], results: &Results, from: Micros) -> f64 {
-    let counted = requests.iter().zip(&results.got).filter(|(request, _)| request.at >= from);
+    let counted = requests.iter().zip(&results.outcomes).filter(|(request, _)| request.at >= from);
     let (all, in_time) = counted.fold((0usize, 0usize), |(all, in_time), (_, (got, _))| {
-        (all + 1, in_time + usize::from(*got == Got::Finished))
+        (all + 1, in_time + usize::from(*got == RequestOutcome::Finished))
     });
     in_time as f64 / all.max(1) as f64
 }
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -9,7 +9,7 @@
 use crate::fleet_settings::fleet_block;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Got, Results};
+use applepond_fakes::client::{RequestOutcome, Results};
 use applepond_fakes::hosts::Row;
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Mood, Turn};
@@ -296,8 +296,8 @@
 
 /// When each request came, and whether it was answered in time.
 fn in_time(day: &Day, results: &Results) -> Vec<(Micros, bool)> {
-    let requests = day.requests.iter().zip(&results.got);
-    requests.map(|(request, (got, _))| (request.at, *got == Got::Finished)).collect()
+    let requests = day.requests.iter().zip(&results.outcomes);
+    requests.map(|(request, (got, _))| (request.at, *got == RequestOutcome::Finished)).collect()
 }
 
 /// Counts recovery requests, of which the first second is that around this tenth of a second.
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -6,7 +6,7 @@
 use crate::errors::ScenarioError;
 use crate::process::{Router, Setup};
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Got, Planned, Results};
+use applepond_fakes::client::{Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{self, Mood};
 use applepond_reactor::Micros;
@@ -99,7 +99,7 @@
     /// Attempts begun for each request answered in time: before the cut, and in the ten seconds after it.
     pub attempts: (f64, f64),
     /// How many requests ended in which way, as clients saw it.
-    pub got: BTreeMap<Got, usize>,
+    pub outcomes: BTreeMap<RequestOutcome, usize>,
 }
 
 /// The requests of all clients.
@@ -312,11 +312,11 @@
     let last = times.second(times.end);
     report.cut = (times.second(times.cut), times.second(times.heal));
     report.seconds = vec![(0, 0, 0); last + 1];
-    for (request, (got, _)) in requests.iter().zip(&results.got) {
+    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
         let row = &mut report.seconds[times.second(request.at).min(last)];
         row.0 += 1;
-        row.1 += usize::from(*got == Got::Finished);
-        *report.got.entry(*got).or_default() += 1;
+        row.1 += usize::from(*got == RequestOutcome::Finished);
+        *report.outcomes.entry(*got).or_default() += 1;
     }
     let in_use = requests.iter().filter(|request| request.at >= times.cut);
     report.functions = in_use.map(|request| request.function.as_str()).collect::<BTreeSet<_>>().len();
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -5,7 +5,7 @@
 use crate::errors::ScenarioError;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Follow, Got, Planned, Results};
+use applepond_fakes::client::{Follow, Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Event, Ledger, Observation};
 use applepond_reactor::Micros;
 use applepond_storage::{DiskStore, WorkflowStore};
@@ -72,7 +72,7 @@
     /// Steps begun at workers.
     pub steps: usize,
     /// How many requests ended in which way, as clients saw it.
-    pub got: BTreeMap<Got, usize>,
+    pub outcomes: BTreeMap<RequestOutcome, usize>,
     /// Workflows without an answer of which a step with an effect began.
     pub unanswered: usize,
     /// Those of them that are on record.
@@ -272,12 +272,12 @@
 }
 
 fn count_ends(report: &mut Report, requests: &[Planned], results: &Results, begin: Micros) {
-    for (request, (got, _)) in requests.iter().zip(&results.got) {
+    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
         if request.at >= begin + LOADING_TIME {
             report.workflows += 1;
-            report.finished += usize::from(*got == Got::Finished);
+            report.finished += usize::from(*got == RequestOutcome::Finished);
         }
-        *report.got.entry(*got).or_default() += 1;
+        *report.outcomes.entry(*got).or_default() += 1;
     }
 }
 
@@ -294,8 +294,8 @@
         records.push(DiskStore::open(&record_file(testbed, index))?);
     }
     let with_effect = testbed.ledger.read(workflows_with_effect);
-    for (request, (got, _)) in requests.iter().zip(&results.got) {
-        let was_answered = !matches!(got, Got::Nothing | Got::Broken);
+    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
+        let was_answered = !matches!(got, RequestOutcome::Nothing | RequestOutcome::Broken);
         if was_answered || !with_effect.contains(&format!("{} {}", request.source, request.id)) {
             continue;
         }
