--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -3,7 +3,7 @@
 use applepond_fakes::hosts::{Hosts, Row};
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
-use applepond_fakes::worker::{Build, Mood, Turn, Worker};
+use applepond_fakes::worker::{Behaviour, Build, ScriptEvent, Worker};
 use applepond_reactor::{Machine, Micros, Reactor};
 use clap::Subcommand;
 use std::net::SocketAddr;
@@ -116,9 +116,10 @@
     }
 }
 
-fn mood_from_start(name: &str) -> Result<(Micros, Turn), clap::Error> {
-    let mood = Mood::named(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
-    Ok((0, Turn::Mood(mood)))
+fn mood_from_start(name: &str) -> Result<(Micros, ScriptEvent), clap::Error> {
+    let mood =
+        Behaviour::from_name(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
+    Ok((0, ScriptEvent::SetBehaviour(mood)))
 }
 
 /// A row of the list, of NAME=ADDRESS.
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -5,7 +5,7 @@
 mod intake;
 mod prefixes;
 
-pub use build::{Build, Mood, Turn};
+pub use build::{Behaviour, Build, ScriptEvent};
 
 use crate::http_peer::HttpPeer;
 use crate::ledger::{Event, Ledger, Observation};
@@ -59,7 +59,7 @@
 
 /// What a timer does.
 enum Timer {
-    Turn(usize),
+    Script(usize),
     Done(Conn, u64),
     Loaded(Rc<str>),
 }
@@ -67,11 +67,11 @@
 /// A worker.
 pub struct Worker {
     build: Build,
-    script: Vec<(Micros, Turn)>,
+    script: Vec<(Micros, ScriptEvent)>,
     ledger: Ledger,
     rack: Rack,
     rng: Rand64,
-    mood: Mood,
+    behaviour: Behaviour,
     /// While it runs.
     listener: Option<Listener>,
     started: Micros,
@@ -94,14 +94,14 @@
 
 impl Worker {
     /// A worker in this rack, which it shares with others.
-    pub fn new(build: Build, script: Vec<(Micros, Turn)>, ledger: Ledger, rack: Rack) -> Self {
+    pub fn new(build: Build, script: Vec<(Micros, ScriptEvent)>, ledger: Ledger, rack: Rack) -> Self {
         Worker {
             rng: Rand64::new(u128::from(build.seed)),
             build,
             script,
             ledger,
             rack,
-            mood: Mood::Well,
+            behaviour: Behaviour::Well,
             listener: None,
             started: 0,
             peers: BTreeMap::new(),
@@ -165,14 +165,14 @@
         warmth < 1.0 && sent as f64 > bears
     }
 
-    fn set_mood(&mut self, transport: &mut dyn Transport, mood: Mood) {
+    fn set_behaviour(&mut self, transport: &mut dyn Transport, behaviour: Behaviour) {
         if let Some(listener) = self.listener {
-            match mood {
-                Mood::NoHandshakes => transport.stop_accepting(listener, false),
+            match behaviour {
+                Behaviour::NoHandshakes => transport.stop_accepting(listener, false),
                 _ => transport.resume_accepting(listener),
             }
         }
-        self.mood = mood;
+        self.behaviour = behaviour;
     }
 
     /// Starts requests that wait: the oldest first, where a copy has a lane and a core is free.
@@ -250,10 +250,10 @@
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         for index in 0..self.script.len() {
             let at = self.script[index].0;
-            self.set_timer(transport, at, Timer::Turn(index));
+            self.set_timer(transport, at, Timer::Script(index));
         }
         // One whose script begins with its rise comes later.
-        if self.script.first().is_none_or(|(_, turn)| *turn != Turn::Rise) {
+        if self.script.first().is_none_or(|(_, turn)| *turn != ScriptEvent::Start) {
             self.start_process(now, transport);
             self.started = now.saturating_sub(self.build.warm_within);
         }
@@ -293,13 +293,13 @@
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.timers[wake.0 as usize].take() {
-            Some(Timer::Turn(index)) => match self.script[index].1 {
-                Turn::Mood(mood) => self.set_mood(transport, mood),
-                Turn::Die => self.die(transport),
-                Turn::Rise => self.start_process(now, transport),
+            Some(Timer::Script(index)) => match self.script[index].1 {
+                ScriptEvent::SetBehaviour(behaviour) => self.set_behaviour(transport, behaviour),
+                ScriptEvent::Stop => self.die(transport),
+                ScriptEvent::Start => self.start_process(now, transport),
             },
             Some(Timer::Done(conn, life)) if life == self.life => {
-                if !matches!(self.mood, Mood::Hang | Mood::Stall) {
+                if !matches!(self.behaviour, Behaviour::Hang | Behaviour::Stall) {
                     self.done(now, transport, conn);
                 } else {
                     self.set_timer(transport, now + HANG_POLL_INTERVAL, Timer::Done(conn, life));
--- a/crates/fakes/src/worker/answer.rs
+++ b/crates/fakes/src/worker/answer.rs
@@ -1,5 +1,5 @@
 //! The answers of a worker.
-use super::{Mood, Worker};
+use super::{Behaviour, Worker};
 use applepond_http::encode::{self, Message};
 use applepond_reactor::{Conn, Transport};
 
@@ -40,19 +40,19 @@
 }
 
 impl Worker {
-    /// Answers a request as the mood is.
+    /// Answers a request as the behaviour is.
     pub(super) fn answer(&mut self, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
         let bytes = self.encode(answer);
-        match self.mood {
-            Mood::CutAnswers => {
+        match self.behaviour {
+            Behaviour::CutAnswers => {
                 transport.write(conn, &bytes[..bytes.len() / 2]);
                 transport.finish(conn);
             }
-            Mood::Garbage if conn.0.is_multiple_of(2) => {
+            Behaviour::Garbage if conn.0.is_multiple_of(2) => {
                 transport.write(conn, b"\x16\x03\x01 certainly no HTTP\r\n\r\n");
             }
-            Mood::Garbage => transport.write(conn, &encode::response(200).body(b"no event")),
-            Mood::TwoAnswers => transport.write(conn, &[bytes.clone(), bytes].concat()),
+            Behaviour::Garbage => transport.write(conn, &encode::response(200).body(b"no event")),
+            Behaviour::TwoAnswers => transport.write(conn, &[bytes.clone(), bytes].concat()),
             _ => transport.write(conn, &bytes),
         }
     }
--- a/crates/fakes/src/worker/build.rs
+++ b/crates/fakes/src/worker/build.rs
@@ -44,7 +44,7 @@
 
 /// How a worker behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mood {
+pub enum Behaviour {
     /// As it should.
     Well,
     /// This share of the requests fails at once.
@@ -67,19 +67,19 @@
     TwoAnswers,
 }
 
-impl Mood {
-    /// The mood of this name, as on command lines and in `POST /-/mood?NAME`.
-    pub fn named(name: &str) -> Option<Mood> {
+impl Behaviour {
+    /// The behaviour of this name, as on command lines and in `POST /-/mood?NAME`.
+    pub fn from_name(name: &str) -> Option<Behaviour> {
         Some(match name {
-            "well" => Mood::Well,
-            "fail-fast" => Mood::FailFast(1.0),
-            "hang" => Mood::Hang,
-            "stall" => Mood::Stall,
-            "cut-answers" => Mood::CutAnswers,
-            "garbage" => Mood::Garbage,
-            "no-handshakes" => Mood::NoHandshakes,
-            "refuse-all" => Mood::RefuseAll,
-            "two-answers" => Mood::TwoAnswers,
+            "well" => Behaviour::Well,
+            "fail-fast" => Behaviour::FailFast(1.0),
+            "hang" => Behaviour::Hang,
+            "stall" => Behaviour::Stall,
+            "cut-answers" => Behaviour::CutAnswers,
+            "garbage" => Behaviour::Garbage,
+            "no-handshakes" => Behaviour::NoHandshakes,
+            "refuse-all" => Behaviour::RefuseAll,
+            "two-answers" => Behaviour::TwoAnswers,
             _ => return None,
         })
     }
@@ -87,11 +87,11 @@
 
 /// An event of a worker's script.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum ScriptEvent {
     /// It behaves like this from now on.
-    Mood(Mood),
+    SetBehaviour(Behaviour),
     /// The process ends: all connections break, the port closes.
-    Die,
+    Stop,
     /// It starts again, empty and cold.
-    Rise,
+    Start,
 }
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -1,7 +1,7 @@
 //! How a worker accepts requests.
 use super::answer::Answer;
 use super::prefixes::RequestPrefix;
-use super::{Copy, Mood, Request, Timer, Worker};
+use super::{Behaviour, Copy, Request, Timer, Worker};
 use crate::http_peer::{HttpPeer, Message};
 use crate::ledger::{Event, Observation};
 use applepond_http::decode::Side;
@@ -22,7 +22,7 @@
         asked: &Message,
     ) {
         if let Some(name) = asked.target.strip_prefix("/-/mood?") {
-            return self.change_mood(transport, conn, name);
+            return self.change_behaviour(transport, conn, name);
         }
         let event: Event = Rc::from(format!("{} {}", asked.field("ce-source"), asked.field("ce-id")));
         let router = asked.number("applepond-router").unwrap_or(0);
@@ -65,16 +65,16 @@
         self.start_waiting(now, transport);
     }
 
-    fn change_mood(&mut self, transport: &mut dyn Transport, conn: Conn, name: &str) {
-        let mood = Mood::named(name);
-        if let Some(mood) = mood {
-            self.set_mood(transport, mood);
+    fn change_behaviour(&mut self, transport: &mut dyn Transport, conn: Conn, name: &str) {
+        let behaviour = Behaviour::from_name(name);
+        if let Some(behaviour) = behaviour {
+            self.set_behaviour(transport, behaviour);
         }
-        let status = if mood.is_some() { 200 } else { 404 };
+        let status = if behaviour.is_some() { 200 } else { 404 };
         transport.write(conn, &encode::response(status).body(b""));
     }
 
-    /// Whether its mood has dealt with the request.
+    /// Whether its behaviour has dealt with the request.
     fn misbehaves(
         &mut self,
         now: Micros,
@@ -84,16 +84,16 @@
         event: &Event,
     ) -> bool {
         let customer = asked.field("ce-customer").bytes().fold(0u8, u8::wrapping_add);
-        match self.mood {
-            Mood::Hang => {}
-            Mood::FailFast(share) if self.rng.rand_float() < share => {
+        match self.behaviour {
+            Behaviour::Hang => {}
+            Behaviour::FailFast(share) if self.rng.rand_float() < share => {
                 let worker = self.build.name.clone();
                 self.ledger.record(now, Observation::RequestStarted { worker, event: event.clone() });
                 let answer = Answer { status: 500, outcome: "", copy: "", same_function: 0 };
                 self.answer(transport, conn, &answer);
             }
-            Mood::RefuseAll => self.reject(now, transport, conn, event, 0),
-            Mood::RefuseCustomer(refused) if refused == customer => {
+            Behaviour::RefuseAll => self.reject(now, transport, conn, event, 0),
+            Behaviour::RefuseCustomer(refused) if refused == customer => {
                 self.reject(now, transport, conn, event, 0);
             }
             _ => return false,
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 use applepond_fakes::client::{Client, Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
-use applepond_fakes::worker::{Build, Mood, Turn, Worker};
+use applepond_fakes::worker::{Behaviour, Build, ScriptEvent, Worker};
 use applepond_gateway::Gateway;
 use applepond_reactor::{Micros, Reactor};
 use common::{MS, S};
@@ -46,7 +46,7 @@
     }
 }
 
-fn fleet(workers: u16, turns: &[(Micros, Turn)]) -> Fleet {
+fn fleet(workers: u16, turns: &[(Micros, ScriptEvent)]) -> Fleet {
     let mut reactor = Reactor::new().expect("epoll");
     let ledger = Ledger::default();
     let mut deployment = common::deployment(workers);
@@ -142,14 +142,14 @@
 }
 
 // Workers that break off, hang, talk nonsense: an at-most-once request begins once and has its one answer.
-#[test_case(Mood::CutAnswers, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "cut")]
-#[test_case(Mood::Garbage, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "garbage")]
-#[test_case(Mood::FailFast(1.0), &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "fail")]
-#[test_case(Mood::Hang, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "hang")]
-#[test_case(Mood::TwoAnswers, &[RequestOutcome::Finished, RequestOutcome::PushedBack]; "two answers")]
-#[test_case(Mood::RefuseAll, &[RequestOutcome::PushedBack, RequestOutcome::PushedBack]; "full")]
-fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, wanted: &[RequestOutcome]) {
-    let mut fleet = fleet(3, &[(0, Turn::Mood(mood))]);
+#[test_case(Behaviour::CutAnswers, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "cut")]
+#[test_case(Behaviour::Garbage, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "garbage")]
+#[test_case(Behaviour::FailFast(1.0), &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "fail")]
+#[test_case(Behaviour::Hang, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "hang")]
+#[test_case(Behaviour::TwoAnswers, &[RequestOutcome::Finished, RequestOutcome::PushedBack]; "two answers")]
+#[test_case(Behaviour::RefuseAll, &[RequestOutcome::PushedBack, RequestOutcome::PushedBack]; "full")]
+fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Behaviour, wanted: &[RequestOutcome]) {
+    let mut fleet = fleet(3, &[(0, ScriptEvent::SetBehaviour(mood))]);
     let at = fleet.reactor.now() + 50 * MS;
     let plan = (0..40).map(|n| planned(at + n as Micros * 5 * MS, n, "confirm")).collect();
     let (client, results) = Client::new(plan, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -4,7 +4,7 @@
 use applepond_fakes::client::Planned;
 use applepond_fakes::hosts::Row;
 use applepond_fakes::ledger::Ledger;
-use applepond_fakes::worker::{Build, Mood, Rack, Turn, Worker};
+use applepond_fakes::worker::{Behaviour, Build, Rack, ScriptEvent, Worker};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     /// Its hall.
     pub hall: usize,
     /// What it does when.
-    pub script: Vec<(Micros, Turn)>,
+    pub script: Vec<(Micros, ScriptEvent)>,
     /// Its status from when on; the list has it later.
     pub standing: Vec<(Micros, &'static str)>,
     /// It runs from the start.
@@ -164,7 +164,7 @@
     drain_wave(&mut scripts, times.wave, store, seed);
     lose_hall(&mut scripts, lost_hall, times.lost);
     let mut story = times.story(lost_hall, killed);
-    story.extend(give_moods(&mut scripts[..workers], lost_hall, &times));
+    story.extend(schedule_misbehaviour(&mut scripts[..workers], lost_hall, &times));
     story.sort();
     scripts.iter_mut().for_each(|script| script.script.sort_by_key(|(at, _)| *at));
     let requests = requests(&mut rng, begin, workers, routers, times.jump);
@@ -196,12 +196,12 @@
     let workers = scripts.len();
     for index in (0..workers).filter(|index| index % 4 == 1) {
         scripts[index].standing = vec![(wave, "draining"), (wave + DRAIN_TIME, "gone")];
-        scripts[index].script = vec![(wave + DRAIN_TIME, Turn::Die)];
+        scripts[index].script = vec![(wave + DRAIN_TIME, ScriptEvent::Stop)];
         let hall = scripts[index].hall;
         scripts.push(WorkerScript {
             build: build(workers + index, hall, store, seed, format!("w{index}b")),
             hall,
-            script: vec![(wave + S, Turn::Rise)],
+            script: vec![(wave + S, ScriptEvent::Start)],
             standing: vec![(wave + S, "ready")],
             from_start: false,
         });
@@ -212,27 +212,34 @@
 fn lose_hall(scripts: &mut [WorkerScript], hall: usize, (from, until): (Micros, Micros)) {
     let stays = |script: &WorkerScript| script.standing.iter().all(|(_, status)| *status != "gone");
     for script in scripts.iter_mut().filter(|script| script.hall == hall && stays(script)) {
-        script.script.extend([(from, Turn::Die), (until, Turn::Rise)]);
+        script.script.extend([(from, ScriptEvent::Stop), (until, ScriptEvent::Start)]);
         script.standing.extend([(from, "gone"), (until, "ready")]);
     }
 }
 
 /// Workers that are neither lost nor drained misbehave for a time, one after the other; returns it in words.
-fn give_moods(scripts: &mut [WorkerScript], lost_hall: usize, times: &Timetable) -> Vec<(Micros, String)> {
+fn schedule_misbehaviour(
+    scripts: &mut [WorkerScript],
+    lost_hall: usize,
+    times: &Timetable,
+) -> Vec<(Micros, String)> {
     let unaffected = |index: &usize| index % HALLS != lost_hall && index % 4 != 1;
     let mut others = (0..scripts.len()).filter(unaffected);
-    let mut give = |(from, until): (Micros, Micros), mood: Mood| {
+    let mut give = |(from, until): (Micros, Micros), behaviour: Behaviour| {
         let index = others.next().unwrap_or(0);
-        scripts[index].script.extend([(from, Turn::Mood(mood)), (until, Turn::Mood(Mood::Well))]);
-        (from, format!("worker w{index}: {mood:?}, for {} ms", (until - from) / MS))
+        scripts[index].script.extend([
+            (from, ScriptEvent::SetBehaviour(behaviour)),
+            (until, ScriptEvent::SetBehaviour(Behaviour::Well)),
+        ]);
+        (from, format!("worker w{index}: {behaviour:?}, for {} ms", (until - from) / MS))
     };
     vec![
-        give(times.failing, Mood::FailFast(0.8)),
-        give(times.hanging, Mood::Hang),
-        give(times.odd, Mood::CutAnswers),
-        give(times.odd, Mood::Garbage),
-        give((times.odd.1, times.odd.1 + S), Mood::TwoAnswers),
-        give((times.wave, times.wave + S), Mood::Stall),
+        give(times.failing, Behaviour::FailFast(0.8)),
+        give(times.hanging, Behaviour::Hang),
+        give(times.odd, Behaviour::CutAnswers),
+        give(times.odd, Behaviour::Garbage),
+        give((times.odd.1, times.odd.1 + S), Behaviour::TwoAnswers),
+        give((times.wave, times.wave + S), Behaviour::Stall),
     ]
 }
 
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -12,7 +12,7 @@
 use applepond_fakes::client::{RequestOutcome, Results};
 use applepond_fakes::hosts::Row;
 use applepond_fakes::ledger::{Ledger, Observation};
-use applepond_fakes::worker::{Mood, Turn};
+use applepond_fakes::worker::{Behaviour, ScriptEvent};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -131,7 +131,7 @@
 /// The day of this scenario: steady requests, one worker that fails most of what it gets, one that drains.
 fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Day {
     let mut day = day::draw(setup.seed, begin, setup.workers, setup.routers, store).without_faults();
-    day.workers[1].script = vec![(begin, Turn::Mood(Mood::FailFast(0.8)))];
+    day.workers[1].script = vec![(begin, ScriptEvent::SetBehaviour(Behaviour::FailFast(0.8)))];
     day.workers[0].standing = vec![(begin + BEFORE - DRAIN_LEAD, "draining")];
     let length = BEFORE + OUTAGE_TIME + AFTER;
     let mut rng = Rand64::new(u128::from(setup.seed) ^ 0x5eed);
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -8,7 +8,7 @@
 use crate::testbed::Testbed;
 use applepond_fakes::client::{Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
-use applepond_fakes::worker::{self, Mood};
+use applepond_fakes::worker::{self, Behaviour};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
 use rustix::process::{Pid, Signal, kill_process};
@@ -162,7 +162,7 @@
 
 /// What happens to routers.
 #[derive(Clone, Copy)]
-enum Turn {
+enum RouterEvent {
     Cut,
     Heal,
     Kill,
@@ -205,9 +205,9 @@
     while testbed.now() < times.end {
         testbed.turn(20)?;
         let now = testbed.now();
-        if let Some((_, turn, what)) = script.next_if(|(at, ..)| *at <= now) {
+        if let Some((_, event, what)) = script.next_if(|(at, ..)| *at <= now) {
             progress(what);
-            take_turn(&mut testbed, turn, options.cut, other)?;
+            apply_event(&mut testbed, event, options.cut, other)?;
         }
         if now >= last_progress + PROGRESS_INTERVAL {
             last_progress = now;
@@ -235,11 +235,13 @@
         match options.cut {
             // A list knows only whether a process runs: one that hangs stays on it.
             Cut::Hang => {
-                worker.script =
-                    vec![(cut, worker::Turn::Mood(Mood::Stall)), (heal, worker::Turn::Mood(Mood::Well))];
+                worker.script = vec![
+                    (cut, worker::ScriptEvent::SetBehaviour(Behaviour::Stall)),
+                    (heal, worker::ScriptEvent::SetBehaviour(Behaviour::Well)),
+                ];
             }
             Cut::Refuse => {
-                worker.script = vec![(cut, worker::Turn::Die), (heal, worker::Turn::Rise)];
+                worker.script = vec![(cut, worker::ScriptEvent::Stop), (heal, worker::ScriptEvent::Start)];
                 worker.standing = vec![(cut, "gone"), (heal, "ready")];
             }
         }
@@ -248,36 +250,38 @@
 }
 
 /// What happens to routers when, and in words.
-fn script(times: Times, restarts_another: bool) -> Vec<(Micros, Turn, &'static str)> {
+fn script(times: Times, restarts_another: bool) -> Vec<(Micros, RouterEvent, &'static str)> {
     let kill = times.heal + RESTART;
-    let mut script =
-        vec![(times.cut, Turn::Cut, "the hall is cut"), (times.heal, Turn::Heal, "the hall comes back")];
+    let mut script = vec![
+        (times.cut, RouterEvent::Cut, "the hall is cut"),
+        (times.heal, RouterEvent::Heal, "the hall comes back"),
+    ];
     if restarts_another {
-        script.push((kill, Turn::Kill, "a router in another hall is killed"));
-        script.push((kill + RESTART_TIME, Turn::Restart, "it is back and knows nothing"));
+        script.push((kill, RouterEvent::Kill, "a router in another hall is killed"));
+        script.push((kill + RESTART_TIME, RouterEvent::Restart, "it is back and knows nothing"));
     }
     script
 }
 
-fn take_turn(
+fn apply_event(
     testbed: &mut Testbed<'_>,
-    turn: Turn,
+    event: RouterEvent,
     cut: Cut,
     other: Option<usize>,
 ) -> Result<(), ScenarioError> {
     for index in 0..testbed.routers.len() {
         let is_other = other == Some(index);
-        match turn {
-            Turn::Cut if is_struck(index) && cut == Cut::Hang => {
+        match event {
+            RouterEvent::Cut if is_struck(index) && cut == Cut::Hang => {
                 signal(testbed.routers[index].as_ref(), Signal::STOP);
             }
-            Turn::Cut if is_struck(index) => _ = testbed.kill(index)?,
-            Turn::Heal if is_struck(index) && testbed.routers[index].is_some() => {
+            RouterEvent::Cut if is_struck(index) => _ = testbed.kill(index)?,
+            RouterEvent::Heal if is_struck(index) && testbed.routers[index].is_some() => {
                 signal(testbed.routers[index].as_ref(), Signal::CONT);
             }
-            Turn::Heal if is_struck(index) => _ = testbed.restart(index)?,
-            Turn::Kill if is_other => _ = testbed.kill(index)?,
-            Turn::Restart if is_other => _ = testbed.restart(index)?,
+            RouterEvent::Heal if is_struck(index) => _ = testbed.restart(index)?,
+            RouterEvent::Kill if is_other => _ = testbed.kill(index)?,
+            RouterEvent::Restart if is_other => _ = testbed.restart(index)?,
             _ => {}
         }
     }
