--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -3,7 +3,7 @@
 use applepond_fakes::hosts::{Hosts, Row};
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
-use applepond_fakes::worker::{Behaviour, Build, ScriptEvent, Worker};
+use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
 use applepond_reactor::{Machine, Micros, Reactor};
 use clap::Subcommand;
 use std::net::SocketAddr;
@@ -80,10 +80,10 @@
     let ledger = Ledger::default();
     Ok(match fake {
         Fake::Worker { listen, name, cores, memory_mb, load_ms, store, mood } => {
-            let mut build = worker_build(name, listen, store);
-            (build.cores, build.memory_mb, build.load) = (cores, memory_mb, load_ms * MS);
+            let mut config = worker_config(name, listen, store);
+            (config.cores, config.memory_mb, config.load_time) = (cores, memory_mb, load_ms * MS);
             let script = mood.map(|name| mood_from_start(&name)).transpose()?;
-            Box::new(Worker::new(build, script.into_iter().collect(), ledger, Rc::default()))
+            Box::new(Worker::new(config, script.into_iter().collect(), ledger, Rc::default()))
         }
         Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
         Fake::Hosts { listen, workers } => {
@@ -94,25 +94,25 @@
 }
 
 /// A worker that is warm at once and never overloaded, with the defaults of the command line.
-fn worker_build(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> Build {
-    Build {
+fn worker_config(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> WorkerConfig {
+    WorkerConfig {
         name: Rc::from(name),
         listen,
         rack: 0,
         cores: 2,
         memory_mb: 8_000,
-        queue: 64,
+        max_waiting: 64,
         store,
-        load: 200 * MS,
-        keep: 10_000 * MS,
+        load_time: 200 * MS,
+        idle_unload_time: 10_000 * MS,
         cold_share: 1.0,
-        warm_within: 0,
-        fall_multiple: f64::INFINITY,
-        fall_span: 1000 * MS,
-        window: 3000 * MS,
+        warmup_time: 0,
+        overload_factor: f64::INFINITY,
+        overload_window: 1000 * MS,
+        dedup_window: 3000 * MS,
         seed: 1,
-        openings: 400,
-        prepare: 1_000,
+        prefix_units: 400,
+        prepare_time_per_unit: 1_000,
     }
 }
 
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,11 +1,11 @@
 //! The worker: cores, lanes, memory, copies that load from the store and are evicted, warm-up, death when
 //! overloaded while cold, repeats dropped by rack, reports in answers. It misbehaves as its script says.
 mod answer;
-mod build;
+mod config;
 mod intake;
 mod prefixes;
 
-pub use build::{Behaviour, Build, ScriptEvent};
+pub use config::{Behaviour, ScriptEvent, WorkerConfig};
 
 use crate::http_peer::HttpPeer;
 use crate::ledger::{Event, Ledger, Observation};
@@ -66,7 +66,7 @@
 
 /// A worker.
 pub struct Worker {
-    build: Build,
+    config: WorkerConfig,
     script: Vec<(Micros, ScriptEvent)>,
     ledger: Ledger,
     rack: Rack,
@@ -94,10 +94,10 @@
 
 impl Worker {
     /// A worker in this rack, which it shares with others.
-    pub fn new(build: Build, script: Vec<(Micros, ScriptEvent)>, ledger: Ledger, rack: Rack) -> Self {
+    pub fn new(config: WorkerConfig, script: Vec<(Micros, ScriptEvent)>, ledger: Ledger, rack: Rack) -> Self {
         Worker {
-            rng: Rand64::new(u128::from(build.seed)),
-            build,
+            rng: Rand64::new(u128::from(config.seed)),
+            config,
             script,
             ledger,
             rack,
@@ -126,8 +126,8 @@
     /// Its process starts.
     fn start_process(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.started = now;
-        self.ledger.record(now, Observation::WorkerStarted { worker: self.build.name.clone() });
-        self.listener = transport.listen(self.build.listen, 10_000).ok().map(|(listener, _)| listener);
+        self.ledger.record(now, Observation::WorkerStarted { worker: self.config.name.clone() });
+        self.listener = transport.listen(self.config.listen, 10_000).ok().map(|(listener, _)| listener);
     }
 
     /// Its process ends.
@@ -147,21 +147,21 @@
 
     /// The part of its pace that it has now.
     fn warmth(&self, now: Micros) -> f64 {
-        let age = (now - self.started) as f64 / self.build.warm_within.max(1) as f64;
-        if self.build.warm_within == 0 || age >= 1.0 {
+        let age = (now - self.started) as f64 / self.config.warmup_time.max(1) as f64;
+        if self.config.warmup_time == 0 || age >= 1.0 {
             return 1.0;
         }
-        self.build.cold_share + (1.0 - self.build.cold_share) * age
+        self.config.cold_share + (1.0 - self.config.cold_share) * age
     }
 
     /// Counts what a worker is sent; whether that is more than a cold one bears.
     fn is_overloaded(&mut self, now: Micros, router: u64, work: Micros) -> bool {
-        let span = self.build.fall_span;
+        let span = self.config.overload_window;
         self.recent.retain(|recent| recent.at + span > now);
         self.recent.push_back(Recent { at: now, router, work });
         let warmth = self.warmth(now);
         let sent: Micros = self.recent.iter().map(|recent| recent.work).sum();
-        let bears = self.build.fall_multiple * warmth * self.build.cores as f64 * span as f64;
+        let bears = self.config.overload_factor * warmth * self.config.cores as f64 * span as f64;
         warmth < 1.0 && sent as f64 > bears
     }
 
@@ -178,7 +178,7 @@
     /// Starts requests that wait: the oldest first, where a copy has a lane and a core is free.
     fn start_waiting(&mut self, now: Micros, transport: &mut dyn Transport) {
         let running = self.requests.values().filter(|request| request.running).count();
-        let mut free = self.build.cores.saturating_sub(running);
+        let mut free = self.config.cores.saturating_sub(running);
         for conn in self.queue.iter().copied().collect::<Vec<_>>() {
             let Some(request) = self.requests.get_mut(&conn) else { continue };
             let Some(copy) = self.copies.get_mut(&request.function) else { continue };
@@ -188,7 +188,7 @@
             free -= 1;
             copy.running += 1;
             request.running = true;
-            let (worker, event, mut work) = (self.build.name.clone(), request.event.clone(), request.work);
+            let (worker, event, mut work) = (self.config.name.clone(), request.event.clone(), request.work);
             let prefix = request.prefix.clone();
             self.queue.retain(|waiting| *waiting != conn);
             self.ledger.record(now, Observation::RequestStarted { worker, event });
@@ -205,11 +205,11 @@
             copy.running -= 1;
             copy.last_used = now;
         }
-        let (worker, event) = (self.build.name.clone(), request.event.clone());
+        let (worker, event) = (self.config.name.clone(), request.event.clone());
         self.ledger.record(now, Observation::RequestFinished { worker, event: event.clone() });
         self.facts = Facts::of(&event);
         if request.keyed {
-            self.rack.borrow_mut().insert(request.event.clone(), now + self.build.window);
+            self.rack.borrow_mut().insert(request.event.clone(), now + self.config.dedup_window);
         }
         let (copy, same_function) = (request.copy, request.same_function);
         self.answer(transport, conn, &Answer { status: 200, outcome: "", copy, same_function });
@@ -255,7 +255,7 @@
         // One whose script begins with its rise comes later.
         if self.script.first().is_none_or(|(_, turn)| *turn != ScriptEvent::Start) {
             self.start_process(now, transport);
-            self.started = now.saturating_sub(self.build.warm_within);
+            self.started = now.saturating_sub(self.config.warmup_time);
         }
     }
     fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
@@ -273,7 +273,7 @@
             self.fetches.remove(&conn);
             transport.cut(conn);
             match answer.status {
-                200 => self.set_timer(transport, now + self.build.load, Timer::Loaded(function)),
+                200 => self.set_timer(transport, now + self.config.load_time, Timer::Loaded(function)),
                 _ => self.load_failed(now, transport, &function),
             }
         } else if let Some(peer) = self.peers.get_mut(&conn) {
--- a/crates/fakes/src/worker/answer.rs
+++ b/crates/fakes/src/worker/answer.rs
@@ -69,7 +69,7 @@
             }
         }
         if answer.status != 200 {
-            return head.body(format!("{{\"worker\":\"{}\"}}", self.build.name).as_bytes());
+            return head.body(format!("{{\"worker\":\"{}\"}}", self.config.name).as_bytes());
         }
         let body = self.result(answer.same_function);
         self.result_head(head).body(body.as_bytes())
@@ -78,8 +78,8 @@
     /// The attributes of a result.
     fn result_head(&mut self, mut head: Message) -> Message {
         self.answered += 1;
-        let id = format!("{}-{}-{}", self.build.name, self.life, self.answered);
-        let source = format!("/workers/{}", self.build.name);
+        let id = format!("{}-{}-{}", self.config.name, self.life, self.answered);
+        let source = format!("/workers/{}", self.config.name);
         for (name, value) in [("specversion", "1.0"), ("type", "result"), ("id", &id), ("source", &source)] {
             head = head.field(&format!("ce-{name}"), value);
         }
@@ -92,7 +92,7 @@
             "{{\"price\":{},\"worker\":\"{}\",\"hut\":\"hold-hut-{hut}\",\"other\":\"hold-hut-{}\",\
              \"desk\":\"confirm-hut-{hut}\",\"free\":{has_free_beds}}}",
             900 + same_function,
-            self.build.name,
+            self.config.name,
             hut % HUTS + 1
         )
     }
--- a/crates/fakes/src/worker/build.rs
+++ b/crates/fakes/src/worker/config.rs
@@ -5,7 +5,7 @@
 
 /// The properties of a worker.
 #[derive(Clone)]
-pub struct Build {
+pub struct WorkerConfig {
     /// Its name.
     pub name: Rc<str>,
     /// Where it listens.
@@ -17,29 +17,29 @@
     /// MB for loaded functions.
     pub memory_mb: u64,
     /// Requests that may wait here; further ones are rejected.
-    pub queue: usize,
+    pub max_waiting: usize,
     /// The store to fetch from; without one a load takes no fetch.
     pub store: Option<SocketAddr>,
     /// µs of a load after its fetch.
-    pub load: Micros,
+    pub load_time: Micros,
     /// µs after which an idle copy may be unloaded by itself.
-    pub keep: Micros,
+    pub idle_unload_time: Micros,
     /// Part of its pace with which it starts.
     pub cold_share: f64,
     /// µs until it is warm; 0 for one that is warm at once.
-    pub warm_within: Micros,
+    pub warmup_time: Micros,
     /// While cold, it dies when it is sent more than so many times what it can do.
-    pub fall_multiple: f64,
+    pub overload_factor: f64,
     /// µs over which that is measured.
-    pub fall_span: Micros,
+    pub overload_window: Micros,
     /// µs for which repeats of keyed requests are dropped.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// Seed of its random draws.
     pub seed: u64,
     /// Units of prompt prefixes that it keeps prepared.
-    pub openings: u64,
+    pub prefix_units: u64,
     /// µs that it takes to prepare one unit.
-    pub prepare: Micros,
+    pub prepare_time_per_unit: Micros,
 }
 
 /// How a worker behaves.
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -26,7 +26,7 @@
         }
         let event: Event = Rc::from(format!("{} {}", asked.field("ce-source"), asked.field("ce-id")));
         let router = asked.number("applepond-router").unwrap_or(0);
-        let (worker, rack) = (self.build.name.clone(), self.build.rack);
+        let (worker, rack) = (self.config.name.clone(), self.config.rack);
         self.ledger.record(
             now,
             Observation::RequestReceived { worker: worker.clone(), rack, router, event: event.clone() },
@@ -48,7 +48,7 @@
         }
         let function: Rc<str> = Rc::from(asked.field("applepond-function"));
         let same_function = self.requests.values().filter(|request| request.function == function).count();
-        if self.queue.len() >= self.build.queue {
+        if self.queue.len() >= self.config.max_waiting {
             return self.reject(now, transport, conn, &event, same_function);
         }
         let Some(copy) = self.find_copy(now, transport, asked, &function) else {
@@ -56,7 +56,7 @@
         };
         let prefix = RequestPrefix::read(asked);
         if let Some(prefix) = prefix.as_ref().filter(|prefix| prefix.lease > 0) {
-            let (worker, opening) = (self.build.name.clone(), prefix.name.clone());
+            let (worker, opening) = (self.config.name.clone(), prefix.name.clone());
             self.ledger.record(now, Observation::PrefixPinned { worker, router, opening });
         }
         let request = Request { event, function, work, keyed, copy, same_function, running: false, prefix };
@@ -87,7 +87,7 @@
         match self.behaviour {
             Behaviour::Hang => {}
             Behaviour::FailFast(share) if self.rng.rand_float() < share => {
-                let worker = self.build.name.clone();
+                let worker = self.config.name.clone();
                 self.ledger.record(now, Observation::RequestStarted { worker, event: event.clone() });
                 let answer = Answer { status: 500, outcome: "", copy: "", same_function: 0 };
                 self.answer(transport, conn, &answer);
@@ -109,7 +109,7 @@
         event: &Event,
         same_function: usize,
     ) {
-        let worker = self.build.name.clone();
+        let worker = self.config.name.clone();
         self.ledger.record(now, Observation::RequestRejected { worker, event: event.clone() });
         self.answer(transport, conn, &Answer { status: 503, outcome: "full", copy: "", same_function });
     }
@@ -134,12 +134,12 @@
         let lanes = asked.number("applepond-lanes").unwrap_or(1) as usize;
         let copy = Copy { memory_mb, lanes, running: 0, loading: true, last_used: now };
         self.copies.insert(function.clone(), copy);
-        match self.build.store {
+        match self.config.store {
             Some(store) => {
                 let fetch = transport.connect(store, CONNECT_TIMEOUT);
                 self.fetches.insert(fetch, (function.clone(), HttpPeer::new(Side::Client)));
             }
-            None => self.set_timer(transport, now + self.build.load, Timer::Loaded(function.clone())),
+            None => self.set_timer(transport, now + self.config.load_time, Timer::Loaded(function.clone())),
         }
         Some("begun")
     }
@@ -147,14 +147,14 @@
     /// Unloads idle copies, the least recently used first; those that run or load stay. Whether there is
     /// room.
     fn make_room(&mut self, now: Micros, wanted: u64) -> bool {
-        let keep = self.build.keep;
+        let keep = self.config.idle_unload_time;
         self.copies.retain(|function, copy| {
             copy.loading
                 || copy.running > 0
                 || copy.last_used + keep > now
                 || self.requests.values().any(|request| request.function == *function)
         });
-        while self.copies.values().map(|copy| copy.memory_mb).sum::<u64>() + wanted > self.build.memory_mb {
+        while self.copies.values().map(|copy| copy.memory_mb).sum::<u64>() + wanted > self.config.memory_mb {
             let idle = self.copies.iter().filter(|(function, copy)| {
                 let is_wanted = self.requests.values().any(|request| request.function == **function);
                 !copy.loading && copy.running == 0 && !is_wanted
--- a/crates/fakes/src/worker/prefixes.rs
+++ b/crates/fakes/src/worker/prefixes.rs
@@ -49,7 +49,7 @@
             return 0;
         }
         while self.prepared.values().map(|prepared| prepared.size).sum::<u64>() + prefix.size
-            > self.build.openings
+            > self.config.prefix_units
         {
             let oldest = self
                 .prepared
@@ -60,8 +60,8 @@
         }
         self.prepared
             .insert(prefix.name.clone(), Prepared { size: prefix.size, last_used: now, pinned_until });
-        let took = prefix.size * self.build.prepare;
-        let (worker, opening) = (self.build.name.clone(), prefix.name.clone());
+        let took = prefix.size * self.config.prepare_time_per_unit;
+        let (worker, opening) = (self.config.name.clone(), prefix.name.clone());
         self.ledger.record(now, Observation::PrefixPrepared { worker, opening, took });
         took
     }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 use applepond_fakes::client::{Client, Planned, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
-use applepond_fakes::worker::{Behaviour, Build, ScriptEvent, Worker};
+use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
 use applepond_gateway::Gateway;
 use applepond_reactor::{Micros, Reactor};
 use common::{MS, S};
@@ -24,25 +24,25 @@
     ledger: Ledger,
 }
 
-fn build(n: u16, listen: SocketAddr) -> Build {
-    Build {
+fn worker_config(n: u16, listen: SocketAddr) -> WorkerConfig {
+    WorkerConfig {
         name: Rc::from(format!("w{n}")),
         listen,
         rack: 0,
         cores: 64,
         memory_mb: 1_000,
-        queue: 1_000,
+        max_waiting: 1_000,
         store: None,
-        load: 20 * MS,
-        keep: 10 * S,
+        load_time: 20 * MS,
+        idle_unload_time: 10 * S,
         cold_share: 1.0,
-        warm_within: 0,
-        fall_multiple: f64::INFINITY,
-        fall_span: S,
-        window: 3 * S,
+        warmup_time: 0,
+        overload_factor: f64::INFINITY,
+        overload_window: S,
+        dedup_window: 3 * S,
         seed: 1,
-        openings: 400,
-        prepare: 1_000,
+        prefix_units: 400,
+        prepare_time_per_unit: 1_000,
     }
 }
 
@@ -59,8 +59,8 @@
         let probe = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr());
         worker.address = probe.expect("a free port");
         let script = turns.iter().map(|(at, turn)| (begin + at, *turn)).collect();
-        let build = build(n as u16, worker.address);
-        reactor.add(Box::new(Worker::new(build, script, ledger.clone(), Rc::default())));
+        let config = worker_config(n as u16, worker.address);
+        reactor.add(Box::new(Worker::new(config, script, ledger.clone(), Rc::default())));
     }
     let at = Rc::new(Cell::new(None));
     let told = at.clone();
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -4,7 +4,7 @@
 use applepond_fakes::client::Planned;
 use applepond_fakes::hosts::Row;
 use applepond_fakes::ledger::Ledger;
-use applepond_fakes::worker::{Behaviour, Build, Rack, ScriptEvent, Worker};
+use applepond_fakes::worker::{Behaviour, Rack, ScriptEvent, Worker, WorkerConfig};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 /// One worker's day.
 pub struct WorkerScript {
     /// What it is.
-    pub build: Build,
+    pub config: WorkerConfig,
     /// Its hall.
     pub hall: usize,
     /// What it does when.
@@ -81,25 +81,25 @@
 }
 
 /// The worker of this index in a hall.
-pub fn build(index: usize, hall: usize, store: SocketAddr, seed: u64, name: String) -> Build {
-    Build {
+pub fn worker_config(index: usize, hall: usize, store: SocketAddr, seed: u64, name: String) -> WorkerConfig {
+    WorkerConfig {
         name: Rc::from(name),
         listen: address(hall, index),
         rack: (hall * 2 + index / HALLS % 2) as i64,
         cores: 2,
         memory_mb: 8_000,
-        queue: 40,
+        max_waiting: 40,
         store: Some(store),
-        load: 120 * MS,
-        keep: 8 * S,
+        load_time: 120 * MS,
+        idle_unload_time: 8 * S,
         cold_share: 0.25,
-        warm_within: 6 * S,
-        fall_multiple: 2.5,
-        fall_span: S,
-        window: WINDOW,
+        warmup_time: 6 * S,
+        overload_factor: 2.5,
+        overload_window: S,
+        dedup_window: WINDOW,
         seed: seed ^ index as u64,
-        openings: 400,
-        prepare: 1_000,
+        prefix_units: 400,
+        prepare_time_per_unit: 1_000,
     }
 }
 
@@ -182,7 +182,7 @@
 /// Workers, in all halls in turn, to which nothing happens.
 pub(crate) fn steady_workers(workers: usize, store: SocketAddr, seed: u64) -> Vec<WorkerScript> {
     let script = |index| WorkerScript {
-        build: build(index, index % HALLS, store, seed, format!("w{index}")),
+        config: worker_config(index, index % HALLS, store, seed, format!("w{index}")),
         hall: index % HALLS,
         script: Vec::new(),
         standing: Vec::new(),
@@ -199,7 +199,7 @@
         scripts[index].script = vec![(wave + DRAIN_TIME, ScriptEvent::Stop)];
         let hall = scripts[index].hall;
         scripts.push(WorkerScript {
-            build: build(workers + index, hall, store, seed, format!("w{index}b")),
+            config: worker_config(workers + index, hall, store, seed, format!("w{index}b")),
             hall,
             script: vec![(wave + S, ScriptEvent::Start)],
             standing: vec![(wave + S, "ready")],
@@ -324,21 +324,21 @@
     pub fn workers(&self, ledger: &Ledger) -> Vec<Worker> {
         let mut racks: BTreeMap<i64, Rack> = BTreeMap::new();
         let workers = self.workers.iter().map(|worker| {
-            let rack = racks.entry(worker.build.rack).or_default().clone();
-            Worker::new(worker.build.clone(), worker.script.clone(), ledger.clone(), rack)
+            let rack = racks.entry(worker.config.rack).or_default().clone();
+            Worker::new(worker.config.clone(), worker.script.clone(), ledger.clone(), rack)
         });
         workers.collect()
     }
 
     fn row(worker: &WorkerScript, status: &'static str, started: Micros) -> Row {
         Row {
-            name: worker.build.name.clone(),
-            address: worker.build.listen,
+            name: worker.config.name.clone(),
+            address: worker.config.listen,
             standing: status,
             started: started / MS,
             zone: format!("hall-{}", worker.hall),
-            rack: worker.build.rack,
-            weight: worker.build.cores as f64,
+            rack: worker.config.rack,
+            weight: worker.config.cores as f64,
         }
     }
 
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -188,7 +188,7 @@
     let day = day::draw(setup.seed, begin, setup.workers, setup.routers, store);
     let mut day = day.without_faults();
     for worker in &mut day.workers {
-        (worker.build.openings, worker.build.prepare) = (WORKER_UNITS, PREPARE_TIME);
+        (worker.config.prefix_units, worker.config.prepare_time_per_unit) = (WORKER_UNITS, PREPARE_TIME);
     }
     draw_requests(&mut day, setup, begin);
     day
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -108,7 +108,7 @@
 /// The requests of all clients.
 fn requests(options: &Options<'_>, begin: Micros) -> Vec<Planned> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
-    // Two cores a worker, see `day::build`.
+    // Two cores a worker, see `day::worker_config`.
     let rate = options.load * options.setup.workers as f64 * 2.0 * 1000.0 / STEP_MS as f64 / STEPS;
     let prices: RefCell<BTreeMap<String, Value>> = RefCell::default();
     let follow: Follow = Rc::new(move |request, spent, answer| {
