--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -1,6 +1,6 @@
 //! `standin`: a test double of an outside system, for trying things out by hand.
 use crate::errors::USAGE_ERROR;
-use applepond_fakes::hosts::{Hosts, Row};
+use applepond_fakes::endpoint_list::{Endpoint, EndpointList};
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
 use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
@@ -87,8 +87,9 @@
         }
         Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
         Fake::Hosts { listen, workers } => {
-            let rows: Result<Vec<Row>, clap::Error> = workers.iter().map(|text| host_row(text)).collect();
-            Box::new(Hosts::new(listen, rows?, Vec::new(), ledger))
+            let rows: Result<Vec<Endpoint>, clap::Error> =
+                workers.iter().map(|text| host_row(text)).collect();
+            Box::new(EndpointList::new(listen, rows?, Vec::new(), ledger))
         }
     })
 }
@@ -123,14 +124,14 @@
 }
 
 /// A row of the list, of NAME=ADDRESS.
-fn host_row(text: &str) -> Result<Row, clap::Error> {
+fn host_row(text: &str) -> Result<Endpoint, clap::Error> {
     let invalid = || invalid_value(format!("--worker {text}: NAME=ADDRESS is wanted"));
     let (name, address) = text.split_once('=').ok_or_else(invalid)?;
-    Ok(Row {
+    Ok(Endpoint {
         name: Rc::from(name),
         address: address.parse().map_err(|_| invalid())?,
-        standing: "ready",
-        started: 0,
+        status: "ready",
+        started_ms: 0,
         zone: String::new(),
         rack: 0,
         weight: 1.0,
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -14,15 +14,15 @@
 
 /// One worker as the list names it.
 #[derive(Clone)]
-pub struct Row {
+pub struct Endpoint {
     /// Name of the worker.
     pub name: Rc<str>,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its status: ready, draining or gone.
-    pub standing: &'static str,
+    pub status: &'static str,
     /// ms since the Unix epoch; 0 for one that ran before the day began.
-    pub started: u64,
+    pub started_ms: u64,
     /// Its zone.
     pub zone: String,
     /// Its rack.
@@ -31,36 +31,41 @@
     pub weight: f64,
 }
 
-impl Row {
+impl Endpoint {
     fn json(&self) -> Value {
-        json!({"name": &*self.name, "address": self.address.to_string(), "standing": self.standing,
-            "started": self.started, "zone": self.zone, "rack": self.rack, "weight": self.weight})
+        json!({"name": &*self.name, "address": self.address.to_string(), "standing": self.status,
+            "started": self.started_ms, "zone": self.zone, "rack": self.rack, "weight": self.weight})
     }
 }
 
 /// The list.
-pub struct Hosts {
+pub struct EndpointList {
     /// Where it listens.
     pub listen: SocketAddr,
     /// The rows at present.
-    pub rows: Vec<Row>,
+    pub rows: Vec<Endpoint>,
     /// Changes, with when the list has them.
-    pub changes: Vec<(Micros, Row)>,
+    pub changes: Vec<(Micros, Endpoint)>,
     /// From when to when it answers nobody; whoever asks afterwards gets the whole list.
     pub silence: (Micros, Micros),
     /// Whoever asks from the one moment to the other gets this row in place of the true one, as from a
     /// replica that is behind.
-    pub stale: Option<(Micros, Micros, Row)>,
+    pub stale: Option<(Micros, Micros, Endpoint)>,
     /// Where observations go.
     pub ledger: Ledger,
     /// Connections, each with the router that watches on it.
     peers: BTreeMap<Conn, (HttpPeer, Option<u64>)>,
 }
 
-impl Hosts {
+impl EndpointList {
     /// A list that answers always.
-    pub fn new(listen: SocketAddr, rows: Vec<Row>, changes: Vec<(Micros, Row)>, ledger: Ledger) -> Self {
-        Hosts { listen, rows, changes, silence: (0, 0), stale: None, ledger, peers: BTreeMap::new() }
+    pub fn new(
+        listen: SocketAddr,
+        rows: Vec<Endpoint>,
+        changes: Vec<(Micros, Endpoint)>,
+        ledger: Ledger,
+    ) -> Self {
+        EndpointList { listen, rows, changes, silence: (0, 0), stale: None, ledger, peers: BTreeMap::new() }
     }
 
     /// Sends rows to a router.
@@ -71,20 +76,20 @@
         conn: Conn,
         router: u64,
         kind: &str,
-        rows: &[&Row],
+        rows: &[&Endpoint],
     ) {
         let workers: Vec<Value> = rows.iter().map(|row| row.json()).collect();
         let line = format!("{}\n", json!({"kind": kind, "workers": workers}));
         transport.write(conn, &encode::chunk(line.as_bytes()));
         for row in rows {
-            let (worker, ready) = (row.name.clone(), row.standing == "ready");
+            let (worker, ready) = (row.name.clone(), row.status == "ready");
             self.ledger
-                .record(now, Observation::EndpointSent { router, worker, ready, started: row.started });
+                .record(now, Observation::EndpointSent { router, worker, ready, started_ms: row.started_ms });
         }
     }
 }
 
-impl Machine for Hosts {
+impl Machine for EndpointList {
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         transport.listen(self.listen, 10_000).expect("the host list's port is free");
         transport.wake_at(self.silence.0, SILENT);
@@ -107,7 +112,7 @@
             let status = if known.is_some() && standing.is_some() { 200 } else { 404 };
             transport.write(conn, &encode::response(status).body(b""));
             if let (Some(row), Some(standing)) = (known, standing) {
-                self.changes.push((now, Row { standing, ..row }));
+                self.changes.push((now, Endpoint { status: standing, ..row }));
                 transport.wake_at(now, Wake(self.changes.len() as u64 - 1));
             }
             return;
@@ -120,7 +125,7 @@
         *watches = Some(router);
         transport.write(conn, &encode::response(200).field("Content-Type", "application/jsonl").chunked());
         let stale = self.stale.as_ref().filter(|(from, until, _)| (*from..*until).contains(&now));
-        let mut rows: Vec<&Row> = self.rows.iter().collect();
+        let mut rows: Vec<&Endpoint> = self.rows.iter().collect();
         if let Some((_, _, old)) = stale {
             rows.iter_mut().filter(|row| row.name == old.name).for_each(|row| *row = old);
         }
@@ -150,6 +155,6 @@
         for (conn, router) in watching.collect::<Vec<_>>() {
             self.send_rows(now, transport, conn, router, "changes", &[&row]);
         }
-        self.rows.retain(|row| row.standing != "gone");
+        self.rows.retain(|row| row.status != "gone");
     }
 }
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -18,7 +18,7 @@
         /// Whether it is listed as ready.
         ready: bool,
         /// When it started, in ms; 0 before the scenario.
-        started: u64,
+        started_ms: u64,
     },
     /// A worker received a complete request.
     RequestReceived {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -5,7 +5,7 @@
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 pub mod client;
-pub mod hosts;
+pub mod endpoint_list;
 pub mod http_peer;
 pub mod ledger;
 pub mod simulated_transport;
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -2,7 +2,7 @@
 use crate::audit::Outage;
 use crate::process::Setup;
 use applepond_fakes::client::Planned;
-use applepond_fakes::hosts::Row;
+use applepond_fakes::endpoint_list::Endpoint;
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::worker::{Behaviour, Rack, ScriptEvent, Worker, WorkerConfig};
 use applepond_reactor::Micros;
@@ -47,7 +47,7 @@
     /// What it does when.
     pub script: Vec<(Micros, ScriptEvent)>,
     /// Its status from when on; the list has it later.
-    pub standing: Vec<(Micros, &'static str)>,
+    pub statuses: Vec<(Micros, &'static str)>,
     /// It runs from the start.
     pub from_start: bool,
 }
@@ -185,7 +185,7 @@
         config: worker_config(index, index % HALLS, store, seed, format!("w{index}")),
         hall: index % HALLS,
         script: Vec::new(),
-        standing: Vec::new(),
+        statuses: Vec::new(),
         from_start: true,
     };
     (0..workers).map(script).collect()
@@ -195,14 +195,14 @@
 fn drain_wave(scripts: &mut Vec<WorkerScript>, wave: Micros, store: SocketAddr, seed: u64) {
     let workers = scripts.len();
     for index in (0..workers).filter(|index| index % 4 == 1) {
-        scripts[index].standing = vec![(wave, "draining"), (wave + DRAIN_TIME, "gone")];
+        scripts[index].statuses = vec![(wave, "draining"), (wave + DRAIN_TIME, "gone")];
         scripts[index].script = vec![(wave + DRAIN_TIME, ScriptEvent::Stop)];
         let hall = scripts[index].hall;
         scripts.push(WorkerScript {
             config: worker_config(workers + index, hall, store, seed, format!("w{index}b")),
             hall,
             script: vec![(wave + S, ScriptEvent::Start)],
-            standing: vec![(wave + S, "ready")],
+            statuses: vec![(wave + S, "ready")],
             from_start: false,
         });
     }
@@ -210,10 +210,10 @@
 
 /// All workers of a hall die, and come back cold.
 fn lose_hall(scripts: &mut [WorkerScript], hall: usize, (from, until): (Micros, Micros)) {
-    let stays = |script: &WorkerScript| script.standing.iter().all(|(_, status)| *status != "gone");
+    let stays = |script: &WorkerScript| script.statuses.iter().all(|(_, status)| *status != "gone");
     for script in scripts.iter_mut().filter(|script| script.hall == hall && stays(script)) {
         script.script.extend([(from, ScriptEvent::Stop), (until, ScriptEvent::Start)]);
-        script.standing.extend([(from, "gone"), (until, "ready")]);
+        script.statuses.extend([(from, "gone"), (until, "ready")]);
     }
 }
 
@@ -313,7 +313,7 @@
     pub(crate) fn without_faults(mut self) -> Day {
         for worker in &mut self.workers {
             worker.script.clear();
-            worker.standing.clear();
+            worker.statuses.clear();
         }
         self.workers.retain(|worker| worker.from_start);
         self.store_stop = None;
@@ -330,12 +330,12 @@
         workers.collect()
     }
 
-    fn row(worker: &WorkerScript, status: &'static str, started: Micros) -> Row {
-        Row {
+    fn row(worker: &WorkerScript, status: &'static str, started: Micros) -> Endpoint {
+        Endpoint {
             name: worker.config.name.clone(),
             address: worker.config.listen,
-            standing: status,
-            started: started / MS,
+            status,
+            started_ms: started / MS,
             zone: format!("hall-{}", worker.hall),
             rack: worker.config.rack,
             weight: worker.config.cores as f64,
@@ -344,13 +344,13 @@
 
     /// What the endpoint list says at the start, and its changes with when it has them: late, and later for a
     /// while.
-    pub fn list(&self) -> (Vec<Row>, Vec<(Micros, Row)>) {
+    pub fn list(&self) -> (Vec<Endpoint>, Vec<(Micros, Endpoint)>) {
         let from_start = self.workers.iter().filter(|worker| worker.from_start);
         let rows = from_start.map(|worker| Self::row(worker, "ready", 0)).collect();
         let mut changes = Vec::new();
         for worker in &self.workers {
             let mut started = 0;
-            for (at, status) in &worker.standing {
+            for (at, status) in &worker.statuses {
                 started = if *status == "ready" { *at } else { started };
                 let is_late = (self.late_list.0..self.late_list.1).contains(at);
                 let listed = at + if is_late { LATE_LIST_DELAY } else { LIST_DELAY };
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -10,7 +10,7 @@
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{RequestOutcome, Results};
-use applepond_fakes::hosts::Row;
+use applepond_fakes::endpoint_list::Endpoint;
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Behaviour, ScriptEvent};
 use applepond_reactor::Micros;
@@ -132,7 +132,7 @@
 fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Day {
     let mut day = day::draw(setup.seed, begin, setup.workers, setup.routers, store).without_faults();
     day.workers[1].script = vec![(begin, ScriptEvent::SetBehaviour(Behaviour::FailFast(0.8)))];
-    day.workers[0].standing = vec![(begin + BEFORE - DRAIN_LEAD, "draining")];
+    day.workers[0].statuses = vec![(begin + BEFORE - DRAIN_LEAD, "draining")];
     let length = BEFORE + OUTAGE_TIME + AFTER;
     let mut rng = Rand64::new(u128::from(setup.seed) ^ 0x5eed);
     let (mut at, mut number, drawn) = (begin, 0, std::mem::take(&mut day.requests));
@@ -197,7 +197,7 @@
     let begin = testbed.begin;
     let restarts = begin + BEFORE + OUTAGE_TIME;
     let day = draw(&setup, begin, testbed.store);
-    let draining: Row = day.list().0[0].clone();
+    let draining: Endpoint = day.list().0[0].clone();
     // A copy of the list that is behind is what restarted routers get first.
     let stale = (restarts, restarts + STALE_LIST_TIME, draining.clone());
     testbed.add_doubles(&day, |hosts| hosts.stale = Some(stale));
@@ -351,7 +351,7 @@
 fn count_seen(
     report: &mut Report,
     ledger: &Ledger,
-    draining: &Row,
+    draining: &Endpoint,
     outages: &[Outage],
     (begin, last): (Micros, Micros),
 ) {
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -242,7 +242,7 @@
             }
             Cut::Refuse => {
                 worker.script = vec![(cut, worker::ScriptEvent::Stop), (heal, worker::ScriptEvent::Start)];
-                worker.standing = vec![(cut, "gone"), (heal, "ready")];
+                worker.statuses = vec![(cut, "gone"), (heal, "ready")];
             }
         }
     }
--- a/crates/scenarios/src/testbed.rs
+++ b/crates/scenarios/src/testbed.rs
@@ -5,7 +5,7 @@
 use crate::fleet_settings::ports;
 use crate::process::{Router, Setup, start};
 use applepond_fakes::client::{Client, Planned, Results};
-use applepond_fakes::hosts::Hosts;
+use applepond_fakes::endpoint_list::EndpointList;
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
 use applepond_reactor::{Micros, Reactor};
@@ -59,7 +59,7 @@
     }
 
     /// Adds store, workers and endpoint list of the day; the list is adjusted before it begins.
-    pub(crate) fn add_doubles(&mut self, day: &Day, adjust_list: impl FnOnce(&mut Hosts)) {
+    pub(crate) fn add_doubles(&mut self, day: &Day, adjust_list: impl FnOnce(&mut EndpointList)) {
         let mut store = Store::new(self.store, FETCH_TIME, MAX_FETCHES, self.ledger.clone());
         store.stops = day.store_stop.into_iter().collect();
         self.reactor.add(Box::new(store));
@@ -67,7 +67,7 @@
             self.reactor.add(Box::new(worker));
         }
         let (rows, changes) = day.list();
-        let mut hosts = Hosts::new(self.endpoint_list, rows, changes, self.ledger.clone());
+        let mut hosts = EndpointList::new(self.endpoint_list, rows, changes, self.ledger.clone());
         adjust_list(&mut hosts);
         self.reactor.add(Box::new(hosts));
     }
--- a/crates/scenarios/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -27,7 +27,7 @@
     }
 
     fn notified(ready: bool) -> Observation {
-        Observation::EndpointSent { router: 0, worker: name("w"), ready, started: 1 }
+        Observation::EndpointSent { router: 0, worker: name("w"), ready, started_ms: 1 }
     }
 
     fn answered(status: u16) -> Observation {
