--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -20,11 +20,11 @@
 
 /// The next request of a client, given its last one, after how many µs that was answered, and the answer:
 /// none when it has all that it wants.
-pub type Follow = Rc<dyn Fn(&Planned, Micros, &Message) -> Option<Planned>>;
+pub type FollowUp = Rc<dyn Fn(&PlannedRequest, Micros, &Message) -> Option<PlannedRequest>>;
 
 /// One request as the script has it.
 #[derive(Clone)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// When it is asked first.
     pub at: Micros,
     /// The event's source.
@@ -32,7 +32,7 @@
     /// The event's id.
     pub id: String,
     /// The event's type.
-    pub kind: &'static str,
+    pub event_type: &'static str,
     /// The function that it names.
     pub function: String,
     /// The customer that it names.
@@ -40,9 +40,9 @@
     /// ms of work at a warm worker.
     pub work_ms: u64,
     /// µs that the client waits in all.
-    pub limit: Micros,
+    pub timeout: Micros,
     /// µs within which an answer is in time.
-    pub target: Micros,
+    pub latency_target: Micros,
     /// It may run more than once.
     pub idempotent: bool,
     /// It carries an idempotency key.
@@ -52,19 +52,19 @@
     /// Index of the router that is asked first.
     pub router: usize,
     /// Limit of attempts.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Stays with its router whatever happens, and retries after so many µs where it is given no other time.
-    pub stays: Option<Micros>,
+    pub sticky_retry_delay: Option<Micros>,
     /// Retries after `stays` whatever time it is given.
-    pub ignores: bool,
+    pub ignores_retry_after: bool,
     /// Sends the same event once more after so many µs, while the first exchange runs.
-    pub twin_after: Option<Micros>,
+    pub duplicate_after: Option<Micros>,
     /// Leaves after so many µs without waiting for the answer.
-    pub leaves_after: Option<Micros>,
+    pub disconnect_after: Option<Micros>,
     /// Name and size of its prompt prefix.
-    pub opening: Option<(String, u32)>,
+    pub prefix: Option<(String, u32)>,
     /// What the client asks next once this is finished.
-    pub follow: Option<Follow>,
+    pub follow_up: Option<FollowUp>,
 }
 
 /// How a request ended for its client.
@@ -116,7 +116,7 @@
 
 /// All clients.
 pub struct Client {
-    plan: Vec<Planned>,
+    plan: Vec<PlannedRequest>,
     routers: Rc<RefCell<Vec<SocketAddr>>>,
     ledger: Ledger,
     results: Rc<RefCell<Results>>,
@@ -131,7 +131,7 @@
 impl Client {
     /// Clients with these requests. `routers` may change meanwhile, as when one is restarted on another port.
     pub fn new(
-        plan: Vec<Planned>,
+        plan: Vec<PlannedRequest>,
         routers: Rc<RefCell<Vec<SocketAddr>>>,
         ledger: Ledger,
     ) -> (Self, Rc<RefCell<Results>>) {
@@ -167,20 +167,20 @@
 
     fn ask(&mut self, now: Micros, transport: &mut dyn Transport, request: usize, router: usize, twin: bool) {
         let planned = &self.plan[request];
-        if now >= planned.at + planned.limit {
+        if now >= planned.at + planned.timeout {
             return self.settle(now, request, RequestOutcome::Nothing);
         }
         let idle = self.idle.iter().position(|(r, _)| *r == router);
         let at = self.routers.borrow()[router];
         let (conn, stands) = match idle {
             Some(n) => (self.idle.swap_remove(n).1, true),
-            None => (transport.connect(at, planned.limit), false),
+            None => (transport.connect(at, planned.timeout), false),
         };
         self.next += 1;
         self.exchanges.insert(self.next, Exchange { request, conn, router, open: true, twin });
         let peer = self.peers.entry(conn).or_insert_with(|| (HttpPeer::new(Side::Client), 0));
         peer.1 = self.next;
-        let (limit, number) = (planned.at + planned.limit + LISTENING_TIME, self.next);
+        let (limit, number) = (planned.at + planned.timeout + LISTENING_TIME, self.next);
         self.wake(transport, limit, Then::GiveUp(number));
         if stands {
             self.write(now, transport, conn);
@@ -191,15 +191,15 @@
         let Some((_, number)) = self.peers.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.request];
-        let left = ((p.at + p.limit).saturating_sub(now) / 1000).to_string();
+        let left = ((p.at + p.timeout).saturating_sub(now) / 1000).to_string();
         let (work, retry) = (p.work_ms.to_string(), (self.tries[exchange.request] > 1).to_string());
         let mark = p.keyed.to_string();
-        let opening = p.opening.as_ref().map(|(name, size)| (name.as_str(), size.to_string()));
+        let opening = p.prefix.as_ref().map(|(name, size)| (name.as_str(), size.to_string()));
         let mut attributes = vec![
             ("specversion", "1.0"),
             ("id", &p.id),
             ("source", &p.source),
-            ("type", p.kind),
+            ("type", p.event_type),
             ("subject", &p.function),
             ("customer", p.customer),
             ("workms", &work),
@@ -221,7 +221,7 @@
         };
         transport.write(conn, &bytes);
         let (router, event) = (exchange.router as u64, Event::from(format!("{} {}", p.source, p.id)));
-        let limit = p.at + p.limit;
+        let limit = p.at + p.timeout;
         self.ledger.record(now, Observation::RequestSent { exchange: *number, router, event, limit });
     }
 
@@ -235,7 +235,7 @@
         wait: Micros,
     ) -> bool {
         let p = &self.plan[request];
-        let may_retry = self.tries[request] < p.tries && now + wait < p.at + p.limit;
+        let may_retry = self.tries[request] < p.max_attempts && now + wait < p.at + p.timeout;
         if may_retry {
             self.tries[request] += 1;
             self.wake(transport, now + wait, Then::Ask { request, router, twin: false });
@@ -253,11 +253,11 @@
         if answer.keep {
             self.idle.push((router, conn));
         }
-        let late = now > self.plan[request].at + self.plan[request].target;
+        let late = now > self.plan[request].at + self.plan[request].latency_target;
         match answer.status {
             200 => {
                 let p = &self.plan[request];
-                let next = p.follow.as_ref().and_then(|follow| follow(p, now - p.at, answer));
+                let next = p.follow_up.as_ref().and_then(|follow| follow(p, now - p.at, answer));
                 match next.filter(|_| !late) {
                     Some(next) => {
                         self.plan[request] = next;
@@ -275,7 +275,8 @@
                 let seconds = answer.number("retry-after").unwrap_or(1) * 1_000_000;
                 let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
                 let retry_after = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
-                let own = self.plan[request].stays.filter(|_| self.plan[request].ignores);
+                let own =
+                    self.plan[request].sticky_retry_delay.filter(|_| self.plan[request].ignores_retry_after);
                 let wait = own.unwrap_or(retry_after);
                 if !self.retry(now, transport, request, router, wait) {
                     self.settle(now, request, RequestOutcome::PushedBack);
@@ -295,7 +296,7 @@
         exchange.open = false;
         let (request, router, twin) = (exchange.request, exchange.router, exchange.twin);
         self.ledger.record(now, Observation::ConnectionLost { exchange: number });
-        let stays = self.plan[request].stays;
+        let stays = self.plan[request].sticky_retry_delay;
         let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
         let wait = stays.unwrap_or(FAILOVER_DELAY);
         let may = never || self.plan[request].idempotent;
@@ -312,10 +313,10 @@
             let p = self.plan[request].clone();
             self.tries[request] = 1;
             self.wake(transport, p.at, Then::Ask { request, router: p.router, twin: false });
-            if let Some(after) = p.twin_after {
+            if let Some(after) = p.duplicate_after {
                 self.wake(transport, p.at + after, Then::Ask { request, router: p.router, twin: true });
             }
-            if let Some(after) = p.leaves_after {
+            if let Some(after) = p.disconnect_after {
                 self.wake(transport, p.at + after, Then::Leave(request));
             }
         }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The instance on real loopback sockets, with stand-ins for workers and clients in the same reactor.
 mod common;
 
-use applepond_fakes::client::{Client, Planned, RequestOutcome, Results};
+use applepond_fakes::client::{Client, PlannedRequest, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
 use applepond_gateway::Gateway;
@@ -85,28 +85,28 @@
     ends
 }
 
-fn planned(at: Micros, n: usize, kind: &'static str) -> Planned {
-    Planned {
+fn planned(at: Micros, n: usize, kind: &'static str) -> PlannedRequest {
+    PlannedRequest {
         at,
         source: "/desk".into(),
         id: n.to_string(),
-        kind,
+        event_type: kind,
         function: format!("hut-{}", n % 8),
         customer: "huts",
         work_ms: 1,
-        limit: 4 * S,
-        target: 2 * S,
+        timeout: 4 * S,
+        latency_target: 2 * S,
         idempotent: kind == "quote",
         keyed: kind == "hold",
         structured: n.is_multiple_of(2),
         router: 0,
-        tries: 1,
-        stays: None,
-        ignores: false,
-        twin_after: None,
-        leaves_after: None,
-        opening: None,
-        follow: None,
+        max_attempts: 1,
+        sticky_retry_delay: None,
+        ignores_retry_after: false,
+        duplicate_after: None,
+        disconnect_after: None,
+        prefix: None,
+        follow_up: None,
     }
 }
 
@@ -174,7 +174,7 @@
 fn idempotent_requests_of_a_dead_worker_are_answered_by_another() {
     let mut fleet = fleet(2, &[]);
     let at = fleet.reactor.now() + 50 * MS;
-    let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned(at, n, "quote") }).collect();
+    let requests = (0..20).map(|n| PlannedRequest { work_ms: 200, ..planned(at, n, "quote") }).collect();
     let (client, results) =
         Client::new(requests, Rc::new(RefCell::new(vec![fleet.front])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -5,7 +5,7 @@
 use crate::fleet_settings::fleet_block;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Planned, RequestOutcome, Results};
+use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
 use applepond_fakes::ledger::Event;
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
@@ -138,12 +138,12 @@
 
 /// What a second attempt of each request of the day would do.
 pub(crate) fn effects(day: &Day) -> BTreeMap<Event, Effect> {
-    let effect = |request: &Planned| match (request.idempotent, request.keyed) {
+    let effect = |request: &PlannedRequest| match (request.idempotent, request.keyed) {
         (true, _) => Effect::Idempotent,
         (_, true) => Effect::Keyed,
         _ => Effect::AtMostOnce,
     };
-    let event = |request: &Planned| Event::from(format!("{} {}", request.source, request.id));
+    let event = |request: &PlannedRequest| Event::from(format!("{} {}", request.source, request.id));
     day.requests.iter().map(|request| (event(request), effect(request))).collect()
 }
 
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/day.rs
@@ -1,7 +1,7 @@
 //! A day: the workers, the requests, and what goes wrong when, all drawn from one seed.
 use crate::audit::Outage;
 use crate::process::Setup;
-use applepond_fakes::client::Planned;
+use applepond_fakes::client::PlannedRequest;
 use applepond_fakes::endpoint_list::Endpoint;
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::worker::{Behaviour, Rack, ScriptEvent, Worker, WorkerConfig};
@@ -57,7 +57,7 @@
     /// The workers.
     pub workers: Vec<WorkerScript>,
     /// The requests, in their order.
-    pub requests: Vec<Planned>,
+    pub requests: Vec<PlannedRequest>,
     /// From when to when the store does no fetch, if at all.
     pub store_stop: Option<(Micros, Micros)>,
     /// Which router is killed when.
@@ -250,7 +250,7 @@
     workers: usize,
     routers: usize,
     jump: (Micros, Micros),
-) -> Vec<Planned> {
+) -> Vec<PlannedRequest> {
     let harmonic: f64 = (1..=FUNCTIONS).map(|rank| 1.0 / rank as f64).sum();
     let mut requests = Vec::new();
     let mut at = begin;
@@ -269,27 +269,27 @@
             _ => "confirm",
         };
         let chance = |rng: &mut Rand64, part: f64| rng.rand_float() < part;
-        requests.push(Planned {
+        requests.push(PlannedRequest {
             at,
             source: format!("/desks/{}", rng.rand_range(0..9)),
             id: format!("job-{}", requests.len()),
-            kind,
+            event_type: kind,
             function: format!("{kind}-hut-{}", rank.unwrap_or(FUNCTIONS)),
             customer: if chance(rng, 0.6) { "snezka" } else { "labska" },
             work_ms: rng.rand_range(30..90),
-            limit: CLIENT_TIMEOUT,
-            target: if kind == "confirm" { 750 * MS } else { S },
+            timeout: CLIENT_TIMEOUT,
+            latency_target: if kind == "confirm" { 750 * MS } else { S },
             idempotent: kind == "quote",
             keyed: kind == "hold",
             structured: chance(rng, 0.3),
             router: rng.rand_range(0..routers as u64) as usize,
-            tries: 3,
-            stays: None,
-            ignores: false,
-            twin_after: chance(rng, 0.05).then(|| rng.rand_range(1..60) * MS),
-            leaves_after: chance(rng, 0.01).then(|| rng.rand_range(5..300) * MS),
-            opening: None,
-            follow: None,
+            max_attempts: 3,
+            sticky_retry_delay: None,
+            ignores_retry_after: false,
+            duplicate_after: chance(rng, 0.05).then(|| rng.rand_range(1..60) * MS),
+            disconnect_after: chance(rng, 0.01).then(|| rng.rand_range(5..300) * MS),
+            prefix: None,
+            follow_up: None,
         });
     }
     requests
@@ -297,7 +297,7 @@
 
 impl Day {
     /// A day on which nothing goes wrong.
-    pub(crate) fn steady(workers: Vec<WorkerScript>, requests: Vec<Planned>) -> Day {
+    pub(crate) fn steady(workers: Vec<WorkerScript>, requests: Vec<PlannedRequest>) -> Day {
         Day {
             workers,
             requests,
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -8,7 +8,7 @@
 use crate::fleet_settings::fleet_block;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Planned, RequestOutcome, Results};
+use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_reactor::Micros;
 use oorandom::Rand64;
@@ -115,16 +115,16 @@
         at += (-(1.0 - rng.rand_float()).ln() / (RATE + LOOP_RATE) * S as f64) as Micros + 1;
         let mut request = drawn[number % drawn.len()].clone();
         (request.at, request.id) = (at, format!("job-{number}"));
-        (request.twin_after, request.leaves_after) = (None, None);
+        (request.duplicate_after, request.disconnect_after) = (None, None);
         if number < REPLICAS {
             // Once at each replica: whoever proposes knows its size, and that it was asked for elsewhere.
-            (request.router, request.opening) = (number, Some((LOOP.to_owned(), PREFIX_UNITS)));
+            (request.router, request.prefix) = (number, Some((LOOP.to_owned(), PREFIX_UNITS)));
         } else if rng.rand_float() < LOOP_RATE / (RATE + LOOP_RATE) {
-            (request.router, request.opening) = (setup.routers - 1, Some((LOOP.to_owned(), PREFIX_UNITS)));
+            (request.router, request.prefix) = (setup.routers - 1, Some((LOOP.to_owned(), PREFIX_UNITS)));
         } else {
             let drawn = rng.rand_float() * sums[PREFIXES as usize - 1];
             let rank = sums.partition_point(|sum| *sum < drawn);
-            request.opening = Some((format!("opening-{rank}"), PREFIX_UNITS));
+            request.prefix = Some((format!("opening-{rank}"), PREFIX_UNITS));
         }
         day.requests.push(request);
         number += 1;
@@ -242,7 +242,7 @@
 }
 
 /// Share of the requests from this moment on that were answered in time.
-fn share_in_time(requests: &[Planned], results: &Results, from: Micros) -> f64 {
+fn share_in_time(requests: &[PlannedRequest], results: &Results, from: Micros) -> f64 {
     let counted = requests.iter().zip(&results.outcomes).filter(|(request, _)| request.at >= from);
     let (all, in_time) = counted.fold((0usize, 0usize), |(all, in_time), (_, (got, _))| {
         (all + 1, in_time + usize::from(*got == RequestOutcome::Finished))
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -140,7 +140,7 @@
         at += (-(1.0 - rng.rand_float()).ln() / (RATE * setup.workers as f64) * S as f64) as Micros + 1;
         let mut request = drawn[number % drawn.len()].clone();
         (request.at, request.id) = (at, format!("job-{number}"));
-        (request.twin_after, request.leaves_after) = (None, None);
+        (request.duplicate_after, request.disconnect_after) = (None, None);
         day.requests.push(request);
         number += 1;
     }
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -6,7 +6,7 @@
 use crate::errors::ScenarioError;
 use crate::process::{Router, Setup};
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Planned, RequestOutcome, Results};
+use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
 use applepond_fakes::ledger::{Ledger, Observation};
 use applepond_fakes::worker::{self, Behaviour};
 use applepond_reactor::Micros;
@@ -103,7 +103,7 @@
 }
 
 /// The requests of all clients.
-fn requests(options: &Options<'_>, begin: Micros, end: Micros) -> Vec<Planned> {
+fn requests(options: &Options<'_>, begin: Micros, end: Micros) -> Vec<PlannedRequest> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
     let harmonic: f64 = (1..=FUNCTIONS).map(|rank| 1.0 / rank as f64).sum();
     let (mut at, mut requests) = (begin, Vec::new());
@@ -118,27 +118,27 @@
         let kind = ["quote", "quote", "hold", "confirm"][rng.rand_range(0..4) as usize];
         let client = rng.rand_range(0..options.clients);
         let ignores = (client as f64) < options.ignore * options.clients as f64;
-        requests.push(Planned {
+        requests.push(PlannedRequest {
             at,
             source: format!("/client/{client}"),
             id: format!("job-{}", requests.len()),
-            kind,
+            event_type: kind,
             function: format!("{kind}-hut-{}", rank.unwrap_or(FUNCTIONS)),
             customer: if rng.rand_float() < 0.6 { "snezka" } else { "labska" },
             work_ms: rng.rand_range(30..90),
-            limit: CLIENT_TIMEOUT,
-            target: if kind == "confirm" { 750 * MS } else { S },
+            timeout: CLIENT_TIMEOUT,
+            latency_target: if kind == "confirm" { 750 * MS } else { S },
             idempotent: kind == "quote",
             keyed: kind == "hold",
             structured: false,
             router: client as usize % options.setup.routers,
-            tries: u32::MAX,
-            stays: Some(if ignores { IMPATIENT_RETRY_DELAY } else { RETRY_DELAY }),
-            ignores,
-            twin_after: None,
-            leaves_after: None,
-            opening: None,
-            follow: None,
+            max_attempts: u32::MAX,
+            sticky_retry_delay: Some(if ignores { IMPATIENT_RETRY_DELAY } else { RETRY_DELAY }),
+            ignores_retry_after: ignores,
+            duplicate_after: None,
+            disconnect_after: None,
+            prefix: None,
+            follow_up: None,
         });
     }
     requests
@@ -307,7 +307,7 @@
 
 fn report(
     verdict: Verdict,
-    requests: &[Planned],
+    requests: &[PlannedRequest],
     results: &Results,
     ledger: &Ledger,
     times: Times,
--- a/crates/scenarios/src/testbed.rs
+++ b/crates/scenarios/src/testbed.rs
@@ -4,7 +4,7 @@
 use crate::errors::ScenarioError;
 use crate::fleet_settings::ports;
 use crate::process::{Router, Setup, start};
-use applepond_fakes::client::{Client, Planned, Results};
+use applepond_fakes::client::{Client, PlannedRequest, Results};
 use applepond_fakes::endpoint_list::EndpointList;
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
@@ -96,7 +96,7 @@
     }
 
     /// Adds the clients with their requests.
-    pub(crate) fn add_clients(&mut self, requests: &[Planned]) -> Rc<RefCell<Results>> {
+    pub(crate) fn add_clients(&mut self, requests: &[PlannedRequest]) -> Rc<RefCell<Results>> {
         let addresses = Rc::new(RefCell::new(self.addresses.clone()));
         let (client, results) = Client::new(requests.to_vec(), addresses, self.ledger.clone());
         self.reactor.add(Box::new(client));
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -5,7 +5,7 @@
 use crate::errors::ScenarioError;
 use crate::process::Setup;
 use crate::testbed::Testbed;
-use applepond_fakes::client::{Follow, Planned, RequestOutcome, Results};
+use applepond_fakes::client::{FollowUp, PlannedRequest, RequestOutcome, Results};
 use applepond_fakes::ledger::{Event, Ledger, Observation};
 use applepond_reactor::Micros;
 use applepond_storage::{DiskStore, WorkflowStore};
@@ -81,13 +81,18 @@
 
 /// The next step of a client that calls them one by one: a third of the time each, unused time is lost.
 /// `result` is that of the step before, `price` that of the first.
-fn next_step(request: &Planned, spent: Micros, result: &Value, price: &Value) -> Option<Planned> {
+fn next_step(
+    request: &PlannedRequest,
+    spent: Micros,
+    result: &Value,
+    price: &Value,
+) -> Option<PlannedRequest> {
     let (id, step) = request.id.rsplit_once('/')?;
-    let then = |step: &str, kind: &'static str, function: &str| Planned {
+    let then = |step: &str, kind: &'static str, function: &str| PlannedRequest {
         id: format!("{id}/{step}"),
-        kind,
+        event_type: kind,
         function: price[function].as_str().unwrap_or("hold-hut-1").to_owned(),
-        limit: (spent + TIME_LIMIT / 3).min(TIME_LIMIT),
+        timeout: (spent + TIME_LIMIT / 3).min(TIME_LIMIT),
         idempotent: false,
         keyed: kind == "hold",
         ..request.clone()
@@ -106,12 +111,12 @@
 }
 
 /// The requests of all clients.
-fn requests(options: &Options<'_>, begin: Micros) -> Vec<Planned> {
+fn requests(options: &Options<'_>, begin: Micros) -> Vec<PlannedRequest> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
     // Two cores a worker, see `day::worker_config`.
     let rate = options.load * options.setup.workers as f64 * 2.0 * 1000.0 / STEP_MS as f64 / STEPS;
     let prices: RefCell<BTreeMap<String, Value>> = RefCell::default();
-    let follow: Follow = Rc::new(move |request, spent, answer| {
+    let follow: FollowUp = Rc::new(move |request, spent, answer| {
         let result: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         let workflow = request.id.rsplit_once('/')?.0.to_owned();
         let mut prices = prices.borrow_mut();
@@ -122,7 +127,7 @@
     while at < begin + length(options) {
         at += (-(1.0 - rng.rand_float()).ln() / rate * S as f64) as Micros + 1;
         let number = requests.len();
-        requests.push(Planned {
+        requests.push(PlannedRequest {
             at,
             source: format!("/desks/{}", rng.rand_range(0..40)),
             id: if options.step_by_step {
@@ -130,25 +135,25 @@
             } else {
                 format!("chain-{number}")
             },
-            kind: if options.step_by_step { "quote" } else { "book" },
+            event_type: if options.step_by_step { "quote" } else { "book" },
             function: format!("quote-hut-{}", rng.rand_range(1..13)),
             customer: if rng.rand_float() < 0.6 { "snezka" } else { "labska" },
             work_ms: rng.rand_range(STEP_MS - 20..STEP_MS + 20),
-            limit: if options.step_by_step { TIME_LIMIT / 3 } else { TIME_LIMIT },
-            target: TIME_LIMIT,
+            timeout: if options.step_by_step { TIME_LIMIT / 3 } else { TIME_LIMIT },
+            latency_target: TIME_LIMIT,
             // A workflow may be requested again where it may have begun: there the request joins it, or it
             // goes on by its record.
             idempotent: true,
             keyed: false,
             structured: false,
             router: rng.rand_range(0..options.setup.routers as u64) as usize,
-            tries: u32::MAX,
-            stays: Some(RETRY_DELAY),
-            ignores: false,
-            twin_after: (rng.rand_float() < 0.05).then(|| rng.rand_range(1..200) * MS),
-            leaves_after: None,
-            opening: None,
-            follow: options.step_by_step.then(|| follow.clone()),
+            max_attempts: u32::MAX,
+            sticky_retry_delay: Some(RETRY_DELAY),
+            ignores_retry_after: false,
+            duplicate_after: (rng.rand_float() < 0.05).then(|| rng.rand_range(1..200) * MS),
+            disconnect_after: None,
+            prefix: None,
+            follow_up: options.step_by_step.then(|| follow.clone()),
         });
     }
     requests
@@ -246,7 +251,7 @@
     }
 }
 
-fn judge_all(requests: &[Planned], ledger: &Ledger, outages: Vec<Outage>, end: Micros) -> Report {
+fn judge_all(requests: &[PlannedRequest], ledger: &Ledger, outages: Vec<Outage>, end: Micros) -> Report {
     let mut effects = BTreeMap::new();
     let mut deadlines: BTreeMap<String, Micros> = BTreeMap::new();
     for request in requests {
@@ -271,7 +276,7 @@
     Report { steps: verdict.attempts, verdict, ..Report::default() }
 }
 
-fn count_ends(report: &mut Report, requests: &[Planned], results: &Results, begin: Micros) {
+fn count_ends(report: &mut Report, requests: &[PlannedRequest], results: &Results, begin: Micros) {
     for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
         if request.at >= begin + LOADING_TIME {
             report.workflows += 1;
@@ -286,7 +291,7 @@
     report: &mut Report,
     options: &Options<'_>,
     testbed: &Testbed<'_>,
-    requests: &[Planned],
+    requests: &[PlannedRequest],
     results: &Results,
 ) -> Result<(), ScenarioError> {
     let mut records = Vec::new();
