--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -9,17 +9,17 @@
 pub struct SimulatedTransport {
     next: u64,
     /// Connections opened, in their order.
-    pub connects: Vec<(Conn, SocketAddr)>,
+    pub connections: Vec<(Conn, SocketAddr)>,
     /// Bytes written.
     pub written: BTreeMap<Conn, Vec<u8>>,
     /// Number of each connection's last write.
-    pub wrote: BTreeMap<Conn, u64>,
+    pub last_write: BTreeMap<Conn, u64>,
     /// How many of them the kernel has taken.
     pub sent: BTreeMap<Conn, u64>,
     /// Connections whose peer takes nothing.
-    pub stuck: BTreeSet<Conn>,
+    pub blocked: BTreeSet<Conn>,
     /// Limit of bytes that one offer takes, where there is one.
-    pub room: BTreeMap<Conn, usize>,
+    pub accept_limit: BTreeMap<Conn, usize>,
     /// Connections cut.
     pub cut: BTreeSet<Conn>,
     /// Connections finished.
@@ -27,60 +27,60 @@
     /// Connections on which reading is paused.
     pub paused: BTreeSet<Conn>,
     /// Listeners that have stopped accepting.
-    pub deaf: BTreeSet<Listener>,
+    pub not_accepting: BTreeSet<Listener>,
     /// Writes that a test has had a worker answer.
-    pub answered: BTreeSet<u64>,
+    pub answered_writes: BTreeSet<u64>,
     /// Datagrams sent, by their socket.
     pub datagrams: Vec<(Conn, SocketAddr, Vec<u8>)>,
     /// Sockets for datagrams that the kernel still refuses to open.
-    pub no_posts: usize,
-    asked: BTreeMap<Conn, SocketAddr>,
+    pub failing_datagram_opens: usize,
+    peers: BTreeMap<Conn, SocketAddr>,
     timers: BTreeSet<(Micros, u64, Wake)>,
 }
 
 impl Transport for SimulatedTransport {
     fn connect(&mut self, to: SocketAddr, _: Micros) -> Conn {
         self.next += 1;
-        self.connects.push((Conn(self.next), to));
+        self.connections.push((Conn(self.next), to));
         Conn(self.next)
     }
     fn write(&mut self, conn: Conn, bytes: &[u8]) {
         self.written.entry(conn).or_default().extend_from_slice(bytes);
         self.next += 1;
-        self.wrote.insert(conn, self.next);
-        if !self.stuck.contains(&conn) {
+        self.last_write.insert(conn, self.next);
+        if !self.blocked.contains(&conn) {
             *self.sent.entry(conn).or_default() += bytes.len() as u64;
         }
     }
     fn offer(&mut self, conn: Conn, bytes: &[u8]) -> usize {
-        let room = if self.stuck.contains(&conn) { 0 } else { bytes.len() };
-        let room = room.min(self.room.get(&conn).copied().unwrap_or(room));
+        let room = if self.blocked.contains(&conn) { 0 } else { bytes.len() };
+        let room = room.min(self.accept_limit.get(&conn).copied().unwrap_or(room));
         self.write(conn, &bytes[..room]);
         room
     }
     fn datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
-        if let Some(left) = self.no_posts.checked_sub(1) {
-            self.no_posts = left;
+        if let Some(left) = self.failing_datagram_opens.checked_sub(1) {
+            self.failing_datagram_opens = left;
             return None;
         }
-        let conn = self.number();
-        self.asked.insert(conn, to);
+        let conn = self.new_conn();
+        self.peers.insert(conn, to);
         Some(conn)
     }
     fn datagram(&mut self, conn: Conn, bytes: &[u8]) {
-        self.datagrams.push((conn, self.asked[&conn], bytes.to_vec()));
+        self.datagrams.push((conn, self.peers[&conn], bytes.to_vec()));
     }
     fn bind_datagrams(&mut self, at: SocketAddr) -> std::io::Result<(Conn, SocketAddr)> {
-        match self.no_posts.checked_sub(1) {
+        match self.failing_datagram_opens.checked_sub(1) {
             Some(left) => {
-                self.no_posts = left;
+                self.failing_datagram_opens = left;
                 Err(std::io::Error::other("no descriptor is left"))
             }
-            None => Ok((self.number(), at)),
+            None => Ok((self.new_conn(), at)),
         }
     }
     fn datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
-        let taken = !self.stuck.contains(&conn);
+        let taken = !self.blocked.contains(&conn);
         if taken {
             self.datagrams.push((conn, to, bytes.to_vec()));
         }
@@ -110,10 +110,10 @@
         Ok((Listener(0), at))
     }
     fn stop_accepting(&mut self, listener: Listener, _: bool) {
-        self.deaf.insert(listener);
+        self.not_accepting.insert(listener);
     }
     fn resume_accepting(&mut self, listener: Listener) {
-        self.deaf.remove(&listener);
+        self.not_accepting.remove(&listener);
     }
     fn wake_at(&mut self, at: Micros, wake: Wake) {
         self.next += 1;
@@ -123,31 +123,31 @@
 
 impl SimulatedTransport {
     /// A number for a connection that a test opens.
-    pub fn number(&mut self) -> Conn {
+    pub fn new_conn(&mut self) -> Conn {
         self.next += 1;
         Conn(self.next)
     }
 
     /// The first timer that is due by then, each once.
-    pub fn due(&mut self, until: Micros) -> Option<(Micros, Wake)> {
+    pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, Wake)> {
         let (at, _, wake) = *self.timers.first().filter(|(at, _, _)| *at <= until)?;
         self.timers.pop_first();
         Some((at, wake))
     }
 
     /// Timers that wait.
-    pub fn timers(&self) -> usize {
+    pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
     /// All that was written on a connection, as text.
-    pub fn told(&self, conn: Conn) -> String {
+    pub fn written_text(&self, conn: Conn) -> String {
         self.written.get(&conn).map_or(String::new(), |bytes| String::from_utf8_lossy(bytes).into_owned())
     }
 
     /// Statuses of all answers on a client's connection.
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
-        let text = self.told(conn);
+        let text = self.written_text(conn);
         text.split("HTTP/1.1 ").skip(1).filter_map(|answer| answer[..3].parse().ok()).collect()
     }
 }
--- a/crates/fleet/src/machine/tests.rs
+++ b/crates/fleet/src/machine/tests.rs
@@ -32,7 +32,7 @@
 
 /// Fires what is due by then.
 fn pass(fleet: &mut FleetMachine, transport: &mut SimulatedTransport, until: Micros) {
-    while let Some((at, wake)) = transport.due(until) {
+    while let Some((at, wake)) = transport.pop_due(until) {
         fleet.woken(at, transport, wake);
     }
 }
@@ -42,11 +42,11 @@
 #[test_case(0, true, 1; "a socket that refuses to send")]
 fn goes_on_without_a_socket_or_with_one_that_refuses(no_posts: usize, refuses: bool, least: u64) {
     let mut transport = SimulatedTransport::default();
-    transport.no_posts = no_posts;
+    transport.failing_datagram_opens = no_posts;
     let (mut fleet, view) = fleet("a", 1, 2, b"a secret of some length");
     fleet.start(BEGIN, &mut transport);
     if refuses {
-        transport.stuck.insert(fleet.socket.expect("open"));
+        transport.blocked.insert(fleet.socket.expect("open"));
     }
     pass(&mut fleet, &mut transport, BEGIN + 10_000_000);
     let page = page(&view.borrow(), BEGIN + 10_000_000);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -131,7 +131,7 @@
 
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.transport.due(until) {
+        while let Some((at, wake)) = self.transport.pop_due(until) {
             self.now = self.now.max(at);
             self.gateway.woken(self.now, &mut self.transport, wake);
         }
@@ -146,7 +146,7 @@
     }
 
     pub fn connect_client(&mut self) -> Conn {
-        let conn = self.transport.number();
+        let conn = self.transport.new_conn();
         self.gateway.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
@@ -167,7 +167,7 @@
 
     /// All connections to workers that were opened so far; each is let stand.
     pub fn worker_connections(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let all: Vec<Conn> = self.transport.connections.iter().map(|(c, _)| *c).collect();
         let new =
             all.iter().filter(|c| !self.transport.written.contains_key(c) && !self.transport.cut.contains(c));
         for conn in new.copied().collect::<Vec<_>>() {
@@ -182,7 +182,7 @@
     }
 
     pub fn told(&self, conn: Conn) -> String {
-        self.transport.told(conn)
+        self.transport.written_text(conn)
     }
 
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
@@ -191,12 +191,15 @@
 
     /// Requests that a connection carried, and when the last of them was written, as a count of all writes.
     pub fn requests_at(&self, conn: Conn) -> (usize, u64) {
-        (self.told(conn).matches("POST /run").count(), self.transport.wrote.get(&conn).copied().unwrap_or(0))
+        (
+            self.told(conn).matches("POST /run").count(),
+            self.transport.last_write.get(&conn).copied().unwrap_or(0),
+        )
     }
 
     /// Requests that workers were sent, over all connections.
     pub fn requests(&self) -> usize {
-        let worker_connections: BTreeSet<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: BTreeSet<Conn> = self.transport.connections.iter().map(|(c, _)| *c).collect();
         worker_connections.iter().map(|c| self.told(*c).matches("POST /run").count()).sum()
     }
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -69,7 +69,7 @@
 ) {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("confirm", "1");
-    let (connection, _) = sim.transport.connects[0];
+    let (connection, _) = sim.transport.connections[0];
     if open {
         sim.connected(connection);
     }
@@ -77,7 +77,7 @@
     sim.advance(S);
     sim.worker_connections();
     assert_eq!(sim.requests(), 1, "written once: here, or elsewhere where the first never stood");
-    assert_eq!(sim.transport.connects.len(), if open { 1 } else { requests });
+    assert_eq!(sim.transport.connections.len(), if open { 1 } else { requests });
     assert_eq!(sim.statuses(client).first().copied(), status);
     let again = sim.send_event("confirm", "1");
     if status.is_some() {
@@ -97,13 +97,13 @@
     sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
-    sim.transport.stuck.insert(connection);
+    sim.transport.blocked.insert(connection);
     let client = sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.len(), 1, "the kept connection is used");
+    assert_eq!(sim.transport.connections.len(), 1, "the kept connection is used");
     *sim.transport.sent.get_mut(&connection).expect("used before") += bytes;
     sim.disconnect(connection, Closed::Reset);
     sim.worker_connections();
-    assert_eq!((sim.transport.connects.len(), sim.statuses(client).first().copied()), (requests, status));
+    assert_eq!((sim.transport.connections.len(), sim.statuses(client).first().copied()), (requests, status));
 }
 
 #[test]
@@ -114,11 +114,11 @@
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     sim.advance(600 * MS);
     sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.len(), 2);
+    assert_eq!(sim.transport.connections.len(), 2);
     sim.send_event("quote", "3");
-    assert_eq!(sim.transport.connects.len(), 2, "an idempotent one goes there still");
+    assert_eq!(sim.transport.connections.len(), 2, "an idempotent one goes there still");
     sim.advance(6 * S);
-    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "what hangs past the limit is cut");
+    assert!(sim.transport.cut.contains(&sim.transport.connections[1].0), "what hangs past the limit is cut");
 }
 
 // The hedge: the loser is told by the end of its connection, and what it still sends is not read.
@@ -217,7 +217,7 @@
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", line("ready")).as_bytes(),
     );
     let client = sim.send_event("quote", "1");
-    let connection = sim.transport.connects[1].0;
+    let connection = sim.transport.connections[1].0;
     sim.receive(list, line("draining").as_bytes());
     sim.connected(connection);
     assert_eq!(sim.requests(), 0, "nothing new after the notice");
@@ -255,7 +255,7 @@
     let list = sim.worker_connections()[0];
     sim.receive(list, receive.as_bytes());
     sim.advance(S);
-    assert!(sim.transport.cut.contains(&list) && sim.transport.connects.len() >= 2, "asked again");
+    assert!(sim.transport.cut.contains(&list) && sim.transport.connections.len() >= 2, "asked again");
     let client = sim.send_event("quote", "1");
     let connection = *sim.worker_connections().last().expect("a link");
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
@@ -330,7 +330,7 @@
     }
     assert_eq!(sim.statuses(slow), [408]);
     let deaf = sim.connect_client();
-    sim.transport.stuck.insert(deaf);
+    sim.transport.blocked.insert(deaf);
     sim.receive(deaf, event("quote", "2").as_bytes());
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
@@ -435,7 +435,7 @@
     let (begun, mut closings) = (sim.now, 0);
     for _ in 0..4_000 {
         sim.connect_client();
-        while !sim.transport.deaf.is_empty() {
+        while !sim.transport.not_accepting.is_empty() {
             closings += 1;
             sim.advance(5 * MS);
             assert!(sim.now < begun + 3 * S, "the door stays closed");
@@ -494,7 +494,7 @@
         let list = sim.worker_connections()[0];
         let client = sim.send_event("quote", "1");
         sim.worker_connections();
-        let (connection, wild) = (sim.transport.connects[1].0, sim.connect_client());
+        let (connection, wild) = (sim.transport.connections[1].0, sim.connect_client());
         for conn in [wild, list, connection] {
             sim.receive(conn, &noise[..cut]);
             sim.receive(conn, &noise[cut..]);
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -95,7 +95,7 @@
 /// Where the requests went, by the workers' ports.
 fn ports(sim: &mut SimulatedGateway) -> Vec<u16> {
     sim.worker_connections();
-    sim.transport.connects.iter().map(|(_, to)| to.port()).collect()
+    sim.transport.connections.iter().map(|(_, to)| to.port()).collect()
 }
 
 // The list says ready, and before the restart it had said that the worker drains: nothing goes there
--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -166,6 +166,6 @@
     moved.workers = vec![StaticWorker { name: "v1".into(), address, ..moved.workers[0].clone() }];
     sim.reload(moved);
     sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.last().map(|(_, to)| *to), Some(address));
+    assert_eq!(sim.transport.connections.last().map(|(_, to)| *to), Some(address));
     assert!(sim.transport.cut.contains(&connection), "an idle connection to a worker that was left out");
 }
--- a/crates/gateway/tests/workflows.rs
+++ b/crates/gateway/tests/workflows.rs
@@ -61,8 +61,13 @@
 fn latest(sim: &mut SimulatedGateway) -> (Conn, String) {
     sim.worker_connections();
     let sent = |c: &Conn| sim.told(*c).split("POST /run").last().unwrap_or_default().to_owned();
-    let open: Vec<Conn> =
-        sim.transport.connects.iter().map(|(c, _)| *c).filter(|c| !sim.transport.cut.contains(c)).collect();
+    let open: Vec<Conn> = sim
+        .transport
+        .connections
+        .iter()
+        .map(|(c, _)| *c)
+        .filter(|c| !sim.transport.cut.contains(c))
+        .collect();
     let newest =
         open.into_iter().max_by_key(|c| (sim.requests_at(*c).1, *c)).expect("a worker was sent something");
     (newest, sent(&newest))
@@ -204,7 +209,8 @@
 
     /// Counts what this instance sent, and starts another one.
     fn kill(&mut self) {
-        let worker_connections: Vec<Conn> = self.bench.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: Vec<Conn> =
+            self.bench.transport.connections.iter().map(|(c, _)| *c).collect();
         for told in worker_connections.iter().map(|c| self.bench.told(*c)) {
             for id in told.split("ce-id: ").skip(1) {
                 *self.sent.entry(id.split("\r\n").next().unwrap_or_default().to_owned()).or_default() += 1;
@@ -229,10 +235,10 @@
                 return;
             }
             let (conn, sent) = latest(sim);
-            if sim.transport.answered.contains(&sim.requests_at(conn).1) {
+            if sim.transport.answered_writes.contains(&sim.requests_at(conn).1) {
                 return;
             }
-            sim.transport.answered.insert(sim.requests_at(conn).1);
+            sim.transport.answered_writes.insert(sim.requests_at(conn).1);
             sim.advance(25 * MS);
             let body = match sent {
                 _ if sent.contains("/price") => "{\"hut\":\"lucni\"}",
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -82,7 +82,7 @@
 
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.transport.due(until) {
+        while let Some((at, wake)) = self.transport.pop_due(until) {
             self.now = self.now.max(at);
             self.node.woken(self.now, &mut self.transport, wake);
         }
@@ -90,7 +90,7 @@
     }
 
     pub fn connect_client(&mut self) -> Conn {
-        let conn = self.transport.number();
+        let conn = self.transport.new_conn();
         self.node.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
@@ -108,7 +108,7 @@
 
     /// Connections to model servers that were opened so far; those in the making are let stand.
     pub fn worker_connections(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let all: Vec<Conn> = self.transport.connections.iter().map(|(c, _)| *c).collect();
         for conn in &all {
             if !self.transport.written.contains_key(conn) && !self.transport.cut.contains(conn) {
                 self.node.connected(self.now, &mut self.transport, *conn);
@@ -118,7 +118,7 @@
     }
 
     pub fn address(&self, connection: Conn) -> SocketAddr {
-        self.transport.connects.iter().find(|(c, _)| *c == connection).expect("it was opened").1
+        self.transport.connections.iter().find(|(c, _)| *c == connection).expect("it was opened").1
     }
 
     /// Has the name service tell this list, as an event after all others.
@@ -139,7 +139,7 @@
 
     /// Words and ids that a model server was told on a connection.
     pub fn lines(&self, connection: Conn) -> Vec<(String, String)> {
-        let text = self.transport.told(connection);
+        let text = self.transport.written_text(connection);
         let whole = text.split_inclusive('\n').filter(|l| l.ends_with('\n'));
         let read = |l: &str| serde_json::from_str::<Value>(l).expect("a line is JSON");
         whole
@@ -150,7 +150,7 @@
 
     /// How often this request was sent, over all connections.
     pub fn runs(&self, id: u64) -> usize {
-        let worker_connections = self.transport.connects.iter();
+        let worker_connections = self.transport.connections.iter();
         worker_connections
             .flat_map(|(c, _)| self.lines(*c))
             .filter(|(verb, rid)| verb == "DO" && *rid == name(id))
--- a/crates/node/tests/golden.rs
+++ b/crates/node/tests/golden.rs
@@ -7,9 +7,9 @@
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("hold", 1);
     let connection = sim.carries(1);
-    let line = sim.transport.told(connection);
+    let line = sim.transport.written_text(connection);
     sim.send(connection, word("OK", 1).as_bytes());
-    let answer = sim.transport.told(client).replace("\r\n", "\n");
+    let answer = sim.transport.written_text(client).replace("\r\n", "\n");
     insta::assert_snapshot!("answered", format!("{line}\n----\n{answer}"));
 }
 
@@ -21,6 +21,6 @@
     let unknown = sim.send_call("no-such-class", 2);
     let check = sim.connect_client();
     sim.send(check, b"GET /check HTTP/1.1\r\nHost: a\r\n\r\n");
-    let all = [rejected, unknown, check].map(|conn| sim.transport.told(conn));
+    let all = [rejected, unknown, check].map(|conn| sim.transport.written_text(conn));
     insta::assert_snapshot!("refusals", all.join("\n----\n").replace("\r\n", "\n"));
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -11,7 +11,7 @@
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("hold", 1);
     let connection = sim.carries(1);
-    let line = sim.transport.told(connection);
+    let line = sim.transport.written_text(connection);
     for wanted in [
         r#""queue":"hold""#,
         r#""path":"7f3a9c21e0b4d655""#,
@@ -23,7 +23,7 @@
     }
     sim.send(connection, word("OK", 1).as_bytes());
     assert_eq!(sim.statuses(client), [200]);
-    assert!(sim.transport.told(client).ends_with("\r\n\r\nok"));
+    assert!(sim.transport.written_text(client).ends_with("\r\n\r\nok"));
 }
 
 #[test]
@@ -50,7 +50,7 @@
 fn an_attempt_on_a_connection_never_established_did_not_run() {
     let mut sim = SimulatedNode::new(2);
     let client = sim.send_call("confirm", 1);
-    let first = sim.transport.connects[0].0;
+    let first = sim.transport.connections[0].0;
     sim.disconnect(first, Closed::Never);
     let connection = sim.carries(1);
     sim.send(connection, word("OK", 1).as_bytes());
@@ -63,8 +63,8 @@
 fn a_timed_out_line_of_which_nothing_was_sent_did_not_run(room: usize, status: u16) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.transport.connects[0].0;
-    sim.transport.room.insert(connection, room);
+    let connection = sim.transport.connections[0].0;
+    sim.transport.accept_limit.insert(connection, room);
     sim.worker_connections();
     sim.advance(2 * S);
     assert_eq!(sim.statuses(client), [status]);
@@ -198,7 +198,7 @@
     }
     for client in [early, late] {
         assert_eq!(sim.statuses(client), [200]);
-        assert!(sim.transport.told(client).contains("Connection: close"));
+        assert!(sim.transport.written_text(client).contains("Connection: close"));
     }
     assert!(!sim.over.get(), "new calls may still come");
     sim.advance(S);
@@ -324,15 +324,15 @@
         sim.transport.written.clear();
         sim.transport.datagrams.clear();
         if round == 10 {
-            timers = sim.transport.timers();
+            timers = sim.transport.pending_timers();
         }
     }
     let open = sim.node.open_counts();
     assert_eq!((open.requests, open.clients, open.workers), (0, 0, 4), "requests, clients, servers");
     assert!(
-        sim.node.open_counts().worker_connections <= 4 && sim.transport.timers() <= timers * 2,
+        sim.node.open_counts().worker_connections <= 4 && sim.transport.pending_timers() <= timers * 2,
         "{} timers",
-        sim.transport.timers()
+        sim.transport.pending_timers()
     );
 }
 
@@ -341,8 +341,8 @@
 fn a_connection_that_takes_nothing_is_cut() {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
-    let connection = sim.transport.connects[0].0;
-    sim.transport.room.insert(connection, 1);
+    let connection = sim.transport.connections[0].0;
+    sim.transport.accept_limit.insert(connection, 1);
     sim.worker_connections();
     sim.advance(300 * MS);
     sim.disconnect(client, Closed::Reset);
@@ -375,7 +375,7 @@
 #[test]
 fn the_known_list_holds_without_a_descriptor_for_a_query() {
     let mut sim = SimulatedNode::new(1);
-    sim.transport.no_posts = usize::MAX;
+    sim.transport.failing_datagram_opens = usize::MAX;
     sim.advance(5 * S);
     sim.send_call("quote", 1);
     sim.worker_connections();
