--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -50,13 +50,13 @@
     })?;
     let setup = Setup { dying_routers: die as usize, fleet, ..setup };
     let mut progress = |line: &str| print_progress(json, line);
-    let report = play(keep.as_deref(), |folder| bad_day::play(&setup, folder, &mut progress))?;
+    let report = play(keep.as_deref(), |folder| bad_day::run(&setup, folder, &mut progress))?;
     if json {
         print_json(&report, seed);
     } else {
         print_table(&report, seed);
     }
-    Ok(Outcome::of(!report.holds()))
+    Ok(Outcome::of(!report.passed()))
 }
 
 fn print_table(report: &Report, seed: u64) {
@@ -67,7 +67,7 @@
             continue;
         }
         let from = index as u64 * WINDOW;
-        let within = report.story.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
+        let within = report.timeline.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
         let story: Vec<&str> = within.map(|(_, what)| what.as_str()).collect();
         let part = 100.0 * *in_time as f64 / *requests as f64;
         println!("  {:>7}  {requests:>5}  {part:>6.1}%  {}", index * 2, story.join("; "));
@@ -81,17 +81,17 @@
         verdict.attempts,
         verdict.dropped_repeats,
         verdict.fetches,
-        report.took.0 / 1000,
-        report.took.1 / 1000
+        report.latency.0 / 1000,
+        report.latency.1 / 1000
     );
     print_rules(verdict);
 }
 
 fn print_json(report: &Report, seed: u64) {
     let verdict = &report.verdict;
-    let all = json!({"seed": seed, "holds": report.holds(), "got": ends_as_json(&report.outcomes),
+    let all = json!({"seed": seed, "holds": report.passed(), "got": ends_as_json(&report.outcomes),
         "broken": broken_as_json(verdict), "exchanges": verdict.exchanges, "executions": verdict.attempts,
-        "fetches": verdict.fetches, "median_us": report.took.0, "p99_us": report.took.1,
+        "fetches": verdict.fetches, "median_us": report.latency.0, "p99_us": report.latency.1,
         "windows": report.windows});
     println!("{all}");
 }
--- a/crates/cli/src/scenario/membership.rs
+++ b/crates/cli/src/scenario/membership.rs
@@ -32,7 +32,7 @@
     let scenes: Vec<&'static str> = SCENES.iter().filter(is_wanted).copied().collect();
     let setup = setup(seed, routers, 0, plant).map_err(|_| NotPlayed)?;
     let mut progress = |scene: &str| print_progress(json, scene);
-    let report = play(keep.as_deref(), |folder| membership::play(&setup, &scenes, folder, &mut progress))?;
+    let report = play(keep.as_deref(), |folder| membership::run(&setup, &scenes, folder, &mut progress))?;
     // A seeded bug is recognized by the rule that it breaks.
     let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
     let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
@@ -42,7 +42,7 @@
         println!("members, seed {seed}, {routers} routers, {}", scenes.join(", "));
         print_table(&report, &looks_like);
     }
-    if report.unplayed.len() == scenes.len() {
+    if report.skipped.len() == scenes.len() {
         return Err(NotPlayed);
     }
     Ok(Outcome::of(!report.broken.is_empty()))
@@ -50,16 +50,16 @@
 
 /// ms in which this part, in percent, of the kills were known.
 fn known_within(report: &Report, percent: usize) -> Option<u64> {
-    report.known.get(report.known.len().saturating_sub(1) * percent / 100).copied()
+    report.detection_ms.get(report.detection_ms.len().saturating_sub(1) * percent / 100).copied()
 }
 
 fn print_json(report: &Report, seed: u64, routers: u64, looks_like: &[&str]) {
     let healed: Vec<Value> =
-        report.healed.iter().map(|(scene, ms)| json!({"scene": scene, "ms": ms})).collect();
+        report.convergence_ms.iter().map(|(scene, ms)| json!({"scene": scene, "ms": ms})).collect();
     println!(
         "{}",
         json!({"seed": seed, "routers": routers, "broken": report.broken,
-            "looks-like": looks_like, "unplayed": report.unplayed,
+            "looks-like": looks_like, "unplayed": report.skipped,
             "known-ms": {"median": known_within(report, 50), "99": known_within(report, 99)},
             "one-view": healed})
     );
@@ -69,9 +69,9 @@
     if let (Some(median), Some(most)) = (known_within(report, 50), known_within(report, 99)) {
         println!("  a kill is known after {median} ms (median), {most} ms (99 %)");
     }
-    for (scene, ms) in &report.healed {
+    for (scene, ms) in &report.convergence_ms {
         println!("  one view {ms} ms after {scene}");
     }
-    report.unplayed.iter().for_each(|scene| println!("  not played, more routers are wanted: {scene}"));
+    report.skipped.iter().for_each(|scene| println!("  not played, more routers are wanted: {scene}"));
     print_breaches(&report.broken, looks_like);
 }
--- a/crates/cli/src/scenario/prefixes.rs
+++ b/crates/cli/src/scenario/prefixes.rs
@@ -1,7 +1,7 @@
 //! `drill openings`.
 use super::report::print_breaches;
 use super::{NotPlayed, Outcome, play, print_progress, setup};
-use applepond_scenarios::prefixes::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
+use applepond_scenarios::prefixes::{self, FAULTS, Options, PINNING_MODES, Report, SEEDED_BUGS};
 use applepond_scenarios::process::Setup;
 use clap::Args;
 use serde_json::json;
@@ -36,10 +36,10 @@
     let setup = setup(args.seed, args.routers, args.workers, args.plant.clone()).map_err(|_| NotPlayed)?;
     let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
-    for way in WAYS.iter().copied().filter(|way| args.way == "both" || args.way == *way) {
-        let options = Options { setup: &setup, fault: &args.fault, way };
+    for way in PINNING_MODES.iter().copied().filter(|way| args.way == "both" || args.way == *way) {
+        let options = Options { setup: &setup, fault: &args.fault, pinning: way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| prefixes::play(&options, folder, &mut progress))?;
+        let report = play(args.keep.as_deref(), |folder| prefixes::run(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
         let looks_like = SEEDED_BUGS.iter().filter(|(_, rule)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, _)| *name).collect();
--- a/crates/cli/src/scenario/recovery.rs
+++ b/crates/cli/src/scenario/recovery.rs
@@ -2,7 +2,7 @@
 use super::report::print_breaches;
 use super::{NotPlayed, Outcome, play, print_progress, setup};
 use applepond_scenarios::process::Setup;
-use applepond_scenarios::recovery::{self, FAULTS, Options, Report, SEEDED_BUGS, WAYS};
+use applepond_scenarios::recovery::{self, FAULTS, Options, Report, SEEDED_BUGS, START_STATES};
 use clap::Args;
 use serde_json::json;
 use std::path::PathBuf;
@@ -34,9 +34,9 @@
 
 pub(super) fn run(args: RecoveryArgs) -> Result<Outcome, NotPlayed> {
     let mut ways: Vec<&str> =
-        WAYS.iter().copied().filter(|way| args.way == "all" || args.way == **way).collect();
+        START_STATES.iter().copied().filter(|way| args.way == "all" || args.way == **way).collect();
     if ways.is_empty() {
-        eprintln!("--way {}: one of {} or all is wanted", args.way, WAYS.join(", "));
+        eprintln!("--way {}: one of {} or all is wanted", args.way, START_STATES.join(", "));
         return Err(NotPlayed);
     }
     let mut fault = args.fault.as_str();
@@ -49,9 +49,9 @@
     let setup = Setup { fleet: true, ..setup };
     let mut is_broken = false;
     for way in ways {
-        let options = Options { setup: &setup, fault, way };
+        let options = Options { setup: &setup, fault, start_state: way };
         let mut progress = |line: &str| print_progress(args.json, line);
-        let report = play(args.keep.as_deref(), |folder| recovery::play(&options, folder, &mut progress))?;
+        let report = play(args.keep.as_deref(), |folder| recovery::run(&options, folder, &mut progress))?;
         is_broken |= !report.broken.is_empty();
         let looks_like = SEEDED_BUGS.iter().filter(|(_, rule, ..)| report.broken.contains_key(rule));
         let looks_like: Vec<&str> = looks_like.map(|(name, ..)| *name).collect();
@@ -69,13 +69,14 @@
     let [before, dead, after] = report.service;
     println!(
         "{}",
-        json!({"seed": args.seed, "routers": args.routers, "fault": options.fault, "way": options.way,
+        json!({"seed": args.seed, "routers": args.routers, "fault": options.fault, "way": options.start_state,
             "jobs": report.requests, "before": before, "dead": dead, "after-2s": after,
-            "whole-ms": report.recovered_after,
+            "whole-ms": report.recovery_ms,
             "loads": {"before": report.fetches_before, "after": report.fetches_after},
             "fell": report.overloaded_cold,
             "strays": {"all": report.strays, "after-grace": report.strays_after_grace},
-            "asks": {"most": report.most_asks, "all": report.asks, "part": report.asks_part},
+            "asks": {"most": report.peak_recovery_requests, "all": report.recovery_requests,
+                "part": report.max_request_share},
             "broken": report.broken, "looks-like": looks_like})
     );
 }
@@ -84,7 +85,7 @@
     let [before, dead, after] = report.service;
     println!(
         "comeback, seed {}, {} routers, {}, from {}: {} jobs",
-        args.seed, args.routers, options.fault, options.way, report.requests
+        args.seed, args.routers, options.fault, options.start_state, report.requests
     );
     println!(
         "  in time: {:.1} % before, {:.1} % while they are dead, {:.1} % in the 2 s after the last start",
@@ -92,14 +93,13 @@
         100.0 * dead,
         100.0 * after
     );
-    let whole =
-        report.recovered_after.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
+    let whole = report.recovery_ms.map_or("not within the drill".to_owned(), |ms| format!("after {ms} ms"));
     println!(
         "  service whole again {whole}; {} cold workers fell; {} jobs to a drain, {} after the grace",
         report.overloaded_cold, report.strays, report.strays_after_grace
     );
     println!(
         "  fetches in a tenth of a second at most {} before, {} after; asks to one router {}, in all {}",
-        report.fetches_before, report.fetches_after, report.most_asks, report.asks
+        report.fetches_before, report.fetches_after, report.peak_recovery_requests, report.recovery_requests
     );
 }
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -59,15 +59,15 @@
         let options = Options {
             setup: &setup,
             cut: if args.cut == "hang" { Cut::Hang } else { Cut::Refuse },
-            seconds: args.seconds,
+            cut_seconds: args.seconds,
             clients: args.clients,
-            ignore: args.ignore,
+            ignoring_share: args.ignore,
             damping: *damping,
-            after: args.after,
-            restart: args.restart,
+            observed_seconds: args.after,
+            restarts_router: args.restart,
         };
         let mut progress = |line: &str| print_progress(args.json, &format!("{name}: {line}"));
-        let report = play(None, |folder| retry_storm::play(&options, folder, &mut progress))?;
+        let report = play(None, |folder| retry_storm::run(&options, folder, &mut progress))?;
         if args.json {
             println!("{}", as_json(name, args.seed, &report));
         } else {
@@ -92,8 +92,8 @@
 }
 
 fn as_json(name: &str, seed: u64, report: &Report) -> Value {
-    json!({"seed": seed, "play": name, "before": report.before, "recovery_s": report.recovery,
-        "peak": report.peak, "pushed_back": report.rejected, "fetches": report.fetches,
+    json!({"seed": seed, "play": name, "before": report.baseline, "recovery_s": report.recovery_seconds,
+        "peak": report.peak_exchanges, "pushed_back": report.rejected, "fetches": report.fetches,
         "functions": report.functions,
         "executions_each": {"before": report.attempts.0, "after": report.attempts.1},
         "got": ends_as_json(&report.outcomes), "broken": broken_as_json(&report.verdict),
@@ -104,11 +104,11 @@
     if rows {
         print_seconds(report);
     }
-    let recovery = report.recovery.map_or("not seen".to_owned(), |seconds| format!("{seconds} s"));
-    println!("  service before the cut {:.1} %; recovery after {recovery}", 100.0 * report.before);
+    let recovery = report.recovery_seconds.map_or("not seen".to_owned(), |seconds| format!("{seconds} s"));
+    println!("  service before the cut {:.1} %; recovery after {recovery}", 100.0 * report.baseline);
     println!(
         "  peak {} asked a second; {} pushed back; {} fetches after the cut for {} functions in use",
-        report.peak, report.rejected, report.fetches, report.functions
+        report.peak_exchanges, report.rejected, report.fetches, report.functions
     );
     println!(
         "  attempts begun for each job answered in time: {:.2} before the cut, {:.2} in the 10 s after it",
--- a/crates/cli/src/scenario/workflows.rs
+++ b/crates/cli/src/scenario/workflows.rs
@@ -90,7 +90,7 @@
 fn play_one(args: &WorkflowArgs, options: &Options<'_>, name: &str) -> Result<Report, NotPlayed> {
     let load = options.load;
     let mut progress = |line: &str| print_progress(args.json, &format!("load {load}, {name}: {line}"));
-    let report = play(None, |folder| workflows::play(options, folder, &mut progress))?;
+    let report = play(None, |folder| workflows::run(options, folder, &mut progress))?;
     if args.json {
         print_json(args, load, name, &report);
     } else {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -89,7 +89,7 @@
 
     /// Starts a router, with further words on its command line.
     pub fn start(&mut self, n: usize, words: &[&str]) {
-        let mut line = vec!["--fleet-through".to_owned(), self.network.at.to_string()];
+        let mut line = vec!["--fleet-through".to_owned(), self.network.proxy.to_string()];
         line.extend(words.iter().map(|w| (*w).to_owned()));
         self.routers[n] = Some(serve(&self.write(n, "\"key\""), &line));
     }
@@ -99,7 +99,7 @@
         self.signal(n, Signal::TERM);
         let status = self.routers[n].as_mut().and_then(|router| router.child.wait().ok());
         assert!(status.is_some_and(|status| status.success()), "it ends by itself");
-        let line = ["--fleet-through".to_owned(), self.network.at.to_string()];
+        let line = ["--fleet-through".to_owned(), self.network.proxy.to_string()];
         self.routers[n] = Some(serve_by(program, &self.write(n, "\"key\""), &line));
     }
 
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -34,14 +34,14 @@
     /// By window: requests, and those answered within their latency objective.
     pub windows: Vec<(usize, usize)>,
     /// What happened, with µs since the first request.
-    pub story: Vec<(Micros, String)>,
+    pub timeline: Vec<(Micros, String)>,
     /// µs to the answer of finished requests: median, 99th percentile.
-    pub took: (Micros, Micros),
+    pub latency: (Micros, Micros),
 }
 
 impl Report {
     /// Whether all rules held and no request went unanswered.
-    pub fn holds(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.verdict.broken.is_empty()
             && self.outcomes.get(&RequestOutcome::Nothing).is_none_or(|count| *count == 0)
     }
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Why the day could not be played.
-pub fn play(setup: &Setup, folder: &Path, progress: &mut dyn FnMut(&str)) -> Result<Report, ScenarioError> {
+pub fn run(setup: &Setup, folder: &Path, progress: &mut dyn FnMut(&str)) -> Result<Report, ScenarioError> {
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
     let mut day = day::draw(setup.seed, begin, setup.workers, setup.routers, testbed.store);
@@ -150,7 +150,7 @@
 fn report(day: &Day, begin: Micros, results: &Results, verdict: Verdict) -> Report {
     let mut outcomes = BTreeMap::new();
     let mut windows = vec![(0, 0); (day::LENGTH / WINDOW) as usize + 1];
-    let mut took: Vec<Micros> = Vec::new();
+    let mut latencies: Vec<Micros> = Vec::new();
     for (request, (end, after)) in day.requests.iter().zip(&results.outcomes) {
         *outcomes.entry(*end).or_default() += 1;
         let window = &mut windows[((request.at - begin) / WINDOW) as usize];
@@ -159,11 +159,11 @@
             window.1 += 1;
         }
         if matches!(end, RequestOutcome::Finished | RequestOutcome::Late) {
-            took.push(*after);
+            latencies.push(*after);
         }
     }
-    took.sort_unstable();
-    let percentile = |percent: usize| took.get(took.len() * percent / 100).copied().unwrap_or(0);
-    let story = day.story.iter().map(|(at, what)| (at - begin, what.clone())).collect();
-    Report { verdict, outcomes, windows, story, took: (percentile(50), percentile(99)) }
+    latencies.sort_unstable();
+    let percentile = |percent: usize| latencies.get(latencies.len() * percent / 100).copied().unwrap_or(0);
+    let timeline = day.story.iter().map(|(at, what)| (at - begin, what.clone())).collect();
+    Report { verdict, outcomes, windows, timeline, latency: (percentile(50), percentile(99)) }
 }
--- a/crates/scenarios/src/faulty_network.rs
+++ b/crates/scenarios/src/faulty_network.rs
@@ -67,7 +67,7 @@
 /// A running network.
 pub struct FaultyNetwork {
     /// The proxy for datagrams, which have the receiver's address and a line's end in front.
-    pub at: SocketAddr,
+    pub proxy: SocketAddr,
     faults: Arc<Mutex<NetworkFaults>>,
     seed: u64,
     begun: Instant,
@@ -81,11 +81,11 @@
     pub fn new(seed: u64) -> std::io::Result<FaultyNetwork> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         socket.set_read_timeout(Some(MAX_WAIT))?;
-        let (at, faults) = (socket.local_addr()?, Arc::new(Mutex::new(NetworkFaults::default())));
+        let (proxy, faults) = (socket.local_addr()?, Arc::new(Mutex::new(NetworkFaults::default())));
         let shared = faults.clone();
         let begun = Instant::now();
         std::thread::spawn(move || forward_datagrams(&socket, &shared, begun, Rand64::new(u128::from(seed))));
-        Ok(FaultyNetwork { at, faults, seed, begun })
+        Ok(FaultyNetwork { proxy, faults, seed, begun })
     }
 
     /// The faults, to change them.
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -46,11 +46,11 @@
     /// Rule, and each breach of it in words.
     pub broken: BTreeMap<&'static str, Vec<String>>,
     /// ms until a kill was known, of each other router.
-    pub known: Vec<u64>,
+    pub detection_ms: Vec<u64>,
     /// ms until one view after each fault, by scene.
-    pub healed: Vec<(&'static str, u64)>,
+    pub convergence_ms: Vec<(&'static str, u64)>,
     /// Scenes that a fleet of this size is too small for.
-    pub unplayed: Vec<&'static str>,
+    pub skipped: Vec<&'static str>,
 }
 
 /// The routers of this scenario.
@@ -150,7 +150,7 @@
             let views: Vec<&Value> = all.iter().flatten().collect();
             let same = |view: &&Value| view["live"] == live && view["view"] == views[0]["view"];
             if views.len() == live && views.iter().all(same) {
-                self.report.healed.push((scene, begun.elapsed().as_millis() as u64));
+                self.report.convergence_ms.push((scene, begun.elapsed().as_millis() as u64));
                 return Ok(());
             }
             if begun.elapsed() > limit {
@@ -203,10 +203,10 @@
                 row.is_some_and(|row| row["standing"] == "gone")
             };
             let now = begun.elapsed().as_millis() as u64;
-            self.report.known.extend(unaware.iter().filter(|index| is_aware(index)).map(|_| now));
+            self.report.detection_ms.extend(unaware.iter().filter(|index| is_aware(index)).map(|_| now));
             unaware.retain(|index| !is_aware(index));
         }
-        self.report.known.extend(unaware.iter().map(|_| u64::MAX));
+        self.report.detection_ms.extend(unaware.iter().map(|_| u64::MAX));
     }
 
     /// Routers stand still for up to two seconds, while a fifth of all datagrams is lost.
@@ -276,7 +276,7 @@
     fn one_voice(&mut self) -> Result<(), ScenarioError> {
         // In a small fleet everybody is everybody's neighbour.
         let Some(roles) = self.one_voice_roles() else {
-            self.report.unplayed.push("one-voice");
+            self.report.skipped.push("one-voice");
             return Ok(());
         };
         let ports = self.ports.clone();
@@ -432,7 +432,7 @@
 ///
 /// # Errors
 /// Why they could not be played.
-pub fn play(
+pub fn run(
     setup: &Setup,
     scenes: &[&'static str],
     folder: &Path,
@@ -448,7 +448,7 @@
         whole = fleet.play_scene(scene);
     }
     let mut report = std::mem::take(&mut fleet.report);
-    report.known.sort_unstable();
+    report.detection_ms.sort_unstable();
     check_known(&mut report);
     Ok(report)
 }
@@ -461,7 +461,7 @@
     let network = FaultyNetwork::new(setup.seed).map_err(failed)?;
     let count = setup.routers;
     let mut fleet = Fleet {
-        setup: Setup { proxy: Some(network.at), ..setup.clone() },
+        setup: Setup { proxy: Some(network.proxy), ..setup.clone() },
         folder,
         network,
         ports: ports(count).map_err(failed)?,
@@ -479,8 +479,9 @@
 
 /// Checks that kills were known in time.
 fn check_known(report: &mut Report) {
-    let within =
-        |percent: usize| report.known.get(report.known.len().saturating_sub(1) * percent / 100).copied();
+    let within = |percent: usize| {
+        report.detection_ms.get(report.detection_ms.len().saturating_sub(1) * percent / 100).copied()
+    };
     let is_late = |at: Option<u64>, limit: Duration| at.is_some_and(|ms| u128::from(ms) > limit.as_millis());
     let (median, most) = (within(50), within(99));
     if is_late(median, KNOWN_MEDIAN + POLL_INTERVAL) || is_late(most, KNOWN) {
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -61,7 +61,7 @@
 /// What may happen in the middle of it.
 pub const FAULTS: [&str; 4] = ["none", "kill", "keepers", "halves"];
 /// How prefixes are pinned: not at all, or by the merged counts of all routers.
-pub const WAYS: [&str; 2] = ["lru", "merged"];
+pub const PINNING_MODES: [&str; 2] = ["lru", "merged"];
 /// Bugs that can be seeded, with the rule that each breaks.
 pub const SEEDED_BUGS: [(&str, &str); 1] = [("lone-voter-pins", ONE_ROUTER)];
 const ONE_ROUTER: &str = "one router's word pins nothing";
@@ -75,8 +75,8 @@
     pub setup: &'a Setup,
     /// One of `FAULTS`.
     pub fault: &'a str,
-    /// One of `WAYS`.
-    pub way: &'a str,
+    /// One of `PINNING_MODES`.
+    pub pinning: &'a str,
 }
 
 /// The result.
@@ -136,14 +136,14 @@
 ///
 /// # Errors
 /// Why it could not be played.
-pub fn play(
+pub fn run(
     options: &Options<'_>,
     folder: &Path,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Report, ScenarioError> {
     let network = FaultyNetwork::new(options.setup.seed)
         .map_err(|error| ScenarioError::machine(folder.display(), error))?;
-    let setup = Setup { proxy: Some(network.at), ..options.setup.clone() };
+    let setup = Setup { proxy: Some(network.proxy), ..options.setup.clone() };
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
     let day = draw(&setup, begin, testbed.store);
@@ -207,7 +207,7 @@
         if index < REPLICAS {
             more += &format!(" votes = \"{}\"\n", testbed.file(&format!("r{index}.votes")).display());
         }
-        if options.way == "merged" {
+        if options.pinning == "merged" {
             more += &format!(
                 " openings {{\n  prepare = \"{PREPARE_TIME}us\"\n  memory = {PINNED_UNITS}\n  \
                  keeps = \"8s\"\n }}\n"
@@ -295,7 +295,7 @@
         let most = report.most_at_one_worker;
         breaks(MEMORY, format!("{most} openings at one worker under leases, {limit} at most"));
     }
-    if options.way == "merged" && report.pinned == 0 {
+    if options.pinning == "merged" && report.pinned == 0 {
         breaks(PINNED, "no job came with a lease".to_owned());
     }
 }
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -66,7 +66,7 @@
 /// Who dies and what is left of their disks.
 pub const FAULTS: [&str; 6] = ["kill", "wave", "nineteen", "all", "lost", "cut"];
 /// What a router may start from.
-pub const WAYS: [&str; 4] = ["both", "nothing", "snapshot", "peers"];
+pub const START_STATES: [&str; 4] = ["both", "nothing", "snapshot", "peers"];
 /// Bugs that can be seeded, the rule that each breaks, and the fault and the way in which it shows.
 pub const SEEDED_BUGS: [(&str, &str, &str, &str); 3] = [
     ("forgets-drains", DRAIN_KEPT, "kill", "both"),
@@ -84,8 +84,8 @@
     pub setup: &'a Setup,
     /// One of `FAULTS`.
     pub fault: &'a str,
-    /// One of `WAYS`.
-    pub way: &'a str,
+    /// One of `START_STATES`.
+    pub start_state: &'a str,
 }
 
 /// The result.
@@ -101,7 +101,7 @@
     /// The same in the last seconds of the scenario.
     pub service_at_end: f64,
     /// ms from the last restart until service is whole and stays so; none within the scenario.
-    pub recovered_after: Option<u64>,
+    pub recovery_ms: Option<u64>,
     /// Fetches in the tenth of a second that had most, before the deaths.
     pub fetches_before: usize,
     /// The same after the last restart.
@@ -113,11 +113,11 @@
     /// Those of them that came later than the grace after the restart.
     pub strays_after_grace: usize,
     /// Recovery requests to one router in the tenth of a second that had most.
-    pub most_asks: u64,
+    pub peak_recovery_requests: u64,
     /// Recovery requests in all.
-    pub asks: u64,
+    pub recovery_requests: u64,
     /// Part of those of the first second after the restarts that went to the most asked router.
-    pub asks_part: f64,
+    pub max_request_share: f64,
     /// Requests in all.
     pub requests: usize,
 }
@@ -155,7 +155,7 @@
     if index < REPLICAS {
         more += &format!(" votes = \"{}\"\n", file("votes"));
     }
-    if matches!(options.way, "both" | "snapshot") {
+    if matches!(options.start_state, "both" | "snapshot") {
         more += &format!(" snapshot = \"{}\"\n", file("snapshot"));
     }
     block.replacen("fleet {\n", &more, 1)
@@ -186,13 +186,13 @@
 ///
 /// # Errors
 /// Why it could not be played.
-pub fn play(
+pub fn run(
     options: &Options<'_>,
     folder: &Path,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Report, ScenarioError> {
     let network = counting_network(options, folder)?;
-    let setup = setup(options, network.at);
+    let setup = setup(options, network.proxy);
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
     let restarts = begin + BEFORE + OUTAGE_TIME;
@@ -268,7 +268,7 @@
 /// The routers, by what they may start from.
 fn setup(options: &Options<'_>, proxy: SocketAddr) -> Setup {
     let mut setup = Setup { proxy: Some(proxy), ..options.setup.clone() };
-    if matches!(options.way, "nothing" | "snapshot") {
+    if matches!(options.start_state, "nothing" | "snapshot") {
         setup.seeded_bug = Some("no-peers".to_owned());
     }
     setup
@@ -303,8 +303,8 @@
 /// Counts recovery requests, of which the first second is that around this tenth of a second.
 fn count_asks(report: &mut Report, network: &FaultyNetwork, tenth: u64) {
     let counts = network.faults().counts.take().map(|counted| counted.counts).unwrap_or_default();
-    report.most_asks = counts.values().copied().max().unwrap_or(0);
-    report.asks = counts.values().sum();
+    report.peak_recovery_requests = counts.values().copied().max().unwrap_or(0);
+    report.recovery_requests = counts.values().sum();
     // From the first of them on: starting all takes a moment.
     let mut early: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     for ((to, at), count) in &counts {
@@ -313,7 +313,7 @@
         }
     }
     let all: u64 = early.values().sum();
-    report.asks_part = early.values().copied().max().unwrap_or(0) as f64 / all.max(1) as f64;
+    report.max_request_share = early.values().copied().max().unwrap_or(0) as f64 / all.max(1) as f64;
 }
 
 /// Share of the requests from one time to another that were answered in time; none where there were none.
@@ -340,7 +340,7 @@
     let mut at = last;
     while at + STABLE_TIME <= ends {
         if stays(at) {
-            report.recovered_after = Some((at - last) / MS);
+            report.recovery_ms = Some((at - last) / MS);
             return;
         }
         at += RECOVERY_STEP;
@@ -387,19 +387,24 @@
         report.breaks(FIVE_RULES, what);
     }
     // Where nothing is stored and nobody is asked, or nobody knows, it cannot be kept.
-    let can_be_kept = matches!(options.way, "both" | "peers") && options.fault != "lost";
-    if can_be_kept && report.strays_after_grace > 0 && !(options.way == "peers" && options.fault == "all") {
+    let can_be_kept = matches!(options.start_state, "both" | "peers") && options.fault != "lost";
+    if can_be_kept
+        && report.strays_after_grace > 0
+        && !(options.start_state == "peers" && options.fault == "all")
+    {
         let what = format!("{} jobs came to the draining worker after the grace", report.strays_after_grace);
         report.breaks(DRAIN_KEPT, what);
     }
-    if report.most_asks > MAX_ASKS {
-        let what = format!("{} asks came to one router in a tenth of a second", report.most_asks);
+    if report.peak_recovery_requests > MAX_ASKS {
+        let what =
+            format!("{} asks came to one router in a tenth of a second", report.peak_recovery_requests);
         report.breaks(ASKS_SPREAD, what);
     }
     let others = options.setup.routers - 1;
     let several = matches!(options.fault, "kill" | "wave" | "cut") && others >= MIN_ROUTERS_ASKED;
-    if several && report.asks_part > MAX_ASKS_FACTOR / others as f64 {
-        let what = format!("{:.2} of the asks of the first second went to one router", report.asks_part);
+    if several && report.max_request_share > MAX_ASKS_FACTOR / others as f64 {
+        let what =
+            format!("{:.2} of the asks of the first second went to one router", report.max_request_share);
         report.breaks(ASKS_SPREAD, what);
     }
     // A machine that plays other things beside it has bad seconds: when service was whole is a
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -62,17 +62,17 @@
     /// How the hall is cut.
     pub cut: Cut,
     /// s of the cut.
-    pub seconds: u64,
+    pub cut_seconds: u64,
     /// Clients in all.
     pub clients: u64,
     /// Share of the clients that ignore the time they are given to retry.
-    pub ignore: f64,
+    pub ignoring_share: f64,
     /// Whether the routers shed load in a storm.
     pub damping: bool,
     /// s watched after the cut.
-    pub after: u64,
+    pub observed_seconds: u64,
     /// Restarts one more router in the middle of the storm.
-    pub restart: bool,
+    pub restarts_router: bool,
 }
 
 /// The result.
@@ -85,11 +85,11 @@
     /// Seconds of the cut and of its end.
     pub cut: (usize, usize),
     /// Share of requests answered in time before the cut.
-    pub before: f64,
+    pub baseline: f64,
     /// Seconds from the end of the cut until service was back, if it came back.
-    pub recovery: Option<usize>,
+    pub recovery_seconds: Option<usize>,
     /// Exchanges in the second after the cut that had most.
-    pub peak: usize,
+    pub peak_exchanges: usize,
     /// Rejections.
     pub rejected: usize,
     /// Fetches from the store after the cut.
@@ -117,7 +117,7 @@
         });
         let kind = ["quote", "quote", "hold", "confirm"][rng.rand_range(0..4) as usize];
         let client = rng.rand_range(0..options.clients);
-        let ignores = (client as f64) < options.ignore * options.clients as f64;
+        let ignores = (client as f64) < options.ignoring_share * options.clients as f64;
         requests.push(PlannedRequest {
             at,
             source: format!("/client/{client}"),
@@ -179,7 +179,7 @@
 ///
 /// # Errors
 /// Why it could not be played.
-pub fn play(
+pub fn run(
     options: &Options<'_>,
     folder: &Path,
     progress: &mut dyn FnMut(&str),
@@ -187,8 +187,8 @@
     let setup = options.setup;
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
-    let (cut, heal) = (begin + BEFORE, begin + BEFORE + options.seconds * S);
-    let times = Times { begin, cut, heal, end: heal + options.after * S };
+    let (cut, heal) = (begin + BEFORE, begin + BEFORE + options.cut_seconds * S);
+    let times = Times { begin, cut, heal, end: heal + options.observed_seconds * S };
     let workers = workers(options, times, testbed.store);
     let day = Day::steady(workers, requests(options, begin, times.end));
     testbed.add_doubles(&day, |_| ());
@@ -199,7 +199,7 @@
         testbed.start_router(&settings.to_hcl())?;
     }
     let results = testbed.add_clients(&day.requests);
-    let other = options.restart.then_some(1).filter(|index| *index < setup.routers);
+    let other = options.restarts_router.then_some(1).filter(|index| *index < setup.routers);
     let mut script = script(times, other.is_some()).into_iter().peekable();
     let mut last_progress = 0;
     while testbed.now() < times.end {
@@ -326,7 +326,7 @@
     report.functions = in_use.map(|request| request.function.as_str()).collect::<BTreeSet<_>>().len();
     let begun = count_seen(&mut report, ledger, times);
     let from_heal = &report.seconds[report.cut.1..];
-    report.peak = from_heal.iter().map(|(_, _, asked)| *asked).max().unwrap_or(0);
+    report.peak_exchanges = from_heal.iter().map(|(_, _, asked)| *asked).max().unwrap_or(0);
     let attempts_each = |span: Range<usize>| {
         let done: usize = report.seconds[span.clone()].iter().map(|(_, in_time, _)| *in_time).sum();
         begun[span].iter().sum::<usize>() as f64 / done.max(1) as f64
@@ -335,12 +335,12 @@
     report.attempts = (attempts_each(LOADING_SECONDS..report.cut.0), attempts_each(after));
     // The first seconds load everything; the last ones have no time left to be answered in.
     let steady = &report.seconds[LOADING_SECONDS..report.cut.0];
-    report.before = steady.iter().map(share).sum::<f64>() / steady.len().max(1) as f64;
+    report.baseline = steady.iter().map(share).sum::<f64>() / steady.len().max(1) as f64;
     let after = &report.seconds[report.cut.1..last - 2];
     let is_back = |seconds: &[(usize, usize, usize)]| {
-        seconds.iter().all(|second| share(second) >= RECOVERED_SHARE * report.before)
+        seconds.iter().all(|second| share(second) >= RECOVERED_SHARE * report.baseline)
     };
-    report.recovery = after.windows(RECOVERED_SECONDS).position(is_back);
+    report.recovery_seconds = after.windows(RECOVERED_SECONDS).position(is_back);
     report
 }
 
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -164,7 +164,7 @@
 ///
 /// # Errors
 /// Why it could not be played.
-pub fn play(
+pub fn run(
     options: &Options<'_>,
     folder: &Path,
     progress: &mut dyn FnMut(&str),
