--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -221,8 +221,8 @@
         };
         transport.write(conn, &bytes);
         let (router, event) = (exchange.router as u64, Event::from(format!("{} {}", p.source, p.id)));
-        let limit = p.at + p.timeout;
-        self.ledger.record(now, Observation::RequestSent { exchange: *number, router, event, limit });
+        let deadline = p.at + p.timeout;
+        self.ledger.record(now, Observation::RequestSent { exchange: *number, router, event, deadline });
     }
 
     /// Retries after `wait` µs, where there is time and an attempt left; whether there is.
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -1,100 +1,100 @@
-//! What the test doubles saw on their sockets, in order of time.
+//! Record of what the test doubles observed on their sockets, in chronological order.
 use applepond_reactor::Micros;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// An event's `source` and `id`, as one text.
+/// Identity of an event: its `source` and `id`, separated by a space.
 pub type Event = Rc<str>;
 
-/// One observation.
+/// One observation of a test double.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// The endpoint list wrote this to a router.
+    /// The endpoint list sent a worker's entry to a router.
     EndpointSent {
         /// Index of the router.
         router: u64,
         /// Name of the worker.
         worker: Rc<str>,
-        /// Whether it is listed as ready.
+        /// Whether the worker is listed as ready.
         ready: bool,
-        /// When it started, in ms; 0 before the scenario.
+        /// Start time of the worker in ms; 0 if it started before the scenario.
         started_ms: u64,
     },
     /// A worker received a complete request.
     RequestReceived {
         /// Name of the worker.
         worker: Rc<str>,
-        /// Its rack.
+        /// Rack of the worker.
         rack: i64,
-        /// Index of the router.
+        /// Index of the router that sent the request.
         router: u64,
         /// The event of the request.
         event: Event,
     },
-    /// It rejected the request without running it.
+    /// A worker rejected the request without running it.
     RequestRejected {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
-    /// The request began to run: its effect counts from here.
+    /// A worker started to run the request. From here on its effect may have happened.
     RequestStarted {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
-    /// A request came with a lease that pins its prefix.
+    /// A worker received a request with a lease that pins the request's prefix.
     PrefixPinned {
         /// Name of the worker.
         worker: Rc<str>,
         /// Index of the router.
         router: u64,
         /// Name of the prefix.
-        opening: Rc<str>,
+        prefix: Rc<str>,
     },
-    /// It prepared a prefix, which took so many µs of a core.
+    /// A worker prepared a prefix.
     PrefixPrepared {
         /// Name of the worker.
         worker: Rc<str>,
         /// Name of the prefix.
-        opening: Rc<str>,
-        /// µs of a core.
-        took: Micros,
+        prefix: Rc<str>,
+        /// Core time spent, in µs.
+        duration: Micros,
     },
-    /// The request finished; one that was cancelled does not.
+    /// A worker finished the request. A cancelled request never finishes.
     RequestFinished {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
-    /// A repeat that the worker's rack dropped.
+    /// A worker dropped a request that had already finished in its rack.
     DuplicateDropped {
         /// Name of the worker.
         worker: Rc<str>,
         /// The event of the request.
         event: Event,
     },
-    /// Its process started.
+    /// The process of a worker started.
     WorkerStarted {
         /// Name of the worker.
         worker: Rc<str>,
     },
-    /// A cold worker was overloaded and died; the router of each request that it had lately.
+    /// A cold worker was overloaded and crashed.
     WorkerOverloaded {
         /// Name of the worker.
         worker: Rc<str>,
-        /// A router for each of these requests.
-        by: Vec<u64>,
+        /// The sending router of each request received within the overload window.
+        routers: Vec<u64>,
     },
-    /// The store accepted or rejected a fetch.
+    /// The model store received a fetch.
     ModelFetch {
-        /// Whether it was accepted.
-        taken: bool,
+        /// Whether the store accepted it.
+        accepted: bool,
     },
-    /// The client wrote an exchange's request to a router.
+    /// A client sent a request to a router.
     RequestSent {
         /// Number of the exchange.
         exchange: u64,
@@ -102,39 +102,39 @@
         router: u64,
         /// The event of the request.
         event: Event,
-        /// The client's deadline.
-        limit: Micros,
+        /// When the client stops waiting.
+        deadline: Micros,
     },
-    /// An answer came: its status, and whether the exchange was still open.
+    /// A client received the response of an exchange that was still open.
     ResponseReceived {
         /// Number of the exchange.
         exchange: u64,
-        /// The status of the answer.
+        /// Status of the response.
         status: u16,
     },
-    /// Bytes came that belong to no exchange that is open.
+    /// A client received bytes that belong to no open exchange.
     UnexpectedBytes {
-        /// Number of the exchange.
+        /// Number of the last exchange on the connection.
         exchange: u64,
     },
-    /// The connection ended without an answer.
+    /// The connection ended before the response.
     ConnectionLost {
         /// Number of the exchange.
         exchange: u64,
     },
-    /// The client left before its answer, on purpose.
+    /// The client disconnected before the response, as planned.
     ClientLeft {
         /// Number of the exchange.
         exchange: u64,
     },
-    /// The client's time was up.
+    /// The client stopped waiting for the response.
     ClientTimedOut {
         /// Number of the exchange.
         exchange: u64,
     },
 }
 
-/// The observations of all test doubles; clones share them.
+/// The observations of all test doubles. Clones share one record.
 #[derive(Clone, Default)]
 pub struct Ledger(Rc<RefCell<Vec<(Micros, Observation)>>>);
 
@@ -144,7 +144,7 @@
         self.0.borrow_mut().push((now, observation));
     }
 
-    /// Calls with all observations so far, each with its time.
+    /// Calls `call` with all observations so far, each with its time.
     pub fn read<T>(&self, call: impl FnOnce(&[(Micros, Observation)]) -> T) -> T {
         call(&self.0.borrow())
     }
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -59,11 +59,11 @@
             transport.write(conn, &encode::response(200).body(b""));
             return transport.wake_at(now, Wake(u64::MAX));
         }
-        let taken = fetching < self.most && !stopped;
-        self.ledger.record(now, Observation::ModelFetch { taken });
+        let accepted = fetching < self.most && !stopped;
+        self.ledger.record(now, Observation::ModelFetch { accepted });
         if stopped {
             transport.finish(conn);
-        } else if !taken {
+        } else if !accepted {
             transport.write(conn, &encode::response(503).body(b""));
         } else {
             *fetches = true;
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -33,8 +33,8 @@
         );
         let work = asked.number("ce-workms").unwrap_or(20) * 1000;
         if self.is_overloaded(now, router, work) {
-            let by = self.recent.iter().map(|recent| recent.router).collect();
-            self.ledger.record(now, Observation::WorkerOverloaded { worker, by });
+            let routers = self.recent.iter().map(|recent| recent.router).collect();
+            self.ledger.record(now, Observation::WorkerOverloaded { worker, routers });
             return self.die(transport);
         }
         if self.misbehaves(now, transport, conn, asked, &event) {
@@ -56,8 +56,8 @@
         };
         let prefix = RequestPrefix::read(asked);
         if let Some(prefix) = prefix.as_ref().filter(|prefix| prefix.lease > 0) {
-            let (worker, opening) = (self.config.name.clone(), prefix.name.clone());
-            self.ledger.record(now, Observation::PrefixPinned { worker, router, opening });
+            let (worker, prefix) = (self.config.name.clone(), prefix.name.clone());
+            self.ledger.record(now, Observation::PrefixPinned { worker, router, prefix });
         }
         let request = Request { event, function, work, keyed, copy, same_function, running: false, prefix };
         self.requests.insert(conn, request);
--- a/crates/fakes/src/worker/prefixes.rs
+++ b/crates/fakes/src/worker/prefixes.rs
@@ -60,9 +60,9 @@
         }
         self.prepared
             .insert(prefix.name.clone(), Prepared { size: prefix.size, last_used: now, pinned_until });
-        let took = prefix.size * self.config.prepare_time_per_unit;
-        let (worker, opening) = (self.config.name.clone(), prefix.name.clone());
-        self.ledger.record(now, Observation::PrefixPrepared { worker, opening, took });
-        took
+        let duration = prefix.size * self.config.prepare_time_per_unit;
+        let (worker, prefix) = (self.config.name.clone(), prefix.name.clone());
+        self.ledger.record(now, Observation::PrefixPrepared { worker, prefix, duration });
+        duration
     }
 }
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -107,9 +107,9 @@
     let mut open: BTreeMap<u64, Exchange> = BTreeMap::new();
     for (at, saw) in ledger {
         match saw {
-            Observation::RequestSent { exchange, router, limit, .. } => {
+            Observation::RequestSent { exchange, router, deadline, .. } => {
                 verdict.exchanges += 1;
-                let asked = Exchange { asked: *at, router: *router, deadline: *limit, ended: false };
+                let asked = Exchange { asked: *at, router: *router, deadline: *deadline, ended: false };
                 open.insert(*exchange, asked);
             }
             Observation::ResponseReceived { exchange, status } => {
@@ -168,7 +168,7 @@
                 arrivals.insert((worker, event), Arrival { at: *at, rack: *rack });
             }
             Observation::DuplicateDropped { .. } => verdict.dropped_repeats += 1,
-            Observation::ModelFetch { taken: true } => verdict.fetches += 1,
+            Observation::ModelFetch { accepted: true } => verdict.fetches += 1,
             Observation::RequestStarted { worker, event } => {
                 verdict.attempts += 1;
                 let Some(arrival) = arrivals.get(&(worker, event)) else { continue };
@@ -245,14 +245,15 @@
             Observation::EndpointSent { router, worker, ready: true, .. } => {
                 notified.insert((*router, worker), *at);
             }
-            Observation::WorkerOverloaded { worker, by } => {
+            Observation::WorkerOverloaded { worker, routers } => {
                 let since = started.get(worker).copied().unwrap_or(0);
                 let knows = |router: &&u64| {
                     notified.get(&(**router, worker)).is_some_and(|notified| *notified >= since)
                 };
-                let knowing = by.iter().filter(knows).count();
-                if knowing * 3 >= by.len() * 2 {
-                    verdict.fault(4, format!("cold worker {worker} was pushed over by {} jobs", by.len()));
+                let knowing = routers.iter().filter(knows).count();
+                if knowing * 3 >= routers.len() * 2 {
+                    verdict
+                        .fault(4, format!("cold worker {worker} was pushed over by {} jobs", routers.len()));
                 }
             }
             _ => {}
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -259,18 +259,18 @@
     ledger.read(|ledger| {
         for (at, saw) in ledger {
             match saw {
-                Observation::PrefixPrepared { took, .. } if *at >= from => {
+                Observation::PrefixPrepared { duration, .. } if *at >= from => {
                     report.prepared += 1;
-                    report.preparing_seconds += *took as f64 / 1e6;
+                    report.preparing_seconds += *duration as f64 / 1e6;
                 }
-                Observation::PrefixPinned { worker, opening, .. } => {
-                    loops += usize::from(**opening == *LOOP);
+                Observation::PrefixPinned { worker, prefix, .. } => {
+                    loops += usize::from(**prefix == *LOOP);
                     let held = leases.entry(worker.clone()).or_default();
                     held.retain(|_, last| *at < *last + LEASE_TIME + LEASE_SLACK);
-                    held.insert(opening.clone(), *at);
+                    held.insert(prefix.clone(), *at);
                     report.most_at_one_worker = report.most_at_one_worker.max(held.len());
                     if *at >= from {
-                        pinned.insert(opening.clone());
+                        pinned.insert(prefix.clone());
                     }
                 }
                 _ => {}
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -360,7 +360,9 @@
         let mut tenths: BTreeMap<Micros, usize> = BTreeMap::new();
         for (at, saw) in ledger {
             match saw {
-                Observation::ModelFetch { taken: true } => *tenths.entry(at / (100 * MS)).or_default() += 1,
+                Observation::ModelFetch { accepted: true } => {
+                    *tenths.entry(at / (100 * MS)).or_default() += 1
+                }
                 Observation::WorkerOverloaded { .. } => report.overloaded_cold += 1,
                 Observation::RequestReceived { worker, router, .. }
                     if *worker == draining.name && *at > last =>
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -358,7 +358,7 @@
                 Observation::RequestSent { .. } => report.seconds[times.second(*at)].2 += 1,
                 Observation::RequestStarted { .. } => begun[times.second(*at)] += 1,
                 Observation::ResponseReceived { status: 503 | 429, .. } => report.rejected += 1,
-                Observation::ModelFetch { taken: true } if *at >= times.heal => report.fetches += 1,
+                Observation::ModelFetch { accepted: true } if *at >= times.heal => report.fetches += 1,
                 _ => {}
             }
         }
--- a/crates/scenarios/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -23,7 +23,7 @@
     }
 
     fn asked(event: &str) -> Observation {
-        Observation::RequestSent { exchange: 1, router: 0, event: name(event), limit: 4 * S }
+        Observation::RequestSent { exchange: 1, router: 0, event: name(event), deadline: 4 * S }
     }
 
     fn notified(ready: bool) -> Observation {
@@ -35,7 +35,7 @@
     }
 
     fn overloaded() -> Observation {
-        Observation::WorkerOverloaded { worker: name("w"), by: vec![0, 0, 1] }
+        Observation::WorkerOverloaded { worker: name("w"), routers: vec![0, 0, 1] }
     }
 
     // Each story with the one rule that it breaks, beside its sound twin.
