--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,70 +1,72 @@
-//! The worker: cores, lanes, memory, copies that load from the store and are evicted, warm-up, death when
-//! overloaded while cold, repeats dropped by rack, reports in answers. It misbehaves as its script says.
-mod answer;
+//! A fake worker. It runs requests on a limited number of cores, loads copies of functions from the model
+//! store and evicts them, warms up after a start, crashes when it is overloaded while cold, drops duplicates
+//! per rack and reports its load in responses. A script starts and stops it and makes it misbehave.
 mod config;
 mod intake;
 mod prefixes;
+mod response;
 
 pub use config::{Behaviour, ScriptEvent, WorkerConfig};
 
 use crate::http_peer::HttpPeer;
 use crate::ledger::{Event, Ledger, Observation};
-use answer::{Answer, Facts};
 use applepond_http::decode::Side;
 use applepond_http::encode;
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use oorandom::Rand64;
 use prefixes::{Prepared, RequestPrefix};
+use response::{BookingData, Response};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// µs after which a worker that hangs looks again whether it still does.
+/// Interval in µs at which a hanging worker rechecks whether it may finish a request.
 const HANG_POLL_INTERVAL: Micros = 100_000;
 
-/// The keyed events that have finished in a rack, and until when it drops their repeats.
+/// The events with an idempotency key that finished in a rack, with the time until which duplicates are
+/// dropped. The workers of a rack share it.
 pub type Rack = Rc<RefCell<BTreeMap<Event, Micros>>>;
 
-/// A copy of a function.
+/// A loaded or loading copy of a function.
 struct Copy {
     memory_mb: u64,
-    /// Requests that it runs at a time.
+    /// Limit of concurrent requests.
     lanes: usize,
     running: usize,
     loading: bool,
     last_used: Micros,
 }
 
-/// A request that waits or runs.
+/// A queued or running request.
 struct Request {
     event: Event,
     function: Rc<str>,
-    /// µs of work at a warm worker.
+    /// Run time in µs on a warm worker.
     work: Micros,
     keyed: bool,
-    /// What the copy was like when it came.
+    /// State of the function's copy when the request arrived, as reported in the response.
     copy: &'static str,
-    /// Requests of the same function when it came.
+    /// Number of other requests of the same function when the request arrived.
     same_function: usize,
     running: bool,
     prefix: Option<RequestPrefix>,
 }
 
-/// A request that came lately.
+/// A request received within the overload window.
 struct Recent {
     at: Micros,
     router: u64,
     work: Micros,
 }
 
-/// What a timer does.
+/// The action of a timer.
 enum Timer {
     Script(usize),
-    Done(Conn, u64),
+    Finished(Conn, u64),
     Loaded(Rc<str>),
 }
 
-/// A worker.
+/// A fake worker.
 pub struct Worker {
     config: WorkerConfig,
     script: Vec<(Micros, ScriptEvent)>,
@@ -72,7 +74,7 @@
     rack: Rack,
     rng: Rand64,
     behaviour: Behaviour,
-    /// While it runs.
+    /// Present while the process runs.
     listener: Option<Listener>,
     started: Micros,
     peers: BTreeMap<Conn, HttpPeer>,
@@ -80,20 +82,21 @@
     queue: VecDeque<Conn>,
     copies: BTreeMap<Rc<str>, Copy>,
     fetches: BTreeMap<Conn, (Rc<str>, HttpPeer)>,
-    /// Requests within `fall_span`.
+    /// Requests received within `overload_window`.
     recent: VecDeque<Recent>,
     timers: Vec<Option<Timer>>,
-    /// Deaths so far: with the number of the answer the name of a result.
-    life: u64,
-    /// Answers with a result so far.
-    answered: u64,
-    /// What the result being written says.
-    facts: Facts,
+    /// Number of times the process has stopped. Keeps result ids unique and makes timers of requests from
+    /// before a stop void.
+    generation: u64,
+    /// Number of responses with a result. Part of the result's id.
+    results: u64,
+    /// Data of the latest result.
+    booking: BookingData,
     prepared: BTreeMap<Rc<str>, Prepared>,
 }
 
 impl Worker {
-    /// A worker in this rack, which it shares with others.
+    /// Creates a worker in `rack`, which it may share with other workers.
     pub fn new(config: WorkerConfig, script: Vec<(Micros, ScriptEvent)>, ledger: Ledger, rack: Rack) -> Self {
         Worker {
             rng: Rand64::new(u128::from(config.seed)),
@@ -112,9 +115,9 @@
             recent: VecDeque::new(),
             prepared: BTreeMap::new(),
             timers: Vec::new(),
-            life: 0,
-            answered: 0,
-            facts: Facts::FIRST,
+            generation: 0,
+            results: 0,
+            booking: BookingData::INITIAL,
         }
     }
 
@@ -123,20 +126,20 @@
         transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
     }
 
-    /// Its process starts.
+    /// Starts the process: the worker is cold and listens.
     fn start_process(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.started = now;
         self.ledger.record(now, Observation::WorkerStarted { worker: self.config.name.clone() });
         self.listener = transport.listen(self.config.listen, 10_000).ok().map(|(listener, _)| listener);
     }
 
-    /// Its process ends.
-    fn die(&mut self, transport: &mut dyn Transport) {
+    /// Stops the process: the port closes, all connections break, requests and copies are lost.
+    fn stop_process(&mut self, transport: &mut dyn Transport) {
         if let Some(listener) = self.listener.take() {
             transport.stop_accepting(listener, true);
         }
         self.peers.keys().chain(self.fetches.keys()).for_each(|conn| transport.cut(*conn));
-        self.life += 1;
+        self.generation += 1;
         self.peers.clear();
         self.requests.clear();
         self.queue.clear();
@@ -145,8 +148,8 @@
         self.recent.clear();
     }
 
-    /// The part of its pace that it has now.
-    fn warmth(&self, now: Micros) -> f64 {
+    /// The share of its full speed at which the worker runs now.
+    fn speed(&self, now: Micros) -> f64 {
         let age = (now - self.started) as f64 / self.config.warmup_time.max(1) as f64;
         if self.config.warmup_time == 0 || age >= 1.0 {
             return 1.0;
@@ -154,15 +157,16 @@
         self.config.cold_share + (1.0 - self.config.cold_share) * age
     }
 
-    /// Counts what a worker is sent; whether that is more than a cold one bears.
+    /// Counts a request towards the overload window. Returns whether the worker is cold and has received more
+    /// work than it can bear.
     fn is_overloaded(&mut self, now: Micros, router: u64, work: Micros) -> bool {
         let span = self.config.overload_window;
         self.recent.retain(|recent| recent.at + span > now);
         self.recent.push_back(Recent { at: now, router, work });
-        let warmth = self.warmth(now);
-        let sent: Micros = self.recent.iter().map(|recent| recent.work).sum();
-        let bears = self.config.overload_factor * warmth * self.config.cores as f64 * span as f64;
-        warmth < 1.0 && sent as f64 > bears
+        let speed = self.speed(now);
+        let received: Micros = self.recent.iter().map(|recent| recent.work).sum();
+        let max_work = self.config.overload_factor * speed * self.config.cores as f64 * span as f64;
+        speed < 1.0 && received as f64 > max_work
     }
 
     fn set_behaviour(&mut self, transport: &mut dyn Transport, behaviour: Behaviour) {
@@ -175,7 +179,7 @@
         self.behaviour = behaviour;
     }
 
-    /// Starts requests that wait: the oldest first, where a copy has a lane and a core is free.
+    /// Starts queued requests, oldest first, while a core and a lane of the function's copy are free.
     fn start_waiting(&mut self, now: Micros, transport: &mut dyn Transport) {
         let running = self.requests.values().filter(|request| request.running).count();
         let mut free = self.config.cores.saturating_sub(running);
@@ -193,13 +197,13 @@
             self.queue.retain(|waiting| *waiting != conn);
             self.ledger.record(now, Observation::RequestStarted { worker, event });
             work += prefix.map_or(0, |prefix| self.prepare(now, &prefix));
-            let at = now + (work as f64 / self.warmth(now)) as Micros;
-            self.set_timer(transport, at, Timer::Done(conn, self.life));
+            let at = now + (work as f64 / self.speed(now)) as Micros;
+            self.set_timer(transport, at, Timer::Finished(conn, self.generation));
         }
     }
 
-    /// A request has finished.
-    fn done(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    /// Completes a running request and responds to it.
+    fn finish_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some(request) = self.requests.remove(&conn) else { return };
         if let Some(copy) = self.copies.get_mut(&request.function) {
             copy.running -= 1;
@@ -207,16 +211,16 @@
         }
         let (worker, event) = (self.config.name.clone(), request.event.clone());
         self.ledger.record(now, Observation::RequestFinished { worker, event: event.clone() });
-        self.facts = Facts::of(&event);
+        self.booking = BookingData::from_event(&event);
         if request.keyed {
             self.rack.borrow_mut().insert(request.event.clone(), now + self.config.dedup_window);
         }
         let (copy, same_function) = (request.copy, request.same_function);
-        self.answer(transport, conn, &Answer { status: 200, outcome: "", copy, same_function });
+        self.respond(transport, conn, &Response { status: 200, outcome: "", copy, same_function });
         self.start_waiting(now, transport);
     }
 
-    /// A load has failed, with all that waited for it.
+    /// Removes a copy that failed to load and fails the requests that waited for it.
     fn load_failed(&mut self, now: Micros, transport: &mut dyn Transport, function: &Rc<str>) {
         self.copies.remove(function);
         let waiting = self.requests.iter().filter(|(_, request)| request.function == *function);
@@ -224,14 +228,14 @@
         for conn in requests {
             self.requests.remove(&conn);
             self.queue.retain(|waiting| *waiting != conn);
-            let answer = Answer { status: 500, outcome: "", copy: "load-failed", same_function: 0 };
-            self.answer(transport, conn, &answer);
+            let response = Response { status: 500, outcome: "", copy: "load-failed", same_function: 0 };
+            self.respond(transport, conn, &response);
         }
         self.start_waiting(now, transport);
     }
 
-    /// The client has gone, which cancels its request: one that runs stops, and frees its core.
-    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    /// Handles the end of a connection. A router that disconnects cancels its request, which frees the core.
+    fn connection_ended(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peers.remove(&conn);
         if let Some(request) = self.requests.remove(&conn) {
             self.queue.retain(|waiting| *waiting != conn);
@@ -252,8 +256,8 @@
             let at = self.script[index].0;
             self.set_timer(transport, at, Timer::Script(index));
         }
-        // One whose script begins with its rise comes later.
-        if self.script.first().is_none_or(|(_, turn)| *turn != ScriptEvent::Start) {
+        // A worker whose script begins with a start joins later; all others are warm from the beginning.
+        if self.script.first().is_none_or(|(_, event)| *event != ScriptEvent::Start) {
             self.start_process(now, transport);
             self.started = now.saturating_sub(self.config.warmup_time);
         }
@@ -268,41 +272,43 @@
     }
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
         if let Some((function, peer)) = self.fetches.get_mut(&conn) {
-            let Some(answer) = peer.receive(bytes).unwrap_or_default().pop() else { return };
+            let Some(response) = peer.receive(bytes).unwrap_or_default().pop() else { return };
             let function = function.clone();
             self.fetches.remove(&conn);
             transport.cut(conn);
-            match answer.status {
+            match response.status {
                 200 => self.set_timer(transport, now + self.config.load_time, Timer::Loaded(function)),
                 _ => self.load_failed(now, transport, &function),
             }
         } else if let Some(peer) = self.peers.get_mut(&conn) {
             match peer.receive(bytes) {
-                Some(asked) => asked.iter().for_each(|asked| self.request(now, transport, conn, asked)),
+                Some(messages) => {
+                    messages.iter().for_each(|message| self.request(now, transport, conn, message))
+                }
                 None => transport.cut(conn),
             }
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         transport.cut(conn);
-        self.gone(now, transport, conn);
+        self.connection_ended(now, transport, conn);
     }
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
-        self.gone(now, transport, conn);
+        self.connection_ended(now, transport, conn);
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
         match self.timers[wake.0 as usize].take() {
             Some(Timer::Script(index)) => match self.script[index].1 {
                 ScriptEvent::SetBehaviour(behaviour) => self.set_behaviour(transport, behaviour),
-                ScriptEvent::Stop => self.die(transport),
+                ScriptEvent::Stop => self.stop_process(transport),
                 ScriptEvent::Start => self.start_process(now, transport),
             },
-            Some(Timer::Done(conn, life)) if life == self.life => {
+            Some(Timer::Finished(conn, generation)) if generation == self.generation => {
                 if !matches!(self.behaviour, Behaviour::Hang | Behaviour::Stall) {
-                    self.done(now, transport, conn);
+                    self.finish_request(now, transport, conn);
                 } else {
-                    self.set_timer(transport, now + HANG_POLL_INTERVAL, Timer::Done(conn, life));
+                    self.set_timer(transport, now + HANG_POLL_INTERVAL, Timer::Finished(conn, generation));
                 }
             }
             Some(Timer::Loaded(function)) => {
--- a/crates/fakes/src/worker/config.rs
+++ b/crates/fakes/src/worker/config.rs
@@ -1,74 +1,74 @@
-//! What a worker is, and how it behaves.
+//! Configuration, behaviours and script of a fake worker.
 use applepond_reactor::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The properties of a worker.
+/// Configuration of a worker.
 #[derive(Clone)]
 pub struct WorkerConfig {
-    /// Its name.
+    /// Name of the worker.
     pub name: Rc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub listen: SocketAddr,
-    /// Its rack.
+    /// Rack of the worker. Duplicates are dropped per rack.
     pub rack: i64,
-    /// Requests that it runs at a time.
+    /// Number of requests it can run at once.
     pub cores: usize,
-    /// MB for loaded functions.
+    /// Memory for loaded functions, in MB.
     pub memory_mb: u64,
-    /// Requests that may wait here; further ones are rejected.
+    /// Limit of queued requests; further ones are rejected.
     pub max_waiting: usize,
-    /// The store to fetch from; without one a load takes no fetch.
+    /// Address of the model store. Without one, functions load without a fetch.
     pub store: Option<SocketAddr>,
-    /// µs of a load after its fetch.
+    /// Time of a load after its fetch, in µs.
     pub load_time: Micros,
-    /// µs after which an idle copy may be unloaded by itself.
+    /// Idle time in µs after which a copy may be unloaded even if memory is free.
     pub idle_unload_time: Micros,
-    /// Part of its pace with which it starts.
+    /// Share of its full speed at which it starts.
     pub cold_share: f64,
-    /// µs until it is warm; 0 for one that is warm at once.
+    /// Time from the start to full speed, in µs; 0 if it is warm at once.
     pub warmup_time: Micros,
-    /// While cold, it dies when it is sent more than so many times what it can do.
+    /// A cold worker crashes when it receives more than this multiple of the work that it can do.
     pub overload_factor: f64,
-    /// µs over which that is measured.
+    /// Time over which `overload_factor` is measured, in µs.
     pub overload_window: Micros,
-    /// µs for which repeats of keyed requests are dropped.
+    /// Time for which duplicates of finished requests with an idempotency key are dropped, in µs.
     pub dedup_window: Micros,
-    /// Seed of its random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Units of prompt prefixes that it keeps prepared.
+    /// Capacity for prepared prompt prefixes, in units of prefix size.
     pub prefix_units: u64,
-    /// µs that it takes to prepare one unit.
+    /// Time to prepare one unit of a prefix, in µs.
     pub prepare_time_per_unit: Micros,
 }
 
 /// How a worker behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// As it should.
+    /// Behaves correctly.
     Well,
-    /// This share of the requests fails at once.
+    /// Fails this share of the requests immediately.
     FailFast(f64),
-    /// Accepts requests and answers none, those that run included.
+    /// Accepts requests but never responds; running requests do not finish either.
     Hang,
-    /// Stands still: accepts requests, and ends none before it is over.
+    /// Pauses: accepts requests, but finishes none until the behaviour changes.
     Stall,
-    /// Answers only the first half of an answer, then ends the connection.
+    /// Sends only the first half of each response, then closes the connection.
     CutAnswers,
-    /// Answers with bytes that are no HTTP, or HTTP that is no event.
+    /// Responds with bytes that are not HTTP, or with HTTP that carries no event.
     Garbage,
-    /// Accepts no connection; those that are established go on.
+    /// Accepts no new connections; established ones continue.
     NoHandshakes,
-    /// Rejects everything.
+    /// Rejects all requests.
     RefuseAll,
-    /// Rejects one customer's requests, by the sum of the bytes of its name.
+    /// Rejects the requests of one customer, identified by the sum of the bytes of its name.
     RefuseCustomer(u8),
-    /// Sends each answer twice.
+    /// Sends each response twice.
     TwoAnswers,
 }
 
 impl Behaviour {
-    /// The behaviour of this name, as on command lines and in `POST /-/mood?NAME`.
+    /// Parses the name used on the command line and in `POST /-/mood?NAME`.
     pub fn from_name(name: &str) -> Option<Behaviour> {
         Some(match name {
             "well" => Behaviour::Well,
@@ -88,10 +88,10 @@
 /// An event of a worker's script.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ScriptEvent {
-    /// It behaves like this from now on.
+    /// Changes the behaviour.
     SetBehaviour(Behaviour),
-    /// The process ends: all connections break, the port closes.
+    /// Ends the process: all connections break and the port closes.
     Stop,
-    /// It starts again, empty and cold.
+    /// Starts the process, empty and cold.
     Start,
 }
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -1,6 +1,6 @@
-//! How a worker accepts requests.
-use super::answer::Answer;
+//! Admission of requests at a fake worker.
 use super::prefixes::RequestPrefix;
+use super::response::Response;
 use super::{Behaviour, Copy, Request, Timer, Worker};
 use crate::http_peer::{HttpPeer, Message};
 use crate::ledger::{Event, Observation};
@@ -9,52 +9,52 @@
 use applepond_reactor::{Conn, Micros, Transport};
 use std::rc::Rc;
 
-/// µs within which a connection to the store has to be established.
+/// Time limit in µs for a connection to the model store.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
 
 impl Worker {
-    /// A request has come: one check after the other, which is why the function is long.
+    /// Handles a received request: runs the checks in order, then queues it.
     pub(super) fn request(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
         conn: Conn,
-        asked: &Message,
+        message: &Message,
     ) {
-        if let Some(name) = asked.target.strip_prefix("/-/mood?") {
+        if let Some(name) = message.target.strip_prefix("/-/mood?") {
             return self.change_behaviour(transport, conn, name);
         }
-        let event: Event = Rc::from(format!("{} {}", asked.field("ce-source"), asked.field("ce-id")));
-        let router = asked.number("applepond-router").unwrap_or(0);
+        let event: Event = Rc::from(format!("{} {}", message.field("ce-source"), message.field("ce-id")));
+        let router = message.number("applepond-router").unwrap_or(0);
         let (worker, rack) = (self.config.name.clone(), self.config.rack);
         self.ledger.record(
             now,
             Observation::RequestReceived { worker: worker.clone(), rack, router, event: event.clone() },
         );
-        let work = asked.number("ce-workms").unwrap_or(20) * 1000;
+        let work = message.number("ce-workms").unwrap_or(20) * 1000;
         if self.is_overloaded(now, router, work) {
             let routers = self.recent.iter().map(|recent| recent.router).collect();
             self.ledger.record(now, Observation::WorkerOverloaded { worker, routers });
-            return self.die(transport);
+            return self.stop_process(transport);
         }
-        if self.misbehaves(now, transport, conn, asked, &event) {
+        if self.misbehaves(now, transport, conn, message, &event) {
             return;
         }
-        let keyed = asked.field("ce-fingerprint") == "true";
+        let keyed = message.field("ce-fingerprint") == "true";
         if keyed && self.rack.borrow().get(&event).is_some_and(|until| now < *until) {
             self.ledger.record(now, Observation::DuplicateDropped { worker, event });
-            let answer = Answer { status: 200, outcome: "", copy: "", same_function: 0 };
-            return self.answer(transport, conn, &answer);
+            let response = Response { status: 200, outcome: "", copy: "", same_function: 0 };
+            return self.respond(transport, conn, &response);
         }
-        let function: Rc<str> = Rc::from(asked.field("applepond-function"));
+        let function: Rc<str> = Rc::from(message.field("applepond-function"));
         let same_function = self.requests.values().filter(|request| request.function == function).count();
         if self.queue.len() >= self.config.max_waiting {
             return self.reject(now, transport, conn, &event, same_function);
         }
-        let Some(copy) = self.find_copy(now, transport, asked, &function) else {
+        let Some(copy) = self.find_or_load_copy(now, transport, message, &function) else {
             return self.reject(now, transport, conn, &event, same_function);
         };
-        let prefix = RequestPrefix::read(asked);
+        let prefix = RequestPrefix::read(message);
         if let Some(prefix) = prefix.as_ref().filter(|prefix| prefix.lease > 0) {
             let (worker, prefix) = (self.config.name.clone(), prefix.name.clone());
             self.ledger.record(now, Observation::PrefixPinned { worker, router, prefix });
@@ -74,23 +74,23 @@
         transport.write(conn, &encode::response(status).body(b""));
     }
 
-    /// Whether its behaviour has dealt with the request.
+    /// Applies the configured misbehaviour. Returns whether it consumed the request.
     fn misbehaves(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
         conn: Conn,
-        asked: &Message,
+        message: &Message,
         event: &Event,
     ) -> bool {
-        let customer = asked.field("ce-customer").bytes().fold(0u8, u8::wrapping_add);
+        let customer = message.field("ce-customer").bytes().fold(0u8, u8::wrapping_add);
         match self.behaviour {
             Behaviour::Hang => {}
             Behaviour::FailFast(share) if self.rng.rand_float() < share => {
                 let worker = self.config.name.clone();
                 self.ledger.record(now, Observation::RequestStarted { worker, event: event.clone() });
-                let answer = Answer { status: 500, outcome: "", copy: "", same_function: 0 };
-                self.answer(transport, conn, &answer);
+                let response = Response { status: 500, outcome: "", copy: "", same_function: 0 };
+                self.respond(transport, conn, &response);
             }
             Behaviour::RefuseAll => self.reject(now, transport, conn, event, 0),
             Behaviour::RefuseCustomer(refused) if refused == customer => {
@@ -111,15 +111,16 @@
     ) {
         let worker = self.config.name.clone();
         self.ledger.record(now, Observation::RequestRejected { worker, event: event.clone() });
-        self.answer(transport, conn, &Answer { status: 503, outcome: "full", copy: "", same_function });
+        self.respond(transport, conn, &Response { status: 503, outcome: "full", copy: "", same_function });
     }
 
-    /// The state of the function's copy, which is loaded where there is none; none where there is no room.
-    fn find_copy(
+    /// Returns the state of the function's copy, starting a load if there is none. Returns `None` if there is
+    /// no memory for it.
+    fn find_or_load_copy(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        asked: &Message,
+        message: &Message,
         function: &Rc<str>,
     ) -> Option<&'static str> {
         match self.copies.get(function) {
@@ -127,11 +128,11 @@
             Some(_) => return Some("stood"),
             None => {}
         }
-        let memory_mb = asked.number("applepond-memory-mb").unwrap_or(1);
-        if !self.make_room(now, memory_mb) {
+        let memory_mb = message.number("applepond-memory-mb").unwrap_or(1);
+        if !self.evict_idle_copies(now, memory_mb) {
             return None;
         }
-        let lanes = asked.number("applepond-lanes").unwrap_or(1) as usize;
+        let lanes = message.number("applepond-lanes").unwrap_or(1) as usize;
         let copy = Copy { memory_mb, lanes, running: 0, loading: true, last_used: now };
         self.copies.insert(function.clone(), copy);
         match self.config.store {
@@ -144,14 +145,14 @@
         Some("begun")
     }
 
-    /// Unloads idle copies, the least recently used first; those that run or load stay. Whether there is
-    /// room.
-    fn make_room(&mut self, now: Micros, wanted: u64) -> bool {
-        let keep = self.config.idle_unload_time;
+    /// Unloads idle copies: those past `idle_unload_time`, then the least recently used until `wanted` MB are
+    /// free. Copies that are loading, running or awaited stay. Returns whether there is room.
+    fn evict_idle_copies(&mut self, now: Micros, wanted: u64) -> bool {
+        let idle_unload_time = self.config.idle_unload_time;
         self.copies.retain(|function, copy| {
             copy.loading
                 || copy.running > 0
-                || copy.last_used + keep > now
+                || copy.last_used + idle_unload_time > now
                 || self.requests.values().any(|request| request.function == *function)
         });
         while self.copies.values().map(|copy| copy.memory_mb).sum::<u64>() + wanted > self.config.memory_mb {
--- a/crates/fakes/src/worker/prefixes.rs
+++ b/crates/fakes/src/worker/prefixes.rs
@@ -1,33 +1,31 @@
-//! Prompt prefixes that a worker keeps prepared.
+//! Cache of prepared prompt prefixes at a fake worker.
 use super::Worker;
 use crate::http_peer::Message;
 use crate::ledger::Observation;
 use applepond_reactor::Micros;
 use std::rc::Rc;
 
-/// The prompt prefix of a request.
+/// The prompt prefix named by a request.
 #[derive(Clone)]
 pub(super) struct RequestPrefix {
     pub(super) name: Rc<str>,
-    /// Its size in units.
+    /// Size in units.
     size: u64,
-    /// µs for which its lease pins it; 0 without one.
+    /// Time for which the lease pins the prefix, in µs; 0 without a lease.
     pub(super) lease: Micros,
 }
 
-/// A prefix that is prepared.
+/// A prepared prefix.
 #[derive(Default)]
 pub(super) struct Prepared {
-    /// Its size in units.
+    /// Size in units.
     size: u64,
-    /// When it was last used.
     last_used: Micros,
-    /// Until when it is pinned.
     pinned_until: Micros,
 }
 
 impl RequestPrefix {
-    /// The prefix that a request names.
+    /// Reads the prefix from the headers of a request.
     pub(super) fn read(request: &Message) -> Option<RequestPrefix> {
         let name = request.field("applepond-opening");
         (!name.is_empty()).then(|| RequestPrefix {
@@ -39,8 +37,8 @@
 }
 
 impl Worker {
-    /// µs that a request has to wait for its prefix: none where it is prepared. Where there is no room the
-    /// least recently used one is evicted, pinned ones last.
+    /// Prepares the prefix of a request and returns the time it takes in µs: 0 if it is already prepared. If
+    /// there is no room, evicts the least recently used prefixes, pinned ones last.
     pub(super) fn prepare(&mut self, now: Micros, prefix: &RequestPrefix) -> Micros {
         let pinned_until = now + prefix.lease;
         if let Some(prepared) = self.prepared.get_mut(&prefix.name) {
--- a/crates/fakes/src/worker/answer.rs
+++ b/crates/fakes/src/worker/response.rs
@@ -1,48 +1,48 @@
-//! The answers of a worker.
+//! Responses of a fake worker.
 use super::{Behaviour, Worker};
 use applepond_http::encode::{self, Message};
 use applepond_reactor::{Conn, Transport};
 
-/// Huts that results name.
+/// Number of huts that results can name.
 const HUTS: u64 = 12;
-/// How many of ten of them have free beds.
+/// How many of ten results report free beds.
 const FREE_OF_TEN: u64 = 7;
-/// Limit of the requests of the same function that are reported.
+/// Upper bound of the reported number of requests of the same function.
 const MAX_REPORTED: usize = 30;
 
-/// What an answer says.
-pub(super) struct Answer {
+/// Contents of a response.
+pub(super) struct Response {
     pub(super) status: u16,
-    /// Outcome, where it is not by the status.
+    /// Outcome header; empty if the status says enough.
     pub(super) outcome: &'static str,
-    /// What the function's copy was like.
+    /// State of the function's copy when the request arrived; empty if unknown.
     pub(super) copy: &'static str,
-    /// Other requests of the same function here.
+    /// Number of other requests of the same function at this worker.
     pub(super) same_function: usize,
 }
 
-/// What a result says beside its price.
+/// Booking data of a result, derived from the event so that repeated runs agree.
 #[derive(Clone, Copy)]
-pub(super) struct Facts {
+pub(super) struct BookingData {
     hut: u64,
     has_free_beds: bool,
 }
 
-impl Facts {
-    /// Of a worker that has finished nothing yet.
-    pub(super) const FIRST: Facts = Facts { hut: 1, has_free_beds: true };
+impl BookingData {
+    /// Data used before the first request has finished.
+    pub(super) const INITIAL: BookingData = BookingData { hut: 1, has_free_beds: true };
 
-    /// Of this event.
-    pub(super) fn of(event: &str) -> Facts {
+    /// Derives the data from an event.
+    pub(super) fn from_event(event: &str) -> BookingData {
         let sum = event.bytes().fold(7u64, |sum, byte| sum.wrapping_mul(31).wrapping_add(u64::from(byte)));
-        Facts { hut: sum % HUTS + 1, has_free_beds: sum / HUTS % 10 < FREE_OF_TEN }
+        BookingData { hut: sum % HUTS + 1, has_free_beds: sum / HUTS % 10 < FREE_OF_TEN }
     }
 }
 
 impl Worker {
-    /// Answers a request as the behaviour is.
-    pub(super) fn answer(&mut self, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
-        let bytes = self.encode(answer);
+    /// Sends a response, distorted by the current behaviour.
+    pub(super) fn respond(&mut self, transport: &mut dyn Transport, conn: Conn, response: &Response) {
+        let bytes = self.encode(response);
         match self.behaviour {
             Behaviour::CutAnswers => {
                 transport.write(conn, &bytes[..bytes.len() / 2]);
@@ -57,28 +57,28 @@
         }
     }
 
-    fn encode(&mut self, answer: &Answer) -> Vec<u8> {
+    fn encode(&mut self, response: &Response) -> Vec<u8> {
         let loads = self.copies.values().filter(|copy| copy.loading).count();
-        let mut head = encode::response(answer.status)
-            .field("applepond-company", &answer.same_function.min(MAX_REPORTED).to_string())
+        let mut head = encode::response(response.status)
+            .field("applepond-company", &response.same_function.min(MAX_REPORTED).to_string())
             .field("applepond-held", &self.requests.len().to_string())
             .field("applepond-loads", &loads.to_string());
-        for (name, value) in [("applepond-outcome", answer.outcome), ("applepond-copy", answer.copy)] {
+        for (name, value) in [("applepond-outcome", response.outcome), ("applepond-copy", response.copy)] {
             if !value.is_empty() {
                 head = head.field(name, value);
             }
         }
-        if answer.status != 200 {
+        if response.status != 200 {
             return head.body(format!("{{\"worker\":\"{}\"}}", self.config.name).as_bytes());
         }
-        let body = self.result(answer.same_function);
+        let body = self.result(response.same_function);
         self.result_head(head).body(body.as_bytes())
     }
 
-    /// The attributes of a result.
+    /// Adds the attributes of a result event to the head.
     fn result_head(&mut self, mut head: Message) -> Message {
-        self.answered += 1;
-        let id = format!("{}-{}-{}", self.config.name, self.life, self.answered);
+        self.results += 1;
+        let id = format!("{}-{}-{}", self.config.name, self.generation, self.results);
         let source = format!("/workers/{}", self.config.name);
         for (name, value) in [("specversion", "1.0"), ("type", "result"), ("id", &id), ("source", &source)] {
             head = head.field(&format!("ce-{name}"), value);
@@ -87,7 +87,7 @@
     }
 
     fn result(&self, same_function: usize) -> String {
-        let Facts { hut, has_free_beds } = self.facts;
+        let BookingData { hut, has_free_beds } = self.booking;
         format!(
             "{{\"price\":{},\"worker\":\"{}\",\"hut\":\"hold-hut-{hut}\",\"other\":\"hold-hut-{}\",\
              \"desk\":\"confirm-hut-{hut}\",\"free\":{has_free_beds}}}",
