--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -1,7 +1,8 @@
-//! The clients: open arrivals, retries as the contract allows, some that ask twice at once, some that leave.
+//! Fake clients with open-loop arrivals. They retry as docs/gateway.md permits; some send a request twice at
+//! once, some disconnect before the response.
 //!
-//! The contract of docs/gateway.md: a rejection may be retried by anybody, and so may a connection that was
-//! never established; what broke off in between only where the request is idempotent.
+//! docs/gateway.md permits any client to retry a rejected request or one whose connection was never
+//! established. A request whose connection broke later may be retried only if it is idempotent.
 use crate::http_peer::{HttpPeer, Message};
 use crate::ledger::{Event, Ledger, Observation};
 use applepond_http::decode::Side;
@@ -13,123 +14,127 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// µs until a retry at another router after a connection failed.
+/// Delay in µs before a retry at another router after a connection failed.
 const FAILOVER_DELAY: Micros = 50_000;
-/// µs beyond its deadline for which a client still listens, to see answers that come too late.
-const LISTENING_TIME: Micros = 300_000;
+/// Time in µs for which a client still listens after its deadline, to observe responses that are late.
+const LATE_LISTENING_TIME: Micros = 300_000;
 
-/// The next request of a client, given its last one, after how many µs that was answered, and the answer:
-/// none when it has all that it wants.
+/// Computes a client's next request from its last one, the time in µs until the response, and the response.
+/// Returns `None` if the client is done.
 pub type FollowUp = Rc<dyn Fn(&PlannedRequest, Micros, &Message) -> Option<PlannedRequest>>;
 
-/// One request as the script has it.
+/// A request that a client is going to make.
 #[derive(Clone)]
 pub struct PlannedRequest {
-    /// When it is asked first.
+    /// Time of the first attempt.
     pub at: Micros,
-    /// The event's source.
+    /// Source of the event.
     pub source: String,
-    /// The event's id.
+    /// Id of the event.
     pub id: String,
-    /// The event's type.
+    /// Type of the event.
     pub event_type: &'static str,
-    /// The function that it names.
+    /// Function to call.
     pub function: String,
-    /// The customer that it names.
+    /// Customer on whose behalf it is made.
     pub customer: &'static str,
-    /// ms of work at a warm worker.
+    /// Run time at a warm worker, in ms.
     pub work_ms: u64,
-    /// µs that the client waits in all.
+    /// Total time that the client waits, over all attempts, in µs.
     pub timeout: Micros,
-    /// µs within which an answer is in time.
+    /// Time within which a response counts as in time, in µs.
     pub latency_target: Micros,
-    /// It may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// It carries an idempotency key.
+    /// Whether it carries an idempotency key.
     pub keyed: bool,
-    /// The event is sent in structured mode.
+    /// Whether the event is sent in structured content mode.
     pub structured: bool,
-    /// Index of the router that is asked first.
+    /// Index of the router of the first attempt.
     pub router: usize,
-    /// Limit of attempts.
+    /// Limit of attempts, the first included.
     pub max_attempts: u32,
-    /// Stays with its router whatever happens, and retries after so many µs where it is given no other time.
+    /// If set, the client never changes its router, and after a failed connection retries there with this
+    /// delay in µs.
     pub sticky_retry_delay: Option<Micros>,
-    /// Retries after `stays` whatever time it is given.
+    /// Whether the client retries rejections after `sticky_retry_delay` instead of the time that the response
+    /// names.
     pub ignores_retry_after: bool,
-    /// Sends the same event once more after so many µs, while the first exchange runs.
+    /// If set, the client sends the same event a second time after this many µs, without waiting for the
+    /// first exchange to end.
     pub duplicate_after: Option<Micros>,
-    /// Leaves after so many µs without waiting for the answer.
+    /// If set, the client disconnects after this many µs without waiting for the response.
     pub disconnect_after: Option<Micros>,
     /// Name and size of its prompt prefix.
     pub prefix: Option<(String, u32)>,
-    /// What the client asks next once this is finished.
+    /// Computes the next request once this one has succeeded.
     pub follow_up: Option<FollowUp>,
 }
 
-/// How a request ended for its client.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// There was no answer.
+    /// There was no response yet, or the time was up before an attempt could be made.
     #[default]
     Nothing,
-    /// It was answered in time.
+    /// It succeeded within its latency target.
     Finished,
-    /// It was answered past its target.
+    /// It succeeded after its latency target.
     Late,
-    /// It was rejected, and there was no time or attempt left.
+    /// It was rejected with no time or attempt left.
     PushedBack,
-    /// It failed.
+    /// It failed with status 502 or 504.
     Killed,
-    /// The connection broke, and there was no time or attempt left.
+    /// The connection broke and no retry was possible, or the response did not come in time.
     Broken,
-    /// The client left.
+    /// The client disconnected, as planned.
     Left,
-    /// It was answered with another status.
+    /// It ended with another status.
     Other(u16),
 }
 
-/// One request on a connection.
+/// An attempt of a request on a connection.
 struct Exchange {
     request: usize,
     conn: Conn,
     router: usize,
     open: bool,
-    twin: bool,
+    is_duplicate: bool,
 }
 
-/// What became of the requests.
+/// Results of the requests.
 #[derive(Default)]
 pub struct Results {
-    /// For each request its end, and after how many µs.
+    /// By request, its outcome and the time in µs until then.
     pub outcomes: Vec<(RequestOutcome, Micros)>,
-    /// Requests that have ended.
+    /// Number of requests that have ended.
     pub done: usize,
 }
 
-/// What a timer does.
-enum Then {
-    Ask { request: usize, router: usize, twin: bool },
-    Leave(usize),
-    GiveUp(u64),
+/// The action of a timer.
+enum Timer {
+    Send { request: usize, router: usize, is_duplicate: bool },
+    Disconnect(usize),
+    TimeOut(u64),
 }
 
-/// All clients.
+/// All fake clients of a scenario.
 pub struct Client {
     plan: Vec<PlannedRequest>,
     routers: Rc<RefCell<Vec<SocketAddr>>>,
     ledger: Ledger,
     results: Rc<RefCell<Results>>,
-    tries: Vec<u32>,
+    attempts: Vec<u32>,
     exchanges: BTreeMap<u64, Exchange>,
     peers: BTreeMap<Conn, (HttpPeer, u64)>,
     idle: Vec<(usize, Conn)>,
-    next: u64,
-    wakes: Vec<Option<Then>>,
+    last_exchange: u64,
+    timers: Vec<Option<Timer>>,
 }
 
 impl Client {
-    /// Clients with these requests. `routers` may change meanwhile, as when one is restarted on another port.
+    /// Creates clients that make the requests of `plan`. The addresses in `routers` may change during the
+    /// run, for example when a router is restarted on another port.
     pub fn new(
         plan: Vec<PlannedRequest>,
         routers: Rc<RefCell<Vec<SocketAddr>>>,
@@ -138,7 +143,7 @@
         let results =
             Rc::new(RefCell::new(Results { outcomes: vec![Default::default(); plan.len()], done: 0 }));
         let client = Client {
-            tries: vec![0; plan.len()],
+            attempts: vec![0; plan.len()],
             plan,
             routers,
             ledger,
@@ -146,55 +151,66 @@
             exchanges: BTreeMap::new(),
             peers: BTreeMap::new(),
             idle: Vec::new(),
-            next: 0,
-            wakes: Vec::new(),
+            last_exchange: 0,
+            timers: Vec::new(),
         };
         (client, results)
     }
 
-    fn wake(&mut self, transport: &mut dyn Transport, at: Micros, then: Then) {
-        self.wakes.push(Some(then));
-        transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
+    fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, timer: Timer) {
+        self.timers.push(Some(timer));
+        transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
     }
 
-    fn settle(&self, now: Micros, request: usize, got: RequestOutcome) {
+    /// Sets the outcome of a request unless it has one already.
+    fn record_outcome(&self, now: Micros, request: usize, outcome: RequestOutcome) {
         let mut results = self.results.borrow_mut();
         if results.outcomes[request].0 == RequestOutcome::Nothing {
-            results.outcomes[request] = (got, now - self.plan[request].at);
+            results.outcomes[request] = (outcome, now - self.plan[request].at);
             results.done += 1;
         }
     }
 
-    fn ask(&mut self, now: Micros, transport: &mut dyn Transport, request: usize, router: usize, twin: bool) {
+    /// Starts an attempt, on an idle connection if there is one.
+    fn send(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        request: usize,
+        router: usize,
+        is_duplicate: bool,
+    ) {
         let planned = &self.plan[request];
         if now >= planned.at + planned.timeout {
-            return self.settle(now, request, RequestOutcome::Nothing);
+            return self.record_outcome(now, request, RequestOutcome::Nothing);
         }
         let idle = self.idle.iter().position(|(r, _)| *r == router);
-        let at = self.routers.borrow()[router];
-        let (conn, stands) = match idle {
+        let address = self.routers.borrow()[router];
+        let (conn, is_connected) = match idle {
             Some(n) => (self.idle.swap_remove(n).1, true),
-            None => (transport.connect(at, planned.timeout), false),
+            None => (transport.connect(address, planned.timeout), false),
         };
-        self.next += 1;
-        self.exchanges.insert(self.next, Exchange { request, conn, router, open: true, twin });
+        self.last_exchange += 1;
+        self.exchanges
+            .insert(self.last_exchange, Exchange { request, conn, router, open: true, is_duplicate });
         let peer = self.peers.entry(conn).or_insert_with(|| (HttpPeer::new(Side::Client), 0));
-        peer.1 = self.next;
-        let (limit, number) = (planned.at + planned.timeout + LISTENING_TIME, self.next);
-        self.wake(transport, limit, Then::GiveUp(number));
-        if stands {
+        peer.1 = self.last_exchange;
+        let (until, number) = (planned.at + planned.timeout + LATE_LISTENING_TIME, self.last_exchange);
+        self.set_timer(transport, until, Timer::TimeOut(number));
+        if is_connected {
             self.write(now, transport, conn);
         }
     }
 
+    /// Writes the request of the exchange to which the connection belongs.
     fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         let Some((_, number)) = self.peers.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.request];
         let left = ((p.at + p.timeout).saturating_sub(now) / 1000).to_string();
-        let (work, retry) = (p.work_ms.to_string(), (self.tries[exchange.request] > 1).to_string());
-        let mark = p.keyed.to_string();
-        let opening = p.prefix.as_ref().map(|(name, size)| (name.as_str(), size.to_string()));
+        let (work, retry) = (p.work_ms.to_string(), (self.attempts[exchange.request] > 1).to_string());
+        let keyed = p.keyed.to_string();
+        let prefix = p.prefix.as_ref().map(|(name, size)| (name.as_str(), size.to_string()));
         let mut attributes = vec![
             ("specversion", "1.0"),
             ("id", &p.id),
@@ -205,9 +221,9 @@
             ("workms", &work),
             ("timelimit", &left),
             ("retry", &retry),
-            ("fingerprint", &mark),
+            ("fingerprint", &keyed),
         ];
-        if let Some((name, size)) = &opening {
+        if let Some((name, size)) = &prefix {
             attributes.extend([("opening", *name), ("openingsize", size.as_str())]);
         }
         let head = encode::request("POST", "/events", "router");
@@ -225,7 +241,8 @@
         self.ledger.record(now, Observation::RequestSent { exchange: *number, router, event, deadline });
     }
 
-    /// Retries after `wait` µs, where there is time and an attempt left; whether there is.
+    /// Schedules a retry after `wait` µs if an attempt is left and the deadline permits it. Returns whether
+    /// it did.
     fn retry(
         &mut self,
         now: Micros,
@@ -235,74 +252,88 @@
         wait: Micros,
     ) -> bool {
         let p = &self.plan[request];
-        let may_retry = self.tries[request] < p.max_attempts && now + wait < p.at + p.timeout;
+        let may_retry = self.attempts[request] < p.max_attempts && now + wait < p.at + p.timeout;
         if may_retry {
-            self.tries[request] += 1;
-            self.wake(transport, now + wait, Then::Ask { request, router, twin: false });
+            self.attempts[request] += 1;
+            self.set_timer(transport, now + wait, Timer::Send { request, router, is_duplicate: false });
         }
         may_retry
     }
 
-    fn answered(&mut self, now: Micros, transport: &mut dyn Transport, number: u64, answer: &Message) {
+    fn response_received(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        number: u64,
+        response: &Message,
+    ) {
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else {
             return self.ledger.record(now, Observation::UnexpectedBytes { exchange: number });
         };
         exchange.open = false;
-        let (request, conn, router, twin) = (exchange.request, exchange.conn, exchange.router, exchange.twin);
-        self.ledger.record(now, Observation::ResponseReceived { exchange: number, status: answer.status });
-        if answer.keep {
+        let (request, conn, router, is_duplicate) =
+            (exchange.request, exchange.conn, exchange.router, exchange.is_duplicate);
+        self.ledger.record(now, Observation::ResponseReceived { exchange: number, status: response.status });
+        if response.keep_alive {
             self.idle.push((router, conn));
         }
-        let late = now > self.plan[request].at + self.plan[request].latency_target;
-        match answer.status {
+        let is_late = now > self.plan[request].at + self.plan[request].latency_target;
+        match response.status {
             200 => {
                 let p = &self.plan[request];
-                let next = p.follow_up.as_ref().and_then(|follow| follow(p, now - p.at, answer));
-                match next.filter(|_| !late) {
+                let next = p.follow_up.as_ref().and_then(|follow_up| follow_up(p, now - p.at, response));
+                match next.filter(|_| !is_late) {
                     Some(next) => {
                         self.plan[request] = next;
-                        self.tries[request] = 1;
-                        self.ask(now, transport, request, router, false);
+                        self.attempts[request] = 1;
+                        self.send(now, transport, request, router, false);
                     }
-                    None => self.settle(
+                    None => self.record_outcome(
                         now,
                         request,
-                        if late { RequestOutcome::Late } else { RequestOutcome::Finished },
+                        if is_late { RequestOutcome::Late } else { RequestOutcome::Finished },
                     ),
                 }
             }
-            503 | 429 if !twin => {
-                let seconds = answer.number("retry-after").unwrap_or(1) * 1_000_000;
-                let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+            503 | 429 if !is_duplicate => {
+                let seconds = response.number("retry-after").unwrap_or(1) * 1_000_000;
+                let body: serde_json::Value = serde_json::from_slice(&response.body).unwrap_or_default();
                 let retry_after = body["retry-after-ms"].as_u64().map_or(seconds, |ms| ms * 1000);
                 let own =
                     self.plan[request].sticky_retry_delay.filter(|_| self.plan[request].ignores_retry_after);
                 let wait = own.unwrap_or(retry_after);
                 if !self.retry(now, transport, request, router, wait) {
-                    self.settle(now, request, RequestOutcome::PushedBack);
+                    self.record_outcome(now, request, RequestOutcome::PushedBack);
                 }
             }
             503 | 429 => {}
-            502 | 504 => self.settle(now, request, RequestOutcome::Killed),
-            other => self.settle(now, request, RequestOutcome::Other(other)),
+            502 | 504 => self.record_outcome(now, request, RequestOutcome::Killed),
+            other => self.record_outcome(now, request, RequestOutcome::Other(other)),
         }
     }
 
-    /// A connection has ended.
-    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, never: bool) {
+    /// Handles the end of a connection, which breaks off its open exchange.
+    fn connection_ended(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: Conn,
+        was_never_established: bool,
+    ) {
         self.idle.retain(|(_, c)| *c != conn);
         let Some((_, number)) = self.peers.remove(&conn) else { return };
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
         exchange.open = false;
-        let (request, router, twin) = (exchange.request, exchange.router, exchange.twin);
+        let (request, router, is_duplicate) = (exchange.request, exchange.router, exchange.is_duplicate);
         self.ledger.record(now, Observation::ConnectionLost { exchange: number });
-        let stays = self.plan[request].sticky_retry_delay;
-        let elsewhere = if stays.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
-        let wait = stays.unwrap_or(FAILOVER_DELAY);
-        let may = never || self.plan[request].idempotent;
-        let goes_on = twin || may && self.retry(now, transport, request, elsewhere, wait);
-        if !goes_on {
-            self.settle(now, request, RequestOutcome::Broken);
+        let sticky_retry_delay = self.plan[request].sticky_retry_delay;
+        let next_router =
+            if sticky_retry_delay.is_some() { router } else { (router + 1) % self.routers.borrow().len() };
+        let wait = sticky_retry_delay.unwrap_or(FAILOVER_DELAY);
+        let may_retry = was_never_established || self.plan[request].idempotent;
+        let continues = is_duplicate || may_retry && self.retry(now, transport, request, next_router, wait);
+        if !continues {
+            self.record_outcome(now, request, RequestOutcome::Broken);
         }
     }
 }
@@ -311,13 +342,17 @@
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         for request in 0..self.plan.len() {
             let p = self.plan[request].clone();
-            self.tries[request] = 1;
-            self.wake(transport, p.at, Then::Ask { request, router: p.router, twin: false });
+            self.attempts[request] = 1;
+            self.set_timer(transport, p.at, Timer::Send { request, router: p.router, is_duplicate: false });
             if let Some(after) = p.duplicate_after {
-                self.wake(transport, p.at + after, Then::Ask { request, router: p.router, twin: true });
+                self.set_timer(
+                    transport,
+                    p.at + after,
+                    Timer::Send { request, router: p.router, is_duplicate: true },
+                );
             }
             if let Some(after) = p.disconnect_after {
-                self.wake(transport, p.at + after, Then::Leave(request));
+                self.set_timer(transport, p.at + after, Timer::Disconnect(request));
             }
         }
     }
@@ -329,41 +364,45 @@
         let Some((peer, number)) = self.peers.get_mut(&conn) else { return };
         let number = *number;
         match peer.receive(bytes) {
-            Some(answers) => answers.iter().for_each(|a| self.answered(now, transport, number, a)),
+            Some(responses) => {
+                responses.iter().for_each(|response| self.response_received(now, transport, number, response))
+            }
             None => self.ledger.record(now, Observation::UnexpectedBytes { exchange: number }),
         }
     }
     fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
         transport.cut(conn);
-        self.gone(now, transport, conn, false);
+        self.connection_ended(now, transport, conn, false);
     }
     fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
-        self.gone(now, transport, conn, why == Closed::Never);
+        self.connection_ended(now, transport, conn, why == Closed::Never);
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.wakes[wake.0 as usize].take() {
-            Some(Then::Ask { request, .. })
+        match self.timers[wake.0 as usize].take() {
+            Some(Timer::Send { request, .. })
                 if self.results.borrow().outcomes[request].0 != RequestOutcome::Nothing => {}
-            Some(Then::Ask { request, router, twin }) => self.ask(now, transport, request, router, twin),
-            Some(Then::Leave(request)) => {
-                let mine = self.exchanges.iter_mut().filter(|(_, e)| e.request == request && e.open);
-                for (number, exchange) in mine {
+            Some(Timer::Send { request, router, is_duplicate }) => {
+                self.send(now, transport, request, router, is_duplicate)
+            }
+            Some(Timer::Disconnect(request)) => {
+                let open = self.exchanges.iter_mut().filter(|(_, e)| e.request == request && e.open);
+                for (number, exchange) in open {
                     exchange.open = false;
                     transport.cut(exchange.conn);
                     self.peers.remove(&exchange.conn);
                     self.ledger.record(now, Observation::ClientLeft { exchange: *number });
                 }
-                self.settle(now, request, RequestOutcome::Left);
+                self.record_outcome(now, request, RequestOutcome::Left);
             }
-            Some(Then::GiveUp(number)) => {
+            Some(Timer::TimeOut(number)) => {
                 let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
                 exchange.open = false;
                 let (request, conn) = (exchange.request, exchange.conn);
                 transport.cut(conn);
                 self.peers.remove(&conn);
                 self.ledger.record(now, Observation::ClientTimedOut { exchange: number });
-                self.settle(now, request, RequestOutcome::Broken);
+                self.record_outcome(now, request, RequestOutcome::Broken);
             }
             None => {}
         }
--- a/crates/fakes/src/endpoint_list.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: knows when workers run, drain and are gone, and sends it late to whoever watches.
+//! A fake endpoint list: holds the status of all workers and streams changes, after a delay, to the routers
+//! that watch it.
 use crate::http_peer::HttpPeer;
 use crate::ledger::{Ledger, Observation};
 use applepond_http::decode::Side;
@@ -9,25 +10,25 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The timer at which it stops answering.
-const SILENT: Wake = Wake(u64::MAX);
+/// The timer at which the outage begins.
+const OUTAGE: Wake = Wake(u64::MAX);
 
-/// One worker as the list names it.
+/// A worker's entry in the list.
 #[derive(Clone)]
 pub struct Endpoint {
     /// Name of the worker.
     pub name: Rc<str>,
-    /// Where it listens.
+    /// Address on which the worker listens.
     pub address: SocketAddr,
-    /// Its status: ready, draining or gone.
+    /// Status of the worker: `ready`, `draining` or `gone`.
     pub status: &'static str,
-    /// ms since the Unix epoch; 0 for one that ran before the day began.
+    /// Start time of the worker in ms; 0 if it started before the scenario.
     pub started_ms: u64,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: String,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: i64,
-    /// Its weight.
+    /// Relative capacity of the worker.
     pub weight: f64,
 }
 
@@ -38,61 +39,72 @@
     }
 }
 
-/// The list.
+/// A fake endpoint list.
 pub struct EndpointList {
-    /// Where it listens.
+    /// Address on which it listens.
     pub listen: SocketAddr,
-    /// The rows at present.
-    pub rows: Vec<Endpoint>,
-    /// Changes, with when the list has them.
+    /// The current entries.
+    pub endpoints: Vec<Endpoint>,
+    /// Changes, each with the time at which the list learns of it.
     pub changes: Vec<(Micros, Endpoint)>,
-    /// From when to when it answers nobody; whoever asks afterwards gets the whole list.
-    pub silence: (Micros, Micros),
-    /// Whoever asks from the one moment to the other gets this row in place of the true one, as from a
-    /// replica that is behind.
+    /// Start and end of an outage, in which all connections are closed. A router that reconnects afterwards
+    /// receives the full list.
+    pub outage: (Micros, Micros),
+    /// Start and end of a time in which new watchers receive this entry in place of the current one, as from
+    /// a replica that lags behind.
     pub stale: Option<(Micros, Micros, Endpoint)>,
-    /// Where observations go.
+    /// Receives the observations.
     pub ledger: Ledger,
-    /// Connections, each with the router that watches on it.
+    /// Connections, each with the index of the router that watches on it.
     peers: BTreeMap<Conn, (HttpPeer, Option<u64>)>,
 }
 
 impl EndpointList {
-    /// A list that answers always.
+    /// Creates a list without outages.
     pub fn new(
         listen: SocketAddr,
-        rows: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
         changes: Vec<(Micros, Endpoint)>,
         ledger: Ledger,
     ) -> Self {
-        EndpointList { listen, rows, changes, silence: (0, 0), stale: None, ledger, peers: BTreeMap::new() }
+        EndpointList {
+            listen,
+            endpoints,
+            changes,
+            outage: (0, 0),
+            stale: None,
+            ledger,
+            peers: BTreeMap::new(),
+        }
     }
 
-    /// Sends rows to a router.
-    fn send_rows(
+    /// Sends entries to a router as one line.
+    fn send_endpoints(
         &self,
         now: Micros,
         transport: &mut dyn Transport,
         conn: Conn,
         router: u64,
         kind: &str,
-        rows: &[&Endpoint],
+        endpoints: &[&Endpoint],
     ) {
-        let workers: Vec<Value> = rows.iter().map(|row| row.json()).collect();
+        let workers: Vec<Value> = endpoints.iter().map(|endpoint| endpoint.json()).collect();
         let line = format!("{}\n", json!({"kind": kind, "workers": workers}));
         transport.write(conn, &encode::chunk(line.as_bytes()));
-        for row in rows {
-            let (worker, ready) = (row.name.clone(), row.status == "ready");
-            self.ledger
-                .record(now, Observation::EndpointSent { router, worker, ready, started_ms: row.started_ms });
+        for endpoint in endpoints {
+            let (worker, ready) = (endpoint.name.clone(), endpoint.status == "ready");
+            self.ledger.record(
+                now,
+                Observation::EndpointSent { router, worker, ready, started_ms: endpoint.started_ms },
+            );
         }
     }
 }
 
 impl Machine for EndpointList {
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
-        transport.listen(self.listen, 10_000).expect("the host list's port is free");
-        transport.wake_at(self.silence.0, SILENT);
+        transport.listen(self.listen, 10_000).expect("the endpoint list's port is free");
+        transport.wake_at(self.outage.0, OUTAGE);
         for (index, (at, _)) in self.changes.iter().enumerate() {
             transport.wake_at(*at, Wake(index as u64));
         }
@@ -102,34 +114,38 @@
     }
     fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
-        let Some((peer, watches)) = self.peers.get_mut(&conn) else { return };
-        let Some(asked) = peer.receive(bytes).and_then(|mut messages| messages.pop()) else { return };
-        if let Some((name, standing)) =
-            asked.target.strip_prefix("/-/standing?").and_then(|rest| rest.split_once('='))
+        let Some((peer, watcher)) = self.peers.get_mut(&conn) else { return };
+        let Some(request) = peer.receive(bytes).and_then(|mut requests| requests.pop()) else { return };
+        if let Some((name, status)) =
+            request.target.strip_prefix("/-/standing?").and_then(|rest| rest.split_once('='))
         {
-            let known = self.rows.iter().find(|row| *row.name == *name).cloned();
-            let standing = ["ready", "draining", "gone"].into_iter().find(|known| *known == standing);
-            let status = if known.is_some() && standing.is_some() { 200 } else { 404 };
-            transport.write(conn, &encode::response(status).body(b""));
-            if let (Some(row), Some(standing)) = (known, standing) {
-                self.changes.push((now, Endpoint { status: standing, ..row }));
+            let known = self.endpoints.iter().find(|endpoint| *endpoint.name == *name).cloned();
+            let status = ["ready", "draining", "gone"].into_iter().find(|known| *known == status);
+            let code = if known.is_some() && status.is_some() { 200 } else { 404 };
+            transport.write(conn, &encode::response(code).body(b""));
+            if let (Some(endpoint), Some(status)) = (known, status) {
+                self.changes.push((now, Endpoint { status, ..endpoint }));
                 transport.wake_at(now, Wake(self.changes.len() as u64 - 1));
             }
             return;
         }
-        if (self.silence.0..self.silence.1).contains(&now) {
+        if (self.outage.0..self.outage.1).contains(&now) {
             self.peers.remove(&conn);
             return transport.cut(conn);
         }
-        let router = asked.target.rsplit("router=").next().and_then(|index| index.parse().ok()).unwrap_or(0);
-        *watches = Some(router);
+        let router =
+            request.target.rsplit("router=").next().and_then(|index| index.parse().ok()).unwrap_or(0);
+        *watcher = Some(router);
         transport.write(conn, &encode::response(200).field("Content-Type", "application/jsonl").chunked());
         let stale = self.stale.as_ref().filter(|(from, until, _)| (*from..*until).contains(&now));
-        let mut rows: Vec<&Endpoint> = self.rows.iter().collect();
+        let mut endpoints: Vec<&Endpoint> = self.endpoints.iter().collect();
         if let Some((_, _, old)) = stale {
-            rows.iter_mut().filter(|row| row.name == old.name).for_each(|row| *row = old);
+            endpoints
+                .iter_mut()
+                .filter(|endpoint| endpoint.name == old.name)
+                .for_each(|endpoint| *endpoint = old);
         }
-        self.send_rows(now, transport, conn, router, "full", &rows);
+        self.send_endpoints(now, transport, conn, router, "full", &endpoints);
     }
     fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
         self.peers.remove(&conn);
@@ -140,21 +156,21 @@
     }
     fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
     fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake == SILENT {
-            // Whoever watched finds out by the end of its connection, and asks again.
+        if wake == OUTAGE {
+            // Watching routers notice the end of their connections and reconnect.
             std::mem::take(&mut self.peers).keys().for_each(|conn| transport.cut(*conn));
             return;
         }
-        let row = self.changes[wake.0 as usize].1.clone();
-        match self.rows.iter_mut().find(|known| known.name == row.name) {
-            Some(known) => *known = row.clone(),
-            None => self.rows.push(row.clone()),
+        let endpoint = self.changes[wake.0 as usize].1.clone();
+        match self.endpoints.iter_mut().find(|known| known.name == endpoint.name) {
+            Some(known) => *known = endpoint.clone(),
+            None => self.endpoints.push(endpoint.clone()),
         }
         let watching =
             self.peers.iter().filter_map(|(conn, (_, router))| router.map(|router| (*conn, router)));
         for (conn, router) in watching.collect::<Vec<_>>() {
-            self.send_rows(now, transport, conn, router, "changes", &[&row]);
+            self.send_endpoints(now, transport, conn, router, "changes", &[&endpoint]);
         }
-        self.rows.retain(|row| row.status != "gone");
+        self.endpoints.retain(|endpoint| endpoint.status != "gone");
     }
 }
--- a/crates/fakes/src/http_peer.rs
+++ b/crates/fakes/src/http_peer.rs
@@ -1,35 +1,36 @@
-//! One peer's side of an HTTP connection: complete messages, as plain names and texts.
+//! A test double's side of an HTTP connection: decodes received bytes into complete messages.
 use applepond_http::Fault;
 use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
 use std::collections::BTreeMap;
 
-/// Limit of bytes in a head: test doubles accept more than routers do.
+/// Maximum size of a message head. Test doubles accept more than routers do, so that a router's own limits
+/// apply first.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Limit of bytes in a body.
+/// Maximum size of a message body.
 const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// One complete message as it was received.
+/// A complete HTTP message as received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// Status of a response; 0 for a request.
     pub status: u16,
     /// Target of a request; empty for a response.
     pub target: String,
-    /// Header fields, by names in lower case.
+    /// Header fields by lower-case name.
     pub fields: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
-    /// The sender lets the connection persist.
-    pub keep: bool,
+    /// Whether the connection may be reused after this message.
+    pub keep_alive: bool,
 }
 
 impl Message {
-    /// A header field; empty where there is none.
+    /// Returns a header field, or an empty string if it is absent.
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 
-    /// A header field as a number.
+    /// Returns a header field as a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.field(name).parse().ok()
     }
@@ -67,20 +68,20 @@
         Ok(())
     }
     fn end(&mut self, keep_alive: bool) -> Result<(), Fault> {
-        self.current.keep = keep_alive;
+        self.current.keep_alive = keep_alive;
         self.complete.push(std::mem::take(&mut self.current));
         Ok(())
     }
 }
 
-/// A connection of a test double.
+/// Decoder state of a test double's connection.
 pub struct HttpPeer {
     decoder: Decoder,
     collector: Collector,
 }
 
 impl HttpPeer {
-    /// A new connection; `side` is that of the test double.
+    /// Creates the state of a new connection; `side` is the test double's.
     pub fn new(side: Side) -> Self {
         HttpPeer {
             decoder: Decoder::new(side, MAX_HEAD_BYTES, MAX_BODY_BYTES),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The messages that are complete by now; none at all where the peer does not speak HTTP.
+    /// Decodes bytes and returns the messages that are now complete, or `None` if they are not valid HTTP.
     pub fn receive(&mut self, bytes: &[u8]) -> Option<Vec<Message>> {
         self.decoder.feed(bytes);
         loop {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Test doubles of a router's peers, for scenarios and tests. Each is a machine without I/O that plays its
-//! own script of faults, and writes what it sees on its sockets into a shared ledger, which is all that an
-//! audit goes by.
+//! Test doubles of a router's peers, for scenarios and tests. Each is a state machine without I/O of its own
+//! that follows a script of faults and records what it observes on its sockets in a shared ledger. Audits
+//! judge the routers by that ledger alone.
 #![deny(missing_docs)]
 #![warn(unreachable_pub, clippy::wildcard_imports, clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -1,38 +1,38 @@
-//! A simulated transport for tests of machines without sockets: what they wrote, opened and cut, with time
-//! moved by hand.
+//! A simulated transport for tests of state machines without sockets. It records what a machine writes, opens
+//! and closes; the test advances time.
 use applepond_reactor::{Conn, Listener, Micros, Transport, Wake};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What a machine has commanded.
+/// Records the commands of a machine and plays the part of the kernel.
 #[derive(Default)]
 pub struct SimulatedTransport {
     next: u64,
-    /// Connections opened, in their order.
+    /// Connections opened by the machine, in order.
     pub connections: Vec<(Conn, SocketAddr)>,
-    /// Bytes written.
+    /// Bytes written, by connection.
     pub written: BTreeMap<Conn, Vec<u8>>,
-    /// Number of each connection's last write.
+    /// Sequence number of the last write, by connection.
     pub last_write: BTreeMap<Conn, u64>,
-    /// How many of them the kernel has taken.
+    /// Number of written bytes that the kernel has accepted, by connection.
     pub sent: BTreeMap<Conn, u64>,
-    /// Connections whose peer takes nothing.
+    /// Connections on which the kernel accepts no bytes.
     pub blocked: BTreeSet<Conn>,
-    /// Limit of bytes that one offer takes, where there is one.
+    /// Limit of the bytes that one `offer` accepts, by connection.
     pub accept_limit: BTreeMap<Conn, usize>,
-    /// Connections cut.
+    /// Connections closed at once.
     pub cut: BTreeSet<Conn>,
-    /// Connections finished.
+    /// Connections closed after all bytes are sent.
     pub finished: BTreeSet<Conn>,
     /// Connections on which reading is paused.
     pub paused: BTreeSet<Conn>,
     /// Listeners that have stopped accepting.
     pub not_accepting: BTreeSet<Listener>,
-    /// Writes that a test has had a worker answer.
+    /// Sequence numbers of the writes to which a test has responded.
     pub answered_writes: BTreeSet<u64>,
-    /// Datagrams sent, by their socket.
+    /// Datagrams sent: socket, receiver and content.
     pub datagrams: Vec<(Conn, SocketAddr, Vec<u8>)>,
-    /// Sockets for datagrams that the kernel still refuses to open.
+    /// Number of further datagram sockets that the kernel will refuse to open.
     pub failing_datagram_opens: usize,
     peers: BTreeMap<Conn, SocketAddr>,
     timers: BTreeSet<(Micros, u64, Wake)>,
@@ -80,11 +80,11 @@
         }
     }
     fn datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
-        let taken = !self.blocked.contains(&conn);
-        if taken {
+        let accepted = !self.blocked.contains(&conn);
+        if accepted {
             self.datagrams.push((conn, to, bytes.to_vec()));
         }
-        taken
+        accepted
     }
     fn unsent(&self, conn: Conn) -> usize {
         let written = self.written.get(&conn).map_or(0, Vec::len);
@@ -122,32 +122,32 @@
 }
 
 impl SimulatedTransport {
-    /// A number for a connection that a test opens.
+    /// Allocates a connection for the test to open.
     pub fn new_conn(&mut self) -> Conn {
         self.next += 1;
         Conn(self.next)
     }
 
-    /// The first timer that is due by then, each once.
+    /// Removes and returns the first timer that is due by `until`.
     pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, Wake)> {
         let (at, _, wake) = *self.timers.first().filter(|(at, _, _)| *at <= until)?;
         self.timers.pop_first();
         Some((at, wake))
     }
 
-    /// Timers that wait.
+    /// Number of pending timers.
     pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// All that was written on a connection, as text.
+    /// Everything written on a connection, as text.
     pub fn written_text(&self, conn: Conn) -> String {
         self.written.get(&conn).map_or(String::new(), |bytes| String::from_utf8_lossy(bytes).into_owned())
     }
 
-    /// Statuses of all answers on a client's connection.
+    /// Statuses of all HTTP responses written on a connection.
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
         let text = self.written_text(conn);
-        text.split("HTTP/1.1 ").skip(1).filter_map(|answer| answer[..3].parse().ok()).collect()
+        text.split("HTTP/1.1 ").skip(1).filter_map(|response| response[..3].parse().ok()).collect()
     }
 }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, then: Timer) {
-        self.timers.push(Some(then));
+    fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, timer: Timer) {
+        self.timers.push(Some(timer));
         transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
     }
 
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -58,7 +58,7 @@
     if setup.dying_routers > 1 {
         (day.kill.from, day.kill.until) = (begin + SEVERAL_DIE, begin + SEVERAL_RESTART);
     }
-    testbed.add_doubles(&day, |hosts| hosts.silence = day.silence);
+    testbed.add_doubles(&day, |list| list.outage = day.silence);
     start_routers(&mut testbed, setup)?;
     let results = testbed.add_clients(&day.requests);
     let mut outages: Vec<Outage> = Vec::new();
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -200,7 +200,7 @@
     let draining: Endpoint = day.list().0[0].clone();
     // A copy of the list that is behind is what restarted routers get first.
     let stale = (restarts, restarts + STALE_LIST_TIME, draining.clone());
-    testbed.add_doubles(&day, |hosts| hosts.stale = Some(stale));
+    testbed.add_doubles(&day, |list| list.stale = Some(stale));
     let ports = start_routers(&mut testbed, options, &setup)?;
     let results = testbed.add_clients(&day.requests);
     let mut rng = Rand64::new(u128::from(setup.seed));
--- a/crates/scenarios/src/testbed.rs
+++ b/crates/scenarios/src/testbed.rs
@@ -61,15 +61,15 @@
     /// Adds store, workers and endpoint list of the day; the list is adjusted before it begins.
     pub(crate) fn add_doubles(&mut self, day: &Day, adjust_list: impl FnOnce(&mut EndpointList)) {
         let mut store = Store::new(self.store, FETCH_TIME, MAX_FETCHES, self.ledger.clone());
-        store.stops = day.store_stop.into_iter().collect();
+        store.outages = day.store_stop.into_iter().collect();
         self.reactor.add(Box::new(store));
         for worker in day.workers(&self.ledger) {
             self.reactor.add(Box::new(worker));
         }
         let (rows, changes) = day.list();
-        let mut hosts = EndpointList::new(self.endpoint_list, rows, changes, self.ledger.clone());
-        adjust_list(&mut hosts);
-        self.reactor.add(Box::new(hosts));
+        let mut list = EndpointList::new(self.endpoint_list, rows, changes, self.ledger.clone());
+        adjust_list(&mut list);
+        self.reactor.add(Box::new(list));
     }
 
     /// Writes the key of the routers' fleet.
