--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -1,80 +1,80 @@
-//! The audit: judges the rules from what test doubles and clients saw on their sockets, and from nothing
-//! else.
+//! The audit: checks rules 1 to 4 against what the test doubles observed on their sockets. It uses no
+//! information from the routers.
 use applepond_fakes::ledger::{Event, Observation};
 use applepond_reactor::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// µs by which an answer may come after its client's deadline: the clocks of two processes and one wake-up.
+/// Tolerance in µs for a response after its client's deadline: two processes' clocks and one wake-up.
 const ANSWER_SLACK: Micros = 100_000;
-/// µs around a kill in which what breaks off is put down to it.
+/// Time in µs around a kill in which lost connections are attributed to it.
 const KILL_SLACK: Micros = 300_000;
-/// µs by which a notice or a repeat may be late through the machine's own pauses.
+/// Tolerance in µs for pauses of the host in the checks of drain notices and duplicates.
 const PAUSE_SLACK: Micros = 150_000;
-/// Limit of breaches of one rule that are described; the count goes on.
+/// Limit of breaches described per rule; all are counted.
 const MAX_DESCRIBED: usize = 5;
 
-/// What a second attempt of an event's request would do.
+/// The effect of running the request of an event a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// No harm.
+    /// Harmless.
     Idempotent,
-    /// No harm in the same rack within the window.
+    /// Harmless in the same rack within the deduplication window.
     Keyed,
-    /// Harm.
+    /// Harmful.
     AtMostOnce,
 }
 
-/// When a router was dead by the scenario's own hand.
+/// Time during which the scenario kept a router dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// Index of the router.
     pub router: u64,
     /// When it was killed.
     pub from: Micros,
-    /// When it was there again.
+    /// When it listened again.
     pub until: Micros,
 }
 
 impl Outage {
-    /// Whether an exchange with this router, from `asked` to `at`, may have been broken off by the kill.
-    fn explains(&self, router: u64, asked: Micros, at: Micros) -> bool {
-        self.router == router && asked <= self.until + KILL_SLACK && at + KILL_SLACK >= self.from
+    /// Whether the kill may have broken off an exchange with `router` that lasted from `sent` to `at`.
+    fn explains(&self, router: u64, sent: Micros, at: Micros) -> bool {
+        self.router == router && sent <= self.until + KILL_SLACK && at + KILL_SLACK >= self.from
     }
 }
 
-/// What the audit knows beside the ledger: the terms, not what the routers say.
+/// Parameters of the audit.
 pub struct Terms {
-    /// µs after a notice of drain from which nothing new may come.
+    /// Time in µs after a drain notice during which new requests are still accepted.
     pub grace: Micros,
-    /// µs for which a rack drops repeats.
-    pub window: Micros,
-    /// The effect of each event.
+    /// Time in µs for which a rack drops duplicates.
+    pub dedup_window: Micros,
+    /// Effect of each event.
     pub effects: BTreeMap<Event, Effect>,
-    /// When routers were dead.
+    /// Outages of routers.
     pub outages: Vec<Outage>,
-    /// When the scenario ended: what may still be answered after it is no breach.
+    /// End of the scenario. An open exchange is a breach only if its deadline is before it.
     pub end: Micros,
 }
 
-/// The audit's judgement.
+/// Result of the audit.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// By rule, how often it was broken, and the first breaches in words.
+    /// By rule, the number of breaches and a description of the first ones.
     pub broken: BTreeMap<u8, (usize, Vec<String>)>,
-    /// Exchanges of clients with routers.
+    /// Number of exchanges between clients and routers.
     pub exchanges: usize,
-    /// Attempts begun at workers.
+    /// Number of attempts started at workers.
     pub attempts: usize,
-    /// Repeats that racks dropped.
+    /// Number of duplicates dropped by racks.
     pub dropped_repeats: usize,
-    /// Fetches from the store.
+    /// Number of fetches accepted by the store.
     pub fetches: usize,
 }
 
 impl Verdict {
-    /// Takes a breach of a rule down.
-    pub(crate) fn fault(&mut self, rule: u8, what: String) {
+    /// Records a breach of a rule.
+    pub(crate) fn record_breach(&mut self, rule: u8, what: String) {
         let (count, described) = self.broken.entry(rule).or_default();
         *count += 1;
         if described.len() < MAX_DESCRIBED {
@@ -83,50 +83,54 @@
     }
 }
 
-/// Judges a ledger by these terms.
+/// Audits a ledger.
 pub fn judge(ledger: &[(Micros, Observation)], terms: &Terms) -> Verdict {
     let mut verdict = Verdict::default();
-    answers(ledger, terms, &mut verdict);
-    effects(ledger, terms, &mut verdict);
-    drains(ledger, terms, &mut verdict);
-    cold(ledger, &mut verdict);
+    check_responses(ledger, terms, &mut verdict);
+    check_effects(ledger, terms, &mut verdict);
+    check_drains(ledger, terms, &mut verdict);
+    check_cold_workers(ledger, &mut verdict);
     verdict
 }
 
-/// A client's exchange with a router.
+/// An exchange between a client and a router.
 struct Exchange {
-    asked: Micros,
+    sent: Micros,
     router: u64,
     deadline: Micros,
-    /// It has been answered, or broken off.
+    /// Whether it has got a response or broken off.
     ended: bool,
 }
 
-/// Rule 1: one answer to each exchange, in time, nothing after.
-fn answers(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
+/// Rule 1: each exchange gets exactly one response, in time, and no bytes after it.
+fn check_responses(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
     let mut open: BTreeMap<u64, Exchange> = BTreeMap::new();
-    for (at, saw) in ledger {
-        match saw {
+    for (at, observation) in ledger {
+        match observation {
             Observation::RequestSent { exchange, router, deadline, .. } => {
                 verdict.exchanges += 1;
-                let asked = Exchange { asked: *at, router: *router, deadline: *deadline, ended: false };
-                open.insert(*exchange, asked);
+                let sent = Exchange { sent: *at, router: *router, deadline: *deadline, ended: false };
+                open.insert(*exchange, sent);
             }
             Observation::ResponseReceived { exchange, status } => {
-                let Some(answered) = open.get_mut(exchange) else { continue };
-                check_answer(*exchange, answered, *at, *status, verdict);
+                let Some(state) = open.get_mut(exchange) else { continue };
+                check_response(*exchange, state, *at, *status, verdict);
             }
             Observation::UnexpectedBytes { exchange } => {
-                verdict.fault(1, format!("more came after the answer to exchange {exchange}"));
+                verdict
+                    .record_breach(1, format!("unexpected bytes after the response to exchange {exchange}"));
             }
             Observation::ClientLeft { exchange } => {
                 open.remove(exchange);
             }
             Observation::ConnectionLost { exchange } | Observation::ClientTimedOut { exchange } => {
-                let Some(Exchange { asked, router, ended, .. }) = open.get_mut(exchange) else { continue };
-                let is_explained = terms.outages.iter().any(|outage| outage.explains(*router, *asked, *at));
+                let Some(Exchange { sent, router, ended, .. }) = open.get_mut(exchange) else { continue };
+                let is_explained = terms.outages.iter().any(|outage| outage.explains(*router, *sent, *at));
                 if !std::mem::replace(ended, true) && !is_explained {
-                    verdict.fault(1, format!("exchange {exchange} with router {router} was never answered"));
+                    verdict.record_breach(
+                        1,
+                        format!("exchange {exchange} with router {router} got no response"),
+                    );
                 }
             }
             _ => {}
@@ -134,18 +138,21 @@
     }
     for (exchange, Exchange { router, deadline, ended, .. }) in &open {
         if !ended && deadline + ANSWER_SLACK < terms.end {
-            verdict.fault(1, format!("exchange {exchange} with router {router} stayed open"));
+            verdict.record_breach(
+                1,
+                format!("exchange {exchange} with router {router} was still open at the end"),
+            );
         }
     }
 }
 
-fn check_answer(number: u64, exchange: &mut Exchange, at: Micros, status: u16, verdict: &mut Verdict) {
+fn check_response(number: u64, exchange: &mut Exchange, at: Micros, status: u16, verdict: &mut Verdict) {
     let late = at.saturating_sub(exchange.deadline);
-    // One that was asked when its time was as good as up is answered at once, which may be after it.
+    // A request sent just before its deadline gets an immediate response, which may still come after it.
     if std::mem::replace(&mut exchange.ended, true) {
-        verdict.fault(1, format!("exchange {number} was answered twice, then {status}"));
-    } else if late > ANSWER_SLACK && at > exchange.asked + ANSWER_SLACK {
-        verdict.fault(1, format!("exchange {number} was answered {late} µs after its limit"));
+        verdict.record_breach(1, format!("exchange {number} got a second response, with status {status}"));
+    } else if late > ANSWER_SLACK && at > exchange.sent + ANSWER_SLACK {
+        verdict.record_breach(1, format!("exchange {number} got its response {late} µs after its deadline"));
     }
 }
 
@@ -156,14 +163,14 @@
     rack: i64,
 }
 
-/// Rule 2: no effect twice, and no rejection of what has run.
-fn effects(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
-    // By event, the arrival of each attempt that began.
-    let mut begun: BTreeMap<&Event, Vec<Arrival>> = BTreeMap::new();
+/// Rule 2: no effect happens twice, and no request is rejected after it has started.
+fn check_effects(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
+    // By event, the arrival of each attempt that started.
+    let mut started: BTreeMap<&Event, Vec<Arrival>> = BTreeMap::new();
     let mut arrivals: BTreeMap<(&Rc<str>, &Event), Arrival> = BTreeMap::new();
-    let mut asked: BTreeMap<u64, &Event> = BTreeMap::new();
-    for (at, saw) in ledger {
-        match saw {
+    let mut sent: BTreeMap<u64, &Event> = BTreeMap::new();
+    for (at, observation) in ledger {
+        match observation {
             Observation::RequestReceived { worker, rack, event, .. } => {
                 arrivals.insert((worker, event), Arrival { at: *at, rack: *rack });
             }
@@ -172,18 +179,18 @@
             Observation::RequestStarted { worker, event } => {
                 verdict.attempts += 1;
                 let Some(arrival) = arrivals.get(&(worker, event)) else { continue };
-                let attempts = begun.entry(event).or_default();
+                let attempts = started.entry(event).or_default();
                 attempts.push(*arrival);
                 check_attempts(event, attempts, terms, verdict);
             }
             Observation::RequestSent { exchange, event, .. } => {
-                asked.insert(*exchange, event);
+                sent.insert(*exchange, event);
             }
             Observation::ResponseReceived { exchange, status: 503 } => {
-                let Some(event) = asked.get(exchange) else { continue };
+                let Some(event) = sent.get(exchange) else { continue };
                 let effect = terms.effects.get(*event);
-                if effect != Some(&Effect::Idempotent) && begun.contains_key(event) {
-                    verdict.fault(2, format!("job {event} was pushed back after it had begun"));
+                if effect != Some(&Effect::Idempotent) && started.contains_key(event) {
+                    verdict.record_breach(2, format!("request {event} was rejected after it had started"));
                 }
             }
             _ => {}
@@ -191,29 +198,33 @@
     }
 }
 
-/// Checks the last of the attempts of an event against the first.
+/// Checks the latest attempt of an event against the first.
 fn check_attempts(event: &Event, attempts: &[Arrival], terms: &Terms, verdict: &mut Verdict) {
     let [first, .., last] = attempts else { return };
     match terms.effects.get(event) {
         Some(Effect::AtMostOnce) => {
-            verdict.fault(2, format!("at-most-once job {event} began {} times", attempts.len()));
+            verdict
+                .record_breach(2, format!("at-most-once request {event} started {} times", attempts.len()));
         }
         Some(Effect::Keyed) if last.rack != first.rack => {
             let racks = format!("racks {} and {}", first.rack, last.rack);
-            verdict.fault(2, format!("keyed job {event} began in {racks}"));
+            verdict.record_breach(2, format!("keyed request {event} started in {racks}"));
         }
-        Some(Effect::Keyed) if last.at > first.at + terms.window + PAUSE_SLACK => {
-            verdict.fault(2, format!("keyed job {event} was sent again after its window"));
+        Some(Effect::Keyed) if last.at > first.at + terms.dedup_window + PAUSE_SLACK => {
+            verdict.record_breach(
+                2,
+                format!("keyed request {event} was sent again after its deduplication window"),
+            );
         }
         _ => {}
     }
 }
 
-/// Rule 3: nothing new to a draining or gone worker past the grace.
-fn drains(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
+/// Rule 3: after the grace, a draining or gone worker receives no new request.
+fn check_drains(ledger: &[(Micros, Observation)], terms: &Terms, verdict: &mut Verdict) {
     let mut notified: BTreeMap<(u64, &Rc<str>), Micros> = BTreeMap::new();
-    for (at, saw) in ledger {
-        match saw {
+    for (at, observation) in ledger {
+        match observation {
             Observation::EndpointSent { router, worker, ready: true, .. } => {
                 notified.remove(&(*router, worker));
             }
@@ -225,7 +236,7 @@
                 if let Some(since) = since.filter(|since| *since > terms.grace + PAUSE_SLACK) {
                     let ms = since / 1000;
                     let what = format!("router {router} sent {event} to {worker} {ms} ms after the notice");
-                    verdict.fault(3, what);
+                    verdict.record_breach(3, what);
                 }
             }
             _ => {}
@@ -233,12 +244,13 @@
     }
 }
 
-/// Rule 4: no cold worker overloaded, unless the routers had not been notified that it started.
-fn cold(ledger: &[(Micros, Observation)], verdict: &mut Verdict) {
+/// Rule 4: no cold worker is overloaded. An overload counts only if at least two thirds of the requests came
+/// from routers that had been notified of the worker's start.
+fn check_cold_workers(ledger: &[(Micros, Observation)], verdict: &mut Verdict) {
     let mut started: BTreeMap<&Rc<str>, Micros> = BTreeMap::new();
     let mut notified: BTreeMap<(u64, &Rc<str>), Micros> = BTreeMap::new();
-    for (at, saw) in ledger {
-        match saw {
+    for (at, observation) in ledger {
+        match observation {
             Observation::WorkerStarted { worker } => {
                 started.insert(worker, *at);
             }
@@ -247,13 +259,15 @@
             }
             Observation::WorkerOverloaded { worker, routers } => {
                 let since = started.get(worker).copied().unwrap_or(0);
-                let knows = |router: &&u64| {
+                let is_notified = |router: &&u64| {
                     notified.get(&(**router, worker)).is_some_and(|notified| *notified >= since)
                 };
-                let knowing = routers.iter().filter(knows).count();
-                if knowing * 3 >= routers.len() * 2 {
-                    verdict
-                        .fault(4, format!("cold worker {worker} was pushed over by {} jobs", routers.len()));
+                let notified_count = routers.iter().filter(is_notified).count();
+                if notified_count * 3 >= routers.len() * 2 {
+                    verdict.record_breach(
+                        4,
+                        format!("cold worker {worker} was overloaded by {} requests", routers.len()),
+                    );
                 }
             }
             _ => {}
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -83,8 +83,13 @@
     }
     testbed.see_stragglers()?;
     testbed.routers.clear();
-    let terms =
-        Terms { grace: day::GRACE, window: day::WINDOW, effects: effects(&day), outages, end: Micros::MAX };
+    let terms = Terms {
+        grace: day::GRACE,
+        dedup_window: day::WINDOW,
+        effects: effects(&day),
+        outages,
+        end: Micros::MAX,
+    };
     let verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
     Ok(report(&day, begin, &results.borrow(), verdict))
 }
--- a/crates/scenarios/src/errors.rs
+++ b/crates/scenarios/src/errors.rs
@@ -1,23 +1,23 @@
-//! Why a scenario could not be played, which says nothing about the routers.
+//! Errors that prevent a scenario from running. They are not verdicts about the routers.
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a scenario could not be played.
+/// Why a scenario could not run.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 pub enum ScenarioError {
-    /// The machine lacks something.
+    /// A resource of the host is missing.
     #[error("{what}: {why}")]
     #[diagnostic(
         code(drill::machine),
         help("look for room on the disk, free ports and descriptors (ulimit -n), then play it again")
     )]
     Machine {
-        /// The file or the part of the machine.
+        /// The file or resource.
         what: String,
-        /// The reason given by the operating system.
+        /// The error of the operating system.
         why: String,
     },
-    /// A router did not start, by its settings file and what it printed.
+    /// A router did not start: its settings file and what it printed.
     #[error("the router of {0} did not start")]
     #[diagnostic(
         code(drill::not_started),
@@ -30,21 +30,21 @@
         code(drill::not_whole),
         help("what is next would be judged of a fleet that is not whole: the rule that broke says why")
     )]
-    NotWhole(String),
+    NotRecovered(String),
 }
 
 impl ScenarioError {
-    /// The machine lacks something.
+    /// Creates [`ScenarioError::Machine`].
     pub fn machine(what: impl std::fmt::Display, why: impl std::fmt::Display) -> Self {
         ScenarioError::Machine { what: what.to_string(), why: why.to_string() }
     }
 
-    /// One of each, for the table of codes.
+    /// Returns one error of each variant, for the table of codes.
     pub fn each() -> Vec<ScenarioError> {
         vec![
             ScenarioError::machine("", ""),
             ScenarioError::NotStarted(String::new()),
-            ScenarioError::NotWhole(String::new()),
+            ScenarioError::NotRecovered(String::new()),
         ]
     }
 }
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -157,7 +157,9 @@
                 let counts: Vec<String> = views.iter().map(|view| view["live"].to_string()).collect();
                 let what = format!("{scene}: not within {} ms: {}", limit.as_millis(), counts.join(" "));
                 self.breaks("one view after a fault", what);
-                return Err(ScenarioError::NotWhole("the fleet is not whole after a fault".to_owned()));
+                return Err(ScenarioError::NotRecovered(
+                    "the routers did not agree on one view after a fault".to_owned(),
+                ));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -172,8 +172,13 @@
         }
     }
     testbed.routers.clear();
-    let terms =
-        Terms { grace: day::GRACE, window: day::WINDOW, effects: effects(&day), outages, end: Micros::MAX };
+    let terms = Terms {
+        grace: day::GRACE,
+        dedup_window: day::WINDOW,
+        effects: effects(&day),
+        outages,
+        end: Micros::MAX,
+    };
     let mut report = Report { requests: day.requests.len(), ..Report::default() };
     report.verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
     let from = begin + LENGTH - COUNTED_TIME;
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -233,8 +233,13 @@
     measure_service(&mut report, &in_time(&day, &results.borrow()), begin, last);
     count_seen(&mut report, &testbed.ledger, &draining, &outages, (begin, last));
     count_asks(&mut report, &network, tenth);
-    let terms =
-        Terms { grace: day::GRACE, window: day::WINDOW, effects: effects(&day), outages, end: Micros::MAX };
+    let terms = Terms {
+        grace: day::GRACE,
+        dedup_window: day::WINDOW,
+        effects: effects(&day),
+        outages,
+        end: Micros::MAX,
+    };
     report.verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
     judge_recovery(&mut report, options);
     Ok(report)
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -218,7 +218,7 @@
     testbed.routers.clear();
     let terms = Terms {
         grace: day::GRACE,
-        window: day::WINDOW,
+        dedup_window: day::WINDOW,
         effects: effects(&day),
         outages: outages(setup, times, other),
         end: times.end,
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -267,7 +267,7 @@
         }
         deadlines.insert(workflow, request.at + TIME_LIMIT);
     }
-    let terms = Terms { grace: day::GRACE, window: day::WINDOW, effects, outages, end };
+    let terms = Terms { grace: day::GRACE, dedup_window: day::WINDOW, effects, outages, end };
     let verdict = ledger.read(|seen| {
         let mut verdict = judge(seen, &terms);
         check_deadlines(seen, &deadlines, &mut verdict);
@@ -337,7 +337,8 @@
         let Some((workflow, step)) = event.rsplit_once('/') else { continue };
         let late = deadlines.get(workflow).map(|deadline| at.saturating_sub(*deadline));
         if let Some(late) = late.filter(|late| *late > DEADLINE_SLACK && !step.starts_with("release")) {
-            verdict.fault(6, format!("step {event} was {what} {} ms past its chain's time", late / MS));
+            verdict
+                .record_breach(6, format!("step {event} was {what} {} ms past its chain's time", late / MS));
         }
     }
 }
--- a/crates/scenarios/tests/parts.rs
+++ b/crates/scenarios/tests/parts.rs
@@ -77,7 +77,7 @@
         let effects = [("q", Effect::Idempotent), ("h", Effect::Keyed), ("c", Effect::AtMostOnce)];
         let terms = Terms {
             grace: 2 * S,
-            window: 3 * S,
+            dedup_window: 3 * S,
             effects: effects.into_iter().map(|(n, e)| (name(n), e)).collect(),
             outages: vec![Outage { router: 0, from: 9 * S, until: 10 * S }],
             end: Micros::MAX,
