--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -1,8 +1,8 @@
-//! The bad day: everything that goes wrong in a day of a fleet, within half a minute.
+//! The bad day: the faults that a fleet meets on a bad day, compressed into half a minute.
 use crate::audit::{Effect, Outage, Terms, Verdict, judge};
-use crate::day::{self, Day, RouterSettings};
 use crate::errors::ScenarioError;
 use crate::fleet_settings::fleet_block;
+use crate::plan::{self, Plan, RouterSettings};
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
@@ -11,87 +11,88 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// µs from the first process to the first request: routers connect to the endpoint list meanwhile.
+/// Time in µs from the first process to the first request, in which routers connect to the endpoint list.
 const SETTLING_TIME: Micros = 1_500_000;
-/// µs after the last arrival until every request must have been answered.
-const TAIL: Micros = 6_000_000;
-/// µs of a window in the table of service over time.
+/// Time in µs after the last arrival in which every request must get its response.
+const RESPONSE_GRACE: Micros = 6_000_000;
+/// Window in µs of the table of service over time.
 const WINDOW: Micros = 2_000_000;
-/// µs between two reports of progress.
+/// Interval in µs between progress reports.
 const PROGRESS_INTERVAL: Micros = 2_000_000;
-/// µs into the day at which several routers die, where they do.
-const SEVERAL_DIE: Micros = 4_000_000;
-/// µs into the day at which they start again: the drained wave and the lost hall fall in between, and it is
-/// long enough to be known.
-const SEVERAL_RESTART: Micros = 19_000_000;
+/// Time in µs from the first request at which routers are killed, if several are.
+const KILL_SEVERAL_AT: Micros = 4_000_000;
+/// Time in µs from the first request at which they restart. The drain wave and the zone outage fall in
+/// between, and the outage is long enough for the other routers to notice it.
+const RESTART_SEVERAL_AT: Micros = 19_000_000;
 
-/// The result of the day.
+/// Result of the scenario.
 pub struct Report {
-    /// The audit's judgement.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// How many requests ended in which way, as clients saw it.
+    /// Number of requests by outcome, as seen by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// By window: requests, and those answered within their latency objective.
+    /// By window: number of requests, and of those that finished within their latency target.
     pub windows: Vec<(usize, usize)>,
-    /// What happened, with µs since the first request.
+    /// Events, with their time in µs since the first request.
     pub timeline: Vec<(Micros, String)>,
-    /// µs to the answer of finished requests: median, 99th percentile.
+    /// Latency of successful requests in µs: median and 99th percentile.
     pub latency: (Micros, Micros),
 }
 
 impl Report {
-    /// Whether all rules held and no request went unanswered.
+    /// Whether all rules held and no request remained without a response.
     pub fn passed(&self) -> bool {
         self.verdict.broken.is_empty()
             && self.outcomes.get(&RequestOutcome::Nothing).is_none_or(|count| *count == 0)
     }
 }
 
-/// Plays the day in this folder; `progress` is given a line about every two seconds.
+/// Runs the scenario with its files in `folder`. Calls `progress` with a line about every two seconds.
 ///
 /// # Errors
-/// Why the day could not be played.
+/// Returns an error if the scenario could not run.
 pub fn run(setup: &Setup, folder: &Path, progress: &mut dyn FnMut(&str)) -> Result<Report, ScenarioError> {
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
-    let mut day = day::draw(setup.seed, begin, setup.workers, setup.routers, testbed.store);
+    let mut plan = plan::generate(setup.seed, begin, setup.workers, setup.routers, testbed.store);
     if setup.dying_routers > 1 {
-        (day.kill.from, day.kill.until) = (begin + SEVERAL_DIE, begin + SEVERAL_RESTART);
+        (plan.router_outage.from, plan.router_outage.until) =
+            (begin + KILL_SEVERAL_AT, begin + RESTART_SEVERAL_AT);
     }
-    testbed.add_doubles(&day, |list| list.outage = day.silence);
+    testbed.add_fakes(&plan, |list| list.outage = plan.list_outage);
     start_routers(&mut testbed, setup)?;
-    let results = testbed.add_clients(&day.requests);
+    let results = testbed.add_clients(&plan.requests);
     let mut outages: Vec<Outage> = Vec::new();
-    let mut reporter = Reporter { last: 0, story: day.story.iter().peekable() };
-    let end = begin + day::LENGTH + TAIL;
+    let mut reporter = Reporter { last: 0, timeline: plan.timeline.iter().peekable() };
+    let end = begin + plan::ARRIVAL_TIME + RESPONSE_GRACE;
     while testbed.now() < end
-        && (results.borrow().done < day.requests.len() || testbed.now() < day.kill.until)
+        && (results.borrow().done < plan.requests.len() || testbed.now() < plan.router_outage.until)
     {
-        testbed.turn(20)?;
+        testbed.poll(20)?;
         let now = testbed.now();
-        if now >= day.kill.from && outages.is_empty() {
-            let first = day.kill.router as usize;
+        if now >= plan.router_outage.from && outages.is_empty() {
+            let first = plan.router_outage.router as usize;
             for index in (0..setup.dying_routers).map(|next| (first + next) % setup.routers) {
                 let outage = testbed.kill(index)?;
-                outages.extend(outage.map(|outage| Outage { until: day.kill.until, ..outage }));
+                outages.extend(outage.map(|outage| Outage { until: plan.router_outage.until, ..outage }));
             }
         }
-        if now >= day.kill.until {
+        if now >= plan.router_outage.until {
             restart_all(&mut testbed, &mut outages)?;
         }
-        reporter.report(now, begin, results.borrow().done, day.requests.len(), progress);
+        reporter.report(now, begin, results.borrow().done, plan.requests.len(), progress);
     }
-    testbed.see_stragglers()?;
+    testbed.observe_late_responses()?;
     testbed.routers.clear();
     let terms = Terms {
-        grace: day::GRACE,
-        dedup_window: day::WINDOW,
-        effects: effects(&day),
+        grace: plan::DRAIN_GRACE,
+        dedup_window: plan::DEDUP_WINDOW,
+        effects: effects(&plan),
         outages,
         end: Micros::MAX,
     };
     let verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
-    Ok(report(&day, begin, &results.borrow(), verdict))
+    Ok(report(&plan, begin, &results.borrow(), verdict))
 }
 
 fn start_routers(testbed: &mut Testbed<'_>, setup: &Setup) -> Result<(), ScenarioError> {
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// Starts all routers again that are dead.
+/// Restarts all dead routers.
 pub(crate) fn restart_all(testbed: &mut Testbed<'_>, outages: &mut [Outage]) -> Result<(), ScenarioError> {
     for outage in outages {
         if testbed.routers[outage.router as usize].is_none() {
@@ -115,11 +116,11 @@
     Ok(())
 }
 
-/// Reports what happens, and from time to time how far the day is.
+/// Reports events as they happen, and the number of finished requests in between.
 struct Reporter<'a, I: Iterator<Item = &'a (Micros, String)>> {
-    /// When progress was last reported.
+    /// Time of the last progress report.
     last: Micros,
-    story: std::iter::Peekable<I>,
+    timeline: std::iter::Peekable<I>,
 }
 
 impl<'a, I: Iterator<Item = &'a (Micros, String)>> Reporter<'a, I> {
@@ -132,31 +133,31 @@
         progress: &mut dyn FnMut(&str),
     ) {
         let seconds = now.saturating_sub(begin) as f64 / 1e6;
-        if let Some((_, what)) = self.story.next_if(|(at, _)| *at <= now) {
+        if let Some((_, what)) = self.timeline.next_if(|(at, _)| *at <= now) {
             progress(&format!("{seconds:5.1} s  {what}"));
         } else if now >= self.last + PROGRESS_INTERVAL {
             self.last = now;
-            progress(&format!("{seconds:5.1} s  {done} of {all} jobs"));
+            progress(&format!("{seconds:5.1} s  {done} of {all} requests"));
         }
     }
 }
 
-/// What a second attempt of each request of the day would do.
-pub(crate) fn effects(day: &Day) -> BTreeMap<Event, Effect> {
+/// The effect of running each request of the plan a second time.
+pub(crate) fn effects(plan: &Plan) -> BTreeMap<Event, Effect> {
     let effect = |request: &PlannedRequest| match (request.idempotent, request.keyed) {
         (true, _) => Effect::Idempotent,
         (_, true) => Effect::Keyed,
         _ => Effect::AtMostOnce,
     };
     let event = |request: &PlannedRequest| Event::from(format!("{} {}", request.source, request.id));
-    day.requests.iter().map(|request| (event(request), effect(request))).collect()
+    plan.requests.iter().map(|request| (event(request), effect(request))).collect()
 }
 
-fn report(day: &Day, begin: Micros, results: &Results, verdict: Verdict) -> Report {
+fn report(plan: &Plan, begin: Micros, results: &Results, verdict: Verdict) -> Report {
     let mut outcomes = BTreeMap::new();
-    let mut windows = vec![(0, 0); (day::LENGTH / WINDOW) as usize + 1];
+    let mut windows = vec![(0, 0); (plan::ARRIVAL_TIME / WINDOW) as usize + 1];
     let mut latencies: Vec<Micros> = Vec::new();
-    for (request, (end, after)) in day.requests.iter().zip(&results.outcomes) {
+    for (request, (end, after)) in plan.requests.iter().zip(&results.outcomes) {
         *outcomes.entry(*end).or_default() += 1;
         let window = &mut windows[((request.at - begin) / WINDOW) as usize];
         window.0 += 1;
@@ -169,6 +170,6 @@
     }
     latencies.sort_unstable();
     let percentile = |percent: usize| latencies.get(latencies.len() * percent / 100).copied().unwrap_or(0);
-    let timeline = day.story.iter().map(|(at, what)| (at - begin, what.clone())).collect();
+    let timeline = plan.timeline.iter().map(|(at, what)| (at - begin, what.clone())).collect();
     Report { verdict, outcomes, windows, timeline, latency: (percentile(50), percentile(99)) }
 }
--- a/crates/scenarios/src/fleet_settings.rs
+++ b/crates/scenarios/src/fleet_settings.rs
@@ -1,8 +1,8 @@
-//! Settings by which the routers of a scenario form a fleet.
+//! Settings of routers that form a fleet.
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 
-/// The `fleet` block of a router.
+/// Renders the `fleet` block of a router.
 pub fn fleet_block(index: usize, ports: &[SocketAddr], key: &Path) -> String {
     format!(
         "fleet {{\n name = \"r{index}\"\n zone = \"z{}\"\n listen = \"{}\"\n seeds = [\"{}\", \"{}\"]\n\
@@ -15,7 +15,7 @@
     )
 }
 
-/// Settings of one router of a fleet whose state page is all that is asked of it.
+/// Renders the settings of a router of which only the state page is used.
 pub fn settings(index: usize, ports: &[SocketAddr], key: &Path) -> String {
     format!(
         "listen = \"127.0.0.1:0\"\nzones = [\"a\"]\nrouters = {}\n\
@@ -27,19 +27,19 @@
     )
 }
 
-/// A loopback address on which no other running process asks for ports: they are free for a moment before
-/// routers bind them, and another scenario's routers would take some of them.
-fn own_address() -> Ipv4Addr {
+/// Returns a loopback address derived from the process id. Ports are free for a moment before the routers
+/// bind them; on a shared address the routers of a scenario in another process could take them.
+fn process_address() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 64 | high & 63, middle, low)
 }
 
-/// Free UDP ports for so many routers.
+/// Returns `count` free UDP ports.
 ///
 /// # Errors
-/// The kernel has none.
+/// Returns an error if the kernel has no free port.
 pub fn ports(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let sockets: Vec<UdpSocket> =
-        (0..count).map(|_| UdpSocket::bind((own_address(), 0))).collect::<Result<_, _>>()?;
+        (0..count).map(|_| UdpSocket::bind((process_address(), 0))).collect::<Result<_, _>>()?;
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -92,7 +92,7 @@
     /// What a router that runs takes the others for.
     fn view(&self, index: usize) -> Option<Value> {
         let router = self.routers[index].as_ref().filter(|_| self.runs[index]);
-        router.and_then(|router| query(router.at).ok())
+        router.and_then(|router| query(router.address).ok())
     }
 
     fn breaks(&mut self, rule: &'static str, what: String) {
--- a/crates/scenarios/src/day.rs
+++ b/crates/scenarios/src/plan.rs
@@ -1,4 +1,4 @@
-//! A day: the workers, the requests, and what goes wrong when, all drawn from one seed.
+//! Plan of a scenario: the workers, the requests and the times of the faults, all generated from one seed.
 use crate::audit::Outage;
 use crate::process::Setup;
 use applepond_fakes::client::PlannedRequest;
@@ -13,79 +13,80 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// Halls of the day; each is a range of loopback addresses, 127.(10 + n).0.0/16.
-pub const HALLS: usize = 3;
-/// µs of arrivals.
-pub const LENGTH: Micros = 26 * S;
-/// Requests a second and worker on the quiet parts of the day.
+/// Number of zones. Zone `n` uses the loopback addresses 127.(10 + n).0.0/16.
+pub const ZONES: usize = 3;
+/// Duration of arrivals in µs.
+pub const ARRIVAL_TIME: Micros = 26 * S;
+/// Requests per second and worker outside the load jump.
 const RATE: f64 = 11.0;
-/// Factor of that rate in the jump.
+/// Factor of that rate during the load jump.
 const JUMP_FACTOR: f64 = 2.0;
-/// Functions that requests are drawn from, popularity falling as 1 / rank.
+/// Number of functions that are called; popularity falls as 1 / rank.
 const FUNCTIONS: u64 = 40;
-/// µs for which a rack drops repeats.
-pub const WINDOW: Micros = 3 * S;
-/// µs after a notice of drain from which nothing new may come.
-pub const GRACE: Micros = 2 * S;
+/// Time in µs for which a rack drops duplicates.
+pub const DEDUP_WINDOW: Micros = 3 * S;
+/// Time in µs after a drain notice during which new requests are still accepted.
+pub const DRAIN_GRACE: Micros = 2 * S;
 /// Importance of the workloads quote, hold and confirm.
 pub const IMPORTANCE: [u64; 3] = [1, 3, 5];
-/// µs from a notice of drain to the end of that process: longer than the grace, so that strays are seen.
+/// Time in µs from a drain notice to the end of the process. It is longer than the grace, so that requests
+/// that arrive too late are observed.
 const DRAIN_TIME: Micros = 4 * S;
-/// µs by which the endpoint list is behind as a rule.
+/// Usual delay of the endpoint list in µs.
 const LIST_DELAY: Micros = 300 * MS;
-/// µs by which it is behind while it runs late.
+/// Delay of the endpoint list in µs while it is late.
 const LATE_LIST_DELAY: Micros = 1_500 * MS;
-/// µs that a client waits for an answer.
+/// Time in µs for which a client waits for a response.
 const CLIENT_TIMEOUT: Micros = 4 * S;
 
-/// One worker's day.
+/// The part of the plan that concerns one worker.
 pub struct WorkerScript {
-    /// What it is.
+    /// Its configuration.
     pub config: WorkerConfig,
-    /// Its hall.
-    pub hall: usize,
-    /// What it does when.
+    /// Its zone.
+    pub zone: usize,
+    /// Its script.
     pub script: Vec<(Micros, ScriptEvent)>,
-    /// Its status from when on; the list has it later.
+    /// Changes of its status. The endpoint list learns of them with a delay.
     pub statuses: Vec<(Micros, &'static str)>,
-    /// It runs from the start.
+    /// Whether it runs from the beginning.
     pub from_start: bool,
 }
 
-/// A day of a fleet.
-pub struct Day {
+/// Plan of a scenario.
+pub struct Plan {
     /// The workers.
     pub workers: Vec<WorkerScript>,
-    /// The requests, in their order.
+    /// The requests in order of arrival.
     pub requests: Vec<PlannedRequest>,
-    /// From when to when the store does no fetch, if at all.
-    pub store_stop: Option<(Micros, Micros)>,
-    /// Which router is killed when.
-    pub kill: Outage,
-    /// From when to when the endpoint list is late.
+    /// Start and end of an outage of the model store.
+    pub store_outage: Option<(Micros, Micros)>,
+    /// Outage of a router.
+    pub router_outage: Outage,
+    /// Start and end of the time in which the endpoint list is late.
     pub late_list: (Micros, Micros),
-    /// From when to when the endpoint list says nothing at all.
-    pub silence: (Micros, Micros),
-    /// What happens when, in words.
-    pub story: Vec<(Micros, String)>,
+    /// Start and end of an outage of the endpoint list.
+    pub list_outage: (Micros, Micros),
+    /// Descriptions of the planned events.
+    pub timeline: Vec<(Micros, String)>,
 }
 
-/// An address of a hall with a port that is free now.
+/// Returns an address in a zone with a port that is free now.
 ///
 /// # Panics
-/// If there is none.
-pub fn address(hall: usize, host: usize) -> SocketAddr {
-    let host = Ipv4Addr::new(127, 10 + hall as u8, (std::process::id() % 250) as u8, (host + 1) as u8);
+/// If no port is free.
+pub fn address(zone: usize, host: usize) -> SocketAddr {
+    let host = Ipv4Addr::new(127, 10 + zone as u8, (std::process::id() % 250) as u8, (host + 1) as u8);
     let probe = TcpListener::bind((host, 0)).and_then(|listener| listener.local_addr());
     probe.expect("a loopback address has a free port")
 }
 
-/// The worker of this index in a hall.
-pub fn worker_config(index: usize, hall: usize, store: SocketAddr, seed: u64, name: String) -> WorkerConfig {
+/// Configuration of the worker of this index in a zone.
+pub fn worker_config(index: usize, zone: usize, store: SocketAddr, seed: u64, name: String) -> WorkerConfig {
     WorkerConfig {
         name: Rc::from(name),
-        listen: address(hall, index),
-        rack: (hall * 2 + index / HALLS % 2) as i64,
+        listen: address(zone, index),
+        rack: (zone * 2 + index / ZONES % 2) as i64,
         cores: 2,
         memory_mb: 8_000,
         max_waiting: 40,
@@ -96,94 +97,98 @@
         warmup_time: 6 * S,
         overload_factor: 2.5,
         overload_window: S,
-        dedup_window: WINDOW,
+        dedup_window: DEDUP_WINDOW,
         seed: seed ^ index as u64,
         prefix_units: 400,
         prepare_time_per_unit: 1_000,
     }
 }
 
-/// When what goes wrong: pairs are its begin and its end.
+/// Times of the faults. Pairs are start and end.
 struct Timetable {
     jump: (Micros, Micros),
     late_list: (Micros, Micros),
-    wave: Micros,
-    lost: (Micros, Micros),
-    store_stop: (Micros, Micros),
+    drain_wave: Micros,
+    zone_outage: (Micros, Micros),
+    store_outage: (Micros, Micros),
     failing: (Micros, Micros),
     hanging: (Micros, Micros),
-    odd: (Micros, Micros),
-    silence: (Micros, Micros),
-    kill: (Micros, Micros),
+    malformed: (Micros, Micros),
+    list_outage: (Micros, Micros),
+    router_outage: (Micros, Micros),
 }
 
 impl Timetable {
-    fn draw(rng: &mut Rand64, begin: Micros) -> Self {
+    fn generate(rng: &mut Rand64, begin: Micros) -> Self {
         let mut about = |ms: u64| begin + ms * MS + rng.rand_range(0..800) * MS;
-        // The fields are drawn in this order.
+        // Each field draws from `rng`, so their order determines the plan of a seed.
         Timetable {
             jump: (about(3_000), about(6_000)),
             late_list: (about(5_000), about(11_000)),
-            wave: about(7_500),
-            lost: (about(12_500), about(16_000)),
-            store_stop: (about(15_500), about(17_500)),
+            drain_wave: about(7_500),
+            zone_outage: (about(12_500), about(16_000)),
+            store_outage: (about(15_500), about(17_500)),
             failing: (about(18_500), about(21_000)),
             hanging: (about(19_500), about(22_000)),
-            odd: (about(1_500), about(3_000)),
-            silence: (about(24_000), about(24_900)),
-            kill: (about(21_500), about(23_000)),
+            malformed: (about(1_500), about(3_000)),
+            list_outage: (about(24_000), about(24_900)),
+            router_outage: (about(21_500), about(23_000)),
         }
     }
 
-    /// What happens when, moods of workers aside.
-    fn story(&self, lost_hall: usize, killed: usize) -> Vec<(Micros, String)> {
+    /// Describes the events, except those of single workers.
+    fn timeline(&self, lost_zone: usize, killed: usize) -> Vec<(Micros, String)> {
         let ms = |(from, until): (Micros, Micros)| (until - from) / MS;
         let late =
-            format!("the host list runs {} ms late instead of {}", LATE_LIST_DELAY / MS, LIST_DELAY / MS);
+            format!("the endpoint list is {} ms late instead of {}", LATE_LIST_DELAY / MS, LIST_DELAY / MS);
         vec![
-            (self.silence.0, format!("the host list falls silent, for {} ms", ms(self.silence))),
-            (self.jump.0, format!("{JUMP_FACTOR} times the jobs, for {} ms", ms(self.jump))),
+            (self.list_outage.0, format!("the endpoint list is down for {} ms", ms(self.list_outage))),
+            (self.jump.0, format!("{JUMP_FACTOR} times the requests for {} ms", ms(self.jump))),
             (self.late_list.0, late),
-            (self.wave, "a quarter of the workers drains, successors come cold".to_owned()),
-            (self.lost.0, format!("hall {lost_hall} is lost")),
-            (self.lost.1, format!("hall {lost_hall} comes back, cold")),
-            (self.store_stop.0, format!("the store stops, for {} ms", ms(self.store_stop))),
-            (self.kill.0, format!("router {killed} is killed")),
-            (self.kill.1, format!("router {killed} is started again")),
+            (self.drain_wave, "a quarter of the workers drains, cold replacements start".to_owned()),
+            (self.zone_outage.0, format!("zone {lost_zone} is lost")),
+            (self.zone_outage.1, format!("zone {lost_zone} is back with cold workers")),
+            (self.store_outage.0, format!("the model store is down for {} ms", ms(self.store_outage))),
+            (self.router_outage.0, format!("router {killed} is killed")),
+            (self.router_outage.1, format!("router {killed} is restarted")),
         ]
     }
 }
 
-/// Draws the day; `begin` is its first µs.
-pub fn draw(seed: u64, begin: Micros, workers: usize, routers: usize, store: SocketAddr) -> Day {
+/// Generates the plan of the bad day; `begin` is the time of the first request.
+pub fn generate(seed: u64, begin: Micros, workers: usize, routers: usize, store: SocketAddr) -> Plan {
     let mut rng = Rand64::new(u128::from(seed));
-    let times = Timetable::draw(&mut rng, begin);
-    let lost_hall = rng.rand_range(0..HALLS as u64) as usize;
+    let times = Timetable::generate(&mut rng, begin);
+    let lost_zone = rng.rand_range(0..ZONES as u64) as usize;
     let killed = rng.rand_range(0..routers as u64) as usize;
     let mut scripts = steady_workers(workers, store, seed);
-    drain_wave(&mut scripts, times.wave, store, seed);
-    lose_hall(&mut scripts, lost_hall, times.lost);
-    let mut story = times.story(lost_hall, killed);
-    story.extend(schedule_misbehaviour(&mut scripts[..workers], lost_hall, &times));
-    story.sort();
+    add_drain_wave(&mut scripts, times.drain_wave, store, seed);
+    add_zone_outage(&mut scripts, lost_zone, times.zone_outage);
+    let mut timeline = times.timeline(lost_zone, killed);
+    timeline.extend(schedule_misbehaviour(&mut scripts[..workers], lost_zone, &times));
+    timeline.sort();
     scripts.iter_mut().for_each(|script| script.script.sort_by_key(|(at, _)| *at));
     let requests = requests(&mut rng, begin, workers, routers, times.jump);
-    Day {
+    Plan {
         workers: scripts,
         requests,
-        store_stop: Some(times.store_stop),
-        kill: Outage { router: killed as u64, from: times.kill.0, until: times.kill.1 },
+        store_outage: Some(times.store_outage),
+        router_outage: Outage {
+            router: killed as u64,
+            from: times.router_outage.0,
+            until: times.router_outage.1,
+        },
         late_list: times.late_list,
-        silence: times.silence,
-        story,
+        list_outage: times.list_outage,
+        timeline,
     }
 }
 
-/// Workers, in all halls in turn, to which nothing happens.
+/// Creates workers without scripted events, spread evenly over the zones.
 pub(crate) fn steady_workers(workers: usize, store: SocketAddr, seed: u64) -> Vec<WorkerScript> {
     let script = |index| WorkerScript {
-        config: worker_config(index, index % HALLS, store, seed, format!("w{index}")),
-        hall: index % HALLS,
+        config: worker_config(index, index % ZONES, store, seed, format!("w{index}")),
+        zone: index % ZONES,
         script: Vec::new(),
         statuses: Vec::new(),
         from_start: true,
@@ -191,16 +196,16 @@
     (0..workers).map(script).collect()
 }
 
-/// A quarter drains; as many successors come, under new names, cold.
-fn drain_wave(scripts: &mut Vec<WorkerScript>, wave: Micros, store: SocketAddr, seed: u64) {
+/// Drains a quarter of the workers and starts as many cold ones under new names.
+fn add_drain_wave(scripts: &mut Vec<WorkerScript>, wave: Micros, store: SocketAddr, seed: u64) {
     let workers = scripts.len();
     for index in (0..workers).filter(|index| index % 4 == 1) {
         scripts[index].statuses = vec![(wave, "draining"), (wave + DRAIN_TIME, "gone")];
         scripts[index].script = vec![(wave + DRAIN_TIME, ScriptEvent::Stop)];
-        let hall = scripts[index].hall;
+        let zone = scripts[index].zone;
         scripts.push(WorkerScript {
-            config: worker_config(workers + index, hall, store, seed, format!("w{index}b")),
-            hall,
+            config: worker_config(workers + index, zone, store, seed, format!("w{index}b")),
+            zone,
             script: vec![(wave + S, ScriptEvent::Start)],
             statuses: vec![(wave + S, "ready")],
             from_start: false,
@@ -208,42 +213,43 @@
     }
 }
 
-/// All workers of a hall die, and come back cold.
-fn lose_hall(scripts: &mut [WorkerScript], hall: usize, (from, until): (Micros, Micros)) {
+/// Stops all workers of a zone and restarts them cold.
+fn add_zone_outage(scripts: &mut [WorkerScript], zone: usize, (from, until): (Micros, Micros)) {
     let stays = |script: &WorkerScript| script.statuses.iter().all(|(_, status)| *status != "gone");
-    for script in scripts.iter_mut().filter(|script| script.hall == hall && stays(script)) {
+    for script in scripts.iter_mut().filter(|script| script.zone == zone && stays(script)) {
         script.script.extend([(from, ScriptEvent::Stop), (until, ScriptEvent::Start)]);
         script.statuses.extend([(from, "gone"), (until, "ready")]);
     }
 }
 
-/// Workers that are neither lost nor drained misbehave for a time, one after the other; returns it in words.
+/// Makes one worker after the other misbehave for a time, leaving out those that are lost or drained. Returns
+/// descriptions.
 fn schedule_misbehaviour(
     scripts: &mut [WorkerScript],
-    lost_hall: usize,
+    lost_zone: usize,
     times: &Timetable,
 ) -> Vec<(Micros, String)> {
-    let unaffected = |index: &usize| index % HALLS != lost_hall && index % 4 != 1;
+    let unaffected = |index: &usize| index % ZONES != lost_zone && index % 4 != 1;
     let mut others = (0..scripts.len()).filter(unaffected);
-    let mut give = |(from, until): (Micros, Micros), behaviour: Behaviour| {
+    let mut misbehave = |(from, until): (Micros, Micros), behaviour: Behaviour| {
         let index = others.next().unwrap_or(0);
         scripts[index].script.extend([
             (from, ScriptEvent::SetBehaviour(behaviour)),
             (until, ScriptEvent::SetBehaviour(Behaviour::Well)),
         ]);
-        (from, format!("worker w{index}: {behaviour:?}, for {} ms", (until - from) / MS))
+        (from, format!("worker w{index}: {behaviour:?} for {} ms", (until - from) / MS))
     };
     vec![
-        give(times.failing, Behaviour::FailFast(0.8)),
-        give(times.hanging, Behaviour::Hang),
-        give(times.odd, Behaviour::CutAnswers),
-        give(times.odd, Behaviour::Garbage),
-        give((times.odd.1, times.odd.1 + S), Behaviour::TwoAnswers),
-        give((times.wave, times.wave + S), Behaviour::Stall),
+        misbehave(times.failing, Behaviour::FailFast(0.8)),
+        misbehave(times.hanging, Behaviour::Hang),
+        misbehave(times.malformed, Behaviour::CutAnswers),
+        misbehave(times.malformed, Behaviour::Garbage),
+        misbehave((times.malformed.1, times.malformed.1 + S), Behaviour::TwoAnswers),
+        misbehave((times.drain_wave, times.drain_wave + S), Behaviour::Stall),
     ]
 }
 
-/// Draws the requests; long as it names each of their properties.
+/// Generates the requests.
 fn requests(
     rng: &mut Rand64,
     begin: Micros,
@@ -254,7 +260,7 @@
     let harmonic: f64 = (1..=FUNCTIONS).map(|rank| 1.0 / rank as f64).sum();
     let mut requests = Vec::new();
     let mut at = begin;
-    while at < begin + LENGTH {
+    while at < begin + ARRIVAL_TIME {
         let times = if (jump.0..jump.1).contains(&at) { JUMP_FACTOR } else { 1.0 };
         let gap = -(1.0 - rng.rand_float()).ln() / (RATE * workers as f64 * times) * S as f64;
         at += gap as Micros + 1;
@@ -295,32 +301,32 @@
     requests
 }
 
-impl Day {
-    /// A day on which nothing goes wrong.
-    pub(crate) fn steady(workers: Vec<WorkerScript>, requests: Vec<PlannedRequest>) -> Day {
-        Day {
+impl Plan {
+    /// Creates a plan without faults.
+    pub(crate) fn steady(workers: Vec<WorkerScript>, requests: Vec<PlannedRequest>) -> Plan {
+        Plan {
             workers,
             requests,
-            store_stop: None,
-            kill: Outage { router: 0, from: 0, until: 0 },
+            store_outage: None,
+            router_outage: Outage { router: 0, from: 0, until: 0 },
             late_list: (0, 0),
-            silence: (0, 0),
-            story: Vec::new(),
+            list_outage: (0, 0),
+            timeline: Vec::new(),
         }
     }
 
-    /// The same with workers to which nothing happens, and without stops of the store.
-    pub(crate) fn without_faults(mut self) -> Day {
+    /// Removes all worker scripts, the workers that join later and the store outage.
+    pub(crate) fn without_faults(mut self) -> Plan {
         for worker in &mut self.workers {
             worker.script.clear();
             worker.statuses.clear();
         }
         self.workers.retain(|worker| worker.from_start);
-        self.store_stop = None;
+        self.store_outage = None;
         self
     }
 
-    /// The workers as test doubles.
+    /// Creates the test doubles of the workers.
     pub fn workers(&self, ledger: &Ledger) -> Vec<Worker> {
         let mut racks: BTreeMap<i64, Rack> = BTreeMap::new();
         let workers = self.workers.iter().map(|worker| {
@@ -336,14 +342,14 @@
             address: worker.config.listen,
             status,
             started_ms: started / MS,
-            zone: format!("hall-{}", worker.hall),
+            zone: format!("hall-{}", worker.zone),
             rack: worker.config.rack,
             weight: worker.config.cores as f64,
         }
     }
 
-    /// What the endpoint list says at the start, and its changes with when it has them: late, and later for a
-    /// while.
+    /// Returns the initial entries of the endpoint list and its changes, each with the time at which the list
+    /// learns of it.
     pub fn list(&self) -> (Vec<Endpoint>, Vec<(Micros, Endpoint)>) {
         let from_start = self.workers.iter().filter(|worker| worker.from_start);
         let rows = from_start.map(|worker| Self::row(worker, "ready", 0)).collect();
@@ -362,17 +368,17 @@
     }
 }
 
-/// The settings of one router.
+/// Builder of a router's settings file.
 pub(crate) struct RouterSettings<'a> {
     setup: &'a Setup,
     /// Index of the router.
     index: usize,
     endpoint_list: SocketAddr,
-    /// µs that the workloads have.
+    /// Time limit of the workloads in µs.
     pub(crate) time_limit: Micros,
     /// Importance of the workloads quote, hold and confirm.
     pub(crate) importance: [u64; 3],
-    /// Lines and blocks of the scenario.
+    /// Additional lines and blocks.
     blocks: String,
 }
 
@@ -382,7 +388,7 @@
         RouterSettings { setup, index, endpoint_list, time_limit, importance, blocks: String::new() }
     }
 
-    /// The same with these lines and blocks.
+    /// Sets additional lines and blocks.
     pub(crate) fn with_blocks(self, blocks: String) -> Self {
         RouterSettings { blocks, ..self }
     }
@@ -398,13 +404,14 @@
         )
     }
 
-    /// The text of the file.
+    /// Renders the settings file.
     pub(crate) fn to_hcl(&self) -> String {
         let RouterSettings { setup, index, endpoint_list, importance, blocks, .. } = self;
-        let halls: Vec<String> = (0..HALLS).map(|hall| format!("\"hall-{hall}\"")).collect();
-        // What the fleet can do, erring low, in the shares of its two customers.
+        let zones: Vec<String> = (0..ZONES).map(|zone| format!("\"hall-{zone}\"")).collect();
+        // 90 % of the fleet's capacity, two cores per worker and 60 ms per request, divided among its two
+        // customers.
         let rate = setup.workers as f64 * 2.0 / 0.06 * 0.9;
-        let hold = format!("\"fingerprinted\"\n  within = \"rack\"\n  window = \"{}ms\"", WINDOW / MS);
+        let hold = format!("\"fingerprinted\"\n  within = \"rack\"\n  window = \"{}ms\"", DEDUP_WINDOW / MS);
         format!(
             "{blocks}\nlisten = \"{}\"\nhosts = \"{endpoint_list}\"\nrouter = {index}\nrouters = {}\n\
              seed = {}\n\
@@ -412,10 +419,10 @@
              rules {{\n  cold_share = 0.25\n  warm_within = \"6s\"\n  fall_multiple = 2.5\n  \
              fall_span = \"1s\"\n}}\n{}{}{}customer \"snezka\" {{\n  jobs_per_s = {}\n}}\n\
              customer \"labska\" {{\n  jobs_per_s = {}\n}}\n",
-            address(index % HALLS, 200 + index),
+            address(index % ZONES, 200 + index),
             setup.routers,
             setup.seed * 1000 + *index as u64,
-            halls.join(", "),
+            zones.join(", "),
             self.workload("quote", "\"restartable\"", S, importance[0]),
             self.workload("hold", &hold, S, importance[1]),
             self.workload("confirm", "\"run-once\"", 750 * MS, importance[2]),
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -2,10 +2,10 @@
 //! Judged from what the workers saw: which requests came with a lease, and what was prepared.
 use crate::audit::{Outage, Terms, Verdict, judge};
 use crate::bad_day::{effects, restart_all};
-use crate::day::{self, Day, RouterSettings};
 use crate::errors::ScenarioError;
 use crate::faulty_network::FaultyNetwork;
 use crate::fleet_settings::fleet_block;
+use crate::plan::{self, Plan, RouterSettings};
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
@@ -100,8 +100,8 @@
     pub most_at_one_worker: usize,
 }
 
-/// Replaces the requests of the day by ones that have prefixes.
-fn draw_requests(day: &mut Day, setup: &Setup, begin: Micros) {
+/// Replaces the requests of the plan by ones that have prefixes.
+fn draw_requests(plan: &mut Plan, setup: &Setup, begin: Micros) {
     let mut rng = Rand64::new(u128::from(setup.seed) ^ 0x0be9);
     let sums: Vec<f64> = (1..=PREFIXES)
         .scan(0.0, |sum, rank| {
@@ -109,7 +109,7 @@
             Some(*sum)
         })
         .collect();
-    let drawn = std::mem::take(&mut day.requests);
+    let drawn = std::mem::take(&mut plan.requests);
     let (mut at, mut number) = (begin, 0);
     while at < begin + LENGTH {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE + LOOP_RATE) * S as f64) as Micros + 1;
@@ -126,7 +126,7 @@
             let rank = sums.partition_point(|sum| *sum < drawn);
             request.prefix = Some((format!("opening-{rank}"), PREFIX_UNITS));
         }
-        day.requests.push(request);
+        plan.requests.push(request);
         number += 1;
     }
 }
@@ -146,16 +146,16 @@
     let setup = Setup { proxy: Some(network.proxy), ..options.setup.clone() };
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
-    let day = draw(&setup, begin, testbed.store);
-    testbed.add_doubles(&day, |_| ());
+    let plan = draw(&setup, begin, testbed.store);
+    testbed.add_fakes(&plan, |_| ());
     let ports = start_routers(&mut testbed, options, &setup)?;
-    let results = testbed.add_clients(&day.requests);
+    let results = testbed.add_clients(&plan.requests);
     let dying = dying_routers(options);
     let mut outages: Vec<Outage> = Vec::new();
     let mut has_restarted = dying.is_empty();
     let end = begin + LENGTH + TAIL;
-    while testbed.now() < end && (results.borrow().done < day.requests.len() || !has_restarted) {
-        testbed.turn(10)?;
+    while testbed.now() < end && (results.borrow().done < plan.requests.len() || !has_restarted) {
+        testbed.poll(10)?;
         let now = testbed.now();
         if now >= begin + DEATH && outages.is_empty() && !dying.is_empty() {
             progress(&format!("{} routers die", dying.len()));
@@ -173,30 +173,30 @@
     }
     testbed.routers.clear();
     let terms = Terms {
-        grace: day::GRACE,
-        dedup_window: day::WINDOW,
-        effects: effects(&day),
+        grace: plan::DRAIN_GRACE,
+        dedup_window: plan::DEDUP_WINDOW,
+        effects: effects(&plan),
         outages,
         end: Micros::MAX,
     };
-    let mut report = Report { requests: day.requests.len(), ..Report::default() };
+    let mut report = Report { requests: plan.requests.len(), ..Report::default() };
     report.verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
     let from = begin + LENGTH - COUNTED_TIME;
-    report.in_time = share_in_time(&day.requests, &results.borrow(), from);
+    report.in_time = share_in_time(&plan.requests, &results.borrow(), from);
     let loops = count_seen(&mut report, &testbed.ledger, from);
     judge_pins(&mut report, options, loops);
     Ok(report)
 }
 
-/// A day without faults whose requests have prefixes.
-fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Day {
-    let day = day::draw(setup.seed, begin, setup.workers, setup.routers, store);
-    let mut day = day.without_faults();
-    for worker in &mut day.workers {
+/// A plan without faults whose requests have prefixes.
+fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Plan {
+    let plan = plan::generate(setup.seed, begin, setup.workers, setup.routers, store);
+    let mut plan = plan.without_faults();
+    for worker in &mut plan.workers {
         (worker.config.prefix_units, worker.config.prepare_time_per_unit) = (WORKER_UNITS, PREPARE_TIME);
     }
-    draw_requests(&mut day, setup, begin);
-    day
+    draw_requests(&mut plan, setup, begin);
+    plan
 }
 
 /// Starts the routers; returns where each listens for datagrams.
--- a/crates/scenarios/src/process.rs
+++ b/crates/scenarios/src/process.rs
@@ -1,4 +1,4 @@
-//! A router as a process of its own, as every scenario starts it.
+//! Starts routers as separate processes.
 use crate::errors::ScenarioError;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,32 +8,32 @@
 /// The routers of a scenario.
 #[derive(Clone)]
 pub struct Setup {
-    /// The program that serves; it takes `serve --settings FILE`.
+    /// The router program; it is started with `serve --settings FILE`.
     pub program: PathBuf,
-    /// Seed of all random draws.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// How many routers run.
+    /// Number of routers.
     pub routers: usize,
-    /// How many workers run.
+    /// Number of workers.
     pub workers: usize,
-    /// Name of a bug that each router is to have.
+    /// Name of the bug that is seeded into each router.
     pub seeded_bug: Option<String>,
-    /// Where the routers of a fleet send their datagrams, instead of to each other.
+    /// Proxy to which the routers of a fleet send their datagrams instead of directly to each other.
     pub proxy: Option<SocketAddr>,
-    /// Routers of the bad day that die and are restarted.
+    /// Number of routers that the bad day kills and restarts.
     pub dying_routers: usize,
-    /// Whether the routers of the bad day are a fleet, so that the others learn of it.
+    /// Whether the routers of the bad day form a fleet and so learn of each other's outages.
     pub fleet: bool,
 }
 
-/// A router's process, which is killed when this is dropped.
+/// A router process. Dropping this value kills it.
 pub struct Router {
     /// The process.
     pub child: Child,
     /// Its settings file.
     pub settings: PathBuf,
-    /// Where it listens for clients.
-    pub at: SocketAddr,
+    /// Address on which it listens for clients.
+    pub address: SocketAddr,
 }
 
 impl Drop for Router {
@@ -43,10 +43,10 @@
     }
 }
 
-/// Starts a router and waits until it listens.
+/// Starts a router and waits until it is listening.
 ///
 /// # Errors
-/// Its program, its log or its port cannot be had.
+/// Returns an error if the program or the log file cannot be opened or the router does not start listening.
 pub fn start(setup: &Setup, settings: PathBuf) -> Result<Router, ScenarioError> {
     let mut command = Command::new(&setup.program);
     command.arg("serve").arg("--settings").arg(&settings).args(["--log", "json", "--with-parent"]);
@@ -62,10 +62,10 @@
     let mut child = child.map_err(|error| ScenarioError::machine(setup.program.display(), error))?;
     let mut line = String::new();
     let read = child.stdout.take().map(|out| BufReader::new(out).read_line(&mut line));
-    let at = line.trim().strip_prefix("listening ").and_then(|address| address.parse().ok());
-    let router = |at| Router { child, settings: settings.clone(), at };
-    match at {
-        Some(at) => Ok(router(at)),
+    let address = line.trim().strip_prefix("listening ").and_then(|address| address.parse().ok());
+    let router = |address| Router { child, settings: settings.clone(), address };
+    match address {
+        Some(address) => Ok(router(address)),
         None => {
             drop(router(SocketAddr::from(([127, 0, 0, 1], 0))));
             Err(ScenarioError::NotStarted(format!("{}: {read:?}", settings.display())))
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -3,10 +3,10 @@
 //! routers.
 use crate::audit::{Outage, Terms, Verdict, judge};
 use crate::bad_day::{effects, restart_all};
-use crate::day::{self, Day, RouterSettings};
 use crate::errors::ScenarioError;
 use crate::faulty_network::{FaultyNetwork, MessageCounts};
 use crate::fleet_settings::fleet_block;
+use crate::plan::{self, Plan, RouterSettings};
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{RequestOutcome, Results};
@@ -128,23 +128,23 @@
     }
 }
 
-/// The day of this scenario: steady requests, one worker that fails most of what it gets, one that drains.
-fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Day {
-    let mut day = day::draw(setup.seed, begin, setup.workers, setup.routers, store).without_faults();
-    day.workers[1].script = vec![(begin, ScriptEvent::SetBehaviour(Behaviour::FailFast(0.8)))];
-    day.workers[0].statuses = vec![(begin + BEFORE - DRAIN_LEAD, "draining")];
+/// The plan of this scenario: steady requests, one worker that fails most of what it gets, one that drains.
+fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Plan {
+    let mut plan = plan::generate(setup.seed, begin, setup.workers, setup.routers, store).without_faults();
+    plan.workers[1].script = vec![(begin, ScriptEvent::SetBehaviour(Behaviour::FailFast(0.8)))];
+    plan.workers[0].statuses = vec![(begin + BEFORE - DRAIN_LEAD, "draining")];
     let length = BEFORE + OUTAGE_TIME + AFTER;
     let mut rng = Rand64::new(u128::from(setup.seed) ^ 0x5eed);
-    let (mut at, mut number, drawn) = (begin, 0, std::mem::take(&mut day.requests));
+    let (mut at, mut number, drawn) = (begin, 0, std::mem::take(&mut plan.requests));
     while at < begin + length {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE * setup.workers as f64) * S as f64) as Micros + 1;
         let mut request = drawn[number % drawn.len()].clone();
         (request.at, request.id) = (at, format!("job-{number}"));
         (request.duplicate_after, request.disconnect_after) = (None, None);
-        day.requests.push(request);
+        plan.requests.push(request);
         number += 1;
     }
-    day
+    plan
 }
 
 /// The fleet block of one router, by what it may start from.
@@ -196,20 +196,20 @@
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
     let restarts = begin + BEFORE + OUTAGE_TIME;
-    let day = draw(&setup, begin, testbed.store);
-    let draining: Endpoint = day.list().0[0].clone();
+    let plan = draw(&setup, begin, testbed.store);
+    let draining: Endpoint = plan.list().0[0].clone();
     // A copy of the list that is behind is what restarted routers get first.
     let stale = (restarts, restarts + STALE_LIST_TIME, draining.clone());
-    testbed.add_doubles(&day, |list| list.stale = Some(stale));
+    testbed.add_fakes(&plan, |list| list.stale = Some(stale));
     let ports = start_routers(&mut testbed, options, &setup)?;
-    let results = testbed.add_clients(&day.requests);
+    let results = testbed.add_clients(&plan.requests);
     let mut rng = Rand64::new(u128::from(setup.seed));
     let mut deaths = deaths(options, &mut rng).into_iter().peekable();
     let mut outages = Vec::new();
     let mut last_restart = None;
     let end = begin + BEFORE + OUTAGE_TIME + AFTER + TAIL;
-    while testbed.now() < end && (results.borrow().done < day.requests.len() || last_restart.is_none()) {
-        testbed.turn(10)?;
+    while testbed.now() < end && (results.borrow().done < plan.requests.len() || last_restart.is_none()) {
+        testbed.poll(10)?;
         let now = testbed.now();
         while let Some((_, index)) = deaths.next_if(|(at, _)| now >= begin + BEFORE + at) {
             outages.extend(testbed.kill(index)?);
@@ -226,17 +226,17 @@
             last_restart = Some((testbed.now(), network.tenth()));
         }
     }
-    testbed.see_stragglers()?;
+    testbed.observe_late_responses()?;
     testbed.routers.clear();
     let (last, tenth) = last_restart.unwrap_or((restarts, 0));
-    let mut report = Report { requests: day.requests.len(), ..Report::default() };
-    measure_service(&mut report, &in_time(&day, &results.borrow()), begin, last);
+    let mut report = Report { requests: plan.requests.len(), ..Report::default() };
+    measure_service(&mut report, &in_time(&plan, &results.borrow()), begin, last);
     count_seen(&mut report, &testbed.ledger, &draining, &outages, (begin, last));
     count_asks(&mut report, &network, tenth);
     let terms = Terms {
-        grace: day::GRACE,
-        dedup_window: day::WINDOW,
-        effects: effects(&day),
+        grace: plan::DRAIN_GRACE,
+        dedup_window: plan::DEDUP_WINDOW,
+        effects: effects(&plan),
         outages,
         end: Micros::MAX,
     };
@@ -300,8 +300,8 @@
 }
 
 /// When each request came, and whether it was answered in time.
-fn in_time(day: &Day, results: &Results) -> Vec<(Micros, bool)> {
-    let requests = day.requests.iter().zip(&results.outcomes);
+fn in_time(plan: &Plan, results: &Results) -> Vec<(Micros, bool)> {
+    let requests = plan.requests.iter().zip(&results.outcomes);
     requests.map(|(request, (got, _))| (request.at, *got == RequestOutcome::Finished)).collect()
 }
 
@@ -375,7 +375,8 @@
                     let outage = outages.iter().find(|outage| outage.router == *router);
                     let after = outage.map(|outage| at.saturating_sub(outage.until));
                     report.strays += usize::from(after.is_some());
-                    report.strays_after_grace += usize::from(after.is_some_and(|after| after > day::GRACE));
+                    report.strays_after_grace +=
+                        usize::from(after.is_some_and(|after| after > plan::DRAIN_GRACE));
                 }
                 _ => {}
             }
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -2,8 +2,8 @@
 //! back, and everything that waited asks at once.
 use crate::audit::{Outage, Terms, Verdict, judge};
 use crate::bad_day::effects;
-use crate::day::{self, Day, HALLS, RouterSettings, WorkerScript, steady_workers};
 use crate::errors::ScenarioError;
+use crate::plan::{self, Plan, RouterSettings, WorkerScript, ZONES, steady_workers};
 use crate::process::{Router, Setup};
 use crate::testbed::Testbed;
 use applepond_fakes::client::{PlannedRequest, RequestOutcome, Results};
@@ -171,7 +171,7 @@
 
 /// Whether a worker or router of this index is in the hall that is cut.
 fn is_struck(index: usize) -> bool {
-    index.is_multiple_of(HALLS)
+    index.is_multiple_of(ZONES)
 }
 
 /// Plays it in this folder, step by step, which is why the function is long; `progress` is given a line for
@@ -190,20 +190,20 @@
     let (cut, heal) = (begin + BEFORE, begin + BEFORE + options.cut_seconds * S);
     let times = Times { begin, cut, heal, end: heal + options.observed_seconds * S };
     let workers = workers(options, times, testbed.store);
-    let day = Day::steady(workers, requests(options, begin, times.end));
-    testbed.add_doubles(&day, |_| ());
+    let plan = Plan::steady(workers, requests(options, begin, times.end));
+    testbed.add_fakes(&plan, |_| ());
     for index in 0..setup.routers {
         let damping = format!("damping = {}", options.damping);
         let mut settings = RouterSettings::new(setup, index, testbed.endpoint_list).with_blocks(damping);
         settings.time_limit = CLIENT_TIMEOUT;
         testbed.start_router(&settings.to_hcl())?;
     }
-    let results = testbed.add_clients(&day.requests);
+    let results = testbed.add_clients(&plan.requests);
     let other = options.restarts_router.then_some(1).filter(|index| *index < setup.routers);
     let mut script = script(times, other.is_some()).into_iter().peekable();
     let mut last_progress = 0;
     while testbed.now() < times.end {
-        testbed.turn(20)?;
+        testbed.poll(20)?;
         let now = testbed.now();
         if let Some((_, event, what)) = script.next_if(|(at, ..)| *at <= now) {
             progress(what);
@@ -212,25 +212,25 @@
         if now >= last_progress + PROGRESS_INTERVAL {
             last_progress = now;
             let at = now.saturating_sub(begin) / S;
-            progress(&format!("{at:>4} s  {} of {} jobs", results.borrow().done, day.requests.len()));
+            progress(&format!("{at:>4} s  {} of {} jobs", results.borrow().done, plan.requests.len()));
         }
     }
     testbed.routers.clear();
     let terms = Terms {
-        grace: day::GRACE,
-        dedup_window: day::WINDOW,
-        effects: effects(&day),
+        grace: plan::DRAIN_GRACE,
+        dedup_window: plan::DEDUP_WINDOW,
+        effects: effects(&plan),
         outages: outages(setup, times, other),
         end: times.end,
     };
     let verdict = testbed.ledger.read(|seen| judge(seen, &terms));
-    Ok(report(verdict, &day.requests, &results.borrow(), &testbed.ledger, times))
+    Ok(report(verdict, &plan.requests, &results.borrow(), &testbed.ledger, times))
 }
 
 /// The workers, a hall of which is cut.
 fn workers(options: &Options<'_>, times: Times, store: SocketAddr) -> Vec<WorkerScript> {
     let mut workers = steady_workers(options.setup.workers, store, options.setup.seed);
-    for worker in workers.iter_mut().filter(|worker| worker.hall == 0) {
+    for worker in workers.iter_mut().filter(|worker| worker.zone == 0) {
         let Times { cut, heal, .. } = times;
         match options.cut {
             // A list knows only whether a process runs: one that hangs stays on it.
--- a/crates/scenarios/src/testbed.rs
+++ b/crates/scenarios/src/testbed.rs
@@ -1,8 +1,8 @@
-//! What the scenarios with clients have in common: test doubles in this process, routers in their own.
+//! Environment of the scenarios with clients: the test doubles run in this process, each router in its own.
 use crate::audit::Outage;
-use crate::day::{self, Day};
 use crate::errors::ScenarioError;
 use crate::fleet_settings::ports;
+use crate::plan::{self, Plan};
 use crate::process::{Router, Setup, start};
 use applepond_fakes::client::{Client, PlannedRequest, Results};
 use applepond_fakes::endpoint_list::EndpointList;
@@ -15,32 +15,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// µs of a fetch from the store.
+/// Base duration in µs of a fetch from the model store.
 const FETCH_TIME: Micros = 150_000;
-/// Fetches that the store does at a time.
+/// Limit of concurrent fetches at the model store.
 const MAX_FETCHES: usize = 24;
 
-/// Test doubles and routers of one scenario.
+/// Test doubles and routers of a scenario.
 pub(crate) struct Testbed<'a> {
     setup: Setup,
     folder: &'a Path,
     reactor: Reactor,
-    /// The moment of the first request.
+    /// Time of the first request.
     pub(crate) begin: Micros,
     /// Address of the model store.
     pub(crate) store: SocketAddr,
     /// Address of the endpoint list.
     pub(crate) endpoint_list: SocketAddr,
-    /// What the test doubles see.
+    /// Observations of the test doubles.
     pub(crate) ledger: Ledger,
-    /// The routers; none where one is dead.
+    /// The routers, `None` for those that are dead.
     pub(crate) routers: Vec<Option<Router>>,
-    /// Where each router listens, dead ones too.
+    /// Client addresses of the routers, including dead ones.
     addresses: Vec<SocketAddr>,
 }
 
 impl<'a> Testbed<'a> {
-    /// An empty one; requests begin `settling_time` µs from now, when the routers have found the others.
+    /// Creates a testbed without routers. Requests begin `settling_time` µs from now, which gives the routers
+    /// time to connect to their peers.
     pub(crate) fn new(setup: Setup, folder: &'a Path, settling_time: Micros) -> Result<Self, ScenarioError> {
         std::fs::create_dir_all(folder).map_err(|error| ScenarioError::machine(folder.display(), error))?;
         let reactor = Reactor::new().map_err(|error| ScenarioError::machine("epoll", error))?;
@@ -50,29 +51,30 @@
             folder,
             reactor,
             begin,
-            store: day::address(0, 250),
-            endpoint_list: day::address(0, 251),
+            store: plan::address(0, 250),
+            endpoint_list: plan::address(0, 251),
             ledger: Ledger::default(),
             routers: Vec::new(),
             addresses: Vec::new(),
         })
     }
 
-    /// Adds store, workers and endpoint list of the day; the list is adjusted before it begins.
-    pub(crate) fn add_doubles(&mut self, day: &Day, adjust_list: impl FnOnce(&mut EndpointList)) {
+    /// Adds the model store, the workers and the endpoint list of the plan. `adjust_list` may change the list
+    /// before it starts.
+    pub(crate) fn add_fakes(&mut self, plan: &Plan, adjust_list: impl FnOnce(&mut EndpointList)) {
         let mut store = Store::new(self.store, FETCH_TIME, MAX_FETCHES, self.ledger.clone());
-        store.outages = day.store_stop.into_iter().collect();
+        store.outages = plan.store_outage.into_iter().collect();
         self.reactor.add(Box::new(store));
-        for worker in day.workers(&self.ledger) {
+        for worker in plan.workers(&self.ledger) {
             self.reactor.add(Box::new(worker));
         }
-        let (rows, changes) = day.list();
+        let (rows, changes) = plan.list();
         let mut list = EndpointList::new(self.endpoint_list, rows, changes, self.ledger.clone());
         adjust_list(&mut list);
         self.reactor.add(Box::new(list));
     }
 
-    /// Writes the key of the routers' fleet.
+    /// Writes the key file of the routers' fleet.
     pub(crate) fn write_fleet_key(&self) -> Result<PathBuf, ScenarioError> {
         let key = self.folder.join("key");
         let secret = format!("the secret of a drill's fleet, {}\n", self.setup.seed);
@@ -80,7 +82,7 @@
         Ok(key)
     }
 
-    /// Free ports for the datagrams of each router.
+    /// Returns a free datagram port for each router.
     pub(crate) fn fleet_ports(&self) -> Result<Vec<SocketAddr>, ScenarioError> {
         ports(self.setup.routers).map_err(|error| self.folder_error(error))
     }
@@ -90,12 +92,12 @@
         let file = self.settings_file(self.routers.len());
         std::fs::write(&file, settings).map_err(|error| self.folder_error(error))?;
         let router = start(&self.setup, file)?;
-        self.addresses.push(router.at);
+        self.addresses.push(router.address);
         self.routers.push(Some(router));
         Ok(())
     }
 
-    /// Adds the clients with their requests.
+    /// Adds clients that make the requests.
     pub(crate) fn add_clients(&mut self, requests: &[PlannedRequest]) -> Rc<RefCell<Results>> {
         let addresses = Rc::new(RefCell::new(self.addresses.clone()));
         let (client, results) = Client::new(requests.to_vec(), addresses, self.ledger.clone());
@@ -103,8 +105,8 @@
         results
     }
 
-    /// Kills a router with whatever it has in flight; none where it is dead already. It will listen at the
-    /// same address when it is restarted, as its clients know no other.
+    /// Kills a router, including its requests in flight. Returns `None` if it is dead already. Its settings
+    /// are changed so that it listens on the same address after a restart, as its clients know no other.
     pub(crate) fn kill(&mut self, index: usize) -> Result<Option<Outage>, ScenarioError> {
         let now = self.now();
         if self.routers[index].take().is_none() {
@@ -121,28 +123,28 @@
         Ok(Some(Outage { router: index as u64, from: now, until: Micros::MAX }))
     }
 
-    /// Starts a router that was killed; returns when it was there.
+    /// Restarts a router that was killed. Returns the time at which it listens.
     pub(crate) fn restart(&mut self, index: usize) -> Result<Micros, ScenarioError> {
         self.routers[index] = Some(start(&self.setup, self.settings_file(index))?);
         Ok(self.now())
     }
 
-    /// Lets the test doubles work, for so many ms at most.
-    pub(crate) fn turn(&mut self, max_wait_ms: u64) -> Result<(), ScenarioError> {
-        let turned = self.reactor.turn(Duration::from_millis(max_wait_ms));
-        turned.map_err(|error| ScenarioError::machine("epoll", error))
+    /// Runs the test doubles until something has happened, for at most `max_wait_ms`.
+    pub(crate) fn poll(&mut self, max_wait_ms: u64) -> Result<(), ScenarioError> {
+        let polled = self.reactor.turn(Duration::from_millis(max_wait_ms));
+        polled.map_err(|error| ScenarioError::machine("epoll", error))
     }
 
-    /// Half a second in which answers that come too late, or a second time, are still seen.
-    pub(crate) fn see_stragglers(&mut self) -> Result<(), ScenarioError> {
-        (0..25).try_for_each(|_| self.turn(20))
+    /// Runs for another half second, so that late and duplicate responses are observed.
+    pub(crate) fn observe_late_responses(&mut self) -> Result<(), ScenarioError> {
+        (0..25).try_for_each(|_| self.poll(20))
     }
 
     pub(crate) fn now(&self) -> Micros {
         self.reactor.now()
     }
 
-    /// A file of this scenario.
+    /// Returns the path of a file of this scenario.
     pub(crate) fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -1,8 +1,8 @@
 //! Workflows under one deadline: clients that have the routers run whole workflows, beside clients that call
 //! the same steps one by one with fixed time limits, at the same load.
 use crate::audit::{Effect, Outage, Terms, Verdict, judge};
-use crate::day::{self, Day, RouterSettings, steady_workers};
 use crate::errors::ScenarioError;
+use crate::plan::{self, Plan, RouterSettings, steady_workers};
 use crate::process::Setup;
 use crate::testbed::Testbed;
 use applepond_fakes::client::{FollowUp, PlannedRequest, RequestOutcome, Results};
@@ -113,7 +113,7 @@
 /// The requests of all clients.
 fn requests(options: &Options<'_>, begin: Micros) -> Vec<PlannedRequest> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
-    // Two cores a worker, see `day::worker_config`.
+    // Two cores a worker, see `plan::worker_config`.
     let rate = options.load * options.setup.workers as f64 * 2.0 * 1000.0 / STEP_MS as f64 / STEPS;
     let prices: RefCell<BTreeMap<String, Value>> = RefCell::default();
     let follow: FollowUp = Rc::new(move |request, spent, answer| {
@@ -175,30 +175,30 @@
     let tail = if setup.seeded_bug.is_some() { 6 * S } else { 0 };
     let end = begin + length(options) + TIME_LIMIT + S + tail;
     let workers = steady_workers(setup.workers, testbed.store, setup.seed);
-    let day = Day::steady(workers, requests(options, begin));
-    testbed.add_doubles(&day, |_| ());
+    let plan = Plan::steady(workers, requests(options, begin));
+    testbed.add_fakes(&plan, |_| ());
     for index in 0..setup.routers {
         testbed.start_router(&router_settings(options, &testbed, index))?;
     }
-    let results = testbed.add_clients(&day.requests);
+    let results = testbed.add_clients(&plan.requests);
     let mut killer = Killer::new(options, begin);
     let mut last_progress = 0;
     while testbed.now() < end {
-        testbed.turn(20)?;
+        testbed.poll(20)?;
         killer.act(&mut testbed)?;
         let now = testbed.now();
         if now >= last_progress + PROGRESS_INTERVAL {
             last_progress = now;
             let at = now.saturating_sub(begin) / S;
-            let (done, all, kills) = (results.borrow().done, day.requests.len(), killer.outages.len());
+            let (done, all, kills) = (results.borrow().done, plan.requests.len(), killer.outages.len());
             progress(&format!("{at:>4} s  {done} of {all} chains, {kills} kills"));
         }
     }
     testbed.routers.clear();
-    let mut report = judge_all(&day.requests, &testbed.ledger, killer.outages, end);
-    count_ends(&mut report, &day.requests, &results.borrow(), begin);
+    let mut report = judge_all(&plan.requests, &testbed.ledger, killer.outages, end);
+    count_ends(&mut report, &plan.requests, &results.borrow(), begin);
     if !options.step_by_step {
-        check_records(&mut report, options, &testbed, &day.requests, &results.borrow())?;
+        check_records(&mut report, options, &testbed, &plan.requests, &results.borrow())?;
     }
     Ok(report)
 }
@@ -267,7 +267,7 @@
         }
         deadlines.insert(workflow, request.at + TIME_LIMIT);
     }
-    let terms = Terms { grace: day::GRACE, dedup_window: day::WINDOW, effects, outages, end };
+    let terms = Terms { grace: plan::DRAIN_GRACE, dedup_window: plan::DEDUP_WINDOW, effects, outages, end };
     let verdict = ledger.read(|seen| {
         let mut verdict = judge(seen, &terms);
         check_deadlines(seen, &deadlines, &mut verdict);
