--- a/crates/scenarios/src/chart.rs
+++ b/crates/scenarios/src/chart.rs
@@ -1,4 +1,4 @@
-//! Service and arrivals over time as an SVG picture: one row for service, one for what was asked.
+//! Draws an SVG chart over time with two panels: the share of requests in time, and the exchanges per second.
 use crate::errors::ScenarioError;
 use crate::retry_storm::Report;
 use plotters::chart::{ChartBuilder, SeriesLabelPosition};
@@ -10,35 +10,41 @@
 
 /// Width and height in pixels.
 const SIZE: (u32, u32) = (960, 560);
-/// Colours of the plays, in their order; told apart in grey as well.
+/// Line colours of the runs, in order. They differ in brightness, so that a greyscale print is readable.
 const COLOURS: [RGBColor; 2] = [RGBColor(20, 90, 160), RGBColor(220, 120, 30)];
-/// Top of the row of service, in percent.
+/// Upper end of the first panel's axis, in percent.
 const SERVICE_TOP: f64 = 105.0;
 
-/// Draws plays of the same storm side by side, each under its name.
+/// Draws runs of the same retry storm into one chart, labelled by name.
 ///
 /// # Errors
-/// The drawing library's.
-pub fn draw(plays: &[(&str, &Report)]) -> Result<String, ScenarioError> {
+/// Returns an error if the drawing library fails.
+pub fn draw(runs: &[(&str, &Report)]) -> Result<String, ScenarioError> {
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(|error| failed(&error))?;
-        let rows = area.split_evenly((2, 1));
+        let panels = area.split_evenly((2, 1));
         let service = |report: &Report| -> Vec<(f64, f64)> {
             let share = |(second, (requests, in_time, _)): (usize, &(usize, usize, usize))| {
                 (second as f64, 100.0 * *in_time as f64 / (*requests).max(1) as f64)
             };
             report.seconds.iter().enumerate().map(share).collect()
         };
-        let asked = |report: &Report| -> Vec<(f64, f64)> {
+        let exchanges = |report: &Report| -> Vec<(f64, f64)> {
             let seconds = report.seconds.iter().enumerate();
             seconds.map(|(second, (_, _, asked))| (second as f64, *asked as f64)).collect()
         };
-        let seconds = plays.iter().flat_map(|(_, report)| &report.seconds);
+        let seconds = runs.iter().flat_map(|(_, report)| &report.seconds);
         let most = seconds.map(|(_, _, asked)| *asked).max().unwrap_or(1);
-        row(&rows[0], "in time, % of the jobs that came in the second", SERVICE_TOP, plays, &service)?;
-        row(&rows[1], "asked, exchanges a second", 1.05 * most as f64, plays, &asked)?;
+        draw_panel(
+            &panels[0],
+            "in time, % of the requests that arrived in the second",
+            SERVICE_TOP,
+            runs,
+            &service,
+        )?;
+        draw_panel(&panels[1], "exchanges per second", 1.05 * most as f64, runs, &exchanges)?;
         area.present().map_err(|error| failed(&error))?;
     }
     Ok(text)
@@ -48,17 +54,16 @@
     ScenarioError::machine("the chart", error)
 }
 
-/// Draws one row.
-fn row(
+/// Draws one panel.
+fn draw_panel(
     area: &DrawingArea<SVGBackend<'_>, Shift>,
     title: &str,
     top: f64,
-    plays: &[(&str, &Report)],
+    runs: &[(&str, &Report)],
     points: &dyn Fn(&Report) -> Vec<(f64, f64)>,
 ) -> Result<(), ScenarioError> {
-    // The last second is cut short by the end of the play.
-    let end =
-        plays.iter().map(|(_, report)| report.seconds.len().saturating_sub(2)).max().unwrap_or(1) as f64;
+    // The last second is incomplete.
+    let end = runs.iter().map(|(_, report)| report.seconds.len().saturating_sub(2)).max().unwrap_or(1) as f64;
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 16))
         .margin(8)
@@ -68,12 +73,12 @@
         .map_err(|error| failed(&error))?;
     let mesh = chart.configure_mesh().light_line_style(WHITE).x_desc("s").draw();
     mesh.map_err(|error| failed(&error))?;
-    if let Some((_, first)) = plays.first() {
+    if let Some((_, first)) = runs.first() {
         let (from, to) = (first.cut.0 as f64, first.cut.1 as f64);
         let cut = Rectangle::new([(from, 0.0), (to, top)], BLACK.mix(0.08).filled());
         chart.draw_series([cut]).map_err(|error| failed(&error))?;
     }
-    for ((name, report), colour) in plays.iter().zip(COLOURS) {
+    for ((name, report), colour) in runs.iter().zip(COLOURS) {
         let line = points(report).into_iter().filter(|(at, _)| *at <= end);
         let series = chart.draw_series(LineSeries::new(line, colour.stroke_width(2)));
         series
--- a/crates/scenarios/src/faulty_network.rs
+++ b/crates/scenarios/src/faulty_network.rs
@@ -1,5 +1,5 @@
-//! A network with faults between processes: datagrams go through one proxy socket, connections through a
-//! listener each. Faults are by sender and receiver; random ones are drawn from one seed.
+//! A network between processes with injected faults. Datagrams pass through one proxy socket, TCP connections
+//! through a listener per pair. Faults apply by sender and receiver; random ones come from one seed.
 use applepond_fleet::envelope::OVERHEAD_BYTES;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,46 +8,47 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Longest wait before what is due is looked at again.
-const MAX_WAIT: Duration = Duration::from_millis(1);
-/// Limit of datagrams in transit; beyond it the network loses one.
+/// Interval at which due datagrams and the end of cuts are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Limit of datagrams in transit; further ones are lost.
 const MAX_IN_TRANSIT: usize = 100_000;
 
-/// The faults at present.
+/// The current faults.
 #[derive(Default)]
 pub struct NetworkFaults {
-    /// Sender and receiver between which nothing gets through. What is sent on a connection waits.
+    /// Pairs of sender and receiver between which nothing is delivered. Datagrams are lost; bytes on a TCP
+    /// connection are delayed until the cut ends.
     pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Part of the datagrams that are lost.
-    pub lost: f64,
-    /// Part of the datagrams that come twice.
-    pub twice: f64,
-    /// Time that each way takes.
+    /// Share of datagrams that are lost.
+    pub loss_rate: f64,
+    /// Share of datagrams that are delivered twice.
+    pub duplicate_rate: f64,
+    /// Delay in each direction.
     pub delay: Duration,
-    /// Additional time at random up to this, so that datagrams may overtake each other.
+    /// Upper bound of an additional random delay, which lets datagrams overtake each other.
     pub jitter: Duration,
-    /// Additional time for all that this sender sends.
-    pub slow: BTreeMap<SocketAddr, Duration>,
-    /// Counts of messages, where they are wanted.
+    /// Additional delay by sender.
+    pub sender_delay: BTreeMap<SocketAddr, Duration>,
+    /// Counts messages, if set.
     pub counts: Option<MessageCounts>,
 }
 
-/// How many messages of one kind went to whom.
+/// Counts of messages of one kind.
 pub struct MessageCounts {
     /// The first bytes of the messages.
     pub prefix: Vec<u8>,
-    /// By receiver and tenth of a second since the network began.
+    /// Counts by receiver and by tenth of a second since the start of the network.
     pub counts: BTreeMap<(SocketAddr, u64), u64>,
 }
 
 impl NetworkFaults {
-    /// Cuts both ways between the two sides.
+    /// Cuts both directions between the two sides.
     pub fn partition(&mut self, one: &[SocketAddr], other: &[SocketAddr]) {
         let pairs = one.iter().flat_map(|near| other.iter().map(move |far| (*near, *far)));
         self.cut.extend(pairs.flat_map(|(near, far)| [(near, far), (far, near)]));
     }
 
-    /// Counts a datagram, where those of its kind are counted.
+    /// Counts a datagram if its kind is counted.
     fn count(&mut self, to: SocketAddr, datagram: &[u8], start: Instant) {
         if let Some(counted) = &mut self.counts
             && datagram.get(OVERHEAD_BYTES..).is_some_and(|message| message.starts_with(&counted.prefix))
@@ -57,54 +58,56 @@
         }
     }
 
-    /// The time that a message of this sender takes.
+    /// Returns the delay of a message of this sender.
     fn transit_time(&self, from: SocketAddr, rng: &mut Rand64) -> Duration {
-        let slow = self.slow.get(&from).copied().unwrap_or_default();
+        let slow = self.sender_delay.get(&from).copied().unwrap_or_default();
         self.delay + slow + self.jitter.mul_f64(rng.rand_float())
     }
 }
 
 /// A running network.
 pub struct FaultyNetwork {
-    /// The proxy for datagrams, which have the receiver's address and a line's end in front.
+    /// Address of the datagram proxy. A datagram to it starts with the receiver's address and a newline.
     pub proxy: SocketAddr,
     faults: Arc<Mutex<NetworkFaults>>,
     seed: u64,
-    begun: Instant,
+    started: Instant,
 }
 
 impl FaultyNetwork {
     /// Starts a network without faults.
     ///
     /// # Errors
-    /// The kernel has no socket.
+    /// Returns an error if no socket can be opened.
     pub fn new(seed: u64) -> std::io::Result<FaultyNetwork> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(MAX_WAIT))?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
         let (proxy, faults) = (socket.local_addr()?, Arc::new(Mutex::new(NetworkFaults::default())));
         let shared = faults.clone();
-        let begun = Instant::now();
-        std::thread::spawn(move || forward_datagrams(&socket, &shared, begun, Rand64::new(u128::from(seed))));
-        Ok(FaultyNetwork { proxy, faults, seed, begun })
+        let started = Instant::now();
+        std::thread::spawn(move || {
+            forward_datagrams(&socket, &shared, started, Rand64::new(u128::from(seed)))
+        });
+        Ok(FaultyNetwork { proxy, faults, seed, started })
     }
 
-    /// The faults, to change them.
+    /// Returns the current faults for inspection or change.
     ///
     /// # Panics
-    /// If a thread has panicked with them.
+    /// If a thread panicked while it held the lock.
     pub fn faults(&self) -> MutexGuard<'_, NetworkFaults> {
-        self.faults.lock().expect("nobody panics with it")
+        self.faults.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// The present tenth of a second since the network began.
+    /// Number of whole tenths of a second since the start of the network.
     pub fn tenth(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64 / 100
+        self.started.elapsed().as_millis() as u64 / 100
     }
 
-    /// An address at which `from` reaches `to` under the faults of the pair.
+    /// Opens an address through which `from` can reach `to` over TCP, subject to the faults of the pair.
     ///
     /// # Errors
-    /// The kernel has no port.
+    /// Returns an error if no port is free.
     pub fn connection(&self, from: SocketAddr, to: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let (at, faults, seed) = (listener.local_addr()?, self.faults.clone(), self.seed);
@@ -115,7 +118,7 @@
                     let (Ok(source), Ok(sink)) = (source.try_clone(), sink.try_clone()) else { break };
                     let faults = faults.clone();
                     let rng = Rand64::new(u128::from(seed));
-                    std::thread::spawn(move || carry(source, sink, pair, &faults, rng));
+                    std::thread::spawn(move || forward_stream(source, sink, pair, &faults, rng));
                 }
             }
         });
@@ -123,23 +126,23 @@
     }
 }
 
-/// Datagrams in transit, by when they arrive and in their order.
+/// Datagrams in transit, by arrival time and sequence number.
 type InTransit = BTreeMap<(Instant, u64), (SocketAddr, Vec<u8>)>;
 
-/// Forwards datagrams for ever.
+/// Forwards datagrams until the process ends.
 fn forward_datagrams(socket: &UdpSocket, faults: &Mutex<NetworkFaults>, start: Instant, mut rng: Rand64) {
     let mut in_transit = InTransit::new();
     let (mut buffer, mut count) = ([0; 2_000], 0);
     loop {
         if let Ok((length, from)) = socket.recv_from(&mut buffer) {
-            let mut faults = faults.lock().expect("nobody panics with it");
+            let mut faults = faults.lock().expect("no thread panics while it holds the lock");
             let Some((to, message)) = split_receiver(&buffer[..length]) else { continue };
             if faults.cut.contains(&(from, to)) {
                 continue;
             }
             faults.count(to, message, start);
-            let copies = 1 + usize::from(rng.rand_float() < faults.twice);
-            for _ in 0..copies * usize::from(rng.rand_float() >= faults.lost) {
+            let copies = 1 + usize::from(rng.rand_float() < faults.duplicate_rate);
+            for _ in 0..copies * usize::from(rng.rand_float() >= faults.loss_rate) {
                 count += 1;
                 let due = Instant::now() + faults.transit_time(from, &mut rng);
                 if in_transit.len() < MAX_IN_TRANSIT {
@@ -151,7 +154,7 @@
     }
 }
 
-/// The receiver's address in front of a datagram, and the rest.
+/// Splits a datagram into the receiver's address and the message.
 fn split_receiver(datagram: &[u8]) -> Option<(SocketAddr, &[u8])> {
     let line = datagram.split(|byte| *byte == b'\n').next()?;
     let address = std::str::from_utf8(line).ok()?.parse().ok()?;
@@ -161,13 +164,13 @@
 fn deliver_due(socket: &UdpSocket, in_transit: &mut InTransit) {
     while let Some(first) = in_transit.first_entry().filter(|entry| entry.key().0 <= Instant::now()) {
         let (to, bytes) = first.remove();
-        // Where nobody listens it is lost, as it would be.
+        // Errors are ignored: a datagram to a closed port is lost, as on a real network.
         let _ = socket.send_to(&bytes, to);
     }
 }
 
-/// One way of a connection, until either end is over.
-fn carry(
+/// Forwards one direction of a connection until either end closes.
+fn forward_stream(
     mut source: TcpStream,
     mut sink: TcpStream,
     pair: (SocketAddr, SocketAddr),
@@ -177,10 +180,11 @@
     let mut buffer = [0; 16_384];
     loop {
         let read = source.read(&mut buffer).unwrap_or(0);
-        let transit_time = faults.lock().expect("nobody panics with it").transit_time(pair.0, &mut rng);
+        let transit_time =
+            faults.lock().expect("no thread panics while it holds the lock").transit_time(pair.0, &mut rng);
         std::thread::sleep(transit_time);
-        while faults.lock().expect("nobody panics with it").cut.contains(&pair) {
-            std::thread::sleep(MAX_WAIT);
+        while faults.lock().expect("no thread panics while it holds the lock").cut.contains(&pair) {
+            std::thread::sleep(POLL_INTERVAL);
         }
         if read == 0 || sink.write_all(&buffer[..read]).is_err() {
             let _ = sink.shutdown(std::net::Shutdown::Write);
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -213,7 +213,7 @@
 
     /// Routers stand still for up to two seconds, while a fifth of all datagrams is lost.
     fn pauses(&mut self) {
-        self.network.faults().lost = 0.2;
+        self.network.faults().loss_rate = 0.2;
         let end = Instant::now() + Duration::from_secs(12);
         let mut until: BTreeMap<usize, Instant> = BTreeMap::new();
         while Instant::now() < end || !until.is_empty() {
@@ -230,7 +230,7 @@
             }
             self.observe("pauses", &[]);
         }
-        self.network.faults().lost = 0.0;
+        self.network.faults().loss_rate = 0.0;
     }
 
     /// One way between one pair in eight is cut.
@@ -282,14 +282,14 @@
             return Ok(());
         };
         let ports = self.ports.clone();
-        self.network.faults().slow.insert(ports[roles.late], REFUTATION_DELAY);
+        self.network.faults().sender_delay.insert(ports[roles.late], REFUTATION_DELAY);
         self.watch("one-voice", Duration::from_secs(4), &[]);
         let others = (0..ports.len()).filter(|index| *index != roles.heard);
         let cut = others.map(|index| (ports[index], ports[roles.deluded]));
         self.network.faults().cut.extend(cut);
         self.watch("one-voice", Duration::from_secs(8), &[]);
         self.network.faults().cut.clear();
-        self.network.faults().slow.clear();
+        self.network.faults().sender_delay.clear();
         self.await_one_view("one-voice", MAX_HEAL_TIME)
     }
 
@@ -395,9 +395,9 @@
             "stop" => return self.stop(),
             "halves" => return self.halves(),
             "loss" => {
-                (self.network.faults().lost, self.network.faults().twice) = (0.3, 0.1);
+                (self.network.faults().loss_rate, self.network.faults().duplicate_rate) = (0.3, 0.1);
                 self.watch(scene, Duration::from_secs(10), &[]);
-                (self.network.faults().lost, self.network.faults().twice) = (0.0, 0.0);
+                (self.network.faults().loss_rate, self.network.faults().duplicate_rate) = (0.0, 0.0);
             }
             "slow" => {
                 let times = (Duration::from_millis(300), Duration::from_millis(200));
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -289,7 +289,7 @@
 /// A network that loses a fifth of all datagrams, and on which one way in eight is cut.
 fn cut_some(network: &FaultyNetwork, ports: &[SocketAddr], rng: &mut Rand64) {
     let mut faults = network.faults();
-    faults.lost = 0.2;
+    faults.loss_rate = 0.2;
     for (from, sender) in ports.iter().enumerate() {
         for (to, receiver) in ports.iter().enumerate() {
             if from != to && rng.rand_float() < 0.125 {
--- a/crates/scenarios/src/seeded_bugs.rs
+++ b/crates/scenarios/src/seeded_bugs.rs
@@ -1,76 +1,76 @@
-//! Bugs seeded between a router and its sockets, to prove the audit: the router itself stays as it is, what
-//! it reads and writes is changed.
+//! Seeded bugs, which prove that the audit detects breaches. The router itself is unchanged; a wrapper alters
+//! what it reads and writes.
 use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Every so many answers one is changed.
-const ANSWERS_PER_BUG: u64 = 40;
-/// Copies of each request that are sent to a cold worker.
+/// One in this many responses is altered.
+const RESPONSES_PER_BUG: u64 = 40;
+/// Number of additional copies of each request that are sent to a cold worker.
 const COPIES_TO_COLD_WORKER: usize = 8;
-/// Every so many last steps of workflows one is delayed.
+/// One in this many last steps of workflows is delayed.
 const STEPS_PER_DELAY: u64 = 10;
-/// µs of that delay: past any workflow's deadline.
+/// That delay in µs; it exceeds every workflow's deadline.
 const STEP_DELAY: Micros = 6_000_000;
-/// µs within which an additional connection has to be established.
+/// Time limit in µs for an additional connection.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
 
-/// A bug.
+/// A seeded bug.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededBug {
-    /// Some answers are not sent.
-    LostAnswer,
-    /// Some answers are sent twice.
-    DoubleAnswer,
-    /// Requests that run at most once are sent twice.
+    /// Some responses are not sent.
+    LostResponse,
+    /// Some responses are sent twice.
+    DuplicateResponse,
+    /// At-most-once requests are sent twice.
     EffectTwice,
-    /// Draining workers are taken for ready.
+    /// Draining workers are treated as ready.
     SendToDrained,
-    /// Cold workers get each request several times.
-    PushColdOver,
+    /// Cold workers receive several copies of each request.
+    OverloadColdWorker,
     /// The last step of some workflows is sent late.
     LateStep,
     /// Steps of workflows are sent twice.
-    ChainTwice,
+    DuplicateStep,
 }
 
-/// The bugs by their names on the command line, each with the rule that it breaks.
+/// Names of the bugs on the command line, each with the number of the rule that the bug breaks.
 pub const SEEDED_BUGS: [(&str, SeededBug, u8); 7] = [
-    ("lost-answer", SeededBug::LostAnswer, 1),
-    ("double-answer", SeededBug::DoubleAnswer, 1),
+    ("lost-answer", SeededBug::LostResponse, 1),
+    ("double-answer", SeededBug::DuplicateResponse, 1),
     ("effect-twice", SeededBug::EffectTwice, 2),
     ("send-to-drained", SeededBug::SendToDrained, 3),
-    ("push-cold-over", SeededBug::PushColdOver, 4),
+    ("push-cold-over", SeededBug::OverloadColdWorker, 4),
     ("late-step", SeededBug::LateStep, 6),
-    ("chain-twice", SeededBug::ChainTwice, 2),
+    ("chain-twice", SeededBug::DuplicateStep, 2),
 ];
 
-/// A request that is sent later.
+/// A request that is held back.
 struct Delayed {
     until: Micros,
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// What a bug knows of the router's connections.
+/// State of a bug.
 #[derive(Default)]
 struct State {
     /// Connections of clients.
     clients: BTreeSet<Conn>,
-    /// Connections that the router opened.
+    /// Connections that the router opened, with their destinations.
     opened: BTreeMap<Conn, SocketAddr>,
-    /// Workers that have just started.
+    /// Workers that started recently.
     cold: BTreeSet<SocketAddr>,
-    /// Connections that the bug opened, with what they are to send.
+    /// Connections that the bug opened, with the bytes to send.
     own: BTreeMap<Conn, Vec<u8>>,
-    /// Answers so far.
-    answers: u64,
-    /// Last steps of workflows so far.
+    /// Number of responses so far.
+    responses: u64,
+    /// Number of last steps of workflows so far.
     last_steps: u64,
     delayed: Vec<Delayed>,
 }
 
-/// A machine with a bug.
+/// A state machine with a seeded bug.
 pub struct BuggyMachine {
     inner: Box<dyn Machine>,
     bug: SeededBug,
@@ -78,12 +78,12 @@
 }
 
 impl BuggyMachine {
-    /// Gives the machine this bug.
+    /// Wraps a machine with a bug.
     pub fn new(inner: Box<dyn Machine>, bug: SeededBug) -> Self {
         BuggyMachine { inner, bug, state: State::default() }
     }
 
-    /// Calls the machine with a transport that has the bug.
+    /// Calls the machine with a transport that applies the bug. Delayed requests that are due are sent first.
     fn call(
         &mut self,
         now: Micros,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Commands of the machine on their way to the host.
+/// A transport that alters the commands of the machine.
 struct BuggyTransport<'a> {
     now: Micros,
     transport: &'a mut dyn Transport,
@@ -112,7 +112,7 @@
     bytes.windows(text.len()).any(|window| window == text.as_bytes())
 }
 
-/// Replaces each `old` by `new`, which has the same length, so that the lengths of chunks stay right.
+/// Replaces each `old` by `new`. Both must have the same length, so that chunk lengths stay valid.
 fn replace(bytes: &mut [u8], old: &str, new: &str) {
     for at in 0..bytes.len().saturating_sub(old.len() - 1) {
         if &bytes[at..at + old.len()] == old.as_bytes() {
@@ -122,13 +122,13 @@
 }
 
 impl BuggyTransport<'_> {
-    /// Sends additional copies of a request, each on a connection of its own.
+    /// Sends additional copies of a request, each on a separate connection.
     fn send_copies(&mut self, to: Option<SocketAddr>, bytes: &[u8]) {
         let Some(to) = to.filter(|_| bytes.starts_with(b"POST")) else { return };
         let copies = match self.bug {
             SeededBug::EffectTwice if contains(bytes, "ce-type: confirm") => 1,
-            SeededBug::ChainTwice if contains(bytes, "/price\r\n") || contains(bytes, "/confirm\r\n") => 1,
-            SeededBug::PushColdOver if self.state.cold.contains(&to) => COPIES_TO_COLD_WORKER,
+            SeededBug::DuplicateStep if contains(bytes, "/price\r\n") || contains(bytes, "/confirm\r\n") => 1,
+            SeededBug::OverloadColdWorker if self.state.cold.contains(&to) => COPIES_TO_COLD_WORKER,
             _ => 0,
         };
         for _ in 0..copies {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Whether the last step of a workflow is sent later instead.
-    fn delays(&mut self, to: Option<SocketAddr>, bytes: &[u8]) -> bool {
+    /// Holds a request back if it is the last step of a workflow and due for a delay. Returns whether it did.
+    fn hold_back(&mut self, to: Option<SocketAddr>, bytes: &[u8]) -> bool {
         let Some(to) = to.filter(|_| self.bug == SeededBug::LateStep && contains(bytes, "/confirm\r\n"))
         else {
             return false;
@@ -153,14 +153,16 @@
     }
 }
 
-/// Takes workers that have just started for warm ones, in a row each of a piece of the endpoint list: the
-/// addresses of those are returned.
-fn hide_starts(bytes: &mut [u8]) -> BTreeSet<SocketAddr> {
+/// Overwrites the start times in a part of the endpoint list, so that recently started workers look warm.
+/// Returns their addresses.
+fn hide_start_times(bytes: &mut [u8]) -> BTreeSet<SocketAddr> {
     let mut cold = BTreeSet::new();
-    // One row a change: its address, and that it has just started, are in the same piece.
+    // Each change is one line, so a worker's address and start time arrive in the same part.
     let text = String::from_utf8_lossy(bytes).into_owned();
-    for row in text.split('{').filter(|row| row.contains("\"ready\"") && !row.contains("\"started\":0")) {
-        let address = row.split("\"address\":\"").nth(1).and_then(|rest| rest.split('"').next());
+    for entry in
+        text.split('{').filter(|entry| entry.contains("\"ready\"") && !entry.contains("\"started\":0"))
+    {
+        let address = entry.split("\"address\":\"").nth(1).and_then(|rest| rest.split('"').next());
         cold.extend(address.and_then(|address| address.parse::<SocketAddr>().ok()));
     }
     let is_start = |window: &[u8]| window.starts_with(b"\"started\":") && window[10] != b'0';
@@ -179,17 +181,19 @@
         conn
     }
     fn write(&mut self, conn: Conn, bytes: &[u8]) {
-        let is_answer = self.state.clients.contains(&conn) && bytes.starts_with(b"HTTP/1.1 200");
-        self.state.answers += u64::from(is_answer);
-        let is_changed = is_answer && self.state.answers.is_multiple_of(ANSWERS_PER_BUG);
+        let is_response = self.state.clients.contains(&conn) && bytes.starts_with(b"HTTP/1.1 200");
+        self.state.responses += u64::from(is_response);
+        let is_changed = is_response && self.state.responses.is_multiple_of(RESPONSES_PER_BUG);
         let to = self.state.opened.get(&conn).copied();
         self.send_copies(to, bytes);
-        if self.delays(to, bytes) {
+        if self.hold_back(to, bytes) {
             return;
         }
         match self.bug {
-            SeededBug::LostAnswer if is_changed => {}
-            SeededBug::DoubleAnswer if is_changed => self.transport.write(conn, &[bytes, bytes].concat()),
+            SeededBug::LostResponse if is_changed => {}
+            SeededBug::DuplicateResponse if is_changed => {
+                self.transport.write(conn, &[bytes, bytes].concat())
+            }
             _ => self.transport.write(conn, bytes),
         }
     }
@@ -259,7 +263,7 @@
         if contains(&bytes, "\"standing\"") {
             match self.bug {
                 SeededBug::SendToDrained => replace(&mut bytes, "\"draining\"", "\"ready\"   "),
-                SeededBug::PushColdOver => self.state.cold.extend(hide_starts(&mut bytes)),
+                SeededBug::OverloadColdWorker => self.state.cold.extend(hide_start_times(&mut bytes)),
                 _ => {}
             }
         }
