--- a/crates/scenarios/src/plan.rs
+++ b/crates/scenarios/src/plan.rs
@@ -137,7 +137,7 @@
     }
 
     /// Describes the events, except those of single workers.
-    fn timeline(&self, lost_zone: usize, killed: usize) -> Vec<(Micros, String)> {
+    fn timeline(&self, lost_hall: usize, killed: usize) -> Vec<(Micros, String)> {
         let ms = |(from, until): (Micros, Micros)| (until - from) / MS;
         let late =
             format!("the endpoint list is {} ms late instead of {}", LATE_LIST_DELAY / MS, LIST_DELAY / MS);
@@ -146,8 +146,8 @@
             (self.jump.0, format!("{JUMP_FACTOR} times the requests for {} ms", ms(self.jump))),
             (self.late_list.0, late),
             (self.drain_wave, "a quarter of the workers drains, cold replacements start".to_owned()),
-            (self.zone_outage.0, format!("zone {lost_zone} is lost")),
-            (self.zone_outage.1, format!("zone {lost_zone} is back with cold workers")),
+            (self.zone_outage.0, format!("zone {lost_hall} is lost")),
+            (self.zone_outage.1, format!("zone {lost_hall} is back with cold workers")),
             (self.store_outage.0, format!("the model store is down for {} ms", ms(self.store_outage))),
             (self.router_outage.0, format!("router {killed} is killed")),
             (self.router_outage.1, format!("router {killed} is restarted")),
@@ -159,13 +159,13 @@
 pub fn generate(seed: u64, begin: Micros, workers: usize, routers: usize, store: SocketAddr) -> Plan {
     let mut rng = Rand64::new(u128::from(seed));
     let times = Timetable::generate(&mut rng, begin);
-    let lost_zone = rng.rand_range(0..ZONES as u64) as usize;
+    let lost_hall = rng.rand_range(0..ZONES as u64) as usize;
     let killed = rng.rand_range(0..routers as u64) as usize;
     let mut scripts = steady_workers(workers, store, seed);
     add_drain_wave(&mut scripts, times.drain_wave, store, seed);
-    add_zone_outage(&mut scripts, lost_zone, times.zone_outage);
-    let mut timeline = times.timeline(lost_zone, killed);
-    timeline.extend(schedule_misbehaviour(&mut scripts[..workers], lost_zone, &times));
+    add_zone_outage(&mut scripts, lost_hall, times.zone_outage);
+    let mut timeline = times.timeline(lost_hall, killed);
+    timeline.extend(schedule_misbehaviour(&mut scripts[..workers], lost_hall, &times));
     timeline.sort();
     scripts.iter_mut().for_each(|script| script.script.sort_by_key(|(at, _)| *at));
     let requests = requests(&mut rng, begin, workers, routers, times.jump);
@@ -226,10 +226,10 @@
 /// descriptions.
 fn schedule_misbehaviour(
     scripts: &mut [WorkerScript],
-    lost_zone: usize,
+    lost_hall: usize,
     times: &Timetable,
 ) -> Vec<(Micros, String)> {
-    let unaffected = |index: &usize| index % ZONES != lost_zone && index % 4 != 1;
+    let unaffected = |index: &usize| index % ZONES != lost_hall && index % 4 != 1;
     let mut others = (0..scripts.len()).filter(unaffected);
     let mut misbehave = |(from, until): (Micros, Micros), behaviour: Behaviour| {
         let index = others.next().unwrap_or(0);
