--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -1,5 +1,5 @@
-//! The retry storm: one hall of three is cut, router, workers and all; its clients keep asking; it comes
-//! back, and everything that waited asks at once.
+//! The retry storm: one of three zones is cut off with its routers and workers while its clients keep
+//! retrying. When it returns, all waiting clients send at once.
 use crate::audit::{Outage, Terms, Verdict, judge};
 use crate::bad_day::effects;
 use crate::errors::ScenarioError;
@@ -19,90 +19,91 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// µs from the first process to the first request.
+/// Time in µs from the first process to the first request.
 const SETTLING_TIME: Micros = 1_500 * MS;
-/// µs of ordinary work before the cut: the routers learn what is usual.
-const BEFORE: Micros = 12 * S;
-/// µs after the hall is back at which one more router, in another hall, is killed in the middle of the storm.
-const RESTART: Micros = 3 * S;
-/// µs until that router is there again and knows nothing.
-const RESTART_TIME: Micros = S;
-/// µs that clients stay with one request: through the cut, or they would give up and not storm.
+/// Duration in µs of normal load before the cut, from which the routers learn the usual rates.
+const NORMAL_TIME: Micros = 12 * S;
+/// Time in µs after the end of the cut at which one more router, in another zone, is killed during the storm.
+const KILL_DELAY: Micros = 3 * S;
+/// Time in µs until that router restarts, with empty state.
+const OUTAGE_TIME: Micros = S;
+/// Time in µs for which clients retry a request. It exceeds the cut; otherwise clients would give up and
+/// there would be no storm.
 const CLIENT_TIMEOUT: Micros = 90 * S;
-/// Requests a second and worker before the cut: a third of what it can do.
+/// Requests per second and worker before the cut: a third of a worker's capacity.
 const RATE: f64 = 11.0;
-/// Functions that requests are drawn from, popularity falling as 1 / rank.
+/// Number of functions that are called; popularity falls as 1 / rank.
 const FUNCTIONS: u64 = 30;
-/// µs after which a client that was given no time to retry does.
+/// Retry delay in µs of a client that received no retry time.
 const RETRY_DELAY: Micros = S;
-/// µs after which a client retries that ignores the time it was given.
+/// Retry delay in µs of a client that ignores the retry time it received.
 const IMPATIENT_RETRY_DELAY: Micros = 100 * MS;
-/// Part of the service before the cut at which the fleet has recovered.
+/// Share of the service before the cut at which the fleet counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Seconds for which that has to hold.
+/// Number of seconds for which this must hold.
 const RECOVERED_SECONDS: usize = 3;
-/// Seconds at the beginning in which everything loads.
+/// Number of seconds at the beginning in which all functions load.
 const LOADING_SECONDS: usize = 4;
-/// µs between two reports of progress.
+/// Interval in µs between progress reports.
 const PROGRESS_INTERVAL: Micros = 5 * S;
 
-/// How the hall is cut.
+/// How the zone is cut off.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Cut {
-    /// Connections hang: processes stand still.
+    /// Connections hang: the processes are paused.
     Hang,
-    /// Connections are refused: processes are gone, and come back cold.
+    /// Connections are refused: the processes end and restart cold.
     Refuse,
 }
 
-/// What is played.
+/// Options of the scenario.
 pub struct Options<'a> {
-    /// The routers, which stand one in each hall, in turn.
+    /// The routers, distributed over the zones in turn.
     pub setup: &'a Setup,
-    /// How the hall is cut.
+    /// How the zone is cut off.
     pub cut: Cut,
-    /// s of the cut.
+    /// Duration of the cut in s.
     pub cut_seconds: u64,
-    /// Clients in all.
+    /// Number of clients.
     pub clients: u64,
-    /// Share of the clients that ignore the time they are given to retry.
+    /// Share of the clients that ignore the retry time they receive.
     pub ignoring_share: f64,
     /// Whether the routers shed load in a storm.
     pub damping: bool,
-    /// s watched after the cut.
+    /// Time to observe after the cut, in s.
     pub observed_seconds: u64,
-    /// Restarts one more router in the middle of the storm.
+    /// Whether one more router is restarted during the storm.
     pub restarts_router: bool,
 }
 
-/// The result.
+/// Result of the scenario.
 #[derive(Default)]
 pub struct Report {
-    /// The audit's judgement.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// By second: requests that came, those answered in time, and exchanges asked.
+    /// By second: number of requests, of those that finished in time, and of exchanges.
     pub seconds: Vec<(usize, usize, usize)>,
-    /// Seconds of the cut and of its end.
+    /// Seconds in which the cut starts and ends.
     pub cut: (usize, usize),
-    /// Share of requests answered in time before the cut.
+    /// Share of requests that finished in time before the cut.
     pub baseline: f64,
-    /// Seconds from the end of the cut until service was back, if it came back.
+    /// Seconds from the end of the cut until the service recovered, if it did.
     pub recovery_seconds: Option<usize>,
-    /// Exchanges in the second after the cut that had most.
+    /// Highest number of exchanges per second after the cut.
     pub peak_exchanges: usize,
-    /// Rejections.
+    /// Number of rejections.
     pub rejected: usize,
-    /// Fetches from the store after the cut.
+    /// Number of fetches from the model store after the cut.
     pub fetches: usize,
-    /// Functions that were asked for after the cut.
+    /// Number of functions called after the start of the cut.
     pub functions: usize,
-    /// Attempts begun for each request answered in time: before the cut, and in the ten seconds after it.
+    /// Attempts per request that finished in time: before the cut, and in the ten seconds after it.
     pub attempts: (f64, f64),
-    /// How many requests ended in which way, as clients saw it.
+    /// Number of requests by outcome, as observations by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
 }
 
-/// The requests of all clients.
+/// Generates the requests of all clients.
 fn requests(options: &Options<'_>, begin: Micros, end: Micros) -> Vec<PlannedRequest> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
     let harmonic: f64 = (1..=FUNCTIONS).map(|rank| 1.0 / rank as f64).sum();
@@ -144,7 +145,7 @@
     requests
 }
 
-/// The moments of a storm.
+/// Times of a storm.
 #[derive(Clone, Copy)]
 struct Times {
     begin: Micros,
@@ -154,13 +155,13 @@
 }
 
 impl Times {
-    /// Second of the scenario.
+    /// Returns the second of the scenario, counted from 0.
     fn second(&self, at: Micros) -> usize {
         (at.saturating_sub(self.begin) / S) as usize
     }
 }
 
-/// What happens to routers.
+/// Events that affect routers.
 #[derive(Clone, Copy)]
 enum RouterEvent {
     Cut,
@@ -169,16 +170,16 @@
     Restart,
 }
 
-/// Whether a worker or router of this index is in the hall that is cut.
-fn is_struck(index: usize) -> bool {
+/// Whether the worker or router of this index is in the zone that is cut off.
+fn is_cut_off(index: usize) -> bool {
     index.is_multiple_of(ZONES)
 }
 
-/// Plays it in this folder, step by step, which is why the function is long; `progress` is given a line for
-/// each event, and about every five seconds.
+/// Runs the scenario with its files in `folder`. Calls `progress` with a line for each event and about every
+/// five seconds.
 ///
 /// # Errors
-/// Why it could not be played.
+/// Returns an error if the scenario could not run.
 pub fn run(
     options: &Options<'_>,
     folder: &Path,
@@ -187,7 +188,7 @@
     let setup = options.setup;
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
-    let (cut, heal) = (begin + BEFORE, begin + BEFORE + options.cut_seconds * S);
+    let (cut, heal) = (begin + NORMAL_TIME, begin + NORMAL_TIME + options.cut_seconds * S);
     let times = Times { begin, cut, heal, end: heal + options.observed_seconds * S };
     let workers = workers(options, times, testbed.store);
     let plan = Plan::steady(workers, requests(options, begin, times.end));
@@ -212,7 +213,7 @@
         if now >= last_progress + PROGRESS_INTERVAL {
             last_progress = now;
             let at = now.saturating_sub(begin) / S;
-            progress(&format!("{at:>4} s  {} of {} jobs", results.borrow().done, plan.requests.len()));
+            progress(&format!("{at:>4} s  {} of {} requests", results.borrow().done, plan.requests.len()));
         }
     }
     testbed.routers.clear();
@@ -223,17 +224,17 @@
         outages: outages(setup, times, other),
         end: times.end,
     };
-    let verdict = testbed.ledger.read(|seen| judge(seen, &terms));
+    let verdict = testbed.ledger.read(|observations| judge(observations, &terms));
     Ok(report(verdict, &plan.requests, &results.borrow(), &testbed.ledger, times))
 }
 
-/// The workers, a hall of which is cut.
+/// Creates the workers, of which those in one zone are cut off.
 fn workers(options: &Options<'_>, times: Times, store: SocketAddr) -> Vec<WorkerScript> {
     let mut workers = steady_workers(options.setup.workers, store, options.setup.seed);
     for worker in workers.iter_mut().filter(|worker| worker.zone == 0) {
         let Times { cut, heal, .. } = times;
         match options.cut {
-            // A list knows only whether a process runs: one that hangs stays on it.
+            // The endpoint list only knows whether a process exists, so paused workers stay listed.
             Cut::Hang => {
                 worker.script = vec![
                     (cut, worker::ScriptEvent::SetBehaviour(Behaviour::Stall)),
@@ -249,16 +250,16 @@
     workers
 }
 
-/// What happens to routers when, and in words.
+/// Returns the events that affect routers, with time and description.
 fn script(times: Times, restarts_another: bool) -> Vec<(Micros, RouterEvent, &'static str)> {
-    let kill = times.heal + RESTART;
+    let kill = times.heal + KILL_DELAY;
     let mut script = vec![
-        (times.cut, RouterEvent::Cut, "the hall is cut"),
-        (times.heal, RouterEvent::Heal, "the hall comes back"),
+        (times.cut, RouterEvent::Cut, "the zone is cut off"),
+        (times.heal, RouterEvent::Heal, "the zone is back"),
     ];
     if restarts_another {
-        script.push((kill, RouterEvent::Kill, "a router in another hall is killed"));
-        script.push((kill + RESTART_TIME, RouterEvent::Restart, "it is back and knows nothing"));
+        script.push((kill, RouterEvent::Kill, "a router in another zone is killed"));
+        script.push((kill + OUTAGE_TIME, RouterEvent::Restart, "that router is back with empty state"));
     }
     script
 }
@@ -272,14 +273,14 @@
     for index in 0..testbed.routers.len() {
         let is_other = other == Some(index);
         match event {
-            RouterEvent::Cut if is_struck(index) && cut == Cut::Hang => {
+            RouterEvent::Cut if is_cut_off(index) && cut == Cut::Hang => {
                 signal(testbed.routers[index].as_ref(), Signal::STOP);
             }
-            RouterEvent::Cut if is_struck(index) => _ = testbed.kill(index)?,
-            RouterEvent::Heal if is_struck(index) && testbed.routers[index].is_some() => {
+            RouterEvent::Cut if is_cut_off(index) => _ = testbed.kill(index)?,
+            RouterEvent::Heal if is_cut_off(index) && testbed.routers[index].is_some() => {
                 signal(testbed.routers[index].as_ref(), Signal::CONT);
             }
-            RouterEvent::Heal if is_struck(index) => _ = testbed.restart(index)?,
+            RouterEvent::Heal if is_cut_off(index) => _ = testbed.restart(index)?,
             RouterEvent::Kill if is_other => _ = testbed.kill(index)?,
             RouterEvent::Restart if is_other => _ = testbed.restart(index)?,
             _ => {}
@@ -297,12 +298,11 @@
 }
 
 fn outages(setup: &Setup, times: Times, other: Option<usize>) -> Vec<Outage> {
-    let struck = (0..setup.routers).filter(|index| is_struck(*index));
-    let struck = struck.map(|index| Outage { router: index as u64, from: times.cut, until: times.heal });
-    let killed = times.heal + RESTART;
-    let other =
-        other.map(|index| Outage { router: index as u64, from: killed, until: killed + RESTART_TIME });
-    struck.chain(other).collect()
+    let cut_off = (0..setup.routers).filter(|index| is_cut_off(*index));
+    let cut_off = cut_off.map(|index| Outage { router: index as u64, from: times.cut, until: times.heal });
+    let killed = times.heal + KILL_DELAY;
+    let other = other.map(|index| Outage { router: index as u64, from: killed, until: killed + OUTAGE_TIME });
+    cut_off.chain(other).collect()
 }
 
 fn report(
@@ -324,44 +324,45 @@
     }
     let in_use = requests.iter().filter(|request| request.at >= times.cut);
     report.functions = in_use.map(|request| request.function.as_str()).collect::<BTreeSet<_>>().len();
-    let begun = count_seen(&mut report, ledger, times);
+    let started = count_observations(&mut report, ledger, times);
     let from_heal = &report.seconds[report.cut.1..];
-    report.peak_exchanges = from_heal.iter().map(|(_, _, asked)| *asked).max().unwrap_or(0);
+    report.peak_exchanges = from_heal.iter().map(|(_, _, exchanges)| *exchanges).max().unwrap_or(0);
     let attempts_each = |span: Range<usize>| {
         let done: usize = report.seconds[span.clone()].iter().map(|(_, in_time, _)| *in_time).sum();
-        begun[span].iter().sum::<usize>() as f64 / done.max(1) as f64
+        started[span].iter().sum::<usize>() as f64 / done.max(1) as f64
     };
     let after = report.cut.1..(report.cut.1 + 10).min(report.seconds.len());
     report.attempts = (attempts_each(LOADING_SECONDS..report.cut.0), attempts_each(after));
-    // The first seconds load everything; the last ones have no time left to be answered in.
+    // Leaves out the first seconds, in which all functions load. Of the seconds after the cut, the last ones
+    // are left out, as their requests have no time to finish.
     let steady = &report.seconds[LOADING_SECONDS..report.cut.0];
     report.baseline = steady.iter().map(share).sum::<f64>() / steady.len().max(1) as f64;
     let after = &report.seconds[report.cut.1..last - 2];
-    let is_back = |seconds: &[(usize, usize, usize)]| {
+    let has_recovered = |seconds: &[(usize, usize, usize)]| {
         seconds.iter().all(|second| share(second) >= RECOVERED_SHARE * report.baseline)
     };
-    report.recovery_seconds = after.windows(RECOVERED_SECONDS).position(is_back);
+    report.recovery_seconds = after.windows(RECOVERED_SECONDS).position(has_recovered);
     report
 }
 
-/// Share of the requests of a second that were answered in time.
+/// Returns the share of a second's requests that finished in time.
 fn share((requests, in_time, _): &(usize, usize, usize)) -> f64 {
     *in_time as f64 / (*requests).max(1) as f64
 }
 
-/// Counts what the ledger holds; returns attempts begun by second.
-fn count_seen(report: &mut Report, ledger: &Ledger, times: Times) -> Vec<usize> {
-    let mut begun = vec![0usize; report.seconds.len()];
-    ledger.read(|seen| {
-        for (at, saw) in seen.iter().filter(|(at, _)| *at >= times.begin && *at < times.end) {
-            match saw {
+/// Adds the counts from the ledger to the report. Returns the attempts started by second.
+fn count_observations(report: &mut Report, ledger: &Ledger, times: Times) -> Vec<usize> {
+    let mut started = vec![0usize; report.seconds.len()];
+    ledger.read(|observations| {
+        for (at, observation) in observations.iter().filter(|(at, _)| *at >= times.begin && *at < times.end) {
+            match observation {
                 Observation::RequestSent { .. } => report.seconds[times.second(*at)].2 += 1,
-                Observation::RequestStarted { .. } => begun[times.second(*at)] += 1,
+                Observation::RequestStarted { .. } => started[times.second(*at)] += 1,
                 Observation::ResponseReceived { status: 503 | 429, .. } => report.rejected += 1,
                 Observation::ModelFetch { accepted: true } if *at >= times.heal => report.fetches += 1,
                 _ => {}
             }
         }
     });
-    begun
+    started
 }
