--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -1,5 +1,6 @@
-//! Requests that begin alike: what pinned prompt prefixes save at the workers, and who can have one pinned.
-//! Judged from what the workers saw: which requests came with a lease, and what was prepared.
+//! Requests with shared prompt prefixes: how much preparation pinned prefixes save at the workers, and which
+//! requests can get a prefix pinned. Judged from the observations of the workers: which requests carried a
+//! lease, and which prefixes were prepared.
 use crate::audit::{Outage, Terms, Verdict, judge};
 use crate::bad_day::{effects, restart_all};
 use crate::errors::ScenarioError;
@@ -19,57 +20,57 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// µs from the first process to the first request.
+/// Time in µs from the first process to the first request.
 const SETTLING_TIME: Micros = 4 * S;
-/// µs of requests.
-const LENGTH: Micros = 52 * S;
-/// µs at the end of that which are counted.
+/// Duration of arrivals in µs.
+const ARRIVAL_TIME: Micros = 52 * S;
+/// Time in µs at the end of the arrivals that is measured.
 const COUNTED_TIME: Micros = 20 * S;
-/// µs after the last request until every one must have been answered.
-const TAIL: Micros = 6 * S;
-/// Requests a second over the fleet.
+/// Time in µs after the last arrival in which every request must get its response.
+const RESPONSE_GRACE: Micros = 6 * S;
+/// Requests per second in the fleet.
 const RATE: f64 = 150.0;
-/// Prefixes that requests are drawn from.
+/// Number of prefixes that requests can have.
 const PREFIXES: u64 = 2_000;
-/// Exponent of their popularity by rank.
+/// Zipf exponent of their popularity by rank.
 const ZIPF_EXPONENT: f64 = 1.1;
-/// Units of each prefix.
+/// Size of each prefix in units.
 const PREFIX_UNITS: u32 = 100;
-/// Units that a worker keeps.
+/// Capacity of a worker's prefix cache in units.
 const WORKER_UNITS: u64 = 6_000;
-/// µs that a worker takes to prepare one unit.
+/// Time in µs to prepare one unit of a prefix.
 const PREPARE_TIME: Micros = 600;
-/// Units that pins may take.
+/// Units of the cache that pins may occupy.
 const PINNED_UNITS: u64 = 4_000;
-/// Pins that one change of the list may add.
+/// Number of pins that one change of the pin list may add.
 const MAX_CHANGES: usize = 8;
-/// Routers that are replicas of the agreed state.
+/// Number of routers that are replicas of the agreed state.
 const REPLICAS: usize = 3;
-/// A prefix that one client asks for again and again at one router.
-const LOOP: &str = "loop";
-/// How often it does, a second.
+/// A prefix that one client requests repeatedly at one router.
+const LOOP_PREFIX: &str = "loop";
+/// Rate of those requests per second.
 const LOOP_RATE: f64 = 1.0;
-/// µs into the scenario at which routers die.
-const DEATH: Micros = 30 * S;
-/// µs into the scenario at which they start again.
-const RESTART: Micros = 33 * S;
-/// µs of a lease.
+/// Time in µs from the first request at which routers are killed, or the partition starts.
+const FAULT_START: Micros = 30 * S;
+/// Time in µs from the first request at which they restart, or the partition ends.
+const FAULT_END: Micros = 33 * S;
+/// Duration of a lease in µs.
 const LEASE_TIME: Micros = 60 * S;
-/// µs after its end for which a lease may still be seen: with a request that was written before.
+/// Time in µs after the end of a lease in which a request written before may still arrive with it.
 const LEASE_SLACK: Micros = 500 * MS;
 
-/// What may happen in the middle of it.
+/// Faults that can be injected during the run.
 pub const FAULTS: [&str; 4] = ["none", "kill", "keepers", "halves"];
-/// How prefixes are pinned: not at all, or by the merged counts of all routers.
+/// How prefixes are pinned: not at all (`lru`), or by the merged counts of all routers.
 pub const PINNING_MODES: [&str; 2] = ["lru", "merged"];
-/// Bugs that can be seeded, with the rule that each breaks.
+/// Bugs that can be seeded, each with the rule that it breaks.
 pub const SEEDED_BUGS: [(&str, &str); 1] = [("lone-voter-pins", ONE_ROUTER)];
 const ONE_ROUTER: &str = "one router's word pins nothing";
 const FIVE_RULES: &str = "the five rules";
 const MEMORY: &str = "what is pinned stays within its memory";
 const PINNED: &str = "what many ask for is pinned";
 
-/// What is played.
+/// Options of the scenario.
 pub struct Options<'a> {
     /// The routers.
     pub setup: &'a Setup,
@@ -79,29 +80,29 @@
     pub pinning: &'a str,
 }
 
-/// The result.
+/// Result of the scenario.
 #[derive(Default)]
 pub struct Report {
-    /// By rule, its breaches in words.
+    /// By rule, a description of each breach.
     pub broken: BTreeMap<&'static str, Vec<String>>,
-    /// The audit's judgement.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// Requests in all.
+    /// Number of requests.
     pub requests: usize,
-    /// Share of requests answered in time, in the time that is counted.
+    /// Share of requests that finished in time, in the measured time.
     pub in_time: f64,
-    /// Seconds of preparing prefixes in that time.
+    /// Core seconds spent on preparing prefixes in that time.
     pub preparing_seconds: f64,
-    /// Prefixes prepared in that time.
+    /// Number of prefixes prepared in that time.
     pub prepared: usize,
-    /// Prefixes that came with a lease in that time.
+    /// Number of distinct prefixes that carried a lease in that time.
     pub pinned: usize,
-    /// The most prefixes under leases at one worker at a time.
+    /// Highest number of prefixes under lease at one worker at any time.
     pub most_at_one_worker: usize,
 }
 
-/// Replaces the requests of the plan by ones that have prefixes.
-fn draw_requests(plan: &mut Plan, setup: &Setup, begin: Micros) {
+/// Replaces the requests of the plan by requests with prefixes.
+fn add_prefixes(plan: &mut Plan, setup: &Setup, begin: Micros) {
     let mut rng = Rand64::new(u128::from(setup.seed) ^ 0x0be9);
     let sums: Vec<f64> = (1..=PREFIXES)
         .scan(0.0, |sum, rank| {
@@ -111,16 +112,18 @@
         .collect();
     let drawn = std::mem::take(&mut plan.requests);
     let (mut at, mut number) = (begin, 0);
-    while at < begin + LENGTH {
+    while at < begin + ARRIVAL_TIME {
         at += (-(1.0 - rng.rand_float()).ln() / (RATE + LOOP_RATE) * S as f64) as Micros + 1;
         let mut request = drawn[number % drawn.len()].clone();
         (request.at, request.id) = (at, format!("job-{number}"));
         (request.duplicate_after, request.disconnect_after) = (None, None);
         if number < REPLICAS {
-            // Once at each replica: whoever proposes knows its size, and that it was asked for elsewhere.
-            (request.router, request.prefix) = (number, Some((LOOP.to_owned(), PREFIX_UNITS)));
+            // One request at each replica, so that a proposer knows the size of the prefix and that other
+            // routers have seen it too.
+            (request.router, request.prefix) = (number, Some((LOOP_PREFIX.to_owned(), PREFIX_UNITS)));
         } else if rng.rand_float() < LOOP_RATE / (RATE + LOOP_RATE) {
-            (request.router, request.prefix) = (setup.routers - 1, Some((LOOP.to_owned(), PREFIX_UNITS)));
+            (request.router, request.prefix) =
+                (setup.routers - 1, Some((LOOP_PREFIX.to_owned(), PREFIX_UNITS)));
         } else {
             let drawn = rng.rand_float() * sums[PREFIXES as usize - 1];
             let rank = sums.partition_point(|sum| *sum < drawn);
@@ -131,11 +134,10 @@
     }
 }
 
-/// Plays it in this folder, step by step, which is why the function is long; `progress` is given a line when
-/// routers die.
+/// Runs the scenario with its files in `folder`. Calls `progress` with a line when routers are killed.
 ///
 /// # Errors
-/// Why it could not be played.
+/// Returns an error if the scenario could not run.
 pub fn run(
     options: &Options<'_>,
     folder: &Path,
@@ -146,29 +148,29 @@
     let setup = Setup { proxy: Some(network.proxy), ..options.setup.clone() };
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
-    let plan = draw(&setup, begin, testbed.store);
+    let plan = generate_plan(&setup, begin, testbed.store);
     testbed.add_fakes(&plan, |_| ());
     let ports = start_routers(&mut testbed, options, &setup)?;
     let results = testbed.add_clients(&plan.requests);
     let dying = dying_routers(options);
     let mut outages: Vec<Outage> = Vec::new();
     let mut has_restarted = dying.is_empty();
-    let end = begin + LENGTH + TAIL;
+    let end = begin + ARRIVAL_TIME + RESPONSE_GRACE;
     while testbed.now() < end && (results.borrow().done < plan.requests.len() || !has_restarted) {
         testbed.poll(10)?;
         let now = testbed.now();
-        if now >= begin + DEATH && outages.is_empty() && !dying.is_empty() {
-            progress(&format!("{} routers die", dying.len()));
+        if now >= begin + FAULT_START && outages.is_empty() && !dying.is_empty() {
+            progress(&format!("{} routers are killed", dying.len()));
             for index in &dying {
                 outages.extend(testbed.kill(*index)?);
             }
         }
-        if now >= begin + RESTART && !has_restarted {
+        if now >= begin + FAULT_END && !has_restarted {
             restart_all(&mut testbed, &mut outages)?;
             has_restarted = true;
         }
-        if options.fault == "halves" && now >= begin + DEATH {
-            partition(&network, &ports, now < begin + RESTART);
+        if options.fault == "halves" && now >= begin + FAULT_START {
+            partition(&network, &ports, now < begin + FAULT_END);
         }
     }
     testbed.routers.clear();
@@ -181,25 +183,25 @@
     };
     let mut report = Report { requests: plan.requests.len(), ..Report::default() };
     report.verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
-    let from = begin + LENGTH - COUNTED_TIME;
+    let from = begin + ARRIVAL_TIME - COUNTED_TIME;
     report.in_time = share_in_time(&plan.requests, &results.borrow(), from);
-    let loops = count_seen(&mut report, &testbed.ledger, from);
-    judge_pins(&mut report, options, loops);
+    let loops = count_observations(&mut report, &testbed.ledger, from);
+    check_pins(&mut report, options, loops);
     Ok(report)
 }
 
-/// A plan without faults whose requests have prefixes.
-fn draw(setup: &Setup, begin: Micros, store: SocketAddr) -> Plan {
+/// Generates a plan without faults whose requests have prefixes.
+fn generate_plan(setup: &Setup, begin: Micros, store: SocketAddr) -> Plan {
     let plan = plan::generate(setup.seed, begin, setup.workers, setup.routers, store);
     let mut plan = plan.without_faults();
     for worker in &mut plan.workers {
         (worker.config.prefix_units, worker.config.prepare_time_per_unit) = (WORKER_UNITS, PREPARE_TIME);
     }
-    draw_requests(&mut plan, setup, begin);
+    add_prefixes(&mut plan, setup, begin);
     plan
 }
 
-/// Starts the routers; returns where each listens for datagrams.
+/// Starts the routers. Returns the address on which each listens for datagrams.
 fn start_routers(
     testbed: &mut Testbed<'_>,
     options: &Options<'_>,
@@ -228,14 +230,14 @@
 
 fn dying_routers(options: &Options<'_>) -> Vec<usize> {
     match options.fault {
-        // Most, the one with the loop among those that stay.
+        // Most routers; the last one, which receives the loop, survives.
         "kill" => (0..options.setup.routers * 7 / 10).collect(),
         "keepers" => vec![0, 1],
         _ => Vec::new(),
     }
 }
 
-/// Cuts the fleet in halves, or joins it.
+/// Partitions the fleet into halves, or ends the partition.
 fn partition(network: &FaultyNetwork, ports: &[SocketAddr], is_cut: bool) {
     let (one, other) = ports.split_at(ports.len() / 2);
     let mut faults = network.faults();
@@ -246,7 +248,7 @@
     }
 }
 
-/// Share of the requests from this moment on that were answered in time.
+/// Returns the share of the requests since `from` that finished in time.
 fn share_in_time(requests: &[PlannedRequest], results: &Results, from: Micros) -> f64 {
     let counted = requests.iter().zip(&results.outcomes).filter(|(request, _)| request.at >= from);
     let (all, in_time) = counted.fold((0usize, 0usize), |(all, in_time), (_, (got, _))| {
@@ -255,21 +257,21 @@
     in_time as f64 / all.max(1) as f64
 }
 
-/// Counts what workers saw of prefixes from this moment on; returns how many requests of the loop came with a
-/// lease.
-fn count_seen(report: &mut Report, ledger: &Ledger, from: Micros) -> usize {
+/// Adds the workers' observations of prefixes since `from` to the report. Returns the number of requests of
+/// the loop that carried a lease.
+fn count_observations(report: &mut Report, ledger: &Ledger, from: Micros) -> usize {
     let (mut pinned, mut loops) = (BTreeSet::new(), 0);
-    // By worker: prefixes, and when the latest lease came with each.
+    // By worker and prefix, the time at which the latest lease arrived.
     let mut leases: BTreeMap<Rc<str>, BTreeMap<Rc<str>, Micros>> = BTreeMap::new();
     ledger.read(|ledger| {
-        for (at, saw) in ledger {
-            match saw {
+        for (at, observation) in ledger {
+            match observation {
                 Observation::PrefixPrepared { duration, .. } if *at >= from => {
                     report.prepared += 1;
                     report.preparing_seconds += *duration as f64 / 1e6;
                 }
                 Observation::PrefixPinned { worker, prefix, .. } => {
-                    loops += usize::from(**prefix == *LOOP);
+                    loops += usize::from(**prefix == *LOOP_PREFIX);
                     let held = leases.entry(worker.clone()).or_default();
                     held.retain(|_, last| *at < *last + LEASE_TIME + LEASE_SLACK);
                     held.insert(prefix.clone(), *at);
@@ -286,21 +288,22 @@
     loops
 }
 
-fn judge_pins(report: &mut Report, options: &Options<'_>, loops: usize) {
-    let mut breaks = |rule: &'static str, what: String| report.broken.entry(rule).or_default().push(what);
+fn check_pins(report: &mut Report, options: &Options<'_>, loops: usize) {
+    let mut record_breach =
+        |rule: &'static str, what: String| report.broken.entry(rule).or_default().push(what);
     if !report.verdict.broken.is_empty() {
-        breaks(FIVE_RULES, format!("{:?}", report.verdict.broken));
+        record_breach(FIVE_RULES, format!("{:?}", report.verdict.broken));
     }
     if loops > 0 {
-        breaks(ONE_ROUTER, format!("{loops} jobs of one client's loop came with a lease"));
+        record_breach(ONE_ROUTER, format!("{loops} requests of one client's loop carried a lease"));
     }
-    // Memory that pins may take, and as many as one change of the list may bring before it is seen.
+    // The memory for pins, plus the pins that one change of the list can add before workers observe it.
     let limit = (PINNED_UNITS / u64::from(PREFIX_UNITS)) as usize + MAX_CHANGES;
     if report.most_at_one_worker > limit {
         let most = report.most_at_one_worker;
-        breaks(MEMORY, format!("{most} openings at one worker under leases, {limit} at most"));
+        record_breach(MEMORY, format!("{most} prefixes under lease at one worker, limit {limit}"));
     }
     if options.pinning == "merged" && report.pinned == 0 {
-        breaks(PINNED, "no job came with a lease".to_owned());
+        record_breach(PINNED, "no request carried a lease".to_owned());
     }
 }
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -1,5 +1,5 @@
-//! Workflows under one deadline: clients that have the routers run whole workflows, beside clients that call
-//! the same steps one by one with fixed time limits, at the same load.
+//! Workflows with one deadline. Compares clients that let the routers run whole workflows with clients that
+//! call the same steps one by one with fixed time limits, at the same load.
 use crate::audit::{Effect, Outage, Terms, Verdict, judge};
 use crate::errors::ScenarioError;
 use crate::plan::{self, Plan, RouterSettings, steady_workers};
@@ -18,69 +18,69 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// µs from the first process to the first request.
+/// Time in µs from the first process to the first request.
 const SETTLING_TIME: Micros = 1_500 * MS;
-/// µs of arrivals.
-const LENGTH: Micros = 14 * S;
-/// µs of arrivals that are not counted, as all functions load then.
+/// Duration of arrivals in µs.
+const ARRIVAL_TIME: Micros = 14 * S;
+/// Time in µs at the beginning that is not measured, as all functions load then.
 const LOADING_TIME: Micros = 3 * S;
-/// µs that a workflow has in all.
+/// Time limit of a workflow in µs.
 const TIME_LIMIT: Micros = 2 * S;
-/// µs past a workflow's deadline up to which a step may still be seen running: the end of its connection
-/// travels, and the machine pauses.
+/// Tolerance in µs for a step that runs past its workflow's deadline: the worker learns of the cancellation
+/// with a delay, and the host may pause.
 const DEADLINE_SLACK: Micros = 150 * MS;
-/// Steps that a workflow takes on average: what the fleet can do at load 1.
+/// Average number of steps of a workflow, from which the arrival rate at load 1 follows.
 const STEPS: f64 = 3.3;
-/// ms of a step on average.
+/// Average run time of a step in ms.
 const STEP_MS: u64 = 60;
-/// µs after which a client that was given no time to retry does.
+/// Retry delay in µs of a client that received no retry time.
 const RETRY_DELAY: Micros = 500 * MS;
-/// µs between two kills on average.
+/// Average interval in µs between two kills.
 const KILL_INTERVAL: Micros = 800 * MS;
-/// µs from a kill until the router is started again.
+/// Time in µs from a kill until the router restarts.
 const OUTAGE_TIME: Micros = 200 * MS;
-/// µs between two reports of progress.
+/// Interval in µs between progress reports.
 const PROGRESS_INTERVAL: Micros = 5 * S;
-/// The `chain` blocks that are played where no others are given.
+/// The `chain` blocks that are used by default.
 pub const DEFAULT_WORKFLOWS: &str = include_str!("../plans/booking.hcl");
 
-/// What is played.
+/// Options of the scenario.
 pub struct Options<'a> {
     /// The routers.
     pub setup: &'a Setup,
-    /// Load, in parts of what the fleet can do.
+    /// Load as a fraction of the fleet's capacity.
     pub load: f64,
-    /// `chain` blocks; the clients ask for type `book`.
+    /// `chain` blocks; the clients send events of type `book`.
     pub workflows: &'a str,
-    /// Whether the clients call the steps one by one instead.
+    /// Whether the clients call the steps one by one themselves.
     pub step_by_step: bool,
-    /// How often a router is killed, one after the other, at random moments, and started again.
+    /// Number of times that a router is killed, at random times, and restarted.
     pub kills: usize,
-    /// Importance of the workloads of the three kinds of steps.
+    /// Importance of the workloads quote, hold and confirm.
     pub importance: [u64; 3],
 }
 
-/// The result.
+/// Result of the scenario.
 #[derive(Default)]
 pub struct Report {
-    /// The audit's judgement.
+    /// Result of the audit.
     pub verdict: Verdict,
-    /// Workflows requested after the first seconds.
+    /// Number of workflows requested in the measured time.
     pub workflows: usize,
-    /// Those of them that finished in time.
+    /// Number of those that finished in time.
     pub finished: usize,
-    /// Steps begun at workers.
+    /// Number of steps started at workers.
     pub steps: usize,
-    /// How many requests ended in which way, as clients saw it.
+    /// Number of requests by outcome, as seen by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// Workflows without an answer of which a step with an effect began.
+    /// Number of workflows without a response of which a step with an effect started.
     pub unanswered: usize,
-    /// Those of them that are on record.
+    /// Number of those that are in a router's workflow store.
     pub unanswered_on_record: usize,
 }
 
-/// The next step of a client that calls them one by one: a third of the time each, unused time is lost.
-/// `result` is that of the step before, `price` that of the first.
+/// Returns the next step of a client that calls the steps one by one. Each step has a third of the time
+/// limit; unused time is not carried over. `result` is the previous step's result, `price` the first step's.
 fn next_step(
     request: &PlannedRequest,
     spent: Micros,
@@ -88,7 +88,7 @@
     price: &Value,
 ) -> Option<PlannedRequest> {
     let (id, step) = request.id.rsplit_once('/')?;
-    let then = |step: &str, kind: &'static str, function: &str| PlannedRequest {
+    let build_step = |step: &str, kind: &'static str, function: &str| PlannedRequest {
         id: format!("{id}/{step}"),
         event_type: kind,
         function: price[function].as_str().unwrap_or("hold-hut-1").to_owned(),
@@ -98,22 +98,22 @@
         ..request.clone()
     };
     match step {
-        "price" => Some(then("beds", "hold", "hut")),
-        "beds" if result["free"] == false => Some(then("second", "hold", "other")),
-        "beds" | "second" => Some(then("confirm", "confirm", "desk")),
+        "price" => Some(build_step("beds", "hold", "hut")),
+        "beds" if result["free"] == false => Some(build_step("second", "hold", "other")),
+        "beds" | "second" => Some(build_step("confirm", "confirm", "desk")),
         _ => None,
     }
 }
 
-/// µs of arrivals.
-fn length(options: &Options<'_>) -> Micros {
-    LENGTH.max(options.kills as Micros * KILL_INTERVAL)
+/// Returns the duration of arrivals in µs, extended to fit all kills.
+fn arrival_time(options: &Options<'_>) -> Micros {
+    ARRIVAL_TIME.max(options.kills as Micros * KILL_INTERVAL)
 }
 
-/// The requests of all clients.
+/// Generates the requests of all clients.
 fn requests(options: &Options<'_>, begin: Micros) -> Vec<PlannedRequest> {
     let mut rng = Rand64::new(u128::from(options.setup.seed));
-    // Two cores a worker, see `plan::worker_config`.
+    // Workers have two cores, see `plan::worker_config`.
     let rate = options.load * options.setup.workers as f64 * 2.0 * 1000.0 / STEP_MS as f64 / STEPS;
     let prices: RefCell<BTreeMap<String, Value>> = RefCell::default();
     let follow: FollowUp = Rc::new(move |request, spent, answer| {
@@ -124,7 +124,7 @@
         next_step(request, spent, &result, price)
     });
     let (mut at, mut requests) = (begin, Vec::new());
-    while at < begin + length(options) {
+    while at < begin + arrival_time(options) {
         at += (-(1.0 - rng.rand_float()).ln() / rate * S as f64) as Micros + 1;
         let number = requests.len();
         requests.push(PlannedRequest {
@@ -141,8 +141,8 @@
             work_ms: rng.rand_range(STEP_MS - 20..STEP_MS + 20),
             timeout: if options.step_by_step { TIME_LIMIT / 3 } else { TIME_LIMIT },
             latency_target: TIME_LIMIT,
-            // A workflow may be requested again where it may have begun: there the request joins it, or it
-            // goes on by its record.
+            // A workflow that may have started can be requested again: the router joins the request to the
+            // running workflow or resumes it from its record.
             idempotent: true,
             keyed: false,
             structured: false,
@@ -159,11 +159,10 @@
     requests
 }
 
-/// Plays it in this folder, step by step, which is why the function is long; `progress` is given a line about
-/// every five seconds.
+/// Runs the scenario with its files in `folder`. Calls `progress` with a line about every five seconds.
 ///
 /// # Errors
-/// Why it could not be played.
+/// Returns an error if the scenario could not run.
 pub fn run(
     options: &Options<'_>,
     folder: &Path,
@@ -173,7 +172,7 @@
     let mut testbed = Testbed::new(setup.clone(), folder, SETTLING_TIME)?;
     let begin = testbed.begin;
     let tail = if setup.seeded_bug.is_some() { 6 * S } else { 0 };
-    let end = begin + length(options) + TIME_LIMIT + S + tail;
+    let end = begin + arrival_time(options) + TIME_LIMIT + S + tail;
     let workers = steady_workers(setup.workers, testbed.store, setup.seed);
     let plan = Plan::steady(workers, requests(options, begin));
     testbed.add_fakes(&plan, |_| ());
@@ -191,12 +190,12 @@
             last_progress = now;
             let at = now.saturating_sub(begin) / S;
             let (done, all, kills) = (results.borrow().done, plan.requests.len(), killer.outages.len());
-            progress(&format!("{at:>4} s  {done} of {all} chains, {kills} kills"));
+            progress(&format!("{at:>4} s  {done} of {all} workflows, {kills} kills"));
         }
     }
     testbed.routers.clear();
-    let mut report = judge_all(&plan.requests, &testbed.ledger, killer.outages, end);
-    count_ends(&mut report, &plan.requests, &results.borrow(), begin);
+    let mut report = audit_workflows(&plan.requests, &testbed.ledger, killer.outages, end);
+    count_outcomes(&mut report, &plan.requests, &results.borrow(), begin);
     if !options.step_by_step {
         check_records(&mut report, options, &testbed, &plan.requests, &results.borrow())?;
     }
@@ -207,17 +206,18 @@
     testbed.file(&format!("record-{router}"))
 }
 
-/// Settings with a record, which outlives the scenario: it looks at them.
+/// Renders settings with a workflow store. Its entries are kept for longer than the scenario runs, as it
+/// checks them at the end.
 fn router_settings(options: &Options<'_>, testbed: &Testbed<'_>, index: usize) -> String {
     let record = record_file(testbed, index);
     let more = format!("record = \"{}\"\nbounds {{\n  remember_for = \"600s\"\n}}\n", record.display());
     let mut settings = RouterSettings::new(options.setup, index, testbed.endpoint_list).with_blocks(more);
     settings.importance = options.importance;
-    // The workloads come first, as the chains name them.
+    // The workloads come first, as the workflows refer to them.
     settings.to_hcl() + options.workflows
 }
 
-/// Kills routers at random moments and starts them again.
+/// Kills routers at random times and restarts them.
 struct Killer {
     rng: Rand64,
     kills: usize,
@@ -251,7 +251,12 @@
     }
 }
 
-fn judge_all(requests: &[PlannedRequest], ledger: &Ledger, outages: Vec<Outage>, end: Micros) -> Report {
+fn audit_workflows(
+    requests: &[PlannedRequest],
+    ledger: &Ledger,
+    outages: Vec<Outage>,
+    end: Micros,
+) -> Report {
     let mut effects = BTreeMap::new();
     let mut deadlines: BTreeMap<String, Micros> = BTreeMap::new();
     for request in requests {
@@ -268,15 +273,15 @@
         deadlines.insert(workflow, request.at + TIME_LIMIT);
     }
     let terms = Terms { grace: plan::DRAIN_GRACE, dedup_window: plan::DEDUP_WINDOW, effects, outages, end };
-    let verdict = ledger.read(|seen| {
-        let mut verdict = judge(seen, &terms);
-        check_deadlines(seen, &deadlines, &mut verdict);
+    let verdict = ledger.read(|observations| {
+        let mut verdict = judge(observations, &terms);
+        check_deadlines(observations, &deadlines, &mut verdict);
         verdict
     });
     Report { steps: verdict.attempts, verdict, ..Report::default() }
 }
 
-fn count_ends(report: &mut Report, requests: &[PlannedRequest], results: &Results, begin: Micros) {
+fn count_outcomes(report: &mut Report, requests: &[PlannedRequest], results: &Results, begin: Micros) {
     for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
         if request.at >= begin + LOADING_TIME {
             report.workflows += 1;
@@ -286,7 +291,8 @@
     }
 }
 
-/// Looks whether workflows without an answer are on record, where one of their steps had an effect.
+/// Counts the workflows without a response of which a step with an effect started, and how many of them are
+/// in a workflow store.
 fn check_records(
     report: &mut Report,
     options: &Options<'_>,
@@ -312,33 +318,36 @@
     Ok(())
 }
 
-/// Workflows of which a step with an effect began.
-fn workflows_with_effect(seen: &[(Micros, Observation)]) -> BTreeSet<String> {
-    let workflow = |saw: &Observation| {
-        let Observation::RequestStarted { event, .. } = saw else { return None };
+/// Returns the workflows of which a step with an effect started.
+fn workflows_with_effect(observations: &[(Micros, Observation)]) -> BTreeSet<String> {
+    let workflow = |observation: &Observation| {
+        let Observation::RequestStarted { event, .. } = observation else { return None };
         let (workflow, step) = event.rsplit_once('/')?;
         (step != "price").then(|| workflow.to_owned())
     };
-    seen.iter().filter_map(|(_, saw)| workflow(saw)).collect()
+    observations.iter().filter_map(|(_, observation)| workflow(observation)).collect()
 }
 
-/// Rule 6: no step begun or running past its workflow's deadline; undos have their own.
+/// Rule 6: no step starts or runs past its workflow's deadline. Undo steps are exempt, as they have their own
+/// deadline.
 fn check_deadlines(
-    seen: &[(Micros, Observation)],
+    observations: &[(Micros, Observation)],
     deadlines: &BTreeMap<String, Micros>,
     verdict: &mut Verdict,
 ) {
-    for (at, saw) in seen {
-        let (event, what) = match saw {
-            Observation::RequestStarted { event, .. } => (event, "begun"),
+    for (at, observation) in observations {
+        let (event, what) = match observation {
+            Observation::RequestStarted { event, .. } => (event, "started"),
             Observation::RequestFinished { event, .. } => (event, "still running"),
             _ => continue,
         };
         let Some((workflow, step)) = event.rsplit_once('/') else { continue };
         let late = deadlines.get(workflow).map(|deadline| at.saturating_sub(*deadline));
         if let Some(late) = late.filter(|late| *late > DEADLINE_SLACK && !step.starts_with("release")) {
-            verdict
-                .record_breach(6, format!("step {event} was {what} {} ms past its chain's time", late / MS));
+            verdict.record_breach(
+                6,
+                format!("step {event} was {what} {} ms past its workflow's deadline", late / MS),
+            );
         }
     }
 }
