--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -74,11 +74,11 @@
 
 impl Verdict {
     /// Records a breach of a rule.
-    pub(crate) fn record_breach(&mut self, rule: u8, what: String) {
+    pub(crate) fn record_breach(&mut self, rule: u8, breach: String) {
         let (count, described) = self.broken.entry(rule).or_default();
         *count += 1;
         if described.len() < MAX_DESCRIBED {
-            described.push(what);
+            described.push(breach);
         }
     }
 }
@@ -235,8 +235,8 @@
                 let since = notified.get(&(*router, worker)).map(|since| at - since);
                 if let Some(since) = since.filter(|since| *since > terms.grace + PAUSE_SLACK) {
                     let ms = since / 1000;
-                    let what = format!("router {router} sent {event} to {worker} {ms} ms after the notice");
-                    verdict.record_breach(3, what);
+                    let breach = format!("router {router} sent {event} to {worker} {ms} ms after the notice");
+                    verdict.record_breach(3, breach);
                 }
             }
             _ => {}
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -133,8 +133,8 @@
         progress: &mut dyn FnMut(&str),
     ) {
         let seconds = now.saturating_sub(begin) as f64 / 1e6;
-        if let Some((_, what)) = self.timeline.next_if(|(at, _)| *at <= now) {
-            progress(&format!("{seconds:5.1} s  {what}"));
+        if let Some((_, description)) = self.timeline.next_if(|(at, _)| *at <= now) {
+            progress(&format!("{seconds:5.1} s  {description}"));
         } else if now >= self.last + PROGRESS_INTERVAL {
             self.last = now;
             progress(&format!("{seconds:5.1} s  {done} of {all} requests"));
@@ -170,6 +170,6 @@
     }
     latencies.sort_unstable();
     let percentile = |percent: usize| latencies.get(latencies.len() * percent / 100).copied().unwrap_or(0);
-    let timeline = plan.timeline.iter().map(|(at, what)| (at - begin, what.clone())).collect();
+    let timeline = plan.timeline.iter().map(|(at, description)| (at - begin, description.clone())).collect();
     Report { verdict, outcomes, windows, timeline, latency: (percentile(50), percentile(99)) }
 }
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -95,8 +95,8 @@
         router.and_then(|router| query(router.address).ok())
     }
 
-    fn record_breach(&mut self, rule: &'static str, what: String) {
-        self.report.broken.entry(rule).or_default().push(what);
+    fn record_breach(&mut self, rule: &'static str, breach: String) {
+        self.report.broken.entry(rule).or_default().push(breach);
     }
 
     /// Reads all state pages. A running router that another lists as gone was removed wrongly, unless it is
@@ -110,8 +110,11 @@
                 self.check_incarnation(scene, observer, observed, entry);
                 let is_wrong = self.is_running[observed] && !may_be_gone.contains(&observed);
                 if is_wrong && entry["standing"] == "gone" {
-                    let what = format!("{scene}: r{observed} by r{observer}, votes {}", entry["by"]);
-                    self.record_breach("nobody who runs is removed", what);
+                    let breach = format!(
+                        "{scene}: r{observed} is listed as gone by r{observer}, votes {}",
+                        entry["by"]
+                    );
+                    self.record_breach("nobody who runs is removed", breach);
                 }
             }
         }
@@ -127,10 +130,10 @@
         }
         let gone = self.gone.remove(&(observer, observed));
         if let Some(gone) = gone.filter(|gone| incarnation <= *gone) {
-            let what = format!(
+            let breach = format!(
                 "{scene}: r{observed} at r{observer} has incarnation {incarnation}, was gone with {gone}"
             );
-            self.record_breach("who comes back has a higher incarnation", what);
+            self.record_breach("who comes back has a higher incarnation", breach);
         }
     }
 
@@ -157,12 +160,12 @@
             }
             if started.elapsed() > limit {
                 let counts: Vec<String> = views.iter().map(|view| view["live"].to_string()).collect();
-                let what = format!(
+                let breach = format!(
                     "{scene}: no agreement within {} ms, live routers by view: {}",
                     limit.as_millis(),
                     counts.join(" ")
                 );
-                self.record_breach("one view after a fault", what);
+                self.record_breach("one view after a fault", breach);
                 return Err(ScenarioError::NotRecovered(
                     "the routers did not agree on one view after a fault".to_owned(),
                 ));
@@ -266,9 +269,9 @@
         for (from, to) in cut.iter().copied().filter(|(from, to)| are_neighbours(&rings, *from, *to)) {
             let (out, into) = (link_fault(from, to), link_fault(to, from));
             if out != "out" || into != "in" {
-                let what =
+                let breach =
                     format!("one-way: link from r{from} to r{to} is reported as \"{out}\" and \"{into}\"");
-                self.record_breach("lame links are named at both ends", what);
+                self.record_breach("lame links are named at both ends", breach);
             }
         }
     }
@@ -360,9 +363,9 @@
         let (after, name) = (self.incarnations(observer), format!("r{stopped}"));
         let is_raised = |of: &String, old: &u64| *of != name && after.get(of) > Some(old);
         for (of, old) in baseline.iter().filter(|(of, old)| is_raised(of, old)) {
-            let what =
+            let breach =
                 format!("stop: {name} resumed, and {of} had to refute an accusation (incarnation {old})");
-            self.record_breach("who stood still accuses nobody on waking", what);
+            self.record_breach("who stood still accuses nobody on waking", breach);
         }
     }
 
@@ -379,12 +382,12 @@
         }
         let entry = observed(self);
         if !is_back(&entry) {
-            let what =
+            let breach =
                 format!("stop: r{stopped} is running, but r{observer} lists it as {}", entry["standing"]);
-            self.record_breach("who was removed and runs comes back", what);
+            self.record_breach("who was removed and runs comes back", breach);
         } else if is_removed && entry["incarnation"].as_u64() <= before {
-            let what = format!("stop: r{stopped} returned with incarnation {}", entry["incarnation"]);
-            self.record_breach("who comes back has a higher incarnation", what);
+            let breach = format!("stop: r{stopped} returned with incarnation {}", entry["incarnation"]);
+            self.record_breach("who comes back has a higher incarnation", breach);
         }
     }
 
@@ -492,13 +495,14 @@
 
 /// Checks that kills were detected in time.
 fn check_detection(report: &mut Report) {
-    let within = |percent: usize| {
+    let percentile = |percent: usize| {
         report.detection_ms.get(report.detection_ms.len().saturating_sub(1) * percent / 100).copied()
     };
     let is_late = |at: Option<u64>, limit: Duration| at.is_some_and(|ms| u128::from(ms) > limit.as_millis());
-    let (median, most) = (within(50), within(99));
-    if is_late(median, MEDIAN_DETECTION_LIMIT + POLL_INTERVAL) || is_late(most, DETECTION_LIMIT) {
-        let what = format!("kill: detected after {median:?} ms (median), {most:?} ms (99th percentile)");
-        report.broken.entry("a kill is known in time").or_default().push(what);
+    let (median, percentile_99) = (percentile(50), percentile(99));
+    if is_late(median, MEDIAN_DETECTION_LIMIT + POLL_INTERVAL) || is_late(percentile_99, DETECTION_LIMIT) {
+        let breach =
+            format!("kill: detected after {median:?} ms (median), {percentile_99:?} ms (99th percentile)");
+        report.broken.entry("a kill is known in time").or_default().push(breach);
     }
 }
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -251,8 +251,8 @@
 /// Returns the share of the requests since `from` that finished in time.
 fn share_in_time(requests: &[PlannedRequest], results: &Results, from: Micros) -> f64 {
     let counted = requests.iter().zip(&results.outcomes).filter(|(request, _)| request.at >= from);
-    let (all, in_time) = counted.fold((0usize, 0usize), |(all, in_time), (_, (got, _))| {
-        (all + 1, in_time + usize::from(*got == RequestOutcome::Finished))
+    let (all, in_time) = counted.fold((0usize, 0usize), |(all, in_time), (_, (outcome, _))| {
+        (all + 1, in_time + usize::from(*outcome == RequestOutcome::Finished))
     });
     in_time as f64 / all.max(1) as f64
 }
@@ -290,7 +290,7 @@
 
 fn check_pins(report: &mut Report, options: &Options<'_>, loops: usize) {
     let mut record_breach =
-        |rule: &'static str, what: String| report.broken.entry(rule).or_default().push(what);
+        |rule: &'static str, breach: String| report.broken.entry(rule).or_default().push(breach);
     if !report.verdict.broken.is_empty() {
         record_breach(FIVE_RULES, format!("{:?}", report.verdict.broken));
     }
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -124,8 +124,8 @@
 }
 
 impl Report {
-    fn record_breach(&mut self, rule: &'static str, what: String) {
-        self.broken.entry(rule).or_default().push(what);
+    fn record_breach(&mut self, rule: &'static str, breach: String) {
+        self.broken.entry(rule).or_default().push(breach);
     }
 }
 
@@ -307,7 +307,7 @@
 /// Returns the arrival time of each request and whether it finished in time.
 fn arrivals(plan: &Plan, results: &Results) -> Vec<(Micros, bool)> {
     let requests = plan.requests.iter().zip(&results.outcomes);
-    requests.map(|(request, (got, _))| (request.at, *got == RequestOutcome::Finished)).collect()
+    requests.map(|(request, (outcome, _))| (request.at, *outcome == RequestOutcome::Finished)).collect()
 }
 
 /// Adds the counts of recovery requests to the report. `tenth` is the tenth of a second of the restarts.
@@ -396,8 +396,8 @@
 
 fn check_recovery(report: &mut Report, options: &Options<'_>) {
     if !report.verdict.broken.is_empty() {
-        let what = format!("{:?}", report.verdict.broken);
-        report.record_breach(FIVE_RULES, what);
+        let breach = format!("{:?}", report.verdict.broken);
+        report.record_breach(FIVE_RULES, breach);
     }
     // The drain can be kept only if routers ask their peers, and a peer or a snapshot still has it.
     let can_be_kept = matches!(options.start_state, "both" | "peers") && options.fault != "lost";
@@ -405,35 +405,35 @@
         && report.strays_after_grace > 0
         && !(options.start_state == "peers" && options.fault == "all")
     {
-        let what =
+        let breach =
             format!("the draining worker received {} requests after the grace", report.strays_after_grace);
-        report.record_breach(DRAIN_KEPT, what);
+        report.record_breach(DRAIN_KEPT, breach);
     }
     if report.peak_recovery_requests > MAX_RECOVERY_REQUESTS {
-        let what = format!(
+        let breach = format!(
             "one router received {} recovery requests in a tenth of a second",
             report.peak_recovery_requests
         );
-        report.record_breach(REQUESTS_SPREAD, what);
+        report.record_breach(REQUESTS_SPREAD, breach);
     }
     let others = options.setup.routers - 1;
     let several = matches!(options.fault, "kill" | "wave" | "cut") && others >= MIN_OTHER_ROUTERS;
     if several && report.max_request_share > MAX_SHARE_FACTOR / others as f64 {
-        let what = format!(
+        let breach = format!(
             "one router received a share of {:.2} of the recovery requests of the first second",
             report.max_request_share
         );
-        report.record_breach(REQUESTS_SPREAD, what);
+        report.record_breach(REQUESTS_SPREAD, breach);
     }
     // On a busy host the service dips at times, so the recovery time is only reported. The rule requires that
     // the service is back at the end.
     if report.service_at_end < MIN_SHARE_AT_END * report.service[0] {
-        let what = format!(
+        let breach = format!(
             "share in time {:.3} in the last {} s, {:.3} before the kills",
             report.service_at_end,
             STABLE_TIME / S,
             report.service[0]
         );
-        report.record_breach(RECOVERED, what);
+        report.record_breach(RECOVERED, breach);
     }
 }
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -206,8 +206,8 @@
     while testbed.now() < times.end {
         testbed.poll(20)?;
         let now = testbed.now();
-        if let Some((_, event, what)) = script.next_if(|(at, ..)| *at <= now) {
-            progress(what);
+        if let Some((_, event, description)) = script.next_if(|(at, ..)| *at <= now) {
+            progress(description);
             apply_event(&mut testbed, event, options.cut, other)?;
         }
         if now >= last_progress + PROGRESS_INTERVAL {
@@ -316,11 +316,11 @@
     let last = times.second(times.end);
     report.cut = (times.second(times.cut), times.second(times.heal));
     report.seconds = vec![(0, 0, 0); last + 1];
-    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
+    for (request, (outcome, _)) in requests.iter().zip(&results.outcomes) {
         let row = &mut report.seconds[times.second(request.at).min(last)];
         row.0 += 1;
-        row.1 += usize::from(*got == RequestOutcome::Finished);
-        *report.outcomes.entry(*got).or_default() += 1;
+        row.1 += usize::from(*outcome == RequestOutcome::Finished);
+        *report.outcomes.entry(*outcome).or_default() += 1;
     }
     let in_use = requests.iter().filter(|request| request.at >= times.cut);
     report.functions = in_use.map(|request| request.function.as_str()).collect::<BTreeSet<_>>().len();
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -282,12 +282,12 @@
 }
 
 fn count_outcomes(report: &mut Report, requests: &[PlannedRequest], results: &Results, begin: Micros) {
-    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
+    for (request, (outcome, _)) in requests.iter().zip(&results.outcomes) {
         if request.at >= begin + LOADING_TIME {
             report.workflows += 1;
-            report.finished += usize::from(*got == RequestOutcome::Finished);
+            report.finished += usize::from(*outcome == RequestOutcome::Finished);
         }
-        *report.outcomes.entry(*got).or_default() += 1;
+        *report.outcomes.entry(*outcome).or_default() += 1;
     }
 }
 
@@ -305,9 +305,9 @@
         records.push(DiskStore::open(&record_file(testbed, index))?);
     }
     let with_effect = testbed.ledger.read(workflows_with_effect);
-    for (request, (got, _)) in requests.iter().zip(&results.outcomes) {
-        let was_answered = !matches!(got, RequestOutcome::Nothing | RequestOutcome::Broken);
-        if was_answered || !with_effect.contains(&format!("{} {}", request.source, request.id)) {
+    for (request, (outcome, _)) in requests.iter().zip(&results.outcomes) {
+        let got_response = !matches!(outcome, RequestOutcome::Nothing | RequestOutcome::Broken);
+        if got_response || !with_effect.contains(&format!("{} {}", request.source, request.id)) {
             continue;
         }
         report.unanswered += 1;
@@ -336,7 +336,7 @@
     verdict: &mut Verdict,
 ) {
     for (at, observation) in observations {
-        let (event, what) = match observation {
+        let (event, state) = match observation {
             Observation::RequestStarted { event, .. } => (event, "started"),
             Observation::RequestFinished { event, .. } => (event, "still running"),
             _ => continue,
@@ -346,7 +346,7 @@
         if let Some(late) = late.filter(|late| *late > DEADLINE_SLACK && !step.starts_with("release")) {
             verdict.record_breach(
                 6,
-                format!("step {event} was {what} {} ms past its workflow's deadline", late / MS),
+                format!("step {event} was {state} {} ms past its workflow's deadline", late / MS),
             );
         }
     }
