--- a/crates/fakes/src/endpoint_list.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -22,7 +22,7 @@
     pub address: SocketAddr,
     /// Status of the worker: `ready`, `draining` or `gone`.
     pub status: &'static str,
-    /// Start time of the worker in ms; 0 if it started before the scenario.
+    /// Start time of the worker in ms since the Unix epoch; 0 if it started before the scenario.
     pub started_ms: u64,
     /// Zone of the worker.
     pub zone: String,
--- a/crates/fakes/src/ledger.rs
+++ b/crates/fakes/src/ledger.rs
@@ -17,7 +17,7 @@
         worker: Rc<str>,
         /// Whether the worker is listed as ready.
         ready: bool,
-        /// Start time of the worker in ms; 0 if it started before the scenario.
+        /// Start time of the worker in ms since the Unix epoch; 0 if it started before the scenario.
         started_ms: u64,
     },
     /// A worker received a complete request.
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -52,8 +52,8 @@
 const MIN_SHARE_AT_END: f64 = 0.85;
 /// Requests per second and worker: 0.7 of the capacity of two cores at an average of 60 ms per request.
 const RATE: f64 = 23.0;
-/// Limit of recovery requests to one router in a tenth of a second: all pages for three routers at a time,
-/// and as many requests that find nothing.
+/// Limit of recovery requests to one router in a tenth of a second: the requests for all pages by three
+/// routers at a time, and as many that find nothing.
 const MAX_RECOVERY_REQUESTS: u64 = 60;
 /// Limit of one router's share of the recovery requests of the first second, as a multiple of an even share.
 const MAX_SHARE_FACTOR: f64 = 3.5;
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -99,7 +99,7 @@
     pub functions: usize,
     /// Attempts per request that finished in time: before the cut, and in the ten seconds after it.
     pub attempts: (f64, f64),
-    /// Number of requests by outcome, as observations by the clients.
+    /// Number of requests by outcome, as seen by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
 }
 
--- a/crates/scenarios/src/seeded_bugs.rs
+++ b/crates/scenarios/src/seeded_bugs.rs
@@ -34,7 +34,7 @@
     DuplicateStep,
 }
 
-/// Names of the bugs on the command line, each with the number of the rule that the bug breaks.
+/// Bugs by their names on the command line, each with the number of the rule that it breaks.
 pub const SEEDED_BUGS: [(&str, SeededBug, u8); 7] = [
     ("lost-answer", SeededBug::LostResponse, 1),
     ("double-answer", SeededBug::DuplicateResponse, 1),
