--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -1,9 +1,9 @@
 //! The `standin` command, which runs a test double of an external system for manual testing.
 use crate::errors::USAGE_ERROR;
-use applepond_fakes::hosts::{Hosts, Row};
+use applepond_fakes::endpoint_list::{Endpoint, EndpointList};
 use applepond_fakes::ledger::Ledger;
 use applepond_fakes::store::Store;
-use applepond_fakes::worker::{Build, Mood, Turn, Worker};
+use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
 use applepond_reactor::{Machine, Micros, Reactor};
 use clap::Subcommand;
 use std::net::SocketAddr;
@@ -81,56 +81,58 @@
     let ledger = Ledger::default();
     Ok(match fake {
         Fake::Worker { listen, name, cores, memory_mb, load_ms, store, mood } => {
-            let mut build = worker_build(name, listen, store);
-            (build.cores, build.memory_mb, build.load) = (cores, memory_mb, load_ms * MS);
+            let mut config = worker_config(name, listen, store);
+            (config.cores, config.memory_mb, config.load_time) = (cores, memory_mb, load_ms * MS);
             let script = mood.map(|name| initial_mood(&name)).transpose()?;
-            Box::new(Worker::new(build, script.into_iter().collect(), ledger, Rc::default()))
+            Box::new(Worker::new(config, script.into_iter().collect(), ledger, Rc::default()))
         }
         Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
         Fake::Hosts { listen, workers } => {
-            let rows: Result<Vec<Row>, clap::Error> = workers.iter().map(|text| host_row(text)).collect();
-            Box::new(Hosts::new(listen, rows?, Vec::new(), ledger))
+            let rows: Result<Vec<Endpoint>, clap::Error> =
+                workers.iter().map(|text| host_row(text)).collect();
+            Box::new(EndpointList::new(listen, rows?, Vec::new(), ledger))
         }
     })
 }
 
 /// Returns the build of a worker that is warm at once and never overloaded, with the command-line defaults.
-fn worker_build(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> Build {
-    Build {
+fn worker_config(name: String, listen: SocketAddr, store: Option<SocketAddr>) -> WorkerConfig {
+    WorkerConfig {
         name: Rc::from(name),
         listen,
         rack: 0,
         cores: 2,
         memory_mb: 8_000,
-        queue: 64,
+        max_waiting: 64,
         store,
-        load: 200 * MS,
-        keep: 10_000 * MS,
+        load_time: 200 * MS,
+        idle_unload_time: 10_000 * MS,
         cold_share: 1.0,
-        warm_within: 0,
-        fall_multiple: f64::INFINITY,
-        fall_span: 1000 * MS,
-        window: 3000 * MS,
+        warmup_time: 0,
+        overload_factor: f64::INFINITY,
+        overload_window: 1000 * MS,
+        dedup_window: 3000 * MS,
         seed: 1,
-        openings: 400,
-        prepare: 1_000,
+        prefix_units: 400,
+        prepare_time_per_unit: 1_000,
     }
 }
 
-fn initial_mood(name: &str) -> Result<(Micros, Turn), clap::Error> {
-    let mood = Mood::named(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
-    Ok((0, Turn::Mood(mood)))
+fn initial_mood(name: &str) -> Result<(Micros, ScriptEvent), clap::Error> {
+    let mood =
+        Behaviour::from_name(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
+    Ok((0, ScriptEvent::SetBehaviour(mood)))
 }
 
 /// Parses NAME=ADDRESS into a row of the endpoint list.
-fn host_row(text: &str) -> Result<Row, clap::Error> {
+fn host_row(text: &str) -> Result<Endpoint, clap::Error> {
     let invalid = || invalid_value(format!("--worker {text}: expected NAME=ADDRESS"));
     let (name, address) = text.split_once('=').ok_or_else(invalid)?;
-    Ok(Row {
+    Ok(Endpoint {
         name: Rc::from(name),
         address: address.parse().map_err(|_| invalid())?,
-        standing: "ready",
-        started: 0,
+        status: "ready",
+        started_ms: 0,
         zone: String::new(),
         rack: 0,
         weight: 1.0,
--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -49,13 +49,13 @@
     })?;
     let setup = Setup { dying_routers: die as usize, fleet, ..setup };
     let mut progress = |line: &str| print_progress(json, line);
-    let report = run_in_directory(keep.as_deref(), |folder| bad_day::play(&setup, folder, &mut progress))?;
+    let report = run_in_directory(keep.as_deref(), |folder| bad_day::run(&setup, folder, &mut progress))?;
     if json {
         print_json(&report, seed);
     } else {
         print_table(&report, seed);
     }
-    Ok(Outcome::from_breach(!report.holds()))
+    Ok(Outcome::from_breach(!report.passed()))
 }
 
 fn print_table(report: &Report, seed: u64) {
@@ -66,12 +66,12 @@
             continue;
         }
         let from = index as u64 * WINDOW;
-        let in_window = report.story.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
+        let in_window = report.timeline.iter().filter(|(at, _)| (from..from + WINDOW).contains(at));
         let events: Vec<&str> = in_window.map(|(_, event)| event.as_str()).collect();
         let percent = 100.0 * *in_time as f64 / *requests as f64;
         println!("  {:>7}  {requests:>5}  {percent:>6.1}%  {}", index * 2, events.join("; "));
     }
-    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
+    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.outcomes));
     let verdict = &report.verdict;
     println!(
         "  {} exchanges, {} attempts started, {} duplicates dropped by racks, {} fetches; median {} ms, \
@@ -80,17 +80,17 @@
         verdict.attempts,
         verdict.dropped_repeats,
         verdict.fetches,
-        report.took.0 / 1000,
-        report.took.1 / 1000
+        report.latency.0 / 1000,
+        report.latency.1 / 1000
     );
     print_rules(verdict);
 }
 
 fn print_json(report: &Report, seed: u64) {
     let verdict = &report.verdict;
-    let result = json!({"seed": seed, "holds": report.holds(), "got": outcomes_as_json(&report.got),
+    let result = json!({"seed": seed, "holds": report.passed(), "got": outcomes_as_json(&report.outcomes),
         "broken": broken_as_json(verdict), "exchanges": verdict.exchanges, "executions": verdict.attempts,
-        "fetches": verdict.fetches, "median_us": report.took.0, "p99_us": report.took.1,
+        "fetches": verdict.fetches, "median_us": report.latency.0, "p99_us": report.latency.1,
         "windows": report.windows});
     println!("{result}");
 }
--- a/crates/cli/src/scenario/report.rs
+++ b/crates/cli/src/scenario/report.rs
@@ -1,5 +1,5 @@
 //! Output shared by several scenarios.
-use applepond_fakes::client::Got;
+use applepond_fakes::client::RequestOutcome;
 use applepond_scenarios::audit::Verdict;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 const MAX_BREACHES: usize = 5;
 
 /// Renders the outcomes seen by clients as JSON, by name.
-pub(super) fn outcomes_as_json(outcomes: &BTreeMap<Got, usize>) -> Map<String, Value> {
+pub(super) fn outcomes_as_json(outcomes: &BTreeMap<RequestOutcome, usize>) -> Map<String, Value> {
     outcomes.iter().map(|(outcome, count)| (format!("{outcome:?}"), json!(count))).collect()
 }
 
 /// Renders the outcomes seen by clients as text.
-pub(super) fn outcomes_as_text(outcomes: &BTreeMap<Got, usize>) -> String {
+pub(super) fn outcomes_as_text(outcomes: &BTreeMap<RequestOutcome, usize>) -> String {
     let counts: Vec<String> =
         outcomes.iter().map(|(outcome, count)| format!("{count} {outcome:?}")).collect();
     counts.join(", ")
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -59,15 +59,15 @@
         let options = Options {
             setup: &setup,
             cut: if args.cut == "hang" { Cut::Hang } else { Cut::Refuse },
-            seconds: args.seconds,
+            cut_seconds: args.seconds,
             clients: args.clients,
-            ignore: args.ignore,
+            ignoring_share: args.ignore,
             damping: *damping,
-            after: args.after,
-            restart: args.restart,
+            observed_seconds: args.after,
+            restarts_router: args.restart,
         };
         let mut progress = |line: &str| print_progress(args.json, &format!("{name}: {line}"));
-        let report = run_in_directory(None, |folder| retry_storm::play(&options, folder, &mut progress))?;
+        let report = run_in_directory(None, |folder| retry_storm::run(&options, folder, &mut progress))?;
         if args.json {
             println!("{}", as_json(name, args.seed, &report));
         } else {
@@ -92,11 +92,11 @@
 }
 
 fn as_json(name: &str, seed: u64, report: &Report) -> Value {
-    json!({"seed": seed, "play": name, "before": report.before, "recovery_s": report.recovery,
-        "peak": report.peak, "pushed_back": report.rejected, "fetches": report.fetches,
+    json!({"seed": seed, "play": name, "before": report.baseline, "recovery_s": report.recovery_seconds,
+        "peak": report.peak_exchanges, "pushed_back": report.rejected, "fetches": report.fetches,
         "functions": report.functions,
         "executions_each": {"before": report.attempts.0, "after": report.attempts.1},
-        "got": outcomes_as_json(&report.got), "broken": broken_as_json(&report.verdict),
+        "got": outcomes_as_json(&report.outcomes), "broken": broken_as_json(&report.verdict),
         "cut": [report.cut.0, report.cut.1], "seconds": report.seconds})
 }
 
@@ -104,17 +104,18 @@
     if rows {
         print_seconds(report);
     }
-    let recovery = report.recovery.map_or("not observed".to_owned(), |seconds| format!("{seconds} s"));
-    println!("  service before the partition {:.1} %; recovery after {recovery}", 100.0 * report.before);
+    let recovery =
+        report.recovery_seconds.map_or("not observed".to_owned(), |seconds| format!("{seconds} s"));
+    println!("  service before the partition {:.1} %; recovery after {recovery}", 100.0 * report.baseline);
     println!(
         "  peak {} exchanges/s; {} rejections; {} fetches after the partition for {} functions in use",
-        report.peak, report.rejected, report.fetches, report.functions
+        report.peak_exchanges, report.rejected, report.fetches, report.functions
     );
     println!(
         "  attempts per request answered in time: {:.2} before the partition, {:.2} in the 10 s after it",
         report.attempts.0, report.attempts.1
     );
-    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
+    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.outcomes));
     print_rules(&report.verdict);
 }
 
--- a/crates/cli/src/scenario/workflows.rs
+++ b/crates/cli/src/scenario/workflows.rs
@@ -92,7 +92,7 @@
 fn run_once(args: &WorkflowArgs, options: &Options<'_>, name: &str) -> Result<Report, NotRun> {
     let load = options.load;
     let mut progress = |line: &str| print_progress(args.json, &format!("load {load}, {name}: {line}"));
-    let report = run_in_directory(None, |folder| workflows::play(options, folder, &mut progress))?;
+    let report = run_in_directory(None, |folder| workflows::run(options, folder, &mut progress))?;
     if args.json {
         print_json(args, load, name, &report);
     } else {
@@ -104,7 +104,7 @@
 fn print_json(args: &WorkflowArgs, load: f64, name: &str, report: &Report) {
     let (unanswered, on_record) = (report.unanswered, report.unanswered_on_record);
     let result = json!({"seed": args.seed, "load": load, "play": name, "chains": report.workflows,
-        "finished": report.finished, "steps": report.steps, "got": outcomes_as_json(&report.got),
+        "finished": report.finished, "steps": report.steps, "got": outcomes_as_json(&report.outcomes),
         "broken": broken_as_json(&report.verdict),
         "unanswered": {"begun": unanswered, "on-record": on_record}});
     println!("{result}");
@@ -116,7 +116,7 @@
         "  {} of {} workflows finished in time; {} steps started at workers",
         report.finished, report.workflows, report.steps
     );
-    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
+    println!("  outcomes seen by clients: {}", outcomes_as_text(&report.outcomes));
     print_rules(&report.verdict);
     print_rule(&report.verdict, 6, DEADLINE_RULE);
     if args.kills > 0 {
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -92,7 +92,7 @@
 
     /// Starts a router with extra command-line arguments.
     pub fn start(&mut self, n: usize, extra_args: &[&str]) {
-        let mut args = vec!["--fleet-through".to_owned(), self.network.at.to_string()];
+        let mut args = vec!["--fleet-through".to_owned(), self.network.proxy.to_string()];
         args.extend(extra_args.iter().map(|arg| (*arg).to_owned()));
         self.routers[n] = Some(start_router(&self.write_settings(n, "\"key\""), &args));
     }
@@ -103,7 +103,7 @@
         self.signal(n, Signal::TERM);
         let status = self.routers[n].as_mut().and_then(|router| router.child.wait().ok());
         assert!(status.is_some_and(|status| status.success()), "router exits on SIGTERM");
-        let args = ["--fleet-through".to_owned(), self.network.at.to_string()];
+        let args = ["--fleet-through".to_owned(), self.network.proxy.to_string()];
         self.routers[n] = Some(start_router_with(program, &self.write_settings(n, "\"key\""), &args));
     }
 
--- a/crates/fleet/src/machine/tests.rs
+++ b/crates/fleet/src/machine/tests.rs
@@ -32,7 +32,7 @@
 
 /// Fires all timers due until `until`.
 fn run_until(fleet: &mut FleetMachine, transport: &mut SimulatedTransport, until: Micros) {
-    while let Some((at, wake)) = transport.due(until) {
+    while let Some((at, wake)) = transport.pop_due(until) {
         fleet.woken(at, transport, wake);
     }
 }
@@ -43,11 +43,11 @@
 #[test_case(0, true, 1; "a socket that refuses to send")]
 fn survives_a_missing_or_refusing_socket(failed_opens: usize, refuses: bool, min_unsent: u64) {
     let mut transport = SimulatedTransport::default();
-    transport.no_posts = failed_opens;
+    transport.failing_datagram_opens = failed_opens;
     let (mut fleet, view) = fleet("a", 1, 2, b"a secret of some length");
     fleet.start(START, &mut transport);
     if refuses {
-        transport.stuck.insert(fleet.socket.expect("open"));
+        transport.blocked.insert(fleet.socket.expect("open"));
     }
     run_until(&mut fleet, &mut transport, START + 10_000_000);
     let page = page(&view.borrow(), START + 10_000_000);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -132,7 +132,7 @@
     /// Advances the clock, firing the timers that are due.
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.transport.due(until) {
+        while let Some((at, wake)) = self.transport.pop_due(until) {
             self.now = self.now.max(at);
             self.gateway.woken(self.now, &mut self.transport, wake);
         }
@@ -147,7 +147,7 @@
     }
 
     pub fn connect_client(&mut self) -> Conn {
-        let conn = self.transport.number();
+        let conn = self.transport.new_conn();
         self.gateway.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
@@ -169,7 +169,7 @@
 
     /// Establishes all pending connections to workers, and returns all that were opened so far.
     pub fn worker_connections(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let all: Vec<Conn> = self.transport.connections.iter().map(|(c, _)| *c).collect();
         let new =
             all.iter().filter(|c| !self.transport.written.contains_key(c) && !self.transport.cut.contains(c));
         for conn in new.copied().collect::<Vec<_>>() {
@@ -186,7 +186,7 @@
 
     /// Everything that the gateway wrote on a connection.
     pub fn output(&self, conn: Conn) -> String {
-        self.transport.told(conn)
+        self.transport.written_text(conn)
     }
 
     pub fn statuses(&self, conn: Conn) -> Vec<u16> {
@@ -197,13 +197,13 @@
     pub fn requests_at(&self, conn: Conn) -> (usize, u64) {
         (
             self.output(conn).matches("POST /run").count(),
-            self.transport.wrote.get(&conn).copied().unwrap_or(0),
+            self.transport.last_write.get(&conn).copied().unwrap_or(0),
         )
     }
 
     /// Returns the number of requests sent to workers, on all connections.
     pub fn requests(&self) -> usize {
-        let worker_connections: BTreeSet<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: BTreeSet<Conn> = self.transport.connections.iter().map(|(c, _)| *c).collect();
         worker_connections.iter().map(|c| self.output(*c).matches("POST /run").count()).sum()
     }
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -71,7 +71,7 @@
 ) {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("confirm", "1");
-    let (connection, _) = sim.transport.connects[0];
+    let (connection, _) = sim.transport.connections[0];
     if connected {
         sim.connected(connection);
     }
@@ -79,7 +79,7 @@
     sim.advance(S);
     sim.worker_connections();
     assert_eq!(sim.requests(), 1, "sent once, to another worker if the first connection failed");
-    assert_eq!(sim.transport.connects.len(), if connected { 1 } else { connections });
+    assert_eq!(sim.transport.connections.len(), if connected { 1 } else { connections });
     assert_eq!(sim.statuses(client).first().copied(), status);
     let again = sim.send_event("confirm", "1");
     if status.is_some() {
@@ -104,13 +104,16 @@
     sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
-    sim.transport.stuck.insert(connection);
+    sim.transport.blocked.insert(connection);
     let client = sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.len(), 1, "the idle connection is reused");
+    assert_eq!(sim.transport.connections.len(), 1, "the idle connection is reused");
     *sim.transport.sent.get_mut(&connection).expect("used before") += bytes;
     sim.disconnect(connection, Closed::Reset);
     sim.worker_connections();
-    assert_eq!((sim.transport.connects.len(), sim.statuses(client).first().copied()), (connections, status));
+    assert_eq!(
+        (sim.transport.connections.len(), sim.statuses(client).first().copied()),
+        (connections, status)
+    );
 }
 
 #[test]
@@ -121,11 +124,11 @@
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
     sim.advance(600 * MS);
     sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.len(), 2);
+    assert_eq!(sim.transport.connections.len(), 2);
     sim.send_event("quote", "3");
-    assert_eq!(sim.transport.connects.len(), 2, "an idempotent request still reuses it");
+    assert_eq!(sim.transport.connections.len(), 2, "an idempotent request still reuses it");
     sim.advance(6 * S);
-    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "cut after the idle timeout");
+    assert!(sim.transport.cut.contains(&sim.transport.connections[1].0), "cut after the idle timeout");
 }
 
 // When a hedged attempt has finished, the other attempt is cancelled by closing its connection, and data that
@@ -225,7 +228,7 @@
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", line("ready")).as_bytes(),
     );
     let client = sim.send_event("quote", "1");
-    let connection = sim.transport.connects[1].0;
+    let connection = sim.transport.connections[1].0;
     sim.receive(list, line("draining").as_bytes());
     sim.connected(connection);
     assert_eq!(sim.requests(), 0, "no new request after the drain notice");
@@ -263,7 +266,7 @@
     let list = sim.worker_connections()[0];
     sim.receive(list, response.as_bytes());
     sim.advance(S);
-    assert!(sim.transport.cut.contains(&list) && sim.transport.connects.len() >= 2, "reconnected");
+    assert!(sim.transport.cut.contains(&list) && sim.transport.connections.len() >= 2, "reconnected");
     let client = sim.send_event("quote", "1");
     let connection = *sim.worker_connections().last().expect("a connection");
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
@@ -341,7 +344,7 @@
     }
     assert_eq!(sim.statuses(slow), [408]);
     let not_reading = sim.connect_client();
-    sim.transport.stuck.insert(not_reading);
+    sim.transport.blocked.insert(not_reading);
     sim.receive(not_reading, event("quote", "2").as_bytes());
     let connection = sim.worker_connections()[0];
     sim.receive(connection, FINISHED_RESPONSE.as_bytes());
@@ -447,7 +450,7 @@
     let (begin, mut pauses) = (sim.now, 0);
     for _ in 0..4_000 {
         sim.connect_client();
-        while !sim.transport.deaf.is_empty() {
+        while !sim.transport.not_accepting.is_empty() {
             pauses += 1;
             sim.advance(5 * MS);
             assert!(sim.now < begin + 3 * S, "accepting is not resumed");
@@ -507,7 +510,7 @@
         let list = sim.worker_connections()[0];
         let client = sim.send_event("quote", "1");
         sim.worker_connections();
-        let (connection, faulty_client) = (sim.transport.connects[1].0, sim.connect_client());
+        let (connection, faulty_client) = (sim.transport.connections[1].0, sim.connect_client());
         for conn in [faulty_client, list, connection] {
             sim.receive(conn, &noise[..split]);
             sim.receive(conn, &noise[split..]);
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -95,7 +95,7 @@
 /// Ports of the workers to which connections were opened, in order.
 fn worker_ports(sim: &mut SimulatedGateway) -> Vec<u16> {
     sim.worker_connections();
-    sim.transport.connects.iter().map(|(_, to)| to.port()).collect()
+    sim.transport.connections.iter().map(|(_, to)| to.port()).collect()
 }
 
 // A worker that was draining before the restart gets no requests until the drain expires, although the list
--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -169,6 +169,6 @@
     replaced.workers = vec![StaticWorker { name: "v1".into(), address, ..replaced.workers[0].clone() }];
     sim.reload(replaced);
     sim.send_event("confirm", "2");
-    assert_eq!(sim.transport.connects.last().map(|(_, to)| *to), Some(address));
+    assert_eq!(sim.transport.connections.last().map(|(_, to)| *to), Some(address));
     assert!(sim.transport.cut.contains(&connection), "the idle connection to the omitted worker");
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! A gateway on loopback sockets, with fake workers and clients in the same reactor.
 mod common;
 
-use applepond_fakes::client::{Client, Got, Planned, Results};
-use applepond_fakes::ledger::{Ledger, Saw};
-use applepond_fakes::worker::{Build, Mood, Turn, Worker};
+use applepond_fakes::client::{Client, PlannedRequest, RequestOutcome, Results};
+use applepond_fakes::ledger::{Ledger, Observation};
+use applepond_fakes::worker::{Behaviour, ScriptEvent, Worker, WorkerConfig};
 use applepond_gateway::Gateway;
 use applepond_reactor::{Micros, Reactor};
 use common::{MS, S};
@@ -24,30 +24,30 @@
     ledger: Ledger,
 }
 
-fn worker_config(n: u16, listen: SocketAddr) -> Build {
-    Build {
+fn worker_config(n: u16, listen: SocketAddr) -> WorkerConfig {
+    WorkerConfig {
         name: Rc::from(format!("w{n}")),
         listen,
         rack: 0,
         cores: 64,
         memory_mb: 1_000,
-        queue: 1_000,
+        max_waiting: 1_000,
         store: None,
-        load: 20 * MS,
-        keep: 10 * S,
+        load_time: 20 * MS,
+        idle_unload_time: 10 * S,
         cold_share: 1.0,
-        warm_within: 0,
-        fall_multiple: f64::INFINITY,
-        fall_span: S,
-        window: 3 * S,
+        warmup_time: 0,
+        overload_factor: f64::INFINITY,
+        overload_window: S,
+        dedup_window: 3 * S,
         seed: 1,
-        openings: 400,
-        prepare: 1_000,
+        prefix_units: 400,
+        prepare_time_per_unit: 1_000,
     }
 }
 
 /// Starts a gateway and fake workers, each of which follows the script `turns`.
-fn fleet(workers: u16, turns: &[(Micros, Turn)]) -> Fleet {
+fn fleet(workers: u16, turns: &[(Micros, ScriptEvent)]) -> Fleet {
     let mut reactor = Reactor::new().expect("epoll");
     let ledger = Ledger::default();
     let mut deployment = common::deployment(workers);
@@ -82,34 +82,34 @@
 }
 
 /// Counts requests by their outcome.
-fn outcomes(results: &Results) -> BTreeMap<Got, usize> {
+fn outcomes(results: &Results) -> BTreeMap<RequestOutcome, usize> {
     let mut outcomes = BTreeMap::new();
-    results.got.iter().for_each(|(got, _)| *outcomes.entry(*got).or_default() += 1);
+    results.outcomes.iter().for_each(|(got, _)| *outcomes.entry(*got).or_default() += 1);
     outcomes
 }
 
-fn planned_request(at: Micros, n: usize, kind: &'static str) -> Planned {
-    Planned {
+fn planned_request(at: Micros, n: usize, kind: &'static str) -> PlannedRequest {
+    PlannedRequest {
         at,
         source: "/desk".into(),
         id: n.to_string(),
-        kind,
+        event_type: kind,
         function: format!("hut-{}", n % 8),
         customer: "huts",
         work_ms: 1,
-        limit: 4 * S,
-        target: 2 * S,
+        timeout: 4 * S,
+        latency_target: 2 * S,
         idempotent: kind == "quote",
         keyed: kind == "hold",
         structured: n.is_multiple_of(2),
         router: 0,
-        tries: 1,
-        stays: None,
-        ignores: false,
-        twin_after: None,
-        leaves_after: None,
-        opening: None,
-        follow: None,
+        max_attempts: 1,
+        sticky_retry_delay: None,
+        ignores_retry_after: false,
+        duplicate_after: None,
+        disconnect_after: None,
+        prefix: None,
+        follow_up: None,
     }
 }
 
@@ -124,26 +124,38 @@
     fleet.reactor.add(Box::new(client));
     run_until(&mut fleet.reactor, || results.borrow().done == 1_000);
     fleet.ledger.read(|seen| {
-        let count = |what: fn(&Saw) -> bool| seen.iter().filter(|(_, saw)| what(saw)).count();
-        assert_eq!(count(|s| matches!(s, Saw::Asked { .. })), 1_000);
-        assert_eq!(count(|s| matches!(s, Saw::Answered { .. })), 1_000);
-        assert_eq!(count(|s| matches!(s, Saw::Stray { .. } | Saw::Cut { .. } | Saw::GaveUp { .. })), 0);
+        let count = |what: fn(&Observation) -> bool| seen.iter().filter(|(_, saw)| what(saw)).count();
+        assert_eq!(count(|s| matches!(s, Observation::RequestSent { .. })), 1_000);
+        assert_eq!(count(|s| matches!(s, Observation::ResponseReceived { .. })), 1_000);
+        assert_eq!(
+            count(|s| matches!(
+                s,
+                Observation::UnexpectedBytes { .. }
+                    | Observation::ConnectionLost { .. }
+                    | Observation::ClientTimedOut { .. }
+            )),
+            0
+        );
     });
     let outcomes = outcomes(&results.borrow());
-    let ok = outcomes.get(&Got::Finished).unwrap_or(&0) + outcomes.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 500 && ok + outcomes.get(&Got::PushedBack).unwrap_or(&0) == 1_000, "{outcomes:?}");
+    let ok = outcomes.get(&RequestOutcome::Finished).unwrap_or(&0)
+        + outcomes.get(&RequestOutcome::Late).unwrap_or(&0);
+    assert!(
+        ok >= 500 && ok + outcomes.get(&RequestOutcome::PushedBack).unwrap_or(&0) == 1_000,
+        "{outcomes:?}"
+    );
 }
 
 // Whether workers cut responses, hang, fail or send garbage, an at-most-once request is begun at most once
 // and gets one answer.
-#[test_case(Mood::CutAnswers, &[Got::Killed, Got::PushedBack]; "cut")]
-#[test_case(Mood::Garbage, &[Got::Killed, Got::PushedBack]; "garbage")]
-#[test_case(Mood::FailFast(1.0), &[Got::Killed, Got::PushedBack]; "fail")]
-#[test_case(Mood::Hang, &[Got::Killed, Got::PushedBack]; "hang")]
-#[test_case(Mood::TwoAnswers, &[Got::Finished, Got::PushedBack]; "two answers")]
-#[test_case(Mood::RefuseAll, &[Got::PushedBack, Got::PushedBack]; "full")]
-fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Mood, allowed: &[Got]) {
-    let mut fleet = fleet(3, &[(0, Turn::Mood(mood))]);
+#[test_case(Behaviour::CutAnswers, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "cut")]
+#[test_case(Behaviour::Garbage, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "garbage")]
+#[test_case(Behaviour::FailFast(1.0), &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "fail")]
+#[test_case(Behaviour::Hang, &[RequestOutcome::Killed, RequestOutcome::PushedBack]; "hang")]
+#[test_case(Behaviour::TwoAnswers, &[RequestOutcome::Finished, RequestOutcome::PushedBack]; "two answers")]
+#[test_case(Behaviour::RefuseAll, &[RequestOutcome::PushedBack, RequestOutcome::PushedBack]; "full")]
+fn no_at_most_once_request_runs_twice_among_failing_workers(mood: Behaviour, allowed: &[RequestOutcome]) {
+    let mut fleet = fleet(3, &[(0, ScriptEvent::SetBehaviour(mood))]);
     let at = fleet.reactor.now() + 50 * MS;
     let plan = (0..40).map(|n| planned_request(at + n as Micros * 5 * MS, n, "confirm")).collect();
     let (client, results) =
@@ -155,7 +167,7 @@
             let event = format!("/desk {n}");
             let began = seen
                 .iter()
-                .filter(|(_, s)| matches!(s, Saw::Began { event: e, .. } if **e == *event))
+                .filter(|(_, s)| matches!(s, Observation::RequestStarted { event: e, .. } if **e == *event))
                 .count();
             assert!(began <= 1, "{event} began {began} times");
         }
@@ -169,18 +181,22 @@
 fn idempotent_requests_of_a_dead_worker_are_answered_by_another() {
     let mut fleet = fleet(2, &[]);
     let at = fleet.reactor.now() + 50 * MS;
-    let requests = (0..20).map(|n| Planned { work_ms: 200, ..planned_request(at, n, "quote") }).collect();
+    let requests =
+        (0..20).map(|n| PlannedRequest { work_ms: 200, ..planned_request(at, n, "quote") }).collect();
     let (client, results) =
         Client::new(requests, Rc::new(RefCell::new(vec![fleet.gateway])), fleet.ledger.clone());
     fleet.reactor.add(Box::new(client));
     let ledger = fleet.ledger.clone();
-    run_until(&mut fleet.reactor, || ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Saw::Began { .. }))));
+    run_until(&mut fleet.reactor, || {
+        ledger.read(|s| s.iter().any(|(_, s)| matches!(s, Observation::RequestStarted { .. })))
+    });
     // The first machine added is the first worker.
     fleet.reactor.remove(0);
     run_until(&mut fleet.reactor, || results.borrow().done == 20);
     let outcomes = outcomes(&results.borrow());
-    let ok = outcomes.get(&Got::Finished).unwrap_or(&0) + outcomes.get(&Got::Late).unwrap_or(&0);
-    assert!(ok >= 15 && !outcomes.contains_key(&Got::Broken), "{outcomes:?}");
+    let ok = outcomes.get(&RequestOutcome::Finished).unwrap_or(&0)
+        + outcomes.get(&RequestOutcome::Late).unwrap_or(&0);
+    assert!(ok >= 15 && !outcomes.contains_key(&RequestOutcome::Broken), "{outcomes:?}");
 }
 
 // Clients that send one byte at a time, and clients that never read, do not affect other clients.
@@ -207,7 +223,7 @@
         }
         results.borrow().done == 100
     });
-    assert_eq!(outcomes(&results.borrow()), [(Got::Finished, 100)].into());
+    assert_eq!(outcomes(&results.borrow()), [(RequestOutcome::Finished, 100)].into());
 }
 
 #[test]
--- a/crates/gateway/tests/workflows.rs
+++ b/crates/gateway/tests/workflows.rs
@@ -61,8 +61,13 @@
 fn latest_request(sim: &mut SimulatedGateway) -> (Conn, String) {
     sim.worker_connections();
     let last_request = |c: &Conn| sim.output(*c).split("POST /run").last().unwrap_or_default().to_owned();
-    let open: Vec<Conn> =
-        sim.transport.connects.iter().map(|(c, _)| *c).filter(|c| !sim.transport.cut.contains(c)).collect();
+    let open: Vec<Conn> = sim
+        .transport
+        .connections
+        .iter()
+        .map(|(c, _)| *c)
+        .filter(|c| !sim.transport.cut.contains(c))
+        .collect();
     let newest =
         open.into_iter().max_by_key(|c| (sim.requests_at(*c).1, *c)).expect("a worker was sent something");
     (newest, last_request(&newest))
@@ -205,7 +210,7 @@
 
     /// Counts the steps sent by this instance, and replaces it by a new one.
     fn restart(&mut self) {
-        let worker_connections: Vec<Conn> = self.sim.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: Vec<Conn> = self.sim.transport.connections.iter().map(|(c, _)| *c).collect();
         for output in worker_connections.iter().map(|c| self.sim.output(*c)) {
             for id in output.split("ce-id: ").skip(1) {
                 *self.sent.entry(id.split("\r\n").next().unwrap_or_default().to_owned()).or_default() += 1;
@@ -232,10 +237,10 @@
                 return;
             }
             let (conn, request) = latest_request(sim);
-            if sim.transport.answered.contains(&sim.requests_at(conn).1) {
+            if sim.transport.answered_writes.contains(&sim.requests_at(conn).1) {
                 return;
             }
-            sim.transport.answered.insert(sim.requests_at(conn).1);
+            sim.transport.answered_writes.insert(sim.requests_at(conn).1);
             sim.advance(25 * MS);
             let body = match request {
                 _ if request.contains("/price") => "{\"hut\":\"lucni\"}",
