--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -47,8 +47,8 @@
         #[arg(long, default_value_t = 16)]
         most: usize,
     },
-    /// An endpoint list that reports the given workers as ready. `POST /-/standing?NAME=draining` changes
-    /// one.
+    /// An endpoint list that reports the given workers as ready. `POST /-/standing?NAME=draining` changes the
+    /// status of one.
     Hosts {
         #[arg(long)]
         listen: SocketAddr,
--- a/crates/cli/src/fleet/adapters.rs
+++ b/crates/cli/src/fleet/adapters.rs
@@ -55,8 +55,8 @@
         let baseline = baseline.map(|[first_attempts_per_second, connections_per_second, pace]| {
             TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
         });
-        let promised = retries.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
-        Some(RestoredTraffic { baseline, scheduled_retries: promised.collect() })
+        let scheduled = retries.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
+        Some(RestoredTraffic { baseline, scheduled_retries: scheduled.collect() })
     }
     fn pending_workers(&mut self, now: Micros) -> Vec<RestoredWorker> {
         let pending = self.observations.borrow_mut().pending_worker_history(now).into_iter();
--- a/crates/cli/src/fleet/injection.rs
+++ b/crates/cli/src/fleet/injection.rs
@@ -22,8 +22,8 @@
 }
 
 impl FaultInjection {
-    /// Creates the faults given on the command line. A seeded bug disables a guard, unless it is one of the
-    /// gateway's.
+    /// Creates the faults given on the command line. A seeded bug of the fleet disables guards; one of the
+    /// gateway changes nothing here.
     pub(crate) fn new(seeded_bug: Option<&str>, proxy: Option<SocketAddr>, disk: DiskFault) -> Self {
         let safeguards = seeded_bug.and_then(Safeguards::without);
         let recovery = seeded_bug.and_then(RecoveryGuards::without);
@@ -59,7 +59,8 @@
     pub(crate) const ALL: RecoveryGuards =
         RecoveryGuards { peers: Guards::ALL, without_peers: false, keeps_drains: true };
 
-    /// Returns all guards except the one that this seeded bug disables, or `None` for any other bug.
+    /// Returns the guards that remain enabled with this seeded bug, or `None` if it is not a bug of the
+    /// recovery.
     fn without(seeded_bug: &str) -> Option<RecoveryGuards> {
         let all = RecoveryGuards::ALL;
         match seeded_bug {
--- a/crates/cli/src/fleet/mod.rs
+++ b/crates/cli/src/fleet/mod.rs
@@ -97,7 +97,7 @@
         bootstrap: bootstrap_number(config),
         is_replica: config.votes_file.is_some(),
         has_snapshot: config.snapshot_file.is_some(),
-        prefix_terms: config.prefix_cache.as_ref().map(prefix_cost_model),
+        prefix_cost_model: config.prefix_cache.as_ref().map(prefix_cost_model),
     }
 }
 
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -42,8 +42,8 @@
 
 /// Runs a router with this configuration until it exits.
 pub(crate) fn node(file: PathBuf) -> ExitCode {
-    let start = match read(&file) {
-        Ok(start) => start,
+    let config = match read(&file) {
+        Ok(config) => config,
         Err(why) => {
             print_error("", &why);
             return ExitCode::from(USAGE_ERROR);
@@ -64,7 +64,7 @@
     let reported_reason = exit_reason.clone();
     reactor.add(Box::new(Node::new(
         reactor.now(),
-        start,
+        config,
         process_events,
         Box::new(move |reason| reported_reason.set(Some(reason))),
     )));
--- a/crates/cli/src/scenario/membership.rs
+++ b/crates/cli/src/scenario/membership.rs
@@ -49,7 +49,7 @@
     Ok(Outcome::from_breach(!report.broken.is_empty()))
 }
 
-/// Returns the time in ms within which `percent` of the observations had detected a kill.
+/// Returns a percentile of the times in ms until another router knew of a kill, or `None` without kills.
 fn known_within(report: &Report, percent: usize) -> Option<u64> {
     report.known.get(report.known.len().saturating_sub(1) * percent / 100).copied()
 }
--- a/crates/cli/src/scenario/mod.rs
+++ b/crates/cli/src/scenario/mod.rs
@@ -19,24 +19,27 @@
 /// The available scenarios. Those with a `name` attribute keep an older name on the command line.
 #[derive(Subcommand)]
 pub(crate) enum Scenario {
-    /// A sequence of faults: a load spike, a stale endpoint list, a rolling drain, the loss of a zone, an
-    /// outage of the model store, faulty workers and a killed router.
+    /// A sequence of faults: a load spike, a delayed endpoint list, a drain of a quarter of the workers, the
+    /// loss of a zone's workers, an outage of the model store, faulty workers and a killed router.
     BadDay(bad_day::BadDayArgs),
     /// Workflows with one deadline, compared with clients that call the same steps one by one with fixed
     /// timeouts.
     #[command(name = "chains")]
     Workflows(workflows::WorkflowArgs),
-    /// Fleet membership under kills, packet loss, pauses, one-way and slow links, stops and partitions.
+    /// Fleet membership under kills, packet loss, pauses, one-way and slow links, stops and partitions. The
+    /// routers' views are checked against the faults injected.
     #[command(name = "members")]
     Membership(membership::MembershipArgs),
-    /// Recovery after most routers are killed and restarted while requests are in flight.
+    /// Recovery after most routers are killed and restarted while requests are in flight, checked from what
+    /// workers, clients and the network observe.
     #[command(name = "comeback")]
     Recovery(recovery::RecoveryArgs),
     /// Requests with common prompt prefixes: what pinning saves, and whether one router alone can cause a
-    /// pin.
+    /// pin, checked from what workers observe.
     #[command(name = "openings")]
     Prefixes(prefixes::PrefixArgs),
-    /// One zone of three is partitioned while its clients keep retrying, and then comes back.
+    /// One zone of three fails with its routers and workers, while its clients keep retrying, and then comes
+    /// back.
     RetryStorm(retry_storm::RetryStormArgs),
 }
 
--- a/crates/cli/src/scenario/prefixes.rs
+++ b/crates/cli/src/scenario/prefixes.rs
@@ -71,8 +71,8 @@
         args.seed, args.routers, args.fault, report.requests
     );
     println!(
-        "  last 20 s: {:.1} % in time, {:.1} s spent preparing {} prefixes; {} had a lease, at most {} at \
-         one worker",
+        "  last 20 s: {:.1} % in time, {:.1} s spent on {} prefix preparations; {} prefixes had a lease, at \
+         most {} at one worker",
         100.0 * report.in_time,
         report.preparing_seconds,
         report.prepared,
--- a/crates/cli/src/scenario/retry_storm.rs
+++ b/crates/cli/src/scenario/retry_storm.rs
@@ -1,4 +1,4 @@
-//! The `drill retry-storm` scenario: retries of clients after a partition.
+//! The `drill retry-storm` scenario: retries of clients during and after the outage of a zone.
 use super::report::{broken_as_json, outcomes_as_json, outcomes_as_text, print_rules};
 use super::{NotRun, Outcome, print_progress, run_in_directory, setup};
 use applepond_scenarios::chart;
@@ -14,10 +14,10 @@
     /// Total number of clients; each uses the router of its zone only.
     #[arg(long, default_value_t = 5000, value_parser = clap::value_parser!(u64).range(10..=100_000))]
     clients: u64,
-    /// Whether connections to the partitioned zone hang or are refused.
+    /// How the zone fails: its processes hang, or are killed so that connections are refused.
     #[arg(long, value_parser = ["hang", "refuse"], default_value = "refuse")]
     cut: String,
-    /// Duration of the partition in s.
+    /// Duration of the outage in s.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..=80))]
     seconds: u64,
     /// Fraction of the clients that ignore Retry-After and retry ten times a second.
@@ -26,7 +26,7 @@
     /// Whether the routers damp retries; `both` runs the scenario with damping and then without it.
     #[arg(long, value_parser = ["on", "off", "both"], default_value = "on")]
     damping: String,
-    /// Observation time after the partition in s.
+    /// Observation time after the outage in s.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(10..=600))]
     after: u64,
     /// Restarts a router of another zone in the middle of the retry storm.
@@ -105,13 +105,13 @@
         print_seconds(report);
     }
     let recovery = report.recovery.map_or("not observed".to_owned(), |seconds| format!("{seconds} s"));
-    println!("  service before the partition {:.1} %; recovery after {recovery}", 100.0 * report.before);
+    println!("  service before the outage {:.1} %; recovery after {recovery}", 100.0 * report.before);
     println!(
-        "  peak {} exchanges/s; {} rejections; {} fetches after the partition for {} functions in use",
+        "  peak {} exchanges/s; {} rejections; {} fetches after the outage for {} functions in use",
         report.peak, report.rejected, report.fetches, report.functions
     );
     println!(
-        "  attempts per request answered in time: {:.2} before the partition, {:.2} in the 10 s after it",
+        "  attempts per request answered in time: {:.2} before the outage, {:.2} in the 10 s after it",
         report.attempts.0, report.attempts.1
     );
     println!("  outcomes seen by clients: {}", outcomes_as_text(&report.got));
--- a/crates/cli/src/scenario/workflows.rs
+++ b/crates/cli/src/scenario/workflows.rs
@@ -24,7 +24,8 @@
     /// them.
     #[arg(long, value_delimiter = ',', num_args = 3, default_values_t = [1, 1, 1])]
     importance: Vec<u64>,
-    /// Number of times that a router is killed at random and restarted. Disables the step-by-step run.
+    /// Number of kills. Each kills a random router at a random time and restarts it. Disables the
+    /// step-by-step run.
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u64).range(0..=2000))]
     kills: u64,
     /// Seeded bug to enable: late-step, chain-twice, or one of the bad-day scenario.
@@ -47,8 +48,8 @@
     let blocks = chain_blocks(args)?;
     let setup = setup(args.seed, 2, 6, args.plant.clone()).map_err(|_| NotRun)?;
     let importance = [args.importance[0], args.importance[1], args.importance[2]];
-    // Kills and seeded bugs affect the routers only, so that the step-by-step run would show nothing.
-    let compares = args.plant.is_none() && args.kills == 0;
+    // Kills and seeded bugs are for workflows that the routers execute, not for step-by-step clients.
+    let runs_step_by_step = args.plant.is_none() && args.kills == 0;
     let mut is_broken = false;
     for load in args.load.iter().copied() {
         let mut options = Options {
@@ -61,7 +62,7 @@
         };
         let by_routers = run_once(args, &options, "by routers")?;
         is_broken |= breaks_a_rule(&by_routers);
-        if !compares {
+        if !runs_step_by_step {
             continue;
         }
         options.step_by_step = true;
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Reads a settings file. Errors in it are printed, and the exit status is returned.
+/// Reads a settings file. On failure, the errors have been printed and `Err` holds the exit status.
 pub(crate) fn read(file: &Path) -> Result<Deployment, u8> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{}: {error}", file.display());
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -251,7 +251,7 @@
     own.as_object_mut().expect("an object").remove("specifics");
 }
 
-/// Settings of a customer whose classes deduplicate by key, with a tenant that has no quota.
+/// Settings of a customer with classes that are deduplicated by key, and with a tenant that has no quota.
 fn archive(file: &mut Value) {
     let own = &mut file["settings"];
     own["lanes"] = json!([
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -59,8 +59,8 @@
 pub trait Disks {
     /// Queues a request for the acceptor. Returns false if the queue is full or there is no acceptor.
     fn submit_acceptor_request(&mut self, message: &[u8]) -> bool;
-    /// Queues a snapshot that replaces the file. Returns false if an earlier one is still queued or there is
-    /// no file.
+    /// Queues a snapshot that replaces the file. Returns false if an earlier one is still queued, or if no
+    /// snapshot file is configured.
     fn write_snapshot(&mut self, bytes: Vec<u8>) -> bool;
     /// Takes the next event, if there is one.
     fn next_event(&mut self) -> Option<DiskEvent>;
@@ -168,8 +168,9 @@
 }
 
 impl Drop for DiskThreads {
-    /// Closes the queues without joining the threads. They finish the writes already queued, unless the disk
-    /// hangs or the process ends first.
+    /// Closes the queues without joining the threads. A thread finishes the write in progress and ends when
+    /// it cannot report it; writes still queued may be lost. If the disk hangs, its thread ends with the
+    /// process.
     fn drop(&mut self) {
         self.acceptor_requests = None;
         self.snapshots = None;
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -136,7 +136,8 @@
     instance_id: u64,
     /// This router.
     router: u64,
-    /// The datagram opened last was addressed to this process, not to any process of this router.
+    /// Whether the datagram opened last was addressed to this process, rather than to this router or to any
+    /// router.
     last_was_for_process: bool,
     /// The first key seals; any of them opens.
     keys: Vec<FleetKey>,
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -35,9 +35,10 @@
     pub(crate) envelopes: Envelopes,
     /// Datagrams sealed for sending.
     pub(crate) sent: u64,
-    /// Datagrams of `sent` that the kernel did not accept.
+    /// Datagrams of `sent` that the kernel did not accept, or for which no socket was open.
     pub(crate) unsent: u64,
-    /// Messages that could not be decoded or had no recipient.
+    /// Membership messages that could not be decoded, and shared-state messages that were rejected: their
+    /// sender is unknown, they were not addressed to this process, or there is no shared state.
     pub(crate) unreadable: u64,
 }
 
@@ -104,7 +105,7 @@
 
 impl FleetMachine {
     /// Creates the machine and the view that it shares with the rest of the process. `seed` seeds the random
-    /// numbers. The instance id is derived from it, so that it must differ at each start.
+    /// numbers and must differ at each start, as the instance id is derived from it.
     pub fn new(now: Micros, config: FleetMachineConfig, seed: u64) -> (Self, Rc<RefCell<FleetView>>) {
         let FleetMachineConfig { name, zone, listen, seeds, keys, proxy, safeguards } = config;
         let instance_id = InstanceId(seed | 1);
@@ -246,7 +247,8 @@
                 *unreadable += u64::from(members.handle_message(now, message, actions).is_err());
                 return;
             }
-            // Rejects a message recorded before this process started, which is addressed to its predecessor.
+            // Requires a message addressed to this process: one that was recorded before this process started
+            // is not.
             let from = members
                 .router_of_instance(InstanceId(instance_id))
                 .filter(|_| envelopes.last_was_for_process());
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -48,8 +48,8 @@
     pub is_replica: bool,
     /// This router has a snapshot file.
     pub has_snapshot: bool,
-    /// Cost model of prompt prefixes; `None` if none are pinned.
-    pub prefix_terms: Option<CostModel>,
+    /// Cost model of prompt prefixes; `None` if prefixes are not pinned.
+    pub prefix_cost_model: Option<CostModel>,
 }
 
 /// Name of a recovery stage in the log. The operations documentation lists these names.
@@ -88,7 +88,7 @@
     /// Reason for the lack of agreement last logged.
     logged_unavailable: Option<Unavailable>,
     prefixes: Option<Prefixes>,
-    /// Messages that could not be decoded.
+    /// Messages that could not be decoded, or are for a register that this router does not have.
     unreadable: u64,
     /// Last error of the snapshot file.
     snapshot_error: Option<String>,
@@ -166,7 +166,7 @@
             published_at: 0,
             logged_stage: Stage::Requesting,
             logged_unavailable: None,
-            prefixes: config.prefix_terms.map(|terms| Prefixes::new(now, terms)),
+            prefixes: config.prefix_cost_model.map(|cost_model| Prefixes::new(now, cost_model)),
             unreadable: 0,
             snapshot_error: None,
             snapshots_written: 0,
@@ -237,7 +237,7 @@
         let (boot, at) = self.disks.boot();
         let bytes =
             recovery::encode_snapshot(self.router.0, boot, at, now, self.observations.borrow().facts());
-        // Dropped if the previous snapshot is still being written, as the next one will be newer.
+        // Dropped if an earlier snapshot is still queued, as the next one will be newer.
         self.disks.write_snapshot(bytes);
     }
 
@@ -287,7 +287,7 @@
         messages.0
     }
 
-    /// Returns whether the message could be decoded.
+    /// Returns whether there is a register and the message could be decoded.
     fn handle_register_message(&mut self, now: Micros, message: &[u8], messages: &mut Messages) -> bool {
         let seen = self.versions_seen(now);
         let mut written = MessageWriter::new(self.router);
@@ -327,7 +327,7 @@
         self.published_version = seen;
         self.published_at = now;
         let value = postcard::to_stdvec(&seen.unwrap_or((InstanceId(0), 0))).unwrap_or_default();
-        // Cannot fail: the value is small and replaces the previous one, so that it always fits.
+        // Cannot fail: there is always room, as the value is small and replaces the previous one.
         let _ = self.gossip.publish(now, SEEN_VERSION, Key(self.bootstrap), &value);
     }
 
--- a/crates/fleet/src/shared_state/disk_events.rs
+++ b/crates/fleet/src/shared_state/disk_events.rs
@@ -36,7 +36,7 @@
             tracing::warn!(
                 reason = "snapshot-unusable",
                 why,
-                "recovery: the snapshot is unusable; relying on peers for recovery"
+                "recovery: the snapshot is unusable; facts can only come from peers"
             );
         }
         self.snapshot_error = why;
--- a/crates/fleet/src/shared_state/prefixes.rs
+++ b/crates/fleet/src/shared_state/prefixes.rs
@@ -31,7 +31,7 @@
     /// Usage counts of this router.
     counts: PaneCounter,
     /// Decides which prefixes are pinned.
-    pins: PinPlanner,
+    planner: PinPlanner,
     /// Sizes of prefixes, in the unit that requests use.
     sizes: BTreeMap<PrefixId, u32>,
     /// The agreed list of pins, as last decoded.
@@ -44,10 +44,10 @@
 }
 
 impl Prefixes {
-    pub(super) fn new(now: Micros, terms: CostModel) -> Self {
+    pub(super) fn new(now: Micros, cost_model: CostModel) -> Self {
         Prefixes {
             counts: PaneCounter::new(now),
-            pins: PinPlanner::new(now, terms),
+            planner: PinPlanner::new(now, cost_model),
             sizes: BTreeMap::new(),
             list: PinList::default(),
             version: 0,
@@ -77,7 +77,7 @@
             PaneCounter::unbounded_fleet_usage(counts)
         };
         let sizes = &self.sizes;
-        self.pins.next_list(now, &self.list, &usage, |id| sizes.get(&id).copied())
+        self.planner.next_list(now, &self.list, &usage, |id| sizes.get(&id).copied())
     }
 }
 
@@ -106,7 +106,7 @@
     /// Sets the number of ready workers, on which the number of prefixes worth pinning depends.
     pub fn set_ready_workers(&mut self, ready: usize) {
         if let Some(prefixes) = &mut self.prefixes {
-            prefixes.pins.cost_model_mut().workers = ready.max(1) as f64;
+            prefixes.planner.cost_model_mut().workers = ready.max(1) as f64;
         }
     }
 
