--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -67,7 +67,7 @@
     pub disconnect_after: Option<Micros>,
     /// Name and size of its prompt prefix.
     pub prefix: Option<(String, u32)>,
-    /// Computes the next request once this one has succeeded.
+    /// Computes the next request once this one has succeeded within its latency target.
     pub follow_up: Option<FollowUp>,
 }
 
@@ -105,7 +105,7 @@
 /// Results of the requests.
 #[derive(Default)]
 pub struct Results {
-    /// By request, its outcome and the time in µs until then.
+    /// By request, its outcome and the time in µs from its planned first attempt until then.
     pub outcomes: Vec<(RequestOutcome, Micros)>,
     /// Number of requests that have ended.
     pub done: usize,
--- a/crates/fakes/src/endpoint_list.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! A fake endpoint list: holds the status of all workers and streams changes, after a delay, to the routers
-//! that watch it.
+//! A fake endpoint list: holds the status of all workers and streams changes to the routers that watch it.
+//! Scenarios schedule each change later than it happens at the worker.
 use crate::http_peer::HttpPeer;
 use crate::ledger::{Ledger, Observation};
 use applepond_http::decode::Side;
--- a/crates/fakes/src/simulated_transport.rs
+++ b/crates/fakes/src/simulated_transport.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Records the commands of a machine and plays the part of the kernel.
+/// Records the commands of a machine and simulates the kernel's side of its sockets.
 #[derive(Default)]
 pub struct SimulatedTransport {
     next: u64,
@@ -18,11 +18,11 @@
     pub sent: BTreeMap<Conn, u64>,
     /// Connections on which the kernel accepts no bytes.
     pub blocked: BTreeSet<Conn>,
-    /// Limit of the bytes that one `offer` accepts, by connection.
+    /// Maximum number of bytes that one call of `try_write` accepts, by connection.
     pub accept_limit: BTreeMap<Conn, usize>,
-    /// Connections closed at once.
+    /// Connections that the machine closed with `abort`, without waiting for unsent bytes.
     pub cut: BTreeSet<Conn>,
-    /// Connections closed after all bytes are sent.
+    /// Connections that the machine closed with `finish`, to end once all bytes are sent.
     pub finished: BTreeSet<Conn>,
     /// Connections on which reading is paused.
     pub paused: BTreeSet<Conn>,
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -15,12 +15,13 @@
 pub struct Store {
     /// Address on which it listens.
     pub listen: SocketAddr,
-    /// Base duration of a fetch in µs. With `n` fetches running, the `n`th takes `n / max_fetches` of this
-    /// longer.
+    /// Base duration of a fetch in µs. A fetch that is the `n`th of those running takes
+    /// `1 + n / max_fetches` times as long.
     pub fetch_time: Micros,
     /// Limit of concurrent fetches.
     pub max_fetches: usize,
-    /// Start and end of each outage. Fetches in progress break off half way, new ones get no response.
+    /// Start and end of each outage. Fetches in progress break off half way. The connection of a new fetch is
+    /// closed without a response.
     pub outages: Vec<(Micros, Micros)>,
     /// Receives the observations.
     pub ledger: Ledger,
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Interval in µs at which a hanging worker rechecks whether it may finish a request.
+/// Interval in µs at which a hanging or stalled worker rechecks whether it may finish a request.
 const HANG_POLL_INTERVAL: Micros = 100_000;
 
 /// The events with an idempotency key that finished in a rack, with the time until which duplicates are
@@ -85,8 +85,8 @@
     /// Requests received within `overload_window`.
     recent: VecDeque<Recent>,
     timers: Vec<Option<Timer>>,
-    /// Number of times the process has stopped. Keeps result ids unique and makes timers of requests from
-    /// before a stop void.
+    /// Number of times the process has stopped. Keeps result ids unique and invalidates the timers of
+    /// requests that were running at a stop.
     generation: u64,
     /// Number of responses with a result. Part of the result's id.
     results: u64,
--- a/crates/fakes/src/worker/config.rs
+++ b/crates/fakes/src/worker/config.rs
@@ -61,7 +61,7 @@
     NoHandshakes,
     /// Rejects all requests.
     RefuseAll,
-    /// Rejects the requests of one customer, identified by the sum of the bytes of its name.
+    /// Rejects the requests of one customer, identified by the sum of the bytes of its name, modulo 256.
     RefuseCustomer(u8),
     /// Sends each response twice.
     TwoAnswers,
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -74,7 +74,8 @@
         transport.write(conn, &encode::response(status).body(b""));
     }
 
-    /// Applies the configured misbehaviour. Returns whether it consumed the request.
+    /// Applies the current behaviour if it concerns arriving requests. Returns whether it consumed the
+    /// request.
     fn misbehaves(
         &mut self,
         now: Micros,
--- a/crates/fakes/src/worker/response.rs
+++ b/crates/fakes/src/worker/response.rs
@@ -13,7 +13,8 @@
 /// Contents of a response.
 pub(super) struct Response {
     pub(super) status: u16,
-    /// Outcome header; empty if the status says enough.
+    /// Value of the `applepond-outcome` header. If empty, the header is omitted and the status alone tells
+    /// the outcome.
     pub(super) outcome: &'static str,
     /// State of the function's copy when the request arrived; empty if unknown.
     pub(super) copy: &'static str,
@@ -21,7 +22,7 @@
     pub(super) same_function: usize,
 }
 
-/// Booking data of a result, derived from the event so that repeated runs agree.
+/// Data that a result carries besides its price, derived from the request's event.
 #[derive(Clone, Copy)]
 pub(super) struct BookingData {
     hut: u64,
