--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -25,7 +25,7 @@
     AtMostOnce,
 }
 
-/// Time during which the scenario kept a router dead.
+/// Time from the kill of a router by the scenario until its restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// Index of the router.
@@ -45,7 +45,7 @@
 
 /// Parameters of the audit.
 pub struct Terms {
-    /// Time in µs after a drain notice during which new requests are still accepted.
+    /// Time in µs after a drain notice during which routers may still send new requests to the worker.
     pub grace: Micros,
     /// Time in µs for which a rack drops duplicates.
     pub dedup_window: Micros,
--- a/crates/scenarios/src/bad_day.rs
+++ b/crates/scenarios/src/bad_day.rs
@@ -1,4 +1,4 @@
-//! The bad day: the faults that a fleet meets on a bad day, compressed into half a minute.
+//! The bad day: all kinds of faults that a fleet can meet in a day, compressed into half a minute.
 use crate::audit::{Effect, Outage, Terms, Verdict, judge};
 use crate::errors::ScenarioError;
 use crate::fleet_settings::fleet_block;
@@ -31,7 +31,7 @@
     pub verdict: Verdict,
     /// Number of requests by outcome, as seen by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// By window: number of requests, and of those that finished within their latency target.
+    /// By window: number of requests, and how many of them finished within their latency target.
     pub windows: Vec<(usize, usize)>,
     /// Events, with their time in µs since the first request.
     pub timeline: Vec<(Micros, String)>,
@@ -157,15 +157,15 @@
     let mut outcomes = BTreeMap::new();
     let mut windows = vec![(0, 0); (plan::ARRIVAL_TIME / WINDOW) as usize + 1];
     let mut latencies: Vec<Micros> = Vec::new();
-    for (request, (end, after)) in plan.requests.iter().zip(&results.outcomes) {
-        *outcomes.entry(*end).or_default() += 1;
+    for (request, (outcome, latency)) in plan.requests.iter().zip(&results.outcomes) {
+        *outcomes.entry(*outcome).or_default() += 1;
         let window = &mut windows[((request.at - begin) / WINDOW) as usize];
         window.0 += 1;
-        if *end == RequestOutcome::Finished {
+        if *outcome == RequestOutcome::Finished {
             window.1 += 1;
         }
-        if matches!(end, RequestOutcome::Finished | RequestOutcome::Late) {
-            latencies.push(*after);
+        if matches!(outcome, RequestOutcome::Finished | RequestOutcome::Late) {
+            latencies.push(*latency);
         }
     }
     latencies.sort_unstable();
--- a/crates/scenarios/src/chart.rs
+++ b/crates/scenarios/src/chart.rs
@@ -33,10 +33,10 @@
         };
         let exchanges = |report: &Report| -> Vec<(f64, f64)> {
             let seconds = report.seconds.iter().enumerate();
-            seconds.map(|(second, (_, _, asked))| (second as f64, *asked as f64)).collect()
+            seconds.map(|(second, (_, _, count))| (second as f64, *count as f64)).collect()
         };
         let seconds = runs.iter().flat_map(|(_, report)| &report.seconds);
-        let most = seconds.map(|(_, _, asked)| *asked).max().unwrap_or(1);
+        let peak = seconds.map(|(_, _, count)| *count).max().unwrap_or(1);
         draw_panel(
             &panels[0],
             "in time, % of the requests that arrived in the second",
@@ -44,7 +44,7 @@
             runs,
             &service,
         )?;
-        draw_panel(&panels[1], "exchanges per second", 1.05 * most as f64, runs, &exchanges)?;
+        draw_panel(&panels[1], "exchanges per second", 1.05 * peak as f64, runs, &exchanges)?;
         area.present().map_err(|error| failed(&error))?;
     }
     Ok(text)
--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -45,7 +45,8 @@
 pub struct Report {
     /// By rule, a description of each breach.
     pub broken: BTreeMap<&'static str, Vec<String>>,
-    /// Time in ms until another router detected a kill, one value per router and kill.
+    /// Time in ms until another router detected a kill, one value per router and kill; `u64::MAX` if it did
+    /// not within twice `DETECTION_LIMIT`.
     pub detection_ms: Vec<u64>,
     /// Time in ms from the end of each fault until all views agreed, with the scene.
     pub convergence_ms: Vec<(&'static str, u64)>,
@@ -334,8 +335,8 @@
             self.network.faults().cut.clear();
             self.watch("stop", Duration::from_secs(2), &[stopped]);
             self.check_accusations(stopped, observer, &baseline);
-            let least = before.get(&format!("r{stopped}")).copied().filter(|_| is_removed);
-            self.check_return(stopped, observer, is_removed, least);
+            let old_incarnation = before.get(&format!("r{stopped}")).copied().filter(|_| is_removed);
+            self.check_return(stopped, observer, is_removed, old_incarnation);
             self.await_agreement("stop", MAX_HEAL_TIME)?;
         }
         Ok(())
@@ -370,7 +371,13 @@
     }
 
     /// Checks that a resumed router rejoins by itself, with a higher incarnation if it was removed.
-    fn check_return(&mut self, stopped: usize, observer: usize, is_removed: bool, before: Option<u64>) {
+    fn check_return(
+        &mut self,
+        stopped: usize,
+        observer: usize,
+        is_removed: bool,
+        old_incarnation: Option<u64>,
+    ) {
         let started = Instant::now();
         let observed = |fleet: &Self| {
             fleet.view(observer).and_then(|view| member(&view, stopped).cloned()).unwrap_or_default()
@@ -385,7 +392,7 @@
             let breach =
                 format!("stop: r{stopped} is running, but r{observer} lists it as {}", entry["standing"]);
             self.record_breach("who was removed and runs comes back", breach);
-        } else if is_removed && entry["incarnation"].as_u64() <= before {
+        } else if is_removed && entry["incarnation"].as_u64() <= old_incarnation {
             let breach = format!("stop: r{stopped} returned with incarnation {}", entry["incarnation"]);
             self.record_breach("who comes back has a higher incarnation", breach);
         }
--- a/crates/scenarios/src/plan.rs
+++ b/crates/scenarios/src/plan.rs
@@ -25,7 +25,7 @@
 const FUNCTIONS: u64 = 40;
 /// Time in µs for which a rack drops duplicates.
 pub const DEDUP_WINDOW: Micros = 3 * S;
-/// Time in µs after a drain notice during which new requests are still accepted.
+/// Time in µs after a drain notice during which routers may still send new requests to the worker.
 pub const DRAIN_GRACE: Micros = 2 * S;
 /// Importance of the workloads quote, hold and confirm.
 pub const IMPORTANCE: [u64; 3] = [1, 3, 5];
@@ -213,7 +213,7 @@
     }
 }
 
-/// Stops all workers of a zone and restarts them cold.
+/// Stops all workers of a zone, except those that drain, and restarts them cold.
 fn add_zone_outage(scripts: &mut [WorkerScript], zone: usize, (from, until): (Micros, Micros)) {
     let stays = |script: &WorkerScript| script.statuses.iter().all(|(_, status)| *status != "gone");
     for script in scripts.iter_mut().filter(|script| script.zone == zone && stays(script)) {
@@ -261,8 +261,8 @@
     let mut requests = Vec::new();
     let mut at = begin;
     while at < begin + ARRIVAL_TIME {
-        let times = if (jump.0..jump.1).contains(&at) { JUMP_FACTOR } else { 1.0 };
-        let gap = -(1.0 - rng.rand_float()).ln() / (RATE * workers as f64 * times) * S as f64;
+        let factor = if (jump.0..jump.1).contains(&at) { JUMP_FACTOR } else { 1.0 };
+        let gap = -(1.0 - rng.rand_float()).ln() / (RATE * workers as f64 * factor) * S as f64;
         at += gap as Micros + 1;
         let mut draw = rng.rand_float() * harmonic;
         let rank = (1..FUNCTIONS).find(|rank| {
@@ -274,7 +274,7 @@
             5..8 => "hold",
             _ => "confirm",
         };
-        let chance = |rng: &mut Rand64, part: f64| rng.rand_float() < part;
+        let chance = |rng: &mut Rand64, probability: f64| rng.rand_float() < probability;
         requests.push(PlannedRequest {
             at,
             source: format!("/desks/{}", rng.rand_range(0..9)),
@@ -336,7 +336,7 @@
         workers.collect()
     }
 
-    fn row(worker: &WorkerScript, status: &'static str, started: Micros) -> Endpoint {
+    fn endpoint(worker: &WorkerScript, status: &'static str, started: Micros) -> Endpoint {
         Endpoint {
             name: worker.config.name.clone(),
             address: worker.config.listen,
@@ -352,7 +352,7 @@
     /// learns of it.
     pub fn list(&self) -> (Vec<Endpoint>, Vec<(Micros, Endpoint)>) {
         let from_start = self.workers.iter().filter(|worker| worker.from_start);
-        let rows = from_start.map(|worker| Self::row(worker, "ready", 0)).collect();
+        let endpoints = from_start.map(|worker| Self::endpoint(worker, "ready", 0)).collect();
         let mut changes = Vec::new();
         for worker in &self.workers {
             let mut started = 0;
@@ -360,11 +360,11 @@
                 started = if *status == "ready" { *at } else { started };
                 let is_late = (self.late_list.0..self.late_list.1).contains(at);
                 let listed = at + if is_late { LATE_LIST_DELAY } else { LIST_DELAY };
-                changes.push((listed, Self::row(worker, status, started)));
+                changes.push((listed, Self::endpoint(worker, status, started)));
             }
         }
         changes.sort_by_key(|(at, _)| *at);
-        (rows, changes)
+        (endpoints, changes)
     }
 }
 
--- a/crates/scenarios/src/prefixes.rs
+++ b/crates/scenarios/src/prefixes.rs
@@ -185,8 +185,8 @@
     report.verdict = testbed.ledger.read(|ledger| judge(ledger, &terms));
     let from = begin + ARRIVAL_TIME - COUNTED_TIME;
     report.in_time = share_in_time(&plan.requests, &results.borrow(), from);
-    let loops = count_observations(&mut report, &testbed.ledger, from);
-    check_pins(&mut report, options, loops);
+    let leased_loop_requests = count_observations(&mut report, &testbed.ledger, from);
+    check_pins(&mut report, options, leased_loop_requests);
     Ok(report)
 }
 
@@ -260,7 +260,7 @@
 /// Adds the workers' observations of prefixes since `from` to the report. Returns the number of requests of
 /// the loop that carried a lease.
 fn count_observations(report: &mut Report, ledger: &Ledger, from: Micros) -> usize {
-    let (mut pinned, mut loops) = (BTreeSet::new(), 0);
+    let (mut pinned, mut leased_loop_requests) = (BTreeSet::new(), 0);
     // By worker and prefix, the time at which the latest lease arrived.
     let mut leases: BTreeMap<Rc<str>, BTreeMap<Rc<str>, Micros>> = BTreeMap::new();
     ledger.read(|ledger| {
@@ -271,7 +271,7 @@
                     report.preparing_seconds += *duration as f64 / 1e6;
                 }
                 Observation::PrefixPinned { worker, prefix, .. } => {
-                    loops += usize::from(**prefix == *LOOP_PREFIX);
+                    leased_loop_requests += usize::from(**prefix == *LOOP_PREFIX);
                     let held = leases.entry(worker.clone()).or_default();
                     held.retain(|_, last| *at < *last + LEASE_TIME + LEASE_SLACK);
                     held.insert(prefix.clone(), *at);
@@ -285,17 +285,18 @@
         }
     });
     report.pinned = pinned.len();
-    loops
+    leased_loop_requests
 }
 
-fn check_pins(report: &mut Report, options: &Options<'_>, loops: usize) {
+fn check_pins(report: &mut Report, options: &Options<'_>, leased_loop_requests: usize) {
     let mut record_breach =
         |rule: &'static str, breach: String| report.broken.entry(rule).or_default().push(breach);
     if !report.verdict.broken.is_empty() {
         record_breach(FIVE_RULES, format!("{:?}", report.verdict.broken));
     }
-    if loops > 0 {
-        record_breach(ONE_ROUTER, format!("{loops} requests of one client's loop carried a lease"));
+    if leased_loop_requests > 0 {
+        let breach = format!("{leased_loop_requests} requests of one client's loop carried a lease");
+        record_breach(ONE_ROUTER, breach);
     }
     // The memory for pins, plus the pins that one change of the list can add before workers observe it.
     let limit = (PINNED_UNITS / u64::from(PREFIX_UNITS)) as usize + MAX_CHANGES;
--- a/crates/scenarios/src/process.rs
+++ b/crates/scenarios/src/process.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// The routers of a scenario.
+/// Parameters of a scenario: its routers, its workers and the seed.
 #[derive(Clone)]
 pub struct Setup {
     /// The router program; it is started with `serve --settings FILE`.
--- a/crates/scenarios/src/recovery.rs
+++ b/crates/scenarios/src/recovery.rs
@@ -52,19 +52,21 @@
 const MIN_SHARE_AT_END: f64 = 0.85;
 /// Requests per second and worker: 0.7 of the capacity of two cores at an average of 60 ms per request.
 const RATE: f64 = 23.0;
-/// Limit of recovery requests to one router in a tenth of a second: the requests for all pages by three
-/// routers at a time, and as many that find nothing.
+/// Limit of recovery requests to one router in a tenth of a second: three routers at a time that request all
+/// pages, plus the same number of requests that find nothing.
 const MAX_RECOVERY_REQUESTS: u64 = 60;
 /// Limit of one router's share of the recovery requests of the first second, as a multiple of an even share.
 const MAX_SHARE_FACTOR: f64 = 3.5;
-/// Number of other routers from which that limit separates a faulty choice of peers from chance.
+/// Minimum number of other routers for the check of that limit. With fewer, the limit does not tell a faulty
+/// choice of peers from chance.
 const MIN_OTHER_ROUTERS: usize = 15;
 /// First bytes of a recovery request.
 const RECOVERY_REQUEST: [u8; 2] = [0xb3, 1];
 /// Number of routers that are replicas of the agreed state.
 const REPLICAS: usize = 3;
 
-/// Faults: which routers are killed, and what remains of their disks.
+/// Faults: how many routers are killed and how fast, whether their files are lost (`lost`), and whether the
+/// network is faulty after the restarts (`cut`).
 pub const FAULTS: [&str; 6] = ["kill", "wave", "nineteen", "all", "lost", "cut"];
 /// Sources from which a router may restore its state: snapshot and peers, or only one, or neither.
 pub const START_STATES: [&str; 4] = ["both", "nothing", "snapshot", "peers"];
@@ -328,9 +330,9 @@
 
 /// Returns the share of the requests in a time range that finished in time, or `None` if there were none.
 fn share(requests: &[(Micros, bool)], from: Micros, until: Micros) -> Option<f64> {
-    let these: Vec<bool> =
+    let in_time: Vec<bool> =
         requests.iter().filter(|(at, _)| (from..until).contains(at)).map(|(_, ok)| *ok).collect();
-    (!these.is_empty()).then(|| these.iter().filter(|ok| **ok).count() as f64 / these.len() as f64)
+    (!in_time.is_empty()).then(|| in_time.iter().filter(|ok| **ok).count() as f64 / in_time.len() as f64)
 }
 
 /// Measures the service from the arrival time of each request and whether it finished in time.
@@ -386,11 +388,11 @@
                 _ => {}
             }
         }
-        let most = |from: Micros, until: Micros| {
+        let peak = |from: Micros, until: Micros| {
             tenths.range(from / (100 * MS)..until / (100 * MS)).map(|(_, count)| *count).max().unwrap_or(0)
         };
-        report.fetches_before = most(begin, first);
-        report.fetches_after = most(last, last + STABLE_TIME);
+        report.fetches_before = peak(begin, first);
+        report.fetches_after = peak(last, last + STABLE_TIME);
     });
 }
 
--- a/crates/scenarios/src/retry_storm.rs
+++ b/crates/scenarios/src/retry_storm.rs
@@ -81,7 +81,7 @@
 pub struct Report {
     /// Result of the audit.
     pub verdict: Verdict,
-    /// By second: number of requests, of those that finished in time, and of exchanges.
+    /// By second: number of requests, how many of them finished in time, and number of exchanges.
     pub seconds: Vec<(usize, usize, usize)>,
     /// Seconds in which the cut starts and ends.
     pub cut: (usize, usize),
--- a/crates/scenarios/src/seeded_bugs.rs
+++ b/crates/scenarios/src/seeded_bugs.rs
@@ -83,7 +83,8 @@
         BuggyMachine { inner, bug, state: State::default() }
     }
 
-    /// Calls the machine with a transport that applies the bug. Delayed requests that are due are sent first.
+    /// Calls the machine with a transport that applies the bug. Before that, sends one delayed request if any
+    /// is due.
     fn call(
         &mut self,
         now: Micros,
--- a/crates/scenarios/src/testbed.rs
+++ b/crates/scenarios/src/testbed.rs
@@ -68,8 +68,8 @@
         for worker in plan.workers(&self.ledger) {
             self.reactor.add(Box::new(worker));
         }
-        let (rows, changes) = plan.list();
-        let mut list = EndpointList::new(self.endpoint_list, rows, changes, self.ledger.clone());
+        let (endpoints, changes) = plan.list();
+        let mut list = EndpointList::new(self.endpoint_list, endpoints, changes, self.ledger.clone());
         adjust_list(&mut list);
         self.reactor.add(Box::new(list));
     }
@@ -135,7 +135,7 @@
         polled.map_err(|error| ScenarioError::machine("epoll", error))
     }
 
-    /// Runs for another half second, so that late and duplicate responses are observed.
+    /// Runs for up to another half second, so that late and duplicate responses are observed.
     pub(crate) fn observe_late_responses(&mut self) -> Result<(), ScenarioError> {
         (0..25).try_for_each(|_| self.poll(20))
     }
--- a/crates/scenarios/src/workflows.rs
+++ b/crates/scenarios/src/workflows.rs
@@ -73,7 +73,7 @@
     pub steps: usize,
     /// Number of requests by outcome, as seen by the clients.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// Number of workflows without a response of which a step with an effect started.
+    /// Number of workflows that got no response although one of their steps with an effect started.
     pub unanswered: usize,
     /// Number of those that are in a router's workflow store.
     pub unanswered_on_record: usize,
@@ -116,8 +116,8 @@
     // Workers have two cores, see `plan::worker_config`.
     let rate = options.load * options.setup.workers as f64 * 2.0 * 1000.0 / STEP_MS as f64 / STEPS;
     let prices: RefCell<BTreeMap<String, Value>> = RefCell::default();
-    let follow: FollowUp = Rc::new(move |request, spent, answer| {
-        let result: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
+    let follow: FollowUp = Rc::new(move |request, spent, response| {
+        let result: Value = serde_json::from_slice(&response.body).unwrap_or_default();
         let workflow = request.id.rsplit_once('/')?.0.to_owned();
         let mut prices = prices.borrow_mut();
         let price = prices.entry(workflow).or_insert_with(|| result.clone());
