--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 /// Tolerance in µs for a response after its client's deadline: two processes' clocks and one wake-up.
-const ANSWER_SLACK: Micros = 100_000;
+const RESPONSE_SLACK: Micros = 100_000;
 /// Time in µs around a kill in which lost connections are attributed to it.
 const KILL_SLACK: Micros = 300_000;
 /// Tolerance in µs for pauses of the host in the checks of drain notices and duplicates.
@@ -137,7 +137,7 @@
         }
     }
     for (exchange, Exchange { router, deadline, ended, .. }) in &open {
-        if !ended && deadline + ANSWER_SLACK < terms.end {
+        if !ended && deadline + RESPONSE_SLACK < terms.end {
             verdict.record_breach(
                 1,
                 format!("exchange {exchange} with router {router} was still open at the end"),
@@ -151,7 +151,7 @@
     // A request sent just before its deadline gets an immediate response, which may still come after it.
     if std::mem::replace(&mut exchange.ended, true) {
         verdict.record_breach(1, format!("exchange {number} got a second response, with status {status}"));
-    } else if late > ANSWER_SLACK && at > exchange.sent + ANSWER_SLACK {
+    } else if late > RESPONSE_SLACK && at > exchange.sent + RESPONSE_SLACK {
         verdict.record_breach(1, format!("exchange {number} got its response {late} µs after its deadline"));
     }
 }
