--- a/crates/scenarios/src/errors.rs
+++ b/crates/scenarios/src/errors.rs
@@ -9,7 +9,7 @@
     #[error("{what}: {why}")]
     #[diagnostic(
         code(drill::machine),
-        help("look for room on the disk, free ports and descriptors (ulimit -n), then play it again")
+        help("check disk space, free ports and file descriptors (ulimit -n), then run the scenario again")
     )]
     Machine {
         /// The file or resource.
@@ -17,18 +17,18 @@
         /// The error of the operating system.
         why: String,
     },
-    /// A router did not start: its settings file and what it printed.
+    /// A router did not start: its settings file and the result of reading its first line of output.
     #[error("the router of {0} did not start")]
     #[diagnostic(
         code(drill::not_started),
-        help("play it with --keep FOLDER and read that router's log there")
+        help("run the scenario with --keep FOLDER and read that router's log there")
     )]
     NotStarted(String),
     /// The fleet did not recover from a fault.
     #[error("{0}")]
     #[diagnostic(
         code(drill::not_whole),
-        help("what is next would be judged of a fleet that is not whole: the rule that broke says why")
+        help("the run ends here, as later checks need a recovered fleet; the breach of the rule says why")
     )]
     NotRecovered(String),
 }
