--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Event, Ledger, Saw};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 /// One request on a connection.
 struct Exchange {
     request: usize,
-    conn: Conn,
+    conn: ConnectionId,
     router: usize,
     open: bool,
     twin: bool,
@@ -122,8 +122,8 @@
     results: Rc<RefCell<Results>>,
     tries: Vec<u32>,
     exchanges: BTreeMap<u64, Exchange>,
-    peers: BTreeMap<Conn, (HttpPeer, u64)>,
-    idle: Vec<(usize, Conn)>,
+    peers: BTreeMap<ConnectionId, (HttpPeer, u64)>,
+    idle: Vec<(usize, ConnectionId)>,
     next: u64,
     wakes: Vec<Option<Then>>,
 }
@@ -153,7 +153,7 @@
 
     fn wake(&mut self, transport: &mut dyn Transport, at: Micros, then: Then) {
         self.wakes.push(Some(then));
-        transport.wake_at(at, Wake(self.wakes.len() as u64 - 1));
+        transport.set_timer_at(at, TimerId(self.wakes.len() as u64 - 1));
     }
 
     fn settle(&self, now: Micros, request: usize, got: Got) {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some((_, number)) = self.peers.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.request];
@@ -283,7 +283,7 @@
     }
 
     /// A connection has ended.
-    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, never: bool) {
+    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, never: bool) {
         self.idle.retain(|(_, c)| *c != conn);
         let Some((_, number)) = self.peers.remove(&conn) else { return };
         let Some(exchange) = self.exchanges.get_mut(&number).filter(|e| e.open) else { return };
@@ -315,11 +315,11 @@
             }
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {}
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Listener) {}
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.write(now, transport, conn);
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let Some((peer, number)) = self.peers.get_mut(&conn) else { return };
         let number = *number;
         match peer.receive(bytes) {
@@ -327,16 +327,23 @@
             None => self.ledger.write(now, Saw::Stray { exchange: number }),
         }
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.gone(now, transport, conn, false);
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        why: Closed,
+        _: u64,
+    ) {
         self.gone(now, transport, conn, why == Closed::NotEstablished);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.wakes[wake.0 as usize].take() {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match self.wakes[timer.0 as usize].take() {
             Some(Then::Ask { request, .. }) if self.results.borrow().got[request].0 != Got::Nothing => {}
             Some(Then::Ask { request, router, twin }) => self.ask(now, transport, request, router, twin),
             Some(Then::Leave(request)) => {
--- a/crates/fakes/src/hosts.rs
+++ b/crates/fakes/src/hosts.rs
@@ -3,14 +3,14 @@
 use crate::ledger::{Ledger, Saw};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// The timer at which it stops answering.
-const SILENT: Wake = Wake(u64::MAX);
+const SILENT: TimerId = TimerId(u64::MAX);
 
 /// One worker as the list names it.
 #[derive(Clone)]
@@ -54,7 +54,7 @@
     /// Where observations go.
     pub ledger: Ledger,
     /// Connections, each with the router that watches on it.
-    peers: BTreeMap<Conn, (HttpPeer, Option<u64>)>,
+    peers: BTreeMap<ConnectionId, (HttpPeer, Option<u64>)>,
 }
 
 impl Hosts {
@@ -68,7 +68,7 @@
         &self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         router: u64,
         kind: &str,
         rows: &[&Row],
@@ -86,16 +86,16 @@
 impl Machine for Hosts {
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         transport.listen(self.listen, 10_000).expect("the host list's port is free");
-        transport.wake_at(self.silence.0, SILENT);
+        transport.set_timer_at(self.silence.0, SILENT);
         for (index, (at, _)) in self.changes.iter().enumerate() {
-            transport.wake_at(*at, Wake(index as u64));
+            transport.set_timer_at(*at, TimerId(index as u64));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.peers.insert(conn, (HttpPeer::new(Side::Server), None));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let Some((peer, watches)) = self.peers.get_mut(&conn) else { return };
         let Some(asked) = peer.receive(bytes).and_then(|mut messages| messages.pop()) else { return };
         if let Some((name, standing)) =
@@ -107,7 +107,7 @@
             transport.write(conn, &encode::response(status).body(b""));
             if let (Some(row), Some(standing)) = (known, standing) {
                 self.changes.push((now, Row { standing, ..row }));
-                transport.wake_at(now, Wake(self.changes.len() as u64 - 1));
+                transport.set_timer_at(now, TimerId(self.changes.len() as u64 - 1));
             }
             return;
         }
@@ -125,21 +125,21 @@
         }
         self.send_rows(now, transport, conn, router, "full", &rows);
     }
-    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peers.remove(&conn);
         transport.abort(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         self.peers.remove(&conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake == SILENT {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        if timer == SILENT {
             // Whoever watched finds out by the end of its connection, and asks again.
             std::mem::take(&mut self.peers).keys().for_each(|conn| transport.abort(*conn));
             return;
         }
-        let row = self.changes[wake.0 as usize].1.clone();
+        let row = self.changes[timer.0 as usize].1.clone();
         match self.rows.iter_mut().find(|known| known.name == row.name) {
             Some(known) => *known = row.clone(),
             None => self.rows.push(row.clone()),
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -4,7 +4,7 @@
 use crate::ledger::{Ledger, Saw};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
     /// Where observations go.
     pub ledger: Ledger,
     /// Connections, and whether a fetch runs on each.
-    peers: BTreeMap<Conn, (HttpPeer, bool)>,
+    peers: BTreeMap<ConnectionId, (HttpPeer, bool)>,
 }
 
 impl Store {
@@ -42,14 +42,14 @@
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         transport.listen(self.listen, 10_000).expect("the store's port is free");
         for (index, (from, _)) in self.stops.iter().enumerate() {
-            transport.wake_at(*from, Wake(u64::MAX - index as u64));
+            transport.set_timer_at(*from, TimerId(u64::MAX - index as u64));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.peers.insert(conn, (HttpPeer::new(Side::Server), false));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let fetching = self.peers.values().filter(|(_, fetches)| *fetches).count();
         let stopped = self.stopped(now);
         let Some((peer, fetches)) = self.peers.get_mut(&conn) else { return };
@@ -57,7 +57,7 @@
         if let Some(ms) = asked.target.strip_prefix("/-/stop?").and_then(|ms| ms.parse::<Micros>().ok()) {
             self.stops.push((now, now + ms * 1000));
             transport.write(conn, &encode::response(200).body(b""));
-            return transport.wake_at(now, Wake(u64::MAX));
+            return transport.set_timer_at(now, TimerId(u64::MAX));
         }
         let taken = fetching < self.most && !stopped;
         self.ledger.write(now, Saw::Fetch { taken });
@@ -69,29 +69,32 @@
             *fetches = true;
             transport.write(conn, &encode::response(200).body(&[0; MODEL_BYTES])[..MODEL_BYTES / 2]);
             let extra = (fetching as u64 + 1) * self.fetch / self.most.max(1) as u64;
-            transport.wake_at(now + self.fetch + extra, Wake(conn.0));
+            transport.set_timer_at(now + self.fetch + extra, TimerId(conn.0));
         }
     }
-    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peers.remove(&conn);
         transport.abort(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         self.peers.remove(&conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
         if self.stopped(now) {
             // Half of each model is out, and there it ends.
-            let fetching: Vec<Conn> =
+            let fetching: Vec<ConnectionId> =
                 self.peers.iter().filter(|(_, peer)| peer.1).map(|(conn, _)| *conn).collect();
             for conn in fetching {
                 self.peers.remove(&conn);
                 transport.finish(conn);
             }
-        } else if let Some((_, fetches)) = self.peers.get_mut(&Conn(wake.0)) {
+        } else if let Some((_, fetches)) = self.peers.get_mut(&ConnectionId(timer.0)) {
             *fetches = false;
-            transport.write(Conn(wake.0), &encode::response(200).body(&[0; MODEL_BYTES])[MODEL_BYTES / 2..]);
+            transport.write(
+                ConnectionId(timer.0),
+                &encode::response(200).body(&[0; MODEL_BYTES])[MODEL_BYTES / 2..],
+            );
         }
     }
 }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -12,7 +12,7 @@
 use answer::{Answer, Facts};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use oorandom::Rand64;
 use prefixes::{Prepared, RequestPrefix};
 use std::cell::RefCell;
@@ -60,7 +60,7 @@
 /// What a timer does.
 enum Timer {
     Turn(usize),
-    Done(Conn, u64),
+    Done(ConnectionId, u64),
     Loaded(Rc<str>),
 }
 
@@ -75,11 +75,11 @@
     /// While it runs.
     listener: Option<Listener>,
     started: Micros,
-    peers: BTreeMap<Conn, HttpPeer>,
-    requests: BTreeMap<Conn, Request>,
-    queue: VecDeque<Conn>,
+    peers: BTreeMap<ConnectionId, HttpPeer>,
+    requests: BTreeMap<ConnectionId, Request>,
+    queue: VecDeque<ConnectionId>,
     copies: BTreeMap<Rc<str>, Copy>,
-    fetches: BTreeMap<Conn, (Rc<str>, HttpPeer)>,
+    fetches: BTreeMap<ConnectionId, (Rc<str>, HttpPeer)>,
     /// Requests within `fall_span`.
     recent: VecDeque<Recent>,
     timers: Vec<Option<Timer>>,
@@ -120,7 +120,7 @@
 
     fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, then: Timer) {
         self.timers.push(Some(then));
-        transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
+        transport.set_timer_at(at, TimerId(self.timers.len() as u64 - 1));
     }
 
     /// Its process starts.
@@ -199,7 +199,7 @@
     }
 
     /// A request has finished.
-    fn done(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn done(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(request) = self.requests.remove(&conn) else { return };
         if let Some(copy) = self.copies.get_mut(&request.function) {
             copy.running -= 1;
@@ -220,7 +220,7 @@
     fn load_failed(&mut self, now: Micros, transport: &mut dyn Transport, function: &Rc<str>) {
         self.copies.remove(function);
         let waiting = self.requests.iter().filter(|(_, request)| request.function == *function);
-        let requests: Vec<Conn> = waiting.map(|(conn, _)| *conn).collect();
+        let requests: Vec<ConnectionId> = waiting.map(|(conn, _)| *conn).collect();
         for conn in requests {
             self.requests.remove(&conn);
             self.queue.retain(|waiting| *waiting != conn);
@@ -231,7 +231,7 @@
     }
 
     /// The client has gone, which cancels its request: one that runs stops, and frees its core.
-    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn gone(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peers.remove(&conn);
         if let Some(request) = self.requests.remove(&conn) {
             self.queue.retain(|waiting| *waiting != conn);
@@ -258,15 +258,15 @@
             self.started = now.saturating_sub(self.build.warm_within);
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.peers.insert(conn, HttpPeer::new(Side::Server));
     }
-    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if let Some((function, _)) = self.fetches.get(&conn) {
             transport.write(conn, &encode::request("GET", &format!("/model/{function}"), "store").empty());
         }
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if let Some((function, peer)) = self.fetches.get_mut(&conn) {
             let Some(answer) = peer.receive(bytes).unwrap_or_default().pop() else { return };
             let function = function.clone();
@@ -283,16 +283,16 @@
             }
         }
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.gone(now, transport, conn);
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         self.gone(now, transport, conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.timers[wake.0 as usize].take() {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match self.timers[timer.0 as usize].take() {
             Some(Timer::Turn(index)) => match self.script[index].1 {
                 Turn::Mood(mood) => self.set_mood(transport, mood),
                 Turn::Die => self.die(transport),
--- a/crates/fakes/src/worker/answer.rs
+++ b/crates/fakes/src/worker/answer.rs
@@ -1,7 +1,7 @@
 //! The answers of a worker.
 use super::{Mood, Worker};
 use applepond_http::encode::{self, Message};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Huts that results name.
 const HUTS: u64 = 12;
@@ -41,7 +41,7 @@
 
 impl Worker {
     /// Answers a request as the mood is.
-    pub(super) fn answer(&mut self, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
+    pub(super) fn answer(&mut self, transport: &mut dyn Transport, conn: ConnectionId, answer: &Answer) {
         let bytes = self.encode(answer);
         match self.mood {
             Mood::CutAnswers => {
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Event, Saw};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Conn, Micros, Transport};
+use applepond_reactor::{ConnectionId, Micros, Transport};
 use std::rc::Rc;
 
 /// µs within which a connection to the store has to be established.
@@ -18,7 +18,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         asked: &Message,
     ) {
         if let Some(name) = asked.target.strip_prefix("/-/mood?") {
@@ -62,7 +62,7 @@
         self.start_waiting(now, transport);
     }
 
-    fn change_mood(&mut self, transport: &mut dyn Transport, conn: Conn, name: &str) {
+    fn change_mood(&mut self, transport: &mut dyn Transport, conn: ConnectionId, name: &str) {
         let mood = Mood::named(name);
         if let Some(mood) = mood {
             self.set_mood(transport, mood);
@@ -76,7 +76,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         asked: &Message,
         event: &Event,
     ) -> bool {
@@ -102,7 +102,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         event: &Event,
         same_function: usize,
     ) {
--- a/crates/fleet/src/machine.rs
+++ b/crates/fleet/src/machine.rs
@@ -5,7 +5,7 @@
 use applepond_membership::{
     Actions, Change, InstanceId, LocalIdentity, MemberStatus, Membership, RouterId, Safeguards,
 };
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,11 +20,11 @@
 const ANY_RECEIVER: u64 = 0;
 
 /// Timer that retries opening the port.
-const OPEN_TIMER: Wake = Wake(0);
+const OPEN_TIMER: TimerId = TimerId(0);
 /// Timer of the membership protocol.
-const MEMBERSHIP_TIMER: Wake = Wake(1);
+const MEMBERSHIP_TIMER: TimerId = TimerId(1);
 /// Timer of the shared state.
-const SHARED_STATE_TIMER: Wake = Wake(2);
+const SHARED_STATE_TIMER: TimerId = TimerId(2);
 
 /// State that the machine shares with the rest of the process.
 pub struct FleetView {
@@ -73,7 +73,7 @@
     listen: SocketAddr,
     proxy: Option<SocketAddr>,
     /// The UDP socket, once it is open.
-    socket: Option<Conn>,
+    socket: Option<ConnectionId>,
     view: Rc<RefCell<FleetView>>,
     /// When the membership timer fires, so that it is not set twice.
     membership_timer: Micros,
@@ -147,7 +147,7 @@
                     reason = "fleet-port",
                     "fleet: the UDP port could not be opened; retrying"
                 );
-                transport.wake_at(now + OPEN_RETRY_DELAY, OPEN_TIMER);
+                transport.set_timer_at(now + OPEN_RETRY_DELAY, OPEN_TIMER);
             }
         }
     }
@@ -213,7 +213,7 @@
         let next = view.members.next_deadline();
         if next != self.membership_timer {
             self.membership_timer = next;
-            transport.wake_at(next, MEMBERSHIP_TIMER);
+            transport.set_timer_at(next, MEMBERSHIP_TIMER);
         }
         let Some(shared) = &view.shared else { return };
         let next_wakeup = shared.next_wakeup();
@@ -221,7 +221,7 @@
         // A pending timer that fires earlier calls this function again, which sets the next one.
         if self.shared_state_timer <= now || next < self.shared_state_timer {
             self.shared_state_timer = next;
-            transport.wake_at(next, SHARED_STATE_TIMER);
+            transport.set_timer_at(next, SHARED_STATE_TIMER);
         }
     }
 }
@@ -231,14 +231,20 @@
         self.open(now, transport);
         self.call(now, transport, |_, _| {});
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {}
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn bytes(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
-    fn half_closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Listener) {}
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn bytes(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: &[u8]) {}
+    fn half_closed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Closed, _: u64) {}
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
 
-    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, _: Conn, bytes: &[u8]) {
+    fn datagram_received(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        _: ConnectionId,
+        bytes: &[u8],
+    ) {
         self.call(now, transport, |view, actions| {
             let FleetView { members, envelopes, unreadable, shared, .. } = view;
             let Ok((instance_id, message)) = envelopes.open(bytes) else { return };
@@ -259,8 +265,8 @@
         });
     }
 
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match wake {
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match timer {
             OPEN_TIMER => self.open(now, transport),
             SHARED_STATE_TIMER => self.call(now, transport, |view, actions| {
                 if let Some(shared) = &mut view.shared {
--- a/crates/fleet/src/machine/tests.rs
+++ b/crates/fleet/src/machine/tests.rs
@@ -32,8 +32,8 @@
 
 /// Fires all timers due until `until`.
 fn run_until(fleet: &mut FleetMachine, transport: &mut SimulatedTransport, until: Micros) {
-    while let Some((at, wake)) = transport.due(until) {
-        fleet.woken(at, transport, wake);
+    while let Some((at, timer)) = transport.due(until) {
+        fleet.timer_fired(at, transport, timer);
     }
 }
 
--- a/crates/gateway/benches/gateway.rs
+++ b/crates/gateway/benches/gateway.rs
@@ -9,7 +9,7 @@
 use applepond_gateway::Gateway;
 use applepond_http::Fault;
 use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, Reactor, TimerId, Transport};
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
@@ -62,7 +62,7 @@
 /// A worker that responds at once.
 struct ImmediateWorker {
     address_sender: mpsc::Sender<SocketAddr>,
-    decoders: BTreeMap<Conn, Decoder>,
+    decoders: BTreeMap<ConnectionId, Decoder>,
 }
 
 /// Forwards requests unchanged to the workers in rotation, and their responses back, without routing
@@ -71,9 +71,9 @@
     address_sender: mpsc::Sender<SocketAddr>,
     workers: Vec<SocketAddr>,
     next_worker: usize,
-    clients: BTreeMap<Conn, (Decoder, Vec<u8>, Option<Conn>)>,
-    worker_connections: BTreeMap<Conn, (Decoder, Option<Conn>, Vec<u8>, usize)>,
-    idle: Vec<Vec<Conn>>,
+    clients: BTreeMap<ConnectionId, (Decoder, Vec<u8>, Option<ConnectionId>)>,
+    worker_connections: BTreeMap<ConnectionId, (Decoder, Option<ConnectionId>, Vec<u8>, usize)>,
+    idle: Vec<Vec<ConnectionId>>,
 }
 
 struct LoadGenerator {
@@ -84,8 +84,8 @@
     rng: Rand64,
     sent: u64,
     /// By connection: the decoder, and when its current request was due.
-    connections: BTreeMap<Conn, (Decoder, Micros)>,
-    idle: Vec<Conn>,
+    connections: BTreeMap<ConnectionId, (Decoder, Micros)>,
+    idle: Vec<ConnectionId>,
     /// When the requests were due that wait for an idle connection.
     waiting: VecDeque<Micros>,
     begin: Micros,
@@ -101,11 +101,11 @@
 /// Handlers of connection events that the benchmark ignores.
 macro_rules! ignore_connection_events {
     () => {
-        fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-        fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+        fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+        fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
             transport.abort(conn);
         }
-        fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Closed, _: u64) {}
+        fn closed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Closed, _: u64) {}
     };
 }
 
@@ -116,18 +116,18 @@
             transport.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
         self.address_sender.send(address).expect("the main thread waits");
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.decoders.insert(conn, decoder(Side::Server));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {
         unexpected()
     }
-    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let decoder = self.decoders.get_mut(&conn).expect("accepted");
         (0..complete_messages(decoder, bytes).expect("valid requests"))
             .for_each(|_| transport.write(conn, common::FINISHED_RESPONSE.as_bytes()));
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Transport, _: Wake) {}
+    fn timer_fired(&mut self, _: Micros, _: &mut dyn Transport, _: TimerId) {}
 }
 
 impl Machine for Proxy {
@@ -137,15 +137,15 @@
             transport.listen("127.0.0.1:0".parse().expect("address"), 100_000).expect("a port");
         self.address_sender.send(address).expect("the main thread waits");
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.clients.insert(conn, (decoder(Side::Server), Vec::new(), None));
     }
-    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let request =
             self.worker_connections.get(&conn).and_then(|(_, c, _, _)| c.map(|c| self.clients[&c].1.clone()));
         transport.write(conn, &request.unwrap_or_default());
     }
-    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if let Some((decoder, request, connection)) = self.clients.get_mut(&conn) {
             request.extend_from_slice(bytes);
             if complete_messages(decoder, bytes).expect("valid requests") == 0 {
@@ -176,11 +176,11 @@
             }
         }
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Transport, _: Wake) {}
+    fn timer_fired(&mut self, _: Micros, _: &mut dyn Transport, _: TimerId) {}
 }
 
 impl LoadGenerator {
-    fn send(&mut self, transport: &mut dyn Transport, conn: Conn, due_at: Micros) {
+    fn send(&mut self, transport: &mut dyn Transport, conn: ConnectionId, due_at: Micros) {
         self.sent += 1;
         let function = format!("hut-{}", self.rng.rand_range(0..FUNCTIONS));
         let event = common::event("quote", &self.sent.to_string()).replace("hut", &function);
@@ -198,13 +198,13 @@
             transport.connect(self.target, 1_000_000);
         });
         if self.rate > 0.0 {
-            transport.wake_at(now, Wake(0));
+            transport.set_timer_at(now, TimerId(0));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Listener) {
         unexpected()
     }
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.connections.insert(conn, (decoder(Side::Client), now));
         match self.waiting.pop_front() {
             Some(due_at) => self.send(transport, conn, due_at),
@@ -212,7 +212,7 @@
             None => self.send(transport, conn, now),
         }
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let (decoder, due_at) = self.connections.get_mut(&conn).expect("open");
         let answers = complete_messages(decoder, bytes);
         if answers == Ok(0) {
@@ -232,7 +232,7 @@
             None => self.send(transport, conn, now),
         }
     }
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, _: Wake) {
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, _: TimerId) {
         while self.next <= now {
             let due_at = self.next;
             self.next += (-(1.0 - self.rng.rand_float()).ln() / self.rate * 1e6) as Micros + 1;
@@ -241,7 +241,7 @@
                 None => self.waiting.push_back(due_at),
             }
         }
-        transport.wake_at(self.next, Wake(0));
+        transport.set_timer_at(self.next, TimerId(0));
     }
 }
 
--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -5,7 +5,7 @@
 use applepond::interface::{Micros, RequestId};
 use applepond_http::decode::{Decoder, Side, Step};
 use applepond_http::{Fault, encode};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use std::rc::Rc;
 
 /// Maximum size of a request's head (431 if exceeded): four times the size of typical event headers.
@@ -86,7 +86,13 @@
     }
 
     /// Processes received bytes.
-    pub(crate) fn feed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    pub(crate) fn feed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        bytes: &[u8],
+    ) {
         if self.phase == Phase::Closing {
             return;
         }
@@ -103,7 +109,7 @@
     pub(crate) fn next_request(
         &mut self,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
     ) -> Option<Result<ClientRequest, Fault>> {
         if self.phase != Phase::Reading {
             return None;
@@ -129,7 +135,13 @@
     }
 
     /// Sends the answer to the current request; the next one is read after it.
-    pub(crate) fn answer(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
+    pub(crate) fn answer(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        answer: &Answer,
+    ) {
         if self.phase != Phase::AwaitingAnswer {
             return;
         }
@@ -146,19 +158,25 @@
     }
 
     /// Answers a malformed request and closes the connection, as the start of the next request is unknown.
-    pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+    pub(crate) fn refuse(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        fault: &Fault,
+    ) {
         transport.write(conn, &encode::problem_response(fault, None, None, false));
         self.close(now, transport, conn);
     }
 
-    fn close(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn close(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.phase = Phase::Closing;
         self.timeout_at = now + WRITE_TIMEOUT;
         transport.finish(conn);
     }
 
     /// Handles a half-close by the client. It may still read, so a complete request is answered first.
-    pub(crate) fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(crate) fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peer_half_closed = true;
         if self.phase == Phase::Reading {
             match self.decoder.finish(&mut self.reader) {
@@ -183,7 +201,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
     ) -> TimeoutCheck {
         if self.phase == Phase::AwaitingAnswer {
             return TimeoutCheck::CheckAt(now + READ_TIMEOUT);
--- a/crates/gateway/src/deferred.rs
+++ b/crates/gateway/src/deferred.rs
@@ -1,10 +1,10 @@
-//! Timers of a state machine that contains `Control`. Two kinds of timers share the reactor's [`Wake`]
+//! Timers of a state machine that contains `Control`. Two kinds of timers share the reactor's [`TimerId`]
 //! numbers: timers of `Control` have even numbers, which encode its token, and deferred calls of the machine
 //! have odd numbers.
 //!
 //! State: the deferred calls that have not been made yet.
 use applepond::interface::{Micros, TimerToken};
-use applepond_reactor::{Transport, Wake};
+use applepond_reactor::{TimerId, Transport};
 use std::collections::BTreeMap;
 
 /// A call on the state machine `M`, made when its timer fires.
@@ -21,7 +21,7 @@
 /// The deferred calls of a state machine.
 pub struct DeferredCalls<M> {
     calls: BTreeMap<u64, DeferredCall<M>>,
-    /// Wake number of the last deferred call; always odd.
+    /// Timer id of the last deferred call; always odd.
     last_number: u64,
 }
 
@@ -42,24 +42,24 @@
     ) {
         self.last_number += 2;
         self.calls.insert(self.last_number, call);
-        transport.wake_at(now + delay, Wake(self.last_number));
+        transport.set_timer_at(now + delay, TimerId(self.last_number));
     }
 
     /// Sets a timer of `Control`. There are many of these, so no state is kept for them.
     pub fn schedule_control(now: Micros, transport: &mut dyn Transport, delay: Micros, token: TimerToken) {
-        transport.wake_at(now + delay, Wake(token.0 << 1));
+        transport.set_timer_at(now + delay, TimerId(token.0 << 1));
     }
 
     /// Whether a timer was set by `Control`.
-    pub fn is_control(wake: Wake) -> bool {
-        wake.0 & 1 == 0
+    pub fn is_control(timer: TimerId) -> bool {
+        timer.0 & 1 == 0
     }
 
     /// Returns the purpose of a timer that has fired; each deferred call is returned once.
-    pub fn fired(&mut self, wake: Wake) -> Option<FiredTimer<M>> {
-        if Self::is_control(wake) {
-            return Some(FiredTimer::Control(TimerToken(wake.0 >> 1)));
+    pub fn fired(&mut self, timer: TimerId) -> Option<FiredTimer<M>> {
+        if Self::is_control(timer) {
+            return Some(FiredTimer::Control(TimerToken(timer.0 >> 1)));
         }
-        self.calls.remove(&wake.0).map(FiredTimer::Call)
+        self.calls.remove(&timer.0).map(FiredTimer::Call)
     }
 }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 //! [`EndpointList::read_line`], static workers of the settings by [`EndpointList::apply`].
 use crate::errors::EndpointListError;
 use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleConnection {
     /// The connection.
-    pub conn: Conn,
+    pub conn: ConnectionId,
     /// When it became idle.
     pub since: Micros,
 }
@@ -93,7 +93,7 @@
     /// The entries for `Control`.
     pub entries: Vec<EndpointEntry>,
     /// Connections to cut.
-    pub disconnect: Vec<Conn>,
+    pub disconnect: Vec<ConnectionId>,
 }
 
 /// An entry for `Control`. It is converted to [`Endpoint`], which does not implement `PartialEq`.
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -7,7 +7,7 @@
 use crate::request_table::{AttemptId, AttemptStart, Dispatch, attempt_result};
 use applepond::interface::{AttemptResult, Micros, Outcome, WorkerStatus};
 use applepond_http::encode;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use std::net::SocketAddr;
 
 impl Gateway {
@@ -70,7 +70,7 @@
     }
 
     /// Writes the request of the attempt assigned to a connection.
-    pub(super) fn send_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn send_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(connection) = self.workers.connections.get(&conn) else { return };
         let Some(attempt) = connection.attempt else { return };
         let Some(worker) = self.workers.endpoints.get(connection.worker) else { return };
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -4,7 +4,7 @@
 use super::Gateway;
 use crate::client::{Answer, ClientConnection, ClientRequest, TimeoutCheck};
 use applepond::interface::Micros;
-use applepond_reactor::{Conn, Listener, Transport};
+use applepond_reactor::{ConnectionId, Listener, Transport};
 
 /// Maximum interval between two timeout checks of a client, as a new request may have started in between.
 const MAX_TIMEOUT_CHECK_INTERVAL: Micros = 5_000_000;
@@ -15,7 +15,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         listener: Listener,
     ) {
         let pause = self.admission.connection_accepted(now);
@@ -33,7 +33,7 @@
 
     /// Processes the requests received completely. The next request on a connection is processed only after
     /// the one before it has been answered.
-    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         while let Some(client) = self.clients.get_mut(&conn)
             && let Some(request) = client.next_request(transport, conn)
         {
@@ -56,7 +56,13 @@
         }
     }
 
-    fn answer_client(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, answer: &Answer) {
+    fn answer_client(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        answer: &Answer,
+    ) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.answer(now, transport, conn, answer);
         }
@@ -65,7 +71,7 @@
     /// Handles the end of a client connection. A request that was never sent to a worker ends with its last
     /// waiting client. One that was sent continues: the client may reconnect for the answer, and its retry
     /// must not run the request again. A workflow always continues.
-    pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
+    pub(super) fn client_closed(&mut self, now: Micros, conn: ConnectionId) {
         let Some(request) = self.clients.remove(&conn).and_then(|client| client.request) else { return };
         if let Some(workflow) = self.workflows.active.get_mut(&request) {
             workflow.clients.retain(|client| *client != conn);
@@ -84,7 +90,7 @@
     }
 
     /// Checks a client's timeouts, and schedules the next check.
-    fn check_client_timeout(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn check_client_timeout(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         match client.check_timeout(now, transport, conn) {
             TimeoutCheck::CheckAt(at) => {
--- a/crates/gateway/src/gateway/completion.rs
+++ b/crates/gateway/src/gateway/completion.rs
@@ -11,7 +11,7 @@
 use crate::request_table::RequestState;
 use applepond::interface::{Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use std::rc::Rc;
 
 impl Gateway {
@@ -118,7 +118,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        clients: Vec<Conn>,
+        clients: Vec<ConnectionId>,
         answer: &Answer,
     ) {
         for conn in clients {
--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -10,7 +10,7 @@
 use applepond_http::Fault;
 use applepond_http::decode::{Decoder, Fields, Side, Step, Visitor};
 use applepond_http::encode;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use std::collections::VecDeque;
 
 /// Backoff before the first reconnection to the endpoint list; it doubles with each further one.
@@ -23,7 +23,7 @@
 /// The connection to the endpoint list's server.
 pub(super) struct EndpointWatch {
     /// `None` during the backoff before a reconnection, and without an endpoint list.
-    conn: Option<Conn>,
+    conn: Option<ConnectionId>,
     decoder: Option<Decoder>,
     lines: ListLines,
     /// Delay of the reconnection after the next loss of the connection.
@@ -38,7 +38,7 @@
 
 impl EndpointWatch {
     /// Whether `conn` is the connection of this watch.
-    pub(super) fn uses(&self, conn: Conn) -> bool {
+    pub(super) fn uses(&self, conn: ConnectionId) -> bool {
         self.conn == Some(conn)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Requests the list on an established connection.
-    pub(super) fn request_endpoint_list(&self, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn request_endpoint_list(&self, transport: &mut dyn Transport, conn: ConnectionId) {
         let host = self.deployment.endpoint_list.map(|address| address.to_string()).unwrap_or_default();
         let path = format!("/watch?router={}", self.deployment.startup.router_index);
         transport.write(conn, &encode::request("GET", &path, &host).empty());
@@ -121,7 +121,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
     ) {
         let Some(decoder) = self.endpoint_watch.decoder.as_mut() else { return };
--- a/crates/gateway/src/gateway/intake.rs
+++ b/crates/gateway/src/gateway/intake.rs
@@ -10,7 +10,7 @@
 use applepond::interface::{CustomerId, FunctionId, Micros};
 use applepond_admission::{Arrival, Decision};
 use applepond_http::Fault;
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use std::rc::Rc;
 
 /// Maximum length of a prompt prefix's name; a longer one is ignored.
@@ -46,7 +46,7 @@
     pub(super) fn accept_event(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         event: ReceivedEvent,
     ) -> Result<(), Rc<Answer>> {
         let workflows = &self.deployment.workflows;
@@ -93,7 +93,13 @@
     }
 
     /// Starts a request on behalf of a client that waits for its answer.
-    fn start_client_request(&mut self, now: Micros, conn: Conn, key: IdempotencyKey, new: NewRequest) {
+    fn start_client_request(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        key: IdempotencyKey,
+        new: NewRequest,
+    ) {
         let request = self.start_request(now, new);
         self.idempotency.start(key, request);
         if let Some(client) = self.clients.get_mut(&conn) {
@@ -168,7 +174,7 @@
     pub(super) fn join_or_replay(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         key: &IdempotencyKey,
     ) -> Option<Result<(), Rc<Answer>>> {
         match self.idempotency.look_up(now, key) {
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -23,7 +23,7 @@
 use applepond::interface::{Micros, Outcome, RequestId, WorkerId};
 use applepond_admission::AdmissionController;
 use applepond_admission::traffic_monitor::TrafficClass;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, TimerId, Transport};
 use applepond_storage::WorkflowStore;
 use endpoint_watch::EndpointWatch;
 use request::RequestData;
@@ -65,9 +65,9 @@
     control: Control,
     /// Actions of `Control` that have not been executed yet.
     actions: ActionQueue,
-    clients: FxHashMap<Conn, ClientConnection>,
+    clients: FxHashMap<ConnectionId, ClientConnection>,
     /// Clients that have been answered and whose next pipelined request may already be buffered.
-    answered_clients: VecDeque<Conn>,
+    answered_clients: VecDeque<ConnectionId>,
     workers: WorkerPool,
     endpoint_watch: EndpointWatch,
     /// Entries that the endpoint list reports as ready; `history` may override their status.
@@ -250,11 +250,17 @@
         self.settle(now, transport);
     }
 
-    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
+    fn accepted(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        listener: Listener,
+    ) {
         self.client_accepted(now, transport, conn, listener);
     }
 
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if self.endpoint_watch.uses(conn) {
             self.request_endpoint_list(transport, conn);
         } else if let Some(connection) = self.workers.connections.get_mut(&conn) {
@@ -264,7 +270,7 @@
         self.settle(now, transport);
     }
 
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.feed(now, transport, conn, bytes);
             self.read_requests(now, transport, conn);
@@ -276,7 +282,7 @@
         self.settle(now, transport);
     }
 
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.half_closed(now, transport, conn);
         } else if self.endpoint_watch.uses(conn) {
@@ -290,7 +296,14 @@
         self.settle(now, transport);
     }
 
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        reason: Closed,
+        sent: u64,
+    ) {
         if self.clients.contains_key(&conn) {
             self.client_closed(now, conn);
         } else if self.endpoint_watch.uses(conn) {
@@ -301,14 +314,14 @@
         self.settle(now, transport);
     }
 
-    fn flushed(&mut self, now: Micros, _: &mut dyn Transport, conn: Conn) {
+    fn flushed(&mut self, now: Micros, _: &mut dyn Transport, conn: ConnectionId) {
         if let Some(client) = self.clients.get_mut(&conn) {
             client.flushed(now);
         }
     }
 
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.deferred.fired(wake) {
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match self.deferred.fired(timer) {
             Some(FiredTimer::Control(token)) => {
                 self.control.advance_to(now);
                 self.control.timer_fired(&mut self.actions, token);
--- a/crates/gateway/src/gateway/request.rs
+++ b/crates/gateway/src/gateway/request.rs
@@ -7,7 +7,7 @@
     CustomerId, FunctionId, Micros, RequestArrival, RequestId, RetrySafety, WorkloadId,
 };
 use applepond_http::encode::HeaderLines;
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use std::rc::Rc;
 
 /// The prompt prefix that a request starts with; a worker that has it cached responds sooner.
@@ -46,7 +46,7 @@
     /// Multiplies the workload's priority weight; 1 except for steps of a workflow.
     pub(super) priority_factor: f64,
     /// Clients that wait for its answer.
-    pub(super) clients: Vec<Conn>,
+    pub(super) clients: Vec<ConnectionId>,
     /// Called at its end if it is a step of a workflow, for which no client waits.
     pub(super) on_end: Option<OnStepEnd>,
 }
@@ -58,7 +58,7 @@
     /// As configured when the request was accepted; a reload does not change it.
     pub(super) retry_safety: RetrySafety,
     /// Clients that wait for its answer.
-    pub(super) clients: Vec<Conn>,
+    pub(super) clients: Vec<ConnectionId>,
     /// The function was already loaded when the request arrived at the worker that answered.
     pub(super) was_loaded: bool,
     /// Called at its end if it is a step of a workflow.
--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -8,7 +8,7 @@
 use crate::worker_connection::WorkerResponse;
 use applepond::interface::{AttemptResult, Micros, Outcome};
 use applepond_http::decode::Step;
-use applepond_reactor::{Closed, Conn, Transport};
+use applepond_reactor::{Closed, ConnectionId, Transport};
 use std::rc::Rc;
 
 impl Gateway {
@@ -17,7 +17,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
     ) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
@@ -38,7 +38,7 @@
     }
 
     /// Handles a complete response: releases its connection for other attempts, and closes its attempt.
-    fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let mut response = std::mem::take(&mut connection.response);
         let Some(attempt) = connection.attempt.take() else { return };
@@ -92,7 +92,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         reason: Closed,
         sent: u64,
     ) {
--- a/crates/gateway/src/gateway/worker_pool.rs
+++ b/crates/gateway/src/gateway/worker_pool.rs
@@ -6,7 +6,7 @@
 use crate::request_table::AttemptId;
 use crate::worker_connection::WorkerConnection;
 use applepond::interface::{Micros, RetrySafety, WorkerId, WorkerStatus};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use rustc_hash::FxHashMap;
 
 /// Maximum number of idle connections per worker; a router seldom has more concurrent requests at one worker.
@@ -23,7 +23,7 @@
 pub(super) struct WorkerPool {
     pub(super) endpoints: EndpointList,
     /// All connections; idle ones are in their worker's record as well.
-    pub(super) connections: FxHashMap<Conn, WorkerConnection>,
+    pub(super) connections: FxHashMap<ConnectionId, WorkerConnection>,
 }
 
 impl WorkerPool {
@@ -41,7 +41,7 @@
         worker: WorkerId,
         attempt: AttemptId,
         retry_safety: RetrySafety,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         let timeout = match retry_safety {
             RetrySafety::AtMostOnce => AT_MOST_ONCE_IDLE_TIMEOUT,
             _ => IDLE_TIMEOUT,
@@ -62,7 +62,7 @@
         worker: WorkerId,
         attempt: AttemptId,
         timeout: Micros,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         let conn = transport.connect(self.endpoints.get(worker)?.address, timeout);
         self.connections.insert(conn, WorkerConnection::new(worker, attempt));
         Some(conn)
@@ -74,7 +74,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         worker: WorkerId,
         reusable: bool,
     ) {
@@ -86,13 +86,13 @@
     }
 
     /// Cuts a connection that is not idle.
-    pub(super) fn cut(&mut self, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn cut(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.connections.remove(&conn);
     }
 
     /// Cuts a connection that may be idle.
-    pub(super) fn cut_idle(&mut self, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn cut_idle(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.forget_idle(connection.worker, conn);
@@ -100,7 +100,7 @@
     }
 
     /// Removes an idle connection from its worker's record.
-    pub(super) fn forget_idle(&mut self, worker: WorkerId, conn: Conn) {
+    pub(super) fn forget_idle(&mut self, worker: WorkerId, conn: ConnectionId) {
         if let Some(record) = self.endpoints.get_mut(worker) {
             record.idle.retain(|idle| idle.conn != conn);
         }
--- a/crates/gateway/src/gateway/workflow/intake.rs
+++ b/crates/gateway/src/gateway/workflow/intake.rs
@@ -8,7 +8,7 @@
 use applepond::interface::{CustomerId, Micros, RequestId, RetrySafety};
 use applepond_http::Fault;
 use applepond_http::encode::HeaderLines;
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use applepond_storage::record::MAX_STORED_RESPONSE_BYTES;
 use applepond_storage::{WorkflowRecord, recorded_steps};
 use applepond_workflow::{Plan, Run};
@@ -24,7 +24,7 @@
     pub(in crate::gateway) fn accept_workflow(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: ConnectionId,
         index: usize,
         event: ReceivedEvent,
     ) -> Result<(), Rc<Answer>> {
--- a/crates/gateway/src/gateway/workflow/mod.rs
+++ b/crates/gateway/src/gateway/workflow/mod.rs
@@ -15,7 +15,7 @@
 use crate::idempotency::{FinalOutcome, IdempotencyKey};
 use applepond::interface::{CustomerId, FunctionId, Micros, RequestId};
 use applepond_http::encode::HeaderLines;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use applepond_storage::{MemoryStore, WorkflowRecord, WorkflowStore};
 use applepond_workflow::run::StepTimes;
 use applepond_workflow::{
@@ -75,7 +75,7 @@
     /// The state machine that executes its plan.
     run: Run,
     /// Clients that wait for its answer.
-    pub(super) clients: Vec<Conn>,
+    pub(super) clients: Vec<ConnectionId>,
     /// Requests of the steps in flight.
     in_flight: BTreeMap<StepId, RequestId>,
     /// The answers of earlier steps are in `stored`.
--- a/crates/gateway/src/request_table.rs
+++ b/crates/gateway/src/request_table.rs
@@ -9,7 +9,7 @@
 use applepond::interface::{
     Actions, AttemptResult, LoadState, Micros, Outcome, RequestId, TimerToken, WorkerId,
 };
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Identifies one attempt of a request.
@@ -104,7 +104,7 @@
     /// The time from which on its first byte must not be sent.
     start_deadline: Micros,
     /// Its current or last connection.
-    pub connection: Option<Conn>,
+    pub connection: Option<ConnectionId>,
     /// Its end has been reported to `Control`.
     pub closed: bool,
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -9,7 +9,7 @@
     AnswerRetention, FunctionConfig, FunctionSource, PrefixAttributes, StaticWorker, WorkloadEvents,
 };
 use applepond_gateway::{Deployment, Gateway};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Transport};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Transport};
 use applepond_storage::{MemoryStore, WorkflowKey, WorkflowRecord, WorkflowStore};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -132,9 +132,9 @@
     /// Advances the clock, firing the timers that are due.
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.transport.due(until) {
+        while let Some((at, timer)) = self.transport.due(until) {
             self.now = self.now.max(at);
-            self.gateway.woken(self.now, &mut self.transport, wake);
+            self.gateway.timer_fired(self.now, &mut self.transport, timer);
         }
         self.now = until;
     }
@@ -146,30 +146,30 @@
         assert!(self.new_config.borrow().is_none(), "the source is polled once a second");
     }
 
-    pub fn connect_client(&mut self) -> Conn {
+    pub fn connect_client(&mut self) -> ConnectionId {
         let conn = self.transport.number();
         self.gateway.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
 
-    pub fn receive(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn receive(&mut self, conn: ConnectionId, bytes: &[u8]) {
         self.gateway.bytes(self.now, &mut self.transport, conn, bytes);
     }
 
     /// Connects a client that sends one event.
-    pub fn send_event(&mut self, kind: &str, id: &str) -> Conn {
+    pub fn send_event(&mut self, kind: &str, id: &str) -> ConnectionId {
         let conn = self.connect_client();
         self.receive(conn, event(kind, id).as_bytes());
         conn
     }
 
-    pub fn connected(&mut self, conn: Conn) {
+    pub fn connected(&mut self, conn: ConnectionId) {
         self.gateway.connected(self.now, &mut self.transport, conn);
     }
 
     /// Establishes all pending connections to workers, and returns all that were opened so far.
-    pub fn worker_connections(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+    pub fn worker_connections(&mut self) -> Vec<ConnectionId> {
+        let all: Vec<ConnectionId> = self.transport.connects.iter().map(|(c, _)| *c).collect();
         let new =
             all.iter().filter(|c| !self.transport.written.contains_key(c) && !self.transport.cut.contains(c));
         for conn in new.copied().collect::<Vec<_>>() {
@@ -179,22 +179,22 @@
     }
 
     /// Closes a connection from the peer's side.
-    pub fn disconnect(&mut self, conn: Conn, reason: Closed) {
+    pub fn disconnect(&mut self, conn: ConnectionId, reason: Closed) {
         let sent = self.transport.sent(conn);
         self.gateway.closed(self.now, &mut self.transport, conn, reason, sent);
     }
 
     /// Everything that the gateway wrote on a connection.
-    pub fn output(&self, conn: Conn) -> String {
+    pub fn output(&self, conn: ConnectionId) -> String {
         self.transport.told(conn)
     }
 
-    pub fn statuses(&self, conn: Conn) -> Vec<u16> {
+    pub fn statuses(&self, conn: ConnectionId) -> Vec<u16> {
         self.transport.statuses(conn)
     }
 
     /// Returns the number of requests sent on a connection, and the sequence number of its last write.
-    pub fn requests_at(&self, conn: Conn) -> (usize, u64) {
+    pub fn requests_at(&self, conn: ConnectionId) -> (usize, u64) {
         (
             self.output(conn).matches("POST /run").count(),
             self.transport.wrote.get(&conn).copied().unwrap_or(0),
@@ -203,7 +203,8 @@
 
     /// Returns the number of requests sent to workers, on all connections.
     pub fn requests(&self) -> usize {
-        let worker_connections: BTreeSet<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: BTreeSet<ConnectionId> =
+            self.transport.connects.iter().map(|(c, _)| *c).collect();
         worker_connections.iter().map(|c| self.output(*c).matches("POST /run").count()).sum()
     }
 }
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! How messages of the endpoint list change the workers' records.
 use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
 use applepond_gateway::endpoint_list::{EndpointList, IdleConnection};
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use test_case::test_case;
 
 fn full(standing: &str, started: u64) -> String {
@@ -52,9 +52,9 @@
     let first = &update.entries[0];
     assert_eq!((first.up_since, first.zone, first.rack.0, first.weight), (7000, Some(ZoneId(1)), 3, 2.5));
     let id = WorkerId::named("w");
-    list.get_mut(id).expect("known").idle.push(IdleConnection { conn: Conn(5), since: 0 });
+    list.get_mut(id).expect("known").idle.push(IdleConnection { conn: ConnectionId(5), since: 0 });
     let update = list.read_line(line.as_bytes(), &zones).expect("valid line");
-    assert_eq!(update.disconnect, if cut { vec![Conn(5)] } else { vec![] });
+    assert_eq!(update.disconnect, if cut { vec![ConnectionId(5)] } else { vec![] });
     assert_eq!(list.get(id).map(|w| w.status), standing);
 }
 
--- a/crates/gateway/tests/reload.rs
+++ b/crates/gateway/tests/reload.rs
@@ -4,7 +4,7 @@
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::StaticWorker;
 use applepond_gateway::reload::merge;
-use applepond_reactor::{Closed, Conn};
+use applepond_reactor::{Closed, ConnectionId};
 use common::*;
 use test_case::test_case;
 
@@ -25,7 +25,7 @@
 }
 
 /// Returns the connection on which a request was sent last.
-fn latest_connection(sim: &mut SimulatedGateway) -> Conn {
+fn latest_connection(sim: &mut SimulatedGateway) -> ConnectionId {
     let worker_connections = sim.worker_connections();
     worker_connections.into_iter().max_by_key(|connection| sim.requests_at(*connection).1).expect("sent")
 }
--- a/crates/gateway/tests/workflows.rs
+++ b/crates/gateway/tests/workflows.rs
@@ -3,7 +3,7 @@
 
 use applepond_gateway::Deployment;
 use applepond_gateway::deployment::WorkflowConfig;
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use applepond_workflow::{Branch, Function, Plan, Step, StepId, Target, Test};
 use common::{MS, S, SharedStore, SimulatedGateway, deployment, event, result};
 use std::sync::Arc;
@@ -58,10 +58,11 @@
 }
 
 /// Returns the latest request sent to a worker, with its connection.
-fn latest_request(sim: &mut SimulatedGateway) -> (Conn, String) {
+fn latest_request(sim: &mut SimulatedGateway) -> (ConnectionId, String) {
     sim.worker_connections();
-    let last_request = |c: &Conn| sim.output(*c).split("POST /run").last().unwrap_or_default().to_owned();
-    let open: Vec<Conn> =
+    let last_request =
+        |c: &ConnectionId| sim.output(*c).split("POST /run").last().unwrap_or_default().to_owned();
+    let open: Vec<ConnectionId> =
         sim.transport.connects.iter().map(|(c, _)| *c).filter(|c| !sim.transport.cut.contains(c)).collect();
     let newest =
         open.into_iter().max_by_key(|c| (sim.requests_at(*c).1, *c)).expect("a worker was sent something");
@@ -205,7 +206,8 @@
 
     /// Counts the steps sent by this instance, and replaces it by a new one.
     fn restart(&mut self) {
-        let worker_connections: Vec<Conn> = self.sim.transport.connects.iter().map(|(c, _)| *c).collect();
+        let worker_connections: Vec<ConnectionId> =
+            self.sim.transport.connects.iter().map(|(c, _)| *c).collect();
         for output in worker_connections.iter().map(|c| self.sim.output(*c)) {
             for id in output.split("ce-id: ").skip(1) {
                 *self.sent.entry(id.split("\r\n").next().unwrap_or_default().to_owned()).or_default() += 1;
@@ -406,6 +408,6 @@
         max_clients: 100_000,
         ..deployment(0)
     });
-    let clients: Vec<Conn> = (0..20_001).map(|n| sim.send_event("book", &n.to_string())).collect();
+    let clients: Vec<ConnectionId> = (0..20_001).map(|n| sim.send_event("book", &n.to_string())).collect();
     assert!(sim.output(clients[20_000]).contains("too-many-jobs"), "{}", sim.output(clients[20_000]));
 }
--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -5,7 +5,7 @@
 use applepond_http::{Fault, encode};
 use applepond_platform::call::{CallVisitor, MAX_BODY_BYTES, ParsedRequest, RequestKind};
 use applepond_platform::config::NodeConfig;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Maximum size of a request head; a larger one is answered with status 431. Calls have a few hundred bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
@@ -126,7 +126,7 @@
     pub(crate) fn next_request(
         &mut self,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         config: &NodeConfig,
     ) -> Option<Result<ClientRequest, Fault>> {
         if self.phase != Phase::Reading {
@@ -164,7 +164,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         reply: &Reply,
         last: bool,
     ) {
@@ -193,13 +193,19 @@
 
     /// Answers an invalid request with an error and closes the connection, as the start of the next request
     /// is unknown.
-    pub(crate) fn refuse(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+    pub(crate) fn refuse(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        fault: &Fault,
+    ) {
         transport.write(conn, &encode::problem_response(fault, None, None, false));
         self.close(now, transport, conn);
     }
 
     /// Stops reading; the connection is closed once everything written has been sent.
-    pub(crate) fn close(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(crate) fn close(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.phase = Phase::Closing;
         self.is_idle = false;
         self.timeout_at = now + SILENCE_TIMEOUT;
--- a/crates/node/src/name_service.rs
+++ b/crates/node/src/name_service.rs
@@ -5,7 +5,7 @@
 use applepond::interface::Micros;
 use applepond_platform::name_service::{self, EndpointList};
 use applepond_platform::startup::ConfigNames;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use oorandom::Rand32;
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
 /// A pending query.
 #[derive(Clone, Copy)]
 struct Query {
-    conn: Conn,
+    conn: ConnectionId,
     id: u16,
     sent_at: Micros,
 }
@@ -95,7 +95,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
         names: &ConfigNames,
     ) -> Option<EndpointList> {
--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -10,7 +10,7 @@
 use applepond_gateway::request_table::{AttemptId, AttemptStart, Dispatch, attempt_result};
 use applepond_platform::call::id_text;
 use applepond_platform::line;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Maximum number of attempts on one connection while descriptors for another are available. It is low
 /// because all attempts on a connection are lost together.
@@ -85,7 +85,7 @@
     /// are available, a connection takes only [`MAX_SHARED_ATTEMPTS`], as all are lost with it, and the most
     /// loaded one below that limit is chosen so that connections rarely become idle. Otherwise the least
     /// loaded one is chosen.
-    fn select_connection(&self, now: Micros, attempt: AttemptId, worker: WorkerId) -> Option<Conn> {
+    fn select_connection(&self, now: Micros, attempt: AttemptId, worker: WorkerId) -> Option<ConnectionId> {
         let earlier = &self.requests.get(attempt.request)?.attempts[..attempt.index];
         let record = self.workers.ready(worker)?;
         let idle_timeout = self.idle_timeout();
@@ -100,12 +100,17 @@
         let has_descriptors = self.connections.len() < self.max_connections;
         let max_spread = if has_descriptors { self.max_connections / self.ready_workers } else { 0 };
         let may_spread = record.connections.len() < max_spread;
-        let load = |conn: &Conn| self.connections[conn].load();
+        let load = |conn: &ConnectionId| self.connections[conn].load();
         let candidates = usable.filter(|conn| !may_spread || load(conn) < MAX_SHARED_ATTEMPTS);
         candidates.max_by_key(|conn| if may_spread { load(conn) } else { usize::MAX - load(conn) })
     }
 
-    fn open_connection(&mut self, now: Micros, transport: &mut dyn Transport, worker: WorkerId) -> Conn {
+    fn open_connection(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        worker: WorkerId,
+    ) -> ConnectionId {
         let record = self.workers.get_mut(worker).expect("place_attempt checks that the worker is ready");
         let conn = transport.connect(record.address, self.config.connection_config.connect_timeout);
         record.connections.push(conn);
@@ -130,7 +135,7 @@
 
     /// Writes the queue of a connection, as far as the kernel accepts it. An attempt of which the kernel has
     /// accepted no byte can still be withdrawn.
-    pub(super) fn flush(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn flush(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         while let Some(connection) = self.connections.get_mut(&conn).filter(|connection| connection.connected)
             && let Some(write) = connection.queue.pop_front()
         {
@@ -158,7 +163,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         attempt: AttemptId,
     ) -> bool {
         let Some(request) = self.requests.get(attempt.request) else { return true };
@@ -187,7 +192,7 @@
     }
 
     /// Queues the bytes that the kernel has not accepted. Returns true if it has accepted all.
-    fn requeue_rest(&mut self, conn: Conn, bytes: &[u8], taken: usize) -> bool {
+    fn requeue_rest(&mut self, conn: ConnectionId, bytes: &[u8], taken: usize) -> bool {
         if taken >= bytes.len() {
             return true;
         }
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -6,7 +6,7 @@
 use applepond::interface::{Micros, RequestArrival};
 use applepond_http::Fault;
 use applepond_platform::call::{RequestKind, id_text};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Time reserved for network latency: the client's deadline counts from when it sends its call to when it
 /// receives the response.
@@ -14,7 +14,7 @@
 
 impl Node {
     /// Handles a new client connection.
-    pub(super) fn client_accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn client_accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         // A client that hangs up needs no response. Its hang-up is reported before its unread bytes, so that
         // its requests are not sent to a model server.
         transport.hangup_first(conn);
@@ -29,7 +29,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -50,7 +50,7 @@
 
     /// Reads the complete requests of a client, up to the first one whose response is pending. Waits while
     /// the endpoint list is stale.
-    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn read_requests(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if self.name_service.is_stale(now) {
             self.stalled_clients.insert(conn);
             return;
@@ -79,7 +79,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         arrival: &RequestArrival,
         data: RequestData,
     ) {
@@ -111,7 +111,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         reply: &Reply,
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -121,7 +121,13 @@
     }
 
     /// Answers an invalid request with an error and closes the connection.
-    fn refuse_client(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, fault: &Fault) {
+    fn refuse_client(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        fault: &Fault,
+    ) {
         tracing::debug!(reason = fault.reason, detail = fault.detail, "request refused");
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.refuse(now, transport, conn, fault);
@@ -129,7 +135,7 @@
     }
 
     /// Removes a client that has disconnected or was cut, and ends its request.
-    pub(super) fn client_closed(&mut self, now: Micros, conn: Conn) {
+    pub(super) fn client_closed(&mut self, now: Micros, conn: ConnectionId) {
         let Some(client) = self.clients.remove(&conn) else { return };
         self.client_timeouts.remove(conn, &client);
         if let Some(request) = client.request
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -5,7 +5,7 @@
 use applepond::interface::Micros;
 use applepond_platform::config::NodeConfig;
 use applepond_platform::errors::InputError;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use std::io::ErrorKind;
 
 /// Time to wait for a previous process to release the address. The platform counts a start as failed after
@@ -64,7 +64,7 @@
         }
         self.name_service.poll(now, transport);
         self.cut_excess_clients(now, transport);
-        let mut conns: Vec<Conn> = self.connections.keys().copied().collect();
+        let mut conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         conns.sort_unstable();
         for conn in conns {
             self.check_connection(now, transport, conn);
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -22,7 +22,7 @@
 use applepond_gateway::request_table::{Action, ActionQueue, RequestTable};
 use applepond_platform::call::id_text;
 use applepond_platform::config::NodeConfig;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, TimerId, Transport};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 
 /// The node's data about a request in the request table.
 struct RequestData {
-    client: Option<Conn>,
+    client: Option<ConnectionId>,
     /// The first part of the line that runs the request, up to the time left.
     head: Vec<u8>,
     body: Vec<u8>,
@@ -71,17 +71,17 @@
     /// Actions of `Control` that have not been carried out yet.
     actions: ActionQueue,
     requests: RequestTable<RequestData>,
-    clients: FxHashMap<Conn, ClientConnection>,
+    clients: FxHashMap<ConnectionId, ClientConnection>,
     max_clients: usize,
     client_timeouts: ClientTimeouts,
     /// Clients that have been answered and whose next request may have been received already.
-    readable_clients: VecDeque<Conn>,
+    readable_clients: VecDeque<ConnectionId>,
     /// Clients with requests that wait for a fresh endpoint list after a pause of this process.
-    stalled_clients: BTreeSet<Conn>,
-    connections: FxHashMap<Conn, WorkerConnection>,
+    stalled_clients: BTreeSet<ConnectionId>,
+    connections: FxHashMap<ConnectionId, WorkerConnection>,
     max_connections: usize,
     /// Connections to model servers that may have queued writes.
-    unflushed: Vec<Conn>,
+    unflushed: Vec<ConnectionId>,
     workers: Workers,
     /// Number of model servers that accept attempts; at least 1, as it is used as a divisor.
     ready_workers: usize,
@@ -232,12 +232,12 @@
         self.settle(now, transport);
     }
 
-    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.client_accepted(now, transport, conn);
         self.settle(now, transport);
     }
 
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.connected = true;
             connection.last_received = now;
@@ -246,7 +246,7 @@
         self.settle(now, transport);
     }
 
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if self.clients.contains_key(&conn) {
             self.client_bytes(now, transport, conn, bytes);
         } else {
@@ -255,7 +255,7 @@
         self.settle(now, transport);
     }
 
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         // Clients and model servers never close one direction only: the client expects no response any more,
         // and the model server sends no more answers.
         if self.clients.contains_key(&conn) {
@@ -267,7 +267,7 @@
         self.settle(now, transport);
     }
 
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         if self.clients.contains_key(&conn) {
             self.client_closed(now, conn);
         } else {
@@ -276,7 +276,13 @@
         self.settle(now, transport);
     }
 
-    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn datagram_received(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        bytes: &[u8],
+    ) {
         let names = &self.config.names;
         if let Some(list) = self.name_service.datagram_received(now, transport, conn, bytes, names) {
             if list.left_out > 0 {
@@ -287,20 +293,20 @@
         self.settle(now, transport);
     }
 
-    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if self.connections.contains_key(&conn) {
             self.unflushed.push(conn);
         }
         self.settle(now, transport);
     }
 
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if DeferredCalls::<Node>::is_control(wake) && self.name_service.is_stale(now) {
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        if DeferredCalls::<Node>::is_control(timer) && self.name_service.is_stale(now) {
             // No attempt is sent while the endpoint list is stale, so the timer is postponed until it is
             // fresh.
-            transport.wake_at(now + TICK_INTERVAL, wake);
+            transport.set_timer_at(now + TICK_INTERVAL, timer);
         } else {
-            match self.deferred.fired(wake) {
+            match self.deferred.fired(timer) {
                 Some(FiredTimer::Control(token)) => {
                     self.control.advance_to(now);
                     self.control.timer_fired(&mut self.actions, token);
--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -9,7 +9,7 @@
 use applepond_gateway::attempt_outcome::{SendProgress, on_disconnect};
 use applepond_gateway::request_table::AttemptId;
 use applepond_platform::line;
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Time without received bytes after which a connection with pending answers is sent a health check. Most
 /// answers take less.
@@ -26,7 +26,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
     ) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -56,14 +56,19 @@
     }
 
     /// Cuts a connection that is unusable or no longer needed. Attempts that were sent on it may have run.
-    pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.worker_disconnected(now, transport, conn);
     }
 
     /// Handles the loss of a connection. Attempts in flight may have run and are closed. Queued attempts have
     /// not been sent: they move to another connection, or fail if this one was never established.
-    pub(super) fn worker_disconnected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn worker_disconnected(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+    ) {
         let Some(connection) = self.connections.remove(&conn) else { return };
         if !connection.in_flight.is_empty() {
             tracing::info!(
@@ -94,7 +99,12 @@
     }
 
     /// Drains a connection: withdraws queued attempts and lets those in flight complete.
-    pub(super) fn drain_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn drain_connection(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+    ) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.draining = true;
         let mut withdrawn = Vec::new();
@@ -113,7 +123,12 @@
     /// Cuts a connection that is drained, has been idle for too long or has not answered a health check.
     /// Sends a health check if answers are pending and the connection is silent, to detect peers that vanish
     /// without closing it.
-    pub(super) fn check_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    pub(super) fn check_connection(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+    ) {
         let idle_timeout = self.idle_timeout();
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         let is_useless = match connection.probed_at {
--- a/crates/node/src/workers.rs
+++ b/crates/node/src/workers.rs
@@ -1,7 +1,7 @@
 //! The model servers in the endpoint list. A model server is identified by its id, not by its address.
 use applepond::interface::{EndpointListKind, Micros, WorkerId, WorkerStatus};
 use applepond_platform::config::ListedWorker;
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     /// Start time of its process. A different start time means a different process.
     pub(crate) up_since: Micros,
     /// Connections on which new attempts may be sent.
-    pub(crate) connections: Vec<Conn>,
+    pub(crate) connections: Vec<ConnectionId>,
 }
 
 /// All model servers in the endpoint list, by id.
@@ -40,7 +40,7 @@
 
     /// Applies an endpoint list. Returns the connections to drain: those to a process that has been replaced,
     /// and those to a model server that accepts no new attempts.
-    pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[ListedWorker]) -> Vec<Conn> {
+    pub(crate) fn apply(&mut self, kind: EndpointListKind, list: &[ListedWorker]) -> Vec<ConnectionId> {
         let mut to_drain = Vec::new();
         if kind != EndpointListKind::Changes {
             let listed: BTreeSet<WorkerId> = list.iter().map(|worker| worker.endpoint.worker).collect();
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use applepond_fakes::simulated_transport::SimulatedTransport;
 use applepond_node::{ExitReason, Node, ProcessEvent};
 use applepond_platform::config::{self, NodeConfig};
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros};
 use serde_json::{Value, json};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
@@ -82,33 +82,33 @@
 
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, wake)) = self.transport.due(until) {
+        while let Some((at, timer)) = self.transport.due(until) {
             self.now = self.now.max(at);
-            self.node.woken(self.now, &mut self.transport, wake);
+            self.node.timer_fired(self.now, &mut self.transport, timer);
         }
         self.now = until;
     }
 
-    pub fn connect_client(&mut self) -> Conn {
+    pub fn connect_client(&mut self) -> ConnectionId {
         let conn = self.transport.number();
         self.node.accepted(self.now, &mut self.transport, conn, Listener(0));
         conn
     }
 
-    pub fn send(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn send(&mut self, conn: ConnectionId, bytes: &[u8]) {
         self.node.bytes(self.now, &mut self.transport, conn, bytes);
     }
 
     /// Connects a new client that sends a call with this workload and id.
-    pub fn send_call(&mut self, workload: &str, id: u64) -> Conn {
+    pub fn send_call(&mut self, workload: &str, id: u64) -> ConnectionId {
         let conn = self.connect_client();
         self.send(conn, call(workload, id).as_bytes());
         conn
     }
 
     /// All connections opened to model servers so far. Establishes those that are still connecting.
-    pub fn worker_connections(&mut self) -> Vec<Conn> {
-        let all: Vec<Conn> = self.transport.connects.iter().map(|(c, _)| *c).collect();
+    pub fn worker_connections(&mut self) -> Vec<ConnectionId> {
+        let all: Vec<ConnectionId> = self.transport.connects.iter().map(|(c, _)| *c).collect();
         for conn in &all {
             if !self.transport.written.contains_key(conn) && !self.transport.cut.contains(conn) {
                 self.node.connected(self.now, &mut self.transport, *conn);
@@ -117,7 +117,7 @@
         all
     }
 
-    pub fn address(&self, connection: Conn) -> SocketAddr {
+    pub fn address(&self, connection: ConnectionId) -> SocketAddr {
         self.transport.connects.iter().find(|(c, _)| *c == connection).expect("unknown connection").1
     }
 
@@ -129,16 +129,16 @@
         self.node.datagram_received(self.now, &mut self.transport, conn, &answer);
     }
 
-    pub fn disconnect(&mut self, conn: Conn, why: Closed) {
+    pub fn disconnect(&mut self, conn: ConnectionId, why: Closed) {
         self.node.closed(self.now, &mut self.transport, conn, why, 0);
     }
 
-    pub fn statuses(&self, conn: Conn) -> Vec<u16> {
+    pub fn statuses(&self, conn: ConnectionId) -> Vec<u16> {
         self.transport.statuses(conn)
     }
 
     /// The verb and request id of each complete line sent to a model server on a connection.
-    pub fn lines(&self, connection: Conn) -> Vec<(String, String)> {
+    pub fn lines(&self, connection: ConnectionId) -> Vec<(String, String)> {
         let text = self.transport.told(connection);
         let whole = text.split_inclusive('\n').filter(|l| l.ends_with('\n'));
         let read = |l: &str| serde_json::from_str::<Value>(l).expect("a line is JSON");
@@ -158,7 +158,7 @@
     }
 
     /// The connection that carries the last attempt of a request.
-    pub fn connection_of(&mut self, id: u64) -> Conn {
+    pub fn connection_of(&mut self, id: u64) -> ConnectionId {
         let worker_connections = self.worker_connections();
         let on = worker_connections
             .iter()
--- a/crates/node/tests/common/sockets.rs
+++ b/crates/node/tests/common/sockets.rs
@@ -3,7 +3,7 @@
 use super::{answer_line, call, config_json, dns_answer, parse_config, request_id};
 use applepond_node::{Node, ProcessEvent};
 use applepond_platform::config::NodeConfig;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, Reactor, TimerId, Transport};
 use serde_json::Value;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -20,33 +20,52 @@
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.0.borrow_mut().start(now, transport);
     }
-    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
+    fn accepted(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        listener: Listener,
+    ) {
         self.1.set(self.1.get() + 1);
         self.0.borrow_mut().accepted(now, transport, conn, listener);
     }
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.0.borrow_mut().connected(now, transport, conn);
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         self.0.borrow_mut().bytes(now, transport, conn, bytes);
         if let Some(hook) = self.2.borrow_mut().take() {
             hook();
         }
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.0.borrow_mut().half_closed(now, transport, conn);
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        why: Closed,
+        sent: u64,
+    ) {
         self.0.borrow_mut().closed(now, transport, conn, why, sent);
     }
-    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn datagram_received(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        bytes: &[u8],
+    ) {
         self.0.borrow_mut().datagram_received(now, transport, conn, bytes);
     }
-    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.0.borrow_mut().flushed(now, transport, conn);
     }
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        self.0.borrow_mut().woken(now, transport, wake);
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        self.0.borrow_mut().timer_fired(now, transport, timer);
     }
 }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -18,9 +18,9 @@
 /// Whole microseconds since the Unix epoch, on a clock that never goes backwards.
 pub type Micros = u64;
 
-/// A connection or a datagram socket. A host never reuses its number.
+/// Identifies a connection or a datagram socket. A host never reuses a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Conn(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// A listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,7 +28,7 @@
 
 /// Identifies a timer; the machine chooses the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Wake(pub u64);
+pub struct TimerId(pub u64);
 
 /// Why a connection closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,50 +48,50 @@
 pub trait Transport {
     /// Opens a connection. `connected` is called once it is established, or `closed` if that fails or takes
     /// longer than `timeout`.
-    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> Conn;
+    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> ConnectionId;
     /// Queues bytes for writing.
-    fn write(&mut self, conn: Conn, bytes: &[u8]);
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]);
     /// Writes as many bytes as the kernel accepts at once and returns their number. The caller keeps the
     /// rest; `flushed` is called when the socket is writable again.
-    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize;
+    fn try_write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize;
     /// Opens a UDP socket that is connected to one address, on a port that the kernel picks; `None` if it
     /// cannot be opened. `abort` closes it.
-    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn>;
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<ConnectionId>;
     /// Sends one datagram on such a socket. It is lost if the kernel does not accept it.
-    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]);
+    fn send_datagram(&mut self, conn: ConnectionId, bytes: &[u8]);
     /// Opens a UDP socket for datagrams to and from any address. Returns the socket and the address that it
     /// is bound to. `datagram_received` is called for each datagram that arrives.
     ///
     /// # Errors
     /// The kernel's error, or `Unsupported` if this transport has no such sockets.
-    fn bind_datagrams(&mut self, _at: SocketAddr) -> io::Result<(Conn, SocketAddr)> {
+    fn bind_datagrams(&mut self, _at: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
         Err(io::ErrorKind::Unsupported.into())
     }
     /// Sends one datagram from such a socket. Returns false, and the datagram is lost, if the kernel does not
     /// accept it.
-    fn send_datagram_to(&mut self, _conn: Conn, _to: SocketAddr, _bytes: &[u8]) -> bool {
+    fn send_datagram_to(&mut self, _conn: ConnectionId, _to: SocketAddr, _bytes: &[u8]) -> bool {
         false
     }
     /// Queued bytes that the kernel has not accepted yet.
-    fn unsent(&self, conn: Conn) -> usize;
+    fn unsent(&self, conn: ConnectionId) -> usize;
     /// Bytes that the kernel has accepted so far. The peer may have received any of them, and nothing beyond
     /// them.
-    fn sent(&self, conn: Conn) -> u64;
+    fn sent(&self, conn: ConnectionId) -> u64;
     /// Pauses or resumes reading. A paused connection exerts backpressure on its peer.
-    fn set_reading(&mut self, conn: Conn, on: bool);
+    fn set_reading(&mut self, conn: ConnectionId, on: bool);
     /// From now on, calls `half_closed` as soon as the kernel reports that the peer has shut down its
     /// direction: even while reading is paused, and ahead of unread bytes and of all other events. For
     /// protocols in which that means that the peer no longer wants an answer.
-    fn hangup_first(&mut self, _conn: Conn) {}
+    fn hangup_first(&mut self, _conn: ConnectionId) {}
     /// The earliest time at which the bytes now passed to the machine may have arrived in the kernel. It is
     /// before `now` if the process was busy or suspended since the last poll.
-    fn earliest_arrival(&self, _conn: Conn, now: Micros) -> Micros {
+    fn earliest_arrival(&self, _conn: ConnectionId, now: Micros) -> Micros {
         now
     }
     /// Shuts down this side once all queued bytes are written. Only `closed` is called afterwards.
-    fn finish(&mut self, conn: Conn);
+    fn finish(&mut self, conn: ConnectionId);
     /// Closes the connection or datagram socket at once. No further calls are made for it.
-    fn abort(&mut self, conn: Conn);
+    fn abort(&mut self, conn: ConnectionId);
     /// Listens, with at most `max_open` accepted connections open at a time; further ones wait in the
     /// kernel's accept queue. Returns the listener and the address that it is bound to.
     ///
@@ -103,8 +103,8 @@
     fn stop_accepting(&mut self, listener: Listener, close: bool);
     /// Resumes accepting after `stop_accepting` without `close`.
     fn resume_accepting(&mut self, listener: Listener);
-    /// Sets a timer: `woken` is called at this time or shortly after it.
-    fn wake_at(&mut self, at: Micros, wake: Wake);
+    /// Sets a timer: `timer_fired` is called at this time or shortly after it.
+    fn set_timer_at(&mut self, at: Micros, timer: TimerId);
 }
 
 /// A state machine that is called with the events of its connections and timers and answers with commands. It
@@ -113,20 +113,33 @@
     /// The first call, when the machine has been added to its host.
     fn start(&mut self, now: Micros, transport: &mut dyn Transport);
     /// A listener has accepted a connection.
-    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener);
+    fn accepted(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        listener: Listener,
+    );
     /// A connection that the machine opened is established.
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId);
     /// Bytes have been read.
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]);
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]);
     /// The peer has shut down its direction. It may still read.
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId);
     /// The connection is closed. `sent` is the number of written bytes that the kernel had accepted.
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64);
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        reason: Closed,
+        sent: u64,
+    );
     /// A datagram has arrived on a datagram socket.
-    fn datagram_received(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: &[u8]) {}
+    fn datagram_received(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: &[u8]) {}
     /// The kernel has accepted all queued bytes, after an earlier call had left some of them queued; or the
     /// socket is writable again after `try_write`.
-    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn);
-    /// A timer set by `wake_at` has fired.
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake);
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId);
+    /// A timer set by `set_timer_at` has fired.
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId);
 }
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,7 +1,7 @@
 //! The event loop on real sockets: single-threaded, on epoll, without an asynchronous runtime.
 use crate::sockets::{Notification, READ_BUFFER_BYTES, Sockets, Timer, accept};
 use crate::transport::MachineTransport;
-use crate::{Closed, Conn, Listener, Machine, Micros, Transport};
+use crate::{Closed, ConnectionId, Listener, Machine, Micros, Transport};
 use rustix::event::{Timespec, epoll};
 use rustix::io::Errno;
 use rustix::net::{self, sockopt};
@@ -171,8 +171,8 @@
 
     fn handle_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Machine { machine, wake } => {
-                self.call(machine, |machine, now, transport| machine.woken(now, transport, wake));
+            Timer::Machine { machine, timer } => {
+                self.call(machine, |machine, now, transport| machine.timer_fired(now, transport, timer));
             }
             Timer::ConnectTimeout(conn) => {
                 let connection = self.sockets.connections.get(&conn.0);
@@ -235,7 +235,7 @@
         if self.sockets.listeners.contains_key(&data) {
             return self.accept(Listener(data));
         }
-        let conn = Conn(data);
+        let conn = ConnectionId(data);
         if let Some(socket) = self.sockets.datagram_sockets.get(&data) {
             return self.read_datagrams(socket.machine, conn);
         }
@@ -251,7 +251,7 @@
         self.process_pending();
     }
 
-    fn read_datagrams(&mut self, machine: usize, conn: Conn) {
+    fn read_datagrams(&mut self, machine: usize, conn: ConnectionId) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Some(socket) = self.sockets.datagram_sockets.get(&conn.0) else { break };
@@ -270,7 +270,7 @@
     }
 
     /// Handles the outcome, success or failure, of a connection attempt of this side.
-    fn complete_connect(&mut self, machine: usize, conn: Conn, flags: epoll::EventFlags) {
+    fn complete_connect(&mut self, machine: usize, conn: ConnectionId, flags: epoll::EventFlags) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         let succeeded = sockopt::socket_error(&connection.fd).is_ok_and(|error| error.is_ok());
         if succeeded && !flags.contains(epoll::EventFlags::HUP) {
@@ -283,7 +283,7 @@
     }
 
     /// Reports the peer's shutdown ahead of bytes that have not been read yet.
-    fn report_hangup(&mut self, machine: usize, conn: Conn) {
+    fn report_hangup(&mut self, machine: usize, conn: ConnectionId) {
         if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
             connection.hangup_first = false;
             connection.hangup_reported = true;
@@ -293,7 +293,7 @@
     }
 
     /// Reads from and writes to an established connection as far as epoll reports it ready.
-    fn transfer(&mut self, machine: usize, conn: Conn, flags: epoll::EventFlags) {
+    fn transfer(&mut self, machine: usize, conn: ConnectionId, flags: epoll::EventFlags) {
         let failed = flags.intersects(epoll::EventFlags::ERR | epoll::EventFlags::HUP);
         if flags.contains(epoll::EventFlags::IN) || failed {
             self.read(machine, conn, failed);
@@ -309,7 +309,7 @@
     }
 
     /// Reads once. `failed` is whether epoll has reported an error or hang-up of the connection.
-    fn read(&mut self, machine: usize, conn: Conn, failed: bool) {
+    fn read(&mut self, machine: usize, conn: ConnectionId, failed: bool) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         if !connection.reading && !connection.finishing && !failed {
             return;
@@ -336,7 +336,7 @@
     }
 
     /// Handles the peer's shutdown after all that it sent has been read.
-    fn peer_ended(&mut self, machine: usize, conn: Conn) {
+    fn peer_ended(&mut self, machine: usize, conn: ConnectionId) {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return };
         connection.peer_ended = true;
         if connection.finishing && connection.unsent.is_empty() {
--- a/crates/reactor/src/sockets.rs
+++ b/crates/reactor/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Tables of sockets and timers, and the state kept for them between the kernel and the machines.
 use crate::connection::{Acceptance, Connection, DatagramSocket, ListenSocket, PollRound};
 use crate::wheel::Wheel;
-use crate::{Closed, Conn, Listener, Micros, Wake};
+use crate::{Closed, ConnectionId, Listener, Micros, TimerId};
 use rustc_hash::FxHashMap;
 use rustix::event::epoll;
 use rustix::io::Errno;
@@ -24,21 +24,21 @@
 
 /// What a timer does when it fires.
 pub(crate) enum Timer {
-    /// Calls `woken` of a machine.
-    Machine { machine: usize, wake: Wake },
+    /// Calls `timer_fired` of a machine.
+    Machine { machine: usize, timer: TimerId },
     /// Closes the connection if it is not established yet.
-    ConnectTimeout(Conn),
+    ConnectTimeout(ConnectionId),
     /// Closes a connection whose peer has not shut down its direction.
-    LingerTimeout(Conn),
+    LingerTimeout(ConnectionId),
     /// Resumes accepting after the process ran out of descriptors.
     RetryAccept(Listener),
 }
 
 /// A call to a machine that is made after the current call has returned.
 pub(crate) enum Notification {
-    Accepted { machine: usize, conn: Conn, listener: Listener },
-    Closed { machine: usize, conn: Conn, reason: Closed, sent: u64 },
-    Flushed { machine: usize, conn: Conn },
+    Accepted { machine: usize, conn: ConnectionId, listener: Listener },
+    Closed { machine: usize, conn: ConnectionId, reason: Closed, sent: u64 },
+    Flushed { machine: usize, conn: ConnectionId },
 }
 
 /// All sockets and timers of one reactor, for all of its machines.
@@ -46,17 +46,17 @@
     /// The epoll instance.
     pub(crate) epoll: OwnedFd,
     // The keys are numbers that this process assigns, so a hash that is not collision-resistant is safe.
-    /// Connections by the number of their `Conn`.
+    /// Connections by the number of their `ConnectionId`.
     pub(crate) connections: FxHashMap<u64, Connection>,
     /// Listening sockets by the number of their `Listener`.
     pub(crate) listeners: FxHashMap<u64, ListenSocket>,
-    /// Datagram sockets by the number of their `Conn`.
+    /// Datagram sockets by the number of their `ConnectionId`.
     pub(crate) datagram_sockets: FxHashMap<u64, DatagramSocket>,
     pub(crate) timers: Wheel<Timer>,
     /// The last number assigned to a socket.
     last_number: u64,
     /// Connections to flush before the next event.
-    pub(crate) dirty: Vec<Conn>,
+    pub(crate) dirty: Vec<ConnectionId>,
     /// Notifications not delivered yet, oldest first.
     pub(crate) notifications: VecDeque<Notification>,
     /// When the reactor was created, on the monotonic clock.
@@ -108,7 +108,7 @@
 
     /// Schedules the connection to be flushed, and its epoll events updated, after the current call has
     /// returned.
-    pub(crate) fn mark_dirty(&mut self, conn: Conn) {
+    pub(crate) fn mark_dirty(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&conn.0)
             && !connection.dirty
         {
@@ -118,7 +118,7 @@
     }
 
     /// Writes as many queued bytes as the kernel accepts and updates the events that epoll reports.
-    pub(crate) fn flush(&mut self, conn: Conn) {
+    pub(crate) fn flush(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         connection.dirty = false;
         if !connection.established {
@@ -149,7 +149,7 @@
 
     /// Called when no queued bytes are left: notifies the machine, and shuts down this side if that was
     /// requested.
-    fn all_sent(&mut self, conn: Conn) {
+    fn all_sent(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         if connection.unsent.capacity() > READ_BUFFER_BYTES {
             connection.unsent = VecDeque::new();
@@ -171,7 +171,7 @@
     }
 
     /// Updates the events that epoll reports to those that the connection's state needs.
-    fn update_interest(&mut self, conn: Conn) {
+    fn update_interest(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&conn.0) else { return };
         let wanted = connection.wanted_events();
         if wanted != connection.interest {
@@ -188,7 +188,7 @@
     }
 
     /// Closes the connection at once. The machine is notified if a reason is given.
-    pub(crate) fn drop_connection(&mut self, conn: Conn, reason: Option<Closed>) {
+    pub(crate) fn drop_connection(&mut self, conn: ConnectionId, reason: Option<Closed>) {
         let Some(connection) = self.connections.remove(&conn.0) else { return };
         if let Some(reason) = reason {
             let (machine, sent) = (connection.machine, connection.sent);
@@ -229,14 +229,14 @@
         machine: usize,
         fd: OwnedFd,
         listener: Option<Listener>,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         let accepted =
             listener.map(|_| Acceptance { round: self.poll_round, earliest: self.earliest_arrival });
         self.add_connection(machine, fd, true, listener, accepted)
     }
 
     /// Adds a connection whose handshake has begun; `None` if it cannot be registered with epoll.
-    pub(crate) fn add_connecting(&mut self, machine: usize, fd: OwnedFd) -> Option<Conn> {
+    pub(crate) fn add_connecting(&mut self, machine: usize, fd: OwnedFd) -> Option<ConnectionId> {
         self.add_connection(machine, fd, false, None, None)
     }
 
@@ -247,8 +247,8 @@
         established: bool,
         listener: Option<Listener>,
         accepted: Option<Acceptance>,
-    ) -> Option<Conn> {
-        let conn = Conn(self.next_number());
+    ) -> Option<ConnectionId> {
+        let conn = ConnectionId(self.next_number());
         let interest = if established { epoll::EventFlags::IN } else { epoll::EventFlags::OUT };
         epoll::add(&self.epoll, &fd, epoll::EventData::new_u64(conn.0), interest).ok()?;
         let _ = sockopt::set_tcp_nodelay(&fd, true);
@@ -276,8 +276,8 @@
     }
 
     /// Adds a datagram socket.
-    pub(crate) fn add_datagram_socket(&mut self, machine: usize, fd: OwnedFd) -> Result<Conn, Errno> {
-        let conn = Conn(self.next_number());
+    pub(crate) fn add_datagram_socket(&mut self, machine: usize, fd: OwnedFd) -> Result<ConnectionId, Errno> {
+        let conn = ConnectionId(self.next_number());
         epoll::add(&self.epoll, &fd, epoll::EventData::new_u64(conn.0), epoll::EventFlags::IN)?;
         self.datagram_sockets.insert(conn.0, DatagramSocket { machine, fd });
         Ok(conn)
--- a/crates/reactor/src/transport.rs
+++ b/crates/reactor/src/transport.rs
@@ -1,6 +1,6 @@
 //! The [`Transport`] of one machine on real sockets.
 use crate::sockets::{Notification, Sockets, Timer, accept, datagram_socket, stream_socket};
-use crate::{Closed, Conn, Listener, Micros, Transport, Wake};
+use crate::{Closed, ConnectionId, Listener, Micros, TimerId, Transport};
 use rustix::io::Errno;
 use rustix::net;
 use std::io;
@@ -14,7 +14,7 @@
 }
 
 impl Transport for MachineTransport<'_> {
-    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> Conn {
+    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> ConnectionId {
         let connecting = stream_socket(&to).ok().and_then(|fd| match net::connect(&fd, &to) {
             Ok(()) | Err(Errno::INPROGRESS) => self.sockets.add_connecting(self.machine, fd),
             Err(_) => None,
@@ -26,7 +26,7 @@
                 conn
             }
             None => {
-                let conn = Conn(self.sockets.next_number());
+                let conn = ConnectionId(self.sockets.next_number());
                 let (machine, reason, sent) = (self.machine, Closed::NotEstablished, 0);
                 self.sockets.notifications.push_back(Notification::Closed { machine, conn, reason, sent });
                 conn
@@ -34,7 +34,7 @@
         }
     }
 
-    fn write(&mut self, conn: Conn, bytes: &[u8]) {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let connection = self.sockets.connections.get_mut(&conn.0);
         if let Some(connection) = connection.filter(|connection| !connection.finishing) {
             connection.unsent.extend(bytes);
@@ -42,7 +42,7 @@
         }
     }
 
-    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn try_write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         let Some(connection) = self.sockets.connections.get_mut(&conn.0) else { return 0 };
         if !connection.established || connection.finishing || !connection.unsent.is_empty() {
             return 0;
@@ -67,19 +67,19 @@
         taken
     }
 
-    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<ConnectionId> {
         let fd = datagram_socket(&to).ok()?;
         net::connect(&fd, &to).ok()?;
         self.sockets.add_datagram_socket(self.machine, fd).ok()
     }
 
-    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]) {
+    fn send_datagram(&mut self, conn: ConnectionId, bytes: &[u8]) {
         if let Some(socket) = self.sockets.datagram_sockets.get(&conn.0) {
             let _ = net::send(&socket.fd, bytes, net::SendFlags::NOSIGNAL);
         }
     }
 
-    fn bind_datagrams(&mut self, at: SocketAddr) -> io::Result<(Conn, SocketAddr)> {
+    fn bind_datagrams(&mut self, at: SocketAddr) -> io::Result<(ConnectionId, SocketAddr)> {
         let fd = datagram_socket(&at)?;
         net::bind(&fd, &at)?;
         let bound = SocketAddr::try_from(net::getsockname(&fd)?)?;
@@ -87,27 +87,27 @@
         Ok((conn, bound))
     }
 
-    fn send_datagram_to(&mut self, conn: Conn, to: SocketAddr, bytes: &[u8]) -> bool {
+    fn send_datagram_to(&mut self, conn: ConnectionId, to: SocketAddr, bytes: &[u8]) -> bool {
         let socket = self.sockets.datagram_sockets.get(&conn.0);
         socket.is_some_and(|socket| net::sendto(&socket.fd, bytes, net::SendFlags::NOSIGNAL, &to).is_ok())
     }
 
-    fn unsent(&self, conn: Conn) -> usize {
+    fn unsent(&self, conn: ConnectionId) -> usize {
         self.sockets.connections.get(&conn.0).map_or(0, |connection| connection.unsent.len())
     }
 
-    fn sent(&self, conn: Conn) -> u64 {
+    fn sent(&self, conn: ConnectionId) -> u64 {
         self.sockets.connections.get(&conn.0).map_or(0, |connection| connection.sent)
     }
 
-    fn set_reading(&mut self, conn: Conn, on: bool) {
+    fn set_reading(&mut self, conn: ConnectionId, on: bool) {
         if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
             connection.reading = on;
             self.sockets.mark_dirty(conn);
         }
     }
 
-    fn earliest_arrival(&self, conn: Conn, now: Micros) -> Micros {
+    fn earliest_arrival(&self, conn: ConnectionId, now: Micros) -> Micros {
         let connection = self.sockets.connections.get(&conn.0);
         let accepted = connection.and_then(|connection| connection.accepted);
         // Bytes found by the first poll after the connection was accepted may have arrived together with it.
@@ -117,14 +117,14 @@
         now.min(self.sockets.earliest_arrival).min(with_connection.unwrap_or(Micros::MAX))
     }
 
-    fn hangup_first(&mut self, conn: Conn) {
+    fn hangup_first(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.sockets.connections.get_mut(&conn.0) {
             connection.hangup_first = true;
             self.sockets.mark_dirty(conn);
         }
     }
 
-    fn finish(&mut self, conn: Conn) {
+    fn finish(&mut self, conn: ConnectionId) {
         let connection = self.sockets.connections.get_mut(&conn.0);
         if let Some(connection) = connection.filter(|connection| !connection.finishing) {
             connection.finishing = true;
@@ -132,7 +132,7 @@
         }
     }
 
-    fn abort(&mut self, conn: Conn) {
+    fn abort(&mut self, conn: ConnectionId) {
         self.sockets.datagram_sockets.remove(&conn.0);
         self.sockets.drop_connection(conn, None);
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
-        self.sockets.timers.insert(at, Timer::Machine { machine: self.machine, wake });
+    fn set_timer_at(&mut self, at: Micros, timer: TimerId) {
+        self.sockets.timers.insert(at, Timer::Machine { machine: self.machine, timer });
     }
 }
--- a/crates/reactor/tests/sockets.rs
+++ b/crates/reactor/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The reactor on real loopback sockets. A test turns the reactor until its condition holds, at most
 //! `MAX_TURNS` times.
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Reactor, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, Reactor, TimerId, Transport};
 use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,18 +13,18 @@
 #[derive(Default)]
 struct Calls {
     address: Option<SocketAddr>,
-    conns: Vec<Conn>,
+    conns: Vec<ConnectionId>,
     bytes: usize,
     half_closed_count: usize,
-    closed: Vec<(Conn, Closed, u64)>,
-    woken: Vec<u64>,
-    /// Total of the bytes read before each call of `woken`.
-    bytes_when_woken: Vec<usize>,
+    closed: Vec<(ConnectionId, Closed, u64)>,
+    fired_timers: Vec<u64>,
+    /// Total of the bytes read before each call of `timer_fired`.
+    bytes_when_fired: Vec<usize>,
     connected: usize,
     flushed: usize,
 }
 
-type OnBytes = Box<dyn FnMut(&mut dyn Transport, Conn, &[u8])>;
+type OnBytes = Box<dyn FnMut(&mut dyn Transport, ConnectionId, &[u8])>;
 type OnStart = Box<dyn FnMut(&mut dyn Transport, Micros)>;
 
 /// Listens and records its calls. `on_start` and `on_bytes` issue the commands of a test.
@@ -42,31 +42,31 @@
         self.calls.borrow_mut().address = Some(at);
         (self.on_start)(transport, now);
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.calls.borrow_mut().conns.push(conn);
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {
         self.calls.borrow_mut().connected += 1;
     }
-    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         self.calls.borrow_mut().bytes += bytes.len();
         (self.on_bytes)(transport, conn, bytes);
     }
-    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.calls.borrow_mut().half_closed_count += 1;
         transport.finish(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, reason: Closed, sent: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, reason: Closed, sent: u64) {
         self.calls.borrow_mut().closed.push((conn, reason, sent));
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {
         self.calls.borrow_mut().flushed += 1;
     }
-    fn woken(&mut self, _: Micros, _: &mut dyn Transport, wake: Wake) {
+    fn timer_fired(&mut self, _: Micros, _: &mut dyn Transport, timer: TimerId) {
         let mut calls = self.calls.borrow_mut();
         let bytes = calls.bytes;
-        calls.woken.push(wake.0);
-        calls.bytes_when_woken.push(bytes);
+        calls.fired_timers.push(timer.0);
+        calls.bytes_when_fired.push(bytes);
     }
 }
 
@@ -123,14 +123,14 @@
         8,
         move |transport, now| {
             transport.connect(refused, 1_000_000);
-            transport.wake_at(now + 20_000, Wake(2));
-            transport.wake_at(now + 1_000, Wake(1));
-            transport.wake_at(now, Wake(0));
+            transport.set_timer_at(now + 20_000, TimerId(2));
+            transport.set_timer_at(now + 1_000, TimerId(1));
+            transport.set_timer_at(now, TimerId(0));
         },
         Box::new(|_, _, _| ()),
     );
-    turn_until(&mut reactor, || calls.borrow().woken.len() == 3 && calls.borrow().closed.len() == 1);
-    assert_eq!(calls.borrow().woken, [0, 1, 2]);
+    turn_until(&mut reactor, || calls.borrow().fired_timers.len() == 3 && calls.borrow().closed.len() == 1);
+    assert_eq!(calls.borrow().fired_timers, [0, 1, 2]);
     assert_eq!((calls.borrow().closed[0].1, calls.borrow().closed[0].2), (Closed::NotEstablished, 0));
 }
 
@@ -196,9 +196,9 @@
 fn unread_bytes_are_read_before_timers_fire(due_ms: Micros, suspended_ms: u64) {
     let other: Rc<RefCell<Option<TcpStream>>> = Rc::default();
     let second = other.clone();
-    let on_bytes = Box::new(move |transport: &mut dyn Transport, _: Conn, _: &[u8]| {
+    let on_bytes = Box::new(move |transport: &mut dyn Transport, _: ConnectionId, _: &[u8]| {
         if let Some(mut other) = second.take() {
-            transport.wake_at(time_after(due_ms * 1_000), Wake(1));
+            transport.set_timer_at(time_after(due_ms * 1_000), TimerId(1));
             other.write_all(b"meanwhile").expect("written");
             std::thread::sleep(Duration::from_millis(suspended_ms));
         }
@@ -208,8 +208,8 @@
     *other.borrow_mut() = Some(client(&calls));
     turn_until(&mut reactor, || calls.borrow().conns.len() == 2);
     first.write_all(b"go").expect("written");
-    turn_until(&mut reactor, || !calls.borrow().woken.is_empty());
-    assert_eq!(calls.borrow().bytes_when_woken, [b"go".len() + b"meanwhile".len()]);
+    turn_until(&mut reactor, || !calls.borrow().fired_timers.is_empty());
+    assert_eq!(calls.borrow().bytes_when_fired, [b"go".len() + b"meanwhile".len()]);
 }
 
 // The same for a process that was suspended before it polled, with more unread bytes than one read takes.
@@ -218,7 +218,7 @@
     let (mut reactor, calls) = start_reactor(
         4,
         |_, _| {},
-        Box::new(|transport, _, _| transport.wake_at(time_after(10_000), Wake(1))),
+        Box::new(|transport, _, _| transport.set_timer_at(time_after(10_000), TimerId(1))),
     );
     let mut stream = client(&calls);
     turn_until(&mut reactor, || calls.borrow().conns.len() == 1);
@@ -226,6 +226,6 @@
     turn_until(&mut reactor, || calls.borrow().bytes == 2);
     stream.write_all(&[b'x'; 100_000]).expect("the socket buffers hold it");
     std::thread::sleep(Duration::from_millis(100));
-    turn_until(&mut reactor, || !calls.borrow().woken.is_empty());
-    assert_eq!(calls.borrow().bytes_when_woken[0], 100_002);
+    turn_until(&mut reactor, || !calls.borrow().fired_timers.is_empty());
+    assert_eq!(calls.borrow().bytes_when_fired[0], 100_002);
 }
--- a/crates/scenarios/src/seeded_bugs.rs
+++ b/crates/scenarios/src/seeded_bugs.rs
@@ -1,6 +1,6 @@
 //! Bugs seeded between a router and its sockets, to prove the audit: the router itself stays as it is, what
 //! it reads and writes is changed.
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -56,13 +56,13 @@
 #[derive(Default)]
 struct State {
     /// Connections of clients.
-    clients: BTreeSet<Conn>,
+    clients: BTreeSet<ConnectionId>,
     /// Connections that the router opened.
-    opened: BTreeMap<Conn, SocketAddr>,
+    opened: BTreeMap<ConnectionId, SocketAddr>,
     /// Workers that have just started.
     cold: BTreeSet<SocketAddr>,
     /// Connections that the bug opened, with what they are to send.
-    own: BTreeMap<Conn, Vec<u8>>,
+    own: BTreeMap<ConnectionId, Vec<u8>>,
     /// Answers so far.
     answers: u64,
     /// Last steps of workflows so far.
@@ -173,12 +173,12 @@
 }
 
 impl Transport for BuggyTransport<'_> {
-    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> Conn {
+    fn connect(&mut self, to: SocketAddr, timeout: Micros) -> ConnectionId {
         let conn = self.transport.connect(to, timeout);
         self.state.opened.insert(conn, to);
         conn
     }
-    fn write(&mut self, conn: Conn, bytes: &[u8]) {
+    fn write(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let is_answer = self.state.clients.contains(&conn) && bytes.starts_with(b"HTTP/1.1 200");
         self.state.answers += u64::from(is_answer);
         let is_changed = is_answer && self.state.answers.is_multiple_of(ANSWERS_PER_BUG);
@@ -193,34 +193,34 @@
             _ => self.transport.write(conn, bytes),
         }
     }
-    fn try_write(&mut self, conn: Conn, bytes: &[u8]) -> usize {
+    fn try_write(&mut self, conn: ConnectionId, bytes: &[u8]) -> usize {
         self.transport.try_write(conn, bytes)
     }
-    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<Conn> {
+    fn connect_datagrams(&mut self, to: SocketAddr) -> Option<ConnectionId> {
         self.transport.connect_datagrams(to)
     }
-    fn send_datagram(&mut self, conn: Conn, bytes: &[u8]) {
+    fn send_datagram(&mut self, conn: ConnectionId, bytes: &[u8]) {
         self.transport.send_datagram(conn, bytes);
     }
-    fn unsent(&self, conn: Conn) -> usize {
+    fn unsent(&self, conn: ConnectionId) -> usize {
         self.transport.unsent(conn)
     }
-    fn sent(&self, conn: Conn) -> u64 {
+    fn sent(&self, conn: ConnectionId) -> u64 {
         self.transport.sent(conn)
     }
-    fn set_reading(&mut self, conn: Conn, on: bool) {
+    fn set_reading(&mut self, conn: ConnectionId, on: bool) {
         self.transport.set_reading(conn, on);
     }
-    fn earliest_arrival(&self, conn: Conn, now: Micros) -> Micros {
+    fn earliest_arrival(&self, conn: ConnectionId, now: Micros) -> Micros {
         self.transport.earliest_arrival(conn, now)
     }
-    fn hangup_first(&mut self, conn: Conn) {
+    fn hangup_first(&mut self, conn: ConnectionId) {
         self.transport.hangup_first(conn);
     }
-    fn finish(&mut self, conn: Conn) {
+    fn finish(&mut self, conn: ConnectionId) {
         self.transport.finish(conn);
     }
-    fn abort(&mut self, conn: Conn) {
+    fn abort(&mut self, conn: ConnectionId) {
         self.transport.abort(conn);
     }
     fn listen(&mut self, at: SocketAddr, max_open: usize) -> std::io::Result<(Listener, SocketAddr)> {
@@ -232,8 +232,8 @@
     fn resume_accepting(&mut self, listener: Listener) {
         self.transport.resume_accepting(listener);
     }
-    fn wake_at(&mut self, at: Micros, wake: Wake) {
-        self.transport.wake_at(at, wake);
+    fn set_timer_at(&mut self, at: Micros, timer: TimerId) {
+        self.transport.set_timer_at(at, timer);
     }
 }
 
@@ -241,17 +241,23 @@
     fn start(&mut self, now: Micros, transport: &mut dyn Transport) {
         self.call(now, transport, |machine, transport| machine.start(now, transport));
     }
-    fn accepted(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, listener: Listener) {
+    fn accepted(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        listener: Listener,
+    ) {
         self.state.clients.insert(conn);
         self.call(now, transport, |machine, transport| machine.accepted(now, transport, conn, listener));
     }
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         match self.state.own.get(&conn) {
             Some(bytes) => transport.write(conn, bytes),
             None => self.call(now, transport, |machine, transport| machine.connected(now, transport, conn)),
         }
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if self.state.own.contains_key(&conn) {
             return;
         }
@@ -265,30 +271,43 @@
         }
         self.call(now, transport, |machine, transport| machine.bytes(now, transport, conn, &bytes));
     }
-    fn datagram_received(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn datagram_received(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        bytes: &[u8],
+    ) {
         self.call(now, transport, |machine, transport| {
             machine.datagram_received(now, transport, conn, bytes)
         });
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         match self.state.own.remove(&conn) {
             Some(_) => transport.abort(conn),
             None => self.call(now, transport, |machine, transport| machine.half_closed(now, transport, conn)),
         }
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, sent: u64) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        why: Closed,
+        sent: u64,
+    ) {
         self.state.clients.remove(&conn);
         self.state.opened.remove(&conn);
         if self.state.own.remove(&conn).is_none() {
             self.call(now, transport, |machine, transport| machine.closed(now, transport, conn, why, sent));
         }
     }
-    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn flushed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if !self.state.own.contains_key(&conn) {
             self.call(now, transport, |machine, transport| machine.flushed(now, transport, conn));
         }
     }
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        self.call(now, transport, |machine, transport| machine.woken(now, transport, wake));
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        self.call(now, transport, |machine, transport| machine.timer_fired(now, transport, timer));
     }
 }
