--- a/crates/gateway/src/client/connection.rs
+++ b/crates/gateway/src/client/connection.rs
@@ -42,7 +42,7 @@
 pub(crate) enum TimeoutCheck {
     /// The next check is due at this time.
     CheckAt(Micros),
-    /// The connection had timed out and was cut.
+    /// The connection had timed out and was aborted.
     Closed,
 }
 
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Checks the timeouts: answers an incomplete request with 408, closes an idle connection, and cuts the
+    /// Checks the timeouts: answers an incomplete request with 408, closes an idle connection, and aborts the
     /// connection of a client that does not read its answer.
     pub(crate) fn check_timeout(
         &mut self,
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Applies a new entry. Returns the idle connections to be cut: all of them if the process was replaced,
+    /// Applies a new entry. Returns the idle connections to abort: all of them if the process was replaced,
     /// has moved to another address, or is no longer ready.
     fn update(&mut self, address: SocketAddr, entry: &EndpointEntry) -> Vec<IdleConnection> {
         let is_other_process = self.address != address || self.up_since != entry.up_since;
@@ -92,7 +92,7 @@
     pub kind: EndpointListKind,
     /// The entries for `Control`.
     pub entries: Vec<EndpointEntry>,
-    /// Connections to cut.
+    /// Connections to abort.
     pub disconnect: Vec<ConnectionId>,
 }
 
--- a/crates/gateway/src/gateway/attempts.rs
+++ b/crates/gateway/src/gateway/attempts.rs
@@ -137,7 +137,7 @@
             return;
         };
         if let Some(conn) = state.connection.take() {
-            self.workers.cut(transport, conn);
+            self.workers.abort(transport, conn);
         }
         request.timed_out |= outcome == Outcome::TimedOut;
         self.close_attempt(now, attempt, attempt_result(outcome));
--- a/crates/gateway/src/gateway/endpoint_watch.rs
+++ b/crates/gateway/src/gateway/endpoint_watch.rs
@@ -151,11 +151,11 @@
         self.apply_endpoint_update(now, transport, update);
     }
 
-    /// Cuts idle connections to workers that were removed, replaced or moved or are draining, and passes the
-    /// new entries to `Control`. History may override the status in the list.
+    /// Aborts idle connections to workers that were removed, replaced or moved or are draining, and passes
+    /// the new entries to `Control`. History may override the status in the list.
     fn apply_endpoint_update(&mut self, now: Micros, transport: &mut dyn Transport, update: EndpointUpdate) {
         for conn in &update.disconnect {
-            self.workers.cut(transport, *conn);
+            self.workers.abort(transport, *conn);
         }
         let mut entries = update.entries;
         if update.kind != EndpointListKind::Changes {
--- a/crates/gateway/src/gateway/maintenance.rs
+++ b/crates/gateway/src/gateway/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work, once a second: cuts expired idle connections, and applies a new configuration.
+//! Periodic work, once a second: aborts expired idle connections, and applies a new configuration.
 use super::{Gateway, attribute_names};
 use crate::deployment::Deployment;
 use crate::errors::ReloadError;
@@ -12,7 +12,7 @@
 impl Gateway {
     /// Does the periodic work and schedules the next run after [`MAINTENANCE_INTERVAL`].
     pub(super) fn maintain(&mut self, now: Micros, transport: &mut dyn Transport) {
-        self.workers.cut_expired_idle(now, transport);
+        self.workers.abort_expired_idle(now, transport);
         if let Some(new) = (self.config_source)() {
             self.reload(now, transport, new);
         }
--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -23,7 +23,7 @@
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let Some(attempt) = connection.attempt else {
             // Data on an idle connection: a second response or garbage, which belongs to no request.
-            self.workers.cut_idle(transport, conn);
+            self.workers.abort_idle(transport, conn);
             return;
         };
         connection.decoder.feed(bytes);
--- a/crates/gateway/src/gateway/worker_pool.rs
+++ b/crates/gateway/src/gateway/worker_pool.rs
@@ -69,7 +69,7 @@
     }
 
     /// Releases a connection whose attempt has ended. It is kept idle if it is `reusable`, its worker accepts
-    /// requests, and the worker has fewer than [`MAX_IDLE_CONNECTIONS`] idle ones; otherwise it is cut.
+    /// requests, and the worker has fewer than [`MAX_IDLE_CONNECTIONS`] idle ones; otherwise it is aborted.
     pub(super) fn release(
         &mut self,
         now: Micros,
@@ -81,18 +81,18 @@
         let record = self.ready(worker);
         match record.filter(|record| reusable && record.idle.len() < MAX_IDLE_CONNECTIONS) {
             Some(record) => record.idle.push(IdleConnection { conn, since: now }),
-            None => self.cut(transport, conn),
+            None => self.abort(transport, conn),
         }
     }
 
-    /// Cuts a connection that is not idle.
-    pub(super) fn cut(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
+    /// Aborts a connection that is not idle.
+    pub(super) fn abort(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.connections.remove(&conn);
     }
 
-    /// Cuts a connection that may be idle.
-    pub(super) fn cut_idle(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
+    /// Aborts a connection that may be idle.
+    pub(super) fn abort_idle(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.forget_idle(connection.worker, conn);
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Cuts the connections idle for longer than [`IDLE_TIMEOUT`].
-    pub(super) fn cut_expired_idle(&mut self, now: Micros, transport: &mut dyn Transport) {
+    /// Aborts the connections idle for longer than [`IDLE_TIMEOUT`].
+    pub(super) fn abort_expired_idle(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, record) in self.endpoints.iter_mut() {
             let expired = record.idle.iter().take_while(|idle| now >= idle.since + IDLE_TIMEOUT).count();
             for IdleConnection { conn, .. } in record.idle.drain(..expired) {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway on a simulated network that records writes, new connections and cuts, with a simulated clock.
+//! A gateway on a simulated network that records writes, new connections and aborts, with a simulated clock.
 #![allow(dead_code)] // each test file uses a part of it
 use applepond::interface::{
     AttemptPolicy, CustomerConfig, IdempotencyScope, Micros, RackId, RetrySafety, SlowStartRules,
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -41,9 +41,9 @@
 #[test_case(&full("draining", 7), true, Some(WorkerStatus::Draining); "draining")]
 #[test_case("{\"kind\":\"full\",\"workers\":[]}", true, None; "missing from a full list")]
 #[test_case("{\"kind\":\"changes\",\"workers\":[]}", false, Some(WorkerStatus::Ready); "no change")]
-fn idle_connections_to_a_replaced_or_draining_process_are_cut(
+fn idle_connections_to_a_replaced_or_draining_process_are_aborted(
     line: &str,
-    cut: bool,
+    aborted: bool,
     standing: Option<WorkerStatus>,
 ) {
     let mut list = EndpointList::default();
@@ -54,7 +54,7 @@
     let id = WorkerId::named("w");
     list.get_mut(id).expect("known").idle.push(IdleConnection { conn: ConnectionId(5), since: 0 });
     let update = list.read_line(line.as_bytes(), &zones).expect("valid line");
-    assert_eq!(update.disconnect, if cut { vec![ConnectionId(5)] } else { vec![] });
+    assert_eq!(update.disconnect, if aborted { vec![ConnectionId(5)] } else { vec![] });
     assert_eq!(list.get(id).map(|w| w.status), standing);
 }
 
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -125,13 +125,13 @@
     sim.send_event("quote", "3");
     assert_eq!(sim.transport.connects.len(), 2, "an idempotent request still reuses it");
     sim.advance(6 * S);
-    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "cut after the idle timeout");
+    assert!(sim.transport.cut.contains(&sim.transport.connects[1].0), "aborted after the idle timeout");
 }
 
 // When a hedged attempt has finished, the other attempt is cancelled by closing its connection, and data that
 // still arrives on it is ignored.
 #[test]
-fn a_cancel_cuts_the_connection_and_late_answers_are_dropped() {
+fn a_cancel_aborts_the_connection_and_late_answers_are_dropped() {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("quote", "1");
     let first = sim.worker_connections()[0];
