--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -231,8 +231,7 @@
         self.plan.shortest_time_after(step, &time)
     }
 
-    /// Priority of the run relative to a new one. It is 1 at the start and grows with the fraction of the
-    /// run's total time that has been spent.
+    /// Priority relative to a new run: 1 at the start, growing with the fraction of its total time spent.
     pub fn priority_factor(&self, now: Micros, step_times: StepTimes<'_>) -> f64 {
         let Some(step) = self.started.last() else { return 1.0 };
         let own = self.step_time(*step, step_times, 0);
@@ -294,8 +293,7 @@
         commands
     }
 
-    /// Time of the retry of a rejected step; `None` if the plan has another branch or there is not enough
-    /// time.
+    /// Time at which to retry a rejected step; `None` if the plan has another branch or time is too short.
     fn retry_at(&self, context: Context<'_>, step: StepId, retry_after: Option<Micros>) -> Option<Micros> {
         let Context { now, step_times } = context;
         let planned = self.plan.step(step);
@@ -534,8 +532,7 @@
         matches!(self.states[step.0], StepState::Ended(StepStatus::Finished | StepStatus::MayHaveRun))
     }
 
-    /// Undos of the steps that may have run, last step first. An undo whose function is not known cannot be
-    /// run.
+    /// Undos of the steps that may have run, last step first. An undo without a known function cannot be run.
     fn undos(&self) -> Vec<Command> {
         let undo = |step: &StepId| {
             let step = self.plan.step(*step).undo?;
