--- a/crates/workflow/src/run.rs
+++ b/crates/workflow/src/run.rs
@@ -231,7 +231,7 @@
         self.plan.shortest_time_after(step, &time)
     }
 
-    /// Priority relative to a new run: 1 at the start, growing with the fraction of its total time spent.
+    /// Priority relative to a new run: 1 at first, growing with the fraction of the run's total time spent.
     pub fn priority_factor(&self, now: Micros, step_times: StepTimes<'_>) -> f64 {
         let Some(step) = self.started.last() else { return 1.0 };
         let own = self.step_time(*step, step_times, 0);
