--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -57,7 +57,7 @@
 // empty peers do not count as responses.
 #[test_case(0.0)]
 #[test_case(0.1; "a tenth is lost")]
-fn a_lone_survivor_is_neither_overrun_nor_believed_alone(lost: f64) {
+fn a_lone_survivor_is_not_overloaded_and_its_facts_are_used(lost: f64) {
     for seed in 1..=10 {
         let mut network = SimulatedNetwork::settled(seed, 20);
         network.link = lossy(lost);
