--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -173,12 +173,12 @@
         })
     }
 
-    /// Reads a string that must be one of `words`.
-    pub(crate) fn one_of(&self, key: &str, words: &[&str], default: Option<&str>) -> Option<String> {
-        let quoted: Vec<String> = words.iter().map(|word| format!("\"{word}\"")).collect();
+    /// Reads a string that must be one of `choices`.
+    pub(crate) fn one_of(&self, key: &str, choices: &[&str], default: Option<&str>) -> Option<String> {
+        let quoted: Vec<String> = choices.iter().map(|choice| format!("\"{choice}\"")).collect();
         let wanted = format!("one of {}", quoted.join(", "));
         self.read(key, &wanted, default.map(str::to_owned), |value| {
-            value.as_str().filter(|word| words.contains(word)).map(str::to_owned)
+            value.as_str().filter(|choice| choices.contains(choice)).map(str::to_owned)
         })
     }
 
