--- a/crates/cli/src/fleet/adapters.rs
+++ b/crates/cli/src/fleet/adapters.rs
@@ -43,8 +43,9 @@
         self.observations.borrow_mut().record_load_time(now, function, load_time);
     }
     fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
-        let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
-        let baseline = [first_attempts_per_second, connections_per_second, pace];
+        let TrafficBaseline { first_attempts_per_second, connections_per_second, best_completion_rate } =
+            baseline;
+        let baseline = [first_attempts_per_second, connections_per_second, best_completion_rate];
         self.observations.borrow_mut().record_baseline(now, baseline);
     }
     fn record_scheduled_retry(&mut self, now: Micros, retry: ScheduledRetry) {
@@ -52,9 +53,10 @@
     }
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
         let (baseline, retries) = self.observations.borrow_mut().take_router_history(now)?;
-        let baseline = baseline.map(|[first_attempts_per_second, connections_per_second, pace]| {
-            TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
-        });
+        let baseline =
+            baseline.map(|[first_attempts_per_second, connections_per_second, best_completion_rate]| {
+                TrafficBaseline { first_attempts_per_second, connections_per_second, best_completion_rate }
+            });
         let promised = retries.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
         Some(RestoredTraffic { baseline, scheduled_retries: promised.collect() })
     }
--- a/crates/gateway/src/attempt_outcome.rs
+++ b/crates/gateway/src/attempt_outcome.rs
@@ -49,11 +49,11 @@
     progress == SendProgress::NothingSent && reused && closed != Closed::Overflow
 }
 
-/// Returns the outcome of an attempt with a complete response. Only the worker's verdict, from its header
-/// `applepond-outcome`, proves that the request has not run: an intermediate proxy may respond with 503 or
-/// 404 to a request that has run.
-pub fn from_response(status: u16, verdict: Option<&str>, is_event: bool) -> Outcome {
-    match (status, verdict) {
+/// Returns the outcome of an attempt with a complete response. Only the outcome that the worker reports in
+/// its header `applepond-outcome` proves that the request has not run: an intermediate proxy may respond with
+/// 503 or 404 to a request that has run.
+pub fn from_response(status: u16, reported: Option<&str>, is_event: bool) -> Outcome {
+    match (status, reported) {
         (200, None) if is_event => Outcome::Finished,
         (503, Some("full")) => Outcome::Overloaded,
         (404, Some("missing")) => Outcome::NotLoaded,
--- a/crates/gateway/src/deadline.rs
+++ b/crates/gateway/src/deadline.rs
@@ -15,7 +15,7 @@
 }
 
 /// Returns the 400 error for an event with an invalid deadline.
-fn bad_time(detail: String) -> Fault {
+fn invalid_deadline(detail: String) -> Fault {
     Fault::new(400, "bad-time", detail)
 }
 
@@ -31,13 +31,13 @@
             "expirytime" => {
                 let at: jiff::Timestamp = value
                     .parse()
-                    .map_err(|_| bad_time(format!("expirytime '{value}' is no RFC 3339 time")))?;
+                    .map_err(|_| invalid_deadline(format!("expirytime '{value}' is no RFC 3339 time")))?;
                 self.expires_at = Some(at.as_microsecond().max(0) as Micros);
             }
             "timelimit" => {
                 let ms: u32 = value
                     .parse()
-                    .map_err(|_| bad_time(format!("timelimit '{value}' is no whole number of ms")))?;
+                    .map_err(|_| invalid_deadline(format!("timelimit '{value}' is no whole number of ms")))?;
                 self.time_limit = Some(Micros::from(ms) * 1000);
             }
             _ => {}
--- a/crates/gateway/src/gateway/extensions.rs
+++ b/crates/gateway/src/gateway/extensions.rs
@@ -19,7 +19,7 @@
     /// New client connections per second.
     pub connections_per_second: f64,
     /// Best recent rate at which the fleet finished requests, per second, as observed by this router.
-    pub pace: f64,
+    pub best_completion_rate: f64,
 }
 
 /// The retry of a rejected request, whose client was told when to send it.
--- a/crates/gateway/src/gateway/history.rs
+++ b/crates/gateway/src/gateway/history.rs
@@ -48,9 +48,9 @@
     fn sync_traffic(&mut self, now: Micros) {
         let Some(history) = &mut self.history else { return };
         if let Some(restored) = history.take_restored_traffic(now) {
-            if let Some(usual) = restored.baseline {
-                let rates = (usual.first_attempts_per_second, usual.connections_per_second);
-                self.admission.restore_baseline(now, rates, usual.pace);
+            if let Some(baseline) = restored.baseline {
+                let rates = (baseline.first_attempts_per_second, baseline.connections_per_second);
+                self.admission.restore_baseline(now, rates, baseline.best_completion_rate);
             }
             for retry in restored.scheduled_retries {
                 self.admission.note_scheduled_retry(retry.request, now + retry.wait);
@@ -60,7 +60,7 @@
             let baseline = TrafficBaseline {
                 first_attempts_per_second: first_attempts,
                 connections_per_second: connections,
-                pace: self.admission.best_completion_rate(now),
+                best_completion_rate: self.admission.best_completion_rate(now),
             };
             history.record_baseline(now, baseline);
         }
--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -51,8 +51,8 @@
             record.has_answered = true;
         }
         self.workers.release(now, transport, conn, worker, reusable);
-        let verdict = response.verdict.as_deref();
-        let outcome = attempt_outcome::from_response(response.status, verdict, response.is_event);
+        let reported_outcome = response.reported_outcome.as_deref();
+        let outcome = attempt_outcome::from_response(response.status, reported_outcome, response.is_event);
         self.finish_with_response(now, transport, attempt, outcome, &mut response);
         let result = AttemptResult {
             load_state: response.load_state,
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -25,8 +25,8 @@
 /// A response as far as it has been received.
 pub(crate) struct WorkerResponse {
     pub(crate) status: u16,
-    /// The worker's verdict on the request, `full` or `missing`; either proves that the request has not run.
-    pub(crate) verdict: Option<String>,
+    /// The outcome that the worker reports, `full` or `missing`; either proves that the request has not run.
+    pub(crate) reported_outcome: Option<String>,
     /// Whether the function was loaded at the worker when the request arrived.
     pub(crate) load_state: LoadState,
     /// Requests for the same function that the worker had when this one arrived; 0 if not reported.
@@ -48,7 +48,7 @@
     fn default() -> Self {
         WorkerResponse {
             status: 0,
-            verdict: None,
+            reported_outcome: None,
             load_state: LoadState::Unreported,
             same_function_in_flight: 0,
             reported_in_flight: None,
@@ -66,7 +66,7 @@
     fn read_worker_field(&mut self, name: &str, value: &str) {
         let number = || value.parse::<f64>().ok().filter(|number| number.is_finite());
         match name.to_ascii_lowercase().as_str() {
-            "outcome" => self.verdict = Some(value.to_owned()),
+            "outcome" => self.reported_outcome = Some(value.to_owned()),
             "copy" => {
                 self.load_state = match value {
                     "stood" => LoadState::Loaded,
--- a/crates/gateway/tests/attempt_outcome.rs
+++ b/crates/gateway/tests/attempt_outcome.rs
@@ -35,16 +35,16 @@
 
 #[test_case(200, None, true, Outcome::Finished; "finished")]
 #[test_case(200, None, false, Outcome::Error; "not an event, despite status 200")]
-#[test_case(503, Some("full"), false, Outcome::Overloaded; "full, by the worker's verdict")]
-#[test_case(503, None, false, Outcome::Error; "503 without verdict, possibly by a proxy")]
+#[test_case(503, Some("full"), false, Outcome::Overloaded; "full, as reported by the worker")]
+#[test_case(503, None, false, Outcome::Error; "503 without a reported outcome, possibly by a proxy")]
 #[test_case(404, Some("missing"), false, Outcome::NotLoaded; "missing")]
-#[test_case(404, None, false, Outcome::Error; "404 without verdict")]
-#[test_case(500, Some("full"), false, Outcome::Error; "verdict that does not match the status")]
-fn only_the_workers_verdict_proves_that_nothing_ran(
+#[test_case(404, None, false, Outcome::Error; "404 without a reported outcome")]
+#[test_case(500, Some("full"), false, Outcome::Error; "reported outcome that does not match the status")]
+fn only_the_outcome_reported_by_the_worker_proves_that_nothing_ran(
     status: u16,
-    verdict: Option<&str>,
+    reported: Option<&str>,
     is_event: bool,
     expected: Outcome,
 ) {
-    assert_eq!(from_response(status, verdict, is_event), expected);
+    assert_eq!(from_response(status, reported, is_event), expected);
 }
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -4,9 +4,9 @@
 use applepond_reactor::ConnectionId;
 use test_case::test_case;
 
-fn full(standing: &str, started: u64) -> String {
+fn full(status: &str, started: u64) -> String {
     format!(
-        r#"{{"kind":"full","workers":[{{"name":"w","address":"127.0.0.1:9","standing":"{standing}",
+        r#"{{"kind":"full","workers":[{{"name":"w","address":"127.0.0.1:9","standing":"{status}",
         "started":{started},"zone":"b","rack":3,"weight":2.5}}]}}"#
     )
 }
@@ -44,7 +44,7 @@
 fn idle_connections_to_a_replaced_or_draining_process_are_aborted(
     line: &str,
     aborted: bool,
-    standing: Option<WorkerStatus>,
+    status: Option<WorkerStatus>,
 ) {
     let mut list = EndpointList::default();
     let zones = ["a".to_owned(), "b".to_owned()];
@@ -55,11 +55,11 @@
     list.get_mut(id).expect("known").idle.push(IdleConnection { conn: ConnectionId(5), since: 0 });
     let update = list.read_line(line.as_bytes(), &zones).expect("valid line");
     assert_eq!(update.disconnect, if aborted { vec![ConnectionId(5)] } else { vec![] });
-    assert_eq!(list.get(id).map(|w| w.status), standing);
+    assert_eq!(list.get(id).map(|w| w.status), status);
 }
 
-fn list_of(kind: &str, standing: &str, names: std::ops::Range<u32>) -> Vec<u8> {
-    let worker = |n| format!(r#"{{"name":"w{n}","address":"127.0.0.1:9","standing":"{standing}"}}"#);
+fn list_of(kind: &str, status: &str, names: std::ops::Range<u32>) -> Vec<u8> {
+    let worker = |n| format!(r#"{{"name":"w{n}","address":"127.0.0.1:9","standing":"{status}"}}"#);
     let workers: Vec<String> = names.map(worker).collect();
     format!(r#"{{"kind":"{kind}","workers":[{}]}}"#, workers.join(",")).into_bytes()
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -173,7 +173,7 @@
 #[test_case("\x16\x03\x01 no HTTP\r\n\r\n", 502; "not HTTP")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 502; "not an event")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 502; "two lengths")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without the worker's verdict")]
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without a reported outcome")]
 fn an_at_most_once_request_fails_on_a_malformed_response(response: &str, status: u16) {
     let mut sim = SimulatedGateway::new(deployment(1));
     let client = sim.send_event("confirm", "1");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_overloaded_verdict_lets_an_at_most_once_request_move_on() {
+fn a_reported_overload_lets_an_at_most_once_request_move_on() {
     let mut sim = SimulatedGateway::new(deployment(2));
     let client = sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
--- a/crates/gateway/tests/history.rs
+++ b/crates/gateway/tests/history.rs
@@ -22,17 +22,21 @@
         self.0.borrow_mut().record_load_time(now, function, load_time);
     }
     fn record_baseline(&mut self, now: Micros, baseline: TrafficBaseline) {
-        let TrafficBaseline { first_attempts_per_second, connections_per_second, pace } = baseline;
-        self.0.borrow_mut().record_baseline(now, [first_attempts_per_second, connections_per_second, pace]);
+        let TrafficBaseline { first_attempts_per_second, connections_per_second, best_completion_rate } =
+            baseline;
+        self.0
+            .borrow_mut()
+            .record_baseline(now, [first_attempts_per_second, connections_per_second, best_completion_rate]);
     }
     fn record_scheduled_retry(&mut self, now: Micros, retry: ScheduledRetry) {
         self.0.borrow_mut().record_scheduled_retry(now, retry.request, retry.wait);
     }
     fn take_restored_traffic(&mut self, now: Micros) -> Option<RestoredTraffic> {
-        let (usual, retries) = self.0.borrow_mut().take_router_history(now)?;
-        let baseline = usual.map(|[first_attempts_per_second, connections_per_second, pace]| {
-            TrafficBaseline { first_attempts_per_second, connections_per_second, pace }
-        });
+        let (baseline, retries) = self.0.borrow_mut().take_router_history(now)?;
+        let baseline =
+            baseline.map(|[first_attempts_per_second, connections_per_second, best_completion_rate]| {
+                TrafficBaseline { first_attempts_per_second, connections_per_second, best_completion_rate }
+            });
         let retries = retries.into_iter().map(|(request, wait)| ScheduledRetry { request, wait });
         Some(RestoredTraffic { baseline, scheduled_retries: retries.collect() })
     }
