--- a/crates/fakes/src/client.rs
+++ b/crates/fakes/src/client.rs
@@ -7,7 +7,7 @@
 use crate::ledger::{Event, Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use serde_json::json;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
 /// An attempt of a request on a connection.
 struct Exchange {
     request: usize,
-    conn: Conn,
+    conn: ConnectionId,
     router: usize,
     open: bool,
     is_duplicate: bool,
@@ -126,8 +126,8 @@
     results: Rc<RefCell<Results>>,
     attempts: Vec<u32>,
     exchanges: BTreeMap<u64, Exchange>,
-    peers: BTreeMap<Conn, (HttpPeer, u64)>,
-    idle: Vec<(usize, Conn)>,
+    peers: BTreeMap<ConnectionId, (HttpPeer, u64)>,
+    idle: Vec<(usize, ConnectionId)>,
     last_exchange: u64,
     timers: Vec<Option<Timer>>,
 }
@@ -159,7 +159,7 @@
 
     fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, timer: Timer) {
         self.timers.push(Some(timer));
-        transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
+        transport.set_timer_at(at, TimerId(self.timers.len() as u64 - 1));
     }
 
     /// Sets the outcome of a request unless it has one already.
@@ -203,7 +203,7 @@
     }
 
     /// Writes the request of the exchange to which the connection belongs.
-    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn write(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some((_, number)) = self.peers.get(&conn) else { return };
         let Some(exchange) = self.exchanges.get(number) else { return };
         let p = &self.plan[exchange.request];
@@ -317,7 +317,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         was_never_established: bool,
     ) {
         self.idle.retain(|(_, c)| *c != conn);
@@ -356,11 +356,11 @@
             }
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: Conn, _: Listener) {}
-    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId, _: Listener) {}
+    fn connected(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.write(now, transport, conn);
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let Some((peer, number)) = self.peers.get_mut(&conn) else { return };
         let number = *number;
         match peer.receive(bytes) {
@@ -370,16 +370,23 @@
             None => self.ledger.record(now, Observation::UnexpectedBytes { exchange: number }),
         }
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.connection_ended(now, transport, conn, false);
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, why: Closed, _: u64) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+        why: Closed,
+        _: u64,
+    ) {
         self.connection_ended(now, transport, conn, why == Closed::NotEstablished);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.timers[wake.0 as usize].take() {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match self.timers[timer.0 as usize].take() {
             Some(Timer::Send { request, .. })
                 if self.results.borrow().outcomes[request].0 != RequestOutcome::Nothing => {}
             Some(Timer::Send { request, router, is_duplicate }) => {
--- a/crates/fakes/src/endpoint_list.rs
+++ b/crates/fakes/src/endpoint_list.rs
@@ -4,14 +4,14 @@
 use crate::ledger::{Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// The timer at which the outage begins.
-const OUTAGE: Wake = Wake(u64::MAX);
+const OUTAGE: TimerId = TimerId(u64::MAX);
 
 /// A worker's entry in the list.
 #[derive(Clone)]
@@ -56,7 +56,7 @@
     /// Receives the observations.
     pub ledger: Ledger,
     /// Connections, each with the index of the router that watches on it.
-    peers: BTreeMap<Conn, (HttpPeer, Option<u64>)>,
+    peers: BTreeMap<ConnectionId, (HttpPeer, Option<u64>)>,
 }
 
 impl EndpointList {
@@ -83,7 +83,7 @@
         &self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         router: u64,
         kind: &str,
         endpoints: &[&Endpoint],
@@ -104,16 +104,16 @@
 impl Machine for EndpointList {
     fn start(&mut self, _: Micros, transport: &mut dyn Transport) {
         transport.listen(self.listen, 10_000).expect("the endpoint list's port is free");
-        transport.wake_at(self.outage.0, OUTAGE);
+        transport.set_timer_at(self.outage.0, OUTAGE);
         for (index, (at, _)) in self.changes.iter().enumerate() {
-            transport.wake_at(*at, Wake(index as u64));
+            transport.set_timer_at(*at, TimerId(index as u64));
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.peers.insert(conn, (HttpPeer::new(Side::Server), None));
     }
-    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn connected(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         let Some((peer, watcher)) = self.peers.get_mut(&conn) else { return };
         let Some(request) = peer.receive(bytes).and_then(|mut requests| requests.pop()) else { return };
         if let Some((name, status)) =
@@ -125,7 +125,7 @@
             transport.write(conn, &encode::response(code).body(b""));
             if let (Some(endpoint), Some(status)) = (known, status) {
                 self.changes.push((now, Endpoint { status, ..endpoint }));
-                transport.wake_at(now, Wake(self.changes.len() as u64 - 1));
+                transport.set_timer_at(now, TimerId(self.changes.len() as u64 - 1));
             }
             return;
         }
@@ -147,21 +147,21 @@
         }
         self.send_endpoints(now, transport, conn, router, "full", &endpoints);
     }
-    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peers.remove(&conn);
         transport.abort(conn);
     }
-    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         self.peers.remove(&conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        if wake == OUTAGE {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        if timer == OUTAGE {
             // Watching routers notice the end of their connections and reconnect.
             std::mem::take(&mut self.peers).keys().for_each(|conn| transport.abort(*conn));
             return;
         }
-        let endpoint = self.changes[wake.0 as usize].1.clone();
+        let endpoint = self.changes[timer.0 as usize].1.clone();
         match self.endpoints.iter_mut().find(|known| known.name == endpoint.name) {
             Some(known) => *known = endpoint.clone(),
             None => self.endpoints.push(endpoint.clone()),
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -12,7 +12,7 @@
 use crate::ledger::{Event, Ledger, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Closed, Conn, Listener, Machine, Micros, Transport, Wake};
+use applepond_reactor::{Closed, ConnectionId, Listener, Machine, Micros, TimerId, Transport};
 use oorandom::Rand64;
 use prefixes::{Prepared, RequestPrefix};
 use response::{BookingData, Response};
@@ -62,7 +62,7 @@
 /// The action of a timer.
 enum Timer {
     Script(usize),
-    Finished(Conn, u64),
+    Finished(ConnectionId, u64),
     Loaded(Rc<str>),
 }
 
@@ -77,11 +77,11 @@
     /// Present while the process runs.
     listener: Option<Listener>,
     started: Micros,
-    peers: BTreeMap<Conn, HttpPeer>,
-    requests: BTreeMap<Conn, Request>,
-    queue: VecDeque<Conn>,
+    peers: BTreeMap<ConnectionId, HttpPeer>,
+    requests: BTreeMap<ConnectionId, Request>,
+    queue: VecDeque<ConnectionId>,
     copies: BTreeMap<Rc<str>, Copy>,
-    fetches: BTreeMap<Conn, (Rc<str>, HttpPeer)>,
+    fetches: BTreeMap<ConnectionId, (Rc<str>, HttpPeer)>,
     /// Requests received within `overload_window`.
     recent: VecDeque<Recent>,
     timers: Vec<Option<Timer>>,
@@ -123,7 +123,7 @@
 
     fn set_timer(&mut self, transport: &mut dyn Transport, at: Micros, timer: Timer) {
         self.timers.push(Some(timer));
-        transport.wake_at(at, Wake(self.timers.len() as u64 - 1));
+        transport.set_timer_at(at, TimerId(self.timers.len() as u64 - 1));
     }
 
     /// Starts the process: the worker is cold and listens.
@@ -203,7 +203,7 @@
     }
 
     /// Completes a running request and responds to it.
-    fn finish_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn finish_request(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(request) = self.requests.remove(&conn) else { return };
         if let Some(copy) = self.copies.get_mut(&request.function) {
             copy.running -= 1;
@@ -224,7 +224,7 @@
     fn load_failed(&mut self, now: Micros, transport: &mut dyn Transport, function: &Rc<str>) {
         self.copies.remove(function);
         let waiting = self.requests.iter().filter(|(_, request)| request.function == *function);
-        let requests: Vec<Conn> = waiting.map(|(conn, _)| *conn).collect();
+        let requests: Vec<ConnectionId> = waiting.map(|(conn, _)| *conn).collect();
         for conn in requests {
             self.requests.remove(&conn);
             self.queue.retain(|waiting| *waiting != conn);
@@ -235,7 +235,7 @@
     }
 
     /// Handles the end of a connection. A router that disconnects cancels its request, which frees the core.
-    fn connection_ended(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connection_ended(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         self.peers.remove(&conn);
         if let Some(request) = self.requests.remove(&conn) {
             self.queue.retain(|waiting| *waiting != conn);
@@ -262,15 +262,15 @@
             self.started = now.saturating_sub(self.config.warmup_time);
         }
     }
-    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: Conn, _: Listener) {
+    fn accepted(&mut self, _: Micros, _: &mut dyn Transport, conn: ConnectionId, _: Listener) {
         self.peers.insert(conn, HttpPeer::new(Side::Server));
     }
-    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn connected(&mut self, _: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         if let Some((function, _)) = self.fetches.get(&conn) {
             transport.write(conn, &encode::request("GET", &format!("/model/{function}"), "store").empty());
         }
     }
-    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, bytes: &[u8]) {
+    fn bytes(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, bytes: &[u8]) {
         if let Some((function, peer)) = self.fetches.get_mut(&conn) {
             let Some(response) = peer.receive(bytes).unwrap_or_default().pop() else { return };
             let function = function.clone();
@@ -289,16 +289,16 @@
             }
         }
     }
-    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn half_closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.connection_ended(now, transport, conn);
     }
-    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn, _: Closed, _: u64) {
+    fn closed(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId, _: Closed, _: u64) {
         self.connection_ended(now, transport, conn);
     }
-    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: Conn) {}
-    fn woken(&mut self, now: Micros, transport: &mut dyn Transport, wake: Wake) {
-        match self.timers[wake.0 as usize].take() {
+    fn flushed(&mut self, _: Micros, _: &mut dyn Transport, _: ConnectionId) {}
+    fn timer_fired(&mut self, now: Micros, transport: &mut dyn Transport, timer: TimerId) {
+        match self.timers[timer.0 as usize].take() {
             Some(Timer::Script(index)) => match self.script[index].1 {
                 ScriptEvent::SetBehaviour(behaviour) => self.set_behaviour(transport, behaviour),
                 ScriptEvent::Stop => self.stop_process(transport),
--- a/crates/fakes/src/worker/intake.rs
+++ b/crates/fakes/src/worker/intake.rs
@@ -6,7 +6,7 @@
 use crate::ledger::{Event, Observation};
 use applepond_http::decode::Side;
 use applepond_http::encode;
-use applepond_reactor::{Conn, Micros, Transport};
+use applepond_reactor::{ConnectionId, Micros, Transport};
 use std::rc::Rc;
 
 /// Time limit in µs for a connection to the model store.
@@ -18,7 +18,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         message: &Message,
     ) {
         if let Some(name) = message.target.strip_prefix("/-/mood?") {
@@ -65,7 +65,7 @@
         self.start_waiting(now, transport);
     }
 
-    fn change_behaviour(&mut self, transport: &mut dyn Transport, conn: Conn, name: &str) {
+    fn change_behaviour(&mut self, transport: &mut dyn Transport, conn: ConnectionId, name: &str) {
         let behaviour = Behaviour::from_name(name);
         if let Some(behaviour) = behaviour {
             self.set_behaviour(transport, behaviour);
@@ -80,7 +80,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         message: &Message,
         event: &Event,
     ) -> bool {
@@ -106,7 +106,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         event: &Event,
         same_function: usize,
     ) {
--- a/crates/fakes/src/worker/response.rs
+++ b/crates/fakes/src/worker/response.rs
@@ -1,7 +1,7 @@
 //! Responses of a fake worker.
 use super::{Behaviour, Worker};
 use applepond_http::encode::{self, Message};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 
 /// Number of huts that results can name.
 const HUTS: u64 = 12;
@@ -42,7 +42,7 @@
 
 impl Worker {
     /// Sends a response, distorted by the current behaviour.
-    pub(super) fn respond(&mut self, transport: &mut dyn Transport, conn: Conn, response: &Response) {
+    pub(super) fn respond(&mut self, transport: &mut dyn Transport, conn: ConnectionId, response: &Response) {
         let bytes = self.encode(response);
         match self.behaviour {
             Behaviour::CutAnswers => {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 //! [`EndpointList::read_line`], static workers of the settings by [`EndpointList::apply`].
 use crate::errors::EndpointListError;
 use applepond::interface::{Endpoint, EndpointListKind, Micros, RackId, WorkerId, WorkerStatus, ZoneId};
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleConnection {
     /// The connection.
-    pub conn: Conn,
+    pub conn: ConnectionId,
     /// When it became idle.
     pub since: Micros,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Applies a new entry. Returns the idle connections to be cut: all of them if the process was replaced,
+    /// Applies a new entry. Returns the idle connections to abort: all of them if the process was replaced,
     /// has moved to another address, or is no longer ready.
     fn update(&mut self, address: SocketAddr, entry: &EndpointEntry) -> Vec<IdleConnection> {
         let is_other_process = self.address != address || self.up_since != entry.up_since;
@@ -92,8 +92,8 @@
     pub kind: EndpointListKind,
     /// The entries for `Control`.
     pub entries: Vec<EndpointEntry>,
-    /// Connections to cut.
-    pub disconnect: Vec<Conn>,
+    /// Connections to abort.
+    pub disconnect: Vec<ConnectionId>,
 }
 
 /// An entry for `Control`. It is converted to [`Endpoint`], which does not implement `PartialEq`.
--- a/crates/gateway/src/gateway/responses.rs
+++ b/crates/gateway/src/gateway/responses.rs
@@ -8,7 +8,7 @@
 use crate::worker_connection::WorkerResponse;
 use applepond::interface::{AttemptResult, Micros, Outcome};
 use applepond_http::decode::Step;
-use applepond_reactor::{Closed, Conn, Transport};
+use applepond_reactor::{Closed, ConnectionId, Transport};
 use std::rc::Rc;
 
 impl Gateway {
@@ -17,13 +17,13 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         bytes: &[u8],
     ) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let Some(attempt) = connection.attempt else {
             // Data on an idle connection: a second response or garbage, which belongs to no request.
-            self.workers.cut_idle(transport, conn);
+            self.workers.abort_idle(transport, conn);
             return;
         };
         connection.decoder.feed(bytes);
@@ -38,7 +38,7 @@
     }
 
     /// Handles a complete response: releases its connection for other attempts, and closes its attempt.
-    fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: Conn) {
+    fn response_complete(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
         let Some(connection) = self.workers.connections.get_mut(&conn) else { return };
         let mut response = std::mem::take(&mut connection.response);
         let Some(attempt) = connection.attempt.take() else { return };
@@ -51,8 +51,8 @@
             record.has_answered = true;
         }
         self.workers.release(now, transport, conn, worker, reusable);
-        let verdict = response.verdict.as_deref();
-        let outcome = attempt_outcome::from_response(response.status, verdict, response.is_event);
+        let reported_outcome = response.reported_outcome.as_deref();
+        let outcome = attempt_outcome::from_response(response.status, reported_outcome, response.is_event);
         self.finish_with_response(now, transport, attempt, outcome, &mut response);
         let result = AttemptResult {
             load_state: response.load_state,
@@ -92,7 +92,7 @@
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         reason: Closed,
         sent: u64,
     ) {
--- a/crates/gateway/src/gateway/worker_pool.rs
+++ b/crates/gateway/src/gateway/worker_pool.rs
@@ -6,7 +6,7 @@
 use crate::request_table::AttemptId;
 use crate::worker_connection::WorkerConnection;
 use applepond::interface::{Micros, RetrySafety, WorkerId, WorkerStatus};
-use applepond_reactor::{Conn, Transport};
+use applepond_reactor::{ConnectionId, Transport};
 use rustc_hash::FxHashMap;
 
 /// Maximum number of idle connections per worker; a router seldom has more concurrent requests at one worker.
@@ -23,7 +23,7 @@
 pub(super) struct WorkerPool {
     pub(super) endpoints: EndpointList,
     /// All connections; idle ones are in their worker's record as well.
-    pub(super) connections: FxHashMap<Conn, WorkerConnection>,
+    pub(super) connections: FxHashMap<ConnectionId, WorkerConnection>,
 }
 
 impl WorkerPool {
@@ -41,7 +41,7 @@
         worker: WorkerId,
         attempt: AttemptId,
         retry_safety: RetrySafety,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         let timeout = match retry_safety {
             RetrySafety::AtMostOnce => AT_MOST_ONCE_IDLE_TIMEOUT,
             _ => IDLE_TIMEOUT,
@@ -62,37 +62,37 @@
         worker: WorkerId,
         attempt: AttemptId,
         timeout: Micros,
-    ) -> Option<Conn> {
+    ) -> Option<ConnectionId> {
         let conn = transport.connect(self.endpoints.get(worker)?.address, timeout);
         self.connections.insert(conn, WorkerConnection::new(worker, attempt));
         Some(conn)
     }
 
     /// Releases a connection whose attempt has ended. It is kept idle if it is `reusable`, its worker accepts
-    /// requests, and the worker has fewer than [`MAX_IDLE_CONNECTIONS`] idle ones; otherwise it is cut.
+    /// requests, and the worker has fewer than [`MAX_IDLE_CONNECTIONS`] idle ones; otherwise it is aborted.
     pub(super) fn release(
         &mut self,
         now: Micros,
         transport: &mut dyn Transport,
-        conn: Conn,
+        conn: ConnectionId,
         worker: WorkerId,
         reusable: bool,
     ) {
         let record = self.ready(worker);
         match record.filter(|record| reusable && record.idle.len() < MAX_IDLE_CONNECTIONS) {
             Some(record) => record.idle.push(IdleConnection { conn, since: now }),
-            None => self.cut(transport, conn),
+            None => self.abort(transport, conn),
         }
     }
 
-    /// Cuts a connection that is not idle.
-    pub(super) fn cut(&mut self, transport: &mut dyn Transport, conn: Conn) {
+    /// Aborts a connection that is not idle.
+    pub(super) fn abort(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         self.connections.remove(&conn);
     }
 
-    /// Cuts a connection that may be idle.
-    pub(super) fn cut_idle(&mut self, transport: &mut dyn Transport, conn: Conn) {
+    /// Aborts a connection that may be idle.
+    pub(super) fn abort_idle(&mut self, transport: &mut dyn Transport, conn: ConnectionId) {
         transport.abort(conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.forget_idle(connection.worker, conn);
@@ -100,14 +100,14 @@
     }
 
     /// Removes an idle connection from its worker's record.
-    pub(super) fn forget_idle(&mut self, worker: WorkerId, conn: Conn) {
+    pub(super) fn forget_idle(&mut self, worker: WorkerId, conn: ConnectionId) {
         if let Some(record) = self.endpoints.get_mut(worker) {
             record.idle.retain(|idle| idle.conn != conn);
         }
     }
 
-    /// Cuts the connections idle for longer than [`IDLE_TIMEOUT`].
-    pub(super) fn cut_expired_idle(&mut self, now: Micros, transport: &mut dyn Transport) {
+    /// Aborts the connections idle for longer than [`IDLE_TIMEOUT`].
+    pub(super) fn abort_expired_idle(&mut self, now: Micros, transport: &mut dyn Transport) {
         for (_, record) in self.endpoints.iter_mut() {
             let expired = record.idle.iter().take_while(|idle| now >= idle.since + IDLE_TIMEOUT).count();
             for IdleConnection { conn, .. } in record.idle.drain(..expired) {
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -1,12 +1,12 @@
 //! How messages of the endpoint list change the workers' records.
 use applepond::interface::{WorkerId, WorkerStatus, ZoneId};
 use applepond_gateway::endpoint_list::{EndpointList, IdleConnection};
-use applepond_reactor::Conn;
+use applepond_reactor::ConnectionId;
 use test_case::test_case;
 
-fn full(standing: &str, started: u64) -> String {
+fn full(status: &str, started: u64) -> String {
     format!(
-        r#"{{"kind":"full","workers":[{{"name":"w","address":"127.0.0.1:9","standing":"{standing}",
+        r#"{{"kind":"full","workers":[{{"name":"w","address":"127.0.0.1:9","standing":"{status}",
         "started":{started},"zone":"b","rack":3,"weight":2.5}}]}}"#
     )
 }
@@ -41,10 +41,10 @@
 #[test_case(&full("draining", 7), true, Some(WorkerStatus::Draining); "draining")]
 #[test_case("{\"kind\":\"full\",\"workers\":[]}", true, None; "missing from a full list")]
 #[test_case("{\"kind\":\"changes\",\"workers\":[]}", false, Some(WorkerStatus::Ready); "no change")]
-fn idle_connections_to_a_replaced_or_draining_process_are_cut(
+fn idle_connections_to_a_replaced_or_draining_process_are_aborted(
     line: &str,
-    cut: bool,
-    standing: Option<WorkerStatus>,
+    aborted: bool,
+    status: Option<WorkerStatus>,
 ) {
     let mut list = EndpointList::default();
     let zones = ["a".to_owned(), "b".to_owned()];
@@ -52,14 +52,14 @@
     let first = &update.entries[0];
     assert_eq!((first.up_since, first.zone, first.rack.0, first.weight), (7000, Some(ZoneId(1)), 3, 2.5));
     let id = WorkerId::named("w");
-    list.get_mut(id).expect("known").idle.push(IdleConnection { conn: Conn(5), since: 0 });
+    list.get_mut(id).expect("known").idle.push(IdleConnection { conn: ConnectionId(5), since: 0 });
     let update = list.read_line(line.as_bytes(), &zones).expect("valid line");
-    assert_eq!(update.disconnect, if cut { vec![Conn(5)] } else { vec![] });
-    assert_eq!(list.get(id).map(|w| w.status), standing);
+    assert_eq!(update.disconnect, if aborted { vec![ConnectionId(5)] } else { vec![] });
+    assert_eq!(list.get(id).map(|w| w.status), status);
 }
 
-fn list_of(kind: &str, standing: &str, names: std::ops::Range<u32>) -> Vec<u8> {
-    let worker = |n| format!(r#"{{"name":"w{n}","address":"127.0.0.1:9","standing":"{standing}"}}"#);
+fn list_of(kind: &str, status: &str, names: std::ops::Range<u32>) -> Vec<u8> {
+    let worker = |n| format!(r#"{{"name":"w{n}","address":"127.0.0.1:9","standing":"{status}"}}"#);
     let workers: Vec<String> = names.map(worker).collect();
     format!(r#"{{"kind":"{kind}","workers":[{}]}}"#, workers.join(",")).into_bytes()
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -128,13 +128,13 @@
     sim.send_event("quote", "3");
     assert_eq!(sim.transport.connections.len(), 2, "an idempotent request still reuses it");
     sim.advance(6 * S);
-    assert!(sim.transport.cut.contains(&sim.transport.connections[1].0), "cut after the idle timeout");
+    assert!(sim.transport.cut.contains(&sim.transport.connections[1].0), "aborted after the idle timeout");
 }
 
 // When a hedged attempt has finished, the other attempt is cancelled by closing its connection, and data that
 // still arrives on it is ignored.
 #[test]
-fn a_cancel_cuts_the_connection_and_late_answers_are_dropped() {
+fn a_cancel_aborts_the_connection_and_late_answers_are_dropped() {
     let mut sim = SimulatedGateway::new(deployment(3));
     let client = sim.send_event("quote", "1");
     let first = sim.worker_connections()[0];
@@ -176,7 +176,7 @@
 #[test_case("\x16\x03\x01 no HTTP\r\n\r\n", 502; "not HTTP")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 502; "not an event")]
 #[test_case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", 502; "two lengths")]
-#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without the worker's verdict")]
+#[test_case("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", 502; "503 without a reported outcome")]
 fn an_at_most_once_request_fails_on_a_malformed_response(response: &str, status: u16) {
     let mut sim = SimulatedGateway::new(deployment(1));
     let client = sim.send_event("confirm", "1");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_overloaded_verdict_lets_an_at_most_once_request_move_on() {
+fn a_reported_overload_lets_an_at_most_once_request_move_on() {
     let mut sim = SimulatedGateway::new(deployment(2));
     let client = sim.send_event("confirm", "1");
     let connection = sim.worker_connections()[0];
