--- a/crates/node/src/client.rs
+++ b/crates/node/src/client.rs
@@ -18,7 +18,7 @@
 /// Maximum number of buffered bytes of pipelined requests. Bytes beyond that are read and dropped, as a
 /// hang-up behind unread bytes would not be detected, and the connection is closed with the response.
 const MAX_PIPELINED_BYTES: usize = 32 * 1024;
-/// Maximum number of dropped bytes before the connection is cut. The platform's clients do not pipeline.
+/// Maximum number of dropped bytes before the connection is aborted. The platform's clients do not pipeline.
 const MAX_DROPPED_BYTES: usize = 1024 * 1024;
 
 /// The phase of a client connection.
@@ -96,7 +96,8 @@
         self.decoder.idle()
     }
 
-    /// Processes bytes that arrived at `arrived_at` or later. Returns false if the connection must be cut.
+    /// Processes bytes that arrived at `arrived_at` or later. Returns false if the connection must be
+    /// aborted.
     pub(crate) fn feed(&mut self, now: Micros, arrived_at: Micros, bytes: &[u8]) -> bool {
         if self.phase == Phase::Closing {
             return true;
--- a/crates/node/src/node/attempts.rs
+++ b/crates/node/src/node/attempts.rs
@@ -62,7 +62,7 @@
             None if self.connections.len() < self.max_connections => {
                 self.open_connection(now, transport, worker)
             }
-            None if self.cut_longest_idle(now, transport) => {
+            None if self.abort_longest_idle(now, transport) => {
                 return self.place_attempt(now, transport, attempt);
             }
             None => {
@@ -118,12 +118,13 @@
         conn
     }
 
-    /// Cuts the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
-    fn cut_longest_idle(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
+    /// Aborts the connection that has been idle longest, to free its descriptor. Returns false if none is
+    /// idle.
+    fn abort_longest_idle(&mut self, now: Micros, transport: &mut dyn Transport) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         let oldest = idle.map(|(conn, connection)| (connection.last_used, *conn)).min();
         if let Some((_, conn)) = oldest {
-            self.cut_connection(now, transport, conn);
+            self.abort_connection(now, transport, conn);
         }
         oldest.is_some()
     }
--- a/crates/node/src/node/clients.rs
+++ b/crates/node/src/node/clients.rs
@@ -21,7 +21,7 @@
         let client = ClientConnection::new(now);
         self.client_timeouts.insert(conn, &client);
         self.clients.insert(conn, client);
-        self.cut_excess_clients(now, transport);
+        self.abort_expired_and_excess_clients(now, transport);
     }
 
     /// Handles bytes received from a client.
@@ -134,7 +134,7 @@
         self.client_timeouts.insert(conn, client);
     }
 
-    /// Removes a client that has disconnected or was cut, and ends its request.
+    /// Removes a client that has disconnected or was aborted, and ends its request.
     pub(super) fn client_closed(&mut self, now: Micros, conn: ConnectionId) {
         let Some(client) = self.clients.remove(&conn) else { return };
         self.client_timeouts.remove(conn, &client);
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Cuts client connections that have timed out and, if there are too many, the least valuable ones. Never
-    /// cuts one that waits for a response.
-    pub(super) fn cut_excess_clients(&mut self, now: Micros, transport: &mut dyn Transport) {
+    /// Aborts client connections that have timed out and, if there are too many, the least valuable ones.
+    /// Never aborts one that waits for a response.
+    pub(super) fn abort_expired_and_excess_clients(&mut self, now: Micros, transport: &mut dyn Transport) {
         loop {
             let too_many = self.clients.len() > self.max_clients;
             let has_unsent = |conn| transport.unsent(conn) > 0;
--- a/crates/node/src/node/lifecycle.rs
+++ b/crates/node/src/node/lifecycle.rs
@@ -63,7 +63,7 @@
             self.process_event(now, transport, event);
         }
         self.name_service.poll(now, transport);
-        self.cut_excess_clients(now, transport);
+        self.abort_expired_and_excess_clients(now, transport);
         let mut conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         conns.sort_unstable();
         for conn in conns {
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -262,7 +262,7 @@
             transport.abort(conn);
             self.client_closed(now, conn);
         } else {
-            self.cut_connection(now, transport, conn);
+            self.abort_connection(now, transport, conn);
         }
         self.settle(now, transport);
     }
--- a/crates/node/src/node/worker_connections.rs
+++ b/crates/node/src/node/worker_connections.rs
@@ -51,12 +51,17 @@
         }
         if let Err(fault) = read {
             tracing::debug!(reason = fault.reason, detail = fault.detail, "invalid line from a model server");
-            self.cut_connection(now, transport, conn);
+            self.abort_connection(now, transport, conn);
         }
     }
 
-    /// Cuts a connection that is unusable or no longer needed. Attempts that were sent on it may have run.
-    pub(super) fn cut_connection(&mut self, now: Micros, transport: &mut dyn Transport, conn: ConnectionId) {
+    /// Aborts a connection that is unusable or no longer needed. Attempts that were sent on it may have run.
+    pub(super) fn abort_connection(
+        &mut self,
+        now: Micros,
+        transport: &mut dyn Transport,
+        conn: ConnectionId,
+    ) {
         transport.abort(conn);
         self.worker_disconnected(now, transport, conn);
     }
@@ -120,7 +125,7 @@
         self.check_connection(now, transport, conn);
     }
 
-    /// Cuts a connection that is drained, has been idle for too long or has not answered a health check.
+    /// Aborts a connection that is drained, has been idle for too long or has not answered a health check.
     /// Sends a health check if answers are pending and the connection is silent, to detect peers that vanish
     /// without closing it.
     pub(super) fn check_connection(
@@ -141,7 +146,7 @@
             }
         };
         if is_useless {
-            return self.cut_connection(now, transport, conn);
+            return self.abort_connection(now, transport, conn);
         }
         let is_silent = now >= connection.last_received + PROBE_AFTER_SILENCE;
         let is_probed = connection.probed_at.is_some();
--- a/crates/node/tests/client_hangup.rs
+++ b/crates/node/tests/client_hangup.rs
@@ -60,7 +60,7 @@
     assert_eq!(rig.requests_and_clients(), (0, 0));
 }
 
-// A client that sends endlessly while its request is pending is cut, and the request is cancelled.
+// A client that sends endlessly while its request is pending is disconnected, and the request is cancelled.
 #[test]
 fn endless_bytes_behind_a_request_cancel_it() {
     let mut rig = SocketNode::new(1, |_| ());
@@ -196,7 +196,7 @@
 
 // If concurrent attempts of a request are not allowed, the cancellation of the first must be sent before the
 // next attempt. The first one's connection is blocked until the model server reads again or the connection is
-// cut.
+// aborted.
 #[test_case(ServerBehavior::Serving, 2; "it reads on")]
 #[test_case(ServerBehavior::Silent, 2; "it does not answer health checks")]
 #[test_case(ServerBehavior::NotReading, 1; "it never reads")]
--- a/crates/node/tests/client_limits.rs
+++ b/crates/node/tests/client_limits.rs
@@ -27,11 +27,11 @@
 // A new connection is accepted in the same batch as a request on the connection that would be closed for it.
 // The request must be served.
 #[test]
-fn an_unread_request_is_not_cut_for_a_newcomer() {
+fn a_client_with_an_unread_request_is_not_disconnected_for_a_new_one() {
     let mut rig = SocketNode::new(1, |config_json| config_json["limits"]["sockets"] = 16.into());
     let mut clients = idle(&mut rig, 8);
     rig.settle();
-    let _newcomer = TcpStream::connect(rig.address).expect("the node listens");
+    let _new_client = TcpStream::connect(rig.address).expect("the node listens");
     let mut oldest = clients.remove(0);
     oldest.write_all(call("quote", 1).as_bytes()).expect("written");
     let connection = rig.connection_of(1);
@@ -74,7 +74,7 @@
 
 // The connection that has been idle longest still has undelivered responses. It must not be closed.
 #[test]
-fn an_untaken_answer_is_not_cut_for_a_newcomer() {
+fn a_client_with_an_undelivered_response_is_not_disconnected_for_a_new_one() {
     let mut rig = SocketNode::new(1, |config_json| config_json["limits"]["sockets"] = 16.into());
     let mut client = client_with_unread_answers(&mut rig);
     let _others = idle(&mut rig, 12);
@@ -100,7 +100,7 @@
 
 // A silent client and one with an incomplete request are disconnected within 3 s.
 #[test]
-fn silent_and_idle_clients_are_cut() {
+fn silent_clients_and_incomplete_requests_are_disconnected_within_three_seconds() {
     let mut rig = SocketNode::new(1, |_| ());
     let begun = Instant::now();
     let (_silent, mut half) = (rig.client(), rig.client());
--- a/crates/node/tests/deadline.rs
+++ b/crates/node/tests/deadline.rs
@@ -35,18 +35,18 @@
 // A request arrives in two pieces. The deadline counts from the first byte, not from the complete request.
 #[test_case(20; "within its head")]
 #[test_case(usize::MAX; "within its body")]
-fn a_deadline_counts_from_the_first_byte(cut: usize) {
+fn a_deadline_counts_from_the_first_byte(first_bytes: usize) {
     let mut rig = SocketNode::new(1, |_| ());
     rig.complete_request(1);
     let text = call("quote", 2);
-    let cut = cut.min(text.len() - 1);
+    let first_bytes = first_bytes.min(text.len() - 1);
     let mut client = rig.client();
     let begun = Instant::now();
-    client.write_all(&text.as_bytes()[..cut]).expect("written");
+    client.write_all(&text.as_bytes()[..first_bytes]).expect("written");
     rig.settle();
     rig.run_for(600 * MS);
     let elapsed = begun.elapsed();
-    client.write_all(&text.as_bytes()[cut..]).expect("written");
+    client.write_all(&text.as_bytes()[first_bytes..]).expect("written");
     rig.connection_of(2);
     assert_within(&rig, 2, begun, elapsed);
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -134,10 +134,10 @@
     assert_eq!((sim.statuses(client), sim.send_count(1)), (vec![200], 1));
 }
 
-// A silent connection with pending answers is sent a health check, and cut if it does not answer.
+// A silent connection with pending answers is sent a health check, and aborted if it does not answer.
 #[test_case(true, &[]; "answered: the request takes long")]
 #[test_case(false, &[502]; "not answered")]
-fn a_silent_connection_is_cut_unless_it_answers_the_health_check(works: bool, statuses: &[u16]) {
+fn a_silent_connection_is_aborted_unless_it_answers_the_health_check(works: bool, statuses: &[u16]) {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
     let connection = sim.connection_of(1);
@@ -181,7 +181,7 @@
     sim.advance(300 * MS);
     let fresh: Vec<_> = (0..50).map(|_| sim.connect_client()).collect();
     for (conn, id) in fresh.iter().zip(2_000..) {
-        assert!(!sim.transport.cut.contains(conn), "a new connection must not be cut");
+        assert!(!sim.transport.cut.contains(conn), "a new connection must not be aborted");
         sim.send(*conn, call("quote", id).as_bytes());
     }
     let first = silent_clients.first().copied();
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn silent_clients_are_cut_within_three_seconds() {
+fn silent_clients_are_aborted_within_three_seconds() {
     let mut sim = SimulatedNode::new(1);
     let clients = [sim.connect_client(), sim.connect_client()];
     sim.send(clients[1], b"POST /do/7f3a9c2");
@@ -347,9 +347,9 @@
     );
 }
 
-// A blocked connection is cut even if its only request has been cancelled.
+// A blocked connection is aborted even if its only request has been cancelled.
 #[test]
-fn a_connection_that_takes_nothing_is_cut() {
+fn a_blocked_connection_is_aborted_after_its_request_is_cancelled() {
     let mut sim = SimulatedNode::new(1);
     let client = sim.send_call("confirm", 1);
     let connection = sim.transport.connections[0].0;
--- a/crates/node/tests/worker_connections.rs
+++ b/crates/node/tests/worker_connections.rs
@@ -152,7 +152,8 @@
     rig.wait_until("old connection closed", |rig| rig.node.borrow().open_counts().worker_connections == 1);
 }
 
-// A server neither answers a request nor a health check. The connection is cut, and the request may have run.
+// A server neither answers a request nor a health check. The connection is aborted, and the request may have
+// run.
 #[test]
 fn a_silent_server_loses_its_connection_and_no_request_runs_twice() {
     let mut rig = SocketNode::new(1, |_| ());
