--- a/crates/cli/src/scenario/bad_day.rs
+++ b/crates/cli/src/scenario/bad_day.rs
@@ -78,7 +78,7 @@
          p99 {} ms",
         verdict.exchanges,
         verdict.attempts,
-        verdict.dropped_repeats,
+        verdict.dropped_duplicates,
         verdict.fetches,
         report.latency.0 / 1000,
         report.latency.1 / 1000
--- a/crates/scenarios/src/audit.rs
+++ b/crates/scenarios/src/audit.rs
@@ -67,7 +67,7 @@
     /// Number of attempts started at workers.
     pub attempts: usize,
     /// Number of duplicates dropped by racks.
-    pub dropped_repeats: usize,
+    pub dropped_duplicates: usize,
     /// Number of fetches accepted by the store.
     pub fetches: usize,
 }
@@ -174,7 +174,7 @@
             Observation::RequestReceived { worker, rack, event, .. } => {
                 arrivals.insert((worker, event), Arrival { at: *at, rack: *rack });
             }
-            Observation::DuplicateDropped { .. } => verdict.dropped_repeats += 1,
+            Observation::DuplicateDropped { .. } => verdict.dropped_duplicates += 1,
             Observation::ModelFetch { accepted: true } => verdict.fetches += 1,
             Observation::RequestStarted { worker, event } => {
                 verdict.attempts += 1;
