--- a/crates/cli/src/fakes.rs
+++ b/crates/cli/src/fakes.rs
@@ -83,7 +83,7 @@
         Fake::Worker { listen, name, cores, memory_mb, load_ms, store, mood } => {
             let mut config = worker_config(name, listen, store);
             (config.cores, config.memory_mb, config.load_time) = (cores, memory_mb, load_ms * MS);
-            let script = mood.map(|name| initial_mood(&name)).transpose()?;
+            let script = mood.map(|name| initial_behaviour(&name)).transpose()?;
             Box::new(Worker::new(config, script.into_iter().collect(), ledger, Rc::default()))
         }
         Fake::Store { listen, fetch_ms, most } => Box::new(Store::new(listen, fetch_ms * MS, most, ledger)),
@@ -118,10 +118,10 @@
     }
 }
 
-fn initial_mood(name: &str) -> Result<(Micros, ScriptEvent), clap::Error> {
-    let mood =
+fn initial_behaviour(name: &str) -> Result<(Micros, ScriptEvent), clap::Error> {
+    let behaviour =
         Behaviour::from_name(name).ok_or_else(|| invalid_value(format!("--mood {name}: no such mood")))?;
-    Ok((0, ScriptEvent::SetBehaviour(mood)))
+    Ok((0, ScriptEvent::SetBehaviour(behaviour)))
 }
 
 /// Parses NAME=ADDRESS into a row of the endpoint list.
