--- a/crates/scenarios/src/membership.rs
+++ b/crates/scenarios/src/membership.rs
@@ -30,8 +30,8 @@
 /// Delay of a refutation, so that the accusation by a single router arrives before it.
 const REFUTATION_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Scenes, in the order in which they run.
-pub const SCENES: [&str; 8] = ["kill", "loss", "pauses", "one-way", "slow", "one-voice", "stop", "halves"];
+/// Faults, in the order in which they are injected.
+pub const FAULTS: [&str; 8] = ["kill", "loss", "pauses", "one-way", "slow", "one-voice", "stop", "halves"];
 /// Bugs that can be seeded, each with the rule that it breaks.
 pub const SEEDED_BUGS: [(&str, &str); 4] = [
     ("no-refute", "who was removed and runs comes back"),
@@ -48,9 +48,9 @@
     /// Time in ms until another router detected a kill, one value per router and kill; `u64::MAX` if it did
     /// not within twice `DETECTION_LIMIT`.
     pub detection_ms: Vec<u64>,
-    /// Time in ms from the end of each fault until all views agreed, with the scene.
+    /// Time in ms from the end of each fault until all views agreed, by phase.
     pub convergence_ms: Vec<(&'static str, u64)>,
-    /// Scenes skipped because the fleet is too small for them.
+    /// Faults skipped because the fleet is too small for them.
     pub skipped: Vec<&'static str>,
 }
 
@@ -102,17 +102,17 @@
 
     /// Reads all state pages. A running router that another lists as gone was removed wrongly, unless it is
     /// in `may_be_gone`.
-    fn observe(&mut self, scene: &str, may_be_gone: &[usize]) -> Vec<Option<Value>> {
+    fn observe(&mut self, phase: &str, may_be_gone: &[usize]) -> Vec<Option<Value>> {
         let views: Vec<Option<Value>> = (0..self.ports.len()).map(|index| self.view(index)).collect();
         for (observer, view) in views.iter().enumerate() {
             let Some(view) = view else { continue };
             for observed in 0..self.ports.len() {
                 let Some(entry) = member(view, observed) else { continue };
-                self.check_incarnation(scene, observer, observed, entry);
+                self.check_incarnation(phase, observer, observed, entry);
                 let is_wrong = self.is_running[observed] && !may_be_gone.contains(&observed);
                 if is_wrong && entry["standing"] == "gone" {
                     let breach = format!(
-                        "{scene}: r{observed} is listed as gone by r{observer}, votes {}",
+                        "{phase}: r{observed} is listed as gone by r{observer}, votes {}",
                         entry["by"]
                     );
                     self.record_breach("nobody who runs is removed", breach);
@@ -123,7 +123,7 @@
     }
 
     /// Checks that a router that was gone returns with a higher incarnation.
-    fn check_incarnation(&mut self, scene: &str, observer: usize, observed: usize, entry: &Value) {
+    fn check_incarnation(&mut self, phase: &str, observer: usize, observed: usize, entry: &Value) {
         let Some(incarnation) = entry["incarnation"].as_u64() else { return };
         if entry["standing"] == "gone" {
             self.gone.insert((observer, observed), incarnation);
@@ -132,37 +132,37 @@
         let gone = self.gone.remove(&(observer, observed));
         if let Some(gone) = gone.filter(|gone| incarnation <= *gone) {
             let breach = format!(
-                "{scene}: r{observed} at r{observer} has incarnation {incarnation}, was gone with {gone}"
+                "{phase}: r{observed} at r{observer} has incarnation {incarnation}, was gone with {gone}"
             );
             self.record_breach("who comes back has a higher incarnation", breach);
         }
     }
 
     /// Reads all state pages repeatedly for this time.
-    fn watch(&mut self, scene: &str, time: Duration, may_be_gone: &[usize]) {
+    fn watch(&mut self, phase: &str, time: Duration, may_be_gone: &[usize]) {
         let end = Instant::now() + time;
         while Instant::now() < end {
-            self.observe(scene, may_be_gone);
+            self.observe(phase, may_be_gone);
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Waits until all running routers have the same view, and records how long it took.
-    fn await_agreement(&mut self, scene: &'static str, limit: Duration) -> Result<(), ScenarioError> {
+    fn await_agreement(&mut self, phase: &'static str, limit: Duration) -> Result<(), ScenarioError> {
         let started = Instant::now();
         let live = self.is_running.iter().filter(|is_running| **is_running).count();
         loop {
-            let all = self.observe(scene, &(0..self.ports.len()).collect::<Vec<_>>());
+            let all = self.observe(phase, &(0..self.ports.len()).collect::<Vec<_>>());
             let views: Vec<&Value> = all.iter().flatten().collect();
             let same = |view: &&Value| view["live"] == live && view["view"] == views[0]["view"];
             if views.len() == live && views.iter().all(same) {
-                self.report.convergence_ms.push((scene, started.elapsed().as_millis() as u64));
+                self.report.convergence_ms.push((phase, started.elapsed().as_millis() as u64));
                 return Ok(());
             }
             if started.elapsed() > limit {
                 let counts: Vec<String> = views.iter().map(|view| view["live"].to_string()).collect();
                 let breach = format!(
-                    "{scene}: no agreement within {} ms, live routers by view: {}",
+                    "{phase}: no agreement within {} ms, live routers by view: {}",
                     limit.as_millis(),
                     counts.join(" ")
                 );
@@ -408,8 +408,8 @@
         self.await_agreement("halves", MAX_HEAL_TIME)
     }
 
-    fn run_scene(&mut self, scene: &'static str) -> Result<(), ScenarioError> {
-        match scene {
+    fn inject_fault(&mut self, fault: &'static str) -> Result<(), ScenarioError> {
+        match fault {
             "kill" => return self.kill(),
             "one-way" => return self.one_way(),
             "one-voice" => return self.single_accuser(),
@@ -417,22 +417,22 @@
             "halves" => return self.halves(),
             "loss" => {
                 (self.network.faults().loss_rate, self.network.faults().duplicate_rate) = (0.3, 0.1);
-                self.watch(scene, Duration::from_secs(10), &[]);
+                self.watch(fault, Duration::from_secs(10), &[]);
                 (self.network.faults().loss_rate, self.network.faults().duplicate_rate) = (0.0, 0.0);
             }
             "slow" => {
                 let times = (Duration::from_millis(300), Duration::from_millis(200));
                 (self.network.faults().delay, self.network.faults().jitter) = times;
-                self.watch(scene, Duration::from_secs(10), &[]);
+                self.watch(fault, Duration::from_secs(10), &[]);
                 (self.network.faults().delay, self.network.faults().jitter) = Default::default();
             }
             _ => self.pauses(),
         }
-        self.await_agreement(scene, MAX_HEAL_TIME)
+        self.await_agreement(fault, MAX_HEAL_TIME)
     }
 }
 
-/// Roles of routers in the scene `one-voice`.
+/// Roles of routers under the fault `one-voice`.
 struct SingleAccuserRoles {
     /// The router that receives from only one other.
     isolated: usize,
@@ -451,24 +451,24 @@
     rings.neighbours_of(router_id(other)).contains(&router_id(one))
 }
 
-/// Runs the scenes with their files in `folder`. Calls `progress` with the name of each.
+/// Injects the faults in a fleet that keeps its files in `folder`. Calls `progress` with the name of each.
 ///
 /// # Errors
 /// Returns an error if the scenario could not run.
 pub fn run(
     setup: &Setup,
-    scenes: &[&'static str],
+    faults: &[&'static str],
     folder: &Path,
     progress: &mut dyn FnMut(&str),
 ) -> Result<Report, ScenarioError> {
     let mut fleet = start_fleet(setup, folder)?;
     let mut agreement = fleet.await_agreement("join", MAX_JOIN_TIME);
-    for scene in scenes {
+    for fault in faults {
         if agreement.is_err() {
             break;
         }
-        progress(scene);
-        agreement = fleet.run_scene(scene);
+        progress(fault);
+        agreement = fleet.inject_fault(fault);
     }
     let mut report = std::mem::take(&mut fleet.report);
     report.detection_ms.sort_unstable();
